--- /dev/null
+++ b/tests/goldenkit.py
@@ -0,0 +1,247 @@
+"""How each golden file is read and written: the one place that names what a rename touches.
+
+An id of the tables stands in the manifest and never changes; what it stands for may move and be renamed.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from dataclasses import MISSING, fields, is_dataclass
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from quincepier import interface as io
+from quincepier import simwire
+from quincepier.consensus import words as consensus
+from quincepier.consistency import decision, snapshot
+from quincepier.consistency import words as consistency
+from quincepier.membership import words as membership
+from quincepier.net.fleet import kept as adopted
+from quincepier.net.fleet import words as fleet
+from quincepier.net.peers import frames, shell
+from quincepier.rules import leases
+from quincepier.rules import version as rules
+from quincepier.state import kept, record, store, versions, voterlog, voterrecords
+from quincepier.wire import changelog, fastcgi, lines
+
+FOLDER = Path(__file__).parent / "data" / "golden"
+MANIFEST = FOLDER / "manifest.json"
+FLEET, SENDER = "fleet-a", "front-a"
+
+
+class Codec(msgspec.Struct, frozen=True):
+    """The type of a message or record, and the product's own functions for it."""
+
+    kind: Any
+    decode: Callable[[bytes], Any]
+    encode: Callable[[Any], bytes]
+
+
+def _plain_codec(kind: Any, encode: Callable[[Any], bytes]) -> Codec:
+    return Codec(kind, msgspec.msgpack.Decoder(kind).decode, encode)
+
+
+def _view(raw: bytes) -> tuple[int, Any]:
+    return (shell.ASKS, shell.ANSWERS).index(raw[:1]), membership.decode_whole(raw[1:], FLEET)
+
+
+def _view_bytes(view: tuple[int, Any]) -> bytes:
+    return (shell.ASKS, shell.ANSWERS)[view[0]] + membership.encode(view[1])
+
+
+def _frames(raw: bytes) -> list[tuple[Any, bytes]]:
+    splitter = frames.Splitter(FLEET)
+    found = splitter.feed(raw)
+    assert splitter.head is None and not splitter.held
+    return found
+
+
+def _frames_bytes(found: list[tuple[Any, bytes]]) -> bytes:
+    return b"".join(
+        frames.frame(head.fleet, head.name, head.channel, data)
+        for head, data in found
+        if head.version == frames.VERSION and head.size == len(data)
+    )
+
+
+def _state(raw: bytes) -> tuple[int, Any]:
+    version, sequence, content = record.unpack(raw)
+    assert version == versions.CURRENT
+    return sequence, kept.decode(version, content)
+
+
+CODECS: dict[str, Codec] = {
+    "consensus.message": Codec(consensus.Word, lambda raw: consensus.decode(raw, SENDER), consensus.encode),
+    "membership.datagram": Codec(
+        membership.Words, lambda raw: membership.decode(raw, FLEET), membership.encode
+    ),
+    "membership.whole": Codec(
+        membership.Whole, lambda raw: membership.decode_whole(raw, FLEET), membership.encode
+    ),
+    "consistency.message": Codec(consistency.Word, consistency.decode, consistency.encode),
+    "fleet.message": Codec(fleet.Word, fleet.decode, fleet.encode),
+    "rules.ask": Codec(leases.Ask, leases.decode_ask, leases.encode_words),
+    "rules.grant": Codec(leases.Grant, leases.decode_grant, leases.encode_words),
+    "consistency.line": _plain_codec(decision.Line, snapshot._encode),
+    "consistency.key": _plain_codec(decision.Key, snapshot._encode),
+    "consistency.decision": _plain_codec(decision.Decision, snapshot._encode),
+    "voter.record": _plain_codec(voterrecords.Record, voterlog._encode),
+    "voter.saved": Codec(voterrecords.Saved, voterlog._decode, voterlog._encode),
+    "state.content": Codec(kept.Kept, lambda raw: kept.decode(versions.CURRENT, raw), kept.encode),
+    # Of several parts: their generic values are those of the parts, above.
+    "rules.version": Codec(None, rules.decode, rules.encode),
+    "peers.view": Codec(None, _view, _view_bytes),
+    "peers.frames": Codec(None, _frames, _frames_bytes),
+    "state.record": Codec(
+        None, _state, lambda found: record.pack(versions.CURRENT, found[0], kept.encode(found[1]))
+    ),
+}
+# The body of a rule version, which its digest goes before.
+CODECS["rules.version.body"] = _plain_codec(rules.RuleVersion, rules._encode)
+# What datagrams are told apart by, as they have no tag.
+DATAGRAM_KINDS = {int(kind) for kind in membership.Kind}
+
+
+def rewrite_learned(source: Path, target: Path) -> None:
+    """Both generations of a folder of learned state, read and written anew in their order."""
+    written = store.Store(store.Files(target))
+    written.open()
+    for name in store.GENERATIONS:
+        version, _, content = record.unpack((source / name).read_bytes())
+        written.save(kept.encode(kept.decode(version, content)))
+    written.close()
+
+
+def rewrite_voter(source: Path, target: Path) -> None:
+    read, written = (voterlog.VoterLog(store.Files(folder)) for folder in (source, target))
+    saved = read.load()
+    assert saved is not None and saved.base is not None
+    written.open()
+    written.load()
+    written.save((saved.mark, saved.base, *saved.lines))
+    written.close()
+
+
+def rewrite_adopted(source: Path, target: Path) -> None:
+    version = adopted.Kept(str(source)).load()
+    assert version is not None
+    adopted.Kept(str(target)).save(version)
+
+
+FOLDERS: dict[str, Callable[[Path, Path], None]] = {
+    "state.folder": rewrite_learned,
+    "voter.folder": rewrite_voter,
+    "adopted.folder": rewrite_adopted,
+}
+
+# Typed values without a name of their own on the wire, by the name that their plain form has.
+NAMES: dict[str, type] = {
+    "ask": io.Ask,
+    "fetch": io.Fetch,
+    "cancel": io.Cancel,
+    "refuse": io.Refuse,
+    "fail": io.Fail,
+    "timer": io.SetTimer,
+    "probe": io.Probe,
+    "follow": io.Follow,
+    "log": io.Log,
+    "list": io.ListNews,
+    "machine": io.Machine,
+    "request": io.RequestCame,
+    "timer due": io.TimerDue,
+    "stream began": io.StreamBegan,
+    "attempt ended": io.AttemptEnded,
+    "client left": io.ClientLeft,
+    "probe ended": io.ProbeEnded,
+    "peer said": io.PeerSaid,
+    "purged": io.Purged,
+    "started": simwire.Started,
+    "crashed": simwire.Crashed,
+    "settings": io.Settings,
+    "class": io.RequestClass,
+    "call": fastcgi.Call,
+    "aborted": fastcgi.Aborted,
+    "reply": fastcgi.Reply,
+    "head": lines.Head,
+    "piece": lines.Piece,
+    "whole": lines.Whole,
+    "host": changelog.HostRecord,
+    "fleet": changelog.FleetChange,
+    "purge": changelog.PurgeRecord,
+    "bad": changelog.BadRecord,
+}
+_NAME_OF = {kind: name for name, kind in NAMES.items()}
+
+
+def plain(value: Any) -> Any:
+    """As JSON has it; a typed value is its name and its fields in order, but for last ones at a default."""
+    if is_dataclass(value) and not isinstance(value, type):
+        listed = [(getattr(value, f.name), f.default) for f in fields(value)]
+        while listed and listed[-1][1] is not MISSING and listed[-1][0] == listed[-1][1]:
+            listed.pop()
+        return [_NAME_OF[type(value)], *(plain(one) for one, _ in listed)]
+    if isinstance(value, Enum):
+        return value.value
+    if isinstance(value, bytes | memoryview):
+        return bytes(value).decode("latin-1")
+    if isinstance(value, dict):
+        return {name: plain(one) for name, one in value.items()}
+    if isinstance(value, list | tuple):
+        return [plain(one) for one in value]
+    return value
+
+
+def _judge(text: str) -> None:
+    if not text.startswith("tcp://"):
+        raise ValueError(f"no address: {text}")
+
+
+def _answers(raw: bytes) -> list[Any]:
+    """All answers of a connection, fed at once."""
+    decoder = lines.Decoder()
+    return [plain(one) for one in decoder.feed(memoryview(raw))]
+
+
+def _compressed(raw: bytes) -> Any:
+    sequence, found = _state(raw)
+    return [sequence, plain(msgspec.to_builtins(found))]
+
+
+READERS: dict[str, Callable[[bytes], Any]] = {
+    "sim.batch": lambda raw: plain(simwire.decode_batch(raw)),
+    "sim.settings": lambda raw: plain(simwire.decode_settings(raw)),
+    "fastcgi.read": lambda raw: plain(fastcgi.Decoder(3).feed(raw)),
+    "lines.read": _answers,
+    "changelog.read": lambda raw: plain(changelog.decode_changes(raw)),
+    "changelog.dials": lambda raw: plain(changelog.decode_changes(raw, _judge)),
+    "state.compressed": _compressed,  # read only: what zstd writes is its own affair
+}
+
+
+def _bytes(text: str) -> bytes:
+    return text.encode("latin-1")
+
+
+WRITERS: dict[str, Callable[..., bytes]] = {
+    "sim.action": lambda instance, name, *values: simwire.encode_action(instance, NAMES[name](*values)),
+    "sim.broken": simwire.encode_broken,
+    "sim.reply": lambda batch, *records: simwire.encode_reply(batch, [_bytes(one) for one in records]),
+    "fastcgi.record": lambda kind, request, content: fastcgi.record(kind, request, _bytes(content)),
+    "fastcgi.end": fastcgi.end,
+    "fastcgi.finish": fastcgi.finish,
+    "fastcgi.short": lambda request, head: fastcgi.short(request, _bytes(head)),
+    "fastcgi.pairs": fastcgi.write_pairs,
+    "lines.serve": lambda id, listed, body: lines.serve(id, listed, _bytes(body)),
+    "lines.cancel": lines.cancel,
+    "lines.health": lines.health,
+    "lines.gauges": lines.gauges,
+}
+
+
+def manifest() -> list[dict[str, Any]]:
+    found: list[dict[str, Any]] = json.loads(MANIFEST.read_bytes()) if MANIFEST.exists() else []
+    return found
