--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -143,7 +143,6 @@
     rows = [("connect", *item) for item in CONNECT.items()] + [("request", *item) for item in REQUEST.items()]
     for mode, label, (kind, script) in rows:
         for at_once in (1, burst if mode == "connect" else min(burst, GATE)):
-
             play(partial(show, label, kind, script, mode, count, at_once))
 
 
--- a/bench/alike.py
+++ b/bench/alike.py
@@ -1,7 +1,7 @@
 """Comparing all fronts in virtual time: its cost by the number of fronts, and hours without a false alarm.
 
-    .venv/bin/python bench/alike.py cost [FRONTS ...]
-    .venv/bin/python bench/alike.py calm FRONTS TURNS SEED ...
+.venv/bin/python bench/alike.py cost [FRONTS ...]
+.venv/bin/python bench/alike.py calm FRONTS TURNS SEED ...
 """
 
 from __future__ import annotations
--- a/quincepier/lab/fleet/rig.py
+++ b/quincepier/lab/fleet/rig.py
@@ -424,9 +424,7 @@
 
         task.add_done_callback(done)
 
-    def reach(
-        self, front: int, how: str, paths: tuple[str, ...] = (relay.CLIENTS, relay.PEERS)
-    ) -> None:
+    def reach(self, front: int, how: str, paths: tuple[str, ...] = (relay.CLIENTS, relay.PEERS)) -> None:
         """A front is there or not: the paths that lead to it are told."""
         for path in paths:
             if path in self.relays:
--- a/quincepier/lab/tally.py
+++ b/quincepier/lab/tally.py
@@ -140,5 +140,3 @@
         if self.figures is None:
             raise RuntimeError("the run has not ended")
         return self.figures
-
-
--- a/quincepier/maintenance/room.py
+++ b/quincepier/maintenance/room.py
@@ -78,9 +78,7 @@
         if other is None:
             return ""
         for host, where in sorted(self.out(other, waiting=True).items()):
-            shared = any(
-                {target, host} <= {*shard.caches, *shard.parents} for shard in self.version.shards
-            )
+            shared = any({target, host} <= {*shard.caches, *shard.parents} for shard in self.version.shards)
             if where == zone or shared:
                 return f"{other} {host} of the same {'shard' if where != zone else 'zone'} is out"
         return ""
--- a/quincepier/operator/reading.py
+++ b/quincepier/operator/reading.py
@@ -126,9 +126,7 @@
             if not isinstance(node, yaml.SequenceNode):
                 self.fault(line, key, "a list is wanted")
                 return None
-            items = [
-                self.value(n, arguments[0], f"{key}.{at}", made) for at, n in enumerate(node.value)
-            ]
+            items = [self.value(n, arguments[0], f"{key}.{at}", made) for at, n in enumerate(node.value)]
             result = origin(items)
         else:
             return self.leaf(node, wanted, key, made)
--- a/tests/orderkit.py
+++ b/tests/orderkit.py
@@ -88,7 +88,7 @@
         ]
         self.words: tuple[Ask | Grant, ...] = ()  # under way
         self.owners: tuple[int, ...] = ()  # of which front each is
-        self.ledger = parts.Ledger(-10**12, parts.pace, self.versions[1])
+        self.ledger = parts.Ledger(-(10**12), parts.pace, self.versions[1])
         for at in range(fronts):
             self.exchange(at)
 
@@ -99,9 +99,7 @@
     def copied(self) -> World:
         new = copy.copy(self)
         new.versions, new.machines = list(self.versions), dict(self.machines)
-        new.fronts = [
-            Front(f.name, copy.copy(f.holder), f.rate, f.clock, dict(f.open)) for f in self.fronts
-        ]
+        new.fronts = [Front(f.name, copy.copy(f.holder), f.rate, f.clock, dict(f.open)) for f in self.fronts]
         for front in new.fronts:
             front.holder.asked = dict(front.holder.asked)
         new.ledger = copy.copy(self.ledger)
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -336,9 +336,7 @@
             for e in book.entries.values()
         ]
         flying = sorted((order[r], str(a), self.races.dials[d].at - now) for d, (r, a) in self.dials.items())
-        running = [
-            (sorted(map(str, r.failed)), max(r.next_at - now, 0), r.stuck, r.blameless) for r in races
-        ]
+        running = [(sorted(map(str, r.failed)), max(r.next_at - now, 0), r.stuck, r.blameless) for r in races]
         return repr((entries, flying, running, max(self.wake - now, 0), len(self.over), self.races.numbers))
 
 
