--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -27,13 +27,13 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from docopt import docopt  # noqa: E402
-from hdrh.histogram import HdrHistogram  # noqa: E402
-from loguru import logger  # noqa: E402
+from docopt import docopt
+from hdrh.histogram import HdrHistogram
+from loguru import logger
 
-from quincepier.addresses import parse_term  # noqa: E402
-from quincepier.lab.scripted import Machine, Moment, Script  # noqa: E402
-from tests.addresskit import SAFE, Inside, play  # noqa: E402
+from quincepier.addresses import parse_term
+from quincepier.lab.scripted import Machine, Moment, Script
+from tests.addresskit import SAFE, Inside, play
 
 HIGHEST = 10_000_000  # microseconds
 GATE = 10  # requests at once: below the module's gate on fills, so that none is held or refused
--- a/bench/members_fleet.py
+++ b/bench/members_fleet.py
@@ -19,8 +19,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from bench.measure import cpu_of  # noqa: E402
-from tests.memberskit import Fleet, middle  # noqa: E402
+from bench.measure import cpu_of
+from tests.memberskit import Fleet, middle
 
 REST = 10.0  # seconds
 
--- a/quincepier/consensus/voter.py
+++ b/quincepier/consensus/voter.py
@@ -103,7 +103,8 @@
 
     def propose(self, now: int, data: bytes) -> list[Action]:
         """Entry of at most 1 MiB and some. It is agreed once it comes as `Committed`, and may be lost before;
-        nothing is begun where this voter does not lead, or its lease is over."""
+        nothing is begun where this voter does not lead, or its lease is over.
+        """
         if len(data) > DATA_MOST:
             raise ConsensusError(f"an entry of {len(data)} bytes", "propose", "make the rule version smaller")
         mind = self._at(now)
--- a/quincepier/consistency/decision.py
+++ b/quincepier/consistency/decision.py
@@ -175,7 +175,8 @@
 
 def sample(number: int, round_: int, size: int, inputs: Inputs) -> list[Key]:
     """Keys of a round: the same at every front of equal inputs. Zones are those that have caches; tenants
-    those that the version names, and the nameless."""
+    those that the version names, and the nameless.
+    """
     chance = random.Random(number << 64 | round_)  # not by the policy's hash, which is under trial itself
     s = inputs.settings
     upper = (s.parent_kind, s.origin_kind)
--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -178,7 +178,8 @@
 
     def book(self, node: int, source: int) -> int:
         """The attempt may be booked already: then its own marks at its machines are no reason against them.
-        The source as it was: what is told without one is asked of the machine itself."""
+        The source as it was: what is told without one is asked of the machine itself.
+        """
         made = self.router.nodes[node].out.get((self.event.request, self.req.sent - 1))
         if made is not None and made.at == self.router.now:
             self.booked, self.work = frozenset((node, source)) - {-1}, made.work
--- a/quincepier/consistency/findings.py
+++ b/quincepier/consistency/findings.py
@@ -51,7 +51,8 @@
 @dataclass(slots=True, frozen=True)
 class Finding:
     """Told once a round. `what` is the line, setting, entry or key; `mine` is of the front, `theirs` of
-    the rest."""
+    the rest.
+    """
 
     round: int
     number: int  # of the version
@@ -142,6 +143,7 @@
 
 def standard(answers: Mapping[str, Answer]) -> int:
     """The revision of the list against which others are late: the middle one, so that one that is far off
-    makes nobody late."""
+    makes nobody late.
+    """
     revisions = sorted(answer.revision for answer in answers.values())
     return revisions[(len(revisions) - 1) // 2] if revisions else 0
--- a/quincepier/consistency/tree.py
+++ b/quincepier/consistency/tree.py
@@ -25,7 +25,8 @@
 
     def look(self, path: str, split: bool = False) -> tuple[tuple[bytes, ...], tuple[tuple[str, bytes], ...]]:
         """What is below `path` (hex digits): the digests of 16 children, or instead the leaves where they
-        are few and `split` does not ask for digests all the same."""
+        are few and `split` does not ask for digests all the same.
+        """
         low, high = self._span(path)
         if high - low <= WIDE and not split:
             return (), tuple((label, leaf) for _, label, leaf in self.rows[low:high])
--- a/quincepier/consistency/witness.py
+++ b/quincepier/consistency/witness.py
@@ -73,7 +73,8 @@
 
 def module_memory(router: Router, lines: Callable[[], Sequence[Line]]) -> Memory:
     """What the module itself ranks, for the digests: of its own zone and the parents, while no machine has a
-    step of pace and its list is the one that the round goes by; else None, and the rule is computed alone."""
+    step of pace and its list is the one that the round goes by; else None, and the rule is computed alone.
+    """
 
     def memory(zone: int, key: int) -> Sequence[int] | None:
         group = router.parents if zone < 0 else router.edges if zone == router.s.zone else None
--- a/quincepier/fading.py
+++ b/quincepier/fading.py
@@ -11,7 +11,7 @@
     Signs are logarithms; each counts half after `fade` ns, beside `prior` signs of 0 that do not fade.
     """
 
-    __slots__ = ("fade", "prior", "slowed", "signs", "at")
+    __slots__ = ("at", "fade", "prior", "signs", "slowed")
 
     def __init__(self, fade: int, prior: float) -> None:
         self.fade, self.prior = fade, prior
--- a/quincepier/lab/alike.py
+++ b/quincepier/lab/alike.py
@@ -111,7 +111,8 @@
 
 class AlikeNet:
     """So many fronts; the first leads. `measures`: the CPU of each front is counted (that alone is no fixed
-    figure)."""
+    figure).
+    """
 
     def __init__(
         self,
--- a/quincepier/lab/fleet/settling.py
+++ b/quincepier/lab/fleet/settling.py
@@ -7,7 +7,8 @@
 
 def sections(front: int, fronts: int, voters: int, own: int, peers: int, folder: str, more: str = "") -> str:
     """`own`: the port at which fronts hear each other, `peers`: that of the paths between them. `folder`: of
-    the rig. `more`: lines of the section `agreement`."""
+    the rig. `more`: lines of the section `agreement`.
+    """
 
     def at(other: int) -> str:
         return f"{front_address(front)}:{own}" if other == front else f"{pair_address(front, other)}:{peers}"
--- a/quincepier/lab/orders.py
+++ b/quincepier/lab/orders.py
@@ -129,8 +129,7 @@
             self.now, _, call = heapq.heappop(self.turns)
             call()
         between = sum(
-            self.machines[host].since <= at
-            and self.machines[host].since >= 0
+            (self.machines[host].since <= at and self.machines[host].since >= 0)
             or any(begun <= at < back for begun, back in self.machines[host].closed)
             for at, host in self.came
         )
--- a/quincepier/lab/powercut.py
+++ b/quincepier/lab/powercut.py
@@ -73,7 +73,8 @@
 
     def afterwards(self, chance: random.Random) -> Iterator[PowerDisk]:
         """What may be found: each unsynced change of a name there or not, unsynced writes gone, whole, torn,
-        or with a hole where one of them is missing."""
+        or with a hole where one of them is missing.
+        """
         for count in range(len(self.renames) + 1):
             for kept_names in itertools.combinations(self.renames, count):
                 names = dict(self.names)
--- a/quincepier/maintenance/leaving.py
+++ b/quincepier/maintenance/leaving.py
@@ -18,11 +18,8 @@
     found = {
         order.target
         for order in version.orders
-        if order.aside
-        and (order.kind != "front" or order.target == me)
-        or cautious
-        and order.open
-        and order.kind != "front"
+        if (order.aside and (order.kind != "front" or order.target == me))
+        or (cautious and order.open and order.kind != "front")
     }
     return frozenset(found | wished) if cautious else frozenset(found)
 
--- a/quincepier/maintenance/room.py
+++ b/quincepier/maintenance/room.py
@@ -39,7 +39,7 @@
         """Those of a kind that count as out, and their zones; with those that wait for their turn."""
         found = {host: zone for host, (k, zone) in self.broken.items() if k == kind}
         for order in self.orders:
-            if order.kind == kind and (order.out or waiting and order.open):
+            if order.kind == kind and (order.out or (waiting and order.open)):
                 found[order.target] = order.zone
         return found
 
@@ -73,7 +73,8 @@
 
     def _relative(self, kind: str, zone: str, target: str) -> str:
         """A parent and its caches, of one zone or one shard, are never out together: what the cache lost
-        would have to be filled past the parent."""
+        would have to be filled past the parent.
+        """
         other = {"cache": "parent", "parent": "cache"}.get(kind)
         if other is None:
             return ""
--- a/quincepier/maintenance/service.py
+++ b/quincepier/maintenance/service.py
@@ -18,7 +18,8 @@
 
 def standing(wishes: MaintenanceSection, seen: Seen) -> Standing:
     """A tenant of which too few answers are in, or whose usual is not known, is not judged; where anybody
-    asks and nothing usual is known at all, service is not known to be as before."""
+    asks and nothing usual is known at all, service is not known to be as before.
+    """
     sums = dict[str, tuple[int, float, float]]()
     for name, report in seen.reports.items():
         for row in report.service if name == report.front else ():
--- a/quincepier/maintenance/steps.py
+++ b/quincepier/maintenance/steps.py
@@ -215,7 +215,8 @@
 
     def announce(self, wish: Wish) -> None:
         """The next of a wish, as many as may be out: only those are named, so that a front which lost touch
-        keeps from these few and not from all that is ever to be worked on."""
+        keeps from these few and not from all that is ever to be worked on.
+        """
         mine = [o for o in self.orders if o.wish == wish.id]
         stopped = next((o for o in mine if o.step is OrderStep.STOPPED), None)
         meant = targets(wish, self.seen)
--- a/quincepier/membership/detector.py
+++ b/quincepier/membership/detector.py
@@ -425,7 +425,7 @@
         soon = [end for c in left if (end := self.ends(c)) <= now + self.pace.gather]
         if soon and now - self.first_due < self.pace.gather_most:
             self.due = max(self.due, *soon)
-        if now >= self.due or not self.members - believed and len(self.members) == 1:
+        if now >= self.due or (not self.members - believed and len(self.members) == 1):
             came, went = sorted(believed - self.members), sorted(self.members - believed)
             self.members, self.due = believed, None
             self.out.append(Viewed(tuple(sorted(believed)), tuple(came), tuple(went)))
--- a/quincepier/net/clients.py
+++ b/quincepier/net/clients.py
@@ -120,7 +120,8 @@
 
     def make_room(self) -> None:
         """The pool is used up. Of the client that has taken nothing for longest, answers not begun become
-        failures; where there are none, what has begun is cut by closing its connection."""
+        failures; where there are none, what has begun is cut by closing its connection.
+        """
         held = sorted((c for c in self.in_session if c.session and c.session.sending), key=lambda c: c.moved)
         for connection in held:
             if connection.fail_unbegun():
--- a/quincepier/net/fleet/chair.py
+++ b/quincepier/net/fleet/chair.py
@@ -53,7 +53,8 @@
         gone: Callable[[], frozenset[str]] = frozenset,
     ) -> None:
         """`silent(age)`: fronts put out of the view for no longer, which may serve on by an older version;
-        `gone()`: those of which the operators say that they are no more."""
+        `gone()`: those of which the operators say that they are no more.
+        """
         self.name, self.voters, self.seat, self.pace = name, voters, seat, pace
         self.planners, self.machines, self.view, self.checks = planners, machines, view, checks
         self.alike, self.silent, self.gone = alike, silent, gone
--- a/quincepier/net/fleet/effects.py
+++ b/quincepier/net/fleet/effects.py
@@ -48,7 +48,8 @@
     @property
     def version(self) -> RuleVersion:
         """By which this front decides, or, before its first answer, keeps to its cautious set: what a voter
-        reads from its own log at the start may be older than what its earlier start was told."""
+        reads from its own log at the start may be older than what its earlier start was told.
+        """
         known, kept = self.follower.version, self.kept
         if kept is not None and self.follower.holder.blank() and kept.number > known.number:
             return kept
@@ -64,7 +65,8 @@
 
     def apply(self, why: str = "") -> None:
         """Put the version, and whether this front is cautious, in force at the module. Cheap where nothing
-        has changed."""
+        has changed.
+        """
         now, version = clock.boot(), self.version
         reason = self.wants_caution(now)
         cautious = bool(reason)
@@ -72,7 +74,7 @@
             self.since = now
         # a move may have begun since that this front can't know of
         spoilt = version.number == self.in_part
-        unsure = spoilt or cautious and (not version.number or now - self.since > self.bearing.notice)
+        unsure = spoilt or (cautious and (not version.number or now - self.since > self.bearing.notice))
         as_before = (version.number, cautious, unsure) == (self.number, self.cautious, self.unsure)
         if as_before and self.taken == self.bearing.taken:
             return
@@ -112,7 +114,8 @@
 
     def _take_back(self) -> None:
         """What may not be repeated and is not written goes back to the module: after a standstill its time is
-        over, and the tenant may be served at another home. Machines are seen to by their list lines."""
+        over, and the tenant may be served at another home. Machines are seen to by their list lines.
+        """
         for request in list(self.module.requests.open.values()):
             if request.tenant and self.bearing.once[request.cls]:
                 for attempt in request.attempts:
--- a/quincepier/net/fleet/seat.py
+++ b/quincepier/net/fleet/seat.py
@@ -126,7 +126,8 @@
 
     def _save(self) -> None:
         """The oldest write that is not on disk. The next goes to the disk only after it: one that failed and
-        is tried again behind a newer one would take that back, a vote among it."""
+        is tried again behind a newer one would take that back, a vote among it.
+        """
         if not self.stores or self.voter is None:
             return
         store = self.stores[0]
--- a/quincepier/net/writing.py
+++ b/quincepier/net/writing.py
@@ -28,8 +28,24 @@
 
 class Writing:
     __slots__ = (
-        "asked", "closed", "closing", "closing_at", "read_closed", "ending", "faults", "held", "moved",
-        "queued_at", "reading", "manager", "since", "sock", "stirred", "session", "timer", "writer",
+        "asked",
+        "closed",
+        "closing",
+        "closing_at",
+        "ending",
+        "faults",
+        "held",
+        "manager",
+        "moved",
+        "queued_at",
+        "read_closed",
+        "reading",
+        "session",
+        "since",
+        "sock",
+        "stirred",
+        "timer",
+        "writer",
     )  # fmt: skip
 
     def __init__(self, manager: ConnectionManager, sock: socket.socket) -> None:
--- a/quincepier/policy/fills.py
+++ b/quincepier/policy/fills.py
@@ -28,7 +28,7 @@
         elif waits and fill and req.tier == 2 and self.fills >= GATE * self.bound:
             # past the gate a few wait with the others: what is never filled no cache holds
             self.hold(req) if any(self.depth) and self.depth[2] < GATE_HELD else self.shed(req)
-        elif waits and (fill and (self.full(req) or any(self.depth)) or (node and self.crowded(node, req))):
+        elif waits and ((fill and (self.full(req) or any(self.depth))) or (node and self.crowded(node, req))):
             self.hold(req)
         elif target := node or (source if self.s.direct else None):  # no cache to ask: straight to the parent
             self.send(req, target, source or target)
@@ -74,7 +74,7 @@
             if best is None or len(queue) // BOOST_EVERY > len(best) // BOOST_EVERY:
                 req, node = queue[0], self.place(queue[0])
                 full = node is not None and self.crowded(node, req)
-                may = not full and (not self.full(req) or node is not None and self.known(node, req))
+                may = not full and (not self.full(req) or (node is not None and self.known(node, req)))
                 best = queue if may else best
         return best
 
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -78,7 +78,7 @@
         count = sum(FILL_PART if a.fill and pace < PACE_EASY else 1 for a in node.out.values()) + 1
         listed = self.s.sizes_compare and node.machine.size > 0  # what a kind was seen to bear is no limit
         late = pace * work > (CROWD + (1 - CROWD) / n) * aim  # more fronts leave more room
-        return late or listed and count > max(CROWD * aim / work * node.machine.size / n, 2)
+        return late or (listed and count > max(CROWD * aim / work * node.machine.size / n, 2))
 
     def known(self, node: Node, req: Request) -> bool:
         return self.now - self.hits.get((node.machine.cache, req.key), self.now - HIT_MEMORY) < HIT_MEMORY
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -100,7 +100,7 @@
             req.avoid += [source or node] if e.note in SOURCE_FAULTS else [node] * blamed
             if source is not None and e.note is Note.NONE and e.ending in (Ending.FULL, Ending.TIMEOUT):
                 req.avoid += [source]  # not told whose fault it was: change both
-        useless = attempt.look and e.ending is Ending.MISS or req.deadline - self.now < self.work[req.e.cls]
+        useless = (attempt.look and e.ending is Ending.MISS) or req.deadline - self.now < self.work[req.e.cls]
         if held and self.now >= self.fill_at and self.usable(node, req) and self.usable(held, req):
             self.fill_at = self.now + int(self.rest)
             self.send(req, node, held, True)
--- a/quincepier/rules/leases.py
+++ b/quincepier/rules/leases.py
@@ -32,7 +32,8 @@
 @dataclass(slots=True, frozen=True)
 class Pace:
     """Nanoseconds. The lease bounds for how long a request that may not be repeated can be refused while a
-    tenant moves; the asks are four to a lease, so that three in a row may be lost."""
+    tenant moves; the asks are four to a lease, so that three in a row may be lost.
+    """
 
     lease: int = 1000 * MS
     every: int = 250 * MS  # between asks
@@ -98,7 +99,7 @@
     It starts without a lease, whatever an earlier start of it held.
     """
 
-    __slots__ = ("pace", "start", "version", "until", "token", "asked", "next", "doubted", "answered")
+    __slots__ = ("answered", "asked", "doubted", "next", "pace", "start", "token", "until", "version")
 
     def __init__(self, start: int, now: int, pace: Pace, version: RuleVersion | None = None) -> None:
         self.pace, self.start = pace, start
@@ -115,7 +116,8 @@
 
     def blank(self) -> bool:
         """Whether it started and does not know yet what was agreed: what it kept, or heard by the way, may be
-        older than what its earlier start was told. It waits a little for an answer before it serves."""
+        older than what its earlier start was told. It waits a little for an answer before it serves.
+        """
         return not self.answered
 
     def ask(self, now: int) -> int:
@@ -140,7 +142,8 @@
 
     def granted(self, now: int, grant: Grant, version: RuleVersion | None = None) -> bool:
         """An answer came, with the version it names where that came along. Whether a newer one was adopted:
-        then it asks again at once, since only that ask is answered with a lease."""
+        then it asks again at once, since only that ask is answered with a lease.
+        """
         if grant.start != self.start:
             return False  # meant for an earlier start of this front
         adopted = version is not None and self.adopt(version)
--- a/quincepier/rules/ledger.py
+++ b/quincepier/rules/ledger.py
@@ -52,8 +52,17 @@
     """Made anew by each front that comes to lead, with the moment of its election."""
 
     __slots__ = (
-        "pace", "began", "newest", "digest", "fronts", "force", "force_since", "no_more", "away", "reached",
         "agreed_at",
+        "away",
+        "began",
+        "digest",
+        "force",
+        "force_since",
+        "fronts",
+        "newest",
+        "no_more",
+        "pace",
+        "reached",
     )  # fmt: skip
 
     def __init__(self, now: int, pace: Pace, newest: RuleVersion) -> None:
@@ -74,7 +83,8 @@
 
     def heard(self, now: int, ask: Ask, sure_until: int) -> Grant | None:
         """The answer to an ask; None to one that is late or repeated, and where another may lead by now: then
-        nobody is told what is newest either. `now` is read after the ask came in."""
+        nobody is told what is newest either. `now` is read after the ask came in.
+        """
         pace, report = self.pace, ask.report
         if now >= sure_until:
             return None
@@ -125,7 +135,8 @@
 
     def told(self, now: int, names: Iterable[str]) -> int:
         """The highest number that every front was told of, those without a lease too: a front that missed the
-        version in which an order is first named does not know what it has to keep from."""
+        version in which an order is first named does not know what it has to keep from.
+        """
         if now < self.began + self.pace.longer(self.pace.lease):
             return 0
         if any(name not in self.fronts and name not in self.no_more for name in names):
--- a/quincepier/rules/version.py
+++ b/quincepier/rules/version.py
@@ -77,7 +77,8 @@
 
 class Home(msgspec.Struct, frozen=True, array_like=True):
     """The home shard of a tenant; tenants without a line have the common one, all caches outside of shards
-    or, where no line names any, all caches."""
+    or, where no line names any, all caches.
+    """
 
     tenant: Name
     shard: ShardName
@@ -144,7 +145,8 @@
 
 class Change(msgspec.Struct, frozen=True):
     """What a part wants changed, as wholes of its own fields; None leaves a field as it is. Whoever decides a
-    step gives one, and `apply` makes the next version of all of one turn."""
+    step gives one, and `apply` makes the next version of all of one turn.
+    """
 
     why: str  # told in the log
     orders: tuple[Order, ...] | None = None
@@ -165,7 +167,8 @@
 
 def apply(version: RuleVersion, term: int, changes: tuple[Change, ...]) -> RuleVersion:
     """The next version. `since` of entries that are new or entered another step is set to its number here,
-    so whoever proposes need not know it. RulesError where two changes set the same field."""
+    so whoever proposes need not know it. RulesError where two changes set the same field.
+    """
     number, given = version.number + 1, dict[str, object]()
     for change in changes:
         for field in ("orders", "allowances", "shards", "homes", "moves"):
--- a/quincepier/tenancy/gap.py
+++ b/quincepier/tenancy/gap.py
@@ -15,7 +15,8 @@
 def hold(classes: Iterable[RequestClass]) -> int:
     """Nanoseconds after which nothing that was taken before can still be told apart by a cache's memory of
     repeats: it may have run as late as the longest wait and the latest delivery, and a repeat counts as one
-    for its window after that. Of all classes that may not simply be repeated, the longest."""
+    for its window after that. Of all classes that may not simply be repeated, the longest.
+    """
     times = [c.window + ALLOW_TIMES * c.deadline + DELIVERY for c in classes if c.effect is not Effect.SAFE]
     return max(times, default=0)
 
--- a/quincepier/tenancy/growth.py
+++ b/quincepier/tenancy/growth.py
@@ -38,7 +38,7 @@
     own = {host for s in version.shards for host in (*s.caches, *s.parents)}
     mine = {*line.caches, *line.parents} if line else set[str]()
     for o in version.orders:
-        if o.out and o.kind != "front" and (o.target in mine or not line and o.target not in own):
+        if o.out and o.kind != "front" and (o.target in mine or (not line and o.target not in own)):
             return o.target
     return ""
 
--- a/quincepier/tenancy/homes.py
+++ b/quincepier/tenancy/homes.py
@@ -21,11 +21,12 @@
 
 def place(move: Move, part: int, once: bool, repeat: bool, cautious: bool) -> tuple[str, bool]:
     """Home, and whether it is refused, of a request of a tenant under an open move. `once`: its class may not
-    simply be repeated; `repeat`: its client says that it asked before."""
+    simply be repeated; `repeat`: its client says that it asked before.
+    """
     step = move.step
     if not once:
-        early = step <= MoveStep.CLOSING and cautious or step is MoveStep.RETURNING
-        over = step is MoveStep.DRAINING or not early and part < move.part
+        early = (step <= MoveStep.CLOSING and cautious) or step is MoveStep.RETURNING
+        over = step is MoveStep.DRAINING or (not early and part < move.part)
         return (move.new if over else move.old), False
     # A first runs where the version says, and needs no gap: each of two neighbouring versions refuses its
     # repeats. A repeat may have run at the other home, so it waits until a cache could not tell it either.
@@ -35,7 +36,7 @@
         return move.new, cautious
     if step is MoveStep.RETURNING:
         return move.old, cautious or repeat
-    return move.old, cautious or step is MoveStep.CLOSING and repeat
+    return move.old, cautious or (step is MoveStep.CLOSING and repeat)
 
 
 class Homes:
@@ -108,7 +109,7 @@
             shard, closed = place(move, part_of(key), once, repeat, self.cautious)
         else:
             shard, closed = self._shards[tenant], False
-        return shard, closed or once and self.unsure and tenant > 0
+        return shard, closed or (once and self.unsure and tenant > 0)
 
 
 def number_of_home(shard: str) -> int:
--- a/quincepier/tenancy/section.py
+++ b/quincepier/tenancy/section.py
@@ -70,7 +70,8 @@
 
 class TenantsSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Shards, tenants and moves by name. `notice_s`: so long may a front that has no lease take what may not
-    be repeated of a named tenant, and so long does a move stay planned, so that it surely knows."""
+    be repeated of a named tenant, and so long does a move stay planned, so that it surely knows.
+    """
 
     shards: Annotated[dict[Name, ShardLine], msgspec.Meta(max_length=SHARDS_MOST)] = {}
     tenants: Annotated[dict[Name, TenantLine], msgspec.Meta(max_length=HOMES_MOST)] = {}
--- a/quincepier/tenancy/steps.py
+++ b/quincepier/tenancy/steps.py
@@ -71,7 +71,8 @@
 
 def held_back(version: RuleVersion) -> frozenset[str]:
     """Host ids of machines that an order is not to begin with: of the shards of moves that have begun. The
-    common home is not in it: its machines are too many to be of one move."""
+    common home is not in it: its machines are too many to be of one move.
+    """
     return frozenset(
         host
         for m in version.moves
@@ -92,7 +93,7 @@
 def _begun(version: RuleVersion, moves: list[Move], homes: list[Home], line: MoveLine) -> Move | None:
     """A wish that begins: not known yet, its tenant under no other move, and not at home there already."""
     old = next((h.shard for h in homes if h.tenant == line.tenant), None)
-    known = any(m.wish == line.id or m.open and m.tenant == line.tenant for m in moves)
+    known = any(m.wish == line.id or (m.open and m.tenant == line.tenant) for m in moves)
     if known or line.rollback or old is None or old == line.shard or len(moves) >= MOVES_MOST:
         return None
     if line.shard and version.shard(line.shard) is None:  # its shard comes with this change: the next turn
@@ -126,7 +127,7 @@
     if m.step is Step.CLOSING:
         return _closing(m, line is None or line.pause or line.limit <= Step.VERIFY, seen)
     if m.step is Step.RETURNING:
-        still = line is not None and line.pause or age(m, seen) < wishes.hold
+        still = (line is not None and line.pause) or age(m, seen) < wishes.hold
         return m if still else _to(m, Step.BACK, m.why)
     return _cut_over(version, m, line, goes, wishes, seen)
 
--- a/quincepier/tenancy/verify.py
+++ b/quincepier/tenancy/verify.py
@@ -40,7 +40,8 @@
 
 def total(seen: Seen, tenant: str, shard: str | None = None) -> Service:
     """The sum over all reports, of a tenant at a shard; of all shards with None. In reports the common home
-    is named by its word, as "" stands for all."""
+    is named by its word, as "" stands for all.
+    """
     name = "" if shard is None else shard or COMMON
     rows = (s for r in seen.reports.values() for s in r.service)
     return _sum(tenant, name, (s for s in rows if (s.tenant, s.shard) == (tenant, name)))
@@ -59,7 +60,8 @@
 
 def worse(bad: float, n: int, than: float, of: int, margin: float) -> Verdict:
     """Whether a share of `n` is surely no worse than another by more than the margin, surely worse, or
-    not to be told yet. `of` 0: the other is known exactly."""
+    not to be told yet. `of` 0: the other is known exactly.
+    """
     variance = SPREAD * (_variance(bad, n) + (_variance(than, of) if of else 0.0))
     more, error = bad - than, math.sqrt(variance)
     if more - Z_FAIL * error > margin:
--- a/quincepier/wire/fastcgi.py
+++ b/quincepier/wire/fastcgi.py
@@ -186,7 +186,8 @@
     def _over(self, request: int, call: _Begun, kind: int, size: int) -> list[Call | Aborted | Reply]:
         """Empty, or the fault of a request that so many bytes more make too large.
 
-        Its end is not waited for, as it may never come; the connection closes behind the answer."""
+        Its end is not waited for, as it may never come; the connection closes behind the answer.
+        """
         if kind == PARAMS and len(call.params) + size > PARAMS_MOST:
             fault = f"parameters over {PARAMS_MOST} bytes"
         elif kind == STDIN and len(call.body) + size > BODY_MOST:
--- a/tests/signalkit.py
+++ b/tests/signalkit.py
@@ -33,7 +33,7 @@
     def __init__(self, actions: str) -> None:
         self.numbers = [getattr(signal, f"SIG{action}") for action in actions.split(",")]
 
-    def __del__(self, kill: Callable[[int, int], None] = os.kill, own: int = os.getpid()) -> None:  # noqa: B008
+    def __del__(self, kill: Callable[[int, int], None] = os.kill, own: int = os.getpid()) -> None:
         for number in self.numbers:
             kill(own, number)
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -439,7 +439,9 @@
         await keeper.end()
         assert disk.met.is_set() and not disk.free.is_set()  # it hangs still, and all this came to its end
         disk.free.set()
-        while held == "sync" and not checks.counts["state written"] or held == "read" and not keeper.usable:
+        while (held == "sync" and not checks.counts["state written"]) or (
+            held == "read" and not keeper.usable
+        ):
             await asyncio.sleep(0.01)
 
     asyncio.run(run())
