--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -374,14 +374,14 @@
     "warming ones do not count": (
         "room",
         {
-            "order.out or waiting and order.open": "order.aside or waiting and order.aside",
+            "order.out or (waiting and order.open)": "order.aside or (waiting and order.aside)",
             "m.up_ms < m.warm_ms": "False",
         },
         "pass",
     ),
     "without a lease only drained ones are kept from": (
         "leaving",
-        {"or cautious and order.open": "or cautious and order.aside"},
+        {"or (cautious and order.open": "or (cautious and order.aside"},
         "cut",
     ),
     "one that started serves at once": ("leases", {"return not self.answered": "return False"}, "pass"),
