--- a/tests/golden.py
+++ b/tests/golden.py
@@ -221,6 +221,8 @@
     def one_way(self) -> None:
         many = msgspec.msgpack.encode(KEPT | {"classes": [["n" * 200, 1.5e9, n, 5] for n in range(20)]})
         read = READ | {"state.compressed": pack(2, 8, many)}
+        read["consistency.settings"] = READ["sim.settings"]
+        read["consistency.version"] = (FOLDER / "rules.version.body-0.bin").read_bytes()
         for codec, raw in read.items():
             self.add(f"{codec}.bin", raw, codec=codec, form="read", gives=READERS[codec](raw))
         for codec, calls in WRITE.items():
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -19,6 +19,7 @@
 from quincepier.consensus import words as consensus
 from quincepier.consistency import decision, snapshot
 from quincepier.consistency import words as consistency
+from quincepier.consistency.tree import Tree as MerkleTree
 from quincepier.membership import words as membership
 from quincepier.net.fleet import kept as adopted
 from quincepier.net.fleet import words as fleet
@@ -211,6 +212,25 @@
     return [sequence, plain(msgspec.to_builtins(found))]
 
 
+def _settings_fields(raw: bytes) -> Any:
+    """What fronts compare of their settings: label and text of each, and the digest over all."""
+    inputs = decision.Inputs(rules.first(), simwire.decode_settings(raw), (), 0, "")
+    found = snapshot.fields_of_settings(inputs)
+    return [plain(found), MerkleTree({name: snapshot.leaf(one) for name, one in found.items()}).root.hex()]
+
+
+def _version_fields(raw: bytes) -> Any:
+    """What fronts compare of their rule versions."""
+    version = msgspec.msgpack.decode(raw, type=rules.RuleVersion)
+    return plain(
+        snapshot.fields_of_version(
+            decision.Inputs(
+                version, simwire.decode_settings(Path(FOLDER, "sim.settings.bin").read_bytes()), (), 0, ""
+            )
+        )
+    )
+
+
 READERS: dict[str, Callable[[bytes], Any]] = {
     "sim.batch": lambda raw: plain(simwire.decode_batch(raw)),
     "sim.settings": lambda raw: plain(simwire.decode_settings(raw)),
@@ -218,6 +238,8 @@
     "lines.read": _answers,
     "changelog.read": lambda raw: plain(changelog.decode_changes(raw)),
     "changelog.dials": lambda raw: plain(changelog.decode_changes(raw, _judge)),
+    "consistency.settings": _settings_fields,
+    "consistency.version": _version_fields,
     "state.compressed": _compressed,  # read only: what zstd writes is its own affair
 }
 
