--- a/quincepier/__main__.py
+++ b/quincepier/__main__.py
@@ -93,7 +93,7 @@
 
         return command.run(chosen)
     if chosen["state"]:
-        from quincepier.net.keeper import stamp
+        from quincepier.net.state_persistence import stamp
         from quincepier.state import command as state_command
 
         return state_command.run(chosen, stamp())
--- a/quincepier/consensus/__init__.py
+++ b/quincepier/consensus/__init__.py
@@ -5,9 +5,18 @@
 docs/agreement.md.
 """
 
+from quincepier.consensus.election_timeouts import ElectionTimeouts
 from quincepier.consensus.errors import ConsensusError
-from quincepier.consensus.mind import Action, Committed, Role, Send, Store
-from quincepier.consensus.pace import Pace
-from quincepier.consensus.voter import Voter
+from quincepier.consensus.raft import Raft
+from quincepier.consensus.raft_state import Action, EntryCommitted, LeaderChanged, PersistRecords, SendMessage
 
-__all__ = ["Action", "Committed", "ConsensusError", "Pace", "Role", "Send", "Store", "Voter"]
+__all__ = [
+    "Action",
+    "ConsensusError",
+    "ElectionTimeouts",
+    "EntryCommitted",
+    "LeaderChanged",
+    "PersistRecords",
+    "Raft",
+    "SendMessage",
+]
--- a/quincepier/consensus/voters.py
+++ b/quincepier/consensus/cluster_configuration.py
@@ -9,16 +9,16 @@
 
 from __future__ import annotations
 
-from quincepier.consensus.mind import SEEN_MOST, Mind, Part, Peer
+from quincepier.consensus.messages import Hello, Message, StorageRollback
+from quincepier.consensus.raft_state import SEEN_MOST, FollowerProgress, RaftRole, RaftState
 from quincepier.consensus.replication import propose
-from quincepier.consensus.words import Hello, Off, Word
-from quincepier.state.voterrecords import VOTERS_MOST, Base, Kind, Member
+from quincepier.state.voter_records import VOTERS_MOST, EntryKind, Member, Snapshot
 
 LEAST = 2  # voters of a roster
 
 
-def tick(mind: Mind) -> None:
-    if mind.part is Part.LEADS:
+def tick(mind: RaftState) -> None:
+    if mind.part is RaftRole.LEADS:
         change(mind)
     elif mind.now >= mind.asks_due and (not mind.member or not mind.whole):
         mind.asks_due = mind.now + mind.pace.ask
@@ -28,7 +28,7 @@
                 mind.send(name, Hello(mind.roster))
 
 
-def found(mind: Mind) -> None:
+def found(mind: RaftState) -> None:
     """The first name in order binds itself once it has heard all; the others bind to what it says."""
     if mind.log.base is not None or mind.term or mind.name != min(mind.voters):
         return
@@ -38,13 +38,13 @@
         bind(mind, tuple(Member(n, heard[n]) for n in sorted(heard)))
 
 
-def bind(mind: Mind, roster: tuple[Member, ...]) -> None:
-    base = Base(0, 0, roster)
+def bind(mind: RaftState, roster: tuple[Member, ...]) -> None:
+    base = Snapshot(0, 0, roster)
     mind.log.install(base)
     mind.records.append(base)
 
 
-def hello(mind: Mind, word: Word, said: Hello) -> None:
+def hello(mind: RaftState, word: Message, said: Hello) -> None:
     mind.hellos[word.name] = (word.identity, said.roster, mind.now)
     names = tuple(m.name for m in said.roster)
     mine = Member(mind.name, mind.identity)
@@ -61,7 +61,7 @@
         mind.send(word.name, Hello(mind.roster), word.identity)
 
 
-def change(mind: Mind) -> None:
+def change(mind: RaftState) -> None:
     """The one change that is wanted next, where one may be made at all."""
     pace, log = mind.pace, mind.log
     if mind.commit < mind.first or log.roster_index > mind.commit:
@@ -79,27 +79,27 @@
         said = mind.hellos.get(name)
         if name in roster or said is None or mind.now - said[2] > pace.most or len(roster) >= VOTERS_MOST:
             continue
-        peer = mind.peers.setdefault(said[0], Peer(0, heard=mind.now))
+        peer = mind.peers.setdefault(said[0], FollowerProgress(0, heard=mind.now))
         if peer.match >= log.begin and peer.match >= mind.commit and peer.matched_by[0]:
             set_roster(mind, {**roster, name: said[0]})
             return
 
 
-def set_roster(mind: Mind, roster: dict[str, str]) -> None:
+def set_roster(mind: RaftState, roster: dict[str, str]) -> None:
     members = tuple(Member(n, roster[n]) for n in sorted(roster))
-    propose(mind, Kind.VOTERS, roster=members)
+    propose(mind, EntryKind.VOTERS, roster=members)
     keep = {m.identity for m in members}
     for identity in [i for i in mind.peers if i not in keep]:
         del mind.peers[identity]
 
 
-def marked(mind: Mind, word: Word) -> bool:
+def marked(mind: RaftState, word: Message) -> bool:
     """Whether this start is the newest known of that voter. An older one is a folder that was put back."""
     key, start = (word.name, word.identity), (word.starts, word.nonce)
     known = mind.seen.get(key)
     if known is not None and (start[0] < known[0] or (start[0] == known[0] and start[1] != known[1])):
         mind.dropped["older"] += 1
-        mind.send(word.name, Off(word.starts, word.nonce), word.identity)
+        mind.send(word.name, StorageRollback(word.starts, word.nonce), word.identity)
         return False
     mind.seen.pop(key, None)
     mind.seen[key] = start
@@ -108,7 +108,7 @@
     return True
 
 
-def off(mind: Mind, told: Off) -> None:
+def off(mind: RaftState, told: StorageRollback) -> None:
     if (told.starts, told.nonce) == (mind.starts, mind.nonce):
         mind.forgot += 1
         mind.begin_anew()
--- a/quincepier/consensus/pace.py
+++ b/quincepier/consensus/election_timeouts.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
+class ElectionTimeouts:
     """Nanoseconds and counts. A word there and back has to take less than `lease` less `beat`."""
 
     beat: int = 120 * MS  # between words of a leader to each voter
--- a/quincepier/consensus/words.py
+++ b/quincepier/consensus/messages.py
@@ -12,25 +12,25 @@
 
 from quincepier.consensus.errors import ConsensusError
 from quincepier.errors import Inflicted
-from quincepier.state.voterrecords import Base, Line, Name, Number, Roster
+from quincepier.state.voter_records import Configuration, LogEntry, Name, Number, Snapshot
 
 VERSION = 1
 ENTRIES_MOST, BATCH_MOST = 64, 1 << 20  # entries of one word, and bytes after which no further one is added
-WORD_MOST = (1 << 21) + 4096  # bytes
+MAX_MESSAGE_BYTES = (1 << 21) + 4096  # bytes
 Any_ = Annotated[str, msgspec.Meta(max_length=32)]
 
 
-class BadWord(Inflicted, ConsensusError, ValueError):
+class InvalidMessageError(Inflicted, ConsensusError, ValueError):
     """A word that is none of ours; it is dropped and counted."""
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=0):
     """I am here under this identity, and these are the voters that I know (none: never told)."""
 
-    roster: Roster = ()
+    roster: Configuration = ()
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=1):
+class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """Vote for me in `term`; `pre`: would you? (thesis 9.6)"""
 
     pre: bool
@@ -39,23 +39,23 @@
     last_term: Number
 
 
-class Vote(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class VoteResponse(msgspec.Struct, frozen=True, array_like=True, tag=2):
     pre: bool
     term: Number  # of the question
     granted: bool
 
 
-class Append(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class AppendEntries(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Entries after (prev_index, prev_term); none: the leader's beat."""
 
     at: Number  # the leader's monotonic nanoseconds; comes back with the answer
     prev_index: Number
     prev_term: Number
     commit: Number
-    lines: Annotated[tuple[Line, ...], msgspec.Meta(max_length=ENTRIES_MOST)] = ()
+    lines: Annotated[tuple[LogEntry, ...], msgspec.Meta(max_length=ENTRIES_MOST)] = ()
 
 
-class Appended(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag=4):
     at: Number
     taken: bool
     match: Number  # the log is the leader's up to here; not taken: try after this
@@ -63,22 +63,30 @@
     number: Number  # of this answer, by the process that gives it: words may come in another order
 
 
-class Install(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=5):
     at: Number
-    base: Base
+    base: Snapshot
 
 
-class Off(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class StorageRollback(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """An older copy of your folder was put back: you forgot what you promised."""
 
     starts: Number
     nonce: Number
 
 
-Body = Hello | Ask | Vote | Append | Appended | Install | Off
+Body = (
+    Hello
+    | RequestVote
+    | VoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | StorageRollback
+)
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
+class Message(msgspec.Struct, frozen=True, array_like=True):
     version: int
     name: Name
     identity: Any_
@@ -89,26 +97,26 @@
     body: Body
 
 
-_decode = msgspec.msgpack.Decoder(Word).decode
+_decode = msgspec.msgpack.Decoder(Message).decode
 encode = msgspec.msgpack.Encoder().encode
 
 
-def decode(raw: bytes, sender: str) -> Word:
+def decode(raw: bytes, sender: str) -> Message:
     """BadWord for anything that is not a whole word of this version by this sender."""
-    if len(raw) > WORD_MOST:
-        raise BadWord("too long")
+    if len(raw) > MAX_MESSAGE_BYTES:
+        raise InvalidMessageError("too long")
     try:
         word = _decode(raw)
     except (msgspec.DecodeError, RecursionError, ValueError) as error:
-        raise BadWord(str(error)[:100]) from None
+        raise InvalidMessageError(str(error)[:100]) from None
     if word.version != VERSION or word.name != sender:
-        raise BadWord("of another version or sender")
-    if isinstance(word.body, Append):
+        raise InvalidMessageError("of another version or sender")
+    if isinstance(word.body, AppendEntries):
         want = word.body.prev_index
         term = word.body.prev_term
         for line in word.body.lines:
             want += 1
             if line.index != want or line.term < term or line.term > word.term:
-                raise BadWord("entries out of order")
+                raise InvalidMessageError("entries out of order")
             term = line.term
     return word
--- a/quincepier/consensus/voter.py
+++ b/quincepier/consensus/raft.py
@@ -2,26 +2,26 @@
 
 from __future__ import annotations
 
-from quincepier.consensus import election, replication, voters
+from quincepier.consensus import cluster_configuration, election, replication
+from quincepier.consensus.election_timeouts import ElectionTimeouts
 from quincepier.consensus.errors import ConsensusError
-from quincepier.consensus.mind import Action, Mind, Part
-from quincepier.consensus.pace import Pace
-from quincepier.consensus.words import (
-    Append,
-    Appended,
-    Ask,
-    BadWord,
+from quincepier.consensus.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
     Hello,
-    Install,
-    Off,
-    Vote,
-    Word,
+    InstallSnapshot,
+    InvalidMessageError,
+    Message,
+    RequestVote,
+    StorageRollback,
+    VoteResponse,
     decode,
 )
-from quincepier.state.voterrecords import DATA_MOST, VOTERS_MOST, Kind, Member, Saved
+from quincepier.consensus.raft_state import Action, RaftRole, RaftState
+from quincepier.state.voter_records import DATA_MOST, VOTERS_MOST, EntryKind, Member, VoterState
 
 
-class Voter:
+class Raft:
     """`voters` as the file names them, 3 to 7, this one among them; `saved` as the log on disk gave it, None
     for a new folder; times in monotonic ns. `seed` differs at each start: of it come identities and waits.
     """
@@ -30,10 +30,10 @@
         self,
         name: str,
         voters: tuple[str, ...],
-        saved: Saved | None,
+        saved: VoterState | None,
         now: int,
         seed: int,
-        pace: Pace | None = None,
+        pace: ElectionTimeouts | None = None,
     ) -> None:
         if not 3 <= len(set(voters)) <= VOTERS_MOST or len(set(voters)) != len(voters):
             raise ConsensusError("three to seven different voters are needed", "voters")
@@ -41,15 +41,15 @@
             raise ConsensusError("a voter's name has 1 to 64 characters", "voters")
         if name not in voters:
             raise ConsensusError(f"{name} is not among the voters", "voters")
-        self._mind = Mind(name, voters, saved, now, seed, pace or Pace())
+        self._mind = RaftState(name, voters, saved, now, seed, pace or ElectionTimeouts())
 
     def tick(self, now: int) -> list[Action]:
         """To be called at `wake`, and once after the start."""
         mind = self._at(now)
         election.tick(mind)
-        if mind.part is Part.LEADS and mind.now >= mind.due:
+        if mind.part is RaftRole.LEADS and mind.now >= mind.due:
             replication.beat(mind)
-        voters.tick(mind)
+        cluster_configuration.tick(mind)
         return mind.flush()
 
     def heard(self, now: int, sender: str, raw: bytes) -> list[Action]:
@@ -57,7 +57,7 @@
         mind = self._at(now)
         try:
             word = decode(raw, sender)
-        except BadWord:
+        except InvalidMessageError:
             mind.dropped["bad"] += 1
             return mind.flush()
         if sender not in mind.voters and sender not in {m.name for m in mind.roster}:
@@ -66,11 +66,11 @@
             mind.dropped["disk"] += 1
         elif word.to not in ("", mind.identity) or (word.to == "" and not isinstance(word.body, Hello)):
             mind.dropped["other identity"] += 1
-            if not isinstance(word.body, Hello | Off):
+            if not isinstance(word.body, Hello | StorageRollback):
                 mind.send(sender, Hello(mind.roster), word.identity)
-        elif voters.marked(mind, word):
+        elif cluster_configuration.marked(mind, word):
             self._hear(mind, word)
-            if mind.part is Part.LEADS:
+            if mind.part is RaftRole.LEADS:
                 election.tick(mind)
                 if mind.now >= mind.due:
                     replication.beat(mind)
@@ -78,27 +78,31 @@
         return mind.flush()
 
     @staticmethod
-    def _hear(mind: Mind, word: Word) -> None:
+    def _hear(mind: RaftState, word: Message) -> None:
         body = word.body
-        if word.term > mind.term and isinstance(body, Append | Install | Appended | Vote):
+        if word.term > mind.term and isinstance(
+            body, AppendEntries | InstallSnapshot | AppendEntriesResponse | VoteResponse
+        ):
             mind.follow(word.term)
         match body:
             case Hello():
-                voters.hello(mind, word, body)
-            case Off():
-                voters.off(mind, body)
-            case Ask():
+                cluster_configuration.hello(mind, word, body)
+            case StorageRollback():
+                cluster_configuration.off(mind, body)
+            case RequestVote():
                 election.asked(mind, word, body)
-            case Vote():
+            case VoteResponse():
                 election.voted(mind, word, body)
             case _ if word.term < mind.term:
-                if isinstance(body, Append | Install):  # so that an old leader learns of the new term
+                if isinstance(
+                    body, AppendEntries | InstallSnapshot
+                ):  # so that an old leader learns of the new term
                     replication.answer(mind, word, body.at, False, 0)
-            case Append() if mind.part is not Part.LEADS:
+            case AppendEntries() if mind.part is not RaftRole.LEADS:
                 replication.append(mind, word, body)
-            case Install() if mind.part is not Part.LEADS:
+            case InstallSnapshot() if mind.part is not RaftRole.LEADS:
                 replication.install(mind, word, body)
-            case Appended() if mind.part is Part.LEADS:
+            case AppendEntriesResponse() if mind.part is RaftRole.LEADS:
                 replication.appended(mind, word, body)
 
     def propose(self, now: int, data: bytes) -> list[Action]:
@@ -109,7 +113,7 @@
             raise ConsensusError(f"an entry of {len(data)} bytes", "propose", "make the rule version smaller")
         mind = self._at(now)
         election.tick(mind)
-        replication.propose(mind, Kind.DATA, data)
+        replication.propose(mind, EntryKind.DATA, data)
         return mind.flush()
 
     def stored(self, now: int, ticket: int) -> list[Action]:
@@ -121,7 +125,7 @@
         replication.advance(mind)
         return mind.flush()
 
-    def _at(self, now: int) -> Mind:
+    def _at(self, now: int) -> RaftState:
         self._mind.now = max(self._mind.now, now)
         return self._mind
 
@@ -131,8 +135,8 @@
         mind = self._mind
         if mind.records or mind.out:
             return mind.now
-        asks = mind.part in (Part.ASKS, Part.STANDS) or not mind.member or not mind.whole
-        return min(mind.due, mind.asks_due) if asks and mind.part is not Part.LEADS else mind.due
+        asks = mind.part in (RaftRole.ASKS, RaftRole.STANDS) or not mind.member or not mind.whole
+        return min(mind.due, mind.asks_due) if asks and mind.part is not RaftRole.LEADS else mind.due
 
     @property
     def leader(self) -> str | None:
@@ -146,7 +150,7 @@
     def leads(self) -> bool:
         """Whether it leads and something of its term is committed; for reads see `lease_until`."""
         mind = self._mind
-        return mind.part is Part.LEADS and mind.commit >= mind.first
+        return mind.part is RaftRole.LEADS and mind.commit >= mind.first
 
     @property
     def lease_until(self) -> int:
--- a/quincepier/consensus/mind.py
+++ b/quincepier/consensus/raft_state.py
@@ -11,44 +11,44 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from quincepier.consensus.log import Log
-from quincepier.consensus.pace import Pace
-from quincepier.consensus.words import VERSION, Body, Word, encode
-from quincepier.state.voterrecords import Line, Mark, Member, Record, Saved
+from quincepier.consensus.election_timeouts import ElectionTimeouts
+from quincepier.consensus.messages import VERSION, Body, Message, encode
+from quincepier.consensus.raft_log import RaftLog
+from quincepier.state.voter_records import HardState, LogEntry, Member, Record, VoterState
 
 SEEN_MOST = 32
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class SendMessage:
     to: str
     data: bytes
     after: int  # ticket of the Store that has to be on disk before; 0: none
 
 
 @dataclass(slots=True, frozen=True)
-class Store:
+class PersistRecords:
     ticket: int
     records: tuple[Record, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Committed:
+class EntryCommitted:
     index: int
     term: int
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Role:
+class LeaderChanged:
     leader: str | None
     term: int
 
 
-Action = Send | Store | Committed | Role
+Action = SendMessage | PersistRecords | EntryCommitted | LeaderChanged
 
 
-class Part(Enum):
+class RaftRole(Enum):
     FOLLOWS = "follows"
     ASKS = "asks"  # whether it would be voted for
     STANDS = "stands"
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Peer:
+class FollowerProgress:
     """What a leader knows of one voter, or of one that is to be taken in."""
 
     next: int  # index to be sent next; 0: it needs the snapshot
@@ -68,15 +68,21 @@
     heard: int = 0
 
 
-class Mind:
+class RaftState:
     def __init__(
-        self, name: str, voters: tuple[str, ...], saved: Saved | None, now: int, seed: int, pace: Pace
+        self,
+        name: str,
+        voters: tuple[str, ...],
+        saved: VoterState | None,
+        now: int,
+        seed: int,
+        pace: ElectionTimeouts,
     ) -> None:
         self.name, self.voters, self.now, self.pace = name, voters, now, pace
         self.random = random.Random(seed)
         self.nonce = self.random.getrandbits(60)
-        self.log = Log(saved)
-        mark = saved.mark if saved else Mark(f"{self.random.getrandbits(64):016x}", 0, 0)
+        self.log = RaftLog(saved)
+        mark = saved.mark if saved else HardState(f"{self.random.getrandbits(64):016x}", 0, 0)
         self.identity, self.starts = mark.identity, mark.starts + 1
         self.term, self.vote = mark.term, mark.vote
         self.records: list[Record] = [self.mark]
@@ -87,7 +93,7 @@
         self.pending = deque[list[int]]()  # ticket, last index of the log with it, when
         self.disk_index = self.log.last  # the log is on disk up to here
         self.commit = self.told = self.log.begin
-        self.part = Part.FOLLOWS
+        self.part = RaftRole.FOLLOWS
         self.leader: str | None = None
         self.told_role: tuple[str | None, int] | None = None
         # a voter that starts may have promised a leader just before: it waits as one that has just heard it
@@ -95,7 +101,7 @@
         self.due = now + self.span()
         self.asks_due = now
         self.granted: set[str] = set()  # identities
-        self.peers: dict[str, Peer] = {}  # by identity, of who leads
+        self.peers: dict[str, FollowerProgress] = {}  # by identity, of who leads
         self.lease_until = 0
         self.led_since = 0
         self.first = 0  # index of the leader's first entry of its term
@@ -108,11 +114,11 @@
         self.forgot = 0  # times that this voter was told off
         if self.log.base is not None and self.log.base.data_index:
             base = self.log.base
-            self.out.append(Committed(base.data_index, base.data_term, base.data))
+            self.out.append(EntryCommitted(base.data_index, base.data_term, base.data))
 
     @property
-    def mark(self) -> Mark:
-        return Mark(self.identity, self.starts, self.term, self.vote)
+    def mark(self) -> HardState:
+        return HardState(self.identity, self.starts, self.term, self.vote)
 
     @property
     def roster(self) -> tuple[Member, ...]:
@@ -137,7 +143,7 @@
         """`rests`: on what was promised or taken before; only a leader's entries do not."""
         self.words.append((to, body, identity, rests))
 
-    def append(self, line: Line) -> None:
+    def append(self, line: LogEntry) -> None:
         if line.index <= self.log.last:
             for entry in self.pending:  # a write under way of what is now given up counts for nothing
                 entry[1] = min(entry[1], line.index - 1)
@@ -149,11 +155,11 @@
         """A higher term, or the end of leading in this one."""
         if term > self.term:
             self.term, self.vote, self.leader = term, "", None
-        if self.part is Part.LEADS:
+        if self.part is RaftRole.LEADS:
             self.leader = None
-        if self.part is not Part.FOLLOWS:
+        if self.part is not RaftRole.FOLLOWS:
             self.due = self.now + self.span()
-        self.part, self.lease_until = Part.FOLLOWS, 0
+        self.part, self.lease_until = RaftRole.FOLLOWS, 0
         self.granted.clear()
         self.peers.clear()
 
@@ -162,7 +168,7 @@
         self.follow(self.term)
         self.identity = f"{self.random.getrandbits(64):016x}"
         self.starts, self.term, self.vote, self.leader, self.whole = 1, 0, "", None, False
-        self.log = Log(None)
+        self.log = RaftLog(None)
         self.commit = self.told = self.disk_index = 0
         self.records, self.marked = [self.mark], self.mark
         self.words.clear()
@@ -176,17 +182,19 @@
         actions = list[Action]()
         if self.records:
             self.ticket += 1
-            actions.append(Store(self.ticket, tuple(self.records)))
+            actions.append(PersistRecords(self.ticket, tuple(self.records)))
             self.pending.append([self.ticket, self.log.last, self.now])
             self.records = []
         latest = self.ticket if self.pending else 0
         for to, body, identity, rests in self.words:
-            word = Word(VERSION, self.name, self.identity, self.starts, self.nonce, identity, self.term, body)
-            actions.append(Send(to, encode(word), latest if rests else 0))
+            word = Message(
+                VERSION, self.name, self.identity, self.starts, self.nonce, identity, self.term, body
+            )
+            actions.append(SendMessage(to, encode(word), latest if rests else 0))
         self.words = []
         if self.told_role != (self.leader, self.term):
             self.told_role = (self.leader, self.term)
-            actions.append(Role(self.leader, self.term))
+            actions.append(LeaderChanged(self.leader, self.term))
         actions += self.out
         self.out = []
         return actions
--- a/quincepier/consensus/replication.py
+++ b/quincepier/consensus/replication.py
@@ -6,12 +6,20 @@
 
 from __future__ import annotations
 
-from quincepier.consensus.mind import Committed, Mind, Part, Peer
-from quincepier.consensus.words import BATCH_MOST, ENTRIES_MOST, Append, Appended, Install, Off, Word
-from quincepier.state.voterrecords import Kind, Line, Member
-
-
-def beat(mind: Mind, only_new: bool = False) -> None:
+from quincepier.consensus.messages import (
+    BATCH_MOST,
+    ENTRIES_MOST,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    Message,
+    StorageRollback,
+)
+from quincepier.consensus.raft_state import EntryCommitted, FollowerProgress, RaftRole, RaftState
+from quincepier.state.voter_records import EntryKind, LogEntry, Member
+
+
+def beat(mind: RaftState, only_new: bool = False) -> None:
     """A word to each; `only_new`: to those that have not been sent everything."""
     for identity, name in targets(mind):
         peer = mind.peers[identity]
@@ -21,7 +29,7 @@
         mind.due = mind.now + mind.pace.beat
 
 
-def targets(mind: Mind) -> list[tuple[str, str]]:
+def targets(mind: RaftState) -> list[tuple[str, str]]:
     named = {m.identity: m.name for m in mind.others()}
     for name, (identity, _, _) in mind.hellos.items():  # one that is being taken in
         if identity in mind.peers:
@@ -29,47 +37,49 @@
     return [(identity, name) for identity, name in named.items() if identity in mind.peers]
 
 
-def send(mind: Mind, name: str, identity: str, peer: Peer) -> None:
+def send(mind: RaftState, name: str, identity: str, peer: FollowerProgress) -> None:
     log, base = mind.log, mind.log.base
     if peer.next <= log.begin:
         if base is not None and (not peer.installed_at or mind.now >= peer.installed_at + mind.pace.install):
             peer.installed_at = mind.now
-            mind.send(name, Install(mind.now, base), identity, rests=False)
+            mind.send(name, InstallSnapshot(mind.now, base), identity, rests=False)
         return
     lines = log.after(peer.next - 1, ENTRIES_MOST, BATCH_MOST)
     prev = peer.next - 1
-    mind.send(name, Append(mind.now, prev, log.term_at(prev) or 0, mind.commit, lines), identity, rests=False)
+    mind.send(
+        name, AppendEntries(mind.now, prev, log.term_at(prev) or 0, mind.commit, lines), identity, rests=False
+    )
     peer.next += len(lines)
 
 
-def propose(mind: Mind, kind: Kind, data: bytes = b"", roster: tuple[Member, ...] = ()) -> bool:
+def propose(mind: RaftState, kind: EntryKind, data: bytes = b"", roster: tuple[Member, ...] = ()) -> bool:
     """Whether the entry was begun; not by one who does not lead, nor with too many that wait."""
     log, pace = mind.log, mind.pace
-    if mind.part is not Part.LEADS:
+    if mind.part is not RaftRole.LEADS:
         return False
     if log.last - mind.commit >= pace.open_most or log.size_after(mind.commit) + len(data) > pace.open_bytes:
         mind.dropped["proposal"] += 1
         return False
-    mind.append(Line(log.last + 1, mind.term, kind, data, roster))
+    mind.append(LogEntry(log.last + 1, mind.term, kind, data, roster))
     beat(mind, only_new=True)
     return True
 
 
-def heard_leader(mind: Mind, word: Word) -> None:
+def heard_leader(mind: RaftState, word: Message) -> None:
     """A word of the one who leads this term."""
-    if mind.part is not Part.FOLLOWS:
+    if mind.part is not RaftRole.FOLLOWS:
         mind.follow(word.term)
     mind.leader, mind.heard_leader, mind.whole = word.name, mind.now, True
     mind.due = mind.now + mind.span()
     mind.deferred.clear()
 
 
-def answer(mind: Mind, word: Word, at: int, taken: bool, match: int) -> None:
+def answer(mind: RaftState, word: Message, at: int, taken: bool, match: int) -> None:
     mind.answers += 1
-    mind.send(word.name, Appended(at, taken, match, mind.log.last, mind.answers), word.identity)
+    mind.send(word.name, AppendEntriesResponse(at, taken, match, mind.log.last, mind.answers), word.identity)
 
 
-def append(mind: Mind, word: Word, given: Append) -> None:
+def append(mind: RaftState, word: Message, given: AppendEntries) -> None:
     heard_leader(mind, word)
     log = mind.log
     prev, lines = given.prev_index, given.lines
@@ -91,7 +101,7 @@
     commit(mind, min(given.commit, match))
 
 
-def install(mind: Mind, word: Word, given: Install) -> None:
+def install(mind: RaftState, word: Message, given: InstallSnapshot) -> None:
     heard_leader(mind, word)
     base = given.base
     if base.index > mind.commit or mind.log.base is None:
@@ -103,11 +113,11 @@
         mind.records.append(base)
         mind.commit = mind.told = max(mind.commit, base.index)
         if base.data_index:
-            mind.out.append(Committed(base.data_index, base.data_term, base.data))
+            mind.out.append(EntryCommitted(base.data_index, base.data_term, base.data))
     answer(mind, word, given.at, True, base.index)
 
 
-def appended(mind: Mind, word: Word, answer: Appended) -> None:
+def appended(mind: RaftState, word: Message, answer: AppendEntriesResponse) -> None:
     peer = mind.peers.get(word.identity)
     if peer is None or answer.at > mind.now or answer.match > mind.log.last:
         mind.dropped["answer"] += 1
@@ -117,7 +127,7 @@
     if answer.last < peer.match and by > peer.matched_by:
         # it has forgotten what it once had on its disk: nothing that it says may count any more
         mind.dropped["forgot"] += 1
-        mind.send(word.name, Off(word.starts, word.nonce), word.identity)
+        mind.send(word.name, StorageRollback(word.starts, word.nonce), word.identity)
         return
     peer.acked = max(peer.acked, answer.at)
     if answer.taken:
@@ -129,9 +139,9 @@
         send(mind, word.name, word.identity, peer)
 
 
-def advance(mind: Mind) -> None:
+def advance(mind: RaftState) -> None:
     """The highest index on a quorum's disks, if it is of this term."""
-    if mind.part is not Part.LEADS:
+    if mind.part is not RaftRole.LEADS:
         return
     own = [mind.disk_index] if mind.member else []
     matches = own + [mind.peers[m.identity].match if m.identity in mind.peers else 0 for m in mind.others()]
@@ -142,14 +152,14 @@
         beat(mind)
 
 
-def commit(mind: Mind, index: int) -> None:
+def commit(mind: RaftState, index: int) -> None:
     if index <= mind.commit:
         return
     mind.commit = index
     log = mind.log
     for line in log.between(mind.told, index):
-        if line.kind is Kind.DATA:
-            mind.out.append(Committed(line.index, line.term, line.data))
+        if line.kind is EntryKind.DATA:
+            mind.out.append(EntryCommitted(line.index, line.term, line.data))
     mind.told = index
     done = log.between(log.begin, index)
     size = sum(len(line.data) for line in done)
--- a/quincepier/consistency/__init__.py
+++ b/quincepier/consistency/__init__.py
@@ -5,51 +5,51 @@
 `checker.py`; docs/consistency.md.
 """
 
-from quincepier.consistency.checker import Checker, Out, Send
+from quincepier.consistency.checker import CheckerAction, ConsistencyChecker, SendMessage
 from quincepier.consistency.decision import (
-    PLAIN,
+    STANDARD_ARITHMETIC,
     Arithmetic,
-    Decision,
+    DecisionInputs,
+    DecisionKey,
+    DecisionRules,
     HomeOf,
-    Inputs,
-    Key,
-    Line,
+    ListedEndpoint,
     Memory,
-    Rules,
+    RuleDecision,
     decide,
     sample,
 )
+from quincepier.consistency.decision_recorder import DecisionRecorder, module_memory, stale_rankings
 from quincepier.consistency.errors import ConsistencyError
 from quincepier.consistency.explain import BREACH, Reason, explain
-from quincepier.consistency.findings import CAUTIOUS, FAULTS, Finding, Kind
+from quincepier.consistency.findings import CAUTIOUS, FAULTS, DivergenceKind, Finding
 from quincepier.consistency.section import ConsistencySection
-from quincepier.consistency.witness import Witness, module_memory, stale_ranks
 
 __all__ = [
     "BREACH",
     "CAUTIOUS",
     "FAULTS",
-    "PLAIN",
+    "STANDARD_ARITHMETIC",
     "Arithmetic",
-    "Checker",
+    "CheckerAction",
+    "ConsistencyChecker",
     "ConsistencyError",
     "ConsistencySection",
-    "Decision",
+    "DecisionInputs",
+    "DecisionKey",
+    "DecisionRecorder",
+    "DecisionRules",
+    "DivergenceKind",
     "Finding",
     "HomeOf",
-    "Inputs",
-    "Key",
-    "Kind",
-    "Line",
+    "ListedEndpoint",
     "Memory",
-    "Out",
     "Reason",
-    "Rules",
-    "Send",
-    "Witness",
+    "RuleDecision",
+    "SendMessage",
     "decide",
     "explain",
     "module_memory",
     "sample",
-    "stale_ranks",
+    "stale_rankings",
 ]
--- a/quincepier/consistency/checker.py
+++ b/quincepier/consistency/checker.py
@@ -14,24 +14,24 @@
 
 import xxhash
 
-from quincepier.consistency.decision import PLAIN, Arithmetic, Inputs, Memory
+from quincepier.consistency.decision import STANDARD_ARITHMETIC, Arithmetic, DecisionInputs, Memory
+from quincepier.consistency.digest_collector import DigestCollector, LateMembers
 from quincepier.consistency.errors import ConsistencyError
 from quincepier.consistency.findings import Finding
-from quincepier.consistency.gathering import Gathering, Late
-from quincepier.consistency.section import ConsistencySection
-from quincepier.consistency.snapshot import Snapshot
-from quincepier.consistency.words import (
-    Answer,
-    Ask,
-    Below,
-    Look,
-    Show,
-    Shown,
-    Verdict,
-    Word,
+from quincepier.consistency.messages import (
+    ConsistencyVerdict,
+    DigestRequest,
+    DigestResponse,
+    LeafRequest,
+    LeafResponse,
+    Message,
+    SubtreeRequest,
+    SubtreeResponse,
     decode,
     encode,
 )
+from quincepier.consistency.section import ConsistencySection
+from quincepier.consistency.snapshot import Snapshot
 
 MS = 1_000_000
 COLLECTORS = 3  # where no front leads
@@ -40,40 +40,40 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class SendMessage:
     to: str
     data: bytes
 
 
-Out = Send | Finding
+CheckerAction = SendMessage | Finding
 
 
-class Checker:
+class ConsistencyChecker:
     def __init__(
         self,
         name: str,
         seed: int,
         section: ConsistencySection | None = None,
         now: int = 0,
-        how: Arithmetic = PLAIN,
+        how: Arithmetic = STANDARD_ARITHMETIC,
         memory: Memory | None = None,
     ) -> None:
         self.name, self.section, self.how, self.memory = name, section or ConsistencySection(), how, memory
         self.random = random.Random(seed)
         self.members, self.leader = frozenset[str]((name,)), ""
-        self.inputs: Inputs | None = None
+        self.inputs: DecisionInputs | None = None
         self.due = now + self.random.randrange(self.section.every)  # of the next round, if it collects
         self.rounds = self.random.getrandbits(40)  # a new collector draws other samples
         self.asked: OrderedDict[str, Snapshot] = OrderedDict()  # the last round of each who collects
         self.answers = dict[str, bytes]()
         self.fresh = dict[str, int]()  # when each who collects began its last round here
-        self.gathering: Gathering | None = None
-        self.late = Late()
+        self.gathering: DigestCollector | None = None
+        self.late = LateMembers()
         self.breaches = self.stale = self.dropped = 0
         self.otherwise = -1  # number of the version by which this front was found to decide otherwise
         self.last = (-1, False, False)  # of the last round: version, all answered and comparable, no fault
         self.took = 0  # nanoseconds of the last round, until all had answered
-        self.local: deque[Word] = deque()
+        self.local: deque[Message] = deque()
 
     # What the shell tells
 
@@ -83,7 +83,7 @@
         for gone in [name for name in self.asked if name not in self.members]:
             del self.asked[gone], self.answers[gone], self.fresh[gone]
 
-    def have(self, inputs: Inputs) -> None:
+    def have(self, inputs: DecisionInputs) -> None:
         """What this front decides by from now on. All of it is of one moment."""
         self.inputs = inputs
 
@@ -121,7 +121,7 @@
 
     # Words and time
 
-    def said(self, now: int, sender: str, raw: bytes) -> list[Out]:
+    def said(self, now: int, sender: str, raw: bytes) -> list[CheckerAction]:
         """A word of a member; what is none is dropped and counted."""
         try:
             if sender not in self.members:
@@ -131,9 +131,9 @@
             self.dropped += 1
             return []
 
-    def tick(self, now: int) -> list[Out]:
+    def tick(self, now: int) -> list[CheckerAction]:
         """One slice of work; the next round, or what is to be asked again, where it is time."""
-        out = list[Out]()
+        out = list[CheckerAction]()
         pending = next((s for s in self.asked.items() if not s[1].done), None)
         if pending is not None and pending[1].step(SLICE):
             out += self._answer(now, *pending)
@@ -145,37 +145,37 @@
             self._closed()
         return self._drain(now, out)
 
-    def round(self, now: int) -> list[Out]:
+    def round(self, now: int) -> list[CheckerAction]:
         """Begin a round, of the version that this front has."""
         if self.inputs is None:
             return []
         self.rounds += 1
         number = self.inputs.version.number
         late = self.late, self.section.late_list
-        self.gathering = Gathering(now, self.rounds, number, self.members, self.section.sample, *late)
+        self.gathering = DigestCollector(now, self.rounds, number, self.members, self.section.sample, *late)
         return self._drain(now, self._posted(self.gathering.tick(now)))
 
-    def _heard(self, now: int, sender: str, word: Word) -> list[Out]:
+    def _heard(self, now: int, sender: str, word: Message) -> list[CheckerAction]:
         match word:
-            case Ask(round_, number, size):
+            case DigestRequest(round_, number, size):
                 return self._asked(now, sender, round_, number, size)
-            case Look(round_, about, path, split):
+            case SubtreeRequest(round_, about, path, split):
                 children, leaves = self._snapshot(sender, round_).tree(about).look(path, split)
-                return self._to(sender, Below(round_, about, path, children, leaves))
-            case Show(round_, about, label):
+                return self._to(sender, SubtreeResponse(round_, about, path, children, leaves))
+            case LeafRequest(round_, about, label):
                 return self._to(sender, self._snapshot(sender, round_).show(about, label))
-            case Verdict(_, number, alike, _):
+            case ConsistencyVerdict(_, number, alike, _):
                 self.otherwise = number if not alike else -1
-            case Answer() | Below() | Shown() if self.gathering is not None:
+            case DigestResponse() | SubtreeResponse() | LeafResponse() if self.gathering is not None:
                 out = self._posted(self.gathering.heard(now, sender, word))
                 self._closed()
                 return out
         return []
 
-    def _asked(self, now: int, sender: str, round_: int, number: int, size: int) -> list[Out]:
+    def _asked(self, now: int, sender: str, round_: int, number: int, size: int) -> list[CheckerAction]:
         before = self.asked.get(sender)
         if before is not None and before.round == round_:
-            return [Send(sender, self.answers[sender])] if sender in self.answers else []
+            return [SendMessage(sender, self.answers[sender])] if sender in self.answers else []
         early = now - self.fresh.get(sender, now - self.section.every) < self.section.every // 8
         if self.inputs is None or (early and sender != self.name):  # nobody makes it work without end
             self.dropped += early
@@ -190,7 +190,7 @@
             self.fresh.pop(gone, None)
         return []
 
-    def _answer(self, now: int, sender: str, snapshot: Snapshot) -> list[Out]:
+    def _answer(self, now: int, sender: str, snapshot: Snapshot) -> list[CheckerAction]:
         cautious = self.otherwise == snapshot.inputs.version.number
         answer = snapshot.answer(self.breaches, self.stale, cautious)
         self.breaches = self.stale = 0
@@ -209,19 +209,19 @@
             self.last = gathering.number, gathering.whole, gathering.good
             self.took = gathering.took
 
-    def _to(self, to: str, word: Word) -> list[Out]:
+    def _to(self, to: str, word: Message) -> list[CheckerAction]:
         if to == self.name:
             self.local.append(word)
             return []
-        return [Send(to, encode(word))]
+        return [SendMessage(to, encode(word))]
 
-    def _posted(self, said: Iterable[tuple[str, Word] | Finding]) -> list[Out]:
-        out = list[Out]()
+    def _posted(self, said: Iterable[tuple[str, Message] | Finding]) -> list[CheckerAction]:
+        out = list[CheckerAction]()
         for one in said:
             out += [one] if isinstance(one, Finding) else self._to(*one)
         return out
 
-    def _drain(self, now: int, out: list[Out]) -> list[Out]:
+    def _drain(self, now: int, out: list[CheckerAction]) -> list[CheckerAction]:
         """What this front says to itself."""
         while self.local:
             try:
--- a/quincepier/consistency/decision.py
+++ b/quincepier/consistency/decision.py
@@ -26,7 +26,7 @@
 TENANTS_MOST = 64  # of a version, from which the sample's are drawn
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True):
+class ListedEndpoint(msgspec.Struct, frozen=True, array_like=True):
     """One machine of the list, as far as a rule decision rests on it; `number` follows from the host id."""
 
     host: str
@@ -51,11 +51,11 @@
     score: Callable[[int, float], float] = score_of
 
 
-PLAIN = Arithmetic()
+STANDARD_ARITHMETIC = Arithmetic()
 
 
 @dataclass(slots=True, frozen=True)
-class Inputs:
+class DecisionInputs:
     """All that rule decisions follow from, as one front has it at one moment.
 
     `revision`: number in the change log of the last change of the list. `homes` must follow from `version`
@@ -64,13 +64,13 @@
 
     version: RuleVersion
     settings: io.Settings  # its own zone is not looked at
-    lines: tuple[Line, ...]
+    lines: tuple[ListedEndpoint, ...]
     revision: int
     build: str
     homes: HomeOf | None = None
 
 
-class Key(msgspec.Struct, frozen=True, array_like=True):
+class DecisionKey(msgspec.Struct, frozen=True, array_like=True):
     """What is asked for, and from a front of which zone."""
 
     cls: int
@@ -85,7 +85,7 @@
         return f"object {self.object:x} part {self.part} class {self.cls}{told} in zone {self.zone}"
 
 
-class Decision(msgspec.Struct, frozen=True, array_like=True):
+class RuleDecision(msgspec.Struct, frozen=True, array_like=True):
     """Times are nanoseconds; machines are the module's numbers, the first choice first."""
 
     tier: int
@@ -116,30 +116,34 @@
     return [place.get(c.worth, 0) for c in classes]
 
 
-def order_of(lines: Sequence[Line], key: int, by_size: bool, how: Arithmetic = PLAIN) -> list[int]:
+def order_of(
+    lines: Sequence[ListedEndpoint], key: int, by_size: bool, how: Arithmetic = STANDARD_ARITHMETIC
+) -> list[int]:
     """Machines by a hash of the key; each is first for a part of all keys that follows its size."""
     weigh = by_size and all(line.size > 0 for line in lines)
     scored = [(how.score(how.mix(key, m.number), m.size if weigh else 1.0), m.number) for m in lines]
     return [number for _, number in sorted(scored)]
 
 
-class Rules:
+class DecisionRules:
     """Decides keys by one `Inputs`. `memory`, where given, is what the front's module has ranked already."""
 
-    def __init__(self, inputs: Inputs, how: Arithmetic = PLAIN, memory: Memory | None = None) -> None:
+    def __init__(
+        self, inputs: DecisionInputs, how: Arithmetic = STANDARD_ARITHMETIC, memory: Memory | None = None
+    ) -> None:
         s, self.inputs, self.how, self.memory = inputs.settings, inputs, how, memory
         self.tiers = tiers_of(s.classes)
         by_number = sorted(inputs.lines, key=lambda line: line.number)
         self.parents = [line for line in by_number if line.kind == s.parent_kind]
         self.origins = [line.number for line in by_number if line.kind == s.origin_kind]
-        self.edges = dict[int, list[Line]]()
+        self.edges = dict[int, list[ListedEndpoint]]()
         for line in by_number:
             if line.kind not in (s.parent_kind, s.origin_kind):
                 self.edges.setdefault(line.zone, []).append(line)
         aside = {order.target for order in inputs.version.orders if order.aside}
         self.away = {line.number for line in inputs.lines if not line.ready or line.host in aside}
 
-    def decide(self, key: Key) -> Decision:
+    def decide(self, key: DecisionKey) -> RuleDecision:
         s, cls, mixed = self.inputs.settings, self.inputs.settings.classes[key.cls], self.how.mix
         came = io.RequestCame(0, key.cls, 0.0, 0, key.group, key.object, key.part, False, cls.deadline)
         home = self.inputs.homes(key.tenant, came) if self.inputs.homes is not None else None
@@ -148,7 +152,7 @@
         if home is not None:
             caches = [n for n in caches if n in home.caches]
             parents = [n for n in parents if n in home.parents]
-        return Decision(
+        return RuleDecision(
             tier=self.tiers[key.cls],
             direct=cls.never_kept and s.direct,
             caches=tuple(n for n in caches if n not in self.away),
@@ -159,21 +163,21 @@
             repeats=(cls.effect.value, cls.group.value, cls.window),
         )
 
-    def cost(self, key: Key) -> int:
+    def cost(self, key: DecisionKey) -> int:
         """Draws that a decision takes."""
         return len(self.edges.get(key.zone, ())) + len(self.parents) + 1
 
-    def _order(self, zone: int, lines: Sequence[Line], key: int) -> Sequence[int]:
+    def _order(self, zone: int, lines: Sequence[ListedEndpoint], key: int) -> Sequence[int]:
         kept = self.memory(zone, key) if self.memory is not None else None
         return order_of(lines, key, self.inputs.settings.sizes_compare, self.how) if kept is None else kept
 
 
-def decide(inputs: Inputs, key: Key, how: Arithmetic = PLAIN) -> Decision:
+def decide(inputs: DecisionInputs, key: DecisionKey, how: Arithmetic = STANDARD_ARITHMETIC) -> RuleDecision:
     """The rule decision of one key."""
-    return Rules(inputs, how).decide(key)
+    return DecisionRules(inputs, how).decide(key)
 
 
-def sample(number: int, round_: int, size: int, inputs: Inputs) -> list[Key]:
+def sample(number: int, round_: int, size: int, inputs: DecisionInputs) -> list[DecisionKey]:
     """Keys of a round: the same at every front of equal inputs. Zones are those that have caches; tenants
     those that the version names, and the nameless.
     """
@@ -185,7 +189,7 @@
     named = {m.tenant for m in version.moves} | {h.tenant for h in version.homes}
     tenants = sorted(named)[:TENANTS_MOST]
     return [
-        Key(
+        DecisionKey(
             cls=chance.randrange(len(s.classes)),
             object=chance.getrandbits(64),
             part=chance.randrange(4),
@@ -197,7 +201,7 @@
     ]
 
 
-def canaries(how: Arithmetic = PLAIN) -> tuple[bytes, bytes]:
+def canaries(how: Arithmetic = STANDARD_ARITHMETIC) -> tuple[bytes, bytes]:
     """16 bytes each of fixed work: by the hash, and by the floats alone, to the last bit."""
     draws = [how.mix(n, 3 * n + 1, 7) for n in range(64)]
     fixed = ((n * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF, 0.1 + n / 7) for n in range(1, 257))
--- a/quincepier/consistency/witness.py
+++ b/quincepier/consistency/decision_recorder.py
@@ -13,13 +13,13 @@
 import xxhash
 
 from quincepier import interface as io
-from quincepier.consistency.decision import PLAIN, Arithmetic, Line, Memory
-from quincepier.consistency.explain import Account, Before, Reason, Router, account, order
+from quincepier.consistency.decision import STANDARD_ARITHMETIC, Arithmetic, ListedEndpoint, Memory
+from quincepier.consistency.explain import Before, DecisionRecord, Reason, Router, decision_record, order
 
 RECORDS_KEPT, BREACHES_KEPT, REQUESTS_KEPT = 256, 64, 4096
 
 
-class Witness:
+class DecisionRecorder:
     """Set as `Router.witness`. `tell` hears of each breach, once."""
 
     def __init__(
@@ -27,14 +27,14 @@
         router: Router,
         share: float,
         seed: int,
-        tell: Callable[[Account], None] | None = None,
-        how: Arithmetic = PLAIN,
+        tell: Callable[[DecisionRecord], None] | None = None,
+        how: Arithmetic = STANDARD_ARITHMETIC,
     ) -> None:
         self.router, self.tell, self.how = router, tell, how
         self.below, self.seed = int(share * 2**64), seed
         self.counts = Counter[Reason]()
-        self.records: deque[Account] = deque(maxlen=RECORDS_KEPT)
-        self.breaches: deque[Account] = deque(maxlen=BREACHES_KEPT)
+        self.records: deque[DecisionRecord] = deque(maxlen=RECORDS_KEPT)
+        self.breaches: deque[DecisionRecord] = deque(maxlen=BREACHES_KEPT)
         self.before: OrderedDict[int, Before] = OrderedDict()
 
     def __call__(self, e: io.RequestCame, node: Any, source: Any) -> None:
@@ -45,7 +45,7 @@
         by = -1 if source is None else source if isinstance(source, int) else source.machine.cache
         # under the version that it came by, though there may be a newer one by now
         home = getattr(self.router.requests.get(e.request), "home", None)
-        seen = account(self.router, e, at, by, self.before.get(e.request), home, self.how)
+        seen = decision_record(self.router, e, at, by, self.before.get(e.request), home, self.how)
         self.before[e.request] = at, by
         self.before.move_to_end(e.request)
         if len(self.before) > REQUESTS_KEPT:
@@ -58,7 +58,7 @@
                 self.tell(seen)
 
 
-def stale_ranks(router: Router, most: int = 64, how: Arithmetic = PLAIN) -> int:
+def stale_rankings(router: Router, most: int = 64, how: Arithmetic = STANDARD_ARITHMETIC) -> int:
     """Of the last `most` rankings in the module's memory, how many are not what its list gives now."""
     kept = list(router.ranks.items())[-most:]
     stale = 0
@@ -71,7 +71,7 @@
     return stale
 
 
-def module_memory(router: Router, lines: Callable[[], Sequence[Line]]) -> Memory:
+def module_memory(router: Router, lines: Callable[[], Sequence[ListedEndpoint]]) -> Memory:
     """What the module itself ranks, for the digests: of its own zone and the parents, while no machine has a
     step of pace and its list is the one that the round goes by; else None, and the rule is computed alone.
     """
@@ -89,7 +89,7 @@
     return memory
 
 
-def _of(lines: Iterable[Line], zone: int, upper: tuple[int, int]) -> set[tuple[int, float]]:
+def _of(lines: Iterable[ListedEndpoint], zone: int, upper: tuple[int, int]) -> set[tuple[int, float]]:
     if zone < 0:
         return {(line.number, line.size) for line in lines if line.kind == upper[0]}
     return {(line.number, line.size) for line in lines if line.zone == zone and line.kind not in upper}
--- a/quincepier/consistency/gathering.py
+++ b/quincepier/consistency/digest_collector.py
@@ -9,36 +9,44 @@
     ABOUT,
     CAUTIOUS,
     FAULTS,
+    Divergence,
+    DivergenceKind,
     Finding,
-    Kind,
-    Odd,
     inputs_of,
     judge,
     standard,
 )
-from quincepier.consistency.narrow import Narrow
-from quincepier.consistency.words import About, Answer, Ask, Below, Shown, Verdict, Word
+from quincepier.consistency.merkle_descent import MerkleDescent
+from quincepier.consistency.messages import (
+    About,
+    ConsistencyVerdict,
+    DigestRequest,
+    DigestResponse,
+    LeafResponse,
+    Message,
+    SubtreeResponse,
+)
 
 MS = 1_000_000
 AGAIN = 400 * MS  # until a word that was not answered is said again
 TRIES = 8
 JOBS_MOST = 8  # differences that are narrowed in one round; others are told without
 REVISIONS_KEPT = 256
-Said = tuple[str, Word] | Finding
+Said = tuple[str, Message] | Finding
 
 
-def answer_of(a: Answer) -> tuple[object, bytes]:
+def answer_of(a: DigestResponse) -> tuple[object, bytes]:
     return inputs_of(a), a.decisions
 
 
-def _judged_by(about: About, a: Answer) -> tuple[int, bytes]:
+def _judged_by(about: About, a: DigestResponse) -> tuple[int, bytes]:
     """Fronts that are alike in the first must be alike in the second."""
     if about == "version":
         return a.number, a.version
     return (a.revision, a.lines) if about == "lines" else (0, a.settings)
 
 
-class Late:
+class LateMembers:
     """Since when each revision of the list has been behind that of most fronts."""
 
     def __init__(self) -> None:
@@ -53,7 +61,7 @@
         return next((now - at for step, at in self.steps if step > revision), 0)
 
 
-class Gathering:
+class DigestCollector:
     def __init__(
         self,
         now: int,
@@ -61,16 +69,16 @@
         number: int,
         members: frozenset[str],
         size: int,
-        late: Late,
+        late: LateMembers,
         late_most: int,
     ) -> None:
         self.began, self.round, self.number, self.late, self.late_most = now, round_, number, late, late_most
         self.missing = dict.fromkeys(sorted(members), 0)  # tries
         self.size = size
-        self.answers = dict[str, Answer]()
+        self.answers = dict[str, DigestResponse]()
         self.again = now
         self.closed, self.whole, self.good, self.took = False, False, True, 0
-        self.jobs = list[Narrow]()
+        self.jobs = list[MerkleDescent]()
 
     @property
     def wake(self) -> int:
@@ -84,16 +92,18 @@
             else:
                 for front in self.missing:
                     self.missing[front] += 1
-                    yield front, Ask(self.round, self.number, self.size)
+                    yield front, DigestRequest(self.round, self.number, self.size)
                 self.again = now + AGAIN
         for job in list(self.jobs):
             if now >= job.asked_at + AGAIN:
                 yield from self._push(now, job)
 
-    def heard(self, now: int, sender: str, word: Answer | Below | Shown) -> Iterator[Said]:
+    def heard(
+        self, now: int, sender: str, word: DigestResponse | SubtreeResponse | LeafResponse
+    ) -> Iterator[Said]:
         if word.round != self.round:
             return
-        if isinstance(word, Answer):
+        if isinstance(word, DigestResponse):
             if not self.closed and self.missing.pop(sender, None) is not None:
                 self.answers[sender] = word
                 if not self.missing:
@@ -103,7 +113,7 @@
             if job.take(sender, word):
                 yield from self._push(now, job)
 
-    def _push(self, now: int, job: Narrow) -> Iterator[Said]:
+    def _push(self, now: int, job: MerkleDescent) -> Iterator[Said]:
         """Ask on, or tell what is known."""
         if job.tries >= TRIES:
             job.end()
@@ -119,18 +129,18 @@
         self.closed, self.took, answers = True, now - self.began, self.answers
         self.late.seen(now, standard(answers))
         odd = judge(answers, lambda revision: self.late.for_(now, revision), self.late_most)
-        blamed = dict[str, Odd]()
+        blamed = dict[str, Divergence]()
         for one in odd:
-            fault = one.kind in FAULTS or (one.kind is Kind.BUILD and one.decides)
+            fault = one.kind in FAULTS or (one.kind is DivergenceKind.BUILD and one.decides)
             self.good = self.good and not fault
-            if one.kind in CAUTIOUS or (one.kind is Kind.BUILD and fault):
+            if one.kind in CAUTIOUS or (one.kind is DivergenceKind.BUILD and fault):
                 blamed.setdefault(one.front, one)
             other = self._against(one)
             if other and len(self.jobs) < JOBS_MOST:
-                job = Narrow(self.round, self.number, one, other, ABOUT[one.kind])
+                job = MerkleDescent(self.round, self.number, one, other, ABOUT[one.kind])
                 self.jobs.append(job)
                 yield from self._push(now, job)
-            elif one.kind not in (Kind.LATE_VERSION, Kind.LATE_LIST):
+            elif one.kind not in (DivergenceKind.LATE_VERSION, DivergenceKind.LATE_LIST):
                 yield Finding(self.round, self.number, one.kind, one.front, fault, *self._told(one))
         same = Counter(map(answer_of, answers.values()))
         self.whole = not self.missing and len(same) == 1 and not odd
@@ -139,11 +149,11 @@
         for front, answer in answers.items():
             if front in blamed:
                 why = blamed[front].kind.value
-                yield front, Verdict(self.round, answer.number, False, why)
+                yield front, ConsistencyVerdict(self.round, answer.number, False, why)
             elif answer.cautious and front not in odd_fronts and same[answer_of(answer)] > 1:
-                yield front, Verdict(self.round, answer.number, True)
+                yield front, ConsistencyVerdict(self.round, answer.number, True)
 
-    def _against(self, odd: Odd) -> str:
+    def _against(self, odd: Divergence) -> str:
         """With whom its tree is compared: one of the majority that had the same to go by; "" for none."""
         about, mine = ABOUT.get(odd.kind), self.answers[odd.front]
         if about is None or not odd.decides:
@@ -159,19 +169,19 @@
         told = ((f, *_judged_by(about, a)) for f, a in self.answers.items())
         return min((f for f, at, theirs in told if at == place and theirs != own), default="")
 
-    def _told(self, odd: Odd) -> tuple[str, str, str, str]:
+    def _told(self, odd: Divergence) -> tuple[str, str, str, str]:
         mine = self.answers[odd.front]
-        if odd.kind is Kind.BUILD:
+        if odd.kind is DivergenceKind.BUILD:
             theirs = self.answers[odd.against].build if odd.against else ""
             return "build", "", mine.build, theirs
-        if odd.kind is Kind.BREACH:
+        if odd.kind is DivergenceKind.BREACH:
             return "decisions", "", str(mine.breaches), "0"
-        if odd.kind is Kind.MEMORY:
+        if odd.kind is DivergenceKind.MEMORY:
             return "rankings", "", str(mine.stale), "0"
-        if odd.kind is Kind.LIST_TOO_LATE:
+        if odd.kind is DivergenceKind.LIST_TOO_LATE:
             return "list", "revision", str(mine.revision), str(standard(self.answers))
-        if odd.kind in (Kind.HASH, Kind.FLOATS):
+        if odd.kind in (DivergenceKind.HASH, DivergenceKind.FLOATS):
             other = self.answers[odd.against] if odd.against else mine
-            pair = (mine.hash, other.hash) if odd.kind is Kind.HASH else (mine.floats, other.floats)
+            pair = (mine.hash, other.hash) if odd.kind is DivergenceKind.HASH else (mine.floats, other.floats)
             return "fixed work", "", pair[0].hex()[:8], pair[1].hex()[:8]
         return "", "", "", ""
--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from quincepier import interface as io
-from quincepier.consistency.decision import PLAIN, Arithmetic
+from quincepier.consistency.decision import STANDARD_ARITHMETIC, Arithmetic
 from quincepier.interface import CacheState
 
 # As in the design; the module has its own, so that one that was changed there alone shows as breaches
@@ -85,7 +85,9 @@
 Before = tuple[int, int]  # machine and source (-1: none) of the request's attempt before
 
 
-def order(nodes: Iterable[Node], key: int, by_size: bool, paced: bool, how: Arithmetic = PLAIN) -> list[int]:
+def order(
+    nodes: Iterable[Node], key: int, by_size: bool, paced: bool, how: Arithmetic = STANDARD_ARITHMETIC
+) -> list[int]:
     """Machines by the rule's hash; with `paced` a slow one has a smaller part, as the module gives it."""
     listed = list(nodes)
     weigh = by_size and all(n.machine.size > 0 for n in listed)
@@ -111,7 +113,7 @@
     return None
 
 
-class Account(msgspec.Struct, frozen=True):
+class DecisionRecord(msgspec.Struct, frozen=True):
     """Of one attempt: where the rule alone has the key (-1: nowhere), where it went, and why."""
 
     reason: Reason
@@ -124,25 +126,25 @@
 
 def explain(
     router: Router, event: io.RequestCame, node: int, source: int, before: Before | None = None,
-    home: io.Home | None = None, how: Arithmetic = PLAIN,
+    home: io.Home | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
 ) -> Reason:  # fmt: skip
     """Of an attempt at machine `node` with `source` (-1: none), as it is made, before or after it is booked.
 
     `before`: the same request's attempt before this one. `home`: what `Router.homes` gives for the event.
     BREACH where neither the rule nor a reason of this front's own leads there.
     """
-    return account(router, event, node, source, before, home, how).reason
+    return decision_record(router, event, node, source, before, home, how).reason
 
 
-def account(
+def decision_record(
     router: Router, event: io.RequestCame, node: int, source: int, before: Before | None = None,
-    home: io.Home | None = None, how: Arithmetic = PLAIN,
-) -> Account:  # fmt: skip
+    home: io.Home | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
+) -> DecisionRecord:  # fmt: skip
     """The same with what the rule has."""
     req, nodes = router.requests.get(event.request), router.nodes
     if req is None or node not in nodes or (source >= 0 and source not in nodes):
-        return Account(BREACH, event.request, node, source)  # nobody asked, or at what is not listed
-    trial = Trial(router, req, event, home, how)
+        return DecisionRecord(BREACH, event.request, node, source)  # nobody asked, or at what is not listed
+    trial = DecisionReplay(router, req, event, home, how)
     source = trial.book(node, source)
     if trial.never_kept:
         here = trial.straight(node, source)
@@ -152,10 +154,10 @@
     else:
         here = trial.where(node, source) if trial.usable(node, source) else BREACH
     rule, by = next(iter(trial.caches[0]), -1), next(iter(trial.sources[0]), -1)
-    return Account(here, event.request, node, source, rule, by)
+    return DecisionRecord(here, event.request, node, source, rule, by)
 
 
-class Trial:
+class DecisionReplay:
     """One request before the rules, by the module's state now."""
 
     def __init__(
--- a/quincepier/consistency/findings.py
+++ b/quincepier/consistency/findings.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from quincepier.consistency.words import About, Answer
+from quincepier.consistency.messages import About, DigestResponse
 
 
-class Kind(Enum):
+class DivergenceKind(Enum):
     LATE_VERSION = "an older rule version"  # on its way; no fault
     LATE_LIST = "an older list"  # on its way; no fault
     LIST_TOO_LATE = "an older list for too long"
@@ -25,24 +25,31 @@
     BREACH = "a real decision without a reason"
 
 
-FAULTS = frozenset(Kind) - {Kind.LATE_VERSION, Kind.LATE_LIST, Kind.BUILD}
-CAUTIOUS = FAULTS - {Kind.LIST_TOO_LATE, Kind.BREACH}  # for these a front goes to the cautious set
-ABOUT: dict[Kind, About] = {
-    Kind.VERSION: "version",
-    Kind.LIST: "lines",
-    Kind.SETTINGS: "settings",
-    Kind.DECISION: "decisions",
-    Kind.HASH: "decisions",
-    Kind.FLOATS: "decisions",
-    Kind.BUILD: "decisions",
+FAULTS = frozenset(DivergenceKind) - {
+    DivergenceKind.LATE_VERSION,
+    DivergenceKind.LATE_LIST,
+    DivergenceKind.BUILD,
+}
+CAUTIOUS = FAULTS - {
+    DivergenceKind.LIST_TOO_LATE,
+    DivergenceKind.BREACH,
+}  # for these a front goes to the cautious set
+ABOUT: dict[DivergenceKind, About] = {
+    DivergenceKind.VERSION: "version",
+    DivergenceKind.LIST: "lines",
+    DivergenceKind.SETTINGS: "settings",
+    DivergenceKind.DECISION: "decisions",
+    DivergenceKind.HASH: "decisions",
+    DivergenceKind.FLOATS: "decisions",
+    DivergenceKind.BUILD: "decisions",
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Odd:
+class Divergence:
     """A front outside of the majority in one thing. `against`: one of the majority, "" where none has one."""
 
-    kind: Kind
+    kind: DivergenceKind
     front: str
     against: str
     decides: bool = True  # whether its decisions differ, or can't be compared
@@ -56,7 +63,7 @@
 
     round: int
     number: int  # of the version
-    kind: Kind
+    kind: DivergenceKind
     front: str
     fault: bool
     what: str = ""
@@ -90,35 +97,43 @@
     return (set(values), "") if 2 * len(values) > of_all else (set(), "")
 
 
-def judge(answers: Mapping[str, Answer], late_for: Callable[[int], int], late_most: int) -> list[Odd]:
+def judge(
+    answers: Mapping[str, DigestResponse], late_for: Callable[[int], int], late_most: int
+) -> list[Divergence]:
     """Who is outside of the majority, and in what: inputs first, then decisions among those of equal inputs.
 
     `late_for` tells for how long (ns) a revision of the list has been behind that of most.
     """
-    odd, found = list[Odd](), set[str]()
+    odd, found = list[Divergence](), set[str]()
     of_all, fronts = len(answers), sorted(answers)
 
-    def compare(kind: Kind, group: list[str], value: Callable[[Answer], object]) -> None:
+    def compare(kind: DivergenceKind, group: list[str], value: Callable[[DigestResponse], object]) -> None:
         others, one = outside({front: value(answers[front]) for front in group}, of_all)
-        odd.extend(Odd(kind, front, one) for front in sorted(others))
+        odd.extend(Divergence(kind, front, one) for front in sorted(others))
         found.update(others)
 
-    compare(Kind.HASH, fronts, lambda a: a.hash)
-    compare(Kind.FLOATS, [f for f in fronts if f not in found], lambda a: a.floats)
-    compare(Kind.SETTINGS, fronts, lambda a: a.settings)
+    compare(DivergenceKind.HASH, fronts, lambda a: a.hash)
+    compare(DivergenceKind.FLOATS, [f for f in fronts if f not in found], lambda a: a.floats)
+    compare(DivergenceKind.SETTINGS, fronts, lambda a: a.settings)
     newest = max(answers[f].number for f in fronts) if fronts else 0
     for number in sorted({a.number for a in answers.values()}):
-        compare(Kind.VERSION, [f for f in fronts if answers[f].number == number], lambda a: a.version)
-    odd.extend(Odd(Kind.LATE_VERSION, f, "") for f in fronts if answers[f].number < newest)
+        compare(
+            DivergenceKind.VERSION, [f for f in fronts if answers[f].number == number], lambda a: a.version
+        )
+    odd.extend(Divergence(DivergenceKind.LATE_VERSION, f, "") for f in fronts if answers[f].number < newest)
     for revision in sorted({a.revision for a in answers.values()}):
-        compare(Kind.LIST, [f for f in fronts if answers[f].revision == revision], lambda a: a.lines)
+        compare(
+            DivergenceKind.LIST, [f for f in fronts if answers[f].revision == revision], lambda a: a.lines
+        )
     usual = standard(answers)
     held = Counter(a.lines for a in answers.values() if a.revision == usual)
     for front in fronts:
         mine = answers[front]
         if mine.revision < usual and mine.lines not in held:
             late = late_for(mine.revision) > late_most
-            odd.append(Odd(Kind.LIST_TOO_LATE if late else Kind.LATE_LIST, front, ""))
+            odd.append(
+                Divergence(DivergenceKind.LIST_TOO_LATE if late else DivergenceKind.LATE_LIST, front, "")
+            )
     groups = dict[tuple[int, bytes, bytes, bytes], list[str]]()
     for front in fronts:
         groups.setdefault(inputs_of(answers[front]), []).append(front)
@@ -128,20 +143,24 @@
         otherwise |= dict.fromkeys(others, one)
     builds, one = outside({front: answers[front].build for front in fronts}, of_all)
     builds = {f for f in builds if one or f in otherwise}  # half of them renewed: nobody is the other one
-    odd.extend(Odd(Kind.BUILD, f, otherwise.get(f, one), f in otherwise) for f in sorted(builds))
+    odd.extend(
+        Divergence(DivergenceKind.BUILD, f, otherwise.get(f, one), f in otherwise) for f in sorted(builds)
+    )
     named = found | builds
-    odd.extend(Odd(Kind.DECISION, f, one) for f, one in sorted(otherwise.items()) if f not in named)
-    odd.extend(Odd(Kind.MEMORY, f, "") for f in fronts if answers[f].stale)
-    odd.extend(Odd(Kind.BREACH, f, "") for f in fronts if answers[f].breaches)
+    odd.extend(
+        Divergence(DivergenceKind.DECISION, f, one) for f, one in sorted(otherwise.items()) if f not in named
+    )
+    odd.extend(Divergence(DivergenceKind.MEMORY, f, "") for f in fronts if answers[f].stale)
+    odd.extend(Divergence(DivergenceKind.BREACH, f, "") for f in fronts if answers[f].breaches)
     return odd
 
 
-def inputs_of(a: Answer) -> tuple[int, bytes, bytes, bytes]:
+def inputs_of(a: DigestResponse) -> tuple[int, bytes, bytes, bytes]:
     """Fronts with equal ones must decide alike."""
     return a.number, a.version, a.lines, a.settings
 
 
-def standard(answers: Mapping[str, Answer]) -> int:
+def standard(answers: Mapping[str, DigestResponse]) -> int:
     """The revision of the list against which others are late: the middle one, so that one that is far off
     makes nobody late.
     """
--- a/quincepier/consistency/narrow.py
+++ b/quincepier/consistency/merkle_descent.py
@@ -2,37 +2,37 @@
 
 from __future__ import annotations
 
-from quincepier.consistency.findings import Finding, Kind, Odd
-from quincepier.consistency.words import About, Below, Look, Show, Shown
+from quincepier.consistency.findings import Divergence, DivergenceKind, Finding
+from quincepier.consistency.messages import About, LeafRequest, LeafResponse, SubtreeRequest, SubtreeResponse
 
 DEEPEST = 32  # hex digits of a label's hash
 
 
-class Narrow:
+class MerkleDescent:
     """One difference of `odd.front` from `other`. `word` is what both are asked now; `take` their answers."""
 
-    def __init__(self, round_: int, number: int, odd: Odd, other: str, about: About) -> None:
+    def __init__(self, round_: int, number: int, odd: Divergence, other: str, about: About) -> None:
         self.round, self.number, self.odd, self.other, self.about = round_, number, odd, other, about
-        self.path, self.label, self.told = "", "", dict[str, Below | Shown]()
+        self.path, self.label, self.told = "", "", dict[str, SubtreeResponse | LeafResponse]()
         self.split = False
         self.leaf, self.asked_at, self.tries, self.exchanges = b"", 0, 0, 0
         self.found: Finding | None = None
 
     @property
-    def word(self) -> Look | Show:
+    def word(self) -> SubtreeRequest | LeafRequest:
         if self.label:
-            return Show(self.round, self.about, self.label)
-        return Look(self.round, self.about, self.path, self.split)
+            return LeafRequest(self.round, self.about, self.label)
+        return SubtreeRequest(self.round, self.about, self.path, self.split)
 
     @property
     def waits_for(self) -> list[str]:
         return [front for front in (self.odd.front, self.other) if front not in self.told]
 
-    def take(self, sender: str, word: Below | Shown) -> bool:
+    def take(self, sender: str, word: SubtreeResponse | LeafResponse) -> bool:
         """Whether both have answered, so that the next is asked, or `found` is set."""
         fits = word.about == self.about and (
             (word.path == self.path and not self.label)
-            if isinstance(word, Below)
+            if isinstance(word, SubtreeResponse)
             else word.label == self.label != ""
         )
         if not fits or sender not in self.waits_for:
@@ -42,13 +42,13 @@
             return False
         mine, theirs = self.told[self.odd.front], self.told[self.other]
         self.told, self.tries, self.exchanges = {}, 0, self.exchanges + 1
-        if isinstance(mine, Below) and isinstance(theirs, Below):
+        if isinstance(mine, SubtreeResponse) and isinstance(theirs, SubtreeResponse):
             self._descend(mine, theirs)
-        elif isinstance(mine, Shown) and isinstance(theirs, Shown):
+        elif isinstance(mine, LeafResponse) and isinstance(theirs, LeafResponse):
             self._compare(mine, theirs)
         return True
 
-    def _descend(self, mine: Below, theirs: Below) -> None:
+    def _descend(self, mine: SubtreeResponse, theirs: SubtreeResponse) -> None:
         if mine.leaves or theirs.leaves or not (mine.children and theirs.children):
             here, there = dict(mine.leaves), dict(theirs.leaves)
             if mine.children or theirs.children:  # sixteen leaves at one, seventeen at the other
@@ -70,16 +70,21 @@
         else:
             self.path, self.split = f"{self.path}{place:x}", False
 
-    def _compare(self, mine: Shown, theirs: Shown) -> None:
+    def _compare(self, mine: LeafResponse, theirs: LeafResponse) -> None:
         here, there = dict(mine.fields), dict(theirs.fields)
         field = next((n for n in here | there if here.get(n) != there.get(n)), "")
         stale = self.about == "decisions" and bool(mine.anew) and mine.anew != self.leaf
-        kind = Kind.MEMORY if stale and self.odd.kind is Kind.DECISION else self.odd.kind
+        kind = DivergenceKind.MEMORY if stale and self.odd.kind is DivergenceKind.DECISION else self.odd.kind
         what = mine.of or f"{NAMES[self.about]} {self.label}"
         self.end(what, field, here.get(field, ""), there.get(field, ""), kind)
 
     def end(
-        self, what: str = "", field: str = "", mine: str = "", theirs: str = "", kind: Kind | None = None
+        self,
+        what: str = "",
+        field: str = "",
+        mine: str = "",
+        theirs: str = "",
+        kind: DivergenceKind | None = None,
     ) -> None:
         """With nothing known: it could not be narrowed."""
         self.found = Finding(
--- a/quincepier/consistency/tree.py
+++ b/quincepier/consistency/merkle_tree.py
@@ -15,7 +15,7 @@
 WIDE = 16  # children of a node, and most leaves that are told as they are
 
 
-class Tree:
+class MerkleTree:
     def __init__(self, leaves: Mapping[str, bytes]) -> None:
         """Leaves are 16 bytes, labels any text."""
         self.rows = sorted(
--- a/quincepier/consistency/words.py
+++ b/quincepier/consistency/messages.py
@@ -19,7 +19,7 @@
 About = Literal["version", "settings", "lines", "decisions"]
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=1):
+class DigestRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """From who collects: compute the keys that version and round draw, and tell their digest."""
 
     round: Number
@@ -27,7 +27,7 @@
     size: Annotated[int, msgspec.Meta(ge=1, le=4096)]  # keys; of who collects, as files may differ
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class DigestResponse(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """What a front decided, and by which inputs. All of one moment."""
 
     round: Number
@@ -45,14 +45,14 @@
     cautious: bool = False
 
 
-class Look(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class SubtreeRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
     round: Number
     about: About
     path: Path
     split: bool = False  # digests of children even where leaves are few
 
 
-class Below(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class SubtreeResponse(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """Digests of 16 children, or the leaves."""
 
     round: Number
@@ -62,13 +62,13 @@
     leaves: Annotated[tuple[tuple[Label, Digest], ...], msgspec.Meta(max_length=16)]
 
 
-class Show(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class LeafRequest(msgspec.Struct, frozen=True, array_like=True, tag=5):
     round: Number
     about: About
     label: Label
 
 
-class Shown(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class LeafResponse(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """The leaf's fields as text, clipped; of a decision also its digest computed anew, without any memory."""
 
     round: Number
@@ -79,7 +79,7 @@
     anew: bytes = b""
 
 
-class Verdict(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class ConsistencyVerdict(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """You decide otherwise than the majority by that version; or alike, again."""
 
     round: Number
@@ -88,16 +88,24 @@
     why: Label = ""
 
 
-Word = Ask | Answer | Look | Below | Show | Shown | Verdict
+Message = (
+    DigestRequest
+    | DigestResponse
+    | SubtreeRequest
+    | SubtreeResponse
+    | LeafRequest
+    | LeafResponse
+    | ConsistencyVerdict
+)
 encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Word).decode
+_decode = msgspec.msgpack.Decoder(Message).decode
 
 
-def decode(raw: bytes) -> Word:
+def decode(raw: bytes) -> Message:
     if len(raw) > WORD_MOST:
         raise ConsistencyError("a word over 16 KiB")
     try:
-        word: Word = _decode(raw)
+        word: Message = _decode(raw)
         return word
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
         raise ConsistencyError(f"not a word: {str(error)[:100]}") from None
--- a/quincepier/consistency/snapshot.py
+++ b/quincepier/consistency/snapshot.py
@@ -7,10 +7,18 @@
 import msgspec
 import xxhash
 
-from quincepier.consistency.decision import Arithmetic, Inputs, Key, Memory, Rules, canaries, sample
+from quincepier.consistency.decision import (
+    Arithmetic,
+    DecisionInputs,
+    DecisionKey,
+    DecisionRules,
+    Memory,
+    canaries,
+    sample,
+)
 from quincepier.consistency.errors import ConsistencyError
-from quincepier.consistency.tree import Tree
-from quincepier.consistency.words import About, Answer, Shown
+from quincepier.consistency.merkle_tree import MerkleTree
+from quincepier.consistency.messages import About, DigestResponse, LeafResponse
 
 LABEL_MOST = 200
 LINES_AT_ONCE = 64  # leaves of the list between two places at which a slice may end
@@ -22,7 +30,7 @@
     return xxhash.xxh3_128_digest(_encode(value))
 
 
-def fields_of_version(inputs: Inputs) -> dict[str, Fields]:
+def fields_of_version(inputs: DecisionInputs) -> dict[str, Fields]:
     """Each entry of a version by what it is of; its fields as text."""
     version = inputs.version
     found: dict[str, Fields] = {"version": (("number", str(version.number)), ("term", str(version.term)))}
@@ -35,7 +43,7 @@
     return found
 
 
-def fields_of_settings(inputs: Inputs) -> dict[str, Fields]:
+def fields_of_settings(inputs: DecisionInputs) -> dict[str, Fields]:
     """Each setting; a front's own zone is its seat, no rule."""
     s = inputs.settings
     names = [n for n in s.__dataclass_fields__ if n not in ("zone", "classes")]
@@ -50,14 +58,20 @@
     """A round of one front. `step` until `done`; then `answer`, `tree` and `show`."""
 
     def __init__(
-        self, round_: int, number: int, size: int, inputs: Inputs, how: Arithmetic, memory: Memory | None
+        self,
+        round_: int,
+        number: int,
+        size: int,
+        inputs: DecisionInputs,
+        how: Arithmetic,
+        memory: Memory | None,
     ) -> None:
         self.round, self.number, self.inputs, self.how = round_, number, inputs, how
-        self.rules = Rules(inputs, how, memory)
-        self.size, self.keys = size, list[Key]()
+        self.rules = DecisionRules(inputs, how, memory)
+        self.size, self.keys = size, list[DecisionKey]()
         self.done, self.work = False, self._work()
         self.decisions = dict[str, bytes]()
-        self.trees = dict[str, Tree]()
+        self.trees = dict[str, MerkleTree]()
 
     def step(self, limit: int) -> bool:
         """Work of about `limit` draws (2 to 3 us each), one decision more at most; True when all is done."""
@@ -75,22 +89,22 @@
         yield 320
         self.digest = bytes.fromhex(inputs.version.digest)
         told = fields_of_settings(inputs)
-        self.trees["settings"] = Tree({label: leaf(fields) for label, fields in told.items()})
+        self.trees["settings"] = MerkleTree({label: leaf(fields) for label, fields in told.items()})
         yield 100
         for place, line in enumerate(inputs.lines):
             leaves[line.host] = leaf(line)
             if place % LINES_AT_ONCE == LINES_AT_ONCE - 1:
                 yield LINES_AT_ONCE
-        self.trees["lines"] = Tree(leaves)
+        self.trees["lines"] = MerkleTree(leaves)
         self.keys = sample(self.number, self.round, self.size, inputs)
         for place, key in enumerate(self.keys):
             self.decisions[str(place)] = leaf((key, self.rules.decide(key)))
             yield self.rules.cost(key)
-        self.trees["decisions"] = Tree(self.decisions)
+        self.trees["decisions"] = MerkleTree(self.decisions)
 
-    def answer(self, breaches: int, stale: int, cautious: bool) -> Answer:
+    def answer(self, breaches: int, stale: int, cautious: bool) -> DigestResponse:
         inputs = self.inputs
-        return Answer(
+        return DigestResponse(
             round=self.round,
             number=inputs.version.number,
             version=self.digest,
@@ -106,13 +120,13 @@
             cautious=cautious,
         )
 
-    def tree(self, about: About) -> Tree:
+    def tree(self, about: About) -> MerkleTree:
         if about == "version" and about not in self.trees:
             told = fields_of_version(self.inputs)
-            self.trees[about] = Tree({label: leaf(fields) for label, fields in told.items()})
+            self.trees[about] = MerkleTree({label: leaf(fields) for label, fields in told.items()})
         return self.trees[about]
 
-    def show(self, about: About, label: str) -> Shown:
+    def show(self, about: About, label: str) -> LeafResponse:
         """ConsistencyError where there is no such leaf."""
         of, anew = "", b""
         if about == "decisions":
@@ -120,7 +134,7 @@
             if place >= len(self.keys):
                 raise ConsistencyError("no such key in the sample", label)
             key = self.keys[place]
-            fresh = Rules(self.inputs, self.how).decide(key)  # with no memory
+            fresh = DecisionRules(self.inputs, self.how).decide(key)  # with no memory
             of, fields, anew = str(key), self.rules.decide(key).fields(), leaf((key, fresh))
         elif about == "lines":
             line = next((line for line in self.inputs.lines if line.host == label), None)
@@ -131,4 +145,4 @@
             found = fields_of_version if about == "version" else fields_of_settings
             fields = found(self.inputs).get(label, ())
         clipped = tuple((name[:LABEL_MOST], text[:LABEL_MOST]) for name, text in fields)[:32]
-        return Shown(self.round, about, label, of[:LABEL_MOST], clipped, anew)
+        return LeafResponse(self.round, about, label, of[:LABEL_MOST], clipped, anew)
--- a/quincepier/lab/front.py
+++ b/quincepier/lab/front.py
@@ -11,7 +11,7 @@
 from quincepier.lab.experiment import MS, SECOND, Disk, Variant
 from quincepier.policy import Router
 from quincepier.recovery import first_poll
-from quincepier.recovery.memory import learned, recall
+from quincepier.recovery.learned_facts import export_facts, restore_facts
 
 if TYPE_CHECKING:  # the world makes the fronts
     from quincepier.lab.world import World
@@ -83,12 +83,12 @@
         """Of machines that are still the same; the list was told before."""
         listed = self.world.machines.all
         same = (f for f in facts if not isinstance(f, io.LearnedMachine) or f.cache in listed)
-        recall(self.router, same, self.world.now - at)
+        restore_facts(self.router, same, self.world.now - at)
 
     def keep(self, start: int) -> None:
         if self.alive and start == self.starts:
             if not self.stopped:
-                written = self.world.now, list(learned(self.router))
+                written = self.world.now, list(export_facts(self.router))
                 self.kept = [*self.kept[:1], *self.kept[1:][-1:], written]
             self.world.after(self.every, self.keep, start)
 
--- a/quincepier/lab/powercut.py
+++ b/quincepier/lab/powercut.py
@@ -7,14 +7,14 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from quincepier.state import Files
+from quincepier.state import FileSystem
 
 
 class Cut(Exception):
     """The power is gone."""
 
 
-class PowerDisk(Files):
+class PowerDisk(FileSystem):
     """A disk of which only what was synced is sure, and whose power fails at one system call."""
 
     def __init__(self, folder: Path) -> None:
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -16,8 +16,8 @@
 from quincepier.config import FrontConfig, SettingsError, load_front, reloaded
 from quincepier.errors import QuincepierError
 from quincepier.lifecycle import signals
-from quincepier.memory.budget import own_memory, share_out
-from quincepier.memory.pool import BufferPool
+from quincepier.memory.buffer_pool import BufferPool
+from quincepier.memory.memory_budget import divide_memory, own_memory
 from quincepier.net.actor import Actor
 from quincepier.net.clients import ConnectionManager
 from quincepier.net.listener import Listener
@@ -42,7 +42,7 @@
         self, config: FrontConfig, path: str | None = None, operators: Operators | None = None
     ) -> None:
         self.config, self.path, self.checks, self.operators = config, path, Checks(), operators
-        budget = share_out(config.memory_mb, own_memory(), config.max_open)
+        budget = divide_memory(config.memory_mb, own_memory(), config.max_open)
         self.descriptors = Descriptors(config.sockets)
         reserve = self.descriptors.clients_most + self.descriptors.caches_most
         self.pool = BufferPool(budget.buffers, min(reserve, budget.buffers // 2))
--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -16,11 +16,11 @@
     from quincepier.clients.section import Places
     from quincepier.consistency.section import ConsistencySection
     from quincepier.net.clients import ConnectionManager
-    from quincepier.net.fleet.fleet import Fleet
-    from quincepier.net.keeper import Keeper
+    from quincepier.net.fleet.node import AgreementNode
     from quincepier.net.module import ModuleActor
-    from quincepier.net.peers import Peers
-    from quincepier.net.peers.divide import Divider
+    from quincepier.net.peers import PeerNetwork
+    from quincepier.net.peers.quota_allocator import QuotaAllocator
+    from quincepier.net.state_persistence import StatePersistence
 
 
 ONLY_AT_A_START = ("state", "members", "agreement", "consistency")  # what they say changes at a start alone
@@ -54,7 +54,7 @@
     def __init__(self, path: str) -> None:
         """Raises OperatorError with all that is wrong with the file."""
         self.path, self.file = path, checked(path)
-        self.divider: Divider | None = None
+        self.divider: QuotaAllocator | None = None
 
     @property
     def log_format(self) -> str:
@@ -89,43 +89,43 @@
             module.means.judge = self.judge
             module.shared.dialer = Dialer(module.means, section, module.shared.descriptor)
 
-    def keeper(self, module: ModuleActor) -> Keeper | None:
+    def keeper(self, module: ModuleActor) -> StatePersistence | None:
         """Who keeps what was learned over starts."""
         if self.file.named("state") is None:
             return None
-        from quincepier.net.keeper import Keeper
+        from quincepier.net.state_persistence import StatePersistence
         from quincepier.state.section import StateSection
 
         section = self.file.get(StateSection)
-        return None if section is None else Keeper(module, section)
+        return None if section is None else StatePersistence(module, section)
 
-    def peers(self, module: ModuleActor) -> Peers | None:
+    def peers(self, module: ModuleActor) -> PeerNetwork | None:
         """This front among the others; PeersError where the section has no place for it."""
         if self.file.named("members") is None:
             return None
         from quincepier.membership.section import MembersSection
-        from quincepier.net.peers import Peers
-        from quincepier.net.peers.divide import Divider
+        from quincepier.net.peers import PeerNetwork
+        from quincepier.net.peers.quota_allocator import QuotaAllocator
 
         section = self.file.get(MembersSection)
         if section is None:
             return None
-        peers = Peers.told(section, module.config, module.means)
-        self.divider = Divider(module, peers)
+        peers = PeerNetwork.told(section, module.config, module.means)
+        self.divider = QuotaAllocator(module, peers)
         return peers
 
-    def fleet(self, module: ModuleActor, peers: Peers | None) -> Fleet | None:
+    def fleet(self, module: ModuleActor, peers: PeerNetwork | None) -> AgreementNode | None:
         """What this front settles with the others."""
         if peers is None or self.file.named("agreement") is None:
             return None
-        from quincepier.net.fleet.bearing import Rules
-        from quincepier.net.fleet.fleet import Fleet
+        from quincepier.net.fleet.active_rules import ActiveRules
+        from quincepier.net.fleet.node import AgreementNode
         from quincepier.net.fleet.section import AgreementSection
 
         section = self.file.get(AgreementSection)
         if section is None:
             return None
-        return Fleet(module, peers, section, Rules(module, self.file), self._compared())
+        return AgreementNode(module, peers, section, ActiveRules(module, self.file), self._compared())
 
     def _compared(self) -> ConsistencySection | None:
         if self.file.named("consistency") is None:
@@ -134,7 +134,7 @@
 
         return self.file.get(ConsistencySection)
 
-    def wishes(self, fleet: Fleet) -> None:
+    def wishes(self, fleet: AgreementNode) -> None:
         """The file as it holds now, read again."""
         fleet.rules.take(self.file)
         fleet.effects.apply()
--- a/quincepier/maintenance/__init__.py
+++ b/quincepier/maintenance/__init__.py
@@ -5,28 +5,33 @@
 docs/maintenance.md.
 """
 
-from quincepier.maintenance.choice import Choice, ranked
+from quincepier.maintenance.candidates import Candidate, ranked_candidates
+from quincepier.maintenance.disruption_budget import DisruptionBudget
+from quincepier.maintenance.draining import cordoned_hosts, requested_hosts
 from quincepier.maintenance.errors import MaintenanceError
-from quincepier.maintenance.leaving import leaving, named
-from quincepier.maintenance.room import Room
-from quincepier.maintenance.section import Allowed, MaintenanceSection, Most, Wish
-from quincepier.maintenance.service import Standing, standing
-from quincepier.maintenance.steps import Plan, advance, plan
+from quincepier.maintenance.planner import Plan, advance, plan
+from quincepier.maintenance.section import (
+    MaintenanceRequest,
+    MaintenanceSection,
+    UnavailableByKind,
+    UnavailableLimits,
+)
+from quincepier.maintenance.service_level import ServiceLevel, service_level
 
 __all__ = [
-    "Allowed",
-    "Choice",
+    "Candidate",
+    "DisruptionBudget",
     "MaintenanceError",
+    "MaintenanceRequest",
     "MaintenanceSection",
-    "Most",
     "Plan",
-    "Room",
-    "Standing",
-    "Wish",
+    "ServiceLevel",
+    "UnavailableByKind",
+    "UnavailableLimits",
     "advance",
-    "leaving",
-    "named",
+    "cordoned_hosts",
     "plan",
-    "ranked",
-    "standing",
+    "ranked_candidates",
+    "requested_hosts",
+    "service_level",
 ]
--- a/quincepier/maintenance/choice.py
+++ b/quincepier/maintenance/candidates.py
@@ -9,20 +9,20 @@
 
 from dataclasses import dataclass
 
-from quincepier.maintenance.room import Room
-from quincepier.maintenance.section import Wish
-from quincepier.rules.reports import Seen
+from quincepier.maintenance.disruption_budget import DisruptionBudget
+from quincepier.maintenance.section import MaintenanceRequest
+from quincepier.rules.reports import Observations
 
 
 @dataclass(slots=True, frozen=True)
-class Choice:
+class Candidate:
     target: str
     kind: str
     zone: str
     why: str
 
 
-def targets(wish: Wish, seen: Seen) -> dict[str, tuple[str, str]]:
+def targets(wish: MaintenanceRequest, seen: Observations) -> dict[str, tuple[str, str]]:
     """What a wish means as the list is now: host id or name to kind and zone (kind "": not listed)."""
     if wish.kind == "front":
         return {name: ("front", "") for name in seen.view}
@@ -40,7 +40,7 @@
     return found
 
 
-def loads(seen: Seen) -> dict[str, float]:
+def loads(seen: Observations) -> dict[str, float]:
     """Commands a second at each machine, and sent by each front."""
     found = dict[str, float]()
     for name, report in seen.reports.items():
@@ -52,7 +52,7 @@
     return found
 
 
-def ranked(wish: Wish, room: Room) -> list[Choice]:
+def ranked_candidates(wish: MaintenanceRequest, room: DisruptionBudget) -> list[Candidate]:
     """All known ones that a wish means, in the order in which they go."""
     seen = room.seen
     load, meant = loads(seen), targets(wish, seen)
@@ -60,7 +60,7 @@
     zones = dict[tuple[str, str], float]()
     for target, place in meant.items():
         zones[place] = zones.get(place, 0.0) + load.get(target, 0.0)
-    keyed = list[tuple[tuple[object, ...], Choice]]()
+    keyed = list[tuple[tuple[object, ...], Candidate]]()
     for target, (kind, zone) in meant.items():
         if not kind:
             continue
@@ -75,5 +75,5 @@
             why = f"{f'zone {zone} {first} and ' if zone else ''}least load of those left, {rate:.1f}/s"
         of_zone = (place not in begun, round(zones[place], 1), zone, kind)
         key = (late, not aside, *of_zone, round(rate, 1), target)
-        keyed.append((key, Choice(target, kind, zone, why)))
+        keyed.append((key, Candidate(target, kind, zone, why)))
     return [choice for _, choice in sorted(keyed, key=lambda item: item[0])]
--- a/quincepier/maintenance/room.py
+++ b/quincepier/maintenance/disruption_budget.py
@@ -7,21 +7,27 @@
 
 from __future__ import annotations
 
-from quincepier.maintenance.section import Allowed
-from quincepier.rules.reports import MachineSeen, Seen
-from quincepier.rules.version import Order, RuleVersion
+from quincepier.maintenance.section import UnavailableByKind
+from quincepier.rules.reports import MachineObservation, Observations
+from quincepier.rules.version import MaintenanceTask, RuleVersion
 
 FRESH_MS = 30_000  # a start that is so young counts as one, also where machines are warm at once
 
 
-def fresh(machine: MachineSeen) -> bool:
+def is_recently_started(machine: MachineObservation) -> bool:
     return machine.up_ms < max(machine.warm_ms, FRESH_MS)
 
 
-class Room:
+class DisruptionBudget:
     """Of one turn; `orders` are those that the turn has come to so far."""
 
-    def __init__(self, version: RuleVersion, orders: list[Order], allowed: Allowed, seen: Seen) -> None:
+    def __init__(
+        self,
+        version: RuleVersion,
+        orders: list[MaintenanceTask],
+        allowed: UnavailableByKind,
+        seen: Observations,
+    ) -> None:
         self.version, self.orders, self.allowed, self.seen = version, orders, allowed, seen
         reports = [r for name, r in seen.reports.items() if name == r.front]
         aside = dict[str, int]()
--- a/quincepier/maintenance/leaving.py
+++ b/quincepier/maintenance/draining.py
@@ -6,7 +6,7 @@
 from quincepier.rules.version import RuleVersion
 
 
-def leaving(
+def cordoned_hosts(
     version: RuleVersion, cautious: bool, me: str, wished: frozenset[str] = frozenset()
 ) -> frozenset[str]:
     """Host ids that this front treats as leaving; `me` is among them where it is itself to drain.
@@ -24,7 +24,7 @@
     return frozenset(found | wished) if cautious else frozenset(found)
 
 
-def named(section: MaintenanceSection | None) -> frozenset[str]:
+def requested_hosts(section: MaintenanceSection | None) -> frozenset[str]:
     """Machines that a file wishes out by host id; those of a whole kind or zone are too many to keep from."""
     wishes = section.wishes if section is not None else ()
     return frozenset(host for wish in wishes if not wish.stop for host in wish.machines)
--- a/quincepier/maintenance/steps.py
+++ b/quincepier/maintenance/planner.py
@@ -22,28 +22,35 @@
 
 import msgspec
 
-from quincepier.maintenance.choice import ranked, targets
-from quincepier.maintenance.room import Room, fresh
-from quincepier.maintenance.section import MaintenanceSection, Wish
-from quincepier.maintenance.service import Standing, standing
-from quincepier.rules.reports import Seen
-from quincepier.rules.version import ORDERS_MOST, Allowance, Change, Order, OrderStep, RuleVersion
+from quincepier.maintenance.candidates import ranked_candidates, targets
+from quincepier.maintenance.disruption_budget import DisruptionBudget, is_recently_started
+from quincepier.maintenance.section import MaintenanceRequest, MaintenanceSection
+from quincepier.maintenance.service_level import ServiceLevel, service_level
+from quincepier.rules.reports import Observations
+from quincepier.rules.version import (
+    ORDERS_MOST,
+    DisruptionLimit,
+    MaintenanceStep,
+    MaintenanceTask,
+    RuleVersion,
+    VersionChange,
+)
 
 TELLS_MOST = 32
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    change: Change | None
+    change: VersionChange | None
     tells: tuple[str, ...]  # what waits for what, for the log; told when it changes
 
 
-def advance(version: RuleVersion, wishes: MaintenanceSection, seen: Seen) -> Change | None:
+def advance(version: RuleVersion, wishes: MaintenanceSection, seen: Observations) -> VersionChange | None:
     """The next change of the orders. The same input gives the same change; it is safe to lose it."""
     return plan(version, wishes, seen).change
 
 
-def plan(version: RuleVersion, wishes: MaintenanceSection, seen: Seen) -> Plan:
+def plan(version: RuleVersion, wishes: MaintenanceSection, seen: Observations) -> Plan:
     if not seen.machines or not seen.reports or not seen.in_force:
         if not wishes.wishes and not any(order.open for order in version.orders):
             return Plan(None, ())
@@ -53,11 +60,11 @@
 
 
 class _Turn:
-    def __init__(self, version: RuleVersion, wishes: MaintenanceSection, seen: Seen) -> None:
+    def __init__(self, version: RuleVersion, wishes: MaintenanceSection, seen: Observations) -> None:
         self.version, self.wishes, self.seen = version, wishes, seen
         self.orders = list(version.orders)
-        self.room = Room(version, self.orders, wishes.allowed, seen)
-        self.service: Standing = standing(wishes, seen)
+        self.room = DisruptionBudget(version, self.orders, wishes.allowed, seen)
+        self.service: ServiceLevel = service_level(wishes, seen)
         self.told = seen.in_force if seen.told is None else seen.told
         self.did, self.tells = list[str](), list[str]()
 
@@ -68,7 +75,7 @@
         for wish in self.wishes.wishes:
             self.announce(wish)
         allowances = tuple(
-            Allowance(kind, most.zone, most.all)  # type: ignore[arg-type]
+            DisruptionLimit(kind, most.zone, most.all)  # type: ignore[arg-type]
             for kind in ("cache", "parent", "front")
             if (most := self.wishes.allowed.of(kind))
         )
@@ -79,38 +86,38 @@
         if len(orders) > ORDERS_MOST // 2:  # those of wishes that stand in the file no more
             orders = [o for o in orders if o.open or self.wishes.wish(o.wish) is not None]
         new = allowances if allowances != self.version.allowances else None
-        change = Change("; ".join(self.did)[:2000], orders=tuple(orders), allowances=new)
+        change = VersionChange("; ".join(self.did)[:2000], orders=tuple(orders), allowances=new)
         return Plan(change, tuple(self.tells[:TELLS_MOST]))
 
-    def to(self, at: int, step: OrderStep, why: str) -> None:
+    def to(self, at: int, step: MaintenanceStep, why: str) -> None:
         order = self.orders[at]
         self.orders[at] = msgspec.structs.replace(order, step=step, why=why[:200])
         self.did.append(f"{order.target} {step.name.lower()}: {why}")
 
-    def wait(self, order: Order, why: str) -> None:
+    def wait(self, order: MaintenanceTask, why: str) -> None:
         self.tells.append(f"{order.target} stays {order.step.name.lower()}: {why}")
 
-    def step(self, at: int, order: Order) -> None:
+    def step(self, at: int, order: MaintenanceTask) -> None:
         wish, seen = self.wishes.wish(order.wish), self.seen
-        if order.step in (OrderStep.WAITING, OrderStep.DRAINING):
+        if order.step in (MaintenanceStep.WAITING, MaintenanceStep.DRAINING):
             # taking back is safe at any time, and needs nothing of others
             if wish is None or wish.stop:
                 why = "operators stopped it" if wish else "its wish is not in the file of who leads"
-                return self.to(at, OrderStep.STOPPED, why)
+                return self.to(at, MaintenanceStep.STOPPED, why)
             if self.service.fallen:
-                return self.to(at, OrderStep.STOPPED, self.service.fallen)
+                return self.to(at, MaintenanceStep.STOPPED, self.service.fallen)
         if seen.in_force < order.since:
             return self.wait(order, f"number {order.since} is not in force everywhere")
-        if order.step is OrderStep.WAITING:
+        if order.step is MaintenanceStep.WAITING:
             self.drain(at, order, wish)
-        elif order.step is OrderStep.DRAINING:
+        elif order.step is MaintenanceStep.DRAINING:
             self.empty(at, order, wish)
         elif order.kind == "front":
             self.front(at, order, wish)
         else:
             self.machine(at, order, wish)
 
-    def drain(self, at: int, order: Order, wish: Wish | None) -> None:
+    def drain(self, at: int, order: MaintenanceTask, wish: MaintenanceRequest | None) -> None:
         why = self.unready() or self.room.hindrance(order.target, order.kind, order.zone, waiting=False)
         if wish is not None and wish.pause:
             why = "paused"
@@ -120,9 +127,9 @@
             why = "it is not listed"
         if why:
             return self.wait(order, why)
-        self.to(at, OrderStep.DRAINING, order.why)
+        self.to(at, MaintenanceStep.DRAINING, order.why)
 
-    def empty(self, at: int, order: Order, wish: Wish | None) -> None:
+    def empty(self, at: int, order: MaintenanceTask, wish: MaintenanceRequest | None) -> None:
         seen = self.seen
         if wish is not None and wish.pause:
             return self.wait(order, "paused")
@@ -141,69 +148,71 @@
                 if any(n for _, n in report.open_at) or any(n for _, _, n in report.open_keyed):
                     return self.wait(order, "it has something open")
         machine = seen.machines.get(order.target)
-        if machine is not None and machine.ready and fresh(machine):
+        if machine is not None and machine.ready and is_recently_started(machine):
             return self.wait(order, "it started by itself; another start could not be told from this one")
-        self.to(at, OrderStep.EMPTY, "nothing is open there and no front may send to it")
+        self.to(at, MaintenanceStep.EMPTY, "nothing is open there and no front may send to it")
 
-    def machine(self, at: int, order: Order, wish: Wish | None) -> None:
+    def machine(self, at: int, order: MaintenanceTask, wish: MaintenanceRequest | None) -> None:
         """From empty on, by what the list says."""
         there = self.seen.machines.get(order.target)
         ready = there is not None and there.ready
-        anew = there is not None and ready and fresh(there)
+        anew = there is not None and ready and is_recently_started(there)
         finished = wish is not None and order.target in wish.finished
         new = wish.replaced.get(order.target, "") if wish is not None else ""
-        if new and not ready and order.step < OrderStep.WARMING:
+        if new and not ready and order.step < MaintenanceStep.WARMING:
             return self.replace(at, order, new)
         match order.step:
-            case OrderStep.EMPTY if not ready or anew:
+            case MaintenanceStep.EMPTY if not ready or anew:
                 gone = "off the list" if there is None else "started anew" if ready else "not ready"
-                self.to(at, OrderStep.OUT, gone)
-            case OrderStep.EMPTY if finished:
-                self.to(at, OrderStep.BACK, "operators say that work is over")
-            case OrderStep.EMPTY:
+                self.to(at, MaintenanceStep.OUT, gone)
+            case MaintenanceStep.EMPTY if finished:
+                self.to(at, MaintenanceStep.BACK, "operators say that work is over")
+            case MaintenanceStep.EMPTY:
                 self.wait(order, "work may begin")
-            case OrderStep.OUT if ready and (anew or finished):
+            case MaintenanceStep.OUT if ready and (anew or finished):
                 why = "ready after a new start" if anew else "operators say that work is over"
-                self.to(at, OrderStep.BACK, why)
-            case OrderStep.OUT if ready:
+                self.to(at, MaintenanceStep.BACK, why)
+            case MaintenanceStep.OUT if ready:
                 self.wait(order, "listed again without a new start; say finished where work needs none")
-            case OrderStep.OUT:
+            case MaintenanceStep.OUT:
                 self.wait(order, "away; say replaced where it came back under another id")
-            case OrderStep.BACK if not ready:
-                self.to(at, OrderStep.OUT, "away again")
-            case OrderStep.BACK:
-                self.to(at, OrderStep.WARMING, "used within its cold budget")
-            case OrderStep.WARMING if there is not None and ready and there.up_ms >= there.warm_ms:
-                self.to(at, OrderStep.IN, "warm")
+            case MaintenanceStep.BACK if not ready:
+                self.to(at, MaintenanceStep.OUT, "away again")
+            case MaintenanceStep.BACK:
+                self.to(at, MaintenanceStep.WARMING, "used within its cold budget")
+            case MaintenanceStep.WARMING if there is not None and ready and there.up_ms >= there.warm_ms:
+                self.to(at, MaintenanceStep.IN, "warm")
             case _:
                 self.wait(order, "not warm yet" if ready else "broke while it warmed")
 
-    def replace(self, at: int, order: Order, new: str) -> None:
+    def replace(self, at: int, order: MaintenanceTask, new: str) -> None:
         there = self.seen.machines.get(new)
         if there is None or not there.ready or (there.kind, there.zone) != (order.kind, order.zone):
             return self.wait(order, f"{new} is not ready, or of another kind or zone")
-        self.to(at, OrderStep.IN, f"came back as {new}")
+        self.to(at, MaintenanceStep.IN, f"came back as {new}")
         if self.version.order_of(new) is None:
             why = f"in place of {order.target}"
-            self.orders.append(Order(order.wish, new, order.kind, order.zone, OrderStep.WARMING, 0, why))
+            self.orders.append(
+                MaintenanceTask(order.wish, new, order.kind, order.zone, MaintenanceStep.WARMING, 0, why)
+            )
             self.did.append(f"{new} warming: {why}")
 
-    def front(self, at: int, order: Order, wish: Wish | None) -> None:
+    def front(self, at: int, order: MaintenanceTask, wish: MaintenanceRequest | None) -> None:
         """From empty on: a front is away while it holds no lease; another start shows as a second line."""
         reports, name = self.seen.reports, order.target
         there = name in reports
         anew = any(report.front == name and line != name for line, report in reports.items())
         finished = wish is not None and name in wish.finished
-        if order.step is OrderStep.EMPTY and (not there or anew):
-            self.to(at, OrderStep.OUT, "started anew" if there else "it holds no lease")
-        elif order.step is OrderStep.EMPTY and not finished:
+        if order.step is MaintenanceStep.EMPTY and (not there or anew):
+            self.to(at, MaintenanceStep.OUT, "started anew" if there else "it holds no lease")
+        elif order.step is MaintenanceStep.EMPTY and not finished:
             self.wait(order, "work may begin")
-        elif order.step in (OrderStep.EMPTY, OrderStep.OUT) and there:
-            self.to(at, OrderStep.BACK, "it reports")
-        elif order.step is OrderStep.BACK and there:
-            self.to(at, OrderStep.WARMING, "it serves")
-        elif order.step is OrderStep.WARMING and there and not reports[name].cautious:
-            self.to(at, OrderStep.IN, "it is sure of its version")
+        elif order.step in (MaintenanceStep.EMPTY, MaintenanceStep.OUT) and there:
+            self.to(at, MaintenanceStep.BACK, "it reports")
+        elif order.step is MaintenanceStep.BACK and there:
+            self.to(at, MaintenanceStep.WARMING, "it serves")
+        elif order.step is MaintenanceStep.WARMING and there and not reports[name].cautious:
+            self.to(at, MaintenanceStep.IN, "it is sure of its version")
         else:
             self.wait(order, "it does not report")
 
@@ -213,12 +222,12 @@
             return "a front without a lease may have something open"
         return self.service.lower
 
-    def announce(self, wish: Wish) -> None:
+    def announce(self, wish: MaintenanceRequest) -> None:
         """The next of a wish, as many as may be out: only those are named, so that a front which lost touch
         keeps from these few and not from all that is ever to be worked on.
         """
         mine = [o for o in self.orders if o.wish == wish.id]
-        stopped = next((o for o in mine if o.step is OrderStep.STOPPED), None)
+        stopped = next((o for o in mine if o.step is MaintenanceStep.STOPPED), None)
         meant = targets(wish, self.seen)
         done = {o.target for o in mine} | set(wish.replaced.values())
         left = [target for target in meant if target not in done]
@@ -235,7 +244,7 @@
         for target in left:
             if not meant[target][0]:
                 self.tells.append(f"wish {wish.id} waits for {target}: it is not known")
-        for choice in ranked(wish, self.room):
+        for choice in ranked_candidates(wish, self.room):
             if choice.target in done or len(self.orders) >= ORDERS_MOST:
                 continue
             why = self.barred(choice.target, left) or self.room.hindrance(
@@ -244,7 +253,15 @@
             if why:
                 self.tells.append(f"wish {wish.id} waits for {choice.target}: {why}")
                 continue
-            order = Order(wish.id, choice.target, choice.kind, choice.zone, OrderStep.WAITING, 0, choice.why)  # type: ignore[arg-type]
+            order = MaintenanceTask(
+                wish.id,
+                choice.target,
+                choice.kind,  # type: ignore[arg-type]
+                choice.zone,
+                MaintenanceStep.WAITING,
+                0,
+                choice.why,
+            )
             self.orders.append(order)
             self.did.append(f"{choice.target} waiting: {choice.why}")
 
@@ -253,7 +270,7 @@
         if other is not None:
             return f"it has an order of wish {other.wish}"
         machine = self.seen.machines.get(target)
-        if machine is not None and machine.ready and fresh(machine):
+        if machine is not None and machine.ready and is_recently_started(machine):
             return "it started a moment ago"
         if target == self.seen.leader and (len(left) > 1 or any(o.open for o in self.orders)):
             return "it leads, and goes last"
--- a/quincepier/maintenance/section.py
+++ b/quincepier/maintenance/section.py
@@ -15,7 +15,7 @@
 Count = Annotated[int, msgspec.Meta(ge=0, le=4096)]
 
 
-class Most(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class UnavailableLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Out at once of one kind, in any zone and over all; how many of each zone stay in service at least."""
 
     zone: Count = 1
@@ -23,16 +23,16 @@
     least: Count = 0
 
 
-class Allowed(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    cache: Most = Most()
-    parent: Most = Most()
-    front: Most = Most()
+class UnavailableByKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    cache: UnavailableLimits = UnavailableLimits()
+    parent: UnavailableLimits = UnavailableLimits()
+    front: UnavailableLimits = UnavailableLimits()
 
-    def of(self, kind: str) -> Most:
+    def of(self, kind: str) -> UnavailableLimits:
         return {"cache": self.cache, "parent": self.parent}.get(kind, self.front)
 
 
-class Wish(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MaintenanceRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Work that is wanted once: for machines by host id, fronts by name, or all of a kind (in one zone)."""
 
     id: Name
@@ -59,8 +59,8 @@
 class MaintenanceSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Worth in time over worth asked for, per tenant, is held against what it usually was."""
 
-    wishes: Annotated[tuple[Wish, ...], msgspec.Meta(max_length=WISHES_MOST)] = ()
-    allowed: Allowed = Allowed()
+    wishes: Annotated[tuple[MaintenanceRequest, ...], msgspec.Meta(max_length=WISHES_MOST)] = ()
+    allowed: UnavailableByKind = UnavailableByKind()
     # parts of the usual: below `floor` an order stops by itself, below `as_before` none begins
     floor: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.9
     as_before: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.98
@@ -75,5 +75,5 @@
         if self.floor > self.as_before:
             raise MaintenanceError("floor is above as_before")
 
-    def wish(self, id: str) -> Wish | None:
+    def wish(self, id: str) -> MaintenanceRequest | None:
         return next((wish for wish in self.wishes if wish.id == id), None)
--- a/quincepier/maintenance/service.py
+++ b/quincepier/maintenance/service_level.py
@@ -5,18 +5,18 @@
 from dataclasses import dataclass
 
 from quincepier.maintenance.section import MaintenanceSection
-from quincepier.rules.reports import Seen
+from quincepier.rules.reports import Observations
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class ServiceLevel:
     """Each is empty where it is well, else the reason."""
 
     fallen: str  # below the floor
     lower: str  # not as before
 
 
-def standing(wishes: MaintenanceSection, seen: Seen) -> Standing:
+def service_level(wishes: MaintenanceSection, seen: Observations) -> ServiceLevel:
     """A tenant of which too few answers are in, or whose usual is not known, is not judged; where anybody
     asks and nothing usual is known at all, service is not known to be as before.
     """
@@ -38,4 +38,4 @@
             lower = lower or told
     if not seen.usual and any(asked >= wishes.enough for asked, _, _ in sums.values()):
         lower = "the usual service is not known yet"
-    return Standing(fallen, lower)
+    return ServiceLevel(fallen, lower)
--- a/quincepier/membership/__init__.py
+++ b/quincepier/membership/__init__.py
@@ -5,21 +5,27 @@
 clock, and never says what a view is used for. Read `table.py` first, then `detector.py`; docs/membership.md.
 """
 
-from quincepier.membership.detector import Detector, Exchange, Send, Twin, Viewed
-from quincepier.membership.pace import Pace
-from quincepier.membership.table import Claim, Standing
-from quincepier.membership.words import DATAGRAM_MOST, BadWords, Words
+from quincepier.membership.failure_detector import (
+    DuplicateMember,
+    FailureDetector,
+    SendDatagram,
+    StartStateSync,
+    ViewChanged,
+)
+from quincepier.membership.member_table import MemberRecord, MemberState
+from quincepier.membership.messages import MAX_DATAGRAM_BYTES, InvalidMessageError, Message
+from quincepier.membership.probe_intervals import ProbeIntervals
 
 __all__ = [
-    "DATAGRAM_MOST",
-    "BadWords",
-    "Claim",
-    "Detector",
-    "Exchange",
-    "Pace",
-    "Send",
-    "Standing",
-    "Twin",
-    "Viewed",
-    "Words",
+    "MAX_DATAGRAM_BYTES",
+    "DuplicateMember",
+    "FailureDetector",
+    "InvalidMessageError",
+    "MemberRecord",
+    "MemberState",
+    "Message",
+    "ProbeIntervals",
+    "SendDatagram",
+    "StartStateSync",
+    "ViewChanged",
 ]
--- a/quincepier/membership/detector.py
+++ b/quincepier/membership/failure_detector.py
@@ -20,21 +20,21 @@
 
 import msgspec
 
-from quincepier.membership.pace import MS, Pace
-from quincepier.membership.table import Address, Claim, Standing, goes_before
-from quincepier.membership.words import (
-    DATAGRAM_MOST,
+from quincepier.membership.member_table import Address, MemberRecord, MemberState, supersedes
+from quincepier.membership.messages import (
+    MAX_DATAGRAM_BYTES,
     VERSION,
-    BadWords,
-    Kind,
-    News,
-    Whole,
-    Words,
+    FullState,
+    InvalidMessageError,
+    MembershipUpdate,
+    Message,
+    MessageKind,
     decode,
-    decode_whole,
+    decode_full_state,
     encode,
     size_of,
 )
+from quincepier.membership.probe_intervals import MS, ProbeIntervals
 
 HEAD_MOST = 320  # bytes that a datagram's own fields may take; news fill the rest
 CARRIED_MOST = 40  # pieces of news in one datagram
@@ -44,20 +44,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class SendDatagram:
     address: Address
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Exchange:
+class StartStateSync:
     """Give that front the whole of `Detector.whole()` and take its answer, over a stream."""
 
     address: Address
 
 
 @dataclass(slots=True, frozen=True)
-class Viewed:
+class ViewChanged:
     """The view changed: all members, and who came and went with this one change."""
 
     members: tuple[str, ...]
@@ -66,13 +66,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Twin:
+class DuplicateMember:
     """Another process has this front's name."""
 
     address: Address
 
 
-Action = Send | Exchange | Viewed | Twin
+Action = SendDatagram | StartStateSync | ViewChanged | DuplicateMember
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
     back: tuple[Address, int] | None = None  # whom it is for, and their number
 
 
-class Detector:
+class FailureDetector:
     def __init__(
         self,
         fleet: str,
@@ -95,19 +95,21 @@
         now: int,
         seed: int,
         seeds: Iterable[Address] = (),
-        pace: Pace | None = None,
+        pace: ProbeIntervals | None = None,
     ) -> None:
         """`start`: greater at each start as a rule, such as Unix time with chance in its last bits."""
         self.fleet, self.name, self.address, self.incarnation = fleet, name, address, start
-        self.pace, self.random = pace or Pace(), random.Random(seed)
+        self.pace, self.random = pace or ProbeIntervals(), random.Random(seed)
         self.seeds = [s for s in seeds if s != address]
-        self.claims: dict[str, Claim] = {}  # of all others
+        self.claims: dict[str, MemberRecord] = {}  # of all others
         self.suspects = set[str]()
         self.living, self.changed = 0, True  # other members; whether who is one changed since the last look
         self.members: set[str] = {name}  # the view that was told last
         self.due: int | None = None  # when changes that wait are told
         self.first_due = 0
-        self.told: dict[tuple[str, str], tuple[News, int, int]] = {}  # news: how often told, since when
+        self.told: dict[
+            tuple[str, str], tuple[MembershipUpdate, int, int]
+        ] = {}  # news: how often told, since when
         self.round: list[str] = []
         self.probes: dict[int, Probe] = {}
         self.number = self.random.getrandbits(40)
@@ -128,7 +130,7 @@
         self._awake(now)
         try:
             words = decode(raw, self.fleet)
-        except BadWords:
+        except InvalidMessageError:
             self.bad += 1
             return self.out
         if words.name == self.name:
@@ -138,21 +140,21 @@
         if self.left:
             return self.out
         self._mark_heard(now)
-        self._claim(now, words.name, words.address, words.incarnation, Standing.ALIVE, now, "")
+        self._claim(now, words.name, words.address, words.incarnation, MemberState.ALIVE, now, "")
         claim = self.claims.get(words.name)
         if claim is not None and claim.incarnation == words.incarnation:
             claim.heard = now
         for news in words.news:
             self._learn(now, news)
         match words.kind:
-            case Kind.PING:
-                self._say(now, words.address, Kind.ACK, words.number, words.name)
-            case Kind.ASK:
+            case MessageKind.PING:
+                self._say(now, words.address, MessageKind.ACK, words.number, words.name)
+            case MessageKind.ASK:
                 self._probe_for(now, words)
-            case Kind.ACK | Kind.NACK:
+            case MessageKind.ACK | MessageKind.NACK:
                 self._answered(now, words)
-            case Kind.LEAVE:
-                self._claim(now, words.name, words.address, words.incarnation, Standing.LEFT, now, "")
+            case MessageKind.LEAVE:
+                self._claim(now, words.name, words.address, words.incarnation, MemberState.LEFT, now, "")
         self._settle(now)
         return self.out
 
@@ -161,8 +163,8 @@
         self.out = []
         self._awake(now)
         try:
-            whole = decode_whole(raw, self.fleet)
-        except BadWords:
+            whole = decode_full_state(raw, self.fleet)
+        except InvalidMessageError:
             self.bad += 1
             return self.out
         self._mark_heard(now)
@@ -172,8 +174,10 @@
         return self.out
 
     def whole(self, now: int) -> bytes:
-        me = News(self.name, self.address, self.incarnation, Standing.ALIVE, 0)
-        return encode(Whole(VERSION, self.fleet, (me, *(self._news(now, c) for c in self.claims.values()))))
+        me = MembershipUpdate(self.name, self.address, self.incarnation, MemberState.ALIVE, 0)
+        return encode(
+            FullState(VERSION, self.fleet, (me, *(self._news(now, c) for c in self.claims.values())))
+        )
 
     def tick(self, now: int) -> list[Action]:
         """To be called at `wake` at the latest."""
@@ -193,7 +197,7 @@
             wait = self.pace.whole_every * max(1.0, self.living / self.pace.whole_for)
             self.next_whole = now + int(wait * self.random.uniform(0.5, 1.5))
             if others := [c for c in self.claims.values() if c.member]:
-                self.out.append(Exchange(self.random.choice(others).address))
+                self.out.append(StartStateSync(self.random.choice(others).address))
         self._settle(now)
         return self.out
 
@@ -208,7 +212,7 @@
         self.out, self.left = [], True
         others = [c for c in self.claims.values() if c.member]
         for claim in self.random.sample(others, min(len(others), 2 * self.pace.helpers)):
-            self._say(now, claim.address, Kind.LEAVE, 0, "")
+            self._say(now, claim.address, MessageKind.LEAVE, 0, "")
         return self.out
 
     # Own standstill
@@ -221,7 +225,7 @@
         self.health = min(self.health + 1, self.pace.health_most)
         self.probes.clear()
         for claim in self.claims.values():
-            if claim.standing is Standing.SUSPECT:
+            if claim.standing is MemberState.SUSPECT:
                 claim.since += gap
         self.next_probe = now
         if gap > self.pace.lease:
@@ -237,11 +241,11 @@
         if self.members != {self.name}:
             went = tuple(sorted(self.members - {self.name}))
             self.members = {self.name}
-            self.out.append(Viewed((self.name,), (), went))
+            self.out.append(ViewChanged((self.name,), (), went))
 
     # Probes
 
-    def _others(self) -> list[Claim]:
+    def _others(self) -> list[MemberRecord]:
         return [c for c in self.claims.values() if c.member]
 
     def _patience(self, probe: Probe) -> int:
@@ -257,27 +261,27 @@
         if self.round:
             self._ping(now, self.claims[self.round.pop()], None)
 
-    def _ping(self, now: int, claim: Claim, back: tuple[Address, int] | None) -> None:
+    def _ping(self, now: int, claim: MemberRecord, back: tuple[Address, int] | None) -> None:
         if len(self.probes) < PROBES_MOST:
             self.number += 1
             self.probes[self.number] = Probe(claim.name, now, back=back)
-            self._say(now, claim.address, Kind.PING, self.number, claim.name)
+            self._say(now, claim.address, MessageKind.PING, self.number, claim.name)
 
-    def _probe_for(self, now: int, words: Words) -> None:
+    def _probe_for(self, now: int, words: Message) -> None:
         if (claim := self.claims.get(words.about)) is not None:
             self._ping(now, claim, (words.address, words.number))
 
-    def _answered(self, now: int, words: Words) -> None:
+    def _answered(self, now: int, words: Message) -> None:
         probe = self.probes.get(words.number)
         if probe is None or words.about not in ("", probe.name):
             return
-        if words.kind is Kind.NACK:
+        if words.kind is MessageKind.NACK:
             probe.nacks += 1
         elif words.name == probe.name or words.about == probe.name:
             del self.probes[words.number]
             self.health = max(self.health - 1, 0)
             if probe.back is not None:
-                self._say(now, probe.back[0], Kind.ACK, probe.back[1], "", probe.name)
+                self._say(now, probe.back[0], MessageKind.ACK, probe.back[1], "", probe.name)
 
     def _overdue(self, now: int) -> None:
         for number, probe in list(self.probes.items()):
@@ -288,14 +292,14 @@
                 del self.probes[number]
             elif probe.back is not None:  # others asked for it: they hear that it does not answer here either
                 del self.probes[number]
-                self._say(now, probe.back[0], Kind.NACK, probe.back[1], "", probe.name)
+                self._say(now, probe.back[0], MessageKind.NACK, probe.back[1], "", probe.name)
             elif not probe.asked:
                 probe.asked = True
                 helpers = [c for c in self._others() if c.name != probe.name]
                 chosen = self.random.sample(helpers, min(len(helpers), self.pace.helpers))
                 probe.helpers = len(chosen)
                 for helper in chosen:
-                    self._say(now, helper.address, Kind.ASK, number, "", probe.name)
+                    self._say(now, helper.address, MessageKind.ASK, number, "", probe.name)
             else:
                 del self.probes[number]
                 if (
@@ -303,45 +307,47 @@
                 ):  # nobody at all answered: it may be this front that is cut off
                     self.health = min(self.health + 1, self.pace.health_most)
                 self._claim(
-                    now, claim.name, claim.address, claim.incarnation, Standing.SUSPECT, now, self.name
+                    now, claim.name, claim.address, claim.incarnation, MemberState.SUSPECT, now, self.name
                 )
 
     def _find(self, now: int) -> None:
         """Now and then one that was put out, or a seed, is asked: so parts of a fleet find each other."""
-        gone = [c.address for c in self.claims.values() if c.standing is Standing.GONE]
+        gone = [c.address for c in self.claims.values() if c.standing is MemberState.GONE]
         known = {c.address for c in self._others()}
         choices = gone + [s for s in self.seeds if s not in known]
         if not known:
             choices = choices or list(self.seeds)
             for address in self.random.sample(choices, min(len(choices), self.pace.helpers)):
-                self._say(now, address, Kind.PING, 0, "")
-                self.out.append(Exchange(address))
+                self._say(now, address, MessageKind.PING, 0, "")
+                self.out.append(StartStateSync(address))
         elif choices:
-            self._say(now, self.random.choice(choices), Kind.PING, 0, "")
+            self._say(now, self.random.choice(choices), MessageKind.PING, 0, "")
         for name in [n for n, c in self.claims.items() if not c.member and now - c.since > self.pace.forget]:
             del self.claims[name]
 
     # What is believed
 
-    def _learn(self, now: int, news: News) -> None:
+    def _learn(self, now: int, news: MembershipUpdate) -> None:
         if news.name == self.name:
             if news.incarnation > self.incarnation or (
                 news.address != self.address and news.incarnation == self.incarnation
             ):
                 self._namesake(now, news.incarnation, news.address)
-            elif news.standing != Standing.ALIVE and news.incarnation == self.incarnation and not self.left:
+            elif (
+                news.standing != MemberState.ALIVE and news.incarnation == self.incarnation and not self.left
+            ):
                 self._refute(now, news.incarnation)
             return
         age = min(news.age_ms * MS, self.pace.forget)
         self._claim(
-            now, news.name, news.address, news.incarnation, Standing(news.standing), now - age, news.by
+            now, news.name, news.address, news.incarnation, MemberState(news.standing), now - age, news.by
         )
 
     def _refute(self, now: int, incarnation: int) -> None:
         """Accused without need: a higher incarnation says so. It may be ill: it is slower to accuse."""
         self.incarnation = incarnation + 1
         self.health = min(self.health + 1, self.pace.health_most)
-        self._tell(now, News(self.name, self.address, self.incarnation, Standing.ALIVE, 0))
+        self._tell(now, MembershipUpdate(self.name, self.address, self.incarnation, MemberState.ALIVE, 0))
 
     def _namesake(self, now: int, incarnation: int, address: Address) -> None:
         """Another process, or an earlier start of this front, is known by this name: this one goes before."""
@@ -349,23 +355,30 @@
         if address != self.address or incarnation < self.incarnation:
             self.raised = [at for at in self.raised if now - at < self.pace.lease] + [now]
             if len(self.raised) == TWINS:
-                self.out.append(Twin(address))
+                self.out.append(DuplicateMember(address))
 
     def _claim(
-        self, now: int, name: str, address: Address, incarnation: int, standing: Standing, since: int, by: str
+        self,
+        now: int,
+        name: str,
+        address: Address,
+        incarnation: int,
+        standing: MemberState,
+        since: int,
+        by: str,
     ) -> None:
         old = self.claims.get(name)
         if old is None:
             if len(self.claims) >= self.pace.members_most:
                 return
-            old = self.claims[name] = Claim(name, address, incarnation, Standing.LEFT, since)
+            old = self.claims[name] = MemberRecord(name, address, incarnation, MemberState.LEFT, since)
             old.accusers.update([by] if by else [])
             self._stand(old, standing)
             self._tell(now, self._news(now, old, by))
             return
         if (
-            standing is Standing.SUSPECT
-            and old.standing is Standing.SUSPECT
+            standing is MemberState.SUSPECT
+            and old.standing is MemberState.SUSPECT
             and incarnation == old.incarnation
         ):
             old.since = min(old.since, max(since, now - self.pace.suspicion_most))
@@ -373,17 +386,17 @@
                 old.accusers.add(by)
                 self._tell(now, self._news(now, old, by))
             return
-        if not goes_before(incarnation, standing, old):
+        if not supersedes(incarnation, standing, old):
             return
-        if incarnation > old.incarnation or standing is not Standing.GONE:
+        if incarnation > old.incarnation or standing is not MemberState.GONE:
             old.accusers = {by} if by else set()
         old.address, old.incarnation, old.since = address, incarnation, since
         self._stand(old, standing)
         self._tell(now, self._news(now, old, by))
 
-    def _stand(self, claim: Claim, standing: Standing) -> None:
+    def _stand(self, claim: MemberRecord, standing: MemberState) -> None:
         before, claim.standing = claim.member, standing
-        (self.suspects.add if standing is Standing.SUSPECT else self.suspects.discard)(claim.name)
+        (self.suspects.add if standing is MemberState.SUSPECT else self.suspects.discard)(claim.name)
         if claim.member != before:
             self.living += 1 if claim.member else -1
             self.changed = True
@@ -392,7 +405,7 @@
         """Accusers that have to agree: fewer where fewer are left who could."""
         return max(min(self.pace.accusers, self.living - len(self.suspects) + 1), 1)
 
-    def ends(self, claim: Claim) -> int:
+    def ends(self, claim: MemberRecord) -> int:
         """When a suspect is put out: sooner, the more accuse it by themselves."""
         least, most, needed = self.pace.suspicion, self.pace.suspicion_most, self.needed()
         share = min(len(claim.accusers) / needed, 1.0)
@@ -408,7 +421,7 @@
         for claim in suspects:
             if len(claim.accusers) >= needed and now >= self.ends(claim):
                 claim.since = now
-                self._stand(claim, Standing.GONE)
+                self._stand(claim, MemberState.GONE)
                 self._tell(now, self._news(now, claim))
         if not self.changed and self.due is None:
             return
@@ -421,40 +434,42 @@
             return
         if self.due is None:
             self.first_due, self.due = now, now + self.pace.gather
-        left = (c for c in suspects if c.standing is Standing.SUSPECT)
+        left = (c for c in suspects if c.standing is MemberState.SUSPECT)
         soon = [end for c in left if (end := self.ends(c)) <= now + self.pace.gather]
         if soon and now - self.first_due < self.pace.gather_most:
             self.due = max(self.due, *soon)
         if now >= self.due or (not self.members - believed and len(self.members) == 1):
             came, went = sorted(believed - self.members), sorted(self.members - believed)
             self.members, self.due = believed, None
-            self.out.append(Viewed(tuple(sorted(believed)), tuple(came), tuple(went)))
+            self.out.append(ViewChanged(tuple(sorted(believed)), tuple(came), tuple(went)))
 
     # Out
 
-    def _news(self, now: int, claim: Claim, by: str = "") -> News:
-        age = max(now - claim.since, 0) // MS if claim.standing is Standing.SUSPECT else 0
-        by = by or (min(claim.accusers) if claim.standing is Standing.SUSPECT and claim.accusers else "")
-        return News(claim.name, claim.address, claim.incarnation, claim.standing, age, by)
+    def _news(self, now: int, claim: MemberRecord, by: str = "") -> MembershipUpdate:
+        age = max(now - claim.since, 0) // MS if claim.standing is MemberState.SUSPECT else 0
+        by = by or (min(claim.accusers) if claim.standing is MemberState.SUSPECT and claim.accusers else "")
+        return MembershipUpdate(claim.name, claim.address, claim.incarnation, claim.standing, age, by)
 
-    def _tell(self, now: int, news: News) -> None:
+    def _tell(self, now: int, news: MembershipUpdate) -> None:
         """Pass it on with the next datagrams, so often that all hear it with all but certainty."""
-        if news.standing != Standing.SUSPECT:
+        if news.standing != MemberState.SUSPECT:
             for key in [k for k in self.told if k[0] == news.name]:
                 del self.told[key]
         if len(self.told) < TOLD_MOST:
-            self.told[news.name, news.by if news.standing == Standing.SUSPECT else ""] = (news, 0, now)
+            self.told[news.name, news.by if news.standing == MemberState.SUSPECT else ""] = (news, 0, now)
 
-    def _say(self, now: int, address: Address, kind: Kind, number: int, to: str, about: str = "") -> None:
+    def _say(
+        self, now: int, address: Address, kind: MessageKind, number: int, to: str, about: str = ""
+    ) -> None:
         times = math.ceil(self.pace.repeats * math.log2(len(self.claims) + 2))
-        carried, left = list[News](), DATAGRAM_MOST - HEAD_MOST
+        carried, left = list[MembershipUpdate](), MAX_DATAGRAM_BYTES - HEAD_MOST
         accused = self.claims.get(to)
-        if accused is not None and accused.standing is not Standing.ALIVE:  # the accused hears of it first
+        if accused is not None and accused.standing is not MemberState.ALIVE:  # the accused hears of it first
             carried.append(self._news(now, accused))
             left -= size_of(carried[0])
         least = heapq.nsmallest(CARRIED_MOST, self.told.items(), key=lambda item: item[1][1])
         for key, (news, count, since) in least:
-            grown = (now - since) // MS if news.standing == Standing.SUSPECT else 0
+            grown = (now - since) // MS if news.standing == MemberState.SUSPECT else 0
             aged = msgspec.structs.replace(news, age_ms=news.age_ms + grown)
             if (size := size_of(aged)) > left:
                 break
@@ -464,7 +479,7 @@
                 del self.told[key]
             else:
                 self.told[key] = (news, count + 1, since)
-        words = Words(
+        words = Message(
             VERSION,
             self.fleet,
             kind,
@@ -475,4 +490,4 @@
             about,
             tuple(carried),
         )
-        self.out.append(Send(address, encode(words)))
+        self.out.append(SendDatagram(address, encode(words)))
--- a/quincepier/membership/table.py
+++ b/quincepier/membership/member_table.py
@@ -12,7 +12,7 @@
 Address = tuple[str, int]
 
 
-class Standing(IntEnum):
+class MemberState(IntEnum):
     ALIVE = 0
     SUSPECT = 1  # accused by some, still a member
     GONE = 2  # put out: enough accusers agreed and nobody refuted
@@ -20,22 +20,22 @@
 
 
 @dataclass(slots=True)
-class Claim:
+class MemberRecord:
     """One member as this front believes it to be."""
 
     name: str
     address: Address
     incarnation: int
-    standing: Standing = Standing.ALIVE
+    standing: MemberState = MemberState.ALIVE
     since: int = 0  # when it got this standing; of a suspect: when it was accused first
     accusers: set[str] = field(default_factory=set)
     heard: int = 0  # when it answered this front last
 
     @property
     def member(self) -> bool:
-        return self.standing <= Standing.SUSPECT
+        return self.standing <= MemberState.SUSPECT
 
 
-def goes_before(incarnation: int, standing: Standing, old: Claim) -> bool:
+def supersedes(incarnation: int, standing: MemberState, old: MemberRecord) -> bool:
     """Whether a claim changes what is believed. Further accusers of a suspect are not asked about here."""
     return (incarnation, standing) > (old.incarnation, old.standing)
--- a/quincepier/membership/words.py
+++ b/quincepier/membership/messages.py
@@ -14,8 +14,8 @@
 from quincepier.errors import Inflicted
 
 VERSION = 1
-DATAGRAM_MOST = 1400  # bytes: one frame of an Ethernet, with what goes round it
-WHOLE_MOST = 4 * 1024 * 1024  # bytes of a whole view, over TCP
+MAX_DATAGRAM_BYTES = 1400  # bytes: one frame of an Ethernet, with what goes round it
+MAX_FULL_STATE_BYTES = 4 * 1024 * 1024  # bytes of a whole view, over TCP
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Host = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
@@ -24,14 +24,14 @@
 Address = tuple[Host, Port]
 
 
-class BadWords(Inflicted, ValueError):
+class InvalidMessageError(Inflicted, ValueError):
     """A datagram that is none of ours; it is dropped and counted."""
 
     code = "QP-MEMBERS"
     remedy = "check that `members.fleet` and the build are alike at all fronts, and who else sends there"
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     PING = 0
     ASK = 1  # probe that member for me
     ACK = 2
@@ -39,7 +39,7 @@
     LEAVE = 4
 
 
-class News(msgspec.Struct, frozen=True, array_like=True):
+class MembershipUpdate(msgspec.Struct, frozen=True, array_like=True):
     """One claim about a member. Its age travels, never a time."""
 
     name: Name
@@ -50,58 +50,58 @@
     by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # who accuses
 
 
-class Words(msgspec.Struct, frozen=True, array_like=True):
+class Message(msgspec.Struct, frozen=True, array_like=True):
     version: int
     fleet: Name
-    kind: Kind
+    kind: MessageKind
     number: Number  # of the probe
     name: Name  # the sender
     address: Address
     incarnation: Number
     about: Annotated[str, msgspec.Meta(max_length=64)] = ""  # of ASK, and of an ACK or NACK to it
-    news: Annotated[tuple[News, ...], msgspec.Meta(max_length=100)] = ()
+    news: Annotated[tuple[MembershipUpdate, ...], msgspec.Meta(max_length=100)] = ()
 
 
-class Whole(msgspec.Struct, frozen=True, array_like=True):
+class FullState(msgspec.Struct, frozen=True, array_like=True):
     """All that a front believes, for an exchange."""
 
     version: int
     fleet: Name
-    news: Annotated[tuple[News, ...], msgspec.Meta(max_length=100_000)]
+    news: Annotated[tuple[MembershipUpdate, ...], msgspec.Meta(max_length=100_000)]
 
 
-_words, _whole = msgspec.msgpack.Decoder(Words), msgspec.msgpack.Decoder(Whole)
+_words, _whole = msgspec.msgpack.Decoder(Message), msgspec.msgpack.Decoder(FullState)
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def encode(words: Words | Whole) -> bytes:
+def encode(words: Message | FullState) -> bytes:
     return _encode(words)
 
 
-def size_of(news: News) -> int:
+def size_of(news: MembershipUpdate) -> int:
     return len(_encode(news))
 
 
-def decode(raw: bytes, fleet: str) -> Words:
+def decode(raw: bytes, fleet: str) -> Message:
     """The words of a datagram; BadWords for anything that is not of this fleet and version."""
-    if len(raw) > DATAGRAM_MOST:
-        raise BadWords("a datagram over 1,400 bytes")
+    if len(raw) > MAX_DATAGRAM_BYTES:
+        raise InvalidMessageError("a datagram over 1,400 bytes")
     try:
         words = _words.decode(raw)
     except (msgspec.DecodeError, RecursionError, ValueError) as error:
-        raise BadWords(str(error)[:100]) from None
+        raise InvalidMessageError(str(error)[:100]) from None
     if words.version != VERSION or words.fleet != fleet:
-        raise BadWords("of another version or fleet")
+        raise InvalidMessageError("of another version or fleet")
     return words
 
 
-def decode_whole(raw: bytes, fleet: str) -> Whole:
-    if len(raw) > WHOLE_MOST:
-        raise BadWords("a whole view over 4 MiB")
+def decode_full_state(raw: bytes, fleet: str) -> FullState:
+    if len(raw) > MAX_FULL_STATE_BYTES:
+        raise InvalidMessageError("a whole view over 4 MiB")
     try:
         whole = _whole.decode(raw)
     except (msgspec.DecodeError, RecursionError, ValueError) as error:
-        raise BadWords(str(error)[:100]) from None
+        raise InvalidMessageError(str(error)[:100]) from None
     if whole.version != VERSION or whole.fleet != fleet:
-        raise BadWords("of another version or fleet")
+        raise InvalidMessageError("of another version or fleet")
     return whole
--- a/quincepier/membership/pace.py
+++ b/quincepier/membership/probe_intervals.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
+class ProbeIntervals:
     """Nanoseconds and counts."""
 
     period: int = 200 * MS  # between probes of one front
--- a/quincepier/membership/shares.py
+++ b/quincepier/membership/quotas.py
@@ -31,7 +31,7 @@
 CLAIMS_MOST = 4096
 
 
-class Claims:
+class LiveMemberCount:
     """By views alone: into how many parts this front divides."""
 
     def __init__(self, name: str, fronts: int, forget: int) -> None:
@@ -56,7 +56,7 @@
         return max(self.fronts, len(self.members) + len(self.vanished))
 
 
-def part_of(fronts: int, count: int) -> Fraction:
+def quota_fraction(fronts: int, count: int) -> Fraction:
     """Of each of `count` that hold a lease, while each of the other `fronts` uses UNSURE of its own."""
     if count >= fronts:
         return Fraction(1, count)
@@ -64,32 +64,32 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Grant:
+class QuotaGrant:
     """Use a part as one of `count`. `number` tells older words from newer: the giver's term, its turn."""
 
     number: tuple[int, int]
     count: int
 
 
-NOTHING = Grant((0, 0), 0)
+NO_GRANT = QuotaGrant((0, 0), 0)
 
 
-class Holder:
+class QuotaHolder:
     """A front's own side. It asks now and then, and tells with each what it holds."""
 
     def __init__(self, fronts: int, lease: int, attempt: int) -> None:
         self.fronts, self.lease, self.attempt = max(fronts, 1), lease, attempt
-        self.grant, self.until = NOTHING, 0
-        self.was, self.was_until = NOTHING, 0  # a larger part, of which something may be open
+        self.grant, self.until = NO_GRANT, 0
+        self.was, self.was_until = NO_GRANT, 0  # a larger part, of which something may be open
 
-    def tells(self, now: int) -> Grant:
+    def tells(self, now: int) -> QuotaGrant:
         """What to say with the next question: it went down only when nothing of before can be open."""
         return self.was if now < self.was_until else self.holds(now)
 
-    def holds(self, now: int) -> Grant:
-        return self.grant if now < self.until else NOTHING
+    def holds(self, now: int) -> QuotaGrant:
+        return self.grant if now < self.until else NO_GRANT
 
-    def granted(self, now: int, asked: int, grant: Grant) -> None:
+    def granted(self, now: int, asked: int, grant: QuotaGrant) -> None:
         """An answer came to what was asked then: the lease counts from the asking."""
         if grant.number >= self.grant.number and asked + self.lease > now:
             lately = now < self.until + self.attempt  # also where the lease ended meanwhile
@@ -100,16 +100,16 @@
 
     def part(self, now: int) -> Fraction:
         held = self.holds(now)
-        return part_of(self.fronts, held.count) if held.count else UNSURE / self.fronts
+        return quota_fraction(self.fronts, held.count) if held.count else UNSURE / self.fronts
 
 
 @dataclass(slots=True, frozen=True)
 class _Entry:
-    has: Grant  # the least number that it may still use
+    has: QuotaGrant  # the least number that it may still use
     until: int  # when its lease has ended for sure, and what it had open as well
 
 
-class Ledger:
+class QuotaTable:
     """The giver's side, of one term. It may know nothing of the term before."""
 
     def __init__(self, term: int, fronts: int, lease: int, attempt: int, now: int) -> None:
@@ -121,7 +121,7 @@
         self.waiting: dict[str, int] = {}  # who wants to join, and until when that is believed
         self.turn, self.count = 0, 0  # the newest grant, and its count
 
-    def asked(self, now: int, name: str, has: Grant) -> Grant | None:
+    def asked(self, now: int, name: str, has: QuotaGrant) -> QuotaGrant | None:
         """A front asks, and says what it holds. None: it gets nothing yet."""
         entry = self.entries.get(name)
         if now < self.ready:
@@ -141,7 +141,7 @@
             if any(e.has.number < newest for e in self.entries.values()):
                 return None  # the others have not all gone down yet
             del self.waiting[name]
-        grant = Grant((self.term, self.turn), self.count)
+        grant = QuotaGrant((self.term, self.turn), self.count)
         known = self.entries.get(name)
         self.entries[name] = _Entry(known.has if known else grant, now + self.lasts)
         return grant
--- a/quincepier/membership/section.py
+++ b/quincepier/membership/section.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class Endpoint:
     """An IP address and a port, for datagrams and streams alike."""
 
     host: str
@@ -28,14 +28,14 @@
         return ipaddress.ip_address(self.host).is_unspecified
 
 
-def place_of(value: object) -> Place:
+def parse_endpoint(value: object) -> Endpoint:
     """From a text such as 10.0.0.1:7400 or [::1]:7400; ValueError with what to write instead."""
     host, _, port = str(value).rpartition(":")
     host = host[1:-1] if host.startswith("[") and host.endswith("]") else host
     try:
         if not isinstance(value, str) or not (port.isascii() and port.isdigit() and 0 < int(port) < 65_536):
             raise ValueError
-        return Place(str(ipaddress.ip_address(host)), int(port))
+        return Endpoint(str(ipaddress.ip_address(host)), int(port))
     except ValueError:
         raise ValueError(
             f"{str(value)[:60]!r} is no place: write an IP address and a port, as 10.0.0.1:7400 or [::1]:7400"
@@ -49,12 +49,15 @@
     """
 
     fleet: Annotated[str, msgspec.Meta(min_length=1, max_length=NAME_MOST)]
-    listen: Place | None = None
-    announce: Place | None = None
-    fronts: Annotated[dict[str, Place], msgspec.Meta(max_length=FRONTS_MOST)] = {}
-    seeds: Annotated[tuple[Place, ...], msgspec.Meta(max_length=SEEDS_MOST)] = ()
+    listen: Endpoint | None = None
+    announce: Endpoint | None = None
+    fronts: Annotated[dict[str, Endpoint], msgspec.Meta(max_length=FRONTS_MOST)] = {}
+    seeds: Annotated[tuple[Endpoint, ...], msgspec.Meta(max_length=SEEDS_MOST)] = ()
 
-    MADE: ClassVar[dict[object, Callable[[object], object]]] = {Place: place_of, Place | None: place_of}
+    MADE: ClassVar[dict[object, Callable[[object], object]]] = {
+        Endpoint: parse_endpoint,
+        Endpoint | None: parse_endpoint,
+    }
 
     def __post_init__(self) -> None:
         if bad := [name for name in self.fronts if not 0 < len(name) <= NAME_MOST]:
@@ -75,11 +78,11 @@
         ):
             raise ValueError("0.0.0.0 and [::] are places to listen at, none where a front is found")
 
-    def listens_at(self, name: str) -> Place | None:
+    def listens_at(self, name: str) -> Endpoint | None:
         """Where the front of that name listens; None where the book lacks it and there is no `listen`."""
         return self.listen or self.fronts.get(name)
 
-    def announces(self, name: str) -> Place | None:
+    def announces(self, name: str) -> Endpoint | None:
         """Where others find it."""
         listen = self.listen if self.listen is not None and not self.listen.everywhere else None
         return self.announce or self.fronts.get(name) or listen
--- a/quincepier/memory/pool.py
+++ b/quincepier/memory/buffer_pool.py
@@ -35,14 +35,14 @@
         buffers.clear()
 
 
-class Body:
+class PooledBody:
     """One object's bytes in buffers of the pool, all of them taken at once; given back by `release`."""
 
     def __init__(self, pool: BufferPool, buffers: list[bytearray]) -> None:
         self.pool, self.buffers, self.length = pool, buffers, 0
 
     @classmethod
-    def of_length(cls, pool: BufferPool, length: int) -> Body | None:
+    def of_length(cls, pool: BufferPool, length: int) -> PooledBody | None:
         """Room for so many bytes, or None where the pool has too little."""
         buffers = pool.take(-(-length // BUFFER_SIZE), pool.reserve)
         return None if buffers is None else cls(pool, buffers)
--- a/quincepier/memory/machines.py
+++ b/quincepier/memory/machine_directory.py
@@ -16,16 +16,16 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class MachineEntry:
     record: HostRecord
     machine: Machine
 
 
-class Directory:
+class MachineDirectory:
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones = {name: n for n, name in enumerate(zones)}
         self.kinds = {name: n for n, name in enumerate(kinds)}
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, MachineEntry] = {}
         self.numbers: dict[str, int] = {}  # of the hosts listed, and of those that are still in use
         self.hosts: dict[int, str] = {}
 
@@ -37,7 +37,7 @@
             self.numbers[host], self.hosts[number] = number, host
         return self.numbers[host]
 
-    def entry(self, number: int) -> Entry | None:
+    def entry(self, number: int) -> MachineEntry | None:
         return self.entries.get(self.hosts.get(number, ""))
 
     def _machine(self, record: HostRecord) -> Machine:
@@ -57,13 +57,13 @@
         Of a host named twice the last record counts. Where a machine comes at the address of another, that
         one has gone, told or not yet: what is meant for it would reach the new one.
         """
-        entries = {record.host: Entry(record, self._machine(record)) for record in change.hosts}
+        entries = {record.host: MachineEntry(record, self._machine(record)) for record in change.hosts}
         new = [e for e in entries.values() if e.record.host not in self.entries]
         left = {e.record.address for e in entries.values() if e.machine.state is CacheState.GONE}
         came = {e.record.address for e in new if e.machine.state is CacheState.READY} - left - {None}
         for host, old in self.entries.items():
             if old.record.address in came and host not in entries and not change.whole:
-                entries[host] = Entry(old.record, replace(old.machine, state=CacheState.GONE))
+                entries[host] = MachineEntry(old.record, replace(old.machine, state=CacheState.GONE))
         if change.whole:
             self.entries.clear()
         for entry in entries.values():
--- a/quincepier/memory/budget.py
+++ b/quincepier/memory/memory_budget.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from quincepier.memory.pool import BUFFER_SIZE
+from quincepier.memory.buffer_pool import BUFFER_SIZE
 
 MB = 1024 * 1024
 OWN_GUESS = 30 * MB  # where the system does not tell what the program takes
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Budget:
+class MemoryBudget:
     buffers: int  # of one size, over all connections and objects
     bodies: int  # bytes of requests' bodies
     requests: int  # open at a time
@@ -32,10 +32,10 @@
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
-def share_out(memory_mb: int, own: int, max_open: int) -> Budget:
+def divide_memory(memory_mb: int, own: int, max_open: int) -> MemoryBudget:
     limit = memory_mb * MB
     left = max(limit * (1 - SPARE) - own, limit * LEAST)
-    return Budget(
+    return MemoryBudget(
         buffers=max(int(left * BUFFERS / BUFFER_SIZE), 64),
         bodies=max(int(left * BODIES), 256 * 1024),
         requests=max(min(int(left * REQUESTS / REQUEST_COST), max_open), 64),
--- a/quincepier/memory/requests.py
+++ b/quincepier/memory/open_requests.py
@@ -58,7 +58,7 @@
         return unasked or self.recalled or 0 < self.latest <= now
 
 
-class Requests:
+class OpenRequestTable:
     """Requests by number, kept until they are over and none of their attempts is out."""
 
     def __init__(self, most: int) -> None:
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -11,8 +11,8 @@
 
 from quincepier import clock
 from quincepier.interface import Ending
-from quincepier.memory.pool import Body
-from quincepier.memory.requests import OpenAttempt
+from quincepier.memory.buffer_pool import PooledBody
+from quincepier.memory.open_requests import OpenAttempt
 from quincepier.net.actor import Actor
 from quincepier.net.connection import PROBE_WORDS, Connection, Probe
 from quincepier.net.messages import CallOff, Check, Checked, Ended, Recall, Send, ToCache
@@ -184,7 +184,7 @@
             what.ended = True
             self.shared.module.push(Ended(what, ending, at, another_way=another_way))
 
-    def answered(self, what: OpenAttempt | Probe, head: lines.Head, body: Body | None, at: int) -> None:
+    def answered(self, what: OpenAttempt | Probe, head: lines.Head, body: PooledBody | None, at: int) -> None:
         self._over(what)
         report = report_of(head, self.shared.config.report_fields)
         if isinstance(what, Probe):
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -9,8 +9,8 @@
 
 from quincepier import clock
 from quincepier.interface import Ending
-from quincepier.memory.pool import Body
-from quincepier.memory.requests import OpenAttempt
+from quincepier.memory.buffer_pool import PooledBody
+from quincepier.memory.open_requests import OpenAttempt
 from quincepier.net.sockets import NO_BUFFER_PAUSE, Unreached, connect
 from quincepier.wire import lines
 from quincepier.wire.errors import ProtocolError
@@ -56,7 +56,7 @@
         self.between = True  # no answer is half read
         self.since = 0  # when the answer that is being read began; 0: there is none
         self.surplus = False  # the one being read is passed over
-        self.body: Body | None = None
+        self.body: PooledBody | None = None
         self.head: lines.Head | None = None
         self.task: asyncio.Task[None] | None = None
         self.ready: asyncio.Future[None] | None = None  # set when there is something to read
