--- a/quincepier/net/fleet/bearing.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -12,19 +12,19 @@
 
 from quincepier import clock
 from quincepier.interface import CacheState, Effect
-from quincepier.maintenance import MaintenanceSection, leaving, named, plan
-from quincepier.net.fleet.chair import Planner
+from quincepier.maintenance import MaintenanceSection, cordoned_hosts, plan, requested_hosts
+from quincepier.net.fleet.leader import Planner
 from quincepier.net.module import ModuleActor
 from quincepier.operator import OperatorFile
-from quincepier.rules import Change, RuleVersion, Seen
+from quincepier.rules import Observations, RuleVersion, VersionChange
 
 if TYPE_CHECKING:
-    from quincepier.tenancy import Homes, Tenants
+    from quincepier.tenancy import PlacementTable, TenantLookup
 
 NOTICE = 60 * clock.SECOND  # where no section says it
 
 
-class Rules:
+class ActiveRules:
     def __init__(self, module: ModuleActor, file: OperatorFile) -> None:
         self.module, self.name = module, module.config.name
         self.once = [c.effect is not Effect.SAFE for c in module.config.settings.classes]
@@ -32,7 +32,7 @@
         self.plans: list[Planner] = []
         self.named, self.gone = frozenset[str](), frozenset[str]()
         self.waits: tuple[str, ...] = ()
-        self.tenants: Tenants | None = None
+        self.tenants: TenantLookup | None = None
         self.taken = 0  # files
         self.take(file)
 
@@ -41,7 +41,7 @@
         wished = MaintenanceSection()
         if file.named("maintenance") is not None:
             wished = file.get(MaintenanceSection) or wished
-        self.named, self.waits = named(wished), ()
+        self.named, self.waits = requested_hosts(wished), ()
         self.gone = frozenset(wished.gone)
         # an order that nobody wishes any more is ended by the same plan: there is one without a section
         self.plans = [lambda version, seen: self._orders(wished, version, seen)]
@@ -49,7 +49,9 @@
         if file.named("tenants") is not None:
             self._tenants(file)
 
-    def _orders(self, wished: MaintenanceSection, version: RuleVersion, seen: Seen) -> Change | None:
+    def _orders(
+        self, wished: MaintenanceSection, version: RuleVersion, seen: Observations
+    ) -> VersionChange | None:
         found = plan(version, wished, seen)
         if found.tells != self.waits:
             self.waits = found.tells
@@ -58,13 +60,13 @@
         return found.change
 
     def _tenants(self, file: OperatorFile) -> None:
-        from quincepier.tenancy import Tenants, TenantsSection, Wishes, advance
+        from quincepier.tenancy import MigrationPolicy, TenantLookup, TenantsSection, advance
 
         section = file.get(TenantsSection)
         if section is None:
             return
-        self.tenants = Tenants(section)
-        wishes = Wishes.of(section, self.module.config.settings.classes)
+        self.tenants = TenantLookup(section)
+        wishes = MigrationPolicy.of(section, self.module.config.settings.classes)
         self.notice = wishes.notice
         self.plans.append(lambda version, seen: advance(version, wishes, seen))
 
@@ -72,16 +74,16 @@
         return self.plans
 
     def leaving(self, version: RuleVersion, cautious: bool) -> frozenset[str]:
-        return leaving(version, cautious, self.name, self.named)
+        return cordoned_hosts(version, cautious, self.name, self.named)
 
-    def homes(self, version: RuleVersion, cautious: bool, unsure: bool) -> Homes | None:
+    def homes(self, version: RuleVersion, cautious: bool, unsure: bool) -> PlacementTable | None:
         """What the Router asks; None where this front's file has no tenants."""
         if self.tenants is None:
             return None
-        from quincepier.tenancy import Homes
+        from quincepier.tenancy import PlacementTable
 
         settings, number = self.module.config.settings, self.module.directory.numbers.get
-        return Homes(version, cautious, number, self.tenants, settings.classes, self.listed, unsure)
+        return PlacementTable(version, cautious, number, self.tenants, settings.classes, self.listed, unsure)
 
     def listed(self) -> tuple[frozenset[int], frozenset[int]]:
         """Numbers of the caches and of the parents that the log lists as ready."""
--- a/quincepier/net/fleet/alike.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -12,40 +12,40 @@
 
 from quincepier import __version__, clock
 from quincepier import interface as io
-from quincepier.consistency.checker import Checker, Out, Send
-from quincepier.consistency.decision import HomeOf, Inputs, Line
-from quincepier.consistency.explain import Account
+from quincepier.consistency.checker import CheckerAction, ConsistencyChecker, SendMessage
+from quincepier.consistency.decision import DecisionInputs, HomeOf, ListedEndpoint
+from quincepier.consistency.decision_recorder import DecisionRecorder, module_memory, stale_rankings
+from quincepier.consistency.explain import DecisionRecord
 from quincepier.consistency.findings import Finding
 from quincepier.consistency.section import ConsistencySection
-from quincepier.consistency.witness import Witness, module_memory, stale_ranks
 from quincepier.interface import CacheState
-from quincepier.net.fleet.bearing import Rules
-from quincepier.net.fleet.effects import Effects
-from quincepier.net.fleet.words import ALIKE
+from quincepier.net.fleet.active_rules import ActiveRules
+from quincepier.net.fleet.messages import ALIKE
+from quincepier.net.fleet.version_effects import VersionEffects
 from quincepier.net.module import ModuleActor
-from quincepier.net.peers import Peers
+from quincepier.net.peers import PeerNetwork
 from quincepier.rules import RuleVersion
 
 DOUBT = "it decides otherwise than most"
 
 
-class Alike:
+class ConsistencyService:
     def __init__(
         self,
         module: ModuleActor,
-        peers: Peers,
-        effects: Effects,
-        rules: Rules,
+        peers: PeerNetwork,
+        effects: VersionEffects,
+        rules: ActiveRules,
         section: ConsistencySection,
         leader: Callable[[], str],
     ) -> None:
         self.module, self.peers, self.effects, self.rules = module, peers, effects, rules
         self.checks, self.leader = module.checks, leader
         seed = module.config.seed
-        self.lines: tuple[Line, ...] = ()
+        self.lines: tuple[ListedEndpoint, ...] = ()
         memory = module_memory(module.router, lambda: self.lines)
-        self.checker = Checker(module.config.name, seed, section, clock.boot(), memory=memory)
-        self.witness = Witness(module.router, section.witnessed, seed, self._breach)
+        self.checker = ConsistencyChecker(module.config.name, seed, section, clock.boot(), memory=memory)
+        self.witness = DecisionRecorder(module.router, section.witnessed, seed, self._breach)
         module.router.witness = self.witness
         self.had = (-1, -1, "", -1)  # revision of the list, version and its digest, file
         self.viewed: tuple[object, ...] = ()
@@ -64,20 +64,24 @@
             self.had = had
             self._have(version)
         if now >= self.checker.wake:
-            if stale := stale_ranks(self.module.router):
+            if stale := stale_rankings(self.module.router):
                 self.checker.count(stale=stale)
             self._perform(self.checker.tick(now))
 
     def _have(self, version: RuleVersion) -> None:
         entries = sorted(self.module.directory.entries.values(), key=lambda e: e.record.host)
         self.lines = tuple(
-            Line(e.record.host, m.cache, m.kind, m.zone, m.cell, m.size, m.state is CacheState.READY)
+            ListedEndpoint(
+                e.record.host, m.cache, m.kind, m.zone, m.cell, m.size, m.state is CacheState.READY
+            )
             for e in entries
             for m in (e.machine,)
         )
         settings = self.module.config.settings
         homes = self._homes(version, settings)
-        self.checker.have(Inputs(version, settings, self.lines, self.effects.revision, __version__, homes))
+        self.checker.have(
+            DecisionInputs(version, settings, self.lines, self.effects.revision, __version__, homes)
+        )
 
     def _homes(self, version: RuleVersion, settings: io.Settings) -> HomeOf | None:
         tenants, homes = self.rules.tenants, self.rules.homes(version, False, False)
@@ -97,9 +101,9 @@
         if self.checker.wake <= now:
             self._perform(self.checker.tick(now))
 
-    def _perform(self, out: list[Out]) -> None:
+    def _perform(self, out: list[CheckerAction]) -> None:
         for one in out:
-            if isinstance(one, Send):
+            if isinstance(one, SendMessage):
                 self.peers.send(one.to, ALIKE, one.data)
             else:
                 self._found(one)
@@ -114,6 +118,6 @@
         told = logger.bind(event=what, front=finding.front, kind=finding.kind.value, number=finding.number)
         told.log("WARNING" if finding.fault else "INFO", "{}: {}", what, finding.line())
 
-    def _breach(self, account: Account) -> None:
+    def _breach(self, account: DecisionRecord) -> None:
         self.checker.count(breaches=1)
         self.checks.event("decision without a reason", str(account)[:200])
--- a/quincepier/net/fleet/overlay.py
+++ b/quincepier/net/fleet/endpoint_overlay.py
@@ -13,7 +13,7 @@
 from quincepier.interface import CacheState, ListNews, ListScope, Machine
 
 
-class Overlay:
+class EndpointOverlay:
     """`hosts`: host ids by the module's numbers, as the directory keeps them."""
 
     def __init__(self, hosts: Mapping[int, str]) -> None:
--- a/quincepier/net/fleet/follower.py
+++ b/quincepier/net/fleet/follower.py
@@ -8,8 +8,16 @@
 import random
 from collections.abc import Callable
 
-from quincepier.net.fleet.words import Granted, Report, Told, Turn
-from quincepier.rules import Ask, FrontReport, Holder, Pace, RulesError, RuleVersion, decode
+from quincepier.net.fleet.messages import LeaseGranted, NotLeader, ReportMessage, VersionCommitted
+from quincepier.rules import (
+    FrontReport,
+    LeaseHolder,
+    LeaseRequest,
+    LeaseTimings,
+    RulesError,
+    RuleVersion,
+    decode,
+)
 
 MS = 1_000_000
 UNHEARD_MOST = 2  # reports in a row without an answer; then another voter is asked
@@ -19,11 +27,11 @@
 
 class Follower:
     def __init__(
-        self, name: str, voters: tuple[str, ...], start: int, now: int, pace: Pace, seed: int
+        self, name: str, voters: tuple[str, ...], start: int, now: int, pace: LeaseTimings, seed: int
     ) -> None:
         self.name, self.voters, self.start, self.pace = name, voters, start, pace
         self.random = random.Random(f"{seed} follower")
-        self.holder = Holder(start, now, pace)
+        self.holder = LeaseHolder(start, now, pace)
         self.asks = self.random.choice(voters)  # whom it asks
         self.unheard, self.turned, self.rested = 0, 0, now
         self.granted_once = False  # a lease was had since the start
@@ -47,7 +55,7 @@
     def cautious(self, now: int) -> bool:
         return self.holder.cautious(now)
 
-    def due(self, now: int, report: Callable[[], FrontReport]) -> tuple[str, Report] | None:
+    def due(self, now: int, report: Callable[[], FrontReport]) -> tuple[str, ReportMessage] | None:
         """Whom to tell what, if it is time. `now` is read before."""
         if now < self.holder.next:
             return None
@@ -55,7 +63,7 @@
             self.turn_to(self._other())
         self.unheard += 1
         token = self.holder.ask(now)
-        return self.asks, Report(Ask(token, report()))
+        return self.asks, ReportMessage(LeaseRequest(token, report()))
 
     def _other(self) -> str:
         others = [name for name in self.voters if name != self.asks]
@@ -65,14 +73,14 @@
         if voter != self.asks:
             self.asks, self.unheard = voter, 0
 
-    def heard(self, now: int, sender: str, word: Granted | Turn | Told) -> bool:
+    def heard(self, now: int, sender: str, word: LeaseGranted | NotLeader | VersionCommitted) -> bool:
         """Whether a newer version was adopted. RulesError for a spoilt one, or two of one number."""
         match word:
-            case Told(_, raw):
+            case VersionCommitted(_, raw):
                 if sender in self.voters and self.holder.adopt(decode(raw)):
                     self.soon(now)
                     return True
-            case Granted(_, grant, raw) if sender in self.voters:
+            case LeaseGranted(_, grant, raw) if sender in self.voters:
                 version = decode(raw) if raw else None
                 if version is not None and version.number != grant.number:
                     raise RulesError("a grant comes with another version than it names")
@@ -84,7 +92,7 @@
                 if adopted:
                     self.soon(now)
                 return adopted
-            case Turn(_, leader):
+            case NotLeader(_, leader):
                 self._turned(now, sender, leader)
         return False
 
--- a/quincepier/net/fleet/chair.py
+++ b/quincepier/net/fleet/leader.py
@@ -12,40 +12,40 @@
 
 from quincepier import clock
 from quincepier.checks import Checks
-from quincepier.net.fleet.seat import Seat
-from quincepier.net.fleet.words import Granted, Report, Turn
+from quincepier.net.fleet.messages import LeaseGranted, NotLeader, ReportMessage
+from quincepier.net.fleet.raft_node import RaftNode
 from quincepier.rules import (
-    Change,
-    Ledger,
-    MachineSeen,
-    Pace,
+    LeaseTable,
+    LeaseTimings,
+    MachineObservation,
+    Observations,
     RulesError,
     RuleVersion,
-    Seen,
+    VersionChange,
     apply,
     decode,
     encode,
-    first,
+    initial_version,
 )
 
-Planner = Callable[[RuleVersion, Seen], Change | None]
+Planner = Callable[[RuleVersion, Observations], VersionChange | None]
 LOST_AFTER = 3 * clock.SECOND  # a proposal not agreed in this time is made again, the same
 USUAL_LEAST, USUAL_PART = 50, 0.2  # answers in a span that tell of the usual; weight of a new reading
 USUAL_MOST = 4096
 USUAL_EVERY = clock.SECOND
 
 
-class Chair:
+class Leader:
     """`machines()` and `view()` as this front has them now; times of `clock.boot`."""
 
     def __init__(
         self,
         name: str,
         voters: tuple[str, ...],
-        seat: Seat,
-        pace: Pace,
+        seat: RaftNode,
+        pace: LeaseTimings,
         planners: Callable[[], Sequence[Planner]],
-        machines: Callable[[], dict[str, MachineSeen]],
+        machines: Callable[[], dict[str, MachineObservation]],
         view: Callable[[], tuple[str, ...]],
         checks: Checks,
         alike: Callable[[int], bool | None] = lambda number: None,
@@ -58,8 +58,8 @@
         self.name, self.voters, self.seat, self.pace = name, voters, seat, pace
         self.planners, self.machines, self.view, self.checks = planners, machines, view, checks
         self.alike, self.silent, self.gone = alike, silent, gone
-        self.agreed = first()  # the newest version that is agreed, as far as this voter knows
-        self.ledger: Ledger | None = None
+        self.agreed = initial_version()  # the newest version that is agreed, as far as this voter knows
+        self.ledger: LeaseTable | None = None
         self.term = -1
         self.proposed, self.proposed_at = 0, 0  # the number on its way, and since when
         self.proposal = b""
@@ -81,13 +81,13 @@
             self.proposed = 0
         return True
 
-    def asked(self, now: int, report: Report) -> Granted | Turn | None:
+    def asked(self, now: int, report: ReportMessage) -> LeaseGranted | NotLeader | None:
         """The answer to a report."""
         self._lead(now)
         voter, ledger, body = self.seat.voter, self.ledger, report.ask.report
         if ledger is None or voter is None:
             leader = self.seat.leader
-            return Turn(report.ask.token, leader if leader != self.name else "")
+            return NotLeader(report.ask.token, leader if leader != self.name else "")
         if body.number > self.agreed.number:  # of a history that the voters have lost: no lease by it
             self.ahead = max(self.ahead, body.number)
             self.checks.event("a version the voters do not have", f"{body.front} decides by {body.number}")
@@ -96,7 +96,7 @@
         if grant is None:
             return None
         other = body.number != self.agreed.number or body.digest != self.agreed.digest
-        return Granted(voter.term, grant, encode(self.agreed) if other else b"")
+        return LeaseGranted(voter.term, grant, encode(self.agreed) if other else b"")
 
     def _lead(self, now: int) -> None:
         """Begin to lead, or end."""
@@ -107,7 +107,7 @@
             self.ledger, self.proposed, self.force, self.ahead = None, 0, -1, 0
             return
         if self.ledger is None or self.term != voter.term:
-            self.ledger, self.term, self.proposed = Ledger(now, self.pace, self.agreed), voter.term, 0
+            self.ledger, self.term, self.proposed = LeaseTable(now, self.pace, self.agreed), voter.term, 0
             told = logger.bind(event="leads", front=self.name, term=self.term, number=self.agreed.number)
             told.info("leads in term {} from version {}", self.term, self.agreed.number)
             self.checks.count("times this front came to lead")
@@ -142,7 +142,7 @@
             self.proposed_at = now
             self.seat.propose(self.proposal)
 
-    def propose(self, now: int, seen: Seen) -> None:
+    def propose(self, now: int, seen: Observations) -> None:
         changes = list(self._wanted(seen))
         base = self.agreed
         if self.ahead > base.number:  # numbers go on above all that any front ever decided by
@@ -168,7 +168,7 @@
         self.proposal = raw
         self.seat.propose(raw)
 
-    def _wanted(self, seen: Seen) -> Iterable[Change]:
+    def _wanted(self, seen: Observations) -> Iterable[VersionChange]:
         for planner in self.planners():
             try:
                 change = planner(self.agreed, seen)
@@ -178,7 +178,7 @@
             if change is not None:
                 yield change
 
-    def _learn_usual(self, now: int, seen: Seen) -> None:
+    def _learn_usual(self, now: int, seen: Observations) -> None:
         """Worth in time over worth by tenant, while nothing is out and nothing moves."""
         agreed = self.agreed
         if now - self.usual_at < USUAL_EVERY or any(o.open for o in agreed.orders):
--- a/quincepier/net/fleet/words.py
+++ b/quincepier/net/fleet/messages.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from quincepier.rules import Ask, Grant
+from quincepier.rules import LeaseGrant, LeaseRequest
 from quincepier.rules.version import VERSION_MOST
 
 AGREEMENT, RULES, ALIKE = 1, 2, 3  # channels: voters among themselves, these words, digests
@@ -19,34 +19,34 @@
 Name = Annotated[str, msgspec.Meta(max_length=64)]
 
 
-class Report(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    ask: Ask
+class ReportMessage(msgspec.Struct, frozen=True, array_like=True, tag=1):
+    ask: LeaseRequest
 
 
-class Granted(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class LeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag=2):
     term: Number
-    grant: Grant
+    grant: LeaseGrant
     raw: bytes = b""  # the version that the grant names, where the report was of another
 
 
-class Turn(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class NotLeader(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Not here: `leader` leads as far as known, "" for nobody."""
 
     token: Number
     leader: Name
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class VersionCommitted(msgspec.Struct, frozen=True, array_like=True, tag=4):
     term: Number
     raw: bytes
 
 
-Word = Report | Granted | Turn | Told
+Message = ReportMessage | LeaseGranted | NotLeader | VersionCommitted
 encode = msgspec.msgpack.Encoder().encode
-_decoder: msgspec.msgpack.Decoder[Word] = msgspec.msgpack.Decoder(Word)
+_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
-def decode(raw: bytes) -> Word | None:
+def decode(raw: bytes) -> Message | None:
     if len(raw) > WORD_MOST:
         return None
     try:
--- a/quincepier/net/fleet/fleet.py
+++ b/quincepier/net/fleet/node.py
@@ -15,26 +15,36 @@
 from loguru import logger
 
 from quincepier import clock
-from quincepier.consensus import Committed, Role
-from quincepier.consensus import Pace as VotingPace
+from quincepier.consensus import ElectionTimeouts as VotingPace
+from quincepier.consensus import EntryCommitted, LeaderChanged
 from quincepier.interface import CacheState
-from quincepier.net.fleet import steps
-from quincepier.net.fleet.bearing import Rules
-from quincepier.net.fleet.chair import Chair
-from quincepier.net.fleet.effects import Effects
+from quincepier.net.fleet import version_diff
+from quincepier.net.fleet.active_rules import ActiveRules
 from quincepier.net.fleet.follower import Follower
-from quincepier.net.fleet.kept import Kept
-from quincepier.net.fleet.seat import Seat
+from quincepier.net.fleet.leader import Leader
+from quincepier.net.fleet.messages import (
+    AGREEMENT,
+    RULES,
+    LeaseGranted,
+    Message,
+    NotLeader,
+    ReportMessage,
+    VersionCommitted,
+    decode,
+    encode,
+)
+from quincepier.net.fleet.raft_node import RaftNode
 from quincepier.net.fleet.section import AgreementSection
-from quincepier.net.fleet.threads import Thread
-from quincepier.net.fleet.words import AGREEMENT, RULES, Granted, Report, Told, Turn, Word, decode, encode
+from quincepier.net.fleet.version_effects import VersionEffects
+from quincepier.net.fleet.version_store import VersionStore
+from quincepier.net.fleet.worker_thread import WorkerThread
 from quincepier.net.module import ModuleActor
-from quincepier.net.peers import Peers
-from quincepier.rules import MachineSeen, Pace, RulesError, RuleVersion
+from quincepier.net.peers import PeerNetwork
+from quincepier.rules import LeaseTimings, MachineObservation, RulesError, RuleVersion
 from quincepier.rules import decode as decode_version
 from quincepier.rules import encode as encode_version
-from quincepier.state.store import Files
-from quincepier.state.voterlog import VoterLog
+from quincepier.state.snapshot_store import FileSystem
+from quincepier.state.voter_store import VoterStore
 
 if TYPE_CHECKING:
     from quincepier.consistency.section import ConsistencySection
@@ -47,7 +57,7 @@
 DELIVERY = clock.SECOND  # and that its command may be on its way after it was given up
 
 
-def voting_pace(lease_ms: int) -> VotingPace:
+def election_timeouts_for(lease_ms: int) -> VotingPace:
     """Longer leases are for slower ways: then voters wait longer for a leader's word too."""
     pace, times = VotingPace(), max(lease_ms / USUAL_LEASE, 1.0)
     return replace(
@@ -61,13 +71,13 @@
     )
 
 
-class Fleet:
+class AgreementNode:
     def __init__(
         self,
         module: ModuleActor,
-        peers: Peers,
+        peers: PeerNetwork,
         section: AgreementSection,
-        rules: Rules,
+        rules: ActiveRules,
         compared: ConsistencySection | None = None,
     ) -> None:
         config, self.checks = module.config, module.checks
@@ -75,18 +85,18 @@
         self.voters = tuple(sorted(section.voters))
         longest = max((c.deadline for c in config.settings.classes), default=clock.SECOND)
         lease, every = section.lease_ms * clock.MS, section.report_ms * clock.MS
-        self.pace = Pace(lease, every, attempt=ALLOW_TIMES * longest + DELIVERY)
+        self.pace = LeaseTimings(lease, every, attempt=ALLOW_TIMES * longest + DELIVERY)
         start = time.time_ns() // clock.MS
         self.follower = Follower(self.name, self.voters, start, clock.boot(), self.pace, config.seed)
-        self.effects = Effects(module, self.follower, rules, section.span_s)
+        self.effects = VersionEffects(module, self.follower, rules, section.span_s)
         self.rules, self.compared = rules, compared
         self.effects.applied = self._applied
         module.settled = self.effects  # from the first line of the list on, which it counts
         folder = section.place(self.name)
-        self.kept, self.keeping, self.to_keep = Kept(folder), False, -1
-        self.disk: Thread | None = None
-        self.seat: Seat | None = None
-        self.chair: Chair | None = None
+        self.kept, self.keeping, self.to_keep = VersionStore(folder), False, -1
+        self.disk: WorkerThread | None = None
+        self.seat: RaftNode | None = None
+        self.chair: Leader | None = None
         self.turned, self.role = 0, ("", -1)
         self.first = asyncio.Event()  # an answer was had since the start
         self.running: asyncio.Task[None] | None = None
@@ -101,7 +111,7 @@
         """Take part, and wait a little for what the fleet has agreed: it may say what not to send to."""
         module, name = self.module, self.name
         module.shared.stale = self.effects.stale
-        self.disk = Thread("rules kept")
+        self.disk = WorkerThread("rules kept")
         try:
             kept = await asyncio.wait_for(self.disk.done(self.kept.load), KEPT_WITHIN)
         except TimeoutError:
@@ -113,20 +123,20 @@
         self.effects.apply()
         self.peers.channel(RULES, self._heard)
         if name in self.voters:
-            log = VoterLog(Files(self.kept.folder))
+            log = VoterStore(FileSystem(self.kept.folder))
             seed = time.time_ns() ^ module.config.seed
-            self.seat = Seat(
+            self.seat = RaftNode(
                 name,
                 self.voters,
                 log,
-                Thread("voter"),
+                WorkerThread("voter"),
                 seed,
                 lambda to, raw: self.peers.send(to, AGREEMENT, raw),
                 self._agreed,
                 self.checks,
-                voting_pace(self.section.lease_ms),
+                election_timeouts_for(self.section.lease_ms),
             )
-            self.chair = Chair(
+            self.chair = Leader(
                 name,
                 self.voters,
                 self.seat,
@@ -150,12 +160,12 @@
 
     def _compare(self, section: ConsistencySection) -> None:
         """With all others, whether they decide alike."""
-        from quincepier.net.fleet.alike import Alike
+        from quincepier.net.fleet.consistency_service import ConsistencyService
 
         def leader() -> str:
             return self.name if self.chair is not None and self.chair.ledger else self.follower.told_leader
 
-        alike = Alike(self.module, self.peers, self.effects, self.rules, section, leader)
+        alike = ConsistencyService(self.module, self.peers, self.effects, self.rules, section, leader)
         self.others.append(alike.turn)
         if self.chair is not None:
             self.chair.alike = alike.checker.alike
@@ -193,7 +203,7 @@
 
     # Words
 
-    def _say(self, to: str, word: Word) -> None:
+    def _say(self, to: str, word: Message) -> None:
         if to == self.name:
             asyncio.get_running_loop().call_soon(self._hear, to, word)
         else:
@@ -206,18 +216,18 @@
         else:
             self._hear(sender, word)
 
-    def _hear(self, sender: str, word: Word) -> None:
+    def _hear(self, sender: str, word: Message) -> None:
         now = clock.boot()
         match word:
-            case Report(ask):
+            case ReportMessage(ask):
                 if ask.report.front != sender:
                     self.checks.count("words about rules not taken")
                     return
-                turn = Turn(ask.token, self.follower.told_leader)
+                turn = NotLeader(ask.token, self.follower.told_leader)
                 answer = self.chair.asked(now, word) if self.chair is not None else turn
                 if answer is not None:
                     self._say(sender, answer)
-            case Granted() | Turn() | Told():
+            case LeaseGranted() | NotLeader() | VersionCommitted():
                 try:
                     self.follower.heard(now, sender, word)
                 except RulesError as error:
@@ -235,12 +245,12 @@
         if not self.follower.holder.blank():  # what came by the way, as from its own log, may be old
             self.first.set()
 
-    def _agreed(self, what: Committed | Role) -> None:
+    def _agreed(self, what: EntryCommitted | LeaderChanged) -> None:
         """As the voter of this front says."""
         chair = self.chair
         if chair is None:
             return
-        if isinstance(what, Role):
+        if isinstance(what, LeaderChanged):
             role = (what.leader or "", what.term)
             if role != self.role:
                 self.role = role
@@ -258,10 +268,10 @@
         if not chair.committed(version):
             return
         self.checks.count("versions agreed")
-        word = Told(what.term, encode_version(version))
+        word = VersionCommitted(what.term, encode_version(version))
         if chair.ledger is not None:  # one that leads tells all
             took = (clock.boot() - chair.proposed_at) / clock.MS
-            steps.tell(before, version, chair.why.pop(version.number, ""), took)
+            version_diff.log_version_change(before, version, chair.why.pop(version.number, ""), took)
             for front in self.peers.view:
                 if front != self.name:
                     self._say(front, word)
@@ -289,13 +299,15 @@
 
         self.keeping = self.disk.do(lambda: self.kept.save(version), kept)
 
-    def _machines(self) -> dict[str, MachineSeen]:
-        s, now, out = self.module.config.settings, clock.now(), dict[str, MachineSeen]()
+    def _machines(self) -> dict[str, MachineObservation]:
+        s, now, out = self.module.config.settings, clock.now(), dict[str, MachineObservation]()
         for host, entry in self.module.directory.entries.items():
             m = entry.machine
             kind = "parent" if m.kind == s.parent_kind else "origin" if m.kind == s.origin_kind else "cache"
             warm = (s.parent_cold_time if kind == "parent" else s.cold_time) + s.cold_window
             up = now - m.up_since if m.up_since else 1 << 61
             ready = m.state is CacheState.READY
-            out[host] = MachineSeen(host, kind, entry.record.site, ready, up // clock.MS, warm // clock.MS)
+            out[host] = MachineObservation(
+                host, kind, entry.record.site, ready, up // clock.MS, warm // clock.MS
+            )
         return out
--- a/quincepier/net/fleet/seat.py
+++ b/quincepier/net/fleet/raft_node.py
@@ -12,61 +12,69 @@
 
 from quincepier import clock
 from quincepier.checks import Checks
-from quincepier.consensus import Action, Committed, Pace, Role, Send, Store, Voter
-from quincepier.net.fleet.threads import Thread
-from quincepier.state.voterrecords import Record, Saved
+from quincepier.consensus import (
+    Action,
+    ElectionTimeouts,
+    EntryCommitted,
+    LeaderChanged,
+    PersistRecords,
+    Raft,
+    SendMessage,
+)
+from quincepier.net.fleet.worker_thread import WorkerThread
+from quincepier.state.voter_records import Record, VoterState
 
 RETRY = 1.0  # seconds until a write that failed is tried again
 HELD_MOST = 4096  # words that wait for the disk; the oldest go, as the voters say them again
 STORES_MOST = 64  # writes that wait for the disk
 
 
-class VoterDisk(Protocol):
+class VoterStorage(Protocol):
     """Blocking; as `state.voterlog.VoterLog`. Until a save that failed has succeeded the voter is silent."""
 
     def open(self) -> None: ...
 
-    def load(self) -> Saved | None: ...
+    def load(self) -> VoterState | None: ...
 
     def save(self, records: tuple[Record, ...]) -> int:
         """On disk as it returns."""
 
 
-class Seat:
+class RaftNode:
     def __init__(
         self,
         name: str,
         voters: tuple[str, ...],
-        disk: VoterDisk,
-        thread: Thread,
+        disk: VoterStorage,
+        thread: WorkerThread,
         seed: int,
         send: Callable[[str, bytes], object],
-        hear: Callable[[Committed | Role], None],
+        hear: Callable[[EntryCommitted | LeaderChanged], None],
         checks: Checks,
-        pace: Pace | None = None,
+        pace: ElectionTimeouts | None = None,
     ) -> None:
         self.name, self.voters, self.disk, self.thread, self.seed = name, voters, disk, thread, seed
-        self.send, self.hear, self.checks, self.pace = send, hear, checks, pace or Pace()
-        self.voter: Voter | None = None
-        self.held: deque[Send] = deque(maxlen=HELD_MOST)
-        self.stores: deque[Store] = deque()  # not on disk yet, the oldest is being written
+        self.send, self.hear, self.checks, self.pace = send, hear, checks, pace or ElectionTimeouts()
+        self.voter: Raft | None = None
+        self.held: deque[SendMessage] = deque(maxlen=HELD_MOST)
+        self.stores: deque[PersistRecords] = deque()  # not on disk yet, the oldest is being written
         self.on_disk = 0  # ticket up to which all is written
         self.fault = ""
 
     def open(self) -> None:
         """Read the log; the voter speaks once that is done."""
 
-        def read() -> Saved | None:
+        def read() -> VoterState | None:
             self.disk.open()
             return self.disk.load()
 
         self.thread.do(read, self._opened)
 
-    def _opened(self, saved: Saved | None | Exception) -> None:
+    def _opened(self, saved: VoterState | None | Exception) -> None:
         if isinstance(saved, Exception):
             self._silent(saved)
             return
-        self.voter = Voter(self.name, self.voters, saved, clock.boot(), self.seed, self.pace)
+        self.voter = Raft(self.name, self.voters, saved, clock.boot(), self.seed, self.pace)
         self.tick()
 
     def _silent(self, error: Exception) -> None:
@@ -107,17 +115,17 @@
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Store():
+                case PersistRecords():
                     self._store(action)
-                case Send():
+                case SendMessage():
                     if action.after <= self.on_disk:
                         self.send(action.to, action.data)
                     else:
                         self.held.append(action)
-                case Committed() | Role():
+                case EntryCommitted() | LeaderChanged():
                     self.hear(action)
 
-    def _store(self, store: Store) -> None:
+    def _store(self, store: PersistRecords) -> None:
         self.stores.append(store)
         if len(self.stores) > STORES_MOST:
             self._silent(OSError("the disk is behind by too many writes"))
--- a/quincepier/net/fleet/tally.py
+++ b/quincepier/net/fleet/report_counters.py
@@ -11,8 +11,8 @@
 
 from quincepier import clock
 from quincepier.interface import Effect, Note, RequestClass
-from quincepier.memory.requests import OpenAttempt, OpenRequest
-from quincepier.rules import FrontReport, Service
+from quincepier.memory.open_requests import OpenAttempt, OpenRequest
+from quincepier.rules import FrontReport, ServiceStatistics
 
 ROWS_MOST, HOSTS_MOST, ASIDE_MOST = 256, 4096, 512
 COMMON = "common"  # in reports the word for the home of all who have no other, as "" stands for all
@@ -29,7 +29,7 @@
         self.rows: dict[Key, list[float]] = {("", ""): [0.0] * 6}
 
 
-class Tally:
+class ReportCounters:
     """Times by the module's clock."""
 
     def __init__(self, classes: tuple[RequestClass, ...], now: int, span: int) -> None:
@@ -130,5 +130,5 @@
         )
 
 
-def _service(key: Key, row: list[float]) -> Service:
-    return Service(*key, int(row[0]), row[1], row[2], int(row[3]), int(row[4]), int(row[5]))
+def _service(key: Key, row: list[float]) -> ServiceStatistics:
+    return ServiceStatistics(*key, int(row[0]), row[1], row[2], int(row[3]), int(row[4]), int(row[5]))
--- a/quincepier/net/fleet/steps.py
+++ b/quincepier/net/fleet/version_diff.py
@@ -6,12 +6,12 @@
 
 from loguru import logger
 
-from quincepier.rules import Move, Order, RuleVersion
+from quincepier.rules import MaintenanceTask, Migration, RuleVersion
 
 LINES_MOST = 50  # of one version
 
 
-def tell(before: RuleVersion, after: RuleVersion, why: str, took_ms: float) -> None:
+def log_version_change(before: RuleVersion, after: RuleVersion, why: str, took_ms: float) -> None:
     """By whoever leads, once for a version; `took_ms` since it was proposed."""
     told = logger.bind(
         event="version agreed", number=after.number, term=after.term, why=why, took_ms=round(took_ms, 1)
@@ -22,14 +22,16 @@
             return
         step = entry.step.name.lower()
         fields: dict[str, object] = {"wish": entry.wish, kind: name, "step": step, "why": entry.why}
-        if isinstance(entry, Move):
+        if isinstance(entry, Migration):
             fields["part"] = entry.part
         what = "order step" if kind == "machine" else "move step"
         line = logger.bind(event=what, number=after.number, **fields)
         line.info("{}: {} {} {}{}{}", what, entry.wish, name, step, ": " if entry.why else "", entry.why)
 
 
-def _differ(before: RuleVersion, after: RuleVersion) -> Iterator[tuple[str, Order | Move, str]]:
+def _differ(
+    before: RuleVersion, after: RuleVersion
+) -> Iterator[tuple[str, MaintenanceTask | Migration, str]]:
     orders = {(o.wish, o.target): o.step for o in before.orders}
     for order in after.orders:
         if orders.get((order.wish, order.target)) != order.step:
--- a/quincepier/net/fleet/effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -14,27 +14,27 @@
 from quincepier import clock
 from quincepier.errors import QuincepierError
 from quincepier.interface import CacheState, ListNews, Note, RequestCame
-from quincepier.memory.requests import OpenAttempt, OpenRequest
-from quincepier.net.fleet.bearing import Rules
+from quincepier.memory.open_requests import OpenAttempt, OpenRequest
+from quincepier.net.fleet.active_rules import ActiveRules
+from quincepier.net.fleet.endpoint_overlay import EndpointOverlay
 from quincepier.net.fleet.follower import Follower
-from quincepier.net.fleet.overlay import Overlay
-from quincepier.net.fleet.tally import Tally
+from quincepier.net.fleet.report_counters import ReportCounters
 from quincepier.net.module import ModuleActor
-from quincepier.rules import FrontReport, RuleVersion, first
+from quincepier.rules import FrontReport, RuleVersion, initial_version
 
 if TYPE_CHECKING:
-    from quincepier.tenancy import Homes
+    from quincepier.tenancy import PlacementTable
 
 
-class Effects:
+class VersionEffects:
     """Is the module actor's `settled`."""
 
-    def __init__(self, module: ModuleActor, follower: Follower, bearing: Rules, span: int) -> None:
+    def __init__(self, module: ModuleActor, follower: Follower, bearing: ActiveRules, span: int) -> None:
         self.module, self.follower, self.bearing = module, follower, bearing
         self.checks = module.checks
-        self.overlay = Overlay(module.directory.hosts)
-        self.tally = Tally(module.config.settings.classes, clock.now(), span)
-        self.homes: Homes | None = None
+        self.overlay = EndpointOverlay(module.directory.hosts)
+        self.tally = ReportCounters(module.config.settings.classes, clock.now(), span)
+        self.homes: PlacementTable | None = None
         self.kept: RuleVersion | None = None  # of an earlier start
         self.cautious, self.since = True, clock.boot()
         self.unsure = False
@@ -43,7 +43,7 @@
         self.applied: Callable[[], None] = lambda: None  # told after each change
         self.busy = False
         self.in_part = -1  # the number of a version of which the homes can't be used
-        self.usable = first()  # the last version of which they could
+        self.usable = initial_version()  # the last version of which they could
 
     @property
     def version(self) -> RuleVersion:
--- a/quincepier/net/fleet/kept.py
+++ b/quincepier/net/fleet/version_store.py
@@ -15,7 +15,7 @@
 NAME, NEW = "adopted", "adopted.new"
 
 
-class Kept:
+class VersionStore:
     """In a folder of this front alone. Blocking: for a thread."""
 
     def __init__(self, folder: str) -> None:
--- a/quincepier/net/fleet/threads.py
+++ b/quincepier/net/fleet/worker_thread.py
@@ -11,7 +11,7 @@
 WORK_MOST = 64
 
 
-class Thread:
+class WorkerThread:
     """A disk that hangs holds up what waits here and nothing else; the thread ends with the process."""
 
     def __init__(self, name: str) -> None:
--- a/quincepier/net/means.py
+++ b/quincepier/net/means.py
@@ -6,8 +6,8 @@
 
 from quincepier.checks import Checks
 from quincepier.config import FrontConfig
-from quincepier.memory.budget import Budget
-from quincepier.memory.pool import BufferPool
+from quincepier.memory.buffer_pool import BufferPool
+from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.net.actor import Mailbox
 from quincepier.net.messages import ToModule
 from quincepier.net.sockets import Descriptors
@@ -21,5 +21,5 @@
     pool: BufferPool
     descriptors: Descriptors
     module: Mailbox[ToModule]
-    budget: Budget
+    budget: MemoryBudget
     judge: Judge | None = None  # of addresses, where machines may have several
--- a/quincepier/net/messages.py
+++ b/quincepier/net/messages.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from quincepier.interface import Ending, Note
-from quincepier.memory.pool import Body
-from quincepier.memory.requests import OpenAttempt, OpenRequest
+from quincepier.memory.buffer_pool import PooledBody
+from quincepier.memory.open_requests import OpenAttempt, OpenRequest
 from quincepier.wire.changelog import FleetChange, PurgeRecord
 
 
@@ -30,7 +30,7 @@
 
     request: OpenRequest
     status: int
-    body: Body | None = None
+    body: PooledBody | None = None
     still: bool = False
     wait_ms: int | None = None
 
@@ -75,7 +75,7 @@
     note: Note = Note.NONE
     waited: int = 0
     report: tuple[float, ...] = ()
-    body: Body | None = None
+    body: PooledBody | None = None
     still: bool = False
     another_way: bool = False  # the machine has an address beside the one that broke
 
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -14,10 +14,10 @@
 from quincepier.checks import Checks
 from quincepier.config import FrontConfig
 from quincepier.interface import Ending, ListScope
-from quincepier.memory.budget import Budget
-from quincepier.memory.machines import Directory
-from quincepier.memory.pool import BufferPool
-from quincepier.memory.requests import OpenAttempt, OpenRequest, Requests
+from quincepier.memory.buffer_pool import BufferPool
+from quincepier.memory.machine_directory import MachineDirectory
+from quincepier.memory.memory_budget import MemoryBudget
+from quincepier.memory.open_requests import OpenAttempt, OpenRequest, OpenRequestTable
 from quincepier.net.actor import Actor
 from quincepier.net.cache import CacheActor
 from quincepier.net.means import Means
@@ -62,14 +62,14 @@
         pool: BufferPool,
         descriptors: Descriptors,
         make_room: Callable[[], None],
-        budget: Budget,
+        budget: MemoryBudget,
     ) -> None:
         super().__init__(checks, MAILBOX_MOST)
         self.config = config
         self.means = Means(config, checks, pool, descriptors, self.mailbox, budget)
         self.shared = Shared(self.means, make_room)
-        self.directory = Directory(config.zones, config.kinds)
-        self.requests = Requests(budget.requests)
+        self.directory = MachineDirectory(config.zones, config.kinds)
+        self.requests = OpenRequestTable(budget.requests)
         self.caches: dict[int, CacheActor] = self.shared.actors
         self.timers: Wheel[tuple[int, int]] = Wheel(clock.now(), clock.MS)  # token, the request it is about
         self.alarm: asyncio.TimerHandle | None = None
--- a/quincepier/net/peers/__init__.py
+++ b/quincepier/net/peers/__init__.py
@@ -6,6 +6,6 @@
 """
 
 from quincepier.net.peers.frames import FRAME_MOST, PeersError
-from quincepier.net.peers.shell import Peers
+from quincepier.net.peers.peer_network import PeerNetwork
 
-__all__ = ["FRAME_MOST", "Peers", "PeersError"]
+__all__ = ["FRAME_MOST", "PeerNetwork", "PeersError"]
--- a/quincepier/net/peers/shell.py
+++ b/quincepier/net/peers/peer_network.py
@@ -20,13 +20,20 @@
 from quincepier import clock
 from quincepier.checks import Checks
 from quincepier.config import FrontConfig
-from quincepier.membership import Detector, Exchange, Pace, Send, Twin, Viewed
-from quincepier.membership.detector import Action
+from quincepier.membership import (
+    DuplicateMember,
+    FailureDetector,
+    ProbeIntervals,
+    SendDatagram,
+    StartStateSync,
+    ViewChanged,
+)
+from quincepier.membership.failure_detector import Action
+from quincepier.membership.member_table import MemberState
 from quincepier.membership.section import MembersSection
-from quincepier.membership.table import Standing
 from quincepier.net.means import Means
 from quincepier.net.peers.frames import CHANNELS, PeersError
-from quincepier.net.peers.lines import SWEEP, Address, Lines
+from quincepier.net.peers.stream_pool import SWEEP, Address, StreamPool
 from quincepier.net.sockets import Descriptors
 
 TURN_LEAST = 5 * clock.MS  # between turns of the detector
@@ -46,8 +53,8 @@
         return False
 
 
-class Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, peers: Peers) -> None:
+class DatagramSocket(asyncio.DatagramProtocol):
+    def __init__(self, peers: PeerNetwork) -> None:
         self.peers = peers
 
     def datagram_received(self, data: bytes, address: object) -> None:
@@ -57,7 +64,7 @@
         self.peers.checks.count("peers: datagrams not sent")
 
 
-class Peers:
+class PeerNetwork:
     """`view`: the members' names in order, this front's own among them."""
 
     def __init__(
@@ -72,20 +79,20 @@
         announce: Address | None = None,
         book: Mapping[str, Address] | None = None,
         seeds: Sequence[Address] = (),
-        pace: Pace | None = None,
+        pace: ProbeIntervals | None = None,
     ) -> None:
         """`announce`: where others find it, if not at `listen`. `book`: where this front finds others."""
         self.fleet, self.name, self.listen, self.checks = fleet, name, listen, checks
         self.announce, self.book = announce or listen, {k: v for k, v in (book or {}).items() if k != name}
         self.names = {address: other for other, address in self.book.items()}
         self.seeds = list(dict.fromkeys((*seeds, *self.book.values())))
-        self.pace, self.random = pace or Pace(), random.Random(f"{seed} peers")
+        self.pace, self.random = pace or ProbeIntervals(), random.Random(f"{seed} peers")
         self.view: tuple[str, ...] = (name,)
         self.at: dict[Address, str] = {}  # whose announced address it is
         self.hears: dict[int, Callable[[str, bytes], None]] = {WHOLE: self._whole}
-        self.viewers: list[Callable[[Viewed], None]] = []
-        self.lines = Lines(fleet, name, self.address, self._framed, checks, descriptors, self.random)
-        self.detector: Detector | None = None
+        self.viewers: list[Callable[[ViewChanged], None]] = []
+        self.lines = StreamPool(fleet, name, self.address, self._framed, checks, descriptors, self.random)
+        self.detector: FailureDetector | None = None
         self.server: asyncio.Server | None = None
         self.datagrams: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -94,7 +101,7 @@
         self.descriptors = descriptors
 
     @classmethod
-    def told(cls, section: MembersSection, config: FrontConfig, means: Means) -> Peers:
+    def told(cls, section: MembersSection, config: FrontConfig, means: Means) -> PeerNetwork:
         """As the operators' file says; PeersError where that has no place for a front of this name."""
         listen, announce = section.listens_at(config.name), section.announces(config.name)
         if listen is None or announce is None:
@@ -115,7 +122,7 @@
 
     # For those who use it
 
-    def on_view(self, call: Callable[[Viewed], None]) -> None:
+    def on_view(self, call: Callable[[ViewChanged], None]) -> None:
         """Called with each change of the view, after `view` is the new one."""
         self.viewers.append(call)
 
@@ -147,7 +154,7 @@
     def silent(self, age: int) -> frozenset[str]:
         """Names of fronts that were put out of the view in the last `age` nanoseconds and did not leave."""
         claims, now = self.detector.claims.values() if self.detector is not None else (), clock.now()
-        return frozenset(c.name for c in claims if c.standing is Standing.GONE and now - c.since <= age)
+        return frozenset(c.name for c in claims if c.standing is MemberState.GONE and now - c.since <= age)
 
     # Life
 
@@ -156,7 +163,7 @@
         loop = asyncio.get_running_loop()
         address = f"{self.listen[0]}:{self.listen[1]}"
         try:
-            self.datagrams, _ = await loop.create_datagram_endpoint(lambda: Datagrams(self), self.listen)
+            self.datagrams, _ = await loop.create_datagram_endpoint(lambda: DatagramSocket(self), self.listen)
             self.server = await loop.create_server(self.lines.accept, *self.listen, reuse_address=True)
         except OSError as error:
             if self.datagrams is not None:
@@ -167,7 +174,7 @@
         now = clock.now()
         # greater at each start: Unix milliseconds, with chance for two starts within one
         number = time.time_ns() // clock.MS << 10 | self.random.getrandbits(10)
-        self.detector = Detector(
+        self.detector = FailureDetector(
             self.fleet,
             self.name,
             self.announce,
@@ -223,7 +230,7 @@
             wait = self.pace.period
         self.timer = asyncio.get_running_loop().call_later(wait / clock.SECOND, self._turn)
 
-    def _tick(self, detector: Detector) -> int:
+    def _tick(self, detector: FailureDetector) -> int:
         now = self.turned = clock.now()
         for action in detector.tick(now):
             self._perform(action)
@@ -249,13 +256,13 @@
 
     def _perform(self, action: Action) -> None:
         match action:
-            case Send(address, data):
+            case SendDatagram(address, data):
                 self._say(data, self._way(address))
-            case Exchange(address):
+            case StartStateSync(address):
                 self._exchange(address)
-            case Viewed():
+            case ViewChanged():
                 self._viewed(action)
-            case Twin(address):
+            case DuplicateMember(address):
                 self.checks.event("another process has this front's name", f"at {address[0]}:{address[1]}")
 
     def _say(self, data: bytes, address: Address) -> None:
@@ -302,7 +309,7 @@
         if data[:1] == ASKS:
             self.lines.send(name, WHOLE, ANSWERS + detector.whole(clock.now()))
 
-    def _viewed(self, viewed: Viewed) -> None:
+    def _viewed(self, viewed: ViewChanged) -> None:
         self.view = viewed.members
         came, went = (", ".join(names[:NAMES_TOLD]) or "nobody" for names in (viewed.came, viewed.went))
         told = logger.bind(event="view", members=len(viewed.members), came=came, went=went)
--- a/quincepier/net/peers/lines.py
+++ b/quincepier/net/peers/stream_pool.py
@@ -27,22 +27,22 @@
 SWEEP = 1.0  # seconds
 
 
-class Line:
+class PeerStreamQueue:
     """To one peer: its stream, and the frames that wait for it."""
 
     __slots__ = ("dialling", "failures", "name", "queue", "rests", "size", "stream")
 
     def __init__(self, name: str) -> None:
         self.name, self.queue, self.size = name, deque[bytes](), 0
-        self.stream: Stream | None = None
+        self.stream: PeerStream | None = None
         self.dialling: asyncio.Task[None] | None = None
         self.failures = self.rests = 0  # dials in a row; until when it is not dialled
 
 
-class Stream(asyncio.Protocol):
+class PeerStream(asyncio.Protocol):
     """One connection. `name` is empty until the other side has said it."""
 
-    def __init__(self, lines: Lines, name: str = "", dialled: bool = False) -> None:
+    def __init__(self, lines: StreamPool, name: str = "", dialled: bool = False) -> None:
         self.lines, self.name, self.dialled = lines, name, dialled
         self.splitter = Splitter(lines.fleet)
         self.transport: asyncio.Transport | None = None
@@ -95,7 +95,7 @@
             self.transport.abort()
 
 
-class Lines:
+class StreamPool:
     """All streams of one front. `hear(name, channel, data)` is told each frame; it must not raise."""
 
     def __init__(
@@ -110,8 +110,8 @@
     ) -> None:
         self.fleet, self.me, self.address_of, self.hear = fleet, me, address_of, hear
         self.checks, self.descriptors, self.random = checks, descriptors, chance
-        self.lines: dict[str, Line] = {}
-        self.streams: set[Stream] = set()
+        self.lines: dict[str, PeerStreamQueue] = {}
+        self.streams: set[PeerStream] = set()
         self.most = min(STREAMS_MOST, max(descriptors.caches_most // 2, 8))
         self.queued = 0  # bytes that wait, of all lines
         self.tasks: set[asyncio.Task[None]] = set()
@@ -154,21 +154,21 @@
         self.checks.count(f"peers: frames dropped, {why}")
         return False
 
-    def _line(self, name: str) -> Line | None:
+    def _line(self, name: str) -> PeerStreamQueue | None:
         line = self.lines.get(name)
         if line is None and len(self.lines) < LINES_MOST:
-            line = self.lines[name] = Line(name)
+            line = self.lines[name] = PeerStreamQueue(name)
         return line
 
-    async def _connect(self, address: Address, name: str) -> Stream:
+    async def _connect(self, address: Address, name: str) -> PeerStream:
         if not self._room():
             raise OSError("no room for a stream")
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(DIAL_WITHIN):
-            _, stream = await loop.create_connection(lambda: Stream(self, name, True), *address)
+            _, stream = await loop.create_connection(lambda: PeerStream(self, name, True), *address)
         return stream
 
-    async def _dial(self, line: Line) -> None:
+    async def _dial(self, line: PeerStreamQueue) -> None:
         address = self.address_of(line.name)
         try:
             stream = await self._connect(address, line.name) if address is not None else None
@@ -185,26 +185,26 @@
         else:  # its own dial was first, and stays
             stream.close()
 
-    def _unreached(self, line: Line) -> None:
+    def _unreached(self, line: PeerStreamQueue) -> None:
         line.failures = min(line.failures + 1, 10)
         rest = min(REST_FIRST * 2 ** (line.failures - 1), REST_MOST) * self.random.uniform(0.5, 1)
         line.rests = clock.now() + int(rest * clock.SECOND)
         self.checks.count("peers: streams that did not come up")
         self._empty(line)
 
-    def _empty(self, line: Line) -> None:
+    def _empty(self, line: PeerStreamQueue) -> None:
         if line.queue:
             self.checks.count("peers: frames dropped, peer out of reach", len(line.queue))
         self.queued -= line.size
         line.queue.clear()
         line.size = 0
 
-    def flush(self, stream: Stream) -> None:
+    def flush(self, stream: PeerStream) -> None:
         line = self.lines.get(stream.name)
         if line is not None and line.stream is stream:
             self._flush(line)
 
-    def _flush(self, line: Line) -> None:
+    def _flush(self, line: PeerStreamQueue) -> None:
         stream = line.stream
         while line.queue and stream is not None and stream.transport is not None and not stream.stalled:
             raw = line.queue.popleft()
@@ -224,10 +224,10 @@
 
     # In
 
-    def accept(self) -> Stream:
-        return Stream(self)
+    def accept(self) -> PeerStream:
+        return PeerStream(self)
 
-    def opened(self, stream: Stream) -> None:
+    def opened(self, stream: PeerStream) -> None:
         self.streams.add(stream)
         self.descriptors.cache(1)
         if self.ended or (not stream.dialled and len(self.streams) > self.most and not self._room()):
@@ -244,7 +244,7 @@
         oldest.close()
         return True
 
-    def framed(self, stream: Stream, name: str, channel: int, data: bytes) -> None:
+    def framed(self, stream: PeerStream, name: str, channel: int, data: bytes) -> None:
         if stream.name != name:
             if stream.name or name == self.me:
                 raise PeersError(f"a stream of {stream.name or 'this front'!r} says it is {name!r}")
@@ -254,7 +254,7 @@
             line.failures = line.rests = 0
         self.hear(name, channel, data)
 
-    def _named(self, stream: Stream, name: str) -> None:
+    def _named(self, stream: PeerStream, name: str) -> None:
         """Which of two streams with a peer stays is decided alike at both ends."""
         stream.name, line = name, self._line(name)
         if line is None or stream.closing:
@@ -267,7 +267,7 @@
         line.stream = stream
         self._flush(line)
 
-    def lost(self, stream: Stream) -> None:
+    def lost(self, stream: PeerStream) -> None:
         self.streams.discard(stream)
         self.descriptors.cache(-1)
         line = self.lines.get(stream.name)
--- a/quincepier/net/session.py
+++ b/quincepier/net/session.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 from functools import lru_cache
 
-from quincepier.memory.pool import Body
-from quincepier.memory.requests import OpenRequest
+from quincepier.memory.buffer_pool import PooledBody
+from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.messages import Answer
 from quincepier.wire import fastcgi
 
@@ -15,7 +15,7 @@
 class Outgoing:
     """One answer on its way: records, a piece at a time."""
 
-    def __init__(self, stream: int, keep: bool, head: bytes, body: Body | None) -> None:
+    def __init__(self, stream: int, keep: bool, head: bytes, body: PooledBody | None) -> None:
         self.stream, self.keep, self.body, self.begun = stream, keep, body, False
         self.pieces = self._pieces(head)
 
--- a/quincepier/net/settled.py
+++ b/quincepier/net/settled.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from quincepier.interface import ListNews, Note, RequestCame
-from quincepier.memory.requests import OpenAttempt, OpenRequest
+from quincepier.memory.open_requests import OpenAttempt, OpenRequest
 
 
 class Settled(Protocol):
--- a/quincepier/net/shared.py
+++ b/quincepier/net/shared.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from quincepier.config import FrontConfig
-from quincepier.memory.pool import Body
+from quincepier.memory.buffer_pool import PooledBody
 from quincepier.net.means import Means
 from quincepier.net.sockets import let_go
 
@@ -58,9 +58,9 @@
                 let_go(oldest.sock)
         return bool(unused)
 
-    async def room(self, length: int) -> Body:
+    async def room(self, length: int) -> PooledBody:
         """Buffers for so many bytes; nothing more is read from the connection until they are there."""
-        while (body := Body.of_length(self.pool, length)) is None:
+        while (body := PooledBody.of_length(self.pool, length)) is None:
             self.checks.count("waits for buffers")
             self.make_room()
             freed = asyncio.get_running_loop().create_future()
--- a/quincepier/net/keeper.py
+++ b/quincepier/net/state_persistence.py
@@ -18,9 +18,15 @@
 
 from quincepier import clock
 from quincepier.net.module import ModuleActor
-from quincepier.recovery.memory import learned, recall
-from quincepier.state import Files, Loaded, Stamp, Store, age_of
-from quincepier.state.kept import Gathered, KeptAside, Names, encode, facts
+from quincepier.recovery.learned_facts import export_facts, restore_facts
+from quincepier.state import FileSystem, LoadedSnapshot, SnapshotStore, Timestamp, age_of
+from quincepier.state.learned_state import (
+    AddressBackoffRecord,
+    LearnedStateBuilder,
+    NameMapping,
+    encode,
+    facts_from_state,
+)
 from quincepier.state.section import StateSection
 
 SLICE = 100  # facts gathered in one turn of the loop
@@ -28,21 +34,21 @@
 BOOT = Path("/proc/sys/kernel/random/boot_id")
 
 
-def stamp() -> Stamp:
+def stamp() -> Timestamp:
     """Now, by both clocks."""
     try:
         boot = BOOT.read_text().strip()
     except OSError:
         boot = ""
-    return Stamp(max(time.time_ns() // clock.MS, 0), boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME))
+    return Timestamp(max(time.time_ns() // clock.MS, 0), boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME))
 
 
-class Keeper:
+class StatePersistence:
     """One for a front. Whatever fails here, the front serves on without it."""
 
     def __init__(self, module: ModuleActor, section: StateSection) -> None:
         self.module, self.checks, self.section = module, module.checks, section
-        self.store = Store(Files(Path(section.folder)))
+        self.store = SnapshotStore(FileSystem(Path(section.folder)))
         self.random = random.Random(module.config.seed)
         self.usable, self.busy = False, False
 
@@ -82,11 +88,11 @@
         if self._ready(found) and found.kept is not None:
             self._take(found)
 
-    def _open(self) -> Loaded:
+    def _open(self) -> LoadedSnapshot:
         self.store.open()
         return self.store.load()
 
-    def _ready(self, found: Loaded | Exception) -> bool:
+    def _ready(self, found: LoadedSnapshot | Exception) -> bool:
         """Whether the folder is ours from now on."""
         if isinstance(found, Exception):
             self.checks.event("state not used", str(found))
@@ -98,14 +104,14 @@
         self.usable = True
         return True
 
-    def _take(self, found: Loaded) -> None:
+    def _take(self, found: LoadedSnapshot) -> None:
         assert found.kept is not None
         age = age_of(found.kept.stamp, stamp())
         if age is None:
             self.checks.event("state of unknown age", "its clocks are ahead of this machine's")
-        told = list(facts(found.kept, self._names()))
+        told = list(facts_from_state(found.kept, self._names()))
         try:
-            counted = recall(self.module.router, told, age)
+            counted = restore_facts(self.module.router, told, age)
         except Exception as error:  # a defect: the front begins as one that knows nothing
             self.checks.event("exception as state was recalled", f"{type(error).__name__}: {error}")
             return
@@ -117,7 +123,7 @@
         bound = logger.bind(event="state read", facts=counted, of=len(told), age_ms=ms, bytes=size)
         bound.info("state read: {} of {} facts count, {} ms old, {} bytes", counted, len(told), ms, size)
 
-    def _names(self) -> Names:
+    def _names(self) -> NameMapping:
         directory, config = self.module.directory, self.module.config
 
         def machine(number: int) -> tuple[str, int] | None:
@@ -129,7 +135,7 @@
             known = entry is not None and entry.record.born_ms == born_ms
             return entry.machine.cache if entry is not None and known else None
 
-        return Names(config.classes, config.kinds, machine, number)
+        return NameMapping(config.classes, config.kinds, machine, number)
 
     # Now and then
 
@@ -152,18 +158,18 @@
             self.checks.event("exception as state was written", f"{type(error).__name__}: {error}")
             return None
 
-    async def _gather(self) -> Gathered:
-        gathered = Gathered(self._names())
-        for n, fact in enumerate(learned(self.module.router), 1):
+    async def _gather(self) -> LearnedStateBuilder:
+        gathered = LearnedStateBuilder(self._names())
+        for n, fact in enumerate(export_facts(self.module.router), 1):
             gathered.add(fact)
             if n % SLICE == 0:
                 await asyncio.sleep(0)
         if self.module.shared.dialer is not None:
             for host, address, failures, left in self.module.shared.dialer.aside():
-                gathered.aside.append(KeptAside(host, address, failures, left))
+                gathered.aside.append(AddressBackoffRecord(host, address, failures, left))
         return gathered
 
-    def _write(self, gathered: Gathered) -> asyncio.Future[Any]:
+    def _write(self, gathered: LearnedStateBuilder) -> asyncio.Future[Any]:
         writer, now = self.module.config.name, stamp()
         writing = self._thread(lambda: self.store.save(encode(gathered.kept(writer, now))))
         self.busy = True
--- a/quincepier/net/writing.py
+++ b/quincepier/net/writing.py
@@ -11,8 +11,8 @@
 from typing import TYPE_CHECKING
 
 from quincepier import clock
-from quincepier.memory.pool import Body
-from quincepier.memory.requests import OpenRequest
+from quincepier.memory.buffer_pool import PooledBody
+from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.messages import Answer
 from quincepier.net.session import Outgoing, Session, cgi_head
 from quincepier.timers import Timer
@@ -93,7 +93,7 @@
             self.stirred = True
             asyncio.get_running_loop().call_soon(self._flush)
 
-    def _say(self, session: Session, stream: int, head: bytes, body: Body | None = None) -> None:
+    def _say(self, session: Session, stream: int, head: bytes, body: PooledBody | None = None) -> None:
         keep = session.keep.pop(stream, True)
         if body is None or not body.length:
             if body is not None:
--- a/quincepier/policy/parts.py
+++ b/quincepier/policy/parts.py
@@ -8,7 +8,7 @@
 from quincepier import interface as io
 from quincepier.fading import Pace
 from quincepier.keys import mix
-from quincepier.recovery import Return
+from quincepier.recovery import RecoveryTracker
 
 MS, SECOND = 1_000_000, 1_000_000_000  # times are in nanoseconds
 PACE = 4 * SECOND, 1.5  # signs of how slow one is count half after; beside so many of it as usual
@@ -76,7 +76,7 @@
         self.link_no = [*settings.reports, "link"].index("link")  # which value of a load report tells of it
         self.asked, self.heard, self.met = set[int](), Counter[int](), False  # classes; see ended
         self.extra, self.logs, self.awake, self.watching, self.watched = EXTRA_FIRST, 0, False, False, now
-        self.back, self.out = Return(now), list[io.Action]()
+        self.back, self.out = RecoveryTracker(now), list[io.Action]()
         self.lapses = list[tuple[int, Callable[[], None]]]()  # of what was recalled
 
     def timer_in(self, wait: float, kind: int, about: int = 0) -> None:
--- a/quincepier/recovery/__init__.py
+++ b/quincepier/recovery/__init__.py
@@ -7,6 +7,6 @@
 """
 
 from quincepier.recovery.begin import Ramp, first_poll, fronts_that_ask
-from quincepier.recovery.stages import Return, Stage
+from quincepier.recovery.phases import RecoveryPhase, RecoveryTracker
 
-__all__ = ["Ramp", "Return", "Stage", "first_poll", "fronts_that_ask"]
+__all__ = ["Ramp", "RecoveryPhase", "RecoveryTracker", "first_poll", "fronts_that_ask"]
--- a/quincepier/recovery/memory.py
+++ b/quincepier/recovery/learned_facts.py
@@ -84,7 +84,7 @@
     def doubt(self, node: Machine) -> None: ...
 
 
-def learned(router: Knows[Machine]) -> Iterator[io.Learned]:
+def export_facts(router: Knows[Machine]) -> Iterator[io.Learned]:
     """All that counts after a start, small parts, so that a shell may take them in slices of time."""
     now = router.now
     yield io.LearnedBound(router.bound, 0)
@@ -107,7 +107,7 @@
         yield io.LearnedPurge(name if of_group else 0, 0 if of_group else name, now - at)
 
 
-def recall(router: Knows[Machine], facts: Iterable[io.Learned], age: int | None) -> int:
+def restore_facts(router: Knows[Machine], facts: Iterable[io.Learned], age: int | None) -> int:
     """Take facts that were told `age` nanoseconds ago (None: nobody knows). Returns how many counted."""
     taken, lapses = 0, list[tuple[int, Callable[[], None]]]()
     for fact in facts:
--- a/quincepier/recovery/stages.py
+++ b/quincepier/recovery/phases.py
@@ -16,7 +16,7 @@
 LEAST = 50  # requests in them; of fewer, one that is late by chance would say too much
 
 
-class Stage(IntEnum):
+class RecoveryPhase(IntEnum):
     """Each is entered when that has come back."""
 
     STARTED = 0
@@ -29,16 +29,16 @@
 WORDS = ("started", "list", "first answers", "bound", "as usual")
 
 
-class Return:
+class RecoveryTracker:
     """One start of a front. Its calls give log lines: a stage entered and why, and full service."""
 
     def __init__(self, now: int) -> None:
-        self.began, self.entered = now, {Stage.STARTED: now}
-        self.stage, self.told = Stage.STARTED, False
+        self.began, self.entered = now, {RecoveryPhase.STARTED: now}
+        self.stage, self.told = RecoveryPhase.STARTED, False
         self.second, self.due, self.done, self.count = now // SECOND, 0.0, 0.0, 0  # of the second that runs
         self.seconds: deque[tuple[float, float, int]] = deque(maxlen=MOST)  # worth due, served, requests
 
-    def _enter(self, stage: Stage, now: int, why: str) -> list[str]:
+    def _enter(self, stage: RecoveryPhase, now: int, why: str) -> list[str]:
         took = (now - self.entered[self.stage]) // MS
         line = f"stage {WORDS[stage]}: {why}; {WORDS[self.stage]} held for {took} ms"
         self.stage, self.entered[stage] = stage, now
@@ -46,12 +46,16 @@
 
     def listed(self, now: int) -> list[str]:
         """A list of machines is there."""
-        return self._enter(Stage.LISTED, now, "a list is there") if self.stage is Stage.STARTED else []
+        return (
+            self._enter(RecoveryPhase.LISTED, now, "a list is there")
+            if self.stage is RecoveryPhase.STARTED
+            else []
+        )
 
     def answered(self, now: int, answers: int) -> list[str]:
         """Machines gave so many answers, of each class that was asked for one."""
         why = f"{answers} answers, each class asked for among them"
-        return self._enter(Stage.ANSWERED, now, why) if self.stage is Stage.LISTED else []
+        return self._enter(RecoveryPhase.ANSWERED, now, why) if self.stage is RecoveryPhase.LISTED else []
 
     def kept(self, now: int) -> list[str]:
         """A bound's worth of fills is over, and neither went badly nor pressed for more."""
@@ -62,8 +66,12 @@
         return self._found(now, "nothing waits for the bound")
 
     def _found(self, now: int, why: str) -> list[str]:
-        settled = now - self.entered.get(Stage.ANSWERED, now) >= SECOND // 2
-        return self._enter(Stage.FOUND, now, why) if self.stage is Stage.ANSWERED and settled else []
+        settled = now - self.entered.get(RecoveryPhase.ANSWERED, now) >= SECOND // 2
+        return (
+            self._enter(RecoveryPhase.FOUND, now, why)
+            if self.stage is RecoveryPhase.ANSWERED and settled
+            else []
+        )
 
     def over(self, now: int, worth: float, served: bool) -> list[str]:
         """A request has its final answer; whether it was served in time."""
@@ -78,9 +86,9 @@
         self.seconds.append((self.due, self.done, self.count))
         self.seconds.extend([(0.0, 0.0, 0)] * min(now // SECOND - self.second - 1, MOST))
         self.second, self.due, self.done, self.count = now // SECOND, 0.0, 0.0, 0
-        if self.stage is not Stage.FOUND or not (span := self._full()):
+        if self.stage is not RecoveryPhase.FOUND or not (span := self._full()):
             return []
-        lines = self._enter(Stage.USUAL, now, f"{FULL:.2f} of the worth in time over {span} s")
+        lines = self._enter(RecoveryPhase.USUAL, now, f"{FULL:.2f} of the worth in time over {span} s")
         if self.told:
             return lines
         self.told = True
@@ -97,15 +105,17 @@
 
     def _claim(self, now: int, span: int) -> str:
         """The seconds that showed it were full already, so service is counted full from their begin."""
-        at = max(now - span * SECOND, self.entered.get(Stage.FOUND, now), self.began)
-        marks = [self.entered.get(stage, at) for stage in Stage if stage is not Stage.USUAL] + [at]
+        at = max(now - span * SECOND, self.entered.get(RecoveryPhase.FOUND, now), self.began)
+        marks = [
+            self.entered.get(stage, at) for stage in RecoveryPhase if stage is not RecoveryPhase.USUAL
+        ] + [at]
         took = (max(b - a, 0) // MS for a, b in zip(marks, marks[1:], strict=False))
         parts = ", ".join(f"{word} {ms}" for word, ms in zip(WORDS[1:], took, strict=False))
         return f"full service after {(at - self.began) // MS} ms ({parts})"
 
     def stood_still(self, now: int, gap: int) -> list[str]:
         """The front itself did not run for `gap` ns, and all but the list is to be found anew."""
-        if self.stage <= Stage.LISTED:
+        if self.stage <= RecoveryPhase.LISTED:
             return []
         self.seconds.clear()
-        return self._enter(Stage.LISTED, now, f"the front stood still for {gap // MS} ms")
+        return self._enter(RecoveryPhase.LISTED, now, f"the front stood still for {gap // MS} ms")
--- a/quincepier/rules/leases.py
+++ b/quincepier/rules/lease_holder.py
@@ -19,7 +19,7 @@
 
 from quincepier.rules.errors import RulesError
 from quincepier.rules.reports import FrontReport
-from quincepier.rules.version import RuleVersion, first
+from quincepier.rules.version import RuleVersion, initial_version
 
 MS = 1_000_000
 ASKS_MOST = 16  # of one front that wait for an answer
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
+class LeaseTimings:
     """Nanoseconds. The lease bounds for how long a request that may not be repeated can be refused while a
     tenant moves; the asks are four to a lease, so that three in a row may be lost.
     """
@@ -49,14 +49,14 @@
         return span + int(span * self.margin) + 1
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True):
+class LeaseRequest(msgspec.Struct, frozen=True, array_like=True):
     """A front's report; the leader answers it by a grant."""
 
     token: Number
     report: FrontReport
 
 
-class Grant(msgspec.Struct, frozen=True, array_like=True):
+class LeaseGrant(msgspec.Struct, frozen=True, array_like=True):
     """The newest agreed version by number; a lease of 0: adopt that first, then ask again."""
 
     start: Number  # incarnation of the front that asked
@@ -66,14 +66,14 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_ask, _grant = msgspec.msgpack.Decoder(Ask), msgspec.msgpack.Decoder(Grant)
+_ask, _grant = msgspec.msgpack.Decoder(LeaseRequest), msgspec.msgpack.Decoder(LeaseGrant)
 
 
-def encode_words(words: Ask | Grant) -> bytes:
+def encode_message(words: LeaseRequest | LeaseGrant) -> bytes:
     return _encode(words)
 
 
-def decode_ask(raw: bytes) -> Ask:
+def decode_lease_request(raw: bytes) -> LeaseRequest:
     """RulesError for anything that is none."""
     if len(raw) > ASK_MOST:
         raise RulesError("an ask is too long")
@@ -83,7 +83,7 @@
         raise RulesError(f"not an ask: {str(error)[:100]}") from None
 
 
-def decode_grant(raw: bytes) -> Grant:
+def decode_lease_grant(raw: bytes) -> LeaseGrant:
     """RulesError for anything that is none."""
     if len(raw) > GRANT_MOST:
         raise RulesError("a grant is too long")
@@ -93,7 +93,7 @@
         raise RulesError(f"not a grant: {str(error)[:100]}") from None
 
 
-class Holder:
+class LeaseHolder:
     """One front's side: the version that it decides by, and for how long it is sure of it.
 
     It starts without a lease, whatever an earlier start of it held.
@@ -101,9 +101,9 @@
 
     __slots__ = ("answered", "asked", "doubted", "next", "pace", "start", "token", "until", "version")
 
-    def __init__(self, start: int, now: int, pace: Pace, version: RuleVersion | None = None) -> None:
+    def __init__(self, start: int, now: int, pace: LeaseTimings, version: RuleVersion | None = None) -> None:
         self.pace, self.start = pace, start
-        self.version = version or first()  # one kept over a start counts for the cautious set alone
+        self.version = version or initial_version()  # one kept over a start counts for the cautious set alone
         self.until = now  # its own clock; a lease ends as this is reached
         self.token, self.asked = 0, dict[int, int]()  # when each open ask was made
         self.next = now  # when to ask again
@@ -140,7 +140,7 @@
         self.version = version
         return True
 
-    def granted(self, now: int, grant: Grant, version: RuleVersion | None = None) -> bool:
+    def granted(self, now: int, grant: LeaseGrant, version: RuleVersion | None = None) -> bool:
         """An answer came, with the version it names where that came along. Whether a newer one was adopted:
         then it asks again at once, since only that ask is answered with a lease.
         """
--- a/quincepier/rules/ledger.py
+++ b/quincepier/rules/lease_table.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from quincepier.rules.leases import FRONTS_MOST, MS, Ask, Grant, Pace
-from quincepier.rules.reports import FrontReport, MachineSeen, Seen
+from quincepier.rules.lease_holder import FRONTS_MOST, MS, LeaseGrant, LeaseRequest, LeaseTimings
+from quincepier.rules.reports import FrontReport, MachineObservation, Observations
 from quincepier.rules.version import RuleVersion
 
 REACHED_MOST = 1024  # numbers of which is kept since when they are in force
@@ -48,7 +48,7 @@
     )
 
 
-class Ledger:
+class LeaseTable:
     """Made anew by each front that comes to lead, with the moment of its election."""
 
     __slots__ = (
@@ -65,7 +65,7 @@
         "reached",
     )  # fmt: skip
 
-    def __init__(self, now: int, pace: Pace, newest: RuleVersion) -> None:
+    def __init__(self, now: int, pace: LeaseTimings, newest: RuleVersion) -> None:
         self.pace, self.began = pace, now
         self.newest, self.digest = newest.number, newest.digest
         self.fronts = dict[str, _Front]()
@@ -81,7 +81,7 @@
             self.newest, self.digest = version.number, version.digest
             self.agreed_at = now
 
-    def heard(self, now: int, ask: Ask, sure_until: int) -> Grant | None:
+    def heard(self, now: int, ask: LeaseRequest, sure_until: int) -> LeaseGrant | None:
         """The answer to an ask; None to one that is late or repeated, and where another may lead by now: then
         nobody is told what is newest either. `now` is read after the ask came in.
         """
@@ -115,7 +115,7 @@
             lease = pace.lease // MS
             known.until = max(known.until, now + pace.longer(lease * MS))
         known.ended = max(known.ended, known.until + pace.longer(pace.attempt))
-        return Grant(report.start, ask.token, self.newest, lease)
+        return LeaseGrant(report.start, ask.token, self.newest, lease)
 
     def dropped(self, names: Iterable[str]) -> None:
         """Operators say that these fronts are no more: they hold nothing up until they are heard again."""
@@ -156,13 +156,13 @@
         self,
         now: int,
         view: tuple[str, ...],
-        machines: Mapping[str, MachineSeen],
+        machines: Mapping[str, MachineObservation],
         voters: tuple[str, ...],
         leader: str,
         alike: bool | None = None,
         usual: Mapping[str, float] | None = None,
         silent: Iterable[str] = (),
-    ) -> Seen:
+    ) -> Observations:
         """All that a step is decided by. `view`: the members; `silent`: those that membership remembers
         though it put them out. A front that is in neither, and lapsed for `Pace.gone`, is forgotten.
 
@@ -183,7 +183,7 @@
         for name, known in self.fronts.items():
             if known.before is not None and now < known.before_ended:
                 reports[f"{name}@{known.before.start}"] = known.before
-        return Seen(
+        return Observations(
             now,
             view,
             reports,
--- a/quincepier/rules/reports.py
+++ b/quincepier/rules/reports.py
@@ -8,7 +8,7 @@
 import msgspec
 
 
-class Service(msgspec.Struct, frozen=True, array_like=True):
+class ServiceStatistics(msgspec.Struct, frozen=True, array_like=True):
     """Counts of one span of a front, of one tenant ("" for all) at one shard ("" for all)."""
 
     tenant: str
@@ -35,12 +35,12 @@
     last_keyed: tuple[tuple[str, str, int], ...] = ()  # tenant, shard, ms since such a one was sent on
     aside: tuple[str, ...] = ()  # machines that it set aside
     sent: tuple[tuple[str, int], ...] = ()  # host id and commands sent there in the span: the load
-    service: tuple[Service, ...] = ()
+    service: tuple[ServiceStatistics, ...] = ()
     purge_place: int = 0  # the number in the change log up to which it has heard
 
 
 @dataclass(slots=True, frozen=True)
-class MachineSeen:
+class MachineObservation:
     """One line of the change log's list, as the leading voter has it."""
 
     host: str
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class Observations:
     """All that a step may be decided by; the same value gives the same steps."""
 
     now: int  # monotonic nanoseconds of the voter that leads
@@ -61,7 +61,7 @@
     lapsed: bool  # every front without a report here has surely lost its lease and ended what it had open
     in_force: int  # highest number that every front with a lease decides by (none holds an older one)
     in_force_for: int  # nanoseconds since that number came into force
-    machines: dict[str, MachineSeen]
+    machines: dict[str, MachineObservation]
     voters: tuple[str, ...]
     leader: str
     alike: bool | None = None  # whether all fronts were found to decide alike by `in_force`; None: not known
--- a/quincepier/rules/version.py
+++ b/quincepier/rules/version.py
@@ -22,7 +22,7 @@
 PARTS = 256  # a tenant's keys are moved in so many parts, by hash
 
 
-class OrderStep(IntEnum):
+class MaintenanceStep(IntEnum):
     WAITING = 0  # wished, not begun: used as usual
     DRAINING = 1  # nothing new may be sent to it
     EMPTY = 2  # no front may send to it and nothing of any front is open there: work may begin
@@ -33,33 +33,33 @@
     STOPPED = 7  # given up before EMPTY, or by the operator; `why` says it; used as usual
 
 
-class Order(msgspec.Struct, frozen=True, array_like=True):
+class MaintenanceTask(msgspec.Struct, frozen=True, array_like=True):
     """One machine or front that is taken out for work."""
 
     wish: Name  # the id of the operators' wish
     target: Name  # host id of a machine, or name of a front
     kind: Literal["cache", "parent", "front"]
     zone: Annotated[str, msgspec.Meta(max_length=64)]
-    step: OrderStep
+    step: MaintenanceStep
     since: int  # number of the version in which it entered this step
     why: Why = ""
 
     @property
     def aside(self) -> bool:
         """Whether nothing new may be sent to it."""
-        return OrderStep.DRAINING <= self.step <= OrderStep.BACK
+        return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.BACK
 
     @property
     def out(self) -> bool:
         """Whether it counts as out against what is allowed, warming ones counted."""
-        return OrderStep.DRAINING <= self.step <= OrderStep.WARMING
+        return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.WARMING
 
     @property
     def open(self) -> bool:
-        return self.step <= OrderStep.WARMING
+        return self.step <= MaintenanceStep.WARMING
 
 
-class Allowance(msgspec.Struct, frozen=True, array_like=True):
+class DisruptionLimit(msgspec.Struct, frozen=True, array_like=True):
     """How many of a kind may be out at once in any one zone, and over all zones."""
 
     kind: Literal["cache", "parent", "front"]
@@ -75,7 +75,7 @@
     parents: tuple[Name, ...] = ()
 
 
-class Home(msgspec.Struct, frozen=True, array_like=True):
+class TenantPlacement(msgspec.Struct, frozen=True, array_like=True):
     """The home shard of a tenant; tenants without a line have the common one, all caches outside of shards
     or, where no line names any, all caches.
     """
@@ -84,7 +84,7 @@
     shard: ShardName
 
 
-class MoveStep(IntEnum):
+class MigrationStep(IntEnum):
     PLANNED = 0
     WARMING = 1  # `part` of the keys go to the new home, growing; what may not be repeated stays at the old
     VERIFY = 2  # the part stays, both homes are compared
@@ -96,42 +96,42 @@
     BACK = 8  # rolled back: everything as before the move
 
 
-class Move(msgspec.Struct, frozen=True, array_like=True):
+class Migration(msgspec.Struct, frozen=True, array_like=True):
     """A tenant on its way from one shard to another."""
 
     wish: Name
     tenant: Name
     old: ShardName
     new: ShardName
-    step: MoveStep
+    step: MigrationStep
     since: int  # number of the version in which it entered this step
     part: Annotated[int, msgspec.Meta(ge=0, le=PARTS)] = 0  # of the keys that go to the new home, of PARTS
     why: Why = ""
 
     @property
     def open(self) -> bool:
-        return self.step not in (MoveStep.DONE, MoveStep.BACK)
+        return self.step not in (MigrationStep.DONE, MigrationStep.BACK)
 
 
 class RuleVersion(msgspec.Struct, frozen=True, array_like=True):
     number: int
     term: int  # of the leader that proposed it
-    orders: Annotated[tuple[Order, ...], msgspec.Meta(max_length=ORDERS_MOST)] = ()
-    allowances: Annotated[tuple[Allowance, ...], msgspec.Meta(max_length=3)] = ()
+    orders: Annotated[tuple[MaintenanceTask, ...], msgspec.Meta(max_length=ORDERS_MOST)] = ()
+    allowances: Annotated[tuple[DisruptionLimit, ...], msgspec.Meta(max_length=3)] = ()
     shards: Annotated[tuple[Shard, ...], msgspec.Meta(max_length=SHARDS_MOST)] = ()
-    homes: Annotated[tuple[Home, ...], msgspec.Meta(max_length=HOMES_MOST)] = ()
-    moves: Annotated[tuple[Move, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
+    homes: Annotated[tuple[TenantPlacement, ...], msgspec.Meta(max_length=HOMES_MOST)] = ()
+    moves: Annotated[tuple[Migration, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
 
     @property
     def digest(self) -> str:
         """32 hex digits; over number and term too."""
         return xxhash.xxh3_128_hexdigest(_encode(self))
 
-    def order_of(self, target: str) -> Order | None:
+    def order_of(self, target: str) -> MaintenanceTask | None:
         """The last order for that machine or front."""
         return next((o for o in reversed(self.orders) if o.target == target), None)
 
-    def move_of(self, tenant: str) -> Move | None:
+    def move_of(self, tenant: str) -> Migration | None:
         """The last move of that tenant."""
         return next((m for m in reversed(self.moves) if m.tenant == tenant), None)
 
@@ -143,29 +143,29 @@
         return next((s for s in self.shards if s.name == name), None)
 
 
-class Change(msgspec.Struct, frozen=True):
+class VersionChange(msgspec.Struct, frozen=True):
     """What a part wants changed, as wholes of its own fields; None leaves a field as it is. Whoever decides a
     step gives one, and `apply` makes the next version of all of one turn.
     """
 
     why: str  # told in the log
-    orders: tuple[Order, ...] | None = None
-    allowances: tuple[Allowance, ...] | None = None
+    orders: tuple[MaintenanceTask, ...] | None = None
+    allowances: tuple[DisruptionLimit, ...] | None = None
     shards: tuple[Shard, ...] | None = None
-    homes: tuple[Home, ...] | None = None
-    moves: tuple[Move, ...] | None = None
+    homes: tuple[TenantPlacement, ...] | None = None
+    moves: tuple[Migration, ...] | None = None
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(RuleVersion).decode
 
 
-def first() -> RuleVersion:
+def initial_version() -> RuleVersion:
     """What holds before anything was agreed: nothing out, no shards."""
     return RuleVersion(0, 0)
 
 
-def apply(version: RuleVersion, term: int, changes: tuple[Change, ...]) -> RuleVersion:
+def apply(version: RuleVersion, term: int, changes: tuple[VersionChange, ...]) -> RuleVersion:
     """The next version. `since` of entries that are new or entered another step is set to its number here,
     so whoever proposes need not know it. RulesError where two changes set the same field.
     """
@@ -187,7 +187,7 @@
     return msgspec.structs.replace(version, number=number, term=term, **given)
 
 
-T = TypeVar("T", Order, Move)
+T = TypeVar("T", MaintenanceTask, Migration)
 
 
 def _since(entry: T, before: T | None, number: int) -> T:
--- a/quincepier/state/__init__.py
+++ b/quincepier/state/__init__.py
@@ -5,21 +5,21 @@
 never decides what an old fact is worth: that is `recovery`'s. Read `store.py` first; docs/state.md.
 """
 
-from quincepier.state.kept import Kept, KeptMachine, Stamp, age_of
-from quincepier.state.record import RECORD_MOST, Fault, StateError, pack, unpack
-from quincepier.state.store import Files, Loaded, Store
+from quincepier.state.learned_state import LearnedState, MachineRecord, Timestamp, age_of
+from quincepier.state.record_format import RECORD_MOST, RecordFault, StateError, pack_record, unpack_record
+from quincepier.state.snapshot_store import FileSystem, LoadedSnapshot, SnapshotStore
 
 __all__ = [
     "RECORD_MOST",
-    "Fault",
-    "Files",
-    "Kept",
-    "KeptMachine",
-    "Loaded",
-    "Stamp",
+    "FileSystem",
+    "LearnedState",
+    "LoadedSnapshot",
+    "MachineRecord",
+    "RecordFault",
+    "SnapshotStore",
     "StateError",
-    "Store",
+    "Timestamp",
     "age_of",
-    "pack",
-    "unpack",
+    "pack_record",
+    "unpack_record",
 ]
--- a/quincepier/state/command.py
+++ b/quincepier/state/command.py
@@ -14,31 +14,38 @@
 
 import msgspec
 
-from quincepier.state.kept import Kept, Stamp, age_of, decode
-from quincepier.state.record import Fault, StateError, unpack
-from quincepier.state.store import FILE_MOST, GENERATIONS, NEW, Files, Loaded, Store
+from quincepier.state.learned_state import LearnedState, Timestamp, age_of, decode
+from quincepier.state.record_format import RecordFault, StateError, unpack_record
+from quincepier.state.snapshot_store import (
+    FILE_MOST,
+    GENERATIONS,
+    NEW,
+    FileSystem,
+    LoadedSnapshot,
+    SnapshotStore,
+)
 
 WELL, DAMAGED, FOLDER, NEWER, LOCKED = range(5)
 
 
-def _code(found: Loaded) -> int:
+def _code(found: LoadedSnapshot) -> int:
     faults = {error.fault for _, error in found.faults}
-    return NEWER if Fault.NEWER in faults else DAMAGED if faults else WELL
+    return NEWER if RecordFault.NEWER in faults else DAMAGED if faults else WELL
 
 
-def _age(kept: Kept, now: Stamp) -> str:
+def _age(kept: LearnedState, now: Timestamp) -> str:
     age = age_of(kept.stamp, now)
     return "of unknown age" if age is None else f"{age / 1e9:.1f} s old"
 
 
-def _read(folder: Path) -> tuple[Loaded, Files]:
+def _read(folder: Path) -> tuple[LoadedSnapshot, FileSystem]:
     if not folder.is_dir():
-        raise StateError(Fault.FOLDER, f"{folder} is no folder")
-    files = Files(folder)
-    return Store(files).load(), files
+        raise StateError(RecordFault.FOLDER, f"{folder} is no folder")
+    files = FileSystem(folder)
+    return SnapshotStore(files).load(), files
 
 
-def show(folder: Path, now: Stamp) -> int:
+def show(folder: Path, now: Timestamp) -> int:
     """The newest whole record, as JSON on the standard output."""
     found, _ = _read(folder)
     for name, error in found.faults:
@@ -52,7 +59,7 @@
     return _code(found)
 
 
-def check(folder: Path, now: Stamp) -> int:
+def check(folder: Path, now: Timestamp) -> int:
     """A line for each generation."""
     found, files = _read(folder)
     for name in GENERATIONS:
@@ -63,7 +70,7 @@
         elif raw is None:
             print(f"{name}: not there")
         else:
-            version, sequence, content = unpack(raw)
+            version, sequence, content = unpack_record(raw)
             kept = decode(version, content)
             print(
                 f"{name}: whole, version {version}, sequence {sequence}, {len(raw)} bytes, {_age(kept, now)}"
@@ -71,14 +78,14 @@
     return _code(found)
 
 
-def prune(folder: Path, now: Stamp) -> int:
+def prune(folder: Path, now: Timestamp) -> int:
     """Take away what can't be used and what was left half written; newer versions stay."""
     found, files = _read(folder)
-    store = Store(files)
+    store = SnapshotStore(files)
     store.open()
     try:
         for name, error in found.faults:
-            if error.fault is not Fault.NEWER:
+            if error.fault is not RecordFault.NEWER:
                 files.remove(name)
                 print(f"{name}: taken away: {error}")
         if (folder / NEW).exists():
@@ -86,16 +93,16 @@
             print(f"{NEW}: taken away: half written")
         files.sync_folder()
     except OSError as error:
-        raise StateError(Fault.FOLDER, os.strerror(error.errno or 0)) from None
+        raise StateError(RecordFault.FOLDER, os.strerror(error.errno or 0)) from None
     finally:
         store.close()
     return NEWER if _code(found) == NEWER else WELL
 
 
-def run(chosen: Mapping[str, Any], now: Stamp) -> int:
+def run(chosen: Mapping[str, Any], now: Timestamp) -> int:
     what = next(work for name, work in (("show", show), ("check", check), ("prune", prune)) if chosen[name])
     try:
         return what(Path(chosen["FOLDER"]), now)
     except StateError as error:
         print(f"quincepier: {error}", file=sys.stderr)
-        return LOCKED if error.fault is Fault.LOCKED else FOLDER
+        return LOCKED if error.fault is RecordFault.LOCKED else FOLDER
--- a/quincepier/state/kept.py
+++ b/quincepier/state/learned_state.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from quincepier import interface as io
-from quincepier.state.record import Fault, StateError
-from quincepier.state.versions import CURRENT, brought_up
+from quincepier.state.record_format import RecordFault, StateError
+from quincepier.state.schema_upgrades import CURRENT, upgrade
 
 MS = 1_000_000
 DAY = 86_400 * 1000 * MS
@@ -31,7 +31,7 @@
         raise ValueError("a number that is none")
 
 
-class Stamp(msgspec.Struct, frozen=True, array_like=True):
+class Timestamp(msgspec.Struct, frozen=True, array_like=True):
     """When: Unix time, and this machine's boot with the time since it, which no setting of a clock moves."""
 
     unix_ms: Annotated[int, msgspec.Meta(ge=0, lt=1 << 50)]
@@ -39,14 +39,14 @@
     boot_ns: Number
 
 
-def age_of(written: Stamp, now: Stamp) -> int | None:
+def age_of(written: Timestamp, now: Timestamp) -> int | None:
     """Nanoseconds between; None where the clocks contradict each other, so that nobody knows."""
     if written.boot and written.boot == now.boot:
         return now.boot_ns - written.boot_ns if now.boot_ns >= written.boot_ns else None
     return (now.unix_ms - written.unix_ms) * MS if now.unix_ms >= written.unix_ms else None
 
 
-class KeptClass(msgspec.Struct, frozen=True, array_like=True):
+class ServiceTimeRecord(msgspec.Struct, frozen=True, array_like=True):
     name: Name
     mean: float
     seen: Count
@@ -58,7 +58,7 @@
             raise ValueError("a mean below 0")
 
 
-class KeptUsual(msgspec.Struct, frozen=True, array_like=True):
+class BaselineLatencyRecord(msgspec.Struct, frozen=True, array_like=True):
     name: Name
     held: bool
     told: bool
@@ -73,12 +73,12 @@
             raise ValueError("a time that is none")
 
 
-class KeptBound(msgspec.Struct, frozen=True, array_like=True):
+class FetchLimitRecord(msgspec.Struct, frozen=True, array_like=True):
     bound: Annotated[int, msgspec.Meta(ge=1, le=1 << 20)]
     ago: Age
 
 
-class KeptWork(msgspec.Struct, frozen=True, array_like=True):
+class CapacityRecord(msgspec.Struct, frozen=True, array_like=True):
     kind: Name
     work: float
     span: Age
@@ -90,7 +90,7 @@
             raise ValueError("work below 0")
 
 
-class KeptMachine(msgspec.Struct, frozen=True, array_like=True):
+class MachineRecord(msgspec.Struct, frozen=True, array_like=True):
     host: Name
     born_ms: Annotated[int, msgspec.Meta(ge=-(1 << 53), le=1 << 53)]
     slowed: float
@@ -106,13 +106,13 @@
             raise ValueError("signs that are none")
 
 
-class KeptPurge(msgspec.Struct, frozen=True, array_like=True):
+class PurgeRecord(msgspec.Struct, frozen=True, array_like=True):
     group: Number
     object: Number
     ago: Age
 
 
-class KeptAside(msgspec.Struct, frozen=True, array_like=True):
+class AddressBackoffRecord(msgspec.Struct, frozen=True, array_like=True):
     """An address of a machine that is set aside, and for how much longer."""
 
     host: Name
@@ -121,40 +121,40 @@
     left: Annotated[int, msgspec.Meta(ge=0, le=DAY)]
 
 
-class Kept(msgspec.Struct, frozen=True):
+class LearnedState(msgspec.Struct, frozen=True):
     """The content of a record, version 2."""
 
     writer: Name
-    stamp: Stamp
-    classes: Annotated[tuple[KeptClass, ...], msgspec.Meta(max_length=CLASSES_MOST)] = ()
-    usual: Annotated[tuple[KeptUsual, ...], msgspec.Meta(max_length=4 * CLASSES_MOST)] = ()
-    bound: KeptBound | None = None
-    works: Annotated[tuple[KeptWork, ...], msgspec.Meta(max_length=CLASSES_MOST)] = ()
-    machines: Annotated[tuple[KeptMachine, ...], msgspec.Meta(max_length=MACHINES_MOST)] = ()
-    purges: Annotated[tuple[KeptPurge, ...], msgspec.Meta(max_length=PURGES_MOST)] = ()
-    aside: Annotated[tuple[KeptAside, ...], msgspec.Meta(max_length=MACHINES_MOST)] = ()
+    stamp: Timestamp
+    classes: Annotated[tuple[ServiceTimeRecord, ...], msgspec.Meta(max_length=CLASSES_MOST)] = ()
+    usual: Annotated[tuple[BaselineLatencyRecord, ...], msgspec.Meta(max_length=4 * CLASSES_MOST)] = ()
+    bound: FetchLimitRecord | None = None
+    works: Annotated[tuple[CapacityRecord, ...], msgspec.Meta(max_length=CLASSES_MOST)] = ()
+    machines: Annotated[tuple[MachineRecord, ...], msgspec.Meta(max_length=MACHINES_MOST)] = ()
+    purges: Annotated[tuple[PurgeRecord, ...], msgspec.Meta(max_length=PURGES_MOST)] = ()
+    aside: Annotated[tuple[AddressBackoffRecord, ...], msgspec.Meta(max_length=MACHINES_MOST)] = ()
 
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def encode(kept: Kept) -> bytes:
+def encode(kept: LearnedState) -> bytes:
     return _encode(kept)
 
 
-def decode(version: int, content: bytes) -> Kept:
+def decode(version: int, content: bytes) -> LearnedState:
     """A record's content of any version up to ours; StateError for a newer one and for what is none."""
     if version > CURRENT or version < 1:
-        fault = Fault.NEWER if version > CURRENT else Fault.CONTENT
+        fault = RecordFault.NEWER if version > CURRENT else RecordFault.CONTENT
         raise StateError(fault, f"version {version}, this program reads up to {CURRENT}", 4)
     try:
-        return msgspec.convert(brought_up(version, msgspec.msgpack.decode(content)), Kept, strict=True)
+        return msgspec.convert(upgrade(version, msgspec.msgpack.decode(content)), LearnedState, strict=True)
     except (msgspec.DecodeError, ValueError, TypeError, KeyError, RecursionError) as error:
-        raise StateError(Fault.CONTENT, str(error)[:200]) from None
+        raise StateError(RecordFault.CONTENT, str(error)[:200]) from None
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
+class NameMapping:
     """What the numbers of this process stand for."""
 
     classes: tuple[str, ...]
@@ -163,35 +163,41 @@
     number: Callable[[str, int], int | None]  # number of a machine that is listed with this start
 
 
-class Gathered:
+class LearnedStateBuilder:
     """Facts by kind as they are told, in slices."""
 
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: NameMapping) -> None:
         self.names = names
-        self.classes, self.usual = list[KeptClass](), list[KeptUsual]()
-        self.bound: KeptBound | None = None
-        self.works, self.machines, self.purges = list[KeptWork](), list[KeptMachine](), list[KeptPurge]()
-        self.aside = list[KeptAside]()
+        self.classes, self.usual = list[ServiceTimeRecord](), list[BaselineLatencyRecord]()
+        self.bound: FetchLimitRecord | None = None
+        self.works, self.machines, self.purges = (
+            list[CapacityRecord](),
+            list[MachineRecord](),
+            list[PurgeRecord](),
+        )
+        self.aside = list[AddressBackoffRecord]()
 
     def add(self, fact: io.Learned) -> None:
         names = self.names
         match fact:
             case io.LearnedClass(cls, mean, seen, ago) if cls < len(names.classes):
-                self.classes.append(KeptClass(names.classes[cls], mean, seen, ago))
+                self.classes.append(ServiceTimeRecord(names.classes[cls], mean, seen, ago))
             case io.LearnedUsual(cls, held, told, mean, seen, least, ago) if cls < len(names.classes):
-                self.usual.append(KeptUsual(names.classes[cls], held, told, mean, seen, least, ago))
+                self.usual.append(
+                    BaselineLatencyRecord(names.classes[cls], held, told, mean, seen, least, ago)
+                )
             case io.LearnedBound(bound, ago):
-                self.bound = KeptBound(bound, ago)
+                self.bound = FetchLimitRecord(bound, ago)
             case io.LearnedWork(kind, work, span, ago) if kind < len(names.kinds):
-                self.works.append(KeptWork(names.kinds[kind], work, span, ago))
+                self.works.append(CapacityRecord(names.kinds[kind], work, span, ago))
             case io.LearnedMachine(cache) if at := names.machine(cache):
                 ages = fact.cold_ago, fact.aside_ago, fact.leaving_ago
-                self.machines.append(KeptMachine(*at, fact.slowed, fact.signs, fact.ago, *ages))
+                self.machines.append(MachineRecord(*at, fact.slowed, fact.signs, fact.ago, *ages))
             case io.LearnedPurge(group, obj, ago) if len(self.purges) < PURGES_MOST:
-                self.purges.append(KeptPurge(group, obj, ago))
+                self.purges.append(PurgeRecord(group, obj, ago))
 
-    def kept(self, writer: str, stamp: Stamp) -> Kept:
-        return Kept(
+    def kept(self, writer: str, stamp: Timestamp) -> LearnedState:
+        return LearnedState(
             writer=writer[:200],
             stamp=stamp,
             classes=tuple(self.classes),
@@ -204,7 +210,7 @@
         )
 
 
-def facts(kept: Kept, names: Names) -> Iterator[io.Learned]:
+def facts_from_state(kept: LearnedState, names: NameMapping) -> Iterator[io.Learned]:
     """What still has a meaning here: classes and kinds of these names, machines of the same start."""
     classes = {name: n for n, name in enumerate(names.classes)}
     kinds = {name: n for n, name in enumerate(names.kinds)}
--- a/quincepier/state/record.py
+++ b/quincepier/state/record_format.py
@@ -22,7 +22,7 @@
 RECORD_MOST = 16 * 1024 * 1024  # bytes of a record, and of its content as it is taken apart
 
 
-class Fault(Enum):
+class RecordFault(Enum):
     """Why a record, or the folder, can't be used."""
 
     SHORT = "cut short"
@@ -41,16 +41,16 @@
     code = "QP-STATE"
     remedy = "see `quincepier state check FOLDER`; `state prune` takes away what is damaged"
 
-    def __init__(self, fault: Fault, detail: str = "", offset: int = -1) -> None:
+    def __init__(self, fault: RecordFault, detail: str = "", offset: int = -1) -> None:
         at = f" at byte {offset}" if offset >= 0 else ""
         super().__init__(f"{fault.value}{at}{': ' if detail else ''}{detail}")
         self.fault, self.offset = fault, offset
 
 
-def pack(version: int, sequence: int, content: bytes) -> bytes:
+def pack_record(version: int, sequence: int, content: bytes) -> bytes:
     """A record of this content; StateError where it is too large."""
     if len(content) > RECORD_MOST:
-        raise StateError(Fault.LARGE, f"{len(content)} bytes")
+        raise StateError(RecordFault.LARGE, f"{len(content)} bytes")
     stored, flags = content, 0
     if len(content) >= COMPRESS_FROM:
         stored, flags = zstandard.ZstdCompressor(level=1).compress(content), ZSTD
@@ -58,27 +58,27 @@
     return head + xxhash.xxh3_128_digest(head + stored) + stored
 
 
-def unpack(raw: bytes) -> tuple[int, int, bytes]:
+def unpack_record(raw: bytes) -> tuple[int, int, bytes]:
     """(version, sequence, content) of a whole record; StateError for any other bytes."""
     if len(raw) < HEAD.size + DIGEST:
-        raise StateError(Fault.SHORT, f"{len(raw)} bytes", len(raw))
+        raise StateError(RecordFault.SHORT, f"{len(raw)} bytes", len(raw))
     magic, version, flags, sequence, stored, whole = HEAD.unpack_from(raw)
     if magic != MAGIC:
-        raise StateError(Fault.FOREIGN, repr(raw[:4]), 0)
+        raise StateError(RecordFault.FOREIGN, repr(raw[:4]), 0)
     if max(stored, whole) > RECORD_MOST:
-        raise StateError(Fault.LARGE, f"{max(stored, whole)} bytes", HEAD.size - 8)
+        raise StateError(RecordFault.LARGE, f"{max(stored, whole)} bytes", HEAD.size - 8)
     body = raw[HEAD.size + DIGEST :]
     if len(body) < stored:
-        raise StateError(Fault.SHORT, f"{len(body)} of {stored} bytes", len(raw))
+        raise StateError(RecordFault.SHORT, f"{len(body)} of {stored} bytes", len(raw))
     if len(body) > stored:
-        raise StateError(Fault.DAMAGED, "bytes after its end", HEAD.size + DIGEST + stored)
+        raise StateError(RecordFault.DAMAGED, "bytes after its end", HEAD.size + DIGEST + stored)
     if xxhash.xxh3_128_digest(raw[: HEAD.size] + body) != raw[HEAD.size : HEAD.size + DIGEST]:
-        raise StateError(Fault.DAMAGED, "the checksum differs")
+        raise StateError(RecordFault.DAMAGED, "the checksum differs")
     if flags & ~ZSTD:
-        raise StateError(Fault.NEWER, f"flags {flags:#x}", 6)
+        raise StateError(RecordFault.NEWER, f"flags {flags:#x}", 6)
     content = _inflate(body, whole) if flags & ZSTD else body
     if len(content) != whole:
-        raise StateError(Fault.DAMAGED, f"{len(content)} bytes in place of {whole}")
+        raise StateError(RecordFault.DAMAGED, f"{len(content)} bytes in place of {whole}")
     return version, sequence, content
 
 
@@ -88,4 +88,4 @@
         with zstandard.ZstdDecompressor(max_window_size=RECORD_MOST).stream_reader(body) as reader:
             return reader.read(whole + 1)
     except (zstandard.ZstdError, MemoryError) as error:
-        raise StateError(Fault.DAMAGED, str(error)) from None
+        raise StateError(RecordFault.DAMAGED, str(error)) from None
--- a/quincepier/state/versions.py
+++ b/quincepier/state/schema_upgrades.py
@@ -8,15 +8,17 @@
 CURRENT = 2
 
 
-def from_1(content: dict[str, Any]) -> dict[str, Any]:
+def upgrade_from_1(content: dict[str, Any]) -> dict[str, Any]:
     """Version 1 knew nothing of addresses."""
     return {**content, "aside": ()}
 
 
-STEPS: Mapping[int, Callable[[dict[str, Any]], dict[str, Any]]] = {1: from_1}  # by the version they read
+STEPS: Mapping[int, Callable[[dict[str, Any]], dict[str, Any]]] = {
+    1: upgrade_from_1
+}  # by the version they read
 
 
-def brought_up(version: int, content: Any) -> Any:
+def upgrade(version: int, content: Any) -> Any:
     """Content of a version of ours as the current one has it; KeyError where there is no such step."""
     for n in range(version, CURRENT):
         content = STEPS[n](dict(content))
--- a/quincepier/state/store.py
+++ b/quincepier/state/snapshot_store.py
@@ -13,16 +13,24 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from quincepier.state.kept import Kept, decode
-from quincepier.state.record import DIGEST, HEAD, RECORD_MOST, Fault, StateError, pack, unpack
-from quincepier.state.versions import CURRENT
+from quincepier.state.learned_state import LearnedState, decode
+from quincepier.state.record_format import (
+    DIGEST,
+    HEAD,
+    RECORD_MOST,
+    RecordFault,
+    StateError,
+    pack_record,
+    unpack_record,
+)
+from quincepier.state.schema_upgrades import CURRENT
 
 GENERATIONS = ("learned.0", "learned.1")
 NEW, LOCK = "learned.new", "lock"
 FILE_MOST = HEAD.size + DIGEST + RECORD_MOST
 
 
-class Files:
+class FileSystem:
     """The system calls that a store makes, in one folder. OSError as they raise it."""
 
     def __init__(self, folder: Path) -> None:
@@ -83,20 +91,20 @@
 
 
 @dataclass(slots=True)
-class Loaded:
+class LoadedSnapshot:
     """The newest whole record, if any, and what was wrong with others, by file."""
 
-    kept: Kept | None = None
+    kept: LearnedState | None = None
     sequence: int = 0
     version: int = 0
     size: int = 0
     faults: list[tuple[str, StateError]] = field(default_factory=list)
 
 
-class Store:
+class SnapshotStore:
     """One folder in use by one front. What it can't do is a StateError; nothing else is raised."""
 
-    def __init__(self, files: Files) -> None:
+    def __init__(self, files: FileSystem) -> None:
         self.files = files
         self.sequence = 0
         self.place = 0  # of the generation to be written next
@@ -108,32 +116,34 @@
             self.files.folder.mkdir(parents=True, exist_ok=True)
             self.files.take_lock()
         except BlockingIOError:
-            raise StateError(Fault.LOCKED, str(self.files.folder)) from None
+            raise StateError(RecordFault.LOCKED, str(self.files.folder)) from None
         except OSError as error:
             if error.errno in (errno.EACCES, errno.EPERM, errno.EROFS) and self.files.folder.is_dir():
                 self.kept_out = "the folder is read-only"  # it can still be read
                 return
-            raise StateError(Fault.FOLDER, f"{self.files.folder}: {os.strerror(error.errno or 0)}") from None
+            raise StateError(
+                RecordFault.FOLDER, f"{self.files.folder}: {os.strerror(error.errno or 0)}"
+            ) from None
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedSnapshot:
         """Never raises: what can't be used is told, and left alone where it is of a newer version."""
-        found, newest = Loaded(), -1
+        found, newest = LoadedSnapshot(), -1
         for place, name in enumerate(GENERATIONS):
             try:
                 raw = self.files.read(name, FILE_MOST)
                 if raw is None:
                     continue
                 if len(raw) > FILE_MOST:
-                    raise StateError(Fault.LARGE, f"over {FILE_MOST} bytes")
-                version, sequence, content = unpack(raw)
+                    raise StateError(RecordFault.LARGE, f"over {FILE_MOST} bytes")
+                version, sequence, content = unpack_record(raw)
                 kept = decode(version, content)
             except StateError as error:
                 found.faults.append((name, error))
-                if error.fault is Fault.NEWER:
+                if error.fault is RecordFault.NEWER:
                     self.kept_out = f"{name} is {error}"
                 continue
             except OSError as error:
-                found.faults.append((name, StateError(Fault.FOLDER, os.strerror(error.errno or 0))))
+                found.faults.append((name, StateError(RecordFault.FOLDER, os.strerror(error.errno or 0))))
                 continue
             if sequence > newest:
                 newest, self.place = sequence, 1 - place
@@ -144,8 +154,8 @@
     def save(self, content: bytes, version: int = CURRENT) -> int:
         """Write the next generation; its bytes. StateError where it can't be done: the older one stays."""
         if self.kept_out:
-            raise StateError(Fault.FOLDER, self.kept_out)
-        record = pack(version, self.sequence + 1, content)
+            raise StateError(RecordFault.FOLDER, self.kept_out)
+        record = pack_record(version, self.sequence + 1, content)
         try:
             fd = self.files.create(NEW)
             try:
@@ -158,7 +168,7 @@
             self.files.rename(NEW, GENERATIONS[self.place])
             self.files.sync_folder()
         except OSError as error:
-            raise StateError(Fault.FOLDER, os.strerror(error.errno or 0)) from None
+            raise StateError(RecordFault.FOLDER, os.strerror(error.errno or 0)) from None
         self.sequence, self.place = self.sequence + 1, 1 - self.place
         return len(record)
 
--- a/quincepier/state/voterrecords.py
+++ b/quincepier/state/voter_records.py
@@ -19,7 +19,7 @@
 Data = Annotated[bytes, msgspec.Meta(max_length=DATA_MOST)]
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     NOTHING = 0  # a leader's first entry of its term
     DATA = 1
     VOTERS = 2  # a change of the roster, of one voter
@@ -30,10 +30,10 @@
     identity: Identity
 
 
-Roster = Annotated[tuple[Member, ...], msgspec.Meta(max_length=VOTERS_MOST)]
+Configuration = Annotated[tuple[Member, ...], msgspec.Meta(max_length=VOTERS_MOST)]
 
 
-class Mark(msgspec.Struct, frozen=True, array_like=True, tag=1):
+class HardState(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """Who this voter is and what it promised. A mark of another identity begins an empty log."""
 
     identity: Identity
@@ -42,54 +42,54 @@
     vote: Annotated[str, msgspec.Meta(max_length=32)] = ""  # identity that was voted for in this term
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True, tag=2):
+class LogEntry(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """An entry of the log; a line at an index takes the place of that one and of all after it."""
 
     index: Number
     term: Number
-    kind: Kind
+    kind: EntryKind
     data: Data = b""
-    roster: Roster = ()  # of VOTERS
+    roster: Configuration = ()  # of VOTERS
 
 
-class Base(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """A snapshot: everything up to `index` is committed, and `data` is what was committed last in it."""
 
     index: Number
     term: Number
-    roster: Roster
+    roster: Configuration
     data_index: Number = 0  # 0: nothing was committed yet but the voters
     data_term: Number = 0
     data: Data = b""
 
 
-Record = Mark | Line | Base
+Record = HardState | LogEntry | Snapshot
 
 
-class Saved(msgspec.Struct, frozen=True, array_like=True, tag="voter"):
-    mark: Mark
-    base: Base | None = None  # None: this voter was never told who the voters are
-    lines: tuple[Line, ...] = ()
+class VoterState(msgspec.Struct, frozen=True, array_like=True, tag="voter"):
+    mark: HardState
+    base: Snapshot | None = None  # None: this voter was never told who the voters are
+    lines: tuple[LogEntry, ...] = ()
 
 
-def merged(saved: Saved | None, records: tuple[Record, ...]) -> Saved | None:
+def merged(saved: VoterState | None, records: tuple[Record, ...]) -> VoterState | None:
     """What is kept once these are written: the one meaning of records, on the disk and in the laboratory."""
     mark, base = (saved.mark, saved.base) if saved else (None, None)
     lines = list(saved.lines) if saved else []
     for record in records:
         match record:
-            case Mark():
+            case HardState():
                 if mark is not None and mark.identity != record.identity:
                     base, lines = None, []
                 mark = record
-            case Line():
+            case LogEntry():
                 lines = [line for line in lines if line.index < record.index]
                 lines.append(record)
-            case Base():
+            case Snapshot():
                 # lines after a snapshot that this voter took over whole may be of another history
                 known = next((line.term for line in lines if line.index == record.index), None)
                 if base is not None and base.index == record.index:
                     known = base.term
                 lines = [line for line in lines if line.index > record.index] if known == record.term else []
                 base = record
-    return None if mark is None else Saved(mark, base, tuple(lines))
+    return None if mark is None else VoterState(mark, base, tuple(lines))
--- a/quincepier/state/voterlog.py
+++ b/quincepier/state/voter_store.py
@@ -13,9 +13,17 @@
 
 import msgspec
 
-from quincepier.state.record import DIGEST, HEAD, RECORD_MOST, Fault, StateError, pack, unpack
-from quincepier.state.store import Files
-from quincepier.state.voterrecords import Base, Record, Saved, merged
+from quincepier.state.record_format import (
+    DIGEST,
+    HEAD,
+    RECORD_MOST,
+    RecordFault,
+    StateError,
+    pack_record,
+    unpack_record,
+)
+from quincepier.state.snapshot_store import FileSystem
+from quincepier.state.voter_records import Record, Snapshot, VoterState, merged
 
 FILE, BESIDE = "voter", "voter.new"
 FILE_MOST = HEAD.size + DIGEST + RECORD_MOST
@@ -23,10 +31,10 @@
 REMEDY = "put this voter's folder aside and start it with an empty one: the other voters take it in anew"
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Saved).decode
+_decode = msgspec.msgpack.Decoder(VoterState).decode
 
 
-class VoterLog:
+class VoterStore:
     """One folder of one voter, its own: the folder of `state` has another lock. What it can't do is
     a StateError with file, byte and remedy.
 
@@ -34,9 +42,9 @@
     that failed may be tried again with the same records; until then nothing that waits for it is to be sent.
     """
 
-    def __init__(self, files: Files) -> None:
+    def __init__(self, files: FileSystem) -> None:
         self.files = files
-        self.saved: Saved | None = None
+        self.saved: VoterState | None = None
         self.sequence = 0
         self.ready = False  # the file was read: what is in it would not be written over unseen
 
@@ -47,11 +55,11 @@
             self.files.take_lock()
         except BlockingIOError:
             where = str(self.files.folder)
-            raise StateError(Fault.LOCKED, f"{where}; give each voter a folder of its own") from None
+            raise StateError(RecordFault.LOCKED, f"{where}; give each voter a folder of its own") from None
         except OSError as error:
             raise self._unusable(error) from None
 
-    def load(self) -> Saved | None:
+    def load(self) -> VoterState | None:
         """What is kept, None for a new folder; StateError for what is not whole."""
         try:
             raw = self.files.read(FILE, FILE_MOST)
@@ -69,11 +77,11 @@
     def save(self, records: tuple[Record, ...]) -> int:
         """On disk once this returns its bytes. After a StateError the file is as before or as asked."""
         if not self.ready:
-            raise StateError(Fault.FOLDER, f"{self.files.folder / FILE} was not read")
+            raise StateError(RecordFault.FOLDER, f"{self.files.folder / FILE} was not read")
         saved = merged(self.saved, records)
         if saved is None:
-            raise StateError(Fault.CONTENT, "records without a mark")
-        record = pack(VERSION, self.sequence + 1, _encode(saved))
+            raise StateError(RecordFault.CONTENT, "records without a mark")
+        record = pack_record(VERSION, self.sequence + 1, _encode(saved))
         try:
             fd = self.files.create(BESIDE)
             try:
@@ -97,25 +105,25 @@
         full = error.errno in (errno.ENOSPC, errno.EDQUOT)
         remedy = "make room; it votes again then" if full else "see to the disk; it does not vote until then"
         reason = os.strerror(error.errno or 0)
-        return StateError(Fault.FOLDER, f"{self.files.folder / FILE}: {reason}; {remedy}")
+        return StateError(RecordFault.FOLDER, f"{self.files.folder / FILE}: {reason}; {remedy}")
 
 
-def _whole(raw: bytes) -> tuple[Saved, int]:
+def _whole(raw: bytes) -> tuple[VoterState, int]:
     """Content and sequence of a file; StateError for any other bytes."""
     if len(raw) > FILE_MOST:
-        raise StateError(Fault.LARGE, f"over {FILE_MOST} bytes", FILE_MOST)
-    version, sequence, content = unpack(raw)
+        raise StateError(RecordFault.LARGE, f"over {FILE_MOST} bytes", FILE_MOST)
+    version, sequence, content = unpack_record(raw)
     if version != VERSION:
-        raise StateError(Fault.NEWER, f"version {version}", 4)
+        raise StateError(RecordFault.NEWER, f"version {version}", 4)
     try:
         saved = _decode(content)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise StateError(Fault.CONTENT, str(error)[:100], HEAD.size + DIGEST) from None
-    base = saved.base or Base(0, 0, ())
+        raise StateError(RecordFault.CONTENT, str(error)[:100], HEAD.size + DIGEST) from None
+    base = saved.base or Snapshot(0, 0, ())
     index, term = base.index, base.term
     for line in saved.lines:
         index += 1
         if line.index != index or line.term < term or line.term > saved.mark.term:
-            raise StateError(Fault.CONTENT, f"entry {line.index} is out of order", HEAD.size + DIGEST)
+            raise StateError(RecordFault.CONTENT, f"entry {line.index} is out of order", HEAD.size + DIGEST)
         term = line.term
     return saved, sequence
--- a/quincepier/tenancy/__init__.py
+++ b/quincepier/tenancy/__init__.py
@@ -5,22 +5,22 @@
 """
 
 from quincepier.tenancy.errors import TenancyError
-from quincepier.tenancy.gap import Wishes, hold
-from quincepier.tenancy.homes import Homes, part_of, place
-from quincepier.tenancy.known import Tenants
+from quincepier.tenancy.migration import advance, held_back
+from quincepier.tenancy.placement import PlacementTable, part_of, place
 from quincepier.tenancy.section import COMMON, TenantsSection
-from quincepier.tenancy.steps import advance, held_back
-from quincepier.tenancy.verify import Finding, Verdict, judge
+from quincepier.tenancy.tenant_lookup import TenantLookup
+from quincepier.tenancy.verification import Finding, Verdict, judge
+from quincepier.tenancy.write_pause import MigrationPolicy, hold
 
 __all__ = [
     "COMMON",
     "Finding",
-    "Homes",
+    "MigrationPolicy",
+    "PlacementTable",
     "TenancyError",
-    "Tenants",
+    "TenantLookup",
     "TenantsSection",
     "Verdict",
-    "Wishes",
     "advance",
     "held_back",
     "hold",
--- a/quincepier/tenancy/steps.py
+++ b/quincepier/tenancy/migration.py
@@ -9,23 +9,31 @@
 
 from msgspec.structs import replace
 
-from quincepier.rules import Change, Home, Move, MoveStep, RuleVersion, Seen, Shard
+from quincepier.rules import (
+    Migration,
+    MigrationStep,
+    Observations,
+    RuleVersion,
+    Shard,
+    TenantPlacement,
+    VersionChange,
+)
 from quincepier.rules.version import MOVES_MOST, PARTS
-from quincepier.tenancy.gap import Wishes
-from quincepier.tenancy.growth import WARM_PART, cold_host, grown, ready_hosts, under_work
-from quincepier.tenancy.section import COMMON, SECOND, MoveLine
-from quincepier.tenancy.verify import Verdict, compare, in_same_seconds, judge, unharmed
+from quincepier.tenancy.ramp_up import WARM_PART, cold_host, grown, ready_hosts, under_work
+from quincepier.tenancy.section import COMMON, SECOND, MigrationRequest
+from quincepier.tenancy.verification import Verdict, compare, in_same_seconds, judge, unharmed
+from quincepier.tenancy.write_pause import MigrationPolicy
 
 CLOSING_MOST = 10 * SECOND  # agreed for so long and not in force: repeats run at the old home again
 CLOSED_MOST = 32  # moves that are over and that no wish names, kept
 VERIFY_LEAST = 10 * SECOND  # also the rest between two tries of closing
-Step = MoveStep
+Step = MigrationStep
 
 
-def advance(version: RuleVersion, wishes: Wishes, seen: Seen) -> Change | None:
+def advance(version: RuleVersion, wishes: MigrationPolicy, seen: Observations) -> VersionChange | None:
     """What tenants want changed by now, or None. Called by the leader, each turn, with its own file."""
     lines = {line.id: line for line in wishes.section.moves}
-    homes, moves, why = list(version.homes), list[Move](), list[str]()
+    homes, moves, why = list(version.homes), list[Migration](), list[str]()
     # Kept though the wish is gone: another leader's file may still have it, and it is not to begin again.
     gone = [m.wish for m in version.moves if not m.open and m.wish not in lines][:-CLOSED_MOST]
     for move in version.moves:
@@ -39,7 +47,7 @@
         if after != move:
             why.append(f"{move.wish}: {move.tenant} {_told(after)}")
         if after.step is Step.DONE:
-            homes = [h for h in homes if h.tenant != move.tenant] + [Home(move.tenant, move.new)]
+            homes = [h for h in homes if h.tenant != move.tenant] + [TenantPlacement(move.tenant, move.new)]
     for line in wishes.section.moves:
         if (begun := _begun(version, moves, homes, line)) is not None:
             moves.append(begun)
@@ -56,12 +64,12 @@
         why.append("shards as in the file")
     for name, tenant in sorted(wishes.section.tenants.items()):
         if all(h.tenant != name for h in homes):
-            homes.append(Home(name, "" if tenant.home == COMMON else tenant.home))
+            homes.append(TenantPlacement(name, "" if tenant.home == COMMON else tenant.home))
             why.append(f"{name} at home in {tenant.home}")
     new_homes, new_moves = tuple(homes), tuple(moves)
     if (shards, new_homes, new_moves) == (version.shards, version.homes, version.moves):
         return None
-    return Change(
+    return VersionChange(
         "; ".join(why) or "moves that nobody names any more are dropped",
         shards=None if shards == version.shards else shards,
         homes=None if new_homes == version.homes else new_homes,
@@ -90,7 +98,9 @@
     return tuple(sorted((*kept.values(), *fresh), key=lambda s: s.name))
 
 
-def _begun(version: RuleVersion, moves: list[Move], homes: list[Home], line: MoveLine) -> Move | None:
+def _begun(
+    version: RuleVersion, moves: list[Migration], homes: list[TenantPlacement], line: MigrationRequest
+) -> Migration | None:
     """A wish that begins: not known yet, its tenant under no other move, and not at home there already."""
     old = next((h.shard for h in homes if h.tenant == line.tenant), None)
     known = any(m.wish == line.id or (m.open and m.tenant == line.tenant) for m in moves)
@@ -98,19 +108,25 @@
         return None
     if line.shard and version.shard(line.shard) is None:  # its shard comes with this change: the next turn
         return None
-    return Move(line.id, line.tenant, old, line.shard, Step.PLANNED, 0)
+    return Migration(line.id, line.tenant, old, line.shard, Step.PLANNED, 0)
 
 
-def _told(move: Move) -> str:
+def _told(move: Migration) -> str:
     part = f" {move.part}/{PARTS}" if move.step in (Step.WARMING, Step.CUT_OVER) else ""
     return f"{move.step.name.lower()}{part}{' (' + move.why + ')' if move.why else ''}"
 
 
-def _to(move: Move, step: MoveStep, why: str = "", part: int | None = None) -> Move:
+def _to(move: Migration, step: MigrationStep, why: str = "", part: int | None = None) -> Migration:
     return replace(move, step=step, why=why[:200], part=move.part if part is None else part)
 
 
-def _next(version: RuleVersion, m: Move, line: MoveLine | None, wishes: Wishes, seen: Seen) -> Move:
+def _next(
+    version: RuleVersion,
+    m: Migration,
+    line: MigrationRequest | None,
+    wishes: MigrationPolicy,
+    seen: Observations,
+) -> Migration:
     """The move after this turn. A wish that is gone, or says something else now, counts as a pause."""
     goes = line is not None and not line.pause and m.step < line.limit
     if m.step in (Step.PLANNED, Step.WARMING, Step.VERIFY, Step.CLOSING):
@@ -132,23 +148,23 @@
     return _cut_over(version, m, line, goes, wishes, seen)
 
 
-def in_force(m: Move, seen: Seen) -> bool:
+def in_force(m: Migration, seen: Observations) -> bool:
     """Whether no front decides by a version before this step, and none will."""
     return seen.in_force >= m.since and seen.lapsed
 
 
-def age(m: Move, seen: Seen) -> int:
+def age(m: Migration, seen: Observations) -> int:
     """Nanoseconds for which the step is surely in force."""
     return seen.ages.get(m.since, seen.in_force_for) if in_force(m, seen) else 0
 
 
-def all_here(version: RuleVersion, seen: Seen) -> bool:
+def all_here(version: RuleVersion, seen: Observations) -> bool:
     """Whether closing would be short: every member reports and decides by the newest version."""
     whole = set(seen.view) <= set(seen.reports) and seen.alike is not False
     return whole and seen.lapsed and seen.in_force >= version.number
 
 
-def _planned(version: RuleVersion, m: Move, wishes: Wishes, seen: Seen) -> Move:
+def _planned(version: RuleVersion, m: Migration, wishes: MigrationPolicy, seen: Observations) -> Migration:
     # A front without a lease may not know of the move. It takes what may not be repeated for the notice only.
     if age(m, seen) < wishes.notice or not all_here(version, seen):
         return m
@@ -161,7 +177,9 @@
     return _to(m, Step.WARMING, why, part) if part else m
 
 
-def _warming(version: RuleVersion, m: Move, line: MoveLine | None, goes: bool, seen: Seen) -> Move:
+def _warming(
+    version: RuleVersion, m: Migration, line: MigrationRequest | None, goes: bool, seen: Observations
+) -> Migration:
     if in_same_seconds(seen):
         found = compare(seen, m.tenant, m.old, m.new, False)
         if found.verdict is Verdict.FAIL:
@@ -178,7 +196,7 @@
     return _to(m, Step.WARMING, why, part) if part != m.part else m
 
 
-def _verified(version: RuleVersion, m: Move, goes: bool, seen: Seen) -> Move:
+def _verified(version: RuleVersion, m: Migration, goes: bool, seen: Observations) -> Migration:
     gone = not ready_hosts(seen, version, m.old)
     found = judge(seen, m.tenant, m.old, m.new)
     if found.verdict is Verdict.FAIL:
@@ -190,7 +208,7 @@
     return _to(m, Step.CLOSING, found.line) if found.verdict is Verdict.PASS else m
 
 
-def _closing(m: Move, pause: bool, seen: Seen) -> Move:
+def _closing(m: Migration, pause: bool, seen: Observations) -> Migration:
     if pause or seen.alike is False:
         return _to(m, Step.VERIFY, "paused" if pause else "fronts do not all decide alike")
     if in_force(m, seen):
@@ -201,8 +219,13 @@
 
 
 def _cut_over(
-    version: RuleVersion, m: Move, line: MoveLine | None, goes: bool, wishes: Wishes, seen: Seen
-) -> Move:
+    version: RuleVersion,
+    m: Migration,
+    line: MigrationRequest | None,
+    goes: bool,
+    wishes: MigrationPolicy,
+    seen: Observations,
+) -> Migration:
     """CUT_OVER and DRAINING. A `part` of 0 is a move on its way back: firsts still at the new home."""
     if m.part == 0:
         return _to(m, Step.RETURNING, m.why) if seen.in_force >= version.number and seen.lapsed else m
--- a/quincepier/tenancy/homes.py
+++ b/quincepier/tenancy/placement.py
@@ -8,10 +8,10 @@
 
 from quincepier import interface as io
 from quincepier.interface import Effect
-from quincepier.rules import Move, MoveStep, RuleVersion
+from quincepier.rules import Migration, MigrationStep, RuleVersion
 from quincepier.rules.version import PARTS
 from quincepier.tenancy.errors import TenancyError
-from quincepier.tenancy.known import Tenants
+from quincepier.tenancy.tenant_lookup import TenantLookup
 
 
 def part_of(key: int) -> int:
@@ -19,27 +19,27 @@
     return xxhash.xxh3_64_intdigest((key & (1 << 64) - 1).to_bytes(8, "little")) % PARTS
 
 
-def place(move: Move, part: int, once: bool, repeat: bool, cautious: bool) -> tuple[str, bool]:
+def place(move: Migration, part: int, once: bool, repeat: bool, cautious: bool) -> tuple[str, bool]:
     """Home, and whether it is refused, of a request of a tenant under an open move. `once`: its class may not
     simply be repeated; `repeat`: its client says that it asked before.
     """
     step = move.step
     if not once:
-        early = (step <= MoveStep.CLOSING and cautious) or step is MoveStep.RETURNING
-        over = step is MoveStep.DRAINING or (not early and part < move.part)
+        early = (step <= MigrationStep.CLOSING and cautious) or step is MigrationStep.RETURNING
+        over = step is MigrationStep.DRAINING or (not early and part < move.part)
         return (move.new if over else move.old), False
     # A first runs where the version says, and needs no gap: each of two neighbouring versions refuses its
     # repeats. A repeat may have run at the other home, so it waits until a cache could not tell it either.
-    if step is MoveStep.CUT_OVER:
+    if step is MigrationStep.CUT_OVER:
         return move.new, cautious or repeat
-    if step is MoveStep.DRAINING:
+    if step is MigrationStep.DRAINING:
         return move.new, cautious
-    if step is MoveStep.RETURNING:
+    if step is MigrationStep.RETURNING:
         return move.old, cautious or repeat
-    return move.old, cautious or (step is MoveStep.CLOSING and repeat)
+    return move.old, cautious or (step is MigrationStep.CLOSING and repeat)
 
 
-class Homes:
+class PlacementTable:
     """What the Router asks, for one version: made anew for each version and each change of `cautious` or
     `unsure`, told of each new list by `renew`.
 
@@ -54,7 +54,7 @@
         version: RuleVersion,
         cautious: bool,
         number_of: Callable[[str], int | None],
-        tenants: Tenants,
+        tenants: TenantLookup,
         classes: Sequence[io.RequestClass],
         listed: Callable[[], tuple[Collection[int], Collection[int]]],
         unsure: bool = False,
--- a/quincepier/tenancy/growth.py
+++ b/quincepier/tenancy/ramp_up.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from quincepier.rules import Move, RuleVersion, Seen
+from quincepier.rules import Migration, Observations, RuleVersion
 from quincepier.rules.version import PARTS
-from quincepier.tenancy.verify import in_same_seconds, total
+from quincepier.tenancy.verification import in_same_seconds, total
 
 STEPS = (32, 16, 8, 4, 2, 1)  # parts, of 256, that go at once: the largest that fills allow
 WARM_PART = PARTS // 2  # both homes are compared at halves, where the difference is told best
@@ -13,7 +13,7 @@
 TELLS = 50  # answers at the old home, to know its rate of fills
 
 
-def ready_hosts(seen: Seen, version: RuleVersion, shard: str) -> list[str]:
+def ready_hosts(seen: Observations, version: RuleVersion, shard: str) -> list[str]:
     """Caches of a home that are listed and ready; of the common one all outside of shards."""
     line = version.shard(shard)
     own = {host for s in version.shards for host in s.caches}
@@ -24,7 +24,7 @@
     ]
 
 
-def cold_host(seen: Seen, version: RuleVersion, shard: str) -> str:
+def cold_host(seen: Observations, version: RuleVersion, shard: str) -> str:
     """One of the home's machines that is not warm yet, "" for none."""
     for host in ready_hosts(seen, version, shard):
         if seen.machines[host].up_ms < seen.machines[host].warm_ms:
@@ -43,7 +43,7 @@
     return ""
 
 
-def grown(seen: Seen, move: Move, most: int) -> tuple[int, str]:
+def grown(seen: Observations, move: Migration, most: int) -> tuple[int, str]:
     """The next part, at most `most`, and why not more; the same part where it has to wait."""
     part = move.part
     if not in_same_seconds(seen):
--- a/quincepier/tenancy/section.py
+++ b/quincepier/tenancy/section.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from quincepier.rules import Move, MoveStep, Shard
+from quincepier.rules import Migration, MigrationStep, Shard
 from quincepier.rules.version import HOMES_MOST, MOVES_MOST, SHARDS_MOST
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -20,7 +20,7 @@
 Checkpoint = Literal["planned", "warming", "verify", "cut_over", "draining", "done"]
 
 
-class ShardLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ShardSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Host ids of its caches and of the parents behind them; no parents named: all of them."""
 
     caches: Annotated[tuple[Name, ...], msgspec.Meta(max_length=CACHES_MOST)]
@@ -31,7 +31,7 @@
             raise ValueError("a shard without a cache serves nobody: name at least one")
 
 
-class TenantLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class TenantSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A tenant's requests are those whose item begins with one of `items` (hex, as on the wire)."""
 
     items: Annotated[tuple[str, ...], msgspec.Meta(max_length=ITEMS_MOST)]
@@ -45,7 +45,7 @@
                 raise ValueError(f"{item!r:.24} is no prefix of an item: write 1 to 16 of 0-9a-f, in quotes")
 
 
-class MoveLine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MigrationRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A wish. `until` is the last checkpoint it may reach; a wish begins once, under its id."""
 
     id: Name
@@ -60,10 +60,10 @@
         return "" if self.to == COMMON else self.to
 
     @property
-    def limit(self) -> MoveStep:
-        return MoveStep[self.until.upper()]
+    def limit(self) -> MigrationStep:
+        return MigrationStep[self.until.upper()]
 
-    def of(self, move: Move) -> bool:
+    def of(self, move: Migration) -> bool:
         """Whether the move is what this wish says; an id with two texts goes no further."""
         return (move.wish, move.tenant, move.new) == (self.id, self.tenant, self.shard)
 
@@ -73,9 +73,9 @@
     be repeated of a named tenant, and so long does a move stay planned, so that it surely knows.
     """
 
-    shards: Annotated[dict[Name, ShardLine], msgspec.Meta(max_length=SHARDS_MOST)] = {}
-    tenants: Annotated[dict[Name, TenantLine], msgspec.Meta(max_length=HOMES_MOST)] = {}
-    moves: Annotated[tuple[MoveLine, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
+    shards: Annotated[dict[Name, ShardSettings], msgspec.Meta(max_length=SHARDS_MOST)] = {}
+    tenants: Annotated[dict[Name, TenantSettings], msgspec.Meta(max_length=HOMES_MOST)] = {}
+    moves: Annotated[tuple[MigrationRequest, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
     notice_s: Annotated[float, msgspec.Meta(ge=5, le=86_400)] = 60
 
     def __post_init__(self) -> None:
--- a/quincepier/tenancy/known.py
+++ b/quincepier/tenancy/tenant_lookup.py
@@ -5,7 +5,7 @@
 from quincepier.tenancy.section import TenantsSection
 
 
-class Tenants:
+class TenantLookup:
     """Numbers of tenants in the order of their names, from 1; 0 is nobody's. By the section alone."""
 
     def __init__(self, section: TenantsSection) -> None:
--- a/quincepier/tenancy/verify.py
+++ b/quincepier/tenancy/verification.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from quincepier.rules import Seen, Service
+from quincepier.rules import Observations, ServiceStatistics
 from quincepier.tenancy.section import COMMON, MS
 
 Z_PASS, Z_FAIL = 1.645, 4.0  # one-sided: 5 in 100 by chance, and one in 30,000
@@ -38,7 +38,7 @@
         return f"{self.verdict.value}: {'; '.join(self.reasons)}"[:200]
 
 
-def total(seen: Seen, tenant: str, shard: str | None = None) -> Service:
+def total(seen: Observations, tenant: str, shard: str | None = None) -> ServiceStatistics:
     """The sum over all reports, of a tenant at a shard; of all shards with None. In reports the common home
     is named by its word, as "" stands for all.
     """
@@ -47,14 +47,14 @@
     return _sum(tenant, name, (s for s in rows if (s.tenant, s.shard) == (tenant, name)))
 
 
-def _sum(tenant: str, shard: str, rows: Iterable[Service]) -> Service:
+def _sum(tenant: str, shard: str, rows: Iterable[ServiceStatistics]) -> ServiceStatistics:
     a = w = t = r = h = f = 0.0
     for s in rows:
         a, w, t, r, h, f = a + s.asked, w + s.worth, t + s.in_time, r + s.refused, h + s.hits, f + s.fills
-    return Service(tenant, shard, int(a), w, t, int(r), int(h), int(f))
+    return ServiceStatistics(tenant, shard, int(a), w, t, int(r), int(h), int(f))
 
 
-def late(s: Service) -> float:
+def late(s: ServiceStatistics) -> float:
     return 1 - s.in_time / s.worth if s.worth > 0 else 0.0
 
 
@@ -74,12 +74,12 @@
     return p * (1 - p) / max(n, 1)
 
 
-def in_same_seconds(seen: Seen) -> bool:
+def in_same_seconds(seen: Observations) -> bool:
     """Whether all counts are of seconds in which the newest version was in force."""
     return all(r.span_ms * MS <= seen.in_force_for for r in seen.reports.values())
 
 
-def compare(seen: Seen, tenant: str, old: str, new: str, warm: bool) -> Finding:
+def compare(seen: Observations, tenant: str, old: str, new: str, warm: bool) -> Finding:
     """`warm`: hits and fills are compared too, which are worse while keys are still new there."""
     here, there = total(seen, tenant, new), total(seen, tenant, old)
     if here.asked < LEAST or there.asked < LEAST:
@@ -99,7 +99,7 @@
     return _worst([(what, worse(a, n, b, of, m), a, b) for what, a, b, m in tests])
 
 
-def unharmed(seen: Seen, names: Iterable[str]) -> Finding:
+def unharmed(seen: Observations, names: Iterable[str]) -> Finding:
     """Worth in time of tenants ("" for all) against what is usual for each; not known is not judged."""
     found = []
     for name in names:
@@ -117,7 +117,7 @@
     return Finding(Verdict.PASS, tuple(f"{what} {a:.3f} against {b:.3f}" for what, _, a, b in tests))
 
 
-def judge(seen: Seen, tenant: str, old: str, new: str) -> Finding:
+def judge(seen: Observations, tenant: str, old: str, new: str) -> Finding:
     """All of it, at VERIFY. A home that nobody asks can't be compared: after the span that is a pass."""
     if not in_same_seconds(seen):
         return Finding(Verdict.WAIT, ("counts are not all of this version yet",))
--- a/quincepier/tenancy/gap.py
+++ b/quincepier/tenancy/write_pause.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wishes:
+class MigrationPolicy:
     """What the leader's file says, and the times that follow from the settings; all in nanoseconds."""
 
     section: TenantsSection
@@ -30,5 +30,5 @@
     notice: int
 
     @classmethod
-    def of(cls, section: TenantsSection, classes: Iterable[RequestClass]) -> Wishes:
+    def of(cls, section: TenantsSection, classes: Iterable[RequestClass]) -> MigrationPolicy:
         return cls(section, hold(classes), int(section.notice_s * SECOND))
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -11,8 +11,8 @@
 from quincepier.config import REPORT_WORDS, FrontConfig
 from quincepier.errors import Inflicted
 from quincepier.interface import Ending, Note
-from quincepier.memory.machines import Directory
-from quincepier.memory.requests import OpenAttempt, OpenRequest, Owner
+from quincepier.memory.machine_directory import MachineDirectory
+from quincepier.memory.open_requests import OpenAttempt, OpenRequest, Owner
 from quincepier.wire.changelog import PurgeRecord
 from quincepier.wire.fastcgi import Call
 from quincepier.wire.lines import Head
@@ -188,7 +188,7 @@
 
 
 def serve_fields(
-    action: io.Ask | io.Fetch, request: OpenRequest, directory: Directory, timeout: int
+    action: io.Ask | io.Fetch, request: OpenRequest, directory: MachineDirectory, timeout: int
 ) -> list[tuple[str, str]]:
     """The fields of the command for an attempt. A source that is the machine itself is no source."""
     fields = [("class", request.class_name), ("key", request.item), ("part", str(request.part))]
--- a/tests/frontkit.py
+++ b/tests/frontkit.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from quincepier.config import FrontConfig, read_front
-from quincepier.memory.requests import OpenRequest
+from quincepier.memory.open_requests import OpenRequest
 
 SETTINGS: dict[str, Any] = {
     "family_info": {
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -6,7 +6,7 @@
 
 from quincepier import clock
 from quincepier.interface import Ending
-from quincepier.memory.requests import OpenRequest
+from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.messages import CallOff
 from tests.attemptkit import BID, IMAGE, Clock, Inside, Wire, answer, on_loop
 from tests.rig import SECOND
--- a/tests/test_crossings_commands.py
+++ b/tests/test_crossings_commands.py
@@ -9,7 +9,7 @@
 import pytest
 
 from quincepier.interface import Ending
-from quincepier.memory.requests import OpenRequest
+from quincepier.memory.open_requests import OpenRequest
 from quincepier.net import sockets
 from quincepier.net.connection import Connection
 from tests.attemptkit import BID, LARGE, Inside, Wire, on_loop
--- a/tests/test_crossings_dials.py
+++ b/tests/test_crossings_dials.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quincepier.interface import Ending, Note
-from quincepier.memory.requests import OpenRequest
+from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.cache import CacheActor
 from tests.attemptkit import Dials, Inside, Wire, on_loop
 from tests.rig import MS, Bench, attempts
