--- /dev/null
+++ b/tests/test_policy_recorded.py
@@ -0,0 +1,67 @@
+"""The decision logic gives the actions that were recorded of it, event by event and to the last digit."""
+
+from __future__ import annotations
+
+from dataclasses import fields
+from typing import Any
+
+import pytest
+
+from quincepier import interface as io
+from tests import policy_stream
+
+NAMES = policy_stream.names()
+
+
+@pytest.mark.parametrize("name", NAMES)
+def test_the_present_router_gives_the_recorded_actions(name: str) -> None:
+    difference = policy_stream.replay(name)
+    assert difference is None, f"{name}: {difference}"
+
+
+def tagged(value: Any) -> set[tuple[str, Any]]:
+    """Each tag in a line, with the enum's value where it is one's."""
+    if not isinstance(value, list) or not value:
+        return set()
+    found = set[tuple[str, Any]]().union(*map(tagged, value))
+    if isinstance(value[0], str):
+        found.add((value[0], value[1] if value[0] in ("outcome", "note", "state", "scope") else None))
+    return found
+
+
+def test_the_streams_hold_each_event_action_outcome_and_note() -> None:
+    """But for the one action that the decision logic never takes."""
+    found, hooks = set[tuple[str, Any]](), set[str]()
+    for name in NAMES:
+        for line in policy_stream.read(name):
+            found |= tagged(line)
+            hooks |= {"homes"} if line[0] == "event" and line[4] else set()
+            hooks |= {"witness"} if line[0] == "event" and line[5] else set()
+    tags = {tag for tag, _ in found}
+    assert set(policy_stream.CLASS_BY_TAG) - tags == {"probe"}
+    kinds = {"outcome": io.Ending, "note": io.Note, "scope": io.ListScope, "state": io.CacheState}
+    for tag, cls in kinds.items():
+        assert {value for at, value in found if at == tag} == {each.value for each in cls}
+    assert hooks == {"homes", "witness"}
+
+
+def test_a_changed_action_is_found_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
+    plain = policy_stream.read
+
+    def changed(name: str) -> Any:
+        for number, line in enumerate(plain(name), 1):
+            if number == 200 and line[0] == "event":
+                line[3] = [*line[3], ["log", "never said"]]
+            yield line
+
+    monkeypatch.setattr(policy_stream, "read", changed)
+    difference = policy_stream.replay(NAMES[0])
+    assert difference is not None and difference.line == 200 and "never said" in difference.recorded
+
+
+@pytest.mark.parametrize("cls", [c for c in policy_stream.CLASS_BY_TAG.values() if hasattr(c, "__slots__")])
+def test_stored_values_are_whole(cls: Any) -> None:
+    """Each field is stored, in the order that makes the object again."""
+    if hasattr(cls, "__dataclass_fields__"):
+        value = cls(*range(len(fields(cls))))
+        assert policy_stream.decode(policy_stream.encode(value)) == value
