--- a/tests/policy_stream.py
+++ b/tests/policy_stream.py
@@ -17,7 +17,7 @@
 
 from quincepier import interface as io
 from quincepier.policy import Node, Router
-from quincepier.recovery.memory import learned, recall
+from quincepier.recovery.learned_facts import export_facts, restore_facts
 
 FOLDER = Path(__file__).parent / "data" / "policy"
 
@@ -148,12 +148,12 @@
         return actions
 
     def tell_learned(self) -> list[io.Learned]:
-        facts = list(learned(self))
+        facts = list(export_facts(self))
         self.lines.append(to_text(["learned", [encode(fact) for fact in facts]]))
         return facts
 
     def take_learned(self, facts: list[io.Learned], age: int | None) -> int:
-        count = recall(self, facts, age)
+        count = restore_facts(self, facts, age)
         self.lines.append(to_text(["recall", [encode(fact) for fact in facts], age, count]))
         return count
 
