--- a/tests/policy_stream.py
+++ b/tests/policy_stream.py
@@ -208,10 +208,10 @@
         elif kind == "settings":
             router.s, wanted, present = decode(values[0]), None, None
         elif kind == "learned":
-            wanted, present = values[0], [encode(fact) for fact in learned(router)]
+            wanted, present = values[0], [encode(fact) for fact in export_facts(router)]
         else:
             facts, age, wanted = values
-            present = recall(router, map(decode, facts), age)
+            present = restore_facts(router, map(decode, facts), age)
         if to_text(wanted) != to_text(present):
             return Difference(number, now, to_text([kind, *values[:2]]), to_text(wanted), to_text(present))
     return None
