--- a/quincepier/maintenance/room.py
+++ b/quincepier/maintenance/disruption_budget.py
@@ -7,21 +7,27 @@
 
 from __future__ import annotations
 
-from quincepier.maintenance.section import Allowed
-from quincepier.rules.reports import MachineSeen, Seen
-from quincepier.rules.version import Order, RuleVersion
+from quincepier.maintenance.section import UnavailableByKind
+from quincepier.rules.reports import MachineObservation, Observations
+from quincepier.rules.version import MaintenanceTask, RuleVersion
 
 FRESH_MS = 30_000  # a start that is so young counts as one, also where machines are warm at once
 
 
-def fresh(machine: MachineSeen) -> bool:
+def is_recently_started(machine: MachineObservation) -> bool:
     return machine.up_ms < max(machine.warm_ms, FRESH_MS)
 
 
-class Room:
+class DisruptionBudget:
     """Of one turn; `orders` are those that the turn has come to so far."""
 
-    def __init__(self, version: RuleVersion, orders: list[Order], allowed: Allowed, seen: Seen) -> None:
+    def __init__(
+        self,
+        version: RuleVersion,
+        orders: list[MaintenanceTask],
+        allowed: UnavailableByKind,
+        seen: Observations,
+    ) -> None:
         self.version, self.orders, self.allowed, self.seen = version, orders, allowed, seen
         reports = [r for name, r in seen.reports.items() if name == r.front]
         aside = dict[str, int]()
@@ -39,7 +45,7 @@
         """Those of a kind that count as out, and their zones; with those that wait for their turn."""
         found = {host: zone for host, (k, zone) in self.broken.items() if k == kind}
         for order in self.orders:
-            if order.kind == kind and (order.out or waiting and order.open):
+            if order.kind == kind and (order.out or (waiting and order.open)):
                 found[order.target] = order.zone
         return found
 
@@ -73,14 +79,13 @@
 
     def _relative(self, kind: str, zone: str, target: str) -> str:
         """A parent and its caches, of one zone or one shard, are never out together: what the cache lost
-        would have to be filled past the parent."""
+        would have to be filled past the parent.
+        """
         other = {"cache": "parent", "parent": "cache"}.get(kind)
         if other is None:
             return ""
         for host, where in sorted(self.out(other, waiting=True).items()):
-            shared = any(
-                {target, host} <= {*shard.caches, *shard.parents} for shard in self.version.shards
-            )
+            shared = any({target, host} <= {*shard.caches, *shard.parents} for shard in self.version.shards)
             if where == zone or shared:
                 return f"{other} {host} of the same {'shard' if where != zone else 'zone'} is out"
         return ""
--- a/quincepier/rules/ledger.py
+++ b/quincepier/rules/lease_table.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from quincepier.rules.leases import FRONTS_MOST, MS, Ask, Grant, Pace
-from quincepier.rules.reports import FrontReport, MachineSeen, Seen
+from quincepier.rules.lease_holder import FRONTS_MOST, MS, LeaseGrant, LeaseRequest, LeaseTimings
+from quincepier.rules.reports import FrontReport, MachineObservation, Observations
 from quincepier.rules.version import RuleVersion
 
 REACHED_MOST = 1024  # numbers of which is kept since when they are in force
@@ -48,15 +48,24 @@
     )
 
 
-class Ledger:
+class LeaseTable:
     """Made anew by each front that comes to lead, with the moment of its election."""
 
     __slots__ = (
-        "pace", "began", "newest", "digest", "fronts", "force", "force_since", "no_more", "away", "reached",
         "agreed_at",
+        "away",
+        "began",
+        "digest",
+        "force",
+        "force_since",
+        "fronts",
+        "newest",
+        "no_more",
+        "pace",
+        "reached",
     )  # fmt: skip
 
-    def __init__(self, now: int, pace: Pace, newest: RuleVersion) -> None:
+    def __init__(self, now: int, pace: LeaseTimings, newest: RuleVersion) -> None:
         self.pace, self.began = pace, now
         self.newest, self.digest = newest.number, newest.digest
         self.fronts = dict[str, _Front]()
@@ -72,9 +81,10 @@
             self.newest, self.digest = version.number, version.digest
             self.agreed_at = now
 
-    def heard(self, now: int, ask: Ask, sure_until: int) -> Grant | None:
+    def heard(self, now: int, ask: LeaseRequest, sure_until: int) -> LeaseGrant | None:
         """The answer to an ask; None to one that is late or repeated, and where another may lead by now: then
-        nobody is told what is newest either. `now` is read after the ask came in."""
+        nobody is told what is newest either. `now` is read after the ask came in.
+        """
         pace, report = self.pace, ask.report
         if now >= sure_until:
             return None
@@ -105,7 +115,7 @@
             lease = pace.lease // MS
             known.until = max(known.until, now + pace.longer(lease * MS))
         known.ended = max(known.ended, known.until + pace.longer(pace.attempt))
-        return Grant(report.start, ask.token, self.newest, lease)
+        return LeaseGrant(report.start, ask.token, self.newest, lease)
 
     def dropped(self, names: Iterable[str]) -> None:
         """Operators say that these fronts are no more: they hold nothing up until they are heard again."""
@@ -125,7 +135,8 @@
 
     def told(self, now: int, names: Iterable[str]) -> int:
         """The highest number that every front was told of, those without a lease too: a front that missed the
-        version in which an order is first named does not know what it has to keep from."""
+        version in which an order is first named does not know what it has to keep from.
+        """
         if now < self.began + self.pace.longer(self.pace.lease):
             return 0
         if any(name not in self.fronts and name not in self.no_more for name in names):
@@ -145,13 +156,13 @@
         self,
         now: int,
         view: tuple[str, ...],
-        machines: Mapping[str, MachineSeen],
+        machines: Mapping[str, MachineObservation],
         voters: tuple[str, ...],
         leader: str,
         alike: bool | None = None,
         usual: Mapping[str, float] | None = None,
         silent: Iterable[str] = (),
-    ) -> Seen:
+    ) -> Observations:
         """All that a step is decided by. `view`: the members; `silent`: those that membership remembers
         though it put them out. A front that is in neither, and lapsed for `Pace.gone`, is forgotten.
 
@@ -172,7 +183,7 @@
         for name, known in self.fronts.items():
             if known.before is not None and now < known.before_ended:
                 reports[f"{name}@{known.before.start}"] = known.before
-        return Seen(
+        return Observations(
             now,
             view,
             reports,
