--- a/quincepier/lab/moves.py
+++ b/quincepier/lab/moves.py
@@ -27,7 +27,7 @@
     TenantPlacement,
     apply,
 )
-from quincepier.tenancy import COMMON, MigrationPolicy, TenantsSection, advance, part_of, place
+from quincepier.tenancy import DEFAULT_SHARD_NAME, MigrationPolicy, TenantsSection, advance, part_of, place
 from quincepier.tenancy.section import MigrationRequest, ShardSettings, TenantSettings
 
 SECOND, MS = clock.SECOND, clock.MS
@@ -71,7 +71,10 @@
         self.names = [f"f{n}" for n in range(fronts)]
         line = MigrationRequest("m", "acme", "north")
         section = TenantsSection(
-            {"north": ShardSettings(("n-1", "n-2"))}, {"acme": TenantSettings(("00",))}, (line,), notice_s=5
+            {"north": ShardSettings(("n-1", "n-2"))},
+            {"acme": TenantSettings(("00",))},
+            (line,),
+            grace_period_s=5,
         )
         self.wishes = MigrationPolicy(section, 20 * SECOND, 5 * SECOND)
         shards = (Shard("north", ("n-1", "n-2")),)
@@ -231,7 +234,7 @@
         for what, value in told:
             counts["", "", what] += value
             if moved:
-                counts["acme", home or COMMON, what] += value
+                counts["acme", home or DEFAULT_SHARD_NAME, what] += value
 
     def fill(self, home: str, key: int) -> bool:
         """Whether it comes in time through the link that all fills share; a fill past it is given up."""
--- a/quincepier/lab/orders.py
+++ b/quincepier/lab/orders.py
@@ -95,7 +95,7 @@
         faults: Faults | None = None,
         machines: int = 20,
         zones: int = 4,
-        allowed: UnavailableLimits | None = None,
+        unavailable_limits: UnavailableLimits | None = None,
         rate: float = 4.0,  # commands a second of each front
         agreed: bool = True,  # without: a tenth at once, told and begun after GRACE
     ) -> None:
@@ -105,7 +105,9 @@
         self.pace = LeaseTimings(attempt=2 * SECOND)
         self.wishes = MaintenanceSection(
             (MaintenanceRequest("all", kind="cache"),),
-            allowed=UnavailableByKind(allowed or UnavailableLimits(1, max(machines // 10, 1))),
+            unavailable_limits=UnavailableByKind(
+                unavailable_limits or UnavailableLimits(1, max(machines // 10, 1))
+            ),
         )
         self.machines = {f"c{n}": Machine(f"c{n}", f"z{n % zones}") for n in range(machines)}
         self.versions = [RuleVersion(0, 0), RuleVersion(1, 1)]
--- a/quincepier/maintenance/disruption_budget.py
+++ b/quincepier/maintenance/disruption_budget.py
@@ -51,14 +51,14 @@
 
     def over(self, kind: str, zone: str) -> str:
         """Why too many are out as it is; empty where they are not."""
-        most, out = self.allowed.of(kind), self.out(kind, waiting=False)
-        return self._judged(kind, zone, out, most.zone, most.all)
+        most, out = self.allowed.for_kind(kind), self.out(kind, waiting=False)
+        return self._judged(kind, zone, out, most.max_per_zone, most.max_total)
 
     def hindrance(self, target: str, kind: str, zone: str, waiting: bool) -> str:
         """Why that one may not go out now; empty where it may. `waiting`: those that wait count too."""
-        most, out = self.allowed.of(kind), self.out(kind, waiting)
+        most, out = self.allowed.for_kind(kind), self.out(kind, waiting)
         out[target] = zone
-        why = self._judged(kind, zone, out, most.zone, most.all)
+        why = self._judged(kind, zone, out, most.max_per_zone, most.max_total)
         return why or self._relative(kind, zone, target) or self._voters(kind, target)
 
     def _judged(self, kind: str, zone: str, out: dict[str, str], zone_most: int, most: int) -> str:
@@ -67,7 +67,7 @@
             listed = there if len(there) > zone_most else sorted(out)
             bound = f"over {zone_most} in a zone or {most} in all"
             return f"{', '.join(listed[:4])} would be out at once, {bound}"
-        least = self.allowed.of(kind).least
+        least = self.allowed.for_kind(kind).min_available_per_zone
         if least:
             left = sum(
                 m.kind == kind and m.zone == zone and host not in out
--- a/quincepier/maintenance/draining.py
+++ b/quincepier/maintenance/draining.py
@@ -26,5 +26,5 @@
 
 def requested_hosts(section: MaintenanceSection | None) -> frozenset[str]:
     """Machines that a file wishes out by host id; those of a whole kind or zone are too many to keep from."""
-    wishes = section.wishes if section is not None else ()
+    wishes = section.requests if section is not None else ()
     return frozenset(host for wish in wishes if not wish.stop for host in wish.machines)
--- a/quincepier/maintenance/errors.py
+++ b/quincepier/maintenance/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a wish for work."""
+"""Errors of the maintenance section."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class MaintenanceError(QuincepierError, ValueError):
-    """A ValueError too, so that the reader of the operators' file tells it with line and key."""
+    """A maintenance request or limit can't be used.
+
+    It is a ValueError too, so that the reader of the operators' file reports it with line and key.
+    """
 
     code = "QP-MAINTENANCE"
     remedy = "correct the section maintenance of the operators' file and send SIGHUP; the old one stays"
--- a/quincepier/maintenance/planner.py
+++ b/quincepier/maintenance/planner.py
@@ -52,7 +52,7 @@
 
 def plan(version: RuleVersion, wishes: MaintenanceSection, seen: Observations) -> Plan:
     if not seen.machines or not seen.reports or not seen.in_force:
-        if not wishes.wishes and not any(order.open for order in version.orders):
+        if not wishes.requests and not any(order.open for order in version.orders):
             return Plan(None, ())
         lacks = "the list of machines" if not seen.machines else "reports of fronts that hold a lease"
         return Plan(None, (f"nothing advances without {lacks}",))
@@ -63,7 +63,7 @@
     def __init__(self, version: RuleVersion, wishes: MaintenanceSection, seen: Observations) -> None:
         self.version, self.wishes, self.seen = version, wishes, seen
         self.orders = list(version.orders)
-        self.room = DisruptionBudget(version, self.orders, wishes.allowed, seen)
+        self.room = DisruptionBudget(version, self.orders, wishes.unavailable_limits, seen)
         self.service: ServiceLevel = service_level(wishes, seen)
         self.told = seen.in_force if seen.told is None else seen.told
         self.did, self.tells = list[str](), list[str]()
@@ -72,19 +72,19 @@
         for at in range(len(self.orders)):
             if self.orders[at].open:
                 self.step(at, self.orders[at])
-        for wish in self.wishes.wishes:
+        for wish in self.wishes.requests:
             self.announce(wish)
         allowances = tuple(
-            DisruptionLimit(kind, most.zone, most.all)  # type: ignore[arg-type]
+            DisruptionLimit(kind, most.max_per_zone, most.max_total)  # type: ignore[arg-type]
             for kind in ("cache", "parent", "front")
-            if (most := self.wishes.allowed.of(kind))
+            if (most := self.wishes.unavailable_limits.for_kind(kind))
         )
         changed = tuple(self.orders) != self.version.orders
         if not changed:
             return Plan(None, tuple(self.tells[:TELLS_MOST]))
         orders = self.orders
         if len(orders) > ORDERS_MOST // 2:  # those of wishes that stand in the file no more
-            orders = [o for o in orders if o.open or self.wishes.wish(o.wish) is not None]
+            orders = [o for o in orders if o.open or self.wishes.find_request(o.wish) is not None]
         new = allowances if allowances != self.version.allowances else None
         change = VersionChange("; ".join(self.did)[:2000], orders=tuple(orders), allowances=new)
         return Plan(change, tuple(self.tells[:TELLS_MOST]))
@@ -98,7 +98,7 @@
         self.tells.append(f"{order.target} stays {order.step.name.lower()}: {why}")
 
     def step(self, at: int, order: MaintenanceTask) -> None:
-        wish, seen = self.wishes.wish(order.wish), self.seen
+        wish, seen = self.wishes.find_request(order.wish), self.seen
         if order.step in (MaintenanceStep.WAITING, MaintenanceStep.DRAINING):
             # taking back is safe at any time, and needs nothing of others
             if wish is None or wish.stop:
@@ -157,8 +157,8 @@
         there = self.seen.machines.get(order.target)
         ready = there is not None and there.ready
         anew = there is not None and ready and is_recently_started(there)
-        finished = wish is not None and order.target in wish.finished
-        new = wish.replaced.get(order.target, "") if wish is not None else ""
+        finished = wish is not None and order.target in wish.finished_targets
+        new = wish.replacement_by_host.get(order.target, "") if wish is not None else ""
         if new and not ready and order.step < MaintenanceStep.WARMING:
             return self.replace(at, order, new)
         match order.step:
@@ -202,7 +202,7 @@
         reports, name = self.seen.reports, order.target
         there = name in reports
         anew = any(report.front == name and line != name for line, report in reports.items())
-        finished = wish is not None and name in wish.finished
+        finished = wish is not None and name in wish.finished_targets
         if order.step is MaintenanceStep.EMPTY and (not there or anew):
             self.to(at, MaintenanceStep.OUT, "started anew" if there else "it holds no lease")
         elif order.step is MaintenanceStep.EMPTY and not finished:
@@ -229,7 +229,7 @@
         mine = [o for o in self.orders if o.wish == wish.id]
         stopped = next((o for o in mine if o.step is MaintenanceStep.STOPPED), None)
         meant = targets(wish, self.seen)
-        done = {o.target for o in mine} | set(wish.replaced.values())
+        done = {o.target for o in mine} | set(wish.replacement_by_host.values())
         left = [target for target in meant if target not in done]
         if not left:
             return
--- a/quincepier/maintenance/section.py
+++ b/quincepier/maintenance/section.py
@@ -1,4 +1,7 @@
-"""The section `maintenance` of the operators' file: wishes for work, and how much may be out at once."""
+"""The section `maintenance` of the operators' file: requested maintenance and limits of unavailability.
+
+The keys of the file keep their first wording; each struct maps them to its fields in `rename`.
+"""
 
 from __future__ import annotations
 
@@ -9,41 +12,62 @@
 from quincepier.maintenance.errors import MaintenanceError
 from quincepier.rules.version import Name
 
-WISHES_MOST, TARGETS_MOST = 64, 4096
-Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=TARGETS_MOST)]
+MAX_REQUESTS = 64
+MAX_TARGETS = 4096  # machines or fronts that one request names
+Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_TARGETS)]
+NameByHost = Annotated[dict[str, str], msgspec.Meta(max_length=MAX_TARGETS)]
 Zone = Annotated[str, msgspec.Meta(max_length=64)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=4096)]
+Ratio = Annotated[float, msgspec.Meta(ge=0, le=1)]
+TargetKind = Literal["cache", "parent", "front"]
+TARGET_KINDS: tuple[TargetKind, ...] = ("cache", "parent", "front")
 
 
-class UnavailableLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Out at once of one kind, in any zone and over all; how many of each zone stay in service at least."""
+class UnavailableLimits(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"max_per_zone": "zone", "max_total": "all", "min_available_per_zone": "least"},
+):
+    """How many targets of one kind may be unavailable at once, and how many must stay in service."""
 
-    zone: Count = 1
-    all: Count = 1
-    least: Count = 0
+    max_per_zone: Count = 1
+    max_total: Count = 1
+    min_available_per_zone: Count = 0
 
 
 class UnavailableByKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The limits of each kind of target."""
+
     cache: UnavailableLimits = UnavailableLimits()
     parent: UnavailableLimits = UnavailableLimits()
     front: UnavailableLimits = UnavailableLimits()
 
-    def of(self, kind: str) -> UnavailableLimits:
+    def for_kind(self, kind: str) -> UnavailableLimits:
+        """Return the limits of `kind`; any other text than cache or parent means fronts."""
         return {"cache": self.cache, "parent": self.parent}.get(kind, self.front)
 
 
-class MaintenanceRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Work that is wanted once: for machines by host id, fronts by name, or all of a kind (in one zone)."""
+class MaintenanceRequest(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"finished_targets": "finished", "replacement_by_host": "replaced"},
+):
+    """Maintenance that operators request once.
+
+    Targets are machines by host id, fronts by name, or all of a kind, in one zone or in all.
+    """
 
     id: Name
     machines: Names = ()
     fronts: Names = ()
-    kind: Literal["cache", "parent", "front"] | None = None
+    kind: TargetKind | None = None
     zone: Zone = ""  # with `kind`; empty: every zone
-    pause: bool = False  # nothing new begins, and none is called empty
-    stop: bool = False  # what is not empty yet is used again; what is goes on until it is back
-    finished: Names = ()  # work is over there, though no new start was seen
-    replaced: Annotated[dict[str, str], msgspec.Meta(max_length=TARGETS_MOST)] = {}  # old host id to new
+    pause: bool = False  # no task starts, and no target is declared empty
+    stop: bool = False  # tasks that are not empty yet are cancelled; the others run to their end
+    finished_targets: Names = ()  # their maintenance is over, though no restart was observed
+    replacement_by_host: NameByHost = {}  # old host id to new
 
     def __post_init__(self) -> None:
         if not (self.machines or self.fronts or self.kind):
@@ -56,24 +80,40 @@
             raise MaintenanceError("zones of fronts are not known to the fleet", f"wish {self.id}")
 
 
-class MaintenanceSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Worth in time over worth asked for, per tenant, is held against what it usually was."""
-
-    wishes: Annotated[tuple[MaintenanceRequest, ...], msgspec.Meta(max_length=WISHES_MOST)] = ()
-    allowed: UnavailableByKind = UnavailableByKind()
-    # parts of the usual: below `floor` an order stops by itself, below `as_before` none begins
-    floor: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.9
-    as_before: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.98
-    enough: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 200  # answers of a tenant, to tell by
-    gone: Names = ()  # fronts that are no more: they hold nothing up
+class MaintenanceSection(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={
+        "requests": "wishes",
+        "unavailable_limits": "allowed",
+        "min_service_ratio": "floor",
+        "min_service_ratio_to_start": "as_before",
+        "min_responses": "enough",
+        "decommissioned_fronts": "gone",
+    },
+):
+    """Maintenance requests and the limits that hold for all of them.
+
+    Service ratios are of the baseline: the share of priority weight that was served within the latency
+    objective, over the share that is usual for the tenant.
+    """
+
+    requests: Annotated[tuple[MaintenanceRequest, ...], msgspec.Meta(max_length=MAX_REQUESTS)] = ()
+    unavailable_limits: UnavailableByKind = UnavailableByKind()
+    min_service_ratio: Ratio = 0.9  # below it tasks that are not empty yet are cancelled
+    min_service_ratio_to_start: Ratio = 0.98  # below it no task starts
+    min_responses: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 200  # of a tenant, to be judged
+    decommissioned_fronts: Names = ()  # their processes have ended for good; nothing waits for them
 
     def __post_init__(self) -> None:
-        ids = [wish.id for wish in self.wishes]
-        twice = next((i for i in ids if ids.count(i) > 1), None)
-        if twice is not None:
-            raise MaintenanceError("two wishes have this id; each is one text", f"wish {twice}")
-        if self.floor > self.as_before:
+        ids = [request.id for request in self.requests]
+        duplicate = next((i for i in ids if ids.count(i) > 1), None)
+        if duplicate is not None:
+            raise MaintenanceError("two wishes have this id; each is one text", f"wish {duplicate}")
+        if self.min_service_ratio > self.min_service_ratio_to_start:
             raise MaintenanceError("floor is above as_before")
 
-    def wish(self, id: str) -> MaintenanceRequest | None:
-        return next((wish for wish in self.wishes if wish.id == id), None)
+    def find_request(self, request_id: str) -> MaintenanceRequest | None:
+        """Return the request of that id, or None."""
+        return next((request for request in self.requests if request.id == request_id), None)
--- a/quincepier/maintenance/service_level.py
+++ b/quincepier/maintenance/service_level.py
@@ -29,13 +29,13 @@
     fallen = lower = ""
     for tenant, usual in sorted(seen.usual.items()):
         asked, worth, good = sums.get(tenant, (0, 0.0, 0.0))
-        if asked < wishes.enough or worth <= 0:
+        if asked < wishes.min_responses or worth <= 0:
             continue
         told = f"service of {tenant or 'all'} is {good / worth:.3f}, usually {usual:.3f}"
-        if good / worth < usual * wishes.floor:
+        if good / worth < usual * wishes.min_service_ratio:
             fallen = fallen or told
-        if good / worth < usual * wishes.as_before:
+        if good / worth < usual * wishes.min_service_ratio_to_start:
             lower = lower or told
-    if not seen.usual and any(asked >= wishes.enough for asked, _, _ in sums.values()):
+    if not seen.usual and any(asked >= wishes.min_responses for asked, _, _ in sums.values()):
         lower = "the usual service is not known yet"
     return ServiceLevel(fallen, lower)
--- a/quincepier/net/fleet/active_rules.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -42,7 +42,7 @@
         if file.named("maintenance") is not None:
             wished = file.get(MaintenanceSection) or wished
         self.named, self.waits = requested_hosts(wished), ()
-        self.gone = frozenset(wished.gone)
+        self.gone = frozenset(wished.decommissioned_fronts)
         # an order that nobody wishes any more is ended by the same plan: there is one without a section
         self.plans = [lambda version, seen: self._orders(wished, version, seen)]
         self.tenants, self.notice, self.taken = None, NOTICE, self.taken + 1
@@ -66,8 +66,8 @@
         if section is None:
             return
         self.tenants = TenantLookup(section)
-        wishes = MigrationPolicy.of(section, self.module.config.settings.classes)
-        self.notice = wishes.notice
+        wishes = MigrationPolicy.from_section(section, self.module.config.settings.classes)
+        self.notice = wishes.grace_period_ns
         self.plans.append(lambda version, seen: advance(version, wishes, seen))
 
     def planners(self) -> list[Planner]:
@@ -100,4 +100,4 @@
         if self.tenants is None:
             return 0, ""
         number = self.tenants.tenant_of(item)
-        return number, self.tenants.name(number)
+        return number, self.tenants.name_of(number)
--- a/quincepier/tenancy/__init__.py
+++ b/quincepier/tenancy/__init__.py
@@ -7,13 +7,13 @@
 from quincepier.tenancy.errors import TenancyError
 from quincepier.tenancy.migration import advance, held_back
 from quincepier.tenancy.placement import PlacementTable, part_of, place
-from quincepier.tenancy.section import COMMON, TenantsSection
+from quincepier.tenancy.section import DEFAULT_SHARD_NAME, TenantsSection
 from quincepier.tenancy.tenant_lookup import TenantLookup
 from quincepier.tenancy.verification import Finding, Verdict, judge
-from quincepier.tenancy.write_pause import MigrationPolicy, hold
+from quincepier.tenancy.write_pause import MigrationPolicy, write_pause_ns
 
 __all__ = [
-    "COMMON",
+    "DEFAULT_SHARD_NAME",
     "Finding",
     "MigrationPolicy",
     "PlacementTable",
@@ -23,8 +23,8 @@
     "Verdict",
     "advance",
     "held_back",
-    "hold",
     "judge",
     "part_of",
     "place",
+    "write_pause_ns",
 ]
--- a/quincepier/tenancy/migration.py
+++ b/quincepier/tenancy/migration.py
@@ -20,7 +20,7 @@
 )
 from quincepier.rules.version import MOVES_MOST, PARTS
 from quincepier.tenancy.ramp_up import WARM_PART, cold_host, grown, ready_hosts, under_work
-from quincepier.tenancy.section import COMMON, SECOND, MigrationRequest
+from quincepier.tenancy.section import DEFAULT_SHARD_NAME, SECOND, MigrationRequest
 from quincepier.tenancy.verification import Verdict, compare, in_same_seconds, judge, unharmed
 from quincepier.tenancy.write_pause import MigrationPolicy
 
@@ -32,7 +32,7 @@
 
 def advance(version: RuleVersion, wishes: MigrationPolicy, seen: Observations) -> VersionChange | None:
     """What tenants want changed by now, or None. Called by the leader, each turn, with its own file."""
-    lines = {line.id: line for line in wishes.section.moves}
+    lines = {line.id: line for line in wishes.section.migrations}
     homes, moves, why = list(version.homes), list[Migration](), list[str]()
     # Kept though the wish is gone: another leader's file may still have it, and it is not to begin again.
     gone = [m.wish for m in version.moves if not m.open and m.wish not in lines][:-CLOSED_MOST]
@@ -42,17 +42,19 @@
                 moves.append(move)
             continue
         line = lines.get(move.wish)
-        after = _next(version, move, line if line and line.of(move) else None, wishes, seen)
+        after = _next(version, move, line if line and line.matches(move) else None, wishes, seen)
         moves.append(after)
         if after != move:
             why.append(f"{move.wish}: {move.tenant} {_told(after)}")
         if after.step is Step.DONE:
             homes = [h for h in homes if h.tenant != move.tenant] + [TenantPlacement(move.tenant, move.new)]
-    for line in wishes.section.moves:
+    for line in wishes.section.migrations:
         if (begun := _begun(version, moves, homes, line)) is not None:
             moves.append(begun)
-            why.append(f"{line.id}: {line.tenant} planned from {begun.old or COMMON} to {line.to}")
-    shards = wishes.section.as_shards
+            why.append(
+                f"{line.id}: {line.tenant} planned from {begun.old or DEFAULT_SHARD_NAME} to {line.target}"
+            )
+    shards = wishes.section.to_shards()
     used = {h.shard for h in homes} | {s for m in moves if m.open for s in (m.old, m.new)}
     names = {s.name for s in shards}
     shards += tuple(s for s in version.shards if s.name in used and s.name not in names)
@@ -62,10 +64,12 @@
         shards = _grown_only(version, shards)  # machines of a home do not change under a move
     if shards != version.shards:
         why.append("shards as in the file")
-    for name, tenant in sorted(wishes.section.tenants.items()):
+    for name, tenant in sorted(wishes.section.tenant_by_name.items()):
         if all(h.tenant != name for h in homes):
-            homes.append(TenantPlacement(name, "" if tenant.home == COMMON else tenant.home))
-            why.append(f"{name} at home in {tenant.home}")
+            homes.append(
+                TenantPlacement(name, "" if tenant.home_shard == DEFAULT_SHARD_NAME else tenant.home_shard)
+            )
+            why.append(f"{name} at home in {tenant.home_shard}")
     new_homes, new_moves = tuple(homes), tuple(moves)
     if (shards, new_homes, new_moves) == (version.shards, version.homes, version.moves):
         return None
@@ -104,11 +108,13 @@
     """A wish that begins: not known yet, its tenant under no other move, and not at home there already."""
     old = next((h.shard for h in homes if h.tenant == line.tenant), None)
     known = any(m.wish == line.id or (m.open and m.tenant == line.tenant) for m in moves)
-    if known or line.rollback or old is None or old == line.shard or len(moves) >= MOVES_MOST:
+    if known or line.rollback or old is None or old == line.target_shard or len(moves) >= MOVES_MOST:
         return None
-    if line.shard and version.shard(line.shard) is None:  # its shard comes with this change: the next turn
+    if (
+        line.target_shard and version.shard(line.target_shard) is None
+    ):  # its shard comes with this change: the next turn
         return None
-    return Migration(line.id, line.tenant, old, line.shard, Step.PLANNED, 0)
+    return Migration(line.id, line.tenant, old, line.target_shard, Step.PLANNED, 0)
 
 
 def _told(move: Migration) -> str:
@@ -128,7 +134,7 @@
     seen: Observations,
 ) -> Migration:
     """The move after this turn. A wish that is gone, or says something else now, counts as a pause."""
-    goes = line is not None and not line.pause and m.step < line.limit
+    goes = line is not None and not line.pause and m.step < line.last_step
     if m.step in (Step.PLANNED, Step.WARMING, Step.VERIFY, Step.CLOSING):
         if line is not None and line.rollback:
             return _to(m, Step.BACK, "by wish", 0)
@@ -141,9 +147,9 @@
     if m.step is Step.VERIFY:
         return _verified(version, m, goes, seen)
     if m.step is Step.CLOSING:
-        return _closing(m, line is None or line.pause or line.limit <= Step.VERIFY, seen)
+        return _closing(m, line is None or line.pause or line.last_step <= Step.VERIFY, seen)
     if m.step is Step.RETURNING:
-        still = (line is not None and line.pause) or age(m, seen) < wishes.hold
+        still = (line is not None and line.pause) or age(m, seen) < wishes.write_pause_ns
         return m if still else _to(m, Step.BACK, m.why)
     return _cut_over(version, m, line, goes, wishes, seen)
 
@@ -166,7 +172,7 @@
 
 def _planned(version: RuleVersion, m: Migration, wishes: MigrationPolicy, seen: Observations) -> Migration:
     # A front without a lease may not know of the move. It takes what may not be repeated for the notice only.
-    if age(m, seen) < wishes.notice or not all_here(version, seen):
+    if age(m, seen) < wishes.grace_period_ns or not all_here(version, seen):
         return m
     if not ready_hosts(seen, version, m.new) or cold_host(seen, version, m.new) or under_work(version, m.new):
         return m
@@ -244,9 +250,9 @@
     if not goes or not in_force(m, seen):
         return m
     if m.step is Step.CUT_OVER:
-        return _to(m, Step.DRAINING) if age(m, seen) >= wishes.hold else m
+        return _to(m, Step.DRAINING) if age(m, seen) >= wishes.write_pause_ns else m
     left = any(
-        (tenant, shard) == (m.tenant, m.old or COMMON) and open_
+        (tenant, shard) == (m.tenant, m.old or DEFAULT_SHARD_NAME) and open_
         for r in seen.reports.values()
         for tenant, shard, open_ in r.open_keyed
     )
--- a/quincepier/tenancy/section.py
+++ b/quincepier/tenancy/section.py
@@ -1,4 +1,7 @@
-"""The section `tenants` of the operators' file: shards, how tenants are known, and wishes to move them."""
+"""The section `tenants` of the operators' file: shards, tenants, and requested migrations.
+
+The keys of the file keep their first wording; each struct maps them to its fields in `rename`.
+"""
 
 from __future__ import annotations
 
@@ -11,107 +14,167 @@
 from quincepier.rules import Migration, MigrationStep, Shard
 from quincepier.rules.version import HOMES_MOST, MOVES_MOST, SHARDS_MOST
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 MS = 1_000_000  # nanoseconds
 SECOND = 1000 * MS
-COMMON = "common"  # the word for the home of all who have no other; "" in a version
-ITEMS_MOST, CACHES_MOST = 64, 4096
-ITEM = re.compile(r"[0-9a-f]{1,16}")
+DEFAULT_SHARD_NAME = "common"  # in the file and in reports; a rule version has "" for it
+MAX_PREFIXES = 64
+MAX_CACHES = 4096
+MAX_NAME_CHARS = 64
+PREFIX_PATTERN = re.compile(r"[0-9a-f]{1,16}")
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 Checkpoint = Literal["planned", "warming", "verify", "cut_over", "draining", "done"]
+STEP_BY_CHECKPOINT: dict[Checkpoint, MigrationStep] = {
+    "planned": MigrationStep.PLANNED,
+    "warming": MigrationStep.WARMING,
+    "verify": MigrationStep.VERIFY,
+    "cut_over": MigrationStep.CUT_OVER,
+    "draining": MigrationStep.DRAINING,
+    "done": MigrationStep.DONE,
+}
 
 
 class ShardSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Host ids of its caches and of the parents behind them; no parents named: all of them."""
+    """Host ids of a shard's caches and of the parents behind them; no parents named: all of them."""
 
-    caches: Annotated[tuple[Name, ...], msgspec.Meta(max_length=CACHES_MOST)]
-    parents: Annotated[tuple[Name, ...], msgspec.Meta(max_length=CACHES_MOST)] = ()
+    caches: Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_CACHES)]
+    parents: Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_CACHES)] = ()
 
     def __post_init__(self) -> None:
         if not self.caches:
             raise ValueError("a shard without a cache serves nobody: name at least one")
 
 
-class TenantSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A tenant's requests are those whose item begins with one of `items` (hex, as on the wire)."""
+class TenantSettings(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"item_prefixes": "items", "home_shard": "home"},
+):
+    """A tenant, known by how its items begin (hex, as on the wire), and its home shard."""
 
-    items: Annotated[tuple[str, ...], msgspec.Meta(max_length=ITEMS_MOST)]
-    home: Name = COMMON
+    item_prefixes: Annotated[tuple[str, ...], msgspec.Meta(max_length=MAX_PREFIXES)]
+    home_shard: Name = DEFAULT_SHARD_NAME
 
     def __post_init__(self) -> None:
-        if not self.items:
+        if not self.item_prefixes:
             raise ValueError("a tenant without items has no requests: name at least one prefix")
-        for item in self.items:
-            if not ITEM.fullmatch(item):
-                raise ValueError(f"{item!r:.24} is no prefix of an item: write 1 to 16 of 0-9a-f, in quotes")
+        for prefix in self.item_prefixes:
+            if not PREFIX_PATTERN.fullmatch(prefix):
+                raise ValueError(
+                    f"{prefix!r:.24} is no prefix of an item: write 1 to 16 of 0-9a-f, in quotes"
+                )
 
 
-class MigrationRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A wish. `until` is the last checkpoint it may reach; a wish begins once, under its id."""
+class MigrationRequest(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"target": "to", "last_checkpoint": "until"},
+):
+    """A requested migration of a tenant; it starts once under its id.
+
+    `last_checkpoint` is the last step that the migration may reach.
+    """
 
     id: Name
     tenant: Name
-    to: Name
-    until: Checkpoint = "done"
+    target: Name
+    last_checkpoint: Checkpoint = "done"
     pause: bool = False
     rollback: bool = False
 
     @property
-    def shard(self) -> str:
-        return "" if self.to == COMMON else self.to
+    def target_shard(self) -> str:
+        """The target as a rule version names it: "" for the default shard."""
+        return "" if self.target == DEFAULT_SHARD_NAME else self.target
 
     @property
-    def limit(self) -> MigrationStep:
-        return MigrationStep[self.until.upper()]
-
-    def of(self, move: Migration) -> bool:
-        """Whether the move is what this wish says; an id with two texts goes no further."""
-        return (move.wish, move.tenant, move.new) == (self.id, self.tenant, self.shard)
-
-
-class TenantsSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Shards, tenants and moves by name. `notice_s`: so long may a front that has no lease take what may not
-    be repeated of a named tenant, and so long does a move stay planned, so that it surely knows.
+    def last_step(self) -> MigrationStep:
+        """The step of `last_checkpoint`."""
+        return STEP_BY_CHECKPOINT[self.last_checkpoint]
+
+    def matches(self, migration: Migration) -> bool:
+        """Whether the migration is the one requested; an id with two meanings makes no progress."""
+        return (migration.wish, migration.tenant, migration.new) == (self.id, self.tenant, self.target_shard)
+
+
+class TenantsSection(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={
+        "shard_by_name": "shards",
+        "tenant_by_name": "tenants",
+        "migrations": "moves",
+        "grace_period_s": "notice_s",
+    },
+):
+    """Shards, tenants and requested migrations.
+
+    `grace_period_s`: a front without a lease may go on accepting non-idempotent requests of a named tenant
+    for so long. A migration stays planned for the same time, so that every front knows of it by then.
     """
 
-    shards: Annotated[dict[Name, ShardSettings], msgspec.Meta(max_length=SHARDS_MOST)] = {}
-    tenants: Annotated[dict[Name, TenantSettings], msgspec.Meta(max_length=HOMES_MOST)] = {}
-    moves: Annotated[tuple[MigrationRequest, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
-    notice_s: Annotated[float, msgspec.Meta(ge=5, le=86_400)] = 60
+    shard_by_name: Annotated[dict[Name, ShardSettings], msgspec.Meta(max_length=SHARDS_MOST)] = {}
+    tenant_by_name: Annotated[dict[Name, TenantSettings], msgspec.Meta(max_length=HOMES_MOST)] = {}
+    migrations: Annotated[tuple[MigrationRequest, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
+    grace_period_s: Annotated[float, msgspec.Meta(ge=5, le=86_400)] = 60
 
     def __post_init__(self) -> None:
-        for names, what in ((self.shards, "shards"), (self.tenants, "tenants")):
-            if any(not 1 <= len(name) <= 64 for name in names):
-                raise ValueError(f"{what}: a name has 1 to 64 characters")
-        if COMMON in self.shards:
-            raise ValueError(f"shards.{COMMON}: that is all caches outside of shards: take another name")
-        seen = dict[str, str]()
-        for name, shard in self.shards.items():
+        self._check_names()
+        self._check_caches()
+        self._check_prefixes()
+        for name, tenant in self.tenant_by_name.items():
+            self._check_shard_is_known(f"tenants.{name}.home", tenant.home_shard)
+        self._check_migrations()
+
+    def to_shards(self) -> tuple[Shard, ...]:
+        """Return the shards as a rule version holds them, by name."""
+        return tuple(
+            Shard(name, shard.caches, shard.parents) for name, shard in sorted(self.shard_by_name.items())
+        )
+
+    def _check_names(self) -> None:
+        for names, key in ((self.shard_by_name, "shards"), (self.tenant_by_name, "tenants")):
+            if any(not 1 <= len(name) <= MAX_NAME_CHARS for name in names):
+                raise ValueError(f"{key}: a name has 1 to 64 characters")
+        if DEFAULT_SHARD_NAME in self.shard_by_name:
+            raise ValueError(
+                f"shards.{DEFAULT_SHARD_NAME}: that is all caches outside of shards: take another name"
+            )
+
+    def _check_caches(self) -> None:
+        shard_by_cache = dict[str, str]()
+        for name, shard in self.shard_by_name.items():
             for cache in shard.caches:
-                if cache in seen:
-                    raise ValueError(f"shards.{name}: cache {cache} is of {seen[cache]} too: leave it in one")
-                seen[cache] = name
-        whose = sorted((item, name) for name, tenant in self.tenants.items() for item in tenant.items)
-        for (item, name), (longer, other) in pairwise(whose):
-            if longer.startswith(item):
+                if cache in shard_by_cache:
+                    other = shard_by_cache[cache]
+                    raise ValueError(f"shards.{name}: cache {cache} is of {other} too: leave it in one")
+                shard_by_cache[cache] = name
+
+    def _check_prefixes(self) -> None:
+        prefixes = sorted(
+            (prefix, name) for name, tenant in self.tenant_by_name.items() for prefix in tenant.item_prefixes
+        )
+        for (prefix, name), (next_prefix, next_name) in pairwise(prefixes):
+            if next_prefix.startswith(prefix):
                 raise ValueError(
-                    f"tenants.{other}: items {longer} are of {name} too, by {item}: no prefix within another"
+                    f"tenants.{next_name}: items {next_prefix} are of {name} too, by {prefix}: "
+                    "no prefix within another"
                 )
-        for name, tenant in self.tenants.items():
-            self._home(f"tenants.{name}.home", tenant.home)
+
+    def _check_migrations(self) -> None:
         ids = set[str]()
-        for at, move in enumerate(self.moves):
-            if move.id in ids:
-                raise ValueError(f"moves.{at}.id: {move.id} stands there twice: a new wish has a new id")
-            ids.add(move.id)
-            if move.tenant not in self.tenants:
-                raise ValueError(f"moves.{at}.tenant: no tenant {move.tenant}: name it under tenants.tenants")
-            self._home(f"moves.{at}.to", move.to)
-
-    def _home(self, key: str, name: str) -> None:
-        if name != COMMON and name not in self.shards:
-            known = ", ".join([COMMON, *sorted(self.shards)])
+        for index, migration in enumerate(self.migrations):
+            key = f"moves.{index}"
+            if migration.id in ids:
+                raise ValueError(f"{key}.id: {migration.id} stands there twice: a new wish has a new id")
+            ids.add(migration.id)
+            if migration.tenant not in self.tenant_by_name:
+                raise ValueError(f"{key}.tenant: no tenant {migration.tenant}: name it under tenants.tenants")
+            self._check_shard_is_known(f"{key}.to", migration.target)
+
+    def _check_shard_is_known(self, key: str, name: str) -> None:
+        if name != DEFAULT_SHARD_NAME and name not in self.shard_by_name:
+            known = ", ".join([DEFAULT_SHARD_NAME, *sorted(self.shard_by_name)])
             raise ValueError(f"{key}: no shard {name}: name it under tenants.shards, or take one of {known}")
-
-    @property
-    def as_shards(self) -> tuple[Shard, ...]:
-        return tuple(Shard(name, line.caches, line.parents) for name, line in sorted(self.shards.items()))
--- a/quincepier/tenancy/tenant_lookup.py
+++ b/quincepier/tenancy/tenant_lookup.py
@@ -1,30 +1,32 @@
-"""Which tenant a request is of: the wire has no field for it, so its item's name tells."""
+"""Which tenant a request belongs to; the wire has no field for it, so the prefix of its item decides."""
 
 from __future__ import annotations
 
 from quincepier.tenancy.section import TenantsSection
 
+NO_TENANT = 0
+
 
 class TenantLookup:
-    """Numbers of tenants in the order of their names, from 1; 0 is nobody's. By the section alone."""
+    """Tenants numbered from 1 in the order of their names; `NO_TENANT` is for requests of none."""
 
     def __init__(self, section: TenantsSection) -> None:
-        self.names: tuple[str, ...] = ("", *sorted(section.tenants))
-        self._by_item = {
-            item: number
+        self.names: tuple[str, ...] = ("", *sorted(section.tenant_by_name))
+        self._number_by_prefix = {
+            prefix: number
             for number, name in enumerate(self.names)
-            if name
-            for item in section.tenants[name].items
+            if number != NO_TENANT
+            for prefix in section.tenant_by_name[name].item_prefixes
         }
-        self._lengths = sorted({len(item) for item in self._by_item})
+        self._prefix_lengths = sorted({len(prefix) for prefix in self._number_by_prefix})
 
     def tenant_of(self, item: str) -> int:
-        """The number for `RequestCame.tenant`; no prefix is within another, so at most one fits."""
-        for length in self._lengths:
-            if number := self._by_item.get(item[:length]):
+        """Return the tenant's number; no prefix begins another, so at most one matches."""
+        for length in self._prefix_lengths:
+            if number := self._number_by_prefix.get(item[:length]):
                 return number
-        return 0
+        return NO_TENANT
 
-    def name(self, number: int) -> str:
-        """ "" for numbers of nobody, also for such as this section does not know."""
+    def name_of(self, number: int) -> str:
+        """Return the tenant's name, or "" for `NO_TENANT` and for numbers unknown to this section."""
         return self.names[number] if 0 <= number < len(self.names) else ""
--- a/quincepier/tenancy/verification.py
+++ b/quincepier/tenancy/verification.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from quincepier.rules import Observations, ServiceStatistics
-from quincepier.tenancy.section import COMMON, MS
+from quincepier.tenancy.section import DEFAULT_SHARD_NAME, MS
 
 Z_PASS, Z_FAIL = 1.645, 4.0  # one-sided: 5 in 100 by chance, and one in 30,000
 LEAST = 200  # answers at each home
@@ -42,7 +42,7 @@
     """The sum over all reports, of a tenant at a shard; of all shards with None. In reports the common home
     is named by its word, as "" stands for all.
     """
-    name = "" if shard is None else shard or COMMON
+    name = "" if shard is None else shard or DEFAULT_SHARD_NAME
     rows = (s for r in seen.reports.values() for s in r.service)
     return _sum(tenant, name, (s for s in rows if (s.tenant, s.shard) == (tenant, name)))
 
--- a/quincepier/tenancy/write_pause.py
+++ b/quincepier/tenancy/write_pause.py
@@ -1,4 +1,4 @@
-"""The times that keep a request from running at both homes (docs/tenants.md)."""
+"""The times for which retries are rejected so that no request runs at two shards (docs/tenants.md)."""
 
 from __future__ import annotations
 
@@ -8,27 +8,34 @@
 from quincepier.interface import Effect, RequestClass
 from quincepier.tenancy.section import SECOND, TenantsSection
 
-ALLOW_TIMES = 2  # of its class's deadline: what a client may say at most that it waits (translate.py)
-DELIVERY = SECOND  # latest delivery: a command that its front gave up may begin so long after
+MAX_WAIT_DEADLINES = 2  # a client waits at most so many of its class's deadlines (translate.py)
+MAX_DELIVERY_DELAY_NS = SECOND  # a command that its front gave up may still start so long after
 
 
-def hold(classes: Iterable[RequestClass]) -> int:
-    """Nanoseconds after which nothing that was taken before can still be told apart by a cache's memory of
-    repeats: it may have run as late as the longest wait and the latest delivery, and a repeat counts as one
-    for its window after that. Of all classes that may not simply be repeated, the longest.
+def write_pause_ns(classes: Iterable[RequestClass]) -> int:
+    """Return for how long retries of non-idempotent requests are rejected, in nanoseconds.
+
+    A request accepted before the pause may still start after the longest wait of a client and the delivery
+    delay, and its cache recognizes a retry for the deduplication window after that. Once the pause is over
+    no cache could have recognized the retry either. The longest over all non-idempotent classes holds.
     """
-    times = [c.window + ALLOW_TIMES * c.deadline + DELIVERY for c in classes if c.effect is not Effect.SAFE]
-    return max(times, default=0)
+    pauses = [
+        c.window + MAX_WAIT_DEADLINES * c.deadline + MAX_DELIVERY_DELAY_NS
+        for c in classes
+        if c.effect is not Effect.SAFE
+    ]
+    return max(pauses, default=0)
 
 
 @dataclass(slots=True, frozen=True)
 class MigrationPolicy:
-    """What the leader's file says, and the times that follow from the settings; all in nanoseconds."""
+    """The leader's section, and the times in nanoseconds that follow from it and from the settings."""
 
     section: TenantsSection
-    hold: int
-    notice: int
+    write_pause_ns: int
+    grace_period_ns: int
 
     @classmethod
-    def of(cls, section: TenantsSection, classes: Iterable[RequestClass]) -> MigrationPolicy:
-        return cls(section, hold(classes), int(section.notice_s * SECOND))
+    def from_section(cls, section: TenantsSection, classes: Iterable[RequestClass]) -> MigrationPolicy:
+        """Derive the times from the section and the request classes of the settings."""
+        return cls(section, write_pause_ns(classes), int(section.grace_period_s * SECOND))
--- a/tests/orderkit.py
+++ b/tests/orderkit.py
@@ -94,7 +94,7 @@
         self.parts, self.faults, self.leaders, self.clock, self.rate = parts, faults, 1, 0, 101
         self.versions = [RuleVersion(n, 1) for n in range(2)]
         self.wishes = MaintenanceSection(
-            (MaintenanceRequest("w", HOSTS),), allowed=UnavailableByKind(UnavailableLimits(1, 1))
+            (MaintenanceRequest("w", HOSTS),), unavailable_limits=UnavailableByKind(UnavailableLimits(1, 1))
         )
         self.machines = dict.fromkeys(HOSTS, 10 * WARM)  # milliseconds up; -1: off the list
         self.fronts = [
--- a/tests/tenancykit.py
+++ b/tests/tenancykit.py
@@ -145,7 +145,7 @@
                 LONG * late,
             )
             line = MigrationRequest("m", "acme", "north", rollback=s.rollback, pause=s.pause)
-            section = TenantsSection(SECTION.shards, SECTION.tenants, (line,))
+            section = TenantsSection(SECTION.shard_by_name, SECTION.tenant_by_name, (line,))
             change = advance(
                 version, MigrationPolicy(section, self.rules.hold * TICK, self.rules.notice * TICK), seen
             )
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -191,14 +191,14 @@
     fleet = Fleet(
         MaintenanceRequest("w", kind="cache"),
         machines=machines,
-        allowed=UnavailableByKind(UnavailableLimits(1, 2)),
+        unavailable_limits=UnavailableByKind(UnavailableLimits(1, 2)),
     )
     fleet.turns()
     assert {o.target for o in fleet.version.orders} == {"a0", "b0"}
     fleet = Fleet(
         MaintenanceRequest("w", kind="cache"),
         machines=machines,
-        allowed=UnavailableByKind(UnavailableLimits(2, 9, least=2)),
+        unavailable_limits=UnavailableByKind(UnavailableLimits(2, 9, min_available_per_zone=2)),
     )
     fleet.turns()
     assert {o.target for o in fleet.version.orders} == {"a0", "b0", "c0"}
@@ -207,7 +207,7 @@
 def test_a_parent_and_its_caches_are_never_out_together() -> None:
     machines = (cache("c0"), cache("d0", "b"), cache("p0", "a", kind="parent"), cache("e0", "c"))
     wishes = MaintenanceRequest("w", ("p0",)), MaintenanceRequest("v", ("c0", "d0", "e0"))
-    fleet = Fleet(*wishes, machines=machines, allowed=UnavailableByKind(UnavailableLimits(2, 9)))
+    fleet = Fleet(*wishes, machines=machines, unavailable_limits=UnavailableByKind(UnavailableLimits(2, 9)))
     fleet.version = RuleVersion(1, 1, shards=(Shard("s", ("d0",), ("p0",)),))
     fleet.turns()
     assert {o.target for o in fleet.version.orders} == {"p0", "e0"}
@@ -218,13 +218,13 @@
     fleet = Fleet(MaintenanceRequest("w", kind="cache"), machines=machines)
     fleet.reports = {"f0": report("f0", 1, sent=(("a0", 50), ("a1", 40), ("b0", 9), ("b1", 30)))}
     seen = fleet.seen()
-    room = DisruptionBudget(fleet.version, [], fleet.wishes.allowed, seen)
-    found = ranked_candidates(fleet.wishes.wishes[0], room)
+    room = DisruptionBudget(fleet.version, [], fleet.wishes.unavailable_limits, seen)
+    found = ranked_candidates(fleet.wishes.requests[0], room)
     assert [c.target for c in found] == ["c0", "b0", "b1", "a1", "a0"]
     assert found[0].why == "set aside already" and "zone b of least load, 39.0/s," in found[1].why
     room.orders.append(MaintenanceTask("w", "a0", "cache", "a", MaintenanceStep.IN, 1))
     assert (
-        ranked_candidates(fleet.wishes.wishes[0], room)[1].target == "a1"
+        ranked_candidates(fleet.wishes.requests[0], room)[1].target == "a1"
     )  # the zone that was begun comes before
 
 
@@ -235,7 +235,8 @@
 
 def test_service_that_falls_stops_an_order_and_its_wish_but_not_what_is_empty() -> None:
     fleet = Fleet(
-        MaintenanceRequest("w", ("c0", "c1", "c2")), allowed=UnavailableByKind(UnavailableLimits(2, 2))
+        MaintenanceRequest("w", ("c0", "c1", "c2")),
+        unavailable_limits=UnavailableByKind(UnavailableLimits(2, 2)),
     )
     fleet.more = {"usual": {"": 0.9}}
     fleet.reports = served(1, 0.87)  # under 0.98 of 0.9
@@ -271,7 +272,9 @@
     fleet.wishes = MaintenanceSection((MaintenanceRequest("w", ("c0",), stop=True),))
     fleet.turns()
     assert fleet.at("c0", MaintenanceStep.EMPTY)  # somebody may be at work there
-    fleet.wishes = MaintenanceSection((MaintenanceRequest("w", ("c0",), stop=True, finished=("c0",)),))
+    fleet.wishes = MaintenanceSection(
+        (MaintenanceRequest("w", ("c0",), stop=True, finished_targets=("c0",)),)
+    )
     fleet.turns()
     assert fleet.at("c0", MaintenanceStep.IN)
 
@@ -300,7 +303,9 @@
     fleet.machines["n0"] = cache("n0", up=5)
     fleet.turns()
     assert fleet.at("c0", MaintenanceStep.OUT) and "replaced" in fleet.turn()[0]
-    fleet.wishes = MaintenanceSection((MaintenanceRequest("w", ("c0", "x9"), replaced={"c0": "n0"}),))
+    fleet.wishes = MaintenanceSection(
+        (MaintenanceRequest("w", ("c0", "x9"), replacement_by_host={"c0": "n0"}),)
+    )
     fleet.turns()
     assert fleet.at("c0", MaintenanceStep.IN) and fleet.at("n0", MaintenanceStep.WARMING)
     fleet.set("n0", up_ms=WARM)
@@ -311,7 +316,7 @@
 def test_fronts_go_one_voter_at_a_time_and_the_leader_last() -> None:
     fleet = Fleet(
         MaintenanceRequest("w", fronts=("f0", "f1", "f2")),
-        allowed=UnavailableByKind(front=UnavailableLimits(3, 3)),
+        unavailable_limits=UnavailableByKind(front=UnavailableLimits(3, 3)),
     )
     fleet.turns()
     assert {o.target for o in fleet.version.orders} == {"f1"} and fleet.at("f1", MaintenanceStep.EMPTY)
@@ -360,7 +365,7 @@
 
 def test_the_example_is_a_section() -> None:
     found = load(str(Path(__file__).parent.parent / "deploy" / "operator.yaml")).get(MaintenanceSection)
-    assert found is not None and found.wishes[0].pause
+    assert found is not None and found.requests[0].pause
 
 
 # One rule each taken out: its text and what stands there instead, and what is explored to find it.
@@ -464,7 +469,9 @@
     ],
 )
 def test_a_fleet_in_virtual_time_keeps_the_rules_through_faults(faults: Faults) -> None:
-    found = Fleets(8, 3, faults, machines=4, zones=2, allowed=UnavailableLimits(1, 1)).run(200 * SECOND)
+    found = Fleets(8, 3, faults, machines=4, zones=2, unavailable_limits=UnavailableLimits(1, 1)).run(
+        200 * SECOND
+    )
     assert found.done_s > 0 and found.between == 0 and found.out_most == 1 and found.sent > 500
 
 
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -28,7 +28,7 @@
     TenantPlacement,
 )
 from quincepier.tenancy import (
-    COMMON,
+    DEFAULT_SHARD_NAME,
     MigrationPolicy,
     PlacementTable,
     TenancyError,
@@ -36,11 +36,11 @@
     TenantsSection,
     advance,
     held_back,
-    hold,
     migration,
     place,
     placement,
     ramp_up,
+    write_pause_ns,
 )
 from quincepier.tenancy.verification import Verdict, judge
 from tests import tenancykit as kit
@@ -61,7 +61,7 @@
 """
 SECTION = read(TEXT, "f").get(TenantsSection)
 assert SECTION is not None
-WISHES = MigrationPolicy.of(SECTION, (SAFE, KEYED))
+WISHES = MigrationPolicy.from_section(SECTION, (SAFE, KEYED))
 NORTH = (Shard("north", ("s-1", "s-2")),)
 
 
@@ -94,7 +94,7 @@
     words = "".join(f", {key}: {str(value).lower()}" for key, value in but.items())
     section = read(TEXT.replace("to: north}", f"to: north{words}}}"), "f").get(TenantsSection)
     assert section is not None
-    return MigrationPolicy.of(section, (SAFE, KEYED))
+    return MigrationPolicy.from_section(section, (SAFE, KEYED))
 
 
 def after(v: RuleVersion, wishes: MigrationPolicy, s: Observations) -> Migration:
@@ -110,7 +110,7 @@
     text = "tenants: {shards: {polar: {caches: [s-2, s-3]}}, tenants: {acme: {items: ['00']}}}"
     section = read(text, "f").get(TenantsSection)
     assert section is not None
-    change = advance(north, MigrationPolicy.of(section, (KEYED,)), seen())
+    change = advance(north, MigrationPolicy.from_section(section, (KEYED,)), seen())
     shards = north.shards if change is None or change.shards is None else change.shards
     caches = [host for shard in shards for host in shard.caches]
     assert len(caches) == len(set(caches)) and shards[0] == north.shards[0]
@@ -147,7 +147,7 @@
     assert SECTION is not None
     tenants = TenantLookup(SECTION)
     assert [tenants.tenant_of(item) for item in ("00ff", "0a1f", "0a2f", "f000")] == [1, 1, 0, 0]
-    assert tenants.name(1) == "acme" and tenants.name(7) == ""
+    assert tenants.name_of(1) == "acme" and tenants.name_of(7) == ""
 
 
 def asked(home: Callable[[io.RequestCame], io.Home | None], key: int, cls: int, **but: Any) -> io.Home:
@@ -214,7 +214,7 @@
 
 
 def test_a_move_goes_through_its_steps_and_stops_where_the_wish_says() -> None:
-    busy = seen(row("acme", COMMON, 5000), row("acme", "north", 5000), row("", "", 40_000))
+    busy = seen(row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), row("", "", 40_000))
     assert after(version(MigrationStep.PLANNED), wish(until="planned"), busy).step is MigrationStep.PLANNED
     assert after(version(MigrationStep.PLANNED), WISHES, busy).step is MigrationStep.WARMING
     assert (
@@ -225,7 +225,7 @@
     assert after(version(MigrationStep.VERIFY, 128), WISHES, busy).step is MigrationStep.CLOSING
     assert after(version(MigrationStep.CLOSING, 128), wish(pause=True), busy).step is MigrationStep.VERIFY
     assert after(version(MigrationStep.CLOSING, 128), WISHES, busy).step is MigrationStep.CUT_OVER
-    assert WISHES.hold == hold((SAFE, KEYED)) == 39 * SECOND
+    assert WISHES.write_pause_ns == write_pause_ns((SAFE, KEYED)) == 39 * SECOND
     assert (
         after(version(MigrationStep.CUT_OVER, 256), WISHES, seen(in_force_for=38 * SECOND)).step
         is MigrationStep.CUT_OVER
@@ -245,7 +245,9 @@
     for text in (TEXT.replace("id: m", "id: other"), TEXT.replace("to: north}", "to: common}")):
         section = read(text, "f").get(TenantsSection)
         assert section is not None
-        change = advance(version(MigrationStep.VERIFY, 128), MigrationPolicy.of(section, (KEYED,)), seen())
+        change = advance(
+            version(MigrationStep.VERIFY, 128), MigrationPolicy.from_section(section, (KEYED,)), seen()
+        )
         assert change is None, "it stays, and no second move of the tenant begins"
 
 
@@ -258,7 +260,7 @@
         assert (first.step, first.part) == (MigrationStep.CUT_OVER, 0)  # at once: what is harmless goes back
     assert after(version(MigrationStep.CUT_OVER, 0), back, seen(in_force=8)).step is MigrationStep.CUT_OVER
     assert after(version(MigrationStep.CUT_OVER, 0), back, seen()).step is MigrationStep.RETURNING
-    early = seen(in_force_for=WISHES.hold - 1)
+    early = seen(in_force_for=WISHES.write_pause_ns - 1)
     assert after(version(MigrationStep.RETURNING, 0), back, early).step is MigrationStep.RETURNING
     assert after(version(MigrationStep.RETURNING, 0), back, seen()).step is MigrationStep.BACK
 
@@ -266,7 +268,7 @@
 def test_nobody_waits_for_a_front_or_leader_that_is_away_in_the_gap() -> None:
     away = seen(lapsed=False, in_force=4, agreed_for=migration.CLOSING_MOST)
     assert after(version(MigrationStep.CLOSING, 128), WISHES, away).step is MigrationStep.VERIFY
-    rows = (row("acme", COMMON, 5000), row("acme", "north", 5000), row("", "", 40_000))
+    rows = (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), row("", "", 40_000))
     missed = seen(*rows, view=("a", "b", "c"))
     assert after(version(MigrationStep.VERIFY, 128), WISHES, missed).step is MigrationStep.VERIFY
 
@@ -274,11 +276,11 @@
 @pytest.mark.parametrize(
     ("old", "new", "verdict"),
     [
-        (row("acme", COMMON, 5000), row("acme", "north", 5000), Verdict.PASS),
-        (row("acme", COMMON, 150), row("acme", "north", 5000), Verdict.WAIT),
-        (row("acme", COMMON, 250), row("acme", "north", 250), Verdict.WAIT),
-        (row("acme", COMMON, 5000), row("acme", "north", 5000, late=0.2), Verdict.FAIL),
-        (row("acme", COMMON, 5000), row("acme", "north", 5000, held=0.6), Verdict.FAIL),
+        (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), Verdict.PASS),
+        (row("acme", DEFAULT_SHARD_NAME, 150), row("acme", "north", 5000), Verdict.WAIT),
+        (row("acme", DEFAULT_SHARD_NAME, 250), row("acme", "north", 250), Verdict.WAIT),
+        (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000, late=0.2), Verdict.FAIL),
+        (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000, held=0.6), Verdict.FAIL),
     ],
 )
 def test_both_homes_are_compared_and_a_fail_goes_back_by_itself(
@@ -303,13 +305,13 @@
     chance, found = random.Random(7), {Verdict.PASS: 0, Verdict.WAIT: 0, Verdict.FAIL: 0}
     for _ in range(40):
         late = [sum(chance.random() < 0.01 for _ in range(5000)) / 5000 for _ in range(2)]
-        s = seen(row("acme", COMMON, 5000, late[0]), row("acme", "north", 5000, late[1]))
+        s = seen(row("acme", DEFAULT_SHARD_NAME, 5000, late[0]), row("acme", "north", 5000, late[1]))
         found[judge(s, "acme", "", "north").verdict] += 1
     assert found[Verdict.FAIL] == 0 and found[Verdict.PASS] > 20
 
 
 def test_keys_go_only_as_fast_as_fills_and_cold_machines_allow() -> None:
-    big = (row("acme", COMMON, 9000), row("acme", "north", 1000))
+    big = (row("acme", DEFAULT_SHARD_NAME, 9000), row("acme", "north", 1000))
     assert (
         ramp_up.grown(seen(*big, row("", "", 10_000)), version(MigrationStep.WARMING, 32).moves[0], 128)[0]
         == 36
@@ -318,7 +320,7 @@
         ramp_up.grown(seen(*big, row("", "", 90_000)), version(MigrationStep.WARMING, 32).moves[0], 128)[0]
         == 64
     )
-    hot = (row("acme", COMMON, 9000), row("acme", "north", 1000, held=0.1))
+    hot = (row("acme", DEFAULT_SHARD_NAME, 9000), row("acme", "north", 1000, held=0.1))
     assert (
         ramp_up.grown(seen(*hot, row("", "", 10_000)), version(MigrationStep.WARMING, 32).moves[0], 128)[0]
         == 32
@@ -329,7 +331,7 @@
 
 
 def test_a_move_and_the_work_on_machines_of_its_home() -> None:
-    s = seen(row("acme", COMMON, 5000), row("acme", "north", 5000), row("", "", 40_000))
+    s = seen(row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), row("", "", 40_000))
     order = (MaintenanceTask("w", "s-1", "cache", "a", MaintenanceStep.DRAINING, 3),)
     for step, part in ((MigrationStep.PLANNED, 0), (MigrationStep.WARMING, 32), (MigrationStep.VERIFY, 128)):
         assert after(version(step, part, order), WISHES, s).step is step
