--- a/quincepier/lab/fleet/places.py
+++ b/quincepier/lab/fleet/places.py
@@ -11,6 +11,9 @@
     return ".".join(str(number >> shift & 255) for shift in (24, 16, 8, 0))
 
 
+NOBODY = _text(FRONTS_AT)  # where no front is
+
+
 def front_address(front: int) -> str:
     """Where a front itself listens."""
     return _text(FRONTS_AT + front + 1)
--- a/quincepier/lab/fleet/relay.py
+++ b/quincepier/lab/fleet/relay.py
@@ -25,7 +25,6 @@
 
 HELD_MOST = 1 << 20  # bytes kept of a direction that is held; then it is not read on
 CLIENTS, CACHES, LOG, PEERS = "clients", "caches", "log", "peers"
-PORT_TRIES = 4
 OPEN, REFUSED, DEAF = "open", "refused", "deaf"  # of new connections
 Key = tuple[str, int, int]
 
@@ -41,7 +40,7 @@
     machine_port: int
     log_port: int
     front_port: int
-    paths: tuple[str, ...]  # those that this process carries
+    ports: dict[str, int]  # of the paths that this process carries, at all its addresses of pairs
     peer_port: int = 0  # where fronts hear each other; 0: where they hear clients
 
 
@@ -246,7 +245,7 @@
     def __init__(self, plan: Plan) -> None:
         self.plan, self.chance = plan, random.Random(plan.seed)
         self.pairs: dict[Key, Pair] = {}
-        self.ports: dict[str, int] = {}
+        self.ports = plan.ports
         self.datagrams: dict[tuple[int, int], asyncio.DatagramTransport] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.dead: set[tuple[str, int]] = set()
@@ -258,20 +257,16 @@
 
     async def start(self) -> None:
         plan = self.plan
-        for path in plan.paths:
-            with socket.socket() as free:
-                free.bind(("127.0.0.1", 0))
-                self.ports[path] = free.getsockname()[1]
         for f in range(plan.fronts):
             front = (front_address(f), plan.front_port)
-            if CLIENTS in plan.paths:
+            if CLIENTS in plan.ports:
                 await self._pair((CLIENTS, f, 0), pair_address(f, 0), front, None, False)
-            if LOG in plan.paths:
+            if LOG in plan.ports:
                 log = ("127.0.0.1", plan.log_port)
                 await self._pair((LOG, f, 0), pair_address(f, 0), log, pair_address(f, 0))
-            for m in range(1, plan.machines + 1 if CACHES in plan.paths else 0):
+            for m in range(1, plan.machines + 1 if CACHES in plan.ports else 0):
                 await self._machine(f, m)
-            for other in range(plan.fronts if PEERS in plan.paths else 0):
+            for other in range(plan.fronts if PEERS in plan.ports else 0):
                 if other != f:
                     to = (front_address(other), plan.peer_port or plan.front_port)
                     key = (PEERS, f, other)
@@ -282,15 +277,6 @@
                         local_addr=(pair.address, self.ports[PEERS]),
                     )
 
-    def close(self) -> None:
-        """Before anybody was told of its ports."""
-        for pair in self.pairs.values():
-            for one in (pair.server, pair.sock):
-                if one is not None:
-                    one.close()
-        for transport in self.datagrams.values():
-            transport.close()
-
     async def _pair(
         self, key: Key, address: str, target: tuple[str, int], source: str | None, up: bool = True
     ) -> Pair:
@@ -364,19 +350,15 @@
 
 async def main(path: str) -> None:
     plan = msgspec.json.decode(Path(path).read_bytes(), type=Plan)
-    notes = child.Notes(Path(plan.folder) / f"notes-relay-{plan.paths[0]}")
+    notes = child.Notes(Path(plan.folder) / f"notes-relay-{next(iter(plan.ports))}")
     order = asyncio.Queue[dict[str, Any]]()
-    for left in reversed(range(PORT_TRIES)):
-        net = Net(plan)
-        try:
-            await net.start()
-            break
-        except OSError as error:  # another rig beside this one has that port at one of the pairs
-            net.close()
-            if not left:
-                child.tell(fault=f"the relay of {', '.join(plan.paths)} can't listen: {error}")
-                return
-    child.tell(ready=True, ports=net.ports)
+    net = Net(plan)
+    try:
+        await net.start()
+    except OSError as error:
+        child.tell(fault=f"the relay of {', '.join(plan.ports)} can't listen: {error}")
+        return
+    child.tell(ready=True)
 
     async def carry_out() -> None:  # one after the other, in the order they were said
         while True:
--- a/quincepier/lab/fleet/rig.py
+++ b/quincepier/lab/fleet/rig.py
@@ -14,7 +14,6 @@
 import resource
 import shutil
 import signal
-import socket
 import struct
 import sys
 import tempfile
@@ -31,6 +30,7 @@
 from quincepier.lab.fleet import child, disk, load, relay, standins
 from quincepier.lab.fleet.evidence import Evidence, FleetRun, Part, Story
 from quincepier.lab.fleet.places import front_address, pair_address
+from quincepier.lab.fleet.ports import Ports
 from quincepier.lab.fleet.settling import sections
 from quincepier.lab.fleet.setup import configuration, settings
 
@@ -269,6 +269,7 @@
         self.loads: list[Child] = []
         self.events: list[dict[str, Any]] = []
         self.ports: dict[str, int] = {}
+        self.claimed: Ports | None = None
         self.port = self.peer_port = 0  # of all fronts: for clients, for each other
         self.used: dict[str, list[tuple[float, float]]] = {}
         self.waiting: dict[int, Fault] = {}  # faults that wait for a counted event
@@ -337,18 +338,21 @@
         plan = standins.Plan(str(self.folder), place, self.seed, wall)
         words = await self.standins.start(standins.__name__, plan)
         self.events = words["events"]
-        self.port = self.peer_port = self._free_port()
-        while self.peer_port == self.port:
-            self.peer_port = self._free_port()
+        try:
+            mine = self.claimed = Ports()
+        except OSError as error:
+            raise RigError(str(error)) from None
+        self.port, self.peer_port = mine.take(), mine.take()
         machines = fleet.caches + fleet.parents + 1
         for path in (relay.CLIENTS, relay.CACHES, relay.LOG, *([relay.PEERS] if self._peers() else [])):
             one = self.relays[path] = Child(f"relay-{path}", self)
+            self.ports[path] = mine.take()
             sweeps = self.keep is None and path == relay.CLIENTS
             net = relay.Plan(
                 str(self.folder), sweeps, self.seed, fleet.fronts, machines, words["machines"],
-                words["log"], self.port, (path,), self.peer_port,
+                words["log"], self.port, {path: self.ports[path]}, self.peer_port,
             )  # fmt: skip
-            self.ports |= (await one.start(relay.__name__, net))["ports"]
+            await one.start(relay.__name__, net)
         self.standins.say(ports=self.ports)
         self.fronts = [FrontProcess(self, n) for n in range(fleet.fronts)]
         for front in self.fronts:
@@ -366,21 +370,6 @@
             share = load.Plan(str(self.folder), place, self.seed, count, n, self.ports["clients"])
             await one.start(load.__name__, share)
 
-    def _free_port(self) -> int:
-        """One that is free on every front's address now."""
-        for _ in range(20):
-            with contextlib.ExitStack() as stack:
-                first = stack.enter_context(socket.socket())
-                first.bind((front_address(0), 0))
-                port: int = first.getsockname()[1]
-                try:
-                    for n in range(1, self.experiment.fleet.fronts):
-                        stack.enter_context(socket.socket()).bind((front_address(n), port))
-                except OSError:
-                    continue
-                return port
-        raise RigError(f"no port is free on {front_address(0)} and the addresses after it")
-
     # The run
 
     async def _run(self) -> None:
@@ -424,9 +413,7 @@
 
         task.add_done_callback(done)
 
-    def reach(
-        self, front: int, how: str, paths: tuple[str, ...] = (relay.CLIENTS, relay.PEERS)
-    ) -> None:
+    def reach(self, front: int, how: str, paths: tuple[str, ...] = (relay.CLIENTS, relay.PEERS)) -> None:
         """A front is there or not: the paths that lead to it are told."""
         for path in paths:
             if path in self.relays:
@@ -589,6 +576,8 @@
             for task in one.tasks:
                 task.cancel()
         await asyncio.gather(*waits, return_exceptions=True)
+        if self.claimed is not None:
+            self.claimed.close()
         if self.keep is None:
             shutil.rmtree(self.folder, ignore_errors=True)
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -4,6 +4,9 @@
 passes fails the run until its line goes, and so does one that is skipped. An error in tear-down fails the run
 there too, since a fixture of several tests ends with whichever is last. Marks do not replace a line. A fault
 in the list ends the run before any test: exit code 4, with line and remedy.
+
+Where pytest-xdist runs the tests in other processes, each judges its own; the one that started them reads the
+list before, ends the run for what they don't find, and prints what their reports say.
 """
 
 from __future__ import annotations
@@ -12,7 +15,7 @@
 from collections.abc import Generator, Iterable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
@@ -87,6 +90,8 @@
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
         here = {item.nodeid for item in items}
         self._check(line for line in self.listed.values() if line.test not in here and self._whole(line.file))
+        if hasattr(self.config, "workeroutput") and NAME in self.config.workeroutput:
+            items.clear()
 
     def _check(self, missing: Iterable[Line]) -> None:
         if faults := [
@@ -94,7 +99,19 @@
             f"where it has cases, a line each), or take the line out"
             for line in missing
         ]:
-            raise pytest.UsageError("\n".join(faults))
+            self._end("\n".join(faults))
+
+    def _end(self, faults: str) -> None:
+        """The run, before any test."""
+        output: dict[str, Any] | None = getattr(self.config, "workeroutput", None)
+        if output is None:
+            raise pytest.UsageError(faults)
+        output[NAME] = faults  # told to the process that started this one, which then ends
+
+    @pytest.hookimpl(optionalhook=True)
+    def pytest_testnodedown(self, node: Any) -> None:
+        if faults := getattr(node, "workeroutput", {}).get(NAME):
+            raise pytest.UsageError(faults)
 
     def _whole(self, file: str) -> bool:
         """Whether this run collects all tests of a file, be it alone, with its folder or with the suite."""
@@ -124,13 +141,18 @@
         elif report.passed and report.when == "call":
             self._fail(report, f"passes again: take line {line.number} out of {NAME}")
         elif report.failed and report.when != "teardown" and call.excinfo is not None:
-            self.failed[item.nodeid] = call.excinfo.exconly().partition("\n")[0]
+            report.user_properties.append((NAME, call.excinfo.exconly().partition("\n")[0]))
             report.outcome, report.wasxfail = "skipped", f"{line.cause} | {line.issue}"
         return report
 
     def _fail(self, report: pytest.TestReport, why: str) -> None:
         report.outcome, report.longrepr = "failed", why
 
+    def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
+        for name, why in report.user_properties:
+            if name == NAME:
+                self.failed[report.nodeid] = str(why)
+
     def pytest_terminal_summary(self, terminalreporter: TerminalReporter) -> None:
         for line in self.listed.values():
             how = self.failed.get(line.test, "did not fail in this run")
--- /dev/null
+++ b/tests/loopback.py
@@ -0,0 +1,55 @@
+"""Loopback addresses of this test process's own: nobody else binds there, so a port needs no asking for.
+
+127.8.0.0 to 127.15.255.255 are cut into blocks. A process holds the one whose first address it has bound, and
+the system lets go of it with the process: test processes beside each other, also of several runs, never meet.
+The front's rig in the laboratory is elsewhere (quincepier/lab/fleet/places.py).
+"""
+
+from __future__ import annotations
+
+import errno
+import functools
+import itertools
+import os
+import socket
+from collections.abc import Iterator
+
+FROM, BLOCKS, SIZE = 127 << 24 | 8 << 16, 128, 1 << 12
+PORTS = range(5050, 30_000)  # below those that the system gives to connections
+
+
+def _text(number: int) -> str:
+    return socket.inet_ntoa(number.to_bytes(4, "big"))
+
+
+def claim() -> tuple[int, socket.socket]:
+    """The first address of a block that is nobody's, and what holds it."""
+    for n in range(BLOCKS):
+        first = FROM + (os.getpid() + n) % BLOCKS * SIZE
+        held = socket.socket()
+        try:
+            held.bind((_text(first), PORTS[0]))
+        except OSError as error:
+            held.close()
+            if error.errno != errno.EADDRINUSE:
+                raise
+        else:
+            return first, held
+    raise RuntimeError(f"all {BLOCKS} blocks of loopback addresses are held by test processes")
+
+
+@functools.cache
+def _addresses() -> Iterator[tuple[str, int]]:
+    first, held = claim()
+
+    def each() -> Iterator[tuple[str, int]]:
+        for port, n in itertools.product(PORTS, range(1, SIZE)):
+            yield _text(first + n), port
+        held.close()
+
+    return each()
+
+
+def own_address() -> tuple[str, int]:
+    """Where nobody listens, and nobody will who was not told of it."""
+    return next(_addresses())
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -6,7 +6,6 @@
 import json
 import os
 import signal
-import socket
 import sys
 import time
 from collections.abc import Awaitable, Callable
@@ -17,6 +16,7 @@
 
 from tests.fcgikit import Got, Reader, call, params
 from tests.frontkit import host, raw_config
+from tests.loopback import own_address
 
 PATIENCE = 30.0  # seconds after which a test gives up; nothing is measured by it
 
@@ -63,7 +63,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._serve, *own_address())
 
     @property
     def address(self) -> str:
@@ -112,7 +112,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._serve, *own_address())
 
     @property
     def address(self) -> str:
@@ -196,13 +196,6 @@
         self.writer.close()
 
 
-def free_address() -> tuple[str, int]:
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        host, port = free.getsockname()
-    return host, port
-
-
 @dataclass
 class Front:
     """The front as a process, with a cache, a parent, an origin and a change log of stand-ins."""
@@ -229,7 +222,7 @@
             kinds = {"p": "parent", "o": "origin"}
             hosts = [host(n, c.address, kinds.get(n[0], "std")) for n, c in self.caches.items()]
             self.log.add(fleet={"seq": 0, "whole": True, "hosts": hosts})
-            self.address = free_address()
+            self.address = own_address()
             self.config = raw_config(
                 listen="{}:{}".format(*self.address), changelog=self.log.address, known=self.log.known()
             )
--- a/tests/test_cold_processes.py
+++ b/tests/test_cold_processes.py
@@ -12,7 +12,8 @@
 import pytest
 
 from tests.frontkit import SETTINGS, host, raw_config
-from tests.standins import Asked, Cache, Client, Front, free_address, until
+from tests.loopback import own_address
+from tests.standins import Asked, Cache, Client, Front, until
 
 FRONTS, WORK = 6, 0.25  # processes; seconds of a request, as the settings let them guess
 COLD, SHARE, MULTIPLE = "s-1", 0.2, 2.5  # the machine that starts; of its size at first; beyond it falls
@@ -57,7 +58,7 @@
         for n, front in enumerate(self.fronts):
             await front.log.start()
             front.log.add(fleet={"seq": 0, "whole": True, "hosts": [self.host(c) for c in self.caches]})
-            front.address = free_address()
+            front.address = own_address()
             front.config = raw_config(
                 name=f"n{n}", listen="{}:{}".format(*front.address), seed=f"{n + 1:016x}",
                 changelog=front.log.address, known=front.log.known(), settings=settings,
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -14,7 +14,8 @@
 import pytest
 
 from tests.frontkit import raw_config
-from tests.standins import PATIENCE, Asked, ChangeLog, Front, free_address, play, until
+from tests.loopback import own_address
+from tests.standins import PATIENCE, Asked, ChangeLog, Front, play, until
 
 FRONT, NET = "quincepier.lifecycle.front", "quincepier.net"
 # In the order in which a start comes by; up to here nobody was told that the front serves.
@@ -52,7 +53,7 @@
 async def ends(folder: Path, *points: str) -> tuple[int, str]:
     """The exit code and the log of a front with such signals, one after the other until it has ended."""
     folder.mkdir()
-    listen, gone = ("{}:{}".format(*free_address()) for _ in range(2))
+    listen, gone = ("{}:{}".format(*own_address()) for _ in range(2))
     (folder / "config.json").write_text(json.dumps(raw_config(listen=listen, changelog=gone)))
     environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
     process = await asyncio.create_subprocess_exec(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import functools
 import json
 import os
 import random
 import resource
 import signal
+import socket
 import subprocess
 import sys
 from collections.abc import Callable, Sequence
@@ -24,7 +26,8 @@
 from quincepier.lab.experiment import Disk, Experiment, Fault, Kind, Variant, load
 from quincepier.lab.fleet import disk, relay, rig
 from quincepier.lab.fleet.evidence import FleetRun
-from quincepier.lab.fleet.places import front_address, pair_address, pair_of
+from quincepier.lab.fleet.places import NOBODY, front_address, pair_address, pair_of
+from quincepier.lab.fleet.ports import MOST, Ports
 from quincepier.lab.fleet.rig import SERVE, Rig, RigError
 from quincepier.lab.fleet.setup import configuration
 from quincepier.lab.fleet.ways import MS, SECOND, Way
@@ -234,6 +237,14 @@
     assert ("cold" in run.accused) is not right
 
 
+def test_rigs_beside_each_other_have_no_port_in_common() -> None:
+    with contextlib.closing(Ports()) as one, contextlib.closing(Ports()) as other:
+        found = [[mine.take() for _ in range(MOST)] for mine in (one, other)]
+        assert len({*found[0], *found[1]}) == 2 * MOST and max(*found[0], *found[1]) < 30_000
+        with socket.socket() as sock, pytest.raises(OSError):
+            sock.bind((NOBODY, found[0][-1]))
+
+
 def test_the_net_as_a_process_loses_what_it_is_told_and_lets_the_other_side_through(tmp_path: Path) -> None:
     """Two fronts' places, one-sided loss and cuts between them; datagrams and streams."""
 
@@ -251,12 +262,12 @@
                 assert address[0] == pair_address(self.front, 1 - self.front)  # where it finds the other
                 got[self.front].append(data)
 
-        port = 0
+        claimed = Ports()
+        port, ports = claimed.take(), {path: claimed.take() for path in (relay.CACHES, relay.PEERS)}
         ears: list[Any] = []
         for n in (0, 1):
             hear = functools.partial(Ear, n)
             ear, _ = await loop.create_datagram_endpoint(hear, local_addr=(front_address(n), port))
-            port = ear.get_extra_info("sockname")[1]
             ears.append(ear)
 
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -266,8 +277,8 @@
 
         server = await asyncio.start_server(echo, front_address(1), port)
         try:
-            plan = relay.Plan(str(tmp_path), False, 7, 2, 1, 1, 1, port, (relay.CACHES, relay.PEERS))
-            ports = (await net.start(relay.__name__, plan))["ports"]
+            plan = relay.Plan(str(tmp_path), False, 7, 2, 1, 1, 1, port, ports)
+            await net.start(relay.__name__, plan)
             for n in (0, 1):
                 net.say(live="peers", other=n, how="open")
 
@@ -322,6 +333,7 @@
                 ear.close()
             server.close()
             await net.end()
+            claimed.close()
 
     def _through(ear: Any, ports: dict[str, int], got: dict[int, list[bytes]]) -> bool:
         ear.sendto(b"?", (pair_address(0, 1), ports["peers"]))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -31,10 +31,10 @@
 
 
 class Suite:
-    """A project in a folder of its own, with our plugin and a list."""
+    """A project in a folder of its own, with our plugin and a list; `options` of each run."""
 
-    def __init__(self, root: Path) -> None:
-        self.root = root
+    def __init__(self, root: Path, *options: str) -> None:
+        self.root, self.options = root, options
         (root / "tests").mkdir()
         (root / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
         self.write("__init__", "").write("conftest", 'pytest_plugins = ["tests.known_red"]\n')
@@ -52,7 +52,7 @@
     def run(self, *words: str) -> tuple[int, str]:
         """The exit code and all that was printed."""
         done = subprocess.run(
-            [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *words],
+            [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *self.options, *words],
             cwd=self.root,
             env=os.environ | {"PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1", "PYTEST_ADDOPTS": ""},
             capture_output=True,
@@ -62,9 +62,9 @@
         return done.returncode, done.stdout + done.stderr
 
 
-@pytest.fixture
-def suite(tmp_path: Path) -> Suite:
-    return Suite(tmp_path)
+@pytest.fixture(params=[(), ("-p", "xdist", "-n", "2")], ids=["one process", "side by side"])
+def suite(tmp_path: Path, request: pytest.FixtureRequest) -> Suite:
+    return Suite(tmp_path, *request.param)
 
 
 def test_what_is_listed_may_fail_and_is_printed(suite: Suite) -> None:
@@ -125,10 +125,10 @@
 
 
 def test_an_error_in_tear_down_fails_the_run(suite: Suite) -> None:
-    """A fixture of the module ends with its last test, so its error is of all of them."""
+    """A fixture of the module ends with its last test in a process, so its error is of all of them."""
     fixture = "@pytest.fixture(scope='module', autouse=True)\ndef shared():\n    yield\n    raise OSError\n"
     suite.write("test_x", "import pytest\n" + fixture + GOOD + RED).list(LINE)
-    code, out = suite.run()
+    code, out = suite.run(*(["--dist", "loadfile"] if suite.options else []))
     assert code == 1 and "1 passed, 1 xfailed, 1 error" in out, out
 
 
@@ -225,6 +225,8 @@
         (("--co",), "3 tests collected"),
     ):
         code, out = suite.run(*words)
+        if suite.options:  # there nobody prints what was deselected
+            told = told.partition(",")[0]
         assert code == 0 and told in out, out
         assert f"known red: {LINE.strip()} | did not fail in this run" in out
     (suite.root / "tests" / "test_x.py").unlink()
--- /dev/null
+++ b/tests/test_loopback.py
@@ -0,0 +1,61 @@
+"""Addresses of a test process's own: no two the same, in it or beside it, none of the laboratory's."""
+
+from __future__ import annotations
+
+import contextlib
+import itertools
+import socket
+import subprocess
+import sys
+
+import pytest
+
+from quincepier.lab.fleet.places import FRONTS_MOST, OTHERS_MOST, front_address, pair_address
+from tests import loopback
+from tests.loopback import BLOCKS, FROM, PORTS, SIZE, claim, own_address
+
+
+def number(address: str) -> int:
+    return int.from_bytes(socket.inet_aton(address), "big")
+
+
+def test_none_comes_twice() -> None:
+    found = list(itertools.islice(iter(own_address, None), SIZE + 10))
+    assert len(set(found)) == len(found)
+    assert {port for _, port in found} <= set(PORTS)
+    first = {number(address) // SIZE for address, _ in found}
+    assert len(first) == 1, "all are of one block"
+    with socket.create_server(found[0]) as server, socket.create_connection(found[0]):
+        assert server.getsockname() == found[0]
+
+
+def test_processes_beside_each_other_have_none_in_common() -> None:
+    code = "from tests.loopback import own_address; print(*own_address(), flush=True); input()"
+    command = [sys.executable, "-c", code]
+    pipe = subprocess.PIPE
+    others = [subprocess.Popen(command, stdin=pipe, stdout=pipe, text=True) for _ in range(3)]
+    try:
+        told = [other.stdout.readline().split()[0] for other in others if other.stdout is not None]
+        blocks = {number(address) // SIZE for address in (own_address()[0], *told)}
+        assert len(blocks) == 4
+    finally:
+        for other in others:
+            other.communicate("\n")
+
+
+def test_where_all_are_held_nobody_shares(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(loopback, "BLOCKS", 1)
+    with contextlib.ExitStack() as stack:
+        with contextlib.suppress(RuntimeError):  # it may be another run's
+            stack.enter_context(claim()[1])
+        with pytest.raises(RuntimeError, match="all 1 blocks"):
+            claim()
+
+
+@pytest.mark.parametrize("other", [0, 1, OTHERS_MOST - 1])
+def test_none_is_the_laboratorys(other: int) -> None:
+    for front in (0, 1, FRONTS_MOST - 1):
+        for address in (front_address(front), pair_address(front, other)):
+            assert not FROM <= number(address) < FROM + BLOCKS * SIZE
+    before, after = front_address(FRONTS_MOST - 1), pair_address(0, 0)
+    assert number(before) < FROM and number(after) >= FROM + BLOCKS * SIZE, "what lies between is ours"
--- a/tests/test_members_shell.py
+++ b/tests/test_members_shell.py
@@ -24,6 +24,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.operator import OperatorError, read
 from tests.frontkit import raw_config
+from tests.loopback import own_address
 from tests.standins import until
 
 
@@ -33,15 +34,8 @@
     return found
 
 
-def free_port() -> int:
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port: int = free.getsockname()[1]
-        return port
-
-
 def fleet(count: int) -> list[Peers]:
-    book = {f"n{n}": ("127.0.0.1", free_port()) for n in range(count)}
+    book = {f"n{n}": own_address() for n in range(count)}
     return [
         Peers("f", name, place, Checks(), Descriptors(1024), n, book=book)
         for n, (name, place) in enumerate(book.items())
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -17,7 +17,8 @@
 import pytest
 
 from tests.frontkit import SETTINGS, host, raw_config
-from tests.standins import Asked, Cache, ChangeLog, Client, Front, free_address, until
+from tests.loopback import own_address
+from tests.standins import Asked, Cache, ChangeLog, Client, Front, until
 
 MS = 1_000_000
 OLD, NEW = 1, 2  # the first digit of a request's job id says which front's client asked
@@ -125,7 +126,7 @@
             settings["replicas_of_me"], settings["family_info"]["seats_by_zone"] = 2, [0, 2]
             settings["rules"] |= {"cold_from": RULES["cold_from"], "fall_multiple": RULES["fall_multiple"]}
             settings["rules"] |= {"warm_within": int(RULES["warm_s"] * 1000) * MS}
-            front.address = free_address()
+            front.address = own_address()
             front.config = raw_config(
                 listen="{}:{}".format(*front.address), changelog=front.log.address, known=front.log.known(),
                 settings=settings, name=f"n{number}",
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -13,7 +13,8 @@
 import pytest
 
 from tests.fcgikit import call, params
-from tests.standins import Asked, Cache, ChangeLog, Client, Front, free_address, until
+from tests.loopback import own_address
+from tests.standins import Asked, Cache, ChangeLog, Client, Front, until
 from tests.test_standing_restart import Sender
 
 FRONTS, AT_ONCE = 10, 2
@@ -56,7 +57,7 @@
         self.fronts.append(first)
         for n in range(1, FRONTS):
             (self.folder / str(n)).mkdir()
-            address = free_address()
+            address = own_address()
             named = {"name": f"n{n}", "listen": "{}:{}".format(*address)}
             self.fronts.append(Front(self.folder / str(n), self.caches, self.log, first.config | named))
             self.fronts[-1].address = address
@@ -134,7 +135,7 @@
         front = Front(tmp_path, {name: Cache(Asked.data) for name in ("s-1", "p-1", "o-1")})
         changes: dict[str, Any] = {}
         if log == "down":
-            changes = {"changelog": "{}:{}".format(*free_address())}
+            changes = {"changelog": "{}:{}".format(*own_address())}
         full, others = socket.socket(), list[socket.socket]()
         full.bind(("127.0.0.1", 0))
         if log == "silent":
--- a/tests/test_standing_restart.py
+++ b/tests/test_standing_restart.py
@@ -11,7 +11,8 @@
 import pytest
 
 from tests.fcgikit import call, params
-from tests.standins import Asked, ChangeLog, Client, Front, free_address, play, until
+from tests.loopback import own_address
+from tests.standins import Asked, ChangeLog, Client, Front, play, until
 
 ROW = 4  # requests sent at once on a connection; the next row follows the last answer
 SLOW = "9"  # the part that a cache takes long for
@@ -96,7 +97,7 @@
     async def scenario(front: Front) -> None:
         (tmp_path / "second").mkdir()
         second = Front(tmp_path / "second", front.caches, front.log, front.config | {"name": "n1"})
-        second.address = free_address()
+        second.address = own_address()
         try:
             lost, statuses = await restart(front, second)
         finally:
