--- a/quincepier/net/fleet/effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -14,27 +14,27 @@
 from quincepier import clock
 from quincepier.errors import QuincepierError
 from quincepier.interface import CacheState, ListNews, Note, RequestCame
-from quincepier.memory.requests import OpenAttempt, OpenRequest
-from quincepier.net.fleet.bearing import Rules
+from quincepier.memory.open_requests import OpenAttempt, OpenRequest
+from quincepier.net.fleet.active_rules import ActiveRules
+from quincepier.net.fleet.endpoint_overlay import EndpointOverlay
 from quincepier.net.fleet.follower import Follower
-from quincepier.net.fleet.overlay import Overlay
-from quincepier.net.fleet.tally import Tally
+from quincepier.net.fleet.report_counters import ReportCounters
 from quincepier.net.module import ModuleActor
-from quincepier.rules import FrontReport, RuleVersion, first
+from quincepier.rules import FrontReport, RuleVersion, initial_version
 
 if TYPE_CHECKING:
-    from quincepier.tenancy import Homes
+    from quincepier.tenancy import PlacementTable
 
 
-class Effects:
+class VersionEffects:
     """Is the module actor's `settled`."""
 
-    def __init__(self, module: ModuleActor, follower: Follower, bearing: Rules, span: int) -> None:
+    def __init__(self, module: ModuleActor, follower: Follower, bearing: ActiveRules, span: int) -> None:
         self.module, self.follower, self.bearing = module, follower, bearing
         self.checks = module.checks
-        self.overlay = Overlay(module.directory.hosts)
-        self.tally = Tally(module.config.settings.classes, clock.now(), span)
-        self.homes: Homes | None = None
+        self.overlay = EndpointOverlay(module.directory.hosts)
+        self.tally = ReportCounters(module.config.settings.classes, clock.now(), span)
+        self.homes: PlacementTable | None = None
         self.kept: RuleVersion | None = None  # of an earlier start
         self.cautious, self.since = True, clock.boot()
         self.unsure = False
@@ -43,12 +43,13 @@
         self.applied: Callable[[], None] = lambda: None  # told after each change
         self.busy = False
         self.in_part = -1  # the number of a version of which the homes can't be used
-        self.usable = first()  # the last version of which they could
+        self.usable = initial_version()  # the last version of which they could
 
     @property
     def version(self) -> RuleVersion:
         """By which this front decides, or, before its first answer, keeps to its cautious set: what a voter
-        reads from its own log at the start may be older than what its earlier start was told."""
+        reads from its own log at the start may be older than what its earlier start was told.
+        """
         known, kept = self.follower.version, self.kept
         if kept is not None and self.follower.holder.blank() and kept.number > known.number:
             return kept
@@ -64,7 +65,8 @@
 
     def apply(self, why: str = "") -> None:
         """Put the version, and whether this front is cautious, in force at the module. Cheap where nothing
-        has changed."""
+        has changed.
+        """
         now, version = clock.boot(), self.version
         reason = self.wants_caution(now)
         cautious = bool(reason)
@@ -72,7 +74,7 @@
             self.since = now
         # a move may have begun since that this front can't know of
         spoilt = version.number == self.in_part
-        unsure = spoilt or cautious and (not version.number or now - self.since > self.bearing.notice)
+        unsure = spoilt or (cautious and (not version.number or now - self.since > self.bearing.notice))
         as_before = (version.number, cautious, unsure) == (self.number, self.cautious, self.unsure)
         if as_before and self.taken == self.bearing.taken:
             return
@@ -112,7 +114,8 @@
 
     def _take_back(self) -> None:
         """What may not be repeated and is not written goes back to the module: after a standstill its time is
-        over, and the tenant may be served at another home. Machines are seen to by their list lines."""
+        over, and the tenant may be served at another home. Machines are seen to by their list lines.
+        """
         for request in list(self.module.requests.open.values()):
             if request.tenant and self.bearing.once[request.cls]:
                 for attempt in request.attempts:
--- a/quincepier/rules/leases.py
+++ b/quincepier/rules/lease_holder.py
@@ -19,7 +19,7 @@
 
 from quincepier.rules.errors import RulesError
 from quincepier.rules.reports import FrontReport
-from quincepier.rules.version import RuleVersion, first
+from quincepier.rules.version import RuleVersion, initial_version
 
 MS = 1_000_000
 ASKS_MOST = 16  # of one front that wait for an answer
@@ -30,9 +30,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
+class LeaseTimings:
     """Nanoseconds. The lease bounds for how long a request that may not be repeated can be refused while a
-    tenant moves; the asks are four to a lease, so that three in a row may be lost."""
+    tenant moves; the asks are four to a lease, so that three in a row may be lost.
+    """
 
     lease: int = 1000 * MS
     every: int = 250 * MS  # between asks
@@ -48,14 +49,14 @@
         return span + int(span * self.margin) + 1
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True):
+class LeaseRequest(msgspec.Struct, frozen=True, array_like=True):
     """A front's report; the leader answers it by a grant."""
 
     token: Number
     report: FrontReport
 
 
-class Grant(msgspec.Struct, frozen=True, array_like=True):
+class LeaseGrant(msgspec.Struct, frozen=True, array_like=True):
     """The newest agreed version by number; a lease of 0: adopt that first, then ask again."""
 
     start: Number  # incarnation of the front that asked
@@ -65,14 +66,14 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_ask, _grant = msgspec.msgpack.Decoder(Ask), msgspec.msgpack.Decoder(Grant)
+_ask, _grant = msgspec.msgpack.Decoder(LeaseRequest), msgspec.msgpack.Decoder(LeaseGrant)
 
 
-def encode_words(words: Ask | Grant) -> bytes:
+def encode_message(words: LeaseRequest | LeaseGrant) -> bytes:
     return _encode(words)
 
 
-def decode_ask(raw: bytes) -> Ask:
+def decode_lease_request(raw: bytes) -> LeaseRequest:
     """RulesError for anything that is none."""
     if len(raw) > ASK_MOST:
         raise RulesError("an ask is too long")
@@ -82,7 +83,7 @@
         raise RulesError(f"not an ask: {str(error)[:100]}") from None
 
 
-def decode_grant(raw: bytes) -> Grant:
+def decode_lease_grant(raw: bytes) -> LeaseGrant:
     """RulesError for anything that is none."""
     if len(raw) > GRANT_MOST:
         raise RulesError("a grant is too long")
@@ -92,17 +93,17 @@
         raise RulesError(f"not a grant: {str(error)[:100]}") from None
 
 
-class Holder:
+class LeaseHolder:
     """One front's side: the version that it decides by, and for how long it is sure of it.
 
     It starts without a lease, whatever an earlier start of it held.
     """
 
-    __slots__ = ("pace", "start", "version", "until", "token", "asked", "next", "doubted", "answered")
+    __slots__ = ("answered", "asked", "doubted", "next", "pace", "start", "token", "until", "version")
 
-    def __init__(self, start: int, now: int, pace: Pace, version: RuleVersion | None = None) -> None:
+    def __init__(self, start: int, now: int, pace: LeaseTimings, version: RuleVersion | None = None) -> None:
         self.pace, self.start = pace, start
-        self.version = version or first()  # one kept over a start counts for the cautious set alone
+        self.version = version or initial_version()  # one kept over a start counts for the cautious set alone
         self.until = now  # its own clock; a lease ends as this is reached
         self.token, self.asked = 0, dict[int, int]()  # when each open ask was made
         self.next = now  # when to ask again
@@ -115,7 +116,8 @@
 
     def blank(self) -> bool:
         """Whether it started and does not know yet what was agreed: what it kept, or heard by the way, may be
-        older than what its earlier start was told. It waits a little for an answer before it serves."""
+        older than what its earlier start was told. It waits a little for an answer before it serves.
+        """
         return not self.answered
 
     def ask(self, now: int) -> int:
@@ -138,9 +140,10 @@
         self.version = version
         return True
 
-    def granted(self, now: int, grant: Grant, version: RuleVersion | None = None) -> bool:
+    def granted(self, now: int, grant: LeaseGrant, version: RuleVersion | None = None) -> bool:
         """An answer came, with the version it names where that came along. Whether a newer one was adopted:
-        then it asks again at once, since only that ask is answered with a lease."""
+        then it asks again at once, since only that ask is answered with a lease.
+        """
         if grant.start != self.start:
             return False  # meant for an earlier start of this front
         adopted = version is not None and self.adopt(version)
