--- a/Makefile
+++ b/Makefile
@@ -16,8 +16,12 @@
 demo: $(VENV)/made
 	$(PYTHON) -m quincepier lab fleet experiments/demo.yaml --report demo.html
 
+# PACKAGE=consensus runs one package's alone (tests/packages.py); WORKERS=8: so many side by side.
+WORKERS := 0
+SIDE_BY_SIDE := -n $(WORKERS) --maxprocesses 10 --dist loadgroup --no-loadscope-reorder
+
 test: $(VENV)/made
-	$(PYTHON) -m pytest -q -p no:cacheprovider
+	$(PYTHON) -m pytest -q -p no:cacheprovider $(SIDE_BY_SIDE) $(if $(PACKAGE),--package $(PACKAGE))
 
 # What the bench needs beside the deployments of our own: the words of its wire, its figures, its troubles.
 sites:
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
@@ -14,7 +15,7 @@
 from quincepier.addresses.section import AddressesSection, Aside, Dials, Stagger
 from quincepier.checks import Checks
 from quincepier.config import FrontConfig, read_front
-from quincepier.lab.scripted import Machine
+from quincepier.lab import scripted
 from quincepier.memory.buffer_pool import BufferPool
 from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.memory.open_requests import OpenRequest
@@ -25,6 +26,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.wire.changelog import BadRecord, read_changes
 from tests.frontkit import Inbox, host, open_request, raw_config
+from tests.loopback import own_port
 from tests.standins import until
 
 BUDGET = MemoryBudget(buffers=4000, bodies=1 << 24, requests=8192)
@@ -32,6 +34,13 @@
 SAFE, KEYED, UNSAFE = 1, 0, 2  # the classes, by their number
 
 
+class Machine(scripted.Machine):
+    """Its doors are shut and opened again, so their ports are its own."""
+
+    def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
+        return super()._listen(kind, text or (None if kind == "unix" else f"{kind}:{own_port()}"), backlog)
+
+
 class Inside:
     """Machines by host id; requests go in by `ask`, answers are in the inbox that it gives back."""
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -115,7 +115,7 @@
 
     def _whole(self, file: str) -> bool:
         """Whether this run collects all tests of a file, be it alone, with its folder or with the suite."""
-        if any(self.config.getoption(name, None) for name in ("ignore", "ignore_glob", "lf")):
+        if any(self.config.getoption(name, None) for name in ("ignore", "ignore_glob", "lf", "package")):
             return False
         path, start = (self.root / file).resolve(), self.config.invocation_params.dir
         given = [Path(start, arg) for arg in self.config.args if "::" not in arg]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,9 @@
 from collections.abc import Iterator
 
 FROM, BLOCKS, SIZE = 127 << 24 | 8 << 16, 128, 1 << 12
-PORTS = range(5050, 30_000)  # below those that the system gives to connections
+PORTS = range(5050, 30_000)  # at a block's addresses
+SHARED, EACH = 30_000, 20  # 127.0.0.1 and ::1 are of all: there each block has so many ports, from here on
+# All are below those that the system gives to connections.
 
 
 def _text(number: int) -> str:
@@ -38,18 +40,27 @@
     raise RuntimeError(f"all {BLOCKS} blocks of loopback addresses are held by test processes")
 
 
+@functools.cache
+def _block() -> tuple[int, socket.socket]:
+    return claim()
+
+
 @functools.cache
 def _addresses() -> Iterator[tuple[str, int]]:
-    first, held = claim()
+    return ((_text(_block()[0] + n), port) for port, n in itertools.product(PORTS, range(1, SIZE)))
 
-    def each() -> Iterator[tuple[str, int]]:
-        for port, n in itertools.product(PORTS, range(1, SIZE)):
-            yield _text(first + n), port
-        held.close()
 
-    return each()
+@functools.cache
+def _ports() -> Iterator[int]:
+    block = (_block()[0] - FROM) // SIZE
+    return itertools.cycle(range(SHARED + block * EACH, SHARED + (block + 1) * EACH))
 
 
 def own_address() -> tuple[str, int]:
     """Where nobody listens, and nobody will who was not told of it."""
     return next(_addresses())
+
+
+def own_port() -> int:
+    """At 127.0.0.1 and ::1; the first comes again after the last."""
+    return next(_ports())
--- a/tests/test_crossings_drain.py
+++ b/tests/test_crossings_drain.py
@@ -16,6 +16,7 @@
 from quincepier.net.messages import Came
 from quincepier.net.sockets import listen
 from tests.fcgikit import Reader, begin, call, params
+from tests.loopback import own_address
 from tests.standins import Asked, Front, play, until
 from tests.test_crossings_client import LATE, Peer, between, give, taken
 from tests.test_front import fleet
@@ -39,7 +40,7 @@
 
 
 def listening(manager: ConnectionManager) -> tuple[Listener, tuple[str, int]]:
-    sock = listen(("127.0.0.1", 0))
+    sock = listen(own_address())
     return Listener(manager, sock), sock.getsockname()
 
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -7,12 +7,13 @@
 import socket
 import subprocess
 import sys
+from pathlib import Path
 
 import pytest
 
 from quincepier.lab.fleet.places import FRONTS_MOST, OTHERS_MOST, front_address, pair_address
 from tests import loopback
-from tests.loopback import BLOCKS, FROM, PORTS, SIZE, claim, own_address
+from tests.loopback import BLOCKS, EACH, FROM, PORTS, SHARED, SIZE, claim, own_address, own_port
 
 
 def number(address: str) -> int:
@@ -29,15 +30,23 @@
         assert server.getsockname() == found[0]
 
 
+def test_ports_at_the_shared_addresses_are_below_those_of_connections() -> None:
+    mine = [own_port() for _ in range(EACH)]
+    assert len(set(mine)) == EACH and own_port() == mine[0]
+    low, high = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()
+    assert max(PORTS) < SHARED <= min(mine) and SHARED + BLOCKS * EACH <= int(low) < int(high)
+
+
 def test_processes_beside_each_other_have_none_in_common() -> None:
-    code = "from tests.loopback import own_address; print(*own_address(), flush=True); input()"
+    code = "from tests.loopback import *; print(own_address()[0], own_port(), flush=True); input()"
     command = [sys.executable, "-c", code]
     pipe = subprocess.PIPE
     others = [subprocess.Popen(command, stdin=pipe, stdout=pipe, text=True) for _ in range(3)]
     try:
-        told = [other.stdout.readline().split()[0] for other in others if other.stdout is not None]
-        blocks = {number(address) // SIZE for address in (own_address()[0], *told)}
-        assert len(blocks) == 4
+        told = [other.stdout.readline().split() for other in others if other.stdout is not None]
+        told.append([own_address()[0], str(own_port())])
+        assert len({number(address) // SIZE for address, _ in told}) == 4
+        assert len({(int(port) - SHARED) // EACH for _, port in told}) == 4
     finally:
         for other in others:
             other.communicate("\n")
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -15,9 +15,9 @@
 from quincepier.addresses import Address, Cause, Preference, parse, parse_term
 from quincepier.addresses.section import Aside, Dials
 from quincepier.interface import Ending
-from quincepier.lab.scripted import Machine, Moment, Script
+from quincepier.lab.scripted import Moment, Script
 from quincepier.net import dialer as dialing
-from tests.addresskit import KEYED, SAFE, UNSAFE, Inside, play, quick
+from tests.addresskit import KEYED, SAFE, UNSAFE, Inside, Machine, play, quick
 from tests.standins import until
 
 ORDERS = (("ipv4", "ipv6", "unix"), ("unix", "ipv4", "ipv6"), ("ipv6", "unix", "ipv4"))
--- a/tests/watchkit.py
+++ b/tests/watchkit.py
@@ -22,6 +22,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.net.watch import Watch
 from tests.frontkit import make_config
+from tests.loopback import own_address
 from tests.standins import until
 from tests.virtual import run
 
@@ -64,7 +65,7 @@
         self.script: Callable[[Ask], None] = lambda ask: None
 
     async def start(self) -> Log:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._serve, *own_address())
         return self
 
     @property
