--- a/bench/state.py
+++ b/bench/state.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from quincepier import interface as io
-from quincepier.interface import CacheState, ListScope
+from quincepier.interface import EndpointState, UpdateScope
 from quincepier.net.keeper import SLICE, stamp
 from quincepier.policy import Router
 from quincepier.recovery.memory import learned, recall
@@ -31,7 +31,9 @@
 
 
 def router(machines: int) -> Router:
-    cls = io.RequestClass(io.Effect.SAFE, io.Group.ALL, 0, 500 * MS, 2.0, 3 * SECOND, 1.0, False, 0, 0, False)
+    cls = io.RequestClass(
+        io.Idempotency.SAFE, io.DeduplicationScope.ALL, 0, 500 * MS, 2.0, 3 * SECOND, 1.0, False, 0, 0, False
+    )
     s = io.Settings(
         zone=1, fronts=4, fronts_by_zone=(0, 4), classes=(cls,) * 4, parent_kind=1, origin_kind=2,
         direct=True, joins=True, siblings=False, reports=(), client_kb_per_s=0.0, sizes_compare=True,
@@ -41,12 +43,12 @@
         second_copies=True, attempts=8, retry_after=True, max_retry_after=SECOND, step=MS,
     )  # fmt: skip
     made = Router(s, 1, SECOND)
-    listed = (io.Machine(n, 0, 1, n % 65536, 10.0, 0, CacheState.READY) for n in range(1, machines + 1))
-    made.handle(SECOND, io.ListNews(ListScope.FULL, tuple(listed)))
+    listed = (io.Endpoint(n, 0, 1, n % 65536, 10.0, 0, EndpointState.READY) for n in range(1, machines + 1))
+    made.handle(SECOND, io.EndpointUpdate(UpdateScope.FULL, tuple(listed)))
     for node in made.nodes.values():  # each has been slow lately
         node.pace.sign(SECOND, 0.7)
     for n in range(4000):
-        made.handle(SECOND, io.Purged(n, n % 2 * n, 0))
+        made.handle(SECOND, io.ObjectPurged(n, n % 2 * n, 0))
     return made
 
 
--- a/quincepier/addresses/fate.py
+++ b/quincepier/addresses/fate.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 
 
-def after_break(begun: bool, absent: bool, recalled: bool, moves: int, most: int) -> Ending | None:
+def after_break(begun: bool, absent: bool, recalled: bool, moves: int, most: int) -> AttemptOutcome | None:
     """How the attempt ended; None where it goes on over another connection.
 
     `begun`: a byte of it may have been taken by the socket. `absent`: no connection came up, and every
@@ -17,9 +17,9 @@
     how often it has gone on already, `most` times at most.
     """
     if begun:
-        return Ending.RESET
+        return AttemptOutcome.RESET
     if recalled:
-        return Ending.MOOT
+        return AttemptOutcome.NOT_PROCESSED
     if absent:
-        return Ending.CONNECT_FAILED
-    return None if moves < most else Ending.MOOT
+        return AttemptOutcome.CONNECT_FAILED
+    return None if moves < most else AttemptOutcome.NOT_PROCESSED
--- a/quincepier/config.py
+++ b/quincepier/config.py
@@ -17,12 +17,12 @@
 from typing import Any, TypeVar
 
 from quincepier.errors import QuincepierError
-from quincepier.interface import Effect, Group, RequestClass, Settings
+from quincepier.interface import DeduplicationScope, Idempotency, RequestClass, Settings
 from quincepier.wire.changelog import ChangeEvent, FleetChange, Judge, read_address, read_changes
 from quincepier.wire.errors import ProtocolError
 
-EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
-GROUPS = {group.value: group for group in Group}
+EFFECTS = {"free": Idempotency.SAFE, "guarded": Idempotency.KEYED, "single_shot": Idempotency.UNSAFE}
+GROUPS = {group.value: group for group in DeduplicationScope}
 REPORTS = {"concurrent": "in flight", "depth": "queued", "load_share": "load", "x0": "hits", "x1": "link"}
 # The names of load reports on the caches' lines, where they are other than the settings'.
 REPORT_WORDS = {
--- a/quincepier/consistency/decision.py
+++ b/quincepier/consistency/decision.py
@@ -20,7 +20,7 @@
 from quincepier.rules import RuleVersion
 
 Mix = Callable[..., int]
-HomeOf = Callable[[str, io.RequestCame], io.Home | None]  # tenant's name and a request of it
+HomeOf = Callable[[str, io.RequestReceived], io.HomeShard | None]  # tenant's name and a request of it
 Memory = Callable[[int, int], Sequence[int] | None]  # zone (-1: parents) and hash: machines in order
 TOLD_MOST = 8  # of an order of machines, as text
 TENANTS_MOST = 64  # of a version, from which the sample's are drawn
@@ -141,7 +141,7 @@
 
     def decide(self, key: Key) -> Decision:
         s, cls, mixed = self.inputs.settings, self.inputs.settings.classes[key.cls], self.how.mix
-        came = io.RequestCame(0, key.cls, 0.0, 0, key.group, key.object, key.part, False, cls.deadline)
+        came = io.RequestReceived(0, key.cls, 0.0, 0, key.group, key.object, key.part, False, cls.deadline)
         home = self.inputs.homes(key.tenant, came) if self.inputs.homes is not None else None
         caches = self._order(key.zone, self.edges.get(key.zone, []), mixed(key.object, key.part))
         parents = self._order(-1, self.parents, mixed(key.object))
--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -15,7 +15,7 @@
 
 from quincepier import interface as io
 from quincepier.consistency.decision import PLAIN, Arithmetic
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 
 # As in the design; the module has its own, so that one that was changed there alone shows as breaches
 HOT_SHARE, HOT_OF = 0.25, 32  # widening
@@ -47,7 +47,7 @@
 class Node(Protocol):
     """What is read of a machine as the module has it."""
 
-    machine: io.Machine
+    machine: io.Endpoint
     suspect: bool
     trial_at: int
     wait: int
@@ -98,7 +98,7 @@
 
 def why_not(router: Router, node: Node, avoided: Collection[int]) -> Reason | None:
     """Why the module may not use a machine now; None where it may."""
-    if node.machine.state is not CacheState.READY:
+    if node.machine.state is not EndpointState.READY:
         return Reason.OFF
     if node.machine.cache in avoided:
         return Reason.AVOIDED
@@ -123,8 +123,8 @@
 
 
 def explain(
-    router: Router, event: io.RequestCame, node: int, source: int, before: Before | None = None,
-    home: io.Home | None = None, how: Arithmetic = PLAIN,
+    router: Router, event: io.RequestReceived, node: int, source: int, before: Before | None = None,
+    home: io.HomeShard | None = None, how: Arithmetic = PLAIN,
 ) -> Reason:  # fmt: skip
     """Of an attempt at machine `node` with `source` (-1: none), as it is made, before or after it is booked.
 
@@ -135,8 +135,8 @@
 
 
 def account(
-    router: Router, event: io.RequestCame, node: int, source: int, before: Before | None = None,
-    home: io.Home | None = None, how: Arithmetic = PLAIN,
+    router: Router, event: io.RequestReceived, node: int, source: int, before: Before | None = None,
+    home: io.HomeShard | None = None, how: Arithmetic = PLAIN,
 ) -> Account:  # fmt: skip
     """The same with what the rule has."""
     req, nodes = router.requests.get(event.request), router.nodes
@@ -159,7 +159,7 @@
     """One request before the rules, by the module's state now."""
 
     def __init__(
-        self, router: Router, req: Any, event: io.RequestCame, home: io.Home | None, how: Arithmetic
+        self, router: Router, req: Any, event: io.RequestReceived, home: io.HomeShard | None, how: Arithmetic
     ) -> None:
         self.router, self.req, self.event = router, req, event
         self.booked, self.work = frozenset[int](), 0.0
--- a/quincepier/consistency/witness.py
+++ b/quincepier/consistency/witness.py
@@ -37,7 +37,7 @@
         self.breaches: deque[Account] = deque(maxlen=BREACHES_KEPT)
         self.before: OrderedDict[int, Before] = OrderedDict()
 
-    def __call__(self, e: io.RequestCame, node: Any, source: Any) -> None:
+    def __call__(self, e: io.RequestReceived, node: Any, source: Any) -> None:
         """An attempt that is about to be made; machines as the module's nodes, or by number."""
         if xxhash.xxh3_64_intdigest(e.request.to_bytes(8, "little"), self.seed) >= self.below:
             return
--- a/quincepier/interface.py
+++ b/quincepier/interface.py
@@ -9,13 +9,13 @@
 from enum import Enum, IntEnum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     SAFE = "safe"
     KEYED = "keyed"
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """The caches that drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -23,53 +23,53 @@
     CELL = "cell"
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_PROCESSED = "moot"
     MISS = "miss"
 
 
-class Note(IntEnum):
+class CacheStatus(IntEnum):
     """What an ending told of the copy or of the fill."""
 
     NONE = 0
     HIT = 1
     FILLED = 2
     FROM_ORIGIN = 3
-    JOINED = 4
+    COLLAPSED = 4
     STALE = 5
     SOURCE_REFUSED = 6
     SOURCE_BROKEN = 7
-    SOURCE_LACKS = 8
-    NO_FILL_PLACE = 9
+    SOURCE_MISS = 8
+    NO_FETCH_SLOT = 9
     ORIGIN_FAILED = 10
 
 
-class CacheState(Enum):
+class EndpointState(Enum):
     READY = 0
     DRAINING = 1
     GONE = 2
 
 
-class ListScope(Enum):
+class UpdateScope(Enum):
     CHANGES = 0
     FAILED = 1
     FULL = 2
-    REMEMBERED = 3
+    RESTORED = 3
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    effect: Effect
-    group: Group
+    effect: Idempotency
+    group: DeduplicationScope
     window: int
     on_time: int
     stretch: float
@@ -114,7 +114,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Machine:
+class Endpoint:
     """One line of the list of caches, parents and the origin."""
 
     cache: int
@@ -123,17 +123,17 @@
     cell: int
     size: float
     up_since: int
-    state: CacheState
+    state: EndpointState
 
 
 @dataclass(slots=True, frozen=True)
-class ListNews:
-    scope: ListScope
-    machines: tuple[Machine, ...]
+class EndpointUpdate:
+    scope: UpdateScope
+    machines: tuple[Endpoint, ...]
 
 
 @dataclass(slots=True)
-class RequestCame:
+class RequestReceived:
     request: int
     cls: int
     size_kb: float
@@ -147,7 +147,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Home:
+class HomeShard:
     """Where a key of a tenant is at home under one rule version; what is not in the sets is not used for it.
 
     `name` tells homes apart. `closed`: what may not simply be repeated is refused for now, with advice.
@@ -160,52 +160,52 @@
 
 
 @dataclass(slots=True)
-class TimerDue:
+class TimerFired:
     token: int
 
 
 @dataclass(slots=True, frozen=True)
-class StreamBegan:
+class ResponseStarted:
     request: int
     attempt: int
     cache: int
 
 
 @dataclass(slots=True)
-class AttemptEnded:
+class AttemptCompleted:
     request: int
     attempt: int
     cache: int
-    ending: Ending
+    ending: AttemptOutcome
     elapsed: int
     last: bool
-    note: Note
+    note: CacheStatus
     waited: int
     report: tuple[float, ...]
     another_way: bool = False  # a reset over one address of a machine that has others
 
 
 @dataclass(slots=True, frozen=True)
-class ClientLeft:
+class ClientDisconnected:
     request: int
 
 
 @dataclass(slots=True, frozen=True)
-class ProbeEnded:
+class HealthCheckCompleted:
     cache: int
-    ending: Ending
+    ending: AttemptOutcome
     elapsed: int
     report: tuple[float, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class PeerSaid:
+class PeerMessage:
     peer: int
     text: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Purged:
+class ObjectPurged:
     """A purge made `ago` earlier; with object 0 it is of all the group."""
 
     group: int
@@ -218,7 +218,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LearnedClass:
+class LearnedTransferTime:
     """The mean sending time of a class, over so many answers."""
 
     cls: int
@@ -228,7 +228,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LearnedUsual:
+class LearnedLatency:
     """How long answers of a class usually take: logarithms of nanoseconds, or of the told sending time."""
 
     cls: int
@@ -241,13 +241,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LearnedBound:
+class LearnedFetchLimit:
     bound: int
     ago: int
 
 
 @dataclass(slots=True, frozen=True)
-class LearnedWork:
+class LearnedServedWork:
     """Sending time that machines of a kind bore, fading, over `span` nanoseconds."""
 
     kind: int
@@ -257,7 +257,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LearnedMachine:
+class LearnedEndpoint:
     """Signs of how slow it is; when it was found to have started anew; set aside; told to leave.
 
     -1 for a time that there is none of.
@@ -281,23 +281,30 @@
     ago: int
 
 
-Learned = LearnedClass | LearnedUsual | LearnedBound | LearnedWork | LearnedMachine | LearnedPurge
+Learned = (
+    LearnedTransferTime
+    | LearnedLatency
+    | LearnedFetchLimit
+    | LearnedServedWork
+    | LearnedEndpoint
+    | LearnedPurge
+)
 
 Event = (
-    ListNews
-    | RequestCame
-    | TimerDue
-    | StreamBegan
-    | AttemptEnded
-    | ClientLeft
-    | ProbeEnded
-    | PeerSaid
-    | Purged
+    EndpointUpdate
+    | RequestReceived
+    | TimerFired
+    | ResponseStarted
+    | AttemptCompleted
+    | ClientDisconnected
+    | HealthCheckCompleted
+    | PeerMessage
+    | ObjectPurged
 )
 
 
 @dataclass(slots=True)
-class Ask:
+class ForwardRequest:
     """An attempt that fills nothing: the origin's answer, or a fresh copy held at the cache."""
 
     request: int
@@ -307,7 +314,7 @@
 
 
 @dataclass(slots=True)
-class Fetch:
+class FetchThrough:
     """An attempt that names a fill's source (the cache itself: none) and the oldest copy that will do."""
 
     request: int
@@ -323,19 +330,19 @@
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
-class Refuse:
+class RejectRequest:
     request: int
     retry_after: int
 
 
 @dataclass(slots=True, frozen=True)
-class Fail:
+class FailRequest:
     request: int
 
 
@@ -347,18 +354,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
+class SendHealthCheck:
     cache: int
 
 
 @dataclass(slots=True, frozen=True)
-class Follow:
+class WatchEndpoints:
     """Ask for the list's changes from now on."""
 
 
 @dataclass(slots=True, frozen=True)
-class Log:
+class WriteLog:
     text: str
 
 
-Action = Ask | Fetch | Cancel | Refuse | Fail | SetTimer | Probe | Follow | Log
+Action = (
+    ForwardRequest
+    | FetchThrough
+    | CancelAttempt
+    | RejectRequest
+    | FailRequest
+    | SetTimer
+    | SendHealthCheck
+    | WatchEndpoints
+    | WriteLog
+)
--- a/quincepier/lab/experiment.py
+++ b/quincepier/lab/experiment.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from quincepier.interface import Effect, Group, RequestClass, Settings
+from quincepier.interface import DeduplicationScope, Idempotency, RequestClass, Settings
 from quincepier.keys import mix
 from quincepier.operator.reading import OperatorError, read_struct
 
@@ -125,7 +125,7 @@
     deadline_ms: Positive
     worth: Positive = 1.0
     stretch: AtLeast0 = 2.0
-    effect: Effect = Effect.SAFE
+    effect: Idempotency = Idempotency.SAFE
     sigma: Annotated[float, msgspec.Meta(ge=0, le=3)] = 0.0  # of the log-normal sizes of objects; 0: alike
     objects: Count = 500
     parts: Count = 1
@@ -251,7 +251,7 @@
     def _class(self, c: Class) -> RequestClass:
         return RequestClass(
             effect=c.effect,
-            group=Group.ALL,
+            group=DeduplicationScope.ALL,
             window=5 * SECOND,
             on_time=int(c.wanted_ms * MS),
             stretch=c.stretch,
--- a/quincepier/lab/fleet/load.py
+++ b/quincepier/lab/fleet/load.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from quincepier.interface import Effect
+from quincepier.interface import Idempotency
 from quincepier.lab.experiment import MS, SECOND, Class, Experiment, load
 from quincepier.lab.fleet import child
 from quincepier.lab.fleet.places import pair_address
@@ -228,7 +228,7 @@
     def _turned(self, one: Try, status: str, wait: int, never_took: bool) -> None:
         one.over = True
         c, plan = self.experiment.classes[one.cls], self.experiment.load
-        harmless = status == "refused" or never_took or c.effect is Effect.SAFE
+        harmless = status == "refused" or never_took or c.effect is Idempotency.SAFE
         if one.no < plan.retries and harmless:
             self.notes.note("again", one.cls, status, one.front)
             pause = wait or int(plan.back_off_ms * MS * self.random.uniform(0.5, 1.5))
--- a/quincepier/lab/fleet/standins.py
+++ b/quincepier/lab/fleet/standins.py
@@ -17,15 +17,25 @@
 
 import msgspec
 
-from quincepier.interface import CacheState, Ending, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState
 from quincepier.lab.experiment import EDGE, MS, SECOND, Experiment, Fault, Kind, load
 from quincepier.lab.fleet import child
 from quincepier.lab.fleet.places import pair_address, pair_of
 from quincepier.lab.machines import ON_MACHINES, Machine, Machines
 
-WORDS = {Ending.OK: "data", Ending.MISS: "absent", Ending.FULL: "full", Ending.ERROR: "failed"}
-HOWS = {Note.FILLED: "pulled", Note.FROM_ORIGIN: "pulled_far", Note.JOINED: "rode", Note.STALE: "expired",
-        Note.SOURCE_BROKEN: "cut_off"}  # fmt: skip
+WORDS = {
+    AttemptOutcome.OK: "data",
+    AttemptOutcome.MISS: "absent",
+    AttemptOutcome.OVERLOADED: "full",
+    AttemptOutcome.ERROR: "failed",
+}
+HOWS = {
+    CacheStatus.FILLED: "pulled",
+    CacheStatus.FROM_ORIGIN: "pulled_far",
+    CacheStatus.COLLAPSED: "rode",
+    CacheStatus.STALE: "expired",
+    CacheStatus.SOURCE_BROKEN: "cut_off",
+}
 KINDS = ("std", "parent", "origin")
 LETTERS = "spo"
 LINE_MOST = 4096
@@ -114,7 +124,9 @@
         self.open[order.serial] = order
         hall.after(hall.way(machine), hall.reach, order)
 
-    def answer(self, order: Order, ending: Ending, note: Note, waited: int, minted: int | None) -> None:
+    def answer(
+        self, order: Order, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+    ) -> None:
         if self.transport is None or self.open.pop(order.serial, None) is None:
             return
         hall = self.hall
@@ -122,7 +134,7 @@
             self.transport.abort()
             return
         fields, body = f"how={HOWS.get(note, 'local')},lag={waited // MS}", b""
-        if ending is Ending.OK:
+        if ending is AttemptOutcome.OK:
             at = minted if minted is not None else hall.now
             body = b"%x %d %d %d" % (order.key[0], order.key[1], order.serial, at)
             fields = f"tag={TAG},minted={(at + hall.plan.wall) // MS}," + fields
@@ -164,7 +176,9 @@
         if order.serial in order.door.open:
             self.machines.reach(order)
 
-    def reply(self, order: Order, ending: Ending, note: Note, waited: int, minted: int | None) -> None:
+    def reply(
+        self, order: Order, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+    ) -> None:
         machine = self.machines.all[order.machine]
         self.after(self.way(machine), order.door.answer, order, ending, note, waited, minted)
 
@@ -176,20 +190,24 @@
 
     def listed(self, machines: Sequence[Machine]) -> None:
         delay = self.experiment.fleet.told_ms * MS * self.machines.chance.uniform(0.5, 1) + self.lag
-        states = [(m.index, m.standing is CacheState.READY) for m in machines]
+        states = [(m.index, m.standing is EndpointState.READY) for m in machines]
         hosts = [self.host(m) for m in machines]
         for m in machines:
             if m.index not in self.by_index:
                 self.by_index[m.index] = self.by_host[host_name(m)] = m
                 child.tell(machines=m.index)
-            if m.standing is CacheState.GONE:
+            if m.standing is EndpointState.GONE:
                 child.tell(live="caches", other=m.index, how="refused")
             elif m.state == "up":
                 child.tell(live="caches", other=m.index, how="open")
         self.after(int(delay), self.log.add, "listed", states, {"fleet": {"whole": False, "hosts": hosts}})
 
     def host(self, m: Machine) -> dict[str, Any]:
-        states = {CacheState.READY: "SERVING", CacheState.DRAINING: "DRAINING", CacheState.GONE: "DELETED"}
+        states = {
+            EndpointState.READY: "SERVING",
+            EndpointState.DRAINING: "DRAINING",
+            EndpointState.GONE: "DELETED",
+        }
         return {
             "host": host_name(m), "dial": str(m.index), "site": f"z{m.zone}" if m.kind == EDGE else "hub",
             "class": KINDS[m.kind], "block": m.zone, "health": states[m.standing], "share": m.sends,
--- a/quincepier/lab/front.py
+++ b/quincepier/lab/front.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from quincepier import interface as io
-from quincepier.interface import Ending, ListScope, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, UpdateScope
 from quincepier.lab.experiment import MS, SECOND, Disk, Variant
 from quincepier.policy import Router
 from quincepier.recovery import first_poll
@@ -25,11 +25,13 @@
     __slots__ = ("age", "at", "cls", "ended", "front", "held", "join", "key", "machine", "no", "number",
                  "request", "source", "timeout")  # fmt: skip
 
-    def __init__(self, front: Front, request: Request, no: int, action: io.Ask | io.Fetch, at: int) -> None:
+    def __init__(
+        self, front: Front, request: Request, no: int, action: io.ForwardRequest | io.FetchThrough, at: int
+    ) -> None:
         self.front, self.request, self.no, self.at = front, request, no, at
         self.number, self.cls, self.key = request.number, request.cls, (request.object, request.part)
         self.machine, self.timeout, self.ended = action.cache, action.timeout, False
-        fetch = action if isinstance(action, io.Fetch) else None
+        fetch = action if isinstance(action, io.FetchThrough) else None
         self.source = fetch.source if fetch and fetch.source != fetch.cache else None
         self.age = fetch.age if fetch else 0
         self.join, self.held = (fetch.join, fetch.held_only) if fetch else (False, False)
@@ -69,9 +71,9 @@
         self.router = Router(settings, (world.seed * 1000 + self.number) * 100 + self.starts - 1, world.now)
         for m in world.machines.all.values():  # a list that a front starts with counts as told
             world.told(self, m.as_listed())
-        self.tell(io.ListNews(ListScope.REMEMBERED, world.machines.listed()))
+        self.tell(io.EndpointUpdate(UpdateScope.RESTORED, world.machines.listed()))
         for group, at in world.purged:
-            self.tell(io.Purged(group, 0, world.now - at))
+            self.tell(io.ObjectPurged(group, 0, world.now - at))
         if self.kept:
             self.recall(*self.kept[-1])
         chance = random.Random((world.seed * 1000 + self.number) * 100 + self.starts)
@@ -82,7 +84,7 @@
     def recall(self, at: int, facts: list[io.Learned]) -> None:
         """Of machines that are still the same; the list was told before."""
         listed = self.world.machines.all
-        same = (f for f in facts if not isinstance(f, io.LearnedMachine) or f.cache in listed)
+        same = (f for f in facts if not isinstance(f, io.LearnedEndpoint) or f.cache in listed)
         recall(self.router, same, self.world.now - at)
 
     def keep(self, start: int) -> None:
@@ -125,7 +127,7 @@
         if self.stopped <= 0:
             self.stopped, waiting, self.waiting = 0, self.waiting, []
             for at, event in waiting:
-                if isinstance(event, io.RequestCame):  # its time goes while it lies unread
+                if isinstance(event, io.RequestReceived):  # its time goes while it lies unread
                     event.time_left -= self.world.now - at
                 self.tell(event)
 
@@ -135,7 +137,7 @@
         if self.stopped:
             self.waiting.append((self.world.now, event))
             return
-        if isinstance(event, io.AttemptEnded) and event.request not in self.requests:
+        if isinstance(event, io.AttemptCompleted) and event.request not in self.requests:
             return
         for action in self.router.handle(self.world.now, event):
             self._perform(action)
@@ -143,30 +145,30 @@
     def _perform(self, action: io.Action) -> None:
         world = self.world
         match action:
-            case io.Ask() | io.Fetch():
+            case io.ForwardRequest() | io.FetchThrough():
                 self._send(action)
-            case io.Cancel(number, no):
+            case io.CancelAttempt(number, no):
                 request = self.requests.get(number)
                 if request is not None and no < len(request.attempts):
                     world.call_off(request.attempts[no])
-            case io.Refuse(number, wait):
+            case io.RejectRequest(number, wait):
                 self._answer(number, "refused", wait)
-            case io.Fail(number):
+            case io.FailRequest(number):
                 self._answer(number, "failed", 0)
             case io.SetTimer(wait, token, about):
                 world.after(max(wait, 0), self._timer, token, about, self.starts)
-            case io.Follow():
-                world.after(0, self.tell, io.ListNews(ListScope.FULL, world.machines.listed()))
-            case io.Probe(machine):
-                ended = io.ProbeEnded(machine, Ending.OK, 0, ())
+            case io.WatchEndpoints():
+                world.after(0, self.tell, io.EndpointUpdate(UpdateScope.FULL, world.machines.listed()))
+            case io.SendHealthCheck(machine):
+                ended = io.HealthCheckCompleted(machine, AttemptOutcome.OK, 0, ())
                 world.after(world.way(self.zone, machine), self.tell, ended)
 
     def _timer(self, token: int, about: int, start: int) -> None:
         request = self.requests.get(about)
         if start == self.starts and (about < 0 or (request is not None and not request.over)):
-            self.tell(io.TimerDue(token))
+            self.tell(io.TimerFired(token))
 
-    def _send(self, action: io.Ask | io.Fetch) -> None:
+    def _send(self, action: io.ForwardRequest | io.FetchThrough) -> None:
         request = self.requests[action.request]
         attempt = Attempt(self, request, len(request.attempts), action, self.world.now)
         request.attempts.append(attempt)
@@ -184,7 +186,9 @@
             self.world.answered(self, request, status, None, 0, wait)
             self.settle(request)
 
-    def ended(self, attempt: Attempt, ending: Ending, note: Note, waited: int, minted: int | None) -> None:
+    def ended(
+        self, attempt: Attempt, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+    ) -> None:
         if not self.alive or self.requests.get(attempt.number) is not attempt.request:
             return
         if self.stopped:
@@ -192,10 +196,10 @@
             return
         request = attempt.request
         self.busy[attempt.machine] -= 1
-        if ending is Ending.OK and not request.over:
+        if ending is AttemptOutcome.OK and not request.over:
             request.over = True
             self.world.answered(self, request, "served", minted, attempt.at, 0)
-        event = io.AttemptEnded(
+        event = io.AttemptCompleted(
             request.number, attempt.no, attempt.machine, ending, self.world.now - attempt.at, request.over,
             note, waited, (),
         )  # fmt: skip
@@ -208,7 +212,7 @@
         if not request.over and self.requests.get(request.number) is request:
             request.over = True
             self.world.judge.abandoned(request.number)
-            self.tell(io.ClientLeft(request.number))
+            self.tell(io.ClientDisconnected(request.number))
             self.settle(request)
             self.world.turned_away(self, request, "failed", 0)
 
--- a/quincepier/lab/machines.py
+++ b/quincepier/lab/machines.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from quincepier import interface as io
-from quincepier.interface import CacheState, Ending, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState
 from quincepier.lab.experiment import EDGE, MS, ORIGIN, PARENT, SECOND, Experiment, Fault, Kind
 from quincepier.lab.model import Cold, Sharing, Store
 
@@ -48,7 +48,9 @@
     @property
     def now(self) -> int: ...  # ns
     def after(self, wait: int, what: Callable[..., None], *about: Any) -> None: ...
-    def reply(self, order: Any, ending: Ending, note: Note, waited: int, minted: int | None) -> None: ...
+    def reply(
+        self, order: Any, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+    ) -> None: ...
     def listed(self, machines: Sequence[Machine]) -> None:
         """The list says something else of these now."""
 
@@ -67,7 +69,7 @@
         self.sends: float = (fleet.cache_sends, fleet.parent_sends, fleet.origin_runs)[kind]
         self.keeps = (fleet.cache_keeps, fleet.parent_keeps, 1)[kind]
         self.number, self.index, self.kind, self.zone, self.born = number, index, kind, zone, born
-        self.state, self.standing, self.plan = "up", CacheState.READY, plan
+        self.state, self.standing, self.plan = "up", EndpointState.READY, plan
         self.share, self.store = Sharing(self.sends), Store(self.keeps)
         self.cold = self._cold()
         self.filling: dict[Key, list[Waiter]] = {}
@@ -88,9 +90,9 @@
         self.filling.clear()
         self.out.clear()
 
-    def as_listed(self) -> io.Machine:
+    def as_listed(self) -> io.Endpoint:
         zone = self.zone if self.kind == EDGE else 0
-        return io.Machine(self.number, self.kind, zone, self.zone, self.sends, self.born, self.standing)
+        return io.Endpoint(self.number, self.kind, zone, self.zone, self.sends, self.born, self.standing)
 
 
 class Machines:
@@ -112,8 +114,8 @@
         machine = self.all[number] = Machine(number, self.made, kind, zone, born, self.plan)
         return machine
 
-    def listed(self) -> tuple[io.Machine, ...]:
-        return tuple(m.as_listed() for m in self.all.values() if m.standing is not CacheState.GONE)
+    def listed(self) -> tuple[io.Endpoint, ...]:
+        return tuple(m.as_listed() for m in self.all.values() if m.standing is not EndpointState.GONE)
 
     # Orders
 
@@ -122,24 +124,26 @@
         machine, now = self.all.get(order.machine), self.host.now
         if machine is None or machine.state != "up":
             if machine is None or machine.state != "silent":
-                self.host.reply(order, Ending.CONNECT_FAILED, Note.NONE, 0, None)
+                self.host.reply(order, AttemptOutcome.CONNECT_FAILED, CacheStatus.NONE, 0, None)
             return
         c = self.plan.classes[order.cls]
         work = self.plan.sending(order.cls, order.key[0])
         if not self._asked(machine, work, order.number):
-            self.host.reply(order, Ending.RESET, Note.NONE, 0, None)
+            self.host.reply(order, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
             return
         machine.out[order] = 0
         if machine.kind == ORIGIN:
-            self._from_origin(order, lambda minted: self._deliver(order, machine, work, Note.NONE, 0, minted))
+            self._from_origin(
+                order, lambda minted: self._deliver(order, machine, work, CacheStatus.NONE, 0, minted)
+            )
             return
         limit = order.age or int(c.fresh_s * SECOND)
         minted = machine.store.get(order.key)
         if minted is not None and (limit == 0 or now - minted <= limit):
             stale = c.fresh_s > 0 and now - minted > c.fresh_s * SECOND
-            self._deliver(order, machine, work, Note.STALE if stale else Note.HIT, 0, minted)
+            self._deliver(order, machine, work, CacheStatus.STALE if stale else CacheStatus.HIT, 0, minted)
         elif order.source is None:
-            self._reply(order, Ending.MISS)
+            self._reply(order, AttemptOutcome.MISS)
         else:
             self._fill(order, order.source, machine, work, limit)
 
@@ -155,8 +159,8 @@
     def _reply(
         self,
         order: Order,
-        ending: Ending,
-        note: Note = Note.NONE,
+        ending: AttemptOutcome,
+        note: CacheStatus = CacheStatus.NONE,
         waited: int = 0,
         minted: int | None = None,
     ) -> None:
@@ -195,14 +199,14 @@
         return False
 
     def _deliver(
-        self, order: Order, machine: Machine, work: float, note: Note, waited: int, minted: int | None
+        self, order: Order, machine: Machine, work: float, note: CacheStatus, waited: int, minted: int | None
     ) -> None:
         """The transfer to the front, and its answer at the end."""
         if order not in machine.out:  # called off, or the machine went down
             return
 
         def sent() -> None:
-            self._reply(order, Ending.OK, note, waited, minted)
+            self._reply(order, AttemptOutcome.OK, note, waited, minted)
 
         machine.out[order] = self._transfer(machine, work / machine.cold.share(self.host.now), sent)
 
@@ -218,23 +222,27 @@
         began, key, kept = self.host.now, order.key, not self.plan.classes[order.cls].never_kept
         waiting = machine.filling.get(key)
 
-        def filled(note: Note) -> Waiter:
+        def filled(note: CacheStatus) -> Waiter:
             def come(minted: int | None) -> None:
                 if minted is None:  # a write that may have run is an error
-                    self._reply(order, Ending.FULL if kept else Ending.ERROR, Note.SOURCE_BROKEN)
+                    self._reply(
+                        order,
+                        AttemptOutcome.OVERLOADED if kept else AttemptOutcome.ERROR,
+                        CacheStatus.SOURCE_BROKEN,
+                    )
                 elif minted < 0 or (limit and self.host.now - minted > limit):
-                    self._reply(order, Ending.MISS)
+                    self._reply(order, AttemptOutcome.MISS)
                 else:
                     self._deliver(order, machine, work, note, self.host.now - began, minted)
 
             return come
 
         if order.join and kept and waiting is not None:
-            waiting.append(filled(Note.JOINED))
+            waiting.append(filled(CacheStatus.COLLAPSED))
             return
         at = self.all.get(source)
         far = at is not None and at.kind == ORIGIN
-        mine: list[Waiter] = [filled(Note.FROM_ORIGIN if far else Note.FILLED)]
+        mine: list[Waiter] = [filled(CacheStatus.FROM_ORIGIN if far else CacheStatus.FILLED)]
         if not order.held:  # nobody waits for what may be a miss
             machine.filling[key] = mine
         self.host.filled(machine.number, source)
@@ -309,10 +317,10 @@
         out, machine.out = list(machine.out), {}
         if state != "silent":
             for order in out:
-                self.host.reply(order, Ending.RESET, Note.NONE, 0, None)
+                self.host.reply(order, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
 
     def back(self, machine: Machine) -> None:
-        if machine.standing is not CacheState.GONE:
+        if machine.standing is not EndpointState.GONE:
             machine.empty(self.host.now)
             self.host.listed((machine,))
 
@@ -338,13 +346,13 @@
         self._look(machine)
 
     def _drain(self, machine: Machine) -> None:
-        machine.standing = CacheState.DRAINING
+        machine.standing = EndpointState.DRAINING
         self.host.listed((machine,))
         self.host.after(DRAINS_FOR, self._replace, machine)
 
     def _replace(self, machine: Machine) -> None:
         self.down(machine, "dead")
-        machine.standing = CacheState.GONE
+        machine.standing = EndpointState.GONE
         new = self.make(machine.kind, machine.zone, self.host.now)
         self.host.listed((machine, new))
 
--- a/quincepier/lab/world.py
+++ b/quincepier/lab/world.py
@@ -16,7 +16,7 @@
 
 from quincepier import interface as io
 from quincepier.errors import QuincepierError
-from quincepier.interface import CacheState, Effect, Ending, ListScope, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, Idempotency, UpdateScope
 from quincepier.lab.experiment import (
     EDGE,
     MS,
@@ -125,7 +125,7 @@
         if self.stalls:
             self.after(left, front.left, request)
         size = self.experiment.sending(cls, obj) / SECOND * front.router.s.client_kb_per_s  # 0: not told
-        front.tell(io.RequestCame(request.number, cls, size, 0, group, obj, part, tries > 0, left))
+        front.tell(io.RequestReceived(request.number, cls, size, 0, group, obj, part, tries > 0, left))
 
     def answered(
         self, front: Front, request: Request, status: str, minted: int | None, sent: int, wait: int
@@ -145,7 +145,7 @@
         """A client that was not served comes again where that is harmless."""
         c, load = self.experiment.classes[request.cls], self.experiment.load
         self.digest.update(b"%d %d %s\n" % (self.now, request.number, status.encode()))
-        harmless = status == "refused" or never_took or c.effect is Effect.SAFE
+        harmless = status == "refused" or never_took or c.effect is Idempotency.SAFE
         if request.tries < load.retries and harmless:
             pause = wait or int(load.back_off_ms * MS * self.random.uniform(0.5, 1.5))
             self.after(pause, self._again, request)
@@ -178,20 +178,24 @@
         if not attempt.ended:
             self.machines.stop(attempt)
             attempt.ended = True
-            attempt.front.ended(attempt, Ending.TIMEOUT, Note.NONE, 0, None)
+            attempt.front.ended(attempt, AttemptOutcome.TIMEOUT, CacheStatus.NONE, 0, None)
 
     def call_off(self, attempt: Attempt) -> None:
         if not attempt.ended:
             attempt.ended = True
             self.after(self.way(attempt.front.zone, attempt.machine), self.machines.stop, attempt)
-            self.after(0, attempt.front.ended, attempt, Ending.CANCELLED, Note.NONE, 0, None)
+            self.after(0, attempt.front.ended, attempt, AttemptOutcome.CANCELLED, CacheStatus.NONE, 0, None)
 
-    def reply(self, order: Attempt, ending: Ending, note: Note, waited: int, minted: int | None) -> None:
+    def reply(
+        self, order: Attempt, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+    ) -> None:
         if not order.ended:
             way = self.way(order.front.zone, order.machine)
             self.after(way, self._hear, order, ending, note, waited, minted)
 
-    def _hear(self, attempt: Attempt, ending: Ending, note: Note, waited: int, minted: int | None) -> None:
+    def _hear(
+        self, attempt: Attempt, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+    ) -> None:
         if not attempt.ended:
             attempt.ended = True
             attempt.front.ended(attempt, ending, note, waited, minted)
@@ -220,16 +224,16 @@
         for front in self.fronts:
             self.after(int(delay * self.random.uniform(0.5, 1)), self._told, front, listed, front.starts)
 
-    def _told(self, front: Front, listed: tuple[io.Machine, ...], start: int) -> None:
+    def _told(self, front: Front, listed: tuple[io.Endpoint, ...], start: int) -> None:
         if start != front.starts or not front.alive:  # the list that it starts with has told it
             return
         for m in listed:
             self.told(front, m)
         self.tally.returns.count("calls for the list", self.now)
-        front.tell(io.ListNews(ListScope.CHANGES, listed))
+        front.tell(io.EndpointUpdate(UpdateScope.CHANGES, listed))
 
-    def told(self, front: Front, m: io.Machine) -> None:
-        if m.state is CacheState.READY:
+    def told(self, front: Front, m: io.Endpoint) -> None:
+        if m.state is EndpointState.READY:
             self.judge.told_back(front.number, m.cache)
         else:
             self.judge.told_leaving(self.now, front.number, m.cache)
@@ -317,4 +321,4 @@
                 self.after(at, self._tell_purge, front, group, self.now)
 
     def _tell_purge(self, front: Front, group: int, at: int) -> None:
-        front.tell(io.Purged(group, 0, self.now - at))
+        front.tell(io.ObjectPurged(group, 0, self.now - at))
--- a/quincepier/memory/machines.py
+++ b/quincepier/memory/machines.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 
 from quincepier import clock
-from quincepier.interface import CacheState, ListNews, ListScope, Machine
+from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, UpdateScope
 from quincepier.wire.changelog import FleetChange, HostRecord
 from quincepier.wire.errors import ProtocolError
 
@@ -18,7 +18,7 @@
 @dataclass(slots=True)
 class Entry:
     record: HostRecord
-    machine: Machine
+    machine: Endpoint
 
 
 class Directory:
@@ -40,7 +40,7 @@
     def entry(self, number: int) -> Entry | None:
         return self.entries.get(self.hosts.get(number, ""))
 
-    def _machine(self, record: HostRecord) -> Machine:
+    def _machine(self, record: HostRecord) -> Endpoint:
         if record.site not in self.zones or record.kind not in self.kinds:
             raise ProtocolError(f"host {record.host[:40]} has an unknown site or class")
         before = self.entries.get(record.host)
@@ -49,9 +49,9 @@
         up_since = before.machine.up_since if before and known else clock.since(record.born_ms)
         number, cell = self.number(record.host), record.cell & 0xFFFF
         kind, zone = self.kinds[record.kind], self.zones[record.site]
-        return Machine(number, kind, zone, cell, record.size, up_since, record.state)
+        return Endpoint(number, kind, zone, cell, record.size, up_since, record.state)
 
-    def apply(self, change: FleetChange, scope: ListScope = ListScope.CHANGES) -> ListNews:
+    def apply(self, change: FleetChange, scope: UpdateScope = UpdateScope.CHANGES) -> EndpointUpdate:
         """Take a change in whole or, where a record of it can't be used, not at all.
 
         Of a host named twice the last record counts. Where a machine comes at the address of another, that
@@ -59,22 +59,22 @@
         """
         entries = {record.host: Entry(record, self._machine(record)) for record in change.hosts}
         new = [e for e in entries.values() if e.record.host not in self.entries]
-        left = {e.record.address for e in entries.values() if e.machine.state is CacheState.GONE}
-        came = {e.record.address for e in new if e.machine.state is CacheState.READY} - left - {None}
+        left = {e.record.address for e in entries.values() if e.machine.state is EndpointState.GONE}
+        came = {e.record.address for e in new if e.machine.state is EndpointState.READY} - left - {None}
         for host, old in self.entries.items():
             if old.record.address in came and host not in entries and not change.whole:
-                entries[host] = Entry(old.record, replace(old.machine, state=CacheState.GONE))
+                entries[host] = Entry(old.record, replace(old.machine, state=EndpointState.GONE))
         if change.whole:
             self.entries.clear()
         for entry in entries.values():
-            if entry.machine.state is CacheState.GONE:
+            if entry.machine.state is EndpointState.GONE:
                 self.entries.pop(entry.record.host, None)
             else:
                 self.entries[entry.record.host] = entry
-        return ListNews(scope, tuple(entry.machine for entry in entries.values()))
+        return EndpointUpdate(scope, tuple(entry.machine for entry in entries.values()))
 
-    def whole(self) -> ListNews:
-        return ListNews(ListScope.FULL, tuple(entry.machine for entry in self.entries.values()))
+    def whole(self) -> EndpointUpdate:
+        return EndpointUpdate(UpdateScope.FULL, tuple(entry.machine for entry in self.entries.values()))
 
     def forget(self, used: Collection[int]) -> None:
         """Let go of hosts that are off the list and that nothing open refers to."""
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from quincepier import clock
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 from quincepier.memory.pool import Body
 from quincepier.memory.requests import OpenAttempt
 from quincepier.net.actor import Actor
@@ -49,10 +49,10 @@
             case Send(attempt, command, timeout):
                 self._send(attempt.request.job, attempt, command, timeout)
             case CallOff(attempt):
-                self._give_up(attempt, Ending.CANCELLED)
+                self._give_up(attempt, AttemptOutcome.CANCELLED)
             case Recall(attempt):
                 if attempt in self.out and attempt not in self.out[attempt][1].started:
-                    self._give_up(attempt, Ending.MOOT)
+                    self._give_up(attempt, AttemptOutcome.NOT_PROCESSED)
             case Check(gauges):
                 self.probes += 1
                 tag = f"probe{self.probes}"
@@ -62,16 +62,16 @@
     def spoiled(self, message: ToCache) -> None:
         """An attempt that could not be handled may have run or not."""
         if isinstance(message, Send | CallOff) and not message.attempt.ended:
-            self.ended(message.attempt, Ending.RESET, clock.now())
+            self.ended(message.attempt, AttemptOutcome.RESET, clock.now())
 
     def _send(self, id: str, what: OpenAttempt | Probe, command: bytes, timeout: int) -> None:
         if isinstance(what, OpenAttempt) and what.barred(clock.now()):  # as it waited in the mailbox
-            self.ended(what, Ending.MOOT, clock.now())
+            self.ended(what, AttemptOutcome.NOT_PROCESSED, clock.now())
             return
         connection = self._connection(id)
         if connection is None:
             self.checks.event("no descriptor for a cache connection", self.host)
-            self.ended(what, Ending.MOOT, clock.now())
+            self.ended(what, AttemptOutcome.NOT_PROCESSED, clock.now())
             return
         self.out[what] = id, connection
         loop = asyncio.get_running_loop()
@@ -94,7 +94,7 @@
         ending = self.way.fate(begun, absent, recalled, self.moves.get(what, 0), most)
         connection = self._connection(id) if ending is None else None
         if ending is not None or connection is None or command is None:
-            self.ended(what, ending or Ending.MOOT, clock.now(), other)
+            self.ended(what, ending or AttemptOutcome.NOT_PROCESSED, clock.now(), other)
             return
         self.moves[what] = self.moves.get(what, 0) + 1
         self.checks.count("attempts gone on over another connection")
@@ -157,9 +157,9 @@
         After a standstill of the front time is up before the loop has looked at the sockets.
         """
         self.out[what][1].read_on()
-        asyncio.get_running_loop().call_soon(self._give_up, what, Ending.TIMEOUT)
+        asyncio.get_running_loop().call_soon(self._give_up, what, AttemptOutcome.TIMEOUT)
 
-    def _give_up(self, what: OpenAttempt | Probe, ending: Ending) -> None:
+    def _give_up(self, what: OpenAttempt | Probe, ending: AttemptOutcome) -> None:
         if what in self.out:
             id, connection = self.out[what]
             if isinstance(what, OpenAttempt):
@@ -175,7 +175,9 @@
         if (timer := self.timers.pop(what, None)) is not None:
             timer.cancel()
 
-    def ended(self, what: OpenAttempt | Probe, ending: Ending, at: int, another_way: bool = False) -> None:
+    def ended(
+        self, what: OpenAttempt | Probe, ending: AttemptOutcome, at: int, another_way: bool = False
+    ) -> None:
         """Without an answer."""
         self._over(what)
         if isinstance(what, Probe):
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from quincepier import clock
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 from quincepier.memory.pool import Body
 from quincepier.memory.requests import OpenAttempt
 from quincepier.net.sockets import NO_BUFFER_PAUSE, Unreached, connect
@@ -21,7 +21,7 @@
 
 READS = 8  # in a row
 GHOSTS_MOST = 256  # ids that were out on one connection; none of them goes out there again
-PROBE_WORDS = {"well": Ending.OK, "ill": Ending.ERROR}
+PROBE_WORDS = {"well": AttemptOutcome.OK, "ill": AttemptOutcome.ERROR}
 
 
 def _ring(waiter: asyncio.Future[None] | None) -> bool:
@@ -201,8 +201,8 @@
         for id, what in open.items():
             begun = what in self.started
             if way is None:
-                unsent = Ending.CONNECT_FAILED if self.absent else Ending.MOOT
-                self.actor.ended(what, Ending.RESET if begun else unsent, clock.now())
+                unsent = AttemptOutcome.CONNECT_FAILED if self.absent else AttemptOutcome.NOT_PROCESSED
+                self.actor.ended(what, AttemptOutcome.RESET if begun else unsent, clock.now())
             else:
                 other = begun and self.address is not None and way.another(self.address)
                 self.actor.broken(id, what, begun, self.absent, unwritten.get(what), other)
@@ -229,7 +229,7 @@
                 # looked at right before its first byte: a front that stood still may have lost its lease
                 self.outgoing.popleft()
                 self.open.pop(what.request.job, None)
-                self.actor.ended(what, Ending.MOOT, clock.now())
+                self.actor.ended(what, AttemptOutcome.NOT_PROCESSED, clock.now())
                 continue
             try:
                 taken = sock.send(command)  # as sock_sendall begins; it would not tell whether any was taken
--- a/quincepier/net/dialer.py
+++ b/quincepier/net/dialer.py
@@ -31,7 +31,7 @@
 )
 from quincepier.addresses.race import Action
 from quincepier.addresses.section import AddressesSection
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 from quincepier.net.means import Means
 from quincepier.net.sockets import Unreached, connect_within
 
@@ -218,7 +218,7 @@
         if self.book.failed(address, up_at, clock.now()):
             self.dialer.checks.event("address set aside", f"{self.host} {address}: {why}")
 
-    def fate(self, begun: bool, absent: bool, recalled: bool, moves: int, most: int) -> Ending | None:
+    def fate(self, begun: bool, absent: bool, recalled: bool, moves: int, most: int) -> AttemptOutcome | None:
         """See `addresses.after_break`."""
         return after_break(begun, absent, recalled, moves, most)
 
--- a/quincepier/net/fleet/alike.py
+++ b/quincepier/net/fleet/alike.py
@@ -18,7 +18,7 @@
 from quincepier.consistency.findings import Finding
 from quincepier.consistency.section import ConsistencySection
 from quincepier.consistency.witness import Witness, module_memory, stale_ranks
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 from quincepier.net.fleet.bearing import Rules
 from quincepier.net.fleet.effects import Effects
 from quincepier.net.fleet.words import ALIKE
@@ -71,7 +71,7 @@
     def _have(self, version: RuleVersion) -> None:
         entries = sorted(self.module.directory.entries.values(), key=lambda e: e.record.host)
         self.lines = tuple(
-            Line(e.record.host, m.cache, m.kind, m.zone, m.cell, m.size, m.state is CacheState.READY)
+            Line(e.record.host, m.cache, m.kind, m.zone, m.cell, m.size, m.state is EndpointState.READY)
             for e in entries
             for m in (e.machine,)
         )
@@ -85,7 +85,7 @@
             return None
         numbers = {name: n for n, name in enumerate(tenants.names)}
 
-        def home(tenant: str, e: io.RequestCame) -> io.Home | None:
+        def home(tenant: str, e: io.RequestReceived) -> io.HomeShard | None:
             e.tenant = numbers.get(tenant, 0)
             return homes(e)
 
--- a/quincepier/net/fleet/bearing.py
+++ b/quincepier/net/fleet/bearing.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from quincepier import clock
-from quincepier.interface import CacheState, Effect
+from quincepier.interface import EndpointState, Idempotency
 from quincepier.maintenance import MaintenanceSection, leaving, named, plan
 from quincepier.net.fleet.chair import Planner
 from quincepier.net.module import ModuleActor
@@ -27,7 +27,7 @@
 class Rules:
     def __init__(self, module: ModuleActor, file: OperatorFile) -> None:
         self.module, self.name = module, module.config.name
-        self.once = [c.effect is not Effect.SAFE for c in module.config.settings.classes]
+        self.once = [c.effect is not Idempotency.SAFE for c in module.config.settings.classes]
         self.notice = NOTICE
         self.plans: list[Planner] = []
         self.named, self.gone = frozenset[str](), frozenset[str]()
@@ -87,7 +87,9 @@
         """Numbers of the caches and of the parents that the log lists as ready."""
         s = self.module.config.settings
         ready = [
-            e.machine for e in self.module.directory.entries.values() if e.machine.state is CacheState.READY
+            e.machine
+            for e in self.module.directory.entries.values()
+            if e.machine.state is EndpointState.READY
         ]
         upper = (s.parent_kind, s.origin_kind)
         caches = frozenset(m.cache for m in ready if m.kind not in upper)
--- a/quincepier/net/fleet/effects.py
+++ b/quincepier/net/fleet/effects.py
@@ -13,7 +13,7 @@
 
 from quincepier import clock
 from quincepier.errors import QuincepierError
-from quincepier.interface import CacheState, ListNews, Note, RequestCame
+from quincepier.interface import CacheStatus, EndpointState, EndpointUpdate, RequestReceived
 from quincepier.memory.requests import OpenAttempt, OpenRequest
 from quincepier.net.fleet.bearing import Rules
 from quincepier.net.fleet.follower import Follower
@@ -134,7 +134,7 @@
             except Exception as error:  # a defect: the request that is decided next is not to fail for it
                 self.checks.event("exception in the fleet", f"{type(error).__name__}: {error}")
 
-    def listed(self, news: ListNews) -> ListNews:
+    def listed(self, news: EndpointUpdate) -> EndpointUpdate:
         if self.homes is not None:
             self.homes.renew()
         return self.overlay.over(news)
@@ -144,7 +144,7 @@
         if of_list:
             self.revision = self.seq
 
-    def came(self, event: RequestCame, request: OpenRequest) -> None:
+    def came(self, event: RequestReceived, request: OpenRequest) -> None:
         event.tenant, request.tenant = self.bearing.tenant_of(request.item)
         if self.homes is not None:
             once = self.bearing.once[request.cls]
@@ -153,8 +153,8 @@
     def sent(self, attempt: OpenAttempt, now: int) -> None:
         self.tally.sent(attempt, now)
 
-    def ended(self, attempt: OpenAttempt, note: Note) -> None:
-        if note is not Note.NONE:
+    def ended(self, attempt: OpenAttempt, note: CacheStatus) -> None:
+        if note is not CacheStatus.NONE:
             self.tally.ended(attempt.request, note, clock.now())
 
     def answered(self, request: OpenRequest, status: int) -> None:
@@ -168,7 +168,7 @@
         aside = [
             entry.record.host
             for entry in module.directory.entries.values()
-            if entry.machine.state is CacheState.READY and self._set_aside(entry.machine.cache)
+            if entry.machine.state is EndpointState.READY and self._set_aside(entry.machine.cache)
         ]
         about = FrontReport(
             self.follower.name,
--- a/quincepier/net/fleet/fleet.py
+++ b/quincepier/net/fleet/fleet.py
@@ -17,7 +17,7 @@
 from quincepier import clock
 from quincepier.consensus import Committed, Role
 from quincepier.consensus import Pace as VotingPace
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 from quincepier.net.fleet import steps
 from quincepier.net.fleet.bearing import Rules
 from quincepier.net.fleet.chair import Chair
@@ -296,6 +296,6 @@
             kind = "parent" if m.kind == s.parent_kind else "origin" if m.kind == s.origin_kind else "cache"
             warm = (s.parent_cold_time if kind == "parent" else s.cold_time) + s.cold_window
             up = now - m.up_since if m.up_since else 1 << 61
-            ready = m.state is CacheState.READY
+            ready = m.state is EndpointState.READY
             out[host] = MachineSeen(host, kind, entry.record.site, ready, up // clock.MS, warm // clock.MS)
         return out
--- a/quincepier/net/fleet/overlay.py
+++ b/quincepier/net/fleet/overlay.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
 
-from quincepier.interface import CacheState, ListNews, ListScope, Machine
+from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, UpdateScope
 
 
 class Overlay:
@@ -20,17 +20,17 @@
         self.hosts = hosts
         self.leaving: frozenset[str] = frozenset()
 
-    def _told(self, machine: Machine) -> Machine:
-        under = machine.state is CacheState.READY and self.hosts.get(machine.cache, "") in self.leaving
-        return replace(machine, state=CacheState.DRAINING) if under else machine
+    def _told(self, machine: Endpoint) -> Endpoint:
+        under = machine.state is EndpointState.READY and self.hosts.get(machine.cache, "") in self.leaving
+        return replace(machine, state=EndpointState.DRAINING) if under else machine
 
-    def over(self, news: ListNews) -> ListNews:
+    def over(self, news: EndpointUpdate) -> EndpointUpdate:
         """News of the list on its way to the module."""
         if not self.leaving:
             return news
-        return ListNews(news.scope, tuple(map(self._told, news.machines)))
+        return EndpointUpdate(news.scope, tuple(map(self._told, news.machines)))
 
-    def change(self, leaving: frozenset[str], listed: Iterable[Machine]) -> ListNews | None:
+    def change(self, leaving: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
         """Other machines are under orders from now on: what the module is to hear at once, None for nothing.
 
         `listed` are all machines as the log told them last; those given back are told so.
@@ -40,4 +40,4 @@
         if not differ:
             return None
         touched = tuple(self._told(m) for m in listed if self.hosts.get(m.cache, "") in differ)
-        return ListNews(ListScope.CHANGES, touched) if touched else None
+        return EndpointUpdate(UpdateScope.CHANGES, touched) if touched else None
--- a/quincepier/net/fleet/tally.py
+++ b/quincepier/net/fleet/tally.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterable
 
 from quincepier import clock
-from quincepier.interface import Effect, Note, RequestClass
+from quincepier.interface import CacheStatus, Idempotency, RequestClass
 from quincepier.memory.requests import OpenAttempt, OpenRequest
 from quincepier.rules import FrontReport, Service
 
 ROWS_MOST, HOSTS_MOST, ASIDE_MOST = 256, 4096, 512
 COMMON = "common"  # in reports the word for the home of all who have no other, as "" stands for all
-FILLS = (Note.FILLED, Note.FROM_ORIGIN)
+FILLS = (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN)
 Key = tuple[str, str]
 
 
@@ -54,7 +54,7 @@
         second, r = self._second(now), attempt.request
         if attempt.cache in second.sent or len(second.sent) < HOSTS_MOST:
             second.sent[attempt.cache] += 1
-        if r.tenant and self.classes[r.cls].effect is not Effect.SAFE:
+        if r.tenant and self.classes[r.cls].effect is not Idempotency.SAFE:
             key = (r.tenant, r.shard or COMMON)
             if key in self.keyed or len(self.keyed) < ROWS_MOST:
                 self.keyed[key] = now
@@ -79,10 +79,10 @@
             row[2] += cls.worth if in_time else 0.0
             row[3] += status == 503
 
-    def ended(self, r: OpenRequest, note: Note, now: int) -> None:
-        if note is Note.HIT or note in FILLS:
+    def ended(self, r: OpenRequest, note: CacheStatus, now: int) -> None:
+        if note is CacheStatus.HIT or note in FILLS:
             for row in self._rows(self._second(now), r):
-                row[4 if note is Note.HIT else 5] += 1
+                row[4 if note is CacheStatus.HIT else 5] += 1
 
     def report(
         self,
@@ -110,7 +110,7 @@
                     if attempt.source >= 0 and attempt.source != attempt.cache:
                         open_at[attempt.source] += 1
             # one that is held counts too: it may be sent on under the version that it came by
-            if (out or not r.over) and r.tenant and self.classes[r.cls].effect is not Effect.SAFE:
+            if (out or not r.over) and r.tenant and self.classes[r.cls].effect is not Idempotency.SAFE:
                 keyed[r.tenant, r.shard or COMMON] += 1
         self.keyed = {k: at for k, at in self.keyed.items() if now - at < 3600 * clock.SECOND}
         return FrontReport(
--- a/quincepier/net/messages.py
+++ b/quincepier/net/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from quincepier.interface import Ending, Note
+from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.memory.pool import Body
 from quincepier.memory.requests import OpenAttempt, OpenRequest
 from quincepier.wire.changelog import FleetChange, PurgeRecord
@@ -70,9 +70,9 @@
     """Cache to module: how an attempt ended, when, and what came with it."""
 
     attempt: OpenAttempt
-    ending: Ending
+    ending: AttemptOutcome
     at: int
-    note: Note = Note.NONE
+    note: CacheStatus = CacheStatus.NONE
     waited: int = 0
     report: tuple[float, ...] = ()
     body: Body | None = None
@@ -85,7 +85,7 @@
     """Cache to module: how a probe ended."""
 
     cache: int
-    ending: Ending
+    ending: AttemptOutcome
     elapsed: int
     report: tuple[float, ...]
 
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -13,7 +13,7 @@
 from quincepier import interface as io
 from quincepier.checks import Checks
 from quincepier.config import FrontConfig
-from quincepier.interface import Ending, ListScope
+from quincepier.interface import AttemptOutcome, UpdateScope
 from quincepier.memory.budget import Budget
 from quincepier.memory.machines import Directory
 from quincepier.memory.pool import BufferPool
@@ -82,7 +82,7 @@
     def begin(self) -> None:
         """Tell the events known at the start; the list stands then."""
         for event in self.config.known:
-            self._news(event, ListScope.CHANGES if self.standing else ListScope.REMEMBERED)
+            self._news(event, UpdateScope.CHANGES if self.standing else UpdateScope.RESTORED)
         self.start()
 
     async def run(self) -> None:
@@ -111,9 +111,9 @@
             case Ended():
                 self._ended(message)
             case Checked(cache, ending, elapsed, report):
-                self._tell(io.ProbeEnded(cache, ending, elapsed, report))
+                self._tell(io.HealthCheckCompleted(cache, ending, elapsed, report))
             case News(event):
-                self._news(event, ListScope.CHANGES)
+                self._news(event, UpdateScope.CHANGES)
 
     # Time
 
@@ -122,7 +122,7 @@
             token, number = timer.what
             if number >= 0 and ((request := self.requests.open.get(number)) is None or request.over):
                 continue
-            self._tell(io.TimerDue(token))
+            self._tell(io.TimerFired(token))
 
     def _arm(self) -> None:
         """Wake at the next timer, if nothing else comes before."""
@@ -185,7 +185,7 @@
         """Its client is gone: nothing begins for it any more."""
         if not request.over:
             self.requests.finish(request)
-            self._tell(io.ClientLeft(request.number))
+            self._tell(io.ClientDisconnected(request.number))
 
     def _ended(self, end: Ended) -> None:
         attempt = end.attempt
@@ -195,22 +195,22 @@
         event = attempt_ended(attempt, end)
         if self.settled is not None:
             self.settled.ended(attempt, end.note)
-        if end.ending is Ending.OK and not request.over:
+        if end.ending is AttemptOutcome.OK and not request.over:
             self._answer(Answer(request, 200, end.body, end.still))
         elif end.body is not None:
             end.body.release()
         self.requests.settle(request)
         self._tell(event, request)
 
-    def _news(self, event: ChangeEvent, scope: ListScope) -> None:
+    def _news(self, event: ChangeEvent, scope: UpdateScope) -> None:
         if self.settled is not None:
             self.settled.heard(event.seq, isinstance(event, FleetChange))
         if isinstance(event, PurgeRecord):
             self._tell(purged(event))
             self._recall(event)
         elif isinstance(event, FleetChange):
-            if event.whole and scope is ListScope.CHANGES:
-                scope = ListScope.FULL
+            if event.whole and scope is UpdateScope.CHANGES:
+                scope = UpdateScope.FULL
             try:
                 news = self.directory.apply(event, scope)
             except ProtocolError as error:
@@ -225,7 +225,7 @@
         elif isinstance(event, BadRecord):
             self.checks.event("bad record of the change log", event.why)
 
-    def told_of_list(self, news: io.ListNews) -> None:
+    def told_of_list(self, news: io.EndpointUpdate) -> None:
         """News of the list, as the module is to have it."""
         self._recall_from(news)
         self._tell(news)
@@ -237,11 +237,11 @@
                 for attempt in request.attempts:
                     self.take_back(attempt)
 
-    def _recall_from(self, news: io.ListNews) -> None:
+    def _recall_from(self, news: io.EndpointUpdate) -> None:
         """So does what is for a machine told to drain or be gone, or names it as the source."""
         listed = {m.cache: m.state for m in news.machines}
-        leaving = {cache for cache, state in listed.items() if state is not io.CacheState.READY}
-        if news.scope is not ListScope.CHANGES:
+        leaving = {cache for cache, state in listed.items() if state is not io.EndpointState.READY}
+        if news.scope is not UpdateScope.CHANGES:
             leaving |= self.caches.keys() - listed.keys()
         if leaving:
             for request in list(self.requests.open.values()):
@@ -282,29 +282,29 @@
 
     def _perform(self, action: io.Action, now: int) -> None:
         match action:
-            case io.Ask() | io.Fetch():
+            case io.ForwardRequest() | io.FetchThrough():
                 self._send(action, now)
-            case io.Cancel(number, no):
+            case io.CancelAttempt(number, no):
                 request = self.requests.open.get(number)
                 if request is not None and no < len(request.attempts) and not request.attempts[no].ended:
                     attempt = request.attempts[no]
                     if (cache := self.caches.get(attempt.cache)) is not None:
                         cache.mailbox.push(CallOff(attempt))
-            case io.Refuse(number, retry_after):
+            case io.RejectRequest(number, retry_after):
                 if (request := self._owed(number)) is not None:
                     self._answer(Answer(request, 503, wait_ms=retry_after // clock.MS or None))
-            case io.Fail(number):
+            case io.FailRequest(number):
                 if (request := self._owed(number)) is not None:
                     self._answer(Answer(request, 502))
             case io.SetTimer(wait, token, about):
                 self.timers.set(now + max(wait, 0), (token, about))
-            case io.Probe(machine):
+            case io.SendHealthCheck(machine):
                 if machine in self.caches:
                     self.caches[machine].mailbox.push(Check(self.config.report_on_probe))
-            case io.Follow():
+            case io.WatchEndpoints():
                 whole = self.directory.whole()
                 self.later.append(whole if self.settled is None else self.settled.listed(whole))
-            case io.Log(text):
+            case io.WriteLog(text):
                 logger.bind(event="module", detail=(named := self._named(text))).info("module: {}", named)
 
     def _named(self, text: str) -> str:
@@ -315,12 +315,12 @@
         request = self.requests.open.get(number)
         return request if request is not None and not request.over else None
 
-    def _send(self, action: io.Ask | io.Fetch, now: int) -> None:
+    def _send(self, action: io.ForwardRequest | io.FetchThrough, now: int) -> None:
         request = self._owed(action.request)
         if not self.checks.must(request is not None, "nothing is sent for a request that is over"):
             return
         assert request is not None
-        source = action.source if isinstance(action, io.Fetch) else -1
+        source = action.source if isinstance(action, io.FetchThrough) else -1
         attempt = self.requests.attempt(request, action.cache, now, source)
         attempt.latest = now + action.within if action.within else 0
         left = max(request.allow - (now - request.came), 0)
@@ -328,7 +328,7 @@
         cache = self.caches.get(action.cache)
         if cache is None or len(request.attempts) > self.config.settings.attempts:
             attempt.ended = True
-            self.mailbox.push(Ended(attempt, Ending.MOOT, now))
+            self.mailbox.push(Ended(attempt, AttemptOutcome.NOT_PROCESSED, now))
             return
         if self.settled is not None:
             self.settled.sent(attempt, now)
--- a/quincepier/net/settled.py
+++ b/quincepier/net/settled.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from quincepier.interface import ListNews, Note, RequestCame
+from quincepier.interface import CacheStatus, EndpointUpdate, RequestReceived
 from quincepier.memory.requests import OpenAttempt, OpenRequest
 
 
@@ -14,18 +14,18 @@
     def before(self, now: int) -> None:
         """Before each event that the module hears: who has no lease any more decides by the cautious set."""
 
-    def listed(self, news: ListNews) -> ListNews:
+    def listed(self, news: EndpointUpdate) -> EndpointUpdate:
         """News of the list as the module is to hear them."""
 
     def heard(self, seq: int, of_list: bool) -> None:
         """The change log is heard up to that number; `of_list`: it is a change of the list."""
 
-    def came(self, event: RequestCame, request: OpenRequest) -> None:
+    def came(self, event: RequestReceived, request: OpenRequest) -> None:
         """A request comes: its tenant is set."""
 
     def sent(self, attempt: OpenAttempt, now: int) -> None: ...
 
-    def ended(self, attempt: OpenAttempt, note: Note) -> None: ...
+    def ended(self, attempt: OpenAttempt, note: CacheStatus) -> None: ...
 
     def answered(self, request: OpenRequest, status: int) -> None:
         """Its one final answer, as an HTTP status."""
--- a/quincepier/policy/attempts.py
+++ b/quincepier/policy/attempts.py
@@ -27,25 +27,27 @@
             one.out[e.request, attempt.no] = attempt
             if one.suspect:
                 self.tried(one)
-        span = req.first_ran[0] + cls.window - now if req.first_ran and cls.effect is io.Effect.KEYED else 0
+        keyed = cls.effect is io.Idempotency.KEYED
+        span = req.first_ran[0] + cls.window - now if req.first_ran and keyed else 0
         if source is None:
-            self.out.append(io.Ask(e.request, node.machine.cache, req.deadline - now, span))
+            self.out.append(io.ForwardRequest(e.request, node.machine.cache, req.deadline - now, span))
         else:
             wait, by, age = req.deadline - now, source.machine.cache, self.oldest(req, look)
             join, renew = self.s.joins and not look, cls.fresh > 0 and not look
-            self.out += [io.Fetch(e.request, node.machine.cache, wait, by, 1, age, join, renew, only, span)]
+            to = node.machine.cache
+            self.out += [io.FetchThrough(e.request, to, wait, by, 1, age, join, renew, only, span)]
         if self.witness is not None:
             self.witness(e, node, attempt.source)
         self.wake()
 
     def harmless(self, req: Request, node: Node) -> bool:  # rule two: whether what ran allows it here
-        if req.cls.effect is io.Effect.SAFE or (req.first_ran is None and not req.open):
+        if req.cls.effect is io.Idempotency.SAFE or (req.first_ran is None and not req.open):
             return self.s.second_copies or not req.open
-        if req.cls.effect is io.Effect.UNSAFE or req.first_ran is None or req.open:
+        if req.cls.effect is io.Idempotency.UNSAFE or req.first_ran is None or req.open:
             return False
         (sent, first), here, group = req.first_ran, node.machine, req.cls.group
-        near = here.zone == first.zone if group is io.Group.ZONE else here.cell == first.cell
-        return (near or group is io.Group.ALL) and self.now - sent < req.cls.window
+        near = here.zone == first.zone if group is io.DeduplicationScope.ZONE else here.cell == first.cell
+        return (near or group is io.DeduplicationScope.ALL) and self.now - sent < req.cls.window
 
     def oldest(self, req: Request, stale: bool) -> int:  # 0: the class's own; with shed, within grace
         e, cls = req.e, req.cls
@@ -61,10 +63,12 @@
         remember(self.purges, key, max(self.now - ago, self.purges.get(key, 0)), since)
 
     def give_up(self, req: Request) -> None:  # a refusal where that is known to do no harm
-        cls, known = req.cls, req.cls.effect is io.Effect.SAFE or (req.first_ran is None and not req.open)
+        cls = req.cls
+        known = cls.effect is io.Idempotency.SAFE or (req.first_ran is None and not req.open)
         self.close(req)
-        known = known or (cls.effect is io.Effect.KEYED and cls.group is io.Group.ALL)
-        self.out.append(io.Refuse(req.e.request, self.advice()) if known else io.Fail(req.e.request))
+        known = known or (cls.effect is io.Idempotency.KEYED and cls.group is io.DeduplicationScope.ALL)
+        number = req.e.request
+        self.out.append(io.RejectRequest(number, self.advice()) if known else io.FailRequest(number))
 
     def advice(self) -> int:
         return int(self.random.uniform(0.8, 1) * self.s.max_retry_after) if self.s.retry_after else 0
@@ -72,7 +76,7 @@
     def close(self, req: Request, served: bool = False) -> None:  # what is still out for it is called off
         del self.requests[req.e.request]
         in_time = served and self.now - req.came <= self.aim(req)
-        self.out += map(io.Log, self.back.over(self.now, req.cls.worth, in_time))
+        self.out += map(io.WriteLog, self.back.over(self.now, req.cls.worth, in_time))
         self.unhold(req)
         self.call_off(req.open.values())
 
--- a/quincepier/policy/fills.py
+++ b/quincepier/policy/fills.py
@@ -4,7 +4,9 @@
 from collections import OrderedDict, deque
 from itertools import islice
 
-from quincepier.interface import AttemptEnded, Ending, Log, Note
+from quincepier import interface as io
+from quincepier.interface import AttemptOutcome as Ending
+from quincepier.interface import CacheStatus as Note
 from quincepier.policy.attempts import Attempts
 from quincepier.policy.parts import HOLD, MS, SECOND, Attempt, Request
 
@@ -78,16 +80,16 @@
                 best = queue if may else best
         return best
 
-    def filled(self, attempt: Attempt, e: AttemptEnded, from_cache: bool) -> None:
-        alone = attempt.held or e.note in (Note.SOURCE_BROKEN, Note.SOURCE_LACKS)  # not the origin's word
-        if e.ending is Ending.FULL and not alone:  # at once
+    def filled(self, attempt: Attempt, e: io.AttemptCompleted, from_cache: bool) -> None:
+        alone = attempt.held or e.note in (Note.SOURCE_BROKEN, Note.SOURCE_MISS)  # not the origin's word
+        if e.ending is Ending.OVERLOADED and not alone:  # at once
             self.rest = min(max(2 * self.rest, REST_LEAST), REST_MOST)
             self.fill_at = self.now + int(self.random.uniform(0.5, 1.5) * self.rest)
         elif e.ending is Ending.OK and not from_cache and not attempt.held:
             self.rest = self.rest * REST_EASE if self.rest > REST_LEAST / 2 else 0.0
         aim = self.aim(attempt.req) * attempt.node.pace.times(self.now)
         slow = e.waited > attempt.req.cls.on_time or e.elapsed > aim
-        bad = e.ending in (Ending.FULL, Ending.TIMEOUT) or (slow and not from_cache)
+        bad = e.ending in (Ending.OVERLOADED, Ending.TIMEOUT) or (slow and not from_cache)
         self.fills, self.bad = self.fills - 1, self.bad + bad  # so is one called off at its deadline
         self.good += e.ending is Ending.OK and not from_cache and not bad
         if self.good + self.bad >= self.bound:  # one slow answer may be a large object's
@@ -96,5 +98,5 @@
             elif any(self.depth) and self.fills >= GATE * self.bound - 1:  # it holds them; one just left
                 self.bound = min(self.bound * 2, BOUND_MOST)
             else:
-                self.out += map(Log, self.back.kept(self.now))
+                self.out += map(io.WriteLog, self.back.kept(self.now))
             self.good = self.bad = 0
--- a/quincepier/policy/pace.py
+++ b/quincepier/policy/pace.py
@@ -2,7 +2,8 @@
 
 import math
 
-from quincepier.interface import AttemptEnded, Ending
+from quincepier import interface as io
+from quincepier.interface import AttemptOutcome as Ending
 from quincepier.policy.parts import BORNE_FADE, MS, SECOND, Attempt, Node, Request, State
 from quincepier.recovery import fronts_that_ask
 
@@ -37,7 +38,7 @@
         self.samples[n := attempt.req.e.cls] += 1
         self.work[n] += max(WORK_NEW, 1 / self.samples[n]) * (own - self.work[n])
 
-    def compare(self, attempt: Attempt, e: AttemptEnded, from_cache: bool) -> None:
+    def compare(self, attempt: Attempt, e: io.AttemptCompleted, from_cache: bool) -> None:
         req, late = attempt.req, e.elapsed > self.aim(attempt.req)
         key = (req.e.cls, not attempt.fill or from_cache, req.told > 0)  # others are not to be compared
         if e.ending is not Ending.OK and not (late and e.ending in (Ending.CANCELLED, Ending.TIMEOUT)):
--- a/quincepier/policy/parts.py
+++ b/quincepier/policy/parts.py
@@ -7,9 +7,10 @@
 
 from quincepier import interface as io
 from quincepier.fading import Pace
-from quincepier.keys import mix
+from quincepier.records import Attempt, Node, Request
 from quincepier.recovery import Return
 
+__all__ = ["Attempt", "Node", "Request"]
 MS, SECOND = 1_000_000, 1_000_000_000  # times are in nanoseconds
 PACE = 4 * SECOND, 1.5  # signs of how slow one is count half after; beside so many of it as usual
 PACE_EASY, BORNE_FADE = 1.3, 15 * SECOND  # times the best's, to keep its keys; served work counts half in
@@ -19,34 +20,6 @@
 DEADLINE, HOLD, ROUND, RELIST, WATCH = range(5)  # kinds of timer, in the lowest bits of a token
 
 
-class Node:
-    def __init__(self, machine: io.Machine) -> None:
-        self.machine, self.cold_at = machine, machine.up_since  # its last start, as told or as guessed
-        self.heard, self.failed = 0, 0.0  # its last sign of work, and the attempts broken off since
-        self.denied: Node | None = None  # the cache by which it gave nothing last
-        self.suspect, self.trial_at, self.wait, self.leaving = False, 0, 0, 0  # when what was recalled ends
-        self.credit, self.paid, self.drawn = 0.0, -1, -1  # cold budget: work to send, when earned, when begun
-        self.pace, self.step = Pace(*PACE), 0  # its part of the keys is halved by two steps
-        self.out: dict[tuple[int, int], Attempt] = {}
-        self.recent: deque[int] = deque(maxlen=HOT_OF)  # objects last asked for
-
-
-class Request:
-    def __init__(self, e: io.RequestCame, s: io.Settings, tier: int, now: int, home: io.Home | None) -> None:
-        self.e, self.cls, self.tier, self.came, kb = e, s.classes[e.cls], tier, now, s.client_kb_per_s
-        self.deadline, self.sent, self.held, self.begun = now + e.time_left, 0, False, False
-        self.first_ran: tuple[int, io.Machine] | None = None  # when and where one first may have run
-        self.avoid, self.home = list[Node](), home  # where its key lives; None: on any machine
-        self.key, self.open = mix(e.object, e.part), dict[int, Attempt]()
-        self.told = e.size_kb / kb * SECOND if kb else 0.0  # its sending time, where sizes are told
-
-
-class Attempt:
-    def __init__(self, req: Request, no: int, at: int, node: Node, source: Node | None) -> None:
-        self.req, self.no, self.at, self.node, self.source = req, no, at, node, source
-        self.fill, self.look, self.held, self.work = False, False, False, 0.0  # as booked to cold machines
-
-
 class State:  # a front's own; each mechanism is one more layer over it, in its own file
     pace_easy, borne_fade = PACE_EASY, BORNE_FADE  # for who keeps it over a start
 
@@ -55,8 +28,9 @@
         worths = sorted({c.worth for c in settings.classes if not c.never_kept}, reverse=True)
         place = {worth: math.ceil(2 * n / max(len(worths) - 1, 1)) for n, worth in enumerate(worths)}
         self.tiers = [place.get(c.worth, 0) for c in settings.classes]
-        self.homes: Callable[[io.RequestCame], io.Home | None] | None = None  # a shell's; asked once each
-        self.witness: Callable[[io.RequestCame, Node, Node | None], None] | None = None  # told of attempts
+        # a shell's: asked once each, told of attempts
+        self.homes: Callable[[io.RequestReceived], io.HomeShard | None] | None = None
+        self.witness: Callable[[io.RequestReceived, Node, Node | None], None] | None = None
         self.nodes, self.ranks = dict[int, Node](), dict[int | tuple[int, int], list[Node]]()
         self.edges, self.parents, self.origins = list[Node](), list[Node](), list[Node]()
         self.requests, self.attempts = dict[int, Request](), dict[tuple[int, int], Attempt]()
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -3,9 +3,11 @@
 import math
 from itertools import islice
 
-from quincepier.interface import CacheState, Follow, Home, ListNews, ListScope, Log
+from quincepier import interface as io
+from quincepier.fading import Pace
+from quincepier.interface import UpdateScope as ListScope
 from quincepier.keys import MEMORY_MOST, mix
-from quincepier.policy.parts import HOT_OF, HOT_SHARE, PACE_EASY, RELIST, SECOND, Node, Request
+from quincepier.policy.parts import HOT_OF, HOT_SHARE, PACE, PACE_EASY, RELIST, SECOND, Node, Request
 from quincepier.policy.trust import Trust
 
 CROWD, FILL_PART = 0.6, 0.5  # of the slowing a class stands; a fill of a quick cache waits for its source
@@ -13,13 +15,13 @@
 
 
 class Placement(Trust):
-    def listed(self, news: ListNews) -> None:
+    def listed(self, news: io.EndpointUpdate) -> None:
         if news.scope is ListScope.FAILED:
             self.timer_in(SECOND, RELIST)
-        if news.scope is ListScope.REMEMBERED and self.s.list_on_request:
-            self.out.append(Follow())
-        gone = {m.cache for m in news.machines if m.state is CacheState.GONE}
-        if news.scope in (ListScope.FULL, ListScope.REMEMBERED):
+        if news.scope is ListScope.RESTORED and self.s.list_on_request:
+            self.out.append(io.WatchEndpoints())
+        gone = {m.cache for m in news.machines if m.state is io.EndpointState.GONE}
+        if news.scope in (ListScope.FULL, ListScope.RESTORED):
             gone |= self.nodes.keys() - {m.cache for m in news.machines}
         s, upper, moved = self.s, (self.s.parent_kind, self.s.origin_kind), bool(gone & self.nodes.keys())
         for cache in sorted(gone & self.nodes.keys()):
@@ -27,7 +29,7 @@
         for m in news.machines:  # caches of other zones are of no use here, and there may be very many
             node = self.nodes.get(m.cache)
             if node is None and m.cache not in gone and (m.kind in upper or m.zone == s.zone):
-                self.nodes[m.cache], moved = Node(m), True
+                self.nodes[m.cache], moved = Node(m, Pace(*PACE), HOT_OF), True
             elif node is not None:
                 if m.up_since > node.machine.up_since:
                     node.cold_at, node.suspect = max(node.cold_at, m.up_since), False
@@ -38,9 +40,9 @@
             self.parents = [n for n in nodes if n.machine.kind == s.parent_kind]
             self.origins = [n for n in nodes if n.machine.kind == s.origin_kind]
             self.edges = [n for n in nodes if n.machine.kind not in upper]
-        self.out += map(Log, self.back.listed(self.now))
+        self.out += map(io.WriteLog, self.back.listed(self.now))
 
-    def rank(self, nodes: list[Node], key: int, home: Home | None = None) -> list[Node]:
+    def rank(self, nodes: list[Node], key: int, home: io.HomeShard | None = None) -> list[Node]:
         at = key if home is None else (key, home.name)
         if at not in self.ranks:  # kept until the list changes: a held request is looked at often
             self.ranks = self.ranks if len(self.ranks) < MEMORY_MOST else {}
@@ -61,7 +63,11 @@
                     node.step, self.ranks = step, {}
 
     def usable(self, node: Node, req: Request) -> bool:
-        ready = node.machine.state is CacheState.READY and node not in req.avoid and self.now >= node.leaving
+        ready = (
+            node.machine.state is io.EndpointState.READY
+            and node not in req.avoid
+            and self.now >= node.leaving
+        )
         return ready and (not node.suspect or self.now >= node.trial_at) and self.room(node)
 
     def place(self, req: Request) -> Node | None:  # the first by hash; for a hot object the idler of two
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -3,7 +3,8 @@
 from collections import Counter
 
 from quincepier import interface as io
-from quincepier.interface import Ending, Note
+from quincepier.interface import AttemptOutcome as Ending
+from quincepier.interface import CacheStatus as Note
 from quincepier.keys import remember
 from quincepier.policy.attempts import RELEASE_EVERY, WATCH_EVERY
 from quincepier.policy.fills import Fills
@@ -13,8 +14,9 @@
 TURN_PART = 0.2  # of the wanted time, over 1 + tier: how long a busy front may keep a request from its turn
 MORE_ATTEMPTS, EXTRA_SHARE, EXTRA_MOST = 3, 0.2, 40.0  # a request's further ones; earned by a first; saved up
 ANSWERS = 8  # of machines, that make the first answers; a class alone is heard by its first
-RAN_NOT = frozenset((Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT, Ending.MISS))  # prove it never ran
-SOURCE_FAULTS = (Note.SOURCE_REFUSED, Note.SOURCE_BROKEN, Note.SOURCE_LACKS, Note.ORIGIN_FAILED)
+# prove it never ran
+RAN_NOT = frozenset((Ending.OVERLOADED, Ending.CONNECT_FAILED, Ending.NOT_PROCESSED, Ending.MISS))
+SOURCE_FAULTS = (Note.SOURCE_REFUSED, Note.SOURCE_BROKEN, Note.SOURCE_MISS, Note.ORIGIN_FAILED)
 
 
 class Router(Fills):
@@ -23,41 +25,41 @@
         while self.lapses and self.lapses[0][0] <= now:  # before anything rests on it
             self.lapses.pop(0)[1]()
         match event:
-            case io.RequestCame():
+            case io.RequestReceived():
                 self.came(event)
-            case io.AttemptEnded():
+            case io.AttemptCompleted():
                 self.ended(event)
-            case io.TimerDue(token):
+            case io.TimerFired(token):
                 self.timer(token & 7, token >> 3)
-            case io.ListNews():
+            case io.EndpointUpdate():
                 self.listed(event)
-            case io.Purged(group, obj, ago):
+            case io.ObjectPurged(group, obj, ago):
                 self.purged(group, obj, ago)
-            case io.StreamBegan(request, attempt) if req := self.requests.get(request):
+            case io.ResponseStarted(request, attempt) if req := self.requests.get(request):
                 self.call_off(a for a in req.open.values() if a.no != attempt)
                 req.begun = True
-            case io.ClientLeft(request) if req := self.requests.get(request):
+            case io.ClientDisconnected(request) if req := self.requests.get(request):
                 self.close(req)
         return self.out
 
-    def came(self, e: io.RequestCame) -> None:
+    def came(self, e: io.RequestReceived) -> None:
         tier, cls = self.tiers[e.cls], self.s.classes[e.cls]
         self.asked.add(e.cls)
         behind = e.waited > max(TURN_PART * cls.on_time / (1 + tier), RELEASE_EVERY) and not cls.never_kept
         if behind or e.time_left <= self.s.step:  # refused while that costs little, the lowest tier first
-            self.out.append(io.Refuse(e.request, self.advice()))
-            self.out += map(io.Log, self.back.over(self.now, cls.worth, False))
+            self.out.append(io.RejectRequest(e.request, self.advice()))
+            self.out += map(io.WriteLog, self.back.over(self.now, cls.worth, False))
             return
         home = self.homes(e) if self.homes is not None else None
         req = self.requests[e.request] = Request(e, self.s, tier, self.now, home)
         self.extra = min(EXTRA_MOST, self.extra + EXTRA_SHARE)
         self.timer_in(e.time_left - self.s.step, DEADLINE, e.request)
-        if home is not None and home.closed and cls.effect is not io.Effect.SAFE:
+        if home is not None and home.closed and cls.effect is not io.Idempotency.SAFE:
             self.give_up(req)
         else:
             self.route(req)
 
-    def ended(self, e: io.AttemptEnded) -> None:
+    def ended(self, e: io.AttemptCompleted) -> None:
         if (attempt := self.attempts.pop((e.request, e.attempt), None)) is None:
             return
         (req := attempt.req).open.pop(e.attempt, None)
@@ -68,7 +70,7 @@
             self.heard[req.e.cls] += 1
             if (count := self.heard.total()) >= ANSWERS and self.asked <= self.heard.keys():
                 self.met = True
-                self.out += map(io.Log, self.back.answered(self.now, count))
+                self.out += map(io.WriteLog, self.back.answered(self.now, count))
         if e.ending not in RAN_NOT and (req.first_ran is None or attempt.at < req.first_ran[0]):
             req.first_ran = (attempt.at, attempt.node.machine)
         if self.requests.get(e.request) is req:
@@ -78,7 +80,7 @@
                 self.again(req, attempt, e)
         self.release()
 
-    def learn(self, attempt: Attempt, e: io.AttemptEnded) -> None:
+    def learn(self, attempt: Attempt, e: io.AttemptCompleted) -> None:
         from_cache = e.ending is Ending.OK and e.note in (Note.HIT, Note.STALE)
         self.believe(attempt, e, from_cache)
         self.bore(attempt, e.ending, from_cache)
@@ -92,13 +94,13 @@
         if attempt.fill:
             self.filled(attempt, e, from_cache)
 
-    def again(self, req: Request, attempt: Attempt, e: io.AttemptEnded) -> None:
+    def again(self, req: Request, attempt: Attempt, e: io.AttemptCompleted) -> None:
         node, source = attempt.node, attempt.source
         held = source if attempt.held and e.ending is Ending.MISS else None  # the parent lacks it
         if held is None:  # another one, while it can help; the machine itself may not be at fault
-            blamed = e.ending is not Ending.MOOT and not e.another_way
+            blamed = e.ending is not Ending.NOT_PROCESSED and not e.another_way
             req.avoid += [source or node] if e.note in SOURCE_FAULTS else [node] * blamed
-            if source is not None and e.note is Note.NONE and e.ending in (Ending.FULL, Ending.TIMEOUT):
+            if source is not None and e.note is Note.NONE and e.ending in (Ending.OVERLOADED, Ending.TIMEOUT):
                 req.avoid += [source]  # not told whose fault it was: change both
         useless = (attempt.look and e.ending is Ending.MISS) or req.deadline - self.now < self.work[req.e.cls]
         if held and self.now >= self.fill_at and self.usable(node, req) and self.usable(held, req):
@@ -113,12 +115,12 @@
     def timer(self, kind: int, about: int) -> None:
         if kind == DEADLINE and (req := self.requests.get(about)) and not req.begun:
             self.close(req)
-            self.out.append(io.Fail(about))
+            self.out.append(io.FailRequest(about))
         elif kind == HOLD and (req := self.requests.get(about)) and req.held:
             self.unhold(req)
             self.shed(req, True)
         elif kind == RELIST:
-            self.out.append(io.Follow())
+            self.out.append(io.WatchEndpoints())
         elif kind == ROUND:
             self.awake = False
             self.release()
@@ -130,9 +132,9 @@
         if gap >= STOOD and self.met:  # what we knew of the others is from before
             self.asked, self.heard, self.met = set(), Counter(), False
             self.bound = min(self.bound, BOUND_START)
-            self.out += map(io.Log, self.back.stood_still(self.now, gap))
+            self.out += map(io.WriteLog, self.back.stood_still(self.now, gap))
         if not any(self.depth):
-            self.out += map(io.Log, self.back.unpressed(self.now))
+            self.out += map(io.WriteLog, self.back.unpressed(self.now))
         self.weigh()
         self.reweigh()
         if gap <= WATCH_EVERY:  # else answers are still to come, as we stood still ourselves
--- a/quincepier/policy/trust.py
+++ b/quincepier/policy/trust.py
@@ -3,7 +3,9 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from quincepier.interface import AttemptEnded, Cancel, Effect, Ending, Log, Note
+from quincepier import interface as io
+from quincepier.interface import AttemptOutcome as Ending
+from quincepier.interface import CacheStatus as Note
 from quincepier.policy.cold import Cold
 from quincepier.policy.parts import SECOND, Attempt, Node
 
@@ -13,16 +15,16 @@
 
 
 class Trust(Cold):
-    def believe(self, attempt: Attempt, e: AttemptEnded, from_cache: bool) -> None:
+    def believe(self, attempt: Attempt, e: io.AttemptCompleted, from_cache: bool) -> None:
         node, source, answered = attempt.node, attempt.source, attempt.node.heard > attempt.at  # another
         if e.ending in (Ending.CONNECT_FAILED, Ending.RESET) and not e.another_way:
             self.distrust(node, "lost", 1 if e.ending is Ending.RESET or answered else LOST_LEAST)
-        elif e.ending in (Ending.OK, Ending.ERROR, Ending.FULL, Ending.MISS):
+        elif e.ending in (Ending.OK, Ending.ERROR, Ending.OVERLOADED, Ending.MISS):
             self.trust(node)
         if source is not None:
             if e.note in (Note.SOURCE_BROKEN, Note.SOURCE_REFUSED):  # a dead process refuses, a full one too
                 self.distrust(source, "broken as source", LOST_LEAST / (1 + (e.note == Note.SOURCE_REFUSED)))
-            elif attempt.held and e.ending is Ending.FULL and e.note is Note.NONE:
+            elif attempt.held and e.ending is Ending.OVERLOADED and e.note is Note.NONE:
                 if source.denied is not node:  # one cache by itself may have no place for a fill
                     self.distrust(source, "gives nothing", LOST_LEAST / 2)  # asked for what it holds alone
                 source.denied = node
@@ -55,12 +57,12 @@
     def rescue(self, node: Node) -> None:  # its slots come back; what is harmless goes elsewhere
         for a in node.out.values():
             self.fills, a.fill = self.fills - a.fill, False
-        self.call_off(a for a in list(node.out.values()) if a.req.cls.effect is Effect.SAFE)
+        self.call_off(a for a in list(node.out.values()) if a.req.cls.effect is io.Idempotency.SAFE)
 
     def call_off(self, attempts: Iterable[Attempt]) -> None:
         for a in attempts:
             if self.s.cancel and not a.req.begun:
-                self.out.append(Cancel(a.req.e.request, a.no))
+                self.out.append(io.CancelAttempt(a.req.e.request, a.no))
 
     def silences(self) -> None:
         late, slow = Counter[Node](), self.fetch.times(self.now)
@@ -76,5 +78,5 @@
             self.distrust(node, "silent")
 
     def log(self, text: str) -> None:
-        self.out += [Log(text)] * (self.logs < LOGS_MOST)
+        self.out += [io.WriteLog(text)] * (self.logs < LOGS_MOST)
         self.logs += 1
--- a/quincepier/recovery/memory.py
+++ b/quincepier/recovery/memory.py
@@ -18,7 +18,7 @@
 from typing import Protocol, TypeVar
 
 from quincepier import interface as io
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 
 SECOND = 1_000_000_000
 # Bounds of age, ns; a cold start and a purge have those that the settings give them.
@@ -44,7 +44,7 @@
 class Known(Protocol):
     """A machine as a module knows it, as far as it is kept; what a time is not known of is 0."""
 
-    machine: io.Machine
+    machine: io.Endpoint
     cold_at: int
     suspect: bool
     leaving: int
@@ -87,17 +87,17 @@
 def learned(router: Knows[Machine]) -> Iterator[io.Learned]:
     """All that counts after a start, small parts, so that a shell may take them in slices of time."""
     now = router.now
-    yield io.LearnedBound(router.bound, 0)
+    yield io.LearnedFetchLimit(router.bound, 0)
     for cls, seen in list(router.samples.items()):
-        yield io.LearnedClass(cls, router.work[cls], seen, 0)
+        yield io.LearnedTransferTime(cls, router.work[cls], seen, 0)
     for (cls, held, told), (mean, seen, least, at) in list(router.usual.items()):
-        yield io.LearnedUsual(cls, held, told, mean, seen, least, now - at)
+        yield io.LearnedLatency(cls, held, told, mean, seen, least, now - at)
     for kind, (work, at) in list(router.borne.items()):
-        yield io.LearnedWork(kind, work, now - router.born, now - at)
+        yield io.LearnedServedWork(kind, work, now - router.born, now - at)
     for node in list(router.nodes.values()):
         found = node.cold_at > node.machine.up_since  # by its failing, which no list told
-        leaving = node.machine.state is not CacheState.READY or node.leaving > now
-        fact = io.LearnedMachine(
+        leaving = node.machine.state is not EndpointState.READY or node.leaving > now
+        fact = io.LearnedEndpoint(
             node.machine.cache, node.pace.slowed, node.pace.signs, now - node.pace.at if node.pace.at else 0,
             now - node.cold_at if found else -1, 0 if node.suspect else -1, 0 if leaving else -1,
         )  # fmt: skip
@@ -111,31 +111,31 @@
     """Take facts that were told `age` nanoseconds ago (None: nobody knows). Returns how many counted."""
     taken, lapses = 0, list[tuple[int, Callable[[], None]]]()
     for fact in facts:
-        if age is None and not isinstance(fact, io.LearnedMachine | io.LearnedPurge):
+        if age is None and not isinstance(fact, io.LearnedEndpoint | io.LearnedPurge):
             continue
         old = fact.ago + (age or 0)
         match fact:
-            case io.LearnedClass(cls) if old < CLASS_MOST and cls < len(router.work):
+            case io.LearnedTransferTime(cls) if old < CLASS_MOST and cls < len(router.work):
                 if not router.samples[cls]:
                     router.work[cls], router.samples[cls] = fact.mean, min(fact.seen, CLASS_SEEN)
                     undo = partial(_forget_class, router, cls, router.samples[cls])
                     lapses.append((router.now + CLASS_MOST - old, undo))
                     taken += 1
-            case io.LearnedUsual(cls, held, told) if old < CLASS_MOST and cls < len(router.work):
+            case io.LearnedLatency(cls, held, told) if old < CLASS_MOST and cls < len(router.work):
                 key, seen = (cls, held, told), min(fact.seen, USUAL_SEEN)
                 if key not in router.usual:
                     router.usual[key] = (fact.mean, seen, fact.least, router.now - old)
                     undo = partial(_forget_usual, router, key, seen)
                     lapses.append((router.now + CLASS_MOST - old, undo))
                     taken += 1
-            case io.LearnedWork(kind, work, span) if old < WORK_MOST:
+            case io.LearnedServedWork(kind, work, span) if old < WORK_MOST:
                 if kind not in router.borne:
                     router.borne[kind] = work, router.now - old
                     began, router.born = router.began, min(router.born, router.now - old - span)
                     undo = partial(_forget_work, router, kind, work, router.now - old, began)
                     lapses.append((router.now + WORK_MOST - old, undo))
                     taken += 1
-            case io.LearnedMachine(cache) if cache in router.nodes:
+            case io.LearnedEndpoint(cache) if cache in router.nodes:
                 taken += _machine(router, router.nodes[cache], fact, age, lapses)
             case io.LearnedPurge(group, obj) if old <= router.s.purge_settles + 2 * SECOND:
                 router.purged(group, obj, old if age is not None else 0)
@@ -147,7 +147,7 @@
 def _machine(
     router: Knows[Machine],
     node: Machine,
-    fact: io.LearnedMachine,
+    fact: io.LearnedEndpoint,
     age: int | None,
     lapses: list[tuple[int, Callable[[], None]]],
 ) -> bool:
--- a/quincepier/simwire.py
+++ b/quincepier/simwire.py
@@ -10,31 +10,31 @@
 from quincepier.errors import QuincepierError
 from quincepier.interface import (
     Action,
-    Ask,
-    AttemptEnded,
-    CacheState,
-    Cancel,
-    ClientLeft,
-    Ending,
+    AttemptCompleted,
+    AttemptOutcome,
+    CacheStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
     Event,
-    Fail,
-    Fetch,
-    Follow,
-    ListNews,
-    ListScope,
-    Log,
-    Machine,
-    Note,
-    PeerSaid,
-    Probe,
-    ProbeEnded,
-    Purged,
-    Refuse,
-    RequestCame,
+    FailRequest,
+    FetchThrough,
+    ForwardRequest,
+    HealthCheckCompleted,
+    ObjectPurged,
+    PeerMessage,
+    RejectRequest,
+    RequestReceived,
+    ResponseStarted,
+    SendHealthCheck,
     SetTimer,
     Settings,
-    StreamBegan,
-    TimerDue,
+    TimerFired,
+    UpdateScope,
+    WatchEndpoints,
+    WriteLog,
 )
 
 HEADER = struct.Struct("<IQI")
@@ -60,15 +60,15 @@
     START: (struct.Struct("<IQI"), 16),
 }
 ENDINGS = {
-    0: Ending.OK,
-    5: Ending.ERROR,
-    11: Ending.FULL,
-    110: Ending.TIMEOUT,
-    111: Ending.CONNECT_FAILED,
-    104: Ending.RESET,
-    125: Ending.CANCELLED,
-    114: Ending.MOOT,
-    2: Ending.MISS,
+    0: AttemptOutcome.OK,
+    5: AttemptOutcome.ERROR,
+    11: AttemptOutcome.OVERLOADED,
+    110: AttemptOutcome.TIMEOUT,
+    111: AttemptOutcome.CONNECT_FAILED,
+    104: AttemptOutcome.RESET,
+    125: AttemptOutcome.CANCELLED,
+    114: AttemptOutcome.NOT_PROCESSED,
+    2: AttemptOutcome.MISS,
 }
 
 
@@ -130,31 +130,33 @@
     i = f[0]
     event: Event | Started | Crashed
     if code == INCOMING:
-        event = RequestCame(f[1], f[2], f[3], f[4], int(f[5]), f[6], int(f[7]), bool(f[8] & 2), f[9])
+        event = RequestReceived(f[1], f[2], f[3], f[4], int(f[5]), f[6], int(f[7]), bool(f[8] & 2), f[9])
     elif code == OUTCOME:
         if f[4] not in ENDINGS:
             raise WireError(f"record {code} has the unknown outcome {f[4]}")
-        note = Note(f[7]) if f[7] <= Note.ORIGIN_FAILED else Note.NONE
+        note = CacheStatus(f[7]) if f[7] <= CacheStatus.ORIGIN_FAILED else CacheStatus.NONE
         report = _floats(data, layout.size, f[9], code)
-        event = AttemptEnded(f[1], f[2], f[3], ENDINGS[f[4]], f[5], bool(f[6]), note, f[8], report)
+        event = AttemptCompleted(f[1], f[2], f[3], ENDINGS[f[4]], f[5], bool(f[6]), note, f[8], report)
     elif code == BELL:
-        event = TimerDue(f[1])
+        event = TimerFired(f[1])
     elif code == VIEW:
         if f[1] > 3:
             raise WireError(f"record {code} has the unknown scope {f[1]}")
-        event = ListNews(ListScope(f[1]), tuple(_machines(_tail(data, layout.size, ENTRY.size * f[3], code))))
+        event = EndpointUpdate(
+            UpdateScope(f[1]), tuple(_machines(_tail(data, layout.size, ENTRY.size * f[3], code)))
+        )
     elif code == CLIENT_GONE:
-        event = ClientLeft(f[1])
+        event = ClientDisconnected(f[1])
     elif code == INVALIDATED:
-        event = Purged(f[1], f[2], f[3])
+        event = ObjectPurged(f[1], f[2], f[3])
     elif code == ESTABLISHED:
-        event = StreamBegan(f[1], f[2], f[3])
+        event = ResponseStarted(f[1], f[2], f[3])
     elif code == CHECKED:
         if f[3] not in ENDINGS:
             raise WireError(f"record {code} has the unknown outcome {f[3]}")
-        event = ProbeEnded(f[2], ENDINGS[f[3]], f[1], _floats(data, layout.size, f[4], code))
+        event = HealthCheckCompleted(f[2], ENDINGS[f[3]], f[1], _floats(data, layout.size, f[4], code))
     elif code == INBOX:
-        event = PeerSaid(f[1], _tail(data, layout.size, f[2], code))
+        event = PeerMessage(f[1], _tail(data, layout.size, f[2], code))
     elif code == START:
         event = Started(f[1], _tail(data, layout.size, f[2], code))
     else:
@@ -162,11 +164,11 @@
     return i, event
 
 
-def _machines(data: bytes) -> Iterator[Machine]:
+def _machines(data: bytes) -> Iterator[Endpoint]:
     for cell, size, cache, up_since, kind, zone, state in ENTRY.iter_unpack(data):
         if state > 2:
             raise WireError(f"list entry has the unknown state {state}")
-        yield Machine(cache, kind, zone, cell, size, up_since, CacheState(state))
+        yield Endpoint(cache, kind, zone, cell, size, up_since, EndpointState(state))
 
 
 def _record(code: int, fields: bytes) -> bytes:
@@ -180,26 +182,26 @@
 
 def encode_action(i: int, action: Action) -> bytes:
     match action:
-        case Ask(request, cache, timeout):
+        case ForwardRequest(request, cache, timeout):
             return _record(1060, struct.pack("<IIIQ", i, request, cache, timeout))
-        case Fetch():
+        case FetchThrough():
             a = action
             opts = a.join + 2 * a.held_only + 8 * a.renew
             head = struct.pack("<IIIQI", i, a.request, a.cache, a.timeout, a.source)
             return _record(1090, head + struct.pack("<BQB", a.rank, a.age, opts))
-        case Cancel(request, attempt):
+        case CancelAttempt(request, attempt):
             return _record(1000, struct.pack("<IIH", i, request, attempt))
-        case Refuse(request, retry_after):
+        case RejectRequest(request, retry_after):
             return _record(1010, struct.pack("<IIQ", i, request, retry_after))
-        case Fail(request):
+        case FailRequest(request):
             return _record(1050, struct.pack("<II", i, request))
         case SetTimer(wait, token):
             return _record(1040, struct.pack("<IQQ", i, wait, token))
-        case Probe(cache):
+        case SendHealthCheck(cache):
             return _record(1070, struct.pack("<II", i, cache))
-        case Follow():
+        case WatchEndpoints():
             return _record(1020, struct.pack("<IB", i, 1))
-        case Log(text):
+        case WriteLog(text):
             raw = text.encode("utf-8", "replace")[:200]
             return _record(1080, struct.pack("<IH", i, len(raw)) + raw)
 
--- a/quincepier/state/kept.py
+++ b/quincepier/state/kept.py
@@ -176,15 +176,15 @@
     def add(self, fact: io.Learned) -> None:
         names = self.names
         match fact:
-            case io.LearnedClass(cls, mean, seen, ago) if cls < len(names.classes):
+            case io.LearnedTransferTime(cls, mean, seen, ago) if cls < len(names.classes):
                 self.classes.append(KeptClass(names.classes[cls], mean, seen, ago))
-            case io.LearnedUsual(cls, held, told, mean, seen, least, ago) if cls < len(names.classes):
+            case io.LearnedLatency(cls, held, told, mean, seen, least, ago) if cls < len(names.classes):
                 self.usual.append(KeptUsual(names.classes[cls], held, told, mean, seen, least, ago))
-            case io.LearnedBound(bound, ago):
+            case io.LearnedFetchLimit(bound, ago):
                 self.bound = KeptBound(bound, ago)
-            case io.LearnedWork(kind, work, span, ago) if kind < len(names.kinds):
+            case io.LearnedServedWork(kind, work, span, ago) if kind < len(names.kinds):
                 self.works.append(KeptWork(names.kinds[kind], work, span, ago))
-            case io.LearnedMachine(cache) if at := names.machine(cache):
+            case io.LearnedEndpoint(cache) if at := names.machine(cache):
                 ages = fact.cold_ago, fact.aside_ago, fact.leaving_ago
                 self.machines.append(KeptMachine(*at, fact.slowed, fact.signs, fact.ago, *ages))
             case io.LearnedPurge(group, obj, ago) if len(self.purges) < PURGES_MOST:
@@ -209,16 +209,16 @@
     classes = {name: n for n, name in enumerate(names.classes)}
     kinds = {name: n for n, name in enumerate(names.kinds)}
     if kept.bound is not None:
-        yield io.LearnedBound(kept.bound.bound, kept.bound.ago)
+        yield io.LearnedFetchLimit(kept.bound.bound, kept.bound.ago)
     for c in (c for c in kept.classes if c.name in classes):
-        yield io.LearnedClass(classes[c.name], c.mean, c.seen, c.ago)
+        yield io.LearnedTransferTime(classes[c.name], c.mean, c.seen, c.ago)
     for u in (u for u in kept.usual if u.name in classes):
-        yield io.LearnedUsual(classes[u.name], u.held, u.told, u.mean, u.seen, u.least, u.ago)
+        yield io.LearnedLatency(classes[u.name], u.held, u.told, u.mean, u.seen, u.least, u.ago)
     for w in (w for w in kept.works if w.kind in kinds):
-        yield io.LearnedWork(kinds[w.kind], w.work, w.span, w.ago)
+        yield io.LearnedServedWork(kinds[w.kind], w.work, w.span, w.ago)
     for m in kept.machines:
         if (number := names.number(m.host, m.born_ms)) is not None:
             ages = m.cold_ago, m.aside_ago, m.leaving_ago
-            yield io.LearnedMachine(number, m.slowed, m.signs, m.ago, *ages)
+            yield io.LearnedEndpoint(number, m.slowed, m.signs, m.ago, *ages)
     for p in kept.purges:
         yield io.LearnedPurge(p.group, p.object, p.ago)
--- a/quincepier/tenancy/gap.py
+++ b/quincepier/tenancy/gap.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from quincepier.interface import Effect, RequestClass
+from quincepier.interface import Idempotency, RequestClass
 from quincepier.tenancy.section import SECOND, TenantsSection
 
 ALLOW_TIMES = 2  # of its class's deadline: what a client may say at most that it waits (translate.py)
@@ -17,7 +17,9 @@
     repeats: it may have run as late as the longest wait and the latest delivery, and a repeat counts as one
     for its window after that. Of all classes that may not simply be repeated, the longest.
     """
-    times = [c.window + ALLOW_TIMES * c.deadline + DELIVERY for c in classes if c.effect is not Effect.SAFE]
+    times = [
+        c.window + ALLOW_TIMES * c.deadline + DELIVERY for c in classes if c.effect is not Idempotency.SAFE
+    ]
     return max(times, default=0)
 
 
--- a/quincepier/tenancy/homes.py
+++ b/quincepier/tenancy/homes.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from quincepier import interface as io
-from quincepier.interface import Effect
+from quincepier.interface import Idempotency
 from quincepier.rules import Move, MoveStep, RuleVersion
 from quincepier.rules.version import PARTS
 from quincepier.tenancy.errors import TenancyError
@@ -61,7 +61,7 @@
     ) -> None:
         self.version, self.cautious, self.unsure = version, cautious, unsure
         self._number_of, self._tenants, self._listed = number_of, tenants, listed
-        self._once = [c.effect is not Effect.SAFE for c in classes]
+        self._once = [c.effect is not Idempotency.SAFE for c in classes]
         caches = [host for shard in version.shards for host in shard.caches]
         if len(caches) > len(set(caches)):  # keys of two homes would meet there, and neither be compared
             raise TenancyError("a cache is in two shards", f"rule version {version.number}")
@@ -78,18 +78,18 @@
         behind = frozenset[int]().union(*(p for _, p in homes.values()))
         every = frozenset(parents)
         homes[""] = frozenset(caches) - own, every - behind or every
-        self._homes = dict[tuple[str, bool], io.Home]()
+        self._homes = dict[tuple[str, bool], io.HomeShard]()
         for name, (mine, sources) in homes.items():
             ready = mine & frozenset(caches)
             for closed in (False, True):
-                self._homes[name, closed] = io.Home(
+                self._homes[name, closed] = io.HomeShard(
                     number_of_home(name), ready, sources & every or every, closed
                 )
 
     def _numbers(self, hosts: Collection[str]) -> frozenset[int]:
         return frozenset(n for n in map(self._number_of, hosts) if n is not None)
 
-    def __call__(self, e: io.RequestCame) -> io.Home | None:
+    def __call__(self, e: io.RequestReceived) -> io.HomeShard | None:
         """None is the ordinary placement: there are no shards."""
         if not self.version.shards and not self._moves and not (self.unsure and e.tenant):
             return None
--- a/quincepier/tenancy/known.py
+++ b/quincepier/tenancy/known.py
@@ -19,7 +19,7 @@
         self._lengths = sorted({len(item) for item in self._by_item})
 
     def tenant_of(self, item: str) -> int:
-        """The number for `RequestCame.tenant`; no prefix is within another, so at most one fits."""
+        """The number for `RequestReceived.tenant`; no prefix is within another, so at most one fits."""
         for length in self._lengths:
             if number := self._by_item.get(item[:length]):
                 return number
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -10,7 +10,7 @@
 from quincepier import interface as io
 from quincepier.config import REPORT_WORDS, FrontConfig
 from quincepier.errors import Inflicted
-from quincepier.interface import Ending, Note
+from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.memory.machines import Directory
 from quincepier.memory.requests import OpenAttempt, OpenRequest, Owner
 from quincepier.wire.changelog import PurgeRecord
@@ -24,24 +24,24 @@
 PART_MOST, GROUP_MOST = 0xFFFF, 255
 ALLOW_TIMES = 2  # of its class's deadline: what a client may say at most that it waits
 ENDINGS = {
-    "data": Ending.OK,
-    "unchanged": Ending.OK,
-    "absent": Ending.MISS,
-    "full": Ending.FULL,
-    "failed": Ending.ERROR,
-    "moot": Ending.MOOT,
+    "data": AttemptOutcome.OK,
+    "unchanged": AttemptOutcome.OK,
+    "absent": AttemptOutcome.MISS,
+    "full": AttemptOutcome.OVERLOADED,
+    "failed": AttemptOutcome.ERROR,
+    "moot": AttemptOutcome.NOT_PROCESSED,
 }
 NOTES = {
-    "local": Note.HIT,
-    "pulled": Note.FILLED,
-    "pulled_far": Note.FROM_ORIGIN,
-    "rode": Note.JOINED,
-    "expired": Note.STALE,
-    "turned_away": Note.SOURCE_REFUSED,
-    "cut_off": Note.SOURCE_BROKEN,
-    "not_there": Note.SOURCE_LACKS,
-    "no_place": Note.NO_FILL_PLACE,
-    "far_fault": Note.ORIGIN_FAILED,
+    "local": CacheStatus.HIT,
+    "pulled": CacheStatus.FILLED,
+    "pulled_far": CacheStatus.FROM_ORIGIN,
+    "rode": CacheStatus.COLLAPSED,
+    "expired": CacheStatus.STALE,
+    "turned_away": CacheStatus.SOURCE_REFUSED,
+    "cut_off": CacheStatus.SOURCE_BROKEN,
+    "not_there": CacheStatus.SOURCE_MISS,
+    "no_place": CacheStatus.NO_FETCH_SLOT,
+    "far_fault": CacheStatus.ORIGIN_FAILED,
 }
 
 
@@ -123,32 +123,32 @@
     )
 
 
-def request_came(request: OpenRequest, now: int) -> io.RequestCame:
+def request_came(request: OpenRequest, now: int) -> io.RequestReceived:
     """The time left counts from when the request was there, not from when its turn came."""
     r, waited = request, max(now - request.came, 0)
     left = max(r.allow - waited, 0)
-    return io.RequestCame(r.number, r.cls, 0.0, 0, r.group, r.object, r.part, r.repeat, left, waited)
+    return io.RequestReceived(r.number, r.cls, 0.0, 0, r.group, r.object, r.part, r.repeat, left, waited)
 
 
-def purged(record: PurgeRecord) -> io.Purged:
-    return io.Purged(record.group, record.object or 0, clock.ago(record.time_ms))
+def purged(record: PurgeRecord) -> io.ObjectPurged:
+    return io.ObjectPurged(record.group, record.object or 0, clock.ago(record.time_ms))
 
 
 class End(Protocol):
     """How an attempt ended, as the cache's actor tells it: at which nanosecond, and what came with it."""
 
-    ending: Ending
+    ending: AttemptOutcome
     at: int
-    note: Note
+    note: CacheStatus
     waited: int
     report: tuple[float, ...]
     another_way: bool
 
 
-def attempt_ended(attempt: OpenAttempt, end: End) -> io.AttemptEnded:
+def attempt_ended(attempt: OpenAttempt, end: End) -> io.AttemptCompleted:
     """`last` says that the request is over, by this ending or earlier."""
-    r, last = attempt.request, attempt.request.over or end.ending is Ending.OK
-    return io.AttemptEnded(
+    r, last = attempt.request, attempt.request.over or end.ending is AttemptOutcome.OK
+    return io.AttemptCompleted(
         request=r.number,
         attempt=attempt.no,
         cache=attempt.cache,
@@ -170,8 +170,8 @@
     return value if 0 <= value < 1e12 else 0.0
 
 
-def note_of(head: Head) -> Note:
-    return NOTES.get(head.fields.get("how", ""), Note.NONE)
+def note_of(head: Head) -> CacheStatus:
+    return NOTES.get(head.fields.get("how", ""), CacheStatus.NONE)
 
 
 def waited_of(head: Head) -> int:
@@ -188,12 +188,12 @@
 
 
 def serve_fields(
-    action: io.Ask | io.Fetch, request: OpenRequest, directory: Directory, timeout: int
+    action: io.ForwardRequest | io.FetchThrough, request: OpenRequest, directory: Directory, timeout: int
 ) -> list[tuple[str, str]]:
     """The fields of the command for an attempt. A source that is the machine itself is no source."""
     fields = [("class", request.class_name), ("key", request.item), ("part", str(request.part))]
     fields.append(("wait", str(max(timeout // clock.MS, 1))))
-    if isinstance(action, io.Fetch):
+    if isinstance(action, io.FetchThrough):
         if action.source != action.cache:
             fields.append(("via", directory.hosts[action.source]))
         if action.rank:
--- a/quincepier/wire/changelog.py
+++ b/quincepier/wire/changelog.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 from quincepier.wire.errors import ProtocolError
 
-STATES = {"SERVING": CacheState.READY, "DRAINING": CacheState.DRAINING, "DELETED": CacheState.GONE}
+STATES = {"SERVING": EndpointState.READY, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
 NUMBER_MOST = 2.0**64  # in size
 DIALS_MOST = 16  # addresses listed beside a host's first
 Judge = Callable[[str], object]
@@ -25,7 +25,7 @@
     site: str
     kind: str
     cell: int
-    state: CacheState
+    state: EndpointState
     size: float
     born_ms: int
     dials: tuple[str, ...] = ()  # all addresses that can be used, where several a machine are taken
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -146,7 +146,7 @@
         self.seq += 1
         record = {"seq": self.seq, "fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
         (event,) = read_changes({"seq": self.seq, "results": [record]})[1]
-        self.module._news(event, io.ListScope.CHANGES)
+        self.module._news(event, io.UpdateScope.CHANGES)
 
     def ask(self, cls: int = IMAGE, **changes: Any) -> OpenRequest:
         """Into the module's mailbox; its owner keeps what it is answered."""
@@ -219,9 +219,11 @@
         assert await self.status(request) == 200
         return wire
 
-    def endings(self, request: OpenRequest) -> list[io.Ending]:
+    def endings(self, request: OpenRequest) -> list[io.AttemptOutcome]:
         return [
-            e.ending for e in self.events if isinstance(e, io.AttemptEnded) and e.request == request.number
+            e.ending
+            for e in self.events
+            if isinstance(e, io.AttemptCompleted) and e.request == request.number
         ]
 
     def cache(self, name: str) -> CacheActor:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -59,9 +59,9 @@
 def claims() -> None:
     plain, chance = policy.Router.came, random.Random(1)
 
-    def came(self: policy.Router, e: io.RequestCame) -> None:
+    def came(self: policy.Router, e: io.RequestReceived) -> None:
         if chance.random() < 0.6:
-            self.out.append(io.Refuse(e.request, 0))
+            self.out.append(io.RejectRequest(e.request, 0))
         else:
             plain(self, e)
 
--- a/tests/policy_recording.py
+++ b/tests/policy_recording.py
@@ -17,7 +17,14 @@
 
 from quincepier import interface as io
 from quincepier.config import load_front
-from quincepier.interface import CacheState, Effect, Ending, Group, ListScope, Note
+from quincepier.interface import (
+    AttemptOutcome,
+    CacheStatus,
+    DeduplicationScope,
+    EndpointState,
+    Idempotency,
+    UpdateScope,
+)
 from quincepier.lab import front as lab_front
 from quincepier.lab.experiment import load
 from quincepier.lab.world import World
@@ -26,15 +33,22 @@
 
 TOP = Path(__file__).parent.parent
 FIRST = 100 * SECOND
-OUTCOMES = (Ending.ERROR, Ending.FULL, Ending.RESET, Ending.MOOT, Ending.MISS, Ending.CONNECT_FAILED)
-FILL_NOTES = (Note.FILLED, Note.FROM_ORIGIN, Note.JOINED)
+OUTCOMES = (
+    AttemptOutcome.ERROR,
+    AttemptOutcome.OVERLOADED,
+    AttemptOutcome.RESET,
+    AttemptOutcome.NOT_PROCESSED,
+    AttemptOutcome.MISS,
+    AttemptOutcome.CONNECT_FAILED,
+)
+FILL_NOTES = (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN, CacheStatus.COLLAPSED)
 FAULT_NOTES = (
-    Note.SOURCE_REFUSED,
-    Note.SOURCE_BROKEN,
-    Note.SOURCE_LACKS,
-    Note.NO_FILL_PLACE,
-    Note.ORIGIN_FAILED,
-    Note.NONE,
+    CacheStatus.SOURCE_REFUSED,
+    CacheStatus.SOURCE_BROKEN,
+    CacheStatus.SOURCE_MISS,
+    CacheStatus.NO_FETCH_SLOT,
+    CacheStatus.ORIGIN_FAILED,
+    CacheStatus.NONE,
 )
 
 
@@ -44,7 +58,7 @@
 
     seed: int
     settings: io.Settings
-    machines: tuple[io.Machine, ...]
+    machines: tuple[io.Endpoint, ...]
     seconds: float = 30.0
     rate: float = 14.0
     quick: float = 1.0
@@ -69,7 +83,7 @@
         self.streams: list[list[str]] = []
         self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = self.requests = 0
-        self.open: dict[int, tuple[io.RequestCame, list[bool]]] = {}  # whether each attempt has ended
+        self.open: dict[int, tuple[io.RequestReceived, list[bool]]] = {}  # whether each attempt has ended
         self.held: dict[int, set[tuple[int, int]]] = {}  # by machine
         self.fault = {machine: fault for machine, fault, _ in plan.begin}
         self.listed = {m.cache: m for m in plan.machines}
@@ -83,16 +97,16 @@
             self.router.homes = self.home
             self.router.witness = lambda request, node, source: None
 
-    def home(self, request: io.RequestCame) -> io.Home | None:
+    def home(self, request: io.RequestReceived) -> io.HomeShard | None:
         if request.tenant == 0:
             return None
         parents = frozenset(PARENTS[: request.tenant])
-        return io.Home(request.tenant, frozenset(CACHES[:2]), parents, closed=request.tenant == 2)
+        return io.HomeShard(request.tenant, frozenset(CACHES[:2]), parents, closed=request.tenant == 2)
 
     def play(self) -> list[list[str]]:
         plan = self.plan
         end = FIRST + int((plan.seconds + sum(span for _, span in plan.stalls)) * SECOND)
-        self.give(io.ListNews(ListScope.REMEMBERED, plan.machines))
+        self.give(io.EndpointUpdate(UpdateScope.RESTORED, plan.machines))
         self.after(0, self.arrive)
         for each, rate in ((self.break_one, plan.faults), (self.change_list, plan.news)):
             if rate:
@@ -130,7 +144,7 @@
         deadline = plan.settings.classes[cls].deadline
         waited = int(chance.expovariate(20) * SECOND) if chance.random() < 0.05 else 0
         left = int(chance.uniform(0.5, 1) * deadline) if chance.random() < 0.97 else chance.randrange(3 * MS)
-        request = io.RequestCame(
+        request = io.RequestReceived(
             self.requests,
             cls,
             round(chance.lognormvariate(5, 1), 3) if plan.sized else 0.0,
@@ -146,14 +160,14 @@
         if chance.random() < 0.03:
             self.after(chance.randrange(SECOND), self.leave, request.request)
         if chance.random() < 0.02:
-            self.give(io.ProbeEnded(CACHES[0], Ending.OK, MS, (1.0,)))
-            self.give(io.PeerSaid(1, b"\x00peer"))
+            self.give(io.HealthCheckCompleted(CACHES[0], AttemptOutcome.OK, MS, (1.0,)))
+            self.give(io.PeerMessage(1, b"\x00peer"))
         self.give(request)
 
     def leave(self, number: int) -> None:
         if number in self.open:
             self.over(number)
-            self.give(io.ClientLeft(number))
+            self.give(io.ClientDisconnected(number))
 
     def over(self, number: int) -> None:
         self.open.pop(number, None)
@@ -163,28 +177,28 @@
     def give(self, event: io.Event) -> None:
         for action in self.router.handle(self.now, event):
             match action:
-                case io.Ask() | io.Fetch():
+                case io.ForwardRequest() | io.FetchThrough():
                     self.send(action)
-                case io.Cancel(number, attempt):
-                    self.after(MS, self.end, number, attempt, Ending.CANCELLED, Note.NONE)
-                case io.Refuse(number) | io.Fail(number):
+                case io.CancelAttempt(number, attempt):
+                    self.after(MS, self.end, number, attempt, AttemptOutcome.CANCELLED, CacheStatus.NONE)
+                case io.RejectRequest(number) | io.FailRequest(number):
                     self.over(number)
                 case io.SetTimer(wait, token, about):
                     self.after(wait, self.ring, token, about, len(self.streams))
-                case io.Follow():
+                case io.WatchEndpoints():
                     failed = self.random.random() < 0.3
-                    news = io.ListNews(ListScope.FAILED if failed else ListScope.FULL, ())
+                    news = io.EndpointUpdate(UpdateScope.FAILED if failed else UpdateScope.FULL, ())
                     self.after(50 * MS, self.tell_list, news)
 
     def ring(self, token: int, about: int, start: int) -> None:
         if start == len(self.streams) and (about < 0 or about in self.open):
-            self.give(io.TimerDue(token))
+            self.give(io.TimerFired(token))
 
-    def tell_list(self, news: io.ListNews) -> None:
-        whole = news.scope is ListScope.FULL
+    def tell_list(self, news: io.EndpointUpdate) -> None:
+        whole = news.scope is UpdateScope.FULL
         self.give(replace(news, machines=tuple(self.listed.values())) if whole else news)
 
-    def send(self, action: io.Ask | io.Fetch) -> None:
+    def send(self, action: io.ForwardRequest | io.FetchThrough) -> None:
         number, chance = action.request, self.random
         if number not in self.open:  # its client left while it was handled
             return
@@ -195,63 +209,73 @@
         self.busy += 1
         outcome, note, took = self.answer(action, request)
         took = min(took, action.timeout) if took else action.timeout
-        outcome = Ending.TIMEOUT if took == action.timeout else outcome
+        outcome = AttemptOutcome.TIMEOUT if took == action.timeout else outcome
         cls = self.plan.settings.classes[request.cls]
-        if cls.stream and outcome is Ending.OK and chance.random() < 0.7:
+        if cls.stream and outcome is AttemptOutcome.OK and chance.random() < 0.7:
             self.after(took // 3, self.begin, number, attempt, action.cache)
             took *= 3
         self.after(took, self.end, number, attempt, outcome, note)
 
-    def answer(self, action: io.Ask | io.Fetch, request: io.RequestCame) -> tuple[Ending, Note, int]:
+    def answer(
+        self, action: io.ForwardRequest | io.FetchThrough, request: io.RequestReceived
+    ) -> tuple[AttemptOutcome, CacheStatus, int]:
         """How the attempt ends, and after how long; 0: not by itself."""
         chance, key = self.random, (request.object, request.part)
         held = self.held.setdefault(action.cache, set())
-        source = action.source if isinstance(action, io.Fetch) else action.cache
+        source = action.source if isinstance(action, io.FetchThrough) else action.cache
         took = int(
             chance.lognormvariate(0, 0.4) * 90 * MS * (1 + self.busy / self.plan.strain) / self.plan.quick
         )
         fault = self.fault.get(action.cache)
         if fault == "dead":
-            return Ending.CONNECT_FAILED, Note.NONE, MS
+            return AttemptOutcome.CONNECT_FAILED, CacheStatus.NONE, MS
         if fault == "silent":
-            return Ending.TIMEOUT, Note.NONE, 0
+            return AttemptOutcome.TIMEOUT, CacheStatus.NONE, 0
         if fault == "reset":
-            return Ending.RESET, Note.NONE, took // 4 + 1
+            return AttemptOutcome.RESET, CacheStatus.NONE, took // 4 + 1
         if fault == "full":
-            return Ending.FULL, chance.choice(FAULT_NOTES), MS
+            return AttemptOutcome.OVERLOADED, chance.choice(FAULT_NOTES), MS
         took = 8 * took if fault == "slow" else took
         if chance.random() < self.plan.odd:
             return chance.choice(OUTCOMES), chance.choice(FAULT_NOTES), took
-        if isinstance(action, io.Ask):
-            return Ending.OK, chance.choice((Note.NONE, Note.FROM_ORIGIN)), took
+        if isinstance(action, io.ForwardRequest):
+            return AttemptOutcome.OK, chance.choice((CacheStatus.NONE, CacheStatus.FROM_ORIGIN)), took
         if key in held:
-            return Ending.OK, Note.STALE if chance.random() < 0.1 else Note.HIT, took
+            return AttemptOutcome.OK, CacheStatus.STALE if chance.random() < 0.1 else CacheStatus.HIT, took
         if source == action.cache and source != ROOT:
-            return Ending.MISS, Note.NONE, MS
+            return AttemptOutcome.MISS, CacheStatus.NONE, MS
         behind = self.held.setdefault(source, set())
         if action.held_only and key not in behind:
-            return (Ending.MISS, Note.NONE, 2 * MS) if chance.random() < 0.7 else (Ending.FULL, Note.NONE, MS)
+            return (
+                (AttemptOutcome.MISS, CacheStatus.NONE, 2 * MS)
+                if chance.random() < 0.7
+                else (AttemptOutcome.OVERLOADED, CacheStatus.NONE, MS)
+            )
         if at_source := self.fault.get(source):
             if at_source == "refuses":
-                return Ending.FULL, Note.NONE, 20 * MS
+                return AttemptOutcome.OVERLOADED, CacheStatus.NONE, 20 * MS
             if at_source == "silent":
-                return Ending.TIMEOUT, Note.NONE, 0
-            notes = {"dead": Note.SOURCE_REFUSED, "reset": Note.SOURCE_BROKEN, "full": Note.SOURCE_LACKS}
+                return AttemptOutcome.TIMEOUT, CacheStatus.NONE, 0
+            notes = {
+                "dead": CacheStatus.SOURCE_REFUSED,
+                "reset": CacheStatus.SOURCE_BROKEN,
+                "full": CacheStatus.SOURCE_MISS,
+            }
             if at_source in notes:
-                told = notes[at_source] if chance.random() < 0.7 else Note.NONE
-                return chance.choice((Ending.FULL, Ending.ERROR)), told, 5 * MS
+                told = notes[at_source] if chance.random() < 0.7 else CacheStatus.NONE
+                return chance.choice((AttemptOutcome.OVERLOADED, AttemptOutcome.ERROR)), told, 5 * MS
             took *= 6
         held.add(key)
         behind.add(key)
         if len(held) > self.plan.objects:
             held.clear()
-        return Ending.OK, chance.choice(FILL_NOTES), took + 60 * MS
+        return AttemptOutcome.OK, chance.choice(FILL_NOTES), took + 60 * MS
 
     def begin(self, number: int, attempt: int, cache: int) -> None:
         if number in self.open and not self.open[number][1][attempt]:
-            self.give(io.StreamBegan(number, attempt, cache))
+            self.give(io.ResponseStarted(number, attempt, cache))
 
-    def end(self, number: int, attempt: int, outcome: Ending, note: Note) -> None:
+    def end(self, number: int, attempt: int, outcome: AttemptOutcome, note: CacheStatus) -> None:
         chance = self.random
         if number not in self.open:
             if (number, attempt) not in self.late:
@@ -265,20 +289,24 @@
         ended[attempt] = True
         self.late.add((number, attempt))
         self.busy -= 1
-        last = chance.random() < (0.995 if outcome is Ending.OK else 0.01)
+        last = chance.random() < (0.995 if outcome is AttemptOutcome.OK else 0.01)
         if last:
             self.over(number)
         self.give(self.ended(number, attempt, outcome, note, last))
 
-    def ended(self, number: int, attempt: int, outcome: Ending, note: Note, last: bool) -> io.AttemptEnded:
+    def ended(
+        self, number: int, attempt: int, outcome: AttemptOutcome, note: CacheStatus, last: bool
+    ) -> io.AttemptCompleted:
         chance, reports = self.random, self.plan.settings.reports
         cache, sent = self.sent[number, attempt]
-        told = chance.random() < 0.8 and outcome is Ending.OK
+        told = chance.random() < 0.8 and outcome is AttemptOutcome.OK
         report = tuple(round(chance.expovariate(0.6), 2) for _ in reports) if told else ()
         waited = chance.randrange(300 * MS) if chance.random() < 0.1 else 0
-        other = outcome in (Ending.RESET, Ending.CONNECT_FAILED) and chance.random() < 0.2
+        other = outcome in (AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED) and chance.random() < 0.2
         elapsed = max(self.now - sent, 0)
-        return io.AttemptEnded(number, attempt, cache, outcome, elapsed, last, note, waited, report, other)
+        return io.AttemptCompleted(
+            number, attempt, cache, outcome, elapsed, last, note, waited, report, other
+        )
 
     # What befalls machines and the front
 
@@ -290,7 +318,7 @@
         self.after(int(chance.uniform(1, 6) * SECOND), self.mend, struck)
         if chance.random() < 0.3:
             obj = chance.randrange(2) and 1 + chance.randrange(self.plan.objects)
-            self.give(io.Purged(chance.randrange(4), obj, chance.randrange(2 * SECOND)))
+            self.give(io.ObjectPurged(chance.randrange(4), obj, chance.randrange(2 * SECOND)))
 
     def mend(self, struck: int) -> None:
         self.fault.pop(struck, None)
@@ -304,13 +332,13 @@
             ("drain", "ready", "gone", "cold", "cold", "size", "new", "whole", "failed", "far")
         ):
             case "drain":
-                one = replace(one, state=CacheState.DRAINING)
+                one = replace(one, state=EndpointState.DRAINING)
             case "ready":
-                one = replace(one, state=CacheState.READY)
+                one = replace(one, state=EndpointState.READY)
             case "gone":
-                one = replace(one, state=CacheState.GONE)
+                one = replace(one, state=EndpointState.GONE)
             case "cold":
-                one = replace(one, state=CacheState.READY, up_since=self.now - chance.randrange(SECOND))
+                one = replace(one, state=EndpointState.READY, up_since=self.now - chance.randrange(SECOND))
                 self.held.pop(one.cache, None)
             case "size":
                 one = replace(one, size=round(chance.uniform(5, 60), 1))
@@ -318,18 +346,18 @@
                 gone = [m for m in self.plan.machines if m.cache not in self.listed]
                 one = replace(chance.choice(gone or [replace(known[0], cache=104)]), up_since=self.now)
             case "whole":
-                self.give(io.ListNews(ListScope.FULL, tuple(known)))
+                self.give(io.EndpointUpdate(UpdateScope.FULL, tuple(known)))
                 return
             case "failed":
-                self.give(io.ListNews(ListScope.FAILED, ()))
+                self.give(io.EndpointUpdate(UpdateScope.FAILED, ()))
                 return
             case "far":
                 one = replace(known[0], cache=900 + chance.randrange(4), zone=7)
-        if one.state is CacheState.GONE:
+        if one.state is EndpointState.GONE:
             self.listed.pop(one.cache, None)
         else:
             self.listed[one.cache] = one
-        self.give(io.ListNews(ListScope.CHANGES, (one,)))
+        self.give(io.EndpointUpdate(UpdateScope.CHANGES, (one,)))
 
     def stall(self, span: int) -> None:
         """Nothing is handled for a while; what came meanwhile is handled late."""
@@ -345,33 +373,33 @@
         seed = self.plan.seed + len(self.streams)
         self.router = RecordingRouter(self.plan.settings, seed, self.now)
         self.set_hooks()
-        self.give(io.ListNews(ListScope.REMEMBERED, tuple(self.listed.values())))
+        self.give(io.EndpointUpdate(UpdateScope.RESTORED, tuple(self.listed.values())))
         age = None if len(self.streams) % 2 else self.random.randrange(5 * SECOND)
         self.router.take_learned(facts, age)
         fronts = self.plan.settings.fronts + len(self.streams)
         self.router.take_settings(replace(self.plan.settings, fronts=fronts, attempts=4))
 
 
-def machines(settings: io.Settings, size: float = 30.0) -> tuple[io.Machine, ...]:
+def machines(settings: io.Settings, size: float = 30.0) -> tuple[io.Endpoint, ...]:
     """Three caches of the zone, two parents, the origin; kinds as the settings number them."""
     edge = next(kind for kind in range(3) if kind not in (settings.parent_kind, settings.origin_kind))
-    edges = tuple(io.Machine(c, edge, settings.zone, c % 2, size, 0, CacheState.READY) for c in CACHES)
+    edges = tuple(io.Endpoint(c, edge, settings.zone, c % 2, size, 0, EndpointState.READY) for c in CACHES)
     parents = tuple(
-        io.Machine(p, settings.parent_kind, 0, p, 2 * size, 0, CacheState.READY)
+        io.Endpoint(p, settings.parent_kind, 0, p, 2 * size, 0, EndpointState.READY)
         for p in PARENTS
         if settings.parent_kind >= 0
     )
-    return (*edges, *parents, io.Machine(ROOT, settings.origin_kind, 0, 0, size, 0, CacheState.READY))
+    return (*edges, *parents, io.Endpoint(ROOT, settings.origin_kind, 0, 0, size, 0, EndpointState.READY))
 
 
 MANY = tuple(
     make_class(worth=worth, on_time=on_time * MS, **more)
     for worth, on_time, more in (
-        (4.0, 700, {"effect": Effect.UNSAFE, "never_kept": True}),
-        (3.0, 500, {"effect": Effect.KEYED, "group": Group.ZONE, "window": 2 * SECOND}),
-        (3.0, 600, {"effect": Effect.KEYED, "group": Group.ALL}),
-        (2.0, 500, {"effect": Effect.KEYED, "group": Group.CELL}),
-        (2.0, 500, {"effect": Effect.UNSAFE}),
+        (4.0, 700, {"effect": Idempotency.UNSAFE, "never_kept": True}),
+        (3.0, 500, {"effect": Idempotency.KEYED, "group": DeduplicationScope.ZONE, "window": 2 * SECOND}),
+        (3.0, 600, {"effect": Idempotency.KEYED, "group": DeduplicationScope.ALL}),
+        (2.0, 500, {"effect": Idempotency.KEYED, "group": DeduplicationScope.CELL}),
+        (2.0, 500, {"effect": Idempotency.UNSAFE}),
         (2.0, 900, {"stream": True}),
         (1.0, 250, {"fresh": 12 * SECOND, "grace": 10 * SECOND}),
         (0.5, 400, {"fresh": 4 * SECOND, "deadline": 2 * SECOND}),
--- a/tests/policy_stream.py
+++ b/tests/policy_stream.py
@@ -23,42 +23,42 @@
 
 CLASS_BY_TAG: dict[str, Any] = {
     # events
-    "list": io.ListNews,
-    "request": io.RequestCame,
-    "timer": io.TimerDue,
-    "started": io.StreamBegan,
-    "ended": io.AttemptEnded,
-    "left": io.ClientLeft,
-    "probed": io.ProbeEnded,
-    "peer": io.PeerSaid,
-    "purged": io.Purged,
+    "list": io.EndpointUpdate,
+    "request": io.RequestReceived,
+    "timer": io.TimerFired,
+    "started": io.ResponseStarted,
+    "ended": io.AttemptCompleted,
+    "left": io.ClientDisconnected,
+    "probed": io.HealthCheckCompleted,
+    "peer": io.PeerMessage,
+    "purged": io.ObjectPurged,
     # actions
-    "ask": io.Ask,
-    "fetch": io.Fetch,
-    "cancel": io.Cancel,
-    "refuse": io.Refuse,
-    "fail": io.Fail,
+    "ask": io.ForwardRequest,
+    "fetch": io.FetchThrough,
+    "cancel": io.CancelAttempt,
+    "refuse": io.RejectRequest,
+    "fail": io.FailRequest,
     "set timer": io.SetTimer,
-    "probe": io.Probe,
-    "follow": io.Follow,
-    "log": io.Log,
+    "probe": io.SendHealthCheck,
+    "follow": io.WatchEndpoints,
+    "log": io.WriteLog,
     # what they hold
     "settings": io.Settings,
     "class": io.RequestClass,
-    "machine": io.Machine,
-    "home": io.Home,
-    "effect": io.Effect,
-    "group": io.Group,
-    "outcome": io.Ending,
-    "note": io.Note,
-    "state": io.CacheState,
-    "scope": io.ListScope,
+    "machine": io.Endpoint,
+    "home": io.HomeShard,
+    "effect": io.Idempotency,
+    "group": io.DeduplicationScope,
+    "outcome": io.AttemptOutcome,
+    "note": io.CacheStatus,
+    "state": io.EndpointState,
+    "scope": io.UpdateScope,
     # what was learned
-    "learned class": io.LearnedClass,
-    "learned latency": io.LearnedUsual,
-    "learned limit": io.LearnedBound,
-    "learned work": io.LearnedWork,
-    "learned machine": io.LearnedMachine,
+    "learned class": io.LearnedTransferTime,
+    "learned latency": io.LearnedLatency,
+    "learned limit": io.LearnedFetchLimit,
+    "learned work": io.LearnedServedWork,
+    "learned machine": io.LearnedEndpoint,
     "learned purge": io.LearnedPurge,
     # plain values that JSON has no form for
     "tuple": lambda *items: items,
@@ -98,20 +98,20 @@
 class Watch:
     """Notes what a Router asks of its hooks while it handles one event; homes come from `found` in turn."""
 
-    def __init__(self, router: Router, homes: list[io.Home | None] | None, witness: bool) -> None:
+    def __init__(self, router: Router, homes: list[io.HomeShard | None] | None, witness: bool) -> None:
         self.homes, self.attempts = list(homes or ()), list[list[int | None]]()
         router.homes = self.home if homes is not None else None
         router.witness = self.witness if witness else None
 
-    def home(self, request: io.RequestCame) -> io.Home | None:
+    def home(self, request: io.RequestReceived) -> io.HomeShard | None:
         assert self.homes, "a home was asked for that was not asked for when it was recorded"
         return self.homes.pop(0)
 
-    def witness(self, request: io.RequestCame, node: Node, source: Node | None) -> None:
+    def witness(self, request: io.RequestReceived, node: Node, source: Node | None) -> None:
         self.attempts.append(as_witnessed(request, node, source))
 
 
-def as_witnessed(request: io.RequestCame, node: Node, source: Node | None) -> list[int | None]:
+def as_witnessed(request: io.RequestReceived, node: Node, source: Node | None) -> list[int | None]:
     return [request.request, node.machine.cache, None if source is None else source.machine.cache]
 
 
@@ -125,14 +125,14 @@
 
     def handle(self, now: int, event: io.Event) -> list[io.Action]:
         given, homes, witness = encode(event), self.homes, self.witness
-        found, seen = list[io.Home | None](), list[list[int | None]]()
+        found, seen = list[io.HomeShard | None](), list[list[int | None]]()
 
-        def noted_home(request: io.RequestCame) -> io.Home | None:
+        def noted_home(request: io.RequestReceived) -> io.HomeShard | None:
             assert homes is not None
             found.append(homes(request))
             return found[-1]
 
-        def noted_attempt(request: io.RequestCame, node: Node, source: Node | None) -> None:
+        def noted_attempt(request: io.RequestReceived, node: Node, source: Node | None) -> None:
             assert witness is not None
             seen.append(as_witnessed(request, node, source))
             witness(request, node, source)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -6,7 +6,14 @@
 from typing import Any
 
 from quincepier import interface as io
-from quincepier.interface import CacheState, Effect, Ending, Group, ListScope, Note
+from quincepier.interface import (
+    AttemptOutcome,
+    CacheStatus,
+    DeduplicationScope,
+    EndpointState,
+    Idempotency,
+    UpdateScope,
+)
 from quincepier.policy import Router
 
 MS = 1_000_000
@@ -20,8 +27,8 @@
 
 def make_class(**changes: Any) -> io.RequestClass:
     base = io.RequestClass(
-        effect=Effect.SAFE,
-        group=Group.ALL,
+        effect=Idempotency.SAFE,
+        group=DeduplicationScope.ALL,
         window=5 * SECOND,
         on_time=500 * MS,
         stretch=2.0,
@@ -70,13 +77,13 @@
 
 
 def machine(
-    cache: int, kind: int = EDGE, up_since: int = 0, state: CacheState = CacheState.READY
-) -> io.Machine:
+    cache: int, kind: int = EDGE, up_since: int = 0, state: EndpointState = EndpointState.READY
+) -> io.Endpoint:
     zone = HOME if kind == EDGE else HUB
-    return io.Machine(cache, kind, zone, cache, 30.0, up_since, state)
+    return io.Endpoint(cache, kind, zone, cache, 30.0, up_since, state)
 
 
-def fleet() -> tuple[io.Machine, ...]:
+def fleet() -> tuple[io.Endpoint, ...]:
     edges = tuple(machine(c) for c in CACHES)
     return edges + tuple(machine(p, PARENT) for p in PARENTS) + (machine(ROOT, ORIGIN),)
 
@@ -87,7 +94,7 @@
     def __init__(
         self,
         settings: io.Settings | None = None,
-        machines: tuple[io.Machine, ...] | None = None,
+        machines: tuple[io.Endpoint, ...] | None = None,
         seed: int = 7,
     ) -> None:
         self.now = 100 * SECOND
@@ -96,7 +103,7 @@
         self.log: list[tuple[int, io.Action]] = []
         self.timers: list[tuple[int, int]] = []
         self.sent: dict[int, int] = {}
-        self.give(io.ListNews(ListScope.REMEMBERED, fleet() if machines is None else machines))
+        self.give(io.EndpointUpdate(UpdateScope.RESTORED, fleet() if machines is None else machines))
 
     def give(self, event: io.Event) -> list[io.Action]:
         actions = self.router.handle(self.now, event)
@@ -104,7 +111,7 @@
             self.log.append((self.now, action))
             if isinstance(action, io.SetTimer):
                 self.timers.append((self.now + action.wait, action.token))
-            elif isinstance(action, io.Ask | io.Fetch):
+            elif isinstance(action, io.ForwardRequest | io.FetchThrough):
                 self.sent[action.request] = self.sent.get(action.request, 0) + 1
         return actions
 
@@ -115,30 +122,36 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            done += self.give(io.TimerDue(due[1]))
+            done += self.give(io.TimerFired(due[1]))
         self.now = until
         return done
 
     def ask(self, request: int, cls: int = 0, obj: int = 5, part: int = 0, **more: Any) -> list[io.Action]:
-        event = io.RequestCame(request, cls, 0.0, 0, 3, obj, part, False, self.settings.classes[cls].deadline)
+        event = io.RequestReceived(
+            request, cls, 0.0, 0, 3, obj, part, False, self.settings.classes[cls].deadline
+        )
         return self.give(replace(event, **more))
 
     def end(
-        self, sent: io.Ask | io.Fetch, ending: Ending, note: Note = Note.NONE, **more: Any
+        self,
+        sent: io.ForwardRequest | io.FetchThrough,
+        ending: AttemptOutcome,
+        note: CacheStatus = CacheStatus.NONE,
+        **more: Any,
     ) -> list[io.Action]:
-        no, last = self.sent[sent.request] - 1, ending is Ending.OK
-        event = io.AttemptEnded(sent.request, no, sent.cache, ending, 50 * MS, last, note, 0, ())
+        no, last = self.sent[sent.request] - 1, ending is AttemptOutcome.OK
+        event = io.AttemptCompleted(sent.request, no, sent.cache, ending, 50 * MS, last, note, 0, ())
         return self.give(replace(event, **more))
 
 
-def attempts(actions: list[io.Action]) -> list[io.Ask | io.Fetch]:
-    return [a for a in actions if isinstance(a, io.Ask | io.Fetch)]
+def attempts(actions: list[io.Action]) -> list[io.ForwardRequest | io.FetchThrough]:
+    return [a for a in actions if isinstance(a, io.ForwardRequest | io.FetchThrough)]
 
 
-def finals(actions: list[io.Action]) -> list[io.Refuse | io.Fail]:
-    return [a for a in actions if isinstance(a, io.Refuse | io.Fail)]
+def finals(actions: list[io.Action]) -> list[io.RejectRequest | io.FailRequest]:
+    return [a for a in actions if isinstance(a, io.RejectRequest | io.FailRequest)]
 
 
 def refused(actions: list[io.Action]) -> list[int]:
     """The requests refused, where each refusal says when to come back."""
-    return [a.request for a in finals(actions) if isinstance(a, io.Refuse) and a.retry_after > 0]
+    return [a.request for a in finals(actions) if isinstance(a, io.RejectRequest) and a.retry_after > 0]
--- a/tests/tenancykit.py
+++ b/tests/tenancykit.py
@@ -25,7 +25,9 @@
     {"north": ShardLine(("s-1",))}, {"acme": TenantLine(("00",))}, (MoveLine("m", "acme", "north"),)
 )
 MACHINES = {h: MachineSeen(h, "cache", "a", True, 10**6, 1) for h in ("s-1", "s-9")}
-KEYED = io.RequestClass(io.Effect.KEYED, io.Group.CELL, 1, 1, 0.0, 1, 1.0, False, 0, 0, True)
+KEYED = io.RequestClass(
+    io.Idempotency.KEYED, io.DeduplicationScope.CELL, 1, 1, 0.0, 1, 1.0, False, 0, 0, True
+)
 OLD, NEW = 0, 1
 ALL = frozenset({"leader", "rollback", "pause", "folder"})  # beside leases, ticks and repeats in any order
 UNKNOWN = (-1, 0)  # a version in which the tenant is under no move yet
@@ -99,7 +101,7 @@
                 lambda: ((1, 9), ()),
                 unsure,
             )
-        home = self._homes[key](io.RequestCame(1, 0, 0.0, 1, 0, 5, 0, repeat, 1))
+        home = self._homes[key](io.RequestReceived(1, 0, 0.0, 1, 0, 5, 0, repeat, 1))
         assert home is not None
         return None if home.closed else NEW if home.caches == {1} else OLD
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -14,7 +14,7 @@
 from quincepier import interface as io
 from quincepier.checks import Checks
 from quincepier.config import FrontConfig, read_front
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 from quincepier.memory.budget import Budget
 from quincepier.memory.pool import Body, BufferPool
 from quincepier.memory.requests import OpenAttempt
@@ -94,9 +94,11 @@
 
 def test_exception_in_the_module_fails_that_request_alone() -> None:
     def script(event: io.Event) -> list[io.Action]:
-        if isinstance(event, io.RequestCame) and event.cls == 0:
+        if isinstance(event, io.RequestReceived) and event.cls == 0:
             raise KeyError("no such thing")
-        return [io.Refuse(event.request, 300 * clock.MS)] if isinstance(event, io.RequestCame) else []
+        return (
+            [io.RejectRequest(event.request, 300 * clock.MS)] if isinstance(event, io.RequestReceived) else []
+        )
 
     actor, _ = make_module(script)
     bad, good = Inbox(), Inbox()
@@ -109,9 +111,11 @@
 
 def test_action_that_cannot_be_done_fails_its_request_and_no_other_action() -> None:
     def script(event: io.Event) -> list[io.Action]:
-        if not isinstance(event, io.RequestCame):
+        if not isinstance(event, io.RequestReceived):
             return []
-        lost = io.Fetch(event.request, 5, 0, 77, 1, 0, False, False, False)  # no such machine was ever listed
+        lost = io.FetchThrough(
+            event.request, 5, 0, 77, 1, 0, False, False, False
+        )  # no such machine was ever listed
         return [lost, io.SetTimer(clock.SECOND, 8)]
 
     actor, _ = make_module(script)
@@ -125,13 +129,13 @@
     actor, router = make_module(lambda event: [])
     inbox = Inbox()
     request = ask(actor, inbox)
-    router.script = lambda event: [io.Fail(request.number)] * 2
-    actor._tell(io.TimerDue(1))
+    router.script = lambda event: [io.FailRequest(request.number)] * 2
+    actor._tell(io.TimerFired(1))
     assert [answer.status for answer in inbox.got] == [502]
     other = ask(actor, inbox)
-    router.script = lambda event: [io.Refuse(other.number, 0)]
+    router.script = lambda event: [io.RejectRequest(other.number, 0)]
     actor.safely(Left(other))
-    assert len(inbox.got) == 1 and isinstance(router.events[-1], io.ClientLeft)
+    assert len(inbox.got) == 1 and isinstance(router.events[-1], io.ClientDisconnected)
     assert actor.requests.open == {} and actor.requests.unanswered == 0
 
 
@@ -144,22 +148,28 @@
     attempt.ended = True
     body = Body.of_length(actor.shared.pool, 40_000)
     assert body is not None and actor.shared.pool.used == 3
-    actor.safely(Ended(attempt, Ending.OK, clock.now(), body=body))
+    actor.safely(Ended(attempt, AttemptOutcome.OK, clock.now(), body=body))
     assert actor.shared.pool.used == 0 and inbox.got == []
     event = router.events[-1]
-    assert isinstance(event, io.AttemptEnded) and event.last
+    assert isinstance(event, io.AttemptCompleted) and event.last
 
 
 def test_attempt_at_a_machine_off_the_list_is_moot() -> None:
     actor, router = make_module(
-        lambda event: [io.Ask(event.request, 4242, 0)] if isinstance(event, io.RequestCame) else []
+        lambda event: [io.ForwardRequest(event.request, 4242, 0)]
+        if isinstance(event, io.RequestReceived)
+        else []
     )
     ask(actor, Inbox())
     message = actor.mailbox.take()
     assert message is not None
     actor.safely(message)
     event = router.events[-1]
-    assert isinstance(event, io.AttemptEnded) and event.ending is Ending.MOOT and not event.last
+    assert (
+        isinstance(event, io.AttemptCompleted)
+        and event.ending is AttemptOutcome.NOT_PROCESSED
+        and not event.last
+    )
 
 
 def test_nothing_is_sent_for_a_request_that_is_over() -> None:
@@ -167,7 +177,7 @@
     request = ask(actor, Inbox())
     actor.requests.finish(request)
     with pytest.raises(AssertionError):  # counted and logged in release
-        actor._perform(io.Ask(request.number, 5, 0), clock.now())
+        actor._perform(io.ForwardRequest(request.number, 5, 0), clock.now())
 
 
 def test_an_id_that_is_open_is_not_taken_for_another_object() -> None:
@@ -204,22 +214,24 @@
         actor, router = make_module(lambda event: [], read_front(raw, {}))
         actor.begin()
         number = actor.directory.number
-        actor._perform(io.Probe(number("s-1")), clock.now())
-        actor._perform(io.Probe(number("s-2")), clock.now())
+        actor._perform(io.SendHealthCheck(number("s-1")), clock.now())
+        actor._perform(io.SendHealthCheck(number("s-2")), clock.now())
 
-        def ended() -> dict[int, io.ProbeEnded]:
-            return {event.cache: event for event in router.events if isinstance(event, io.ProbeEnded)}
+        def ended() -> dict[int, io.HealthCheckCompleted]:
+            return {
+                event.cache: event for event in router.events if isinstance(event, io.HealthCheckCompleted)
+            }
 
         await until(lambda: len(ended()) == 2, "both probes end")
         well, refused = ended()[number("s-1")], ended()[number("s-2")]
-        assert (well.ending, refused.ending) == (Ending.OK, Ending.CONNECT_FAILED)
+        assert (well.ending, refused.ending) == (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED)
         assert cache.probed == ["gauges" if how == "on_probe" else "health"]
         assert well.report == ((0.61, 0.4) if how == "on_probe" else ())
         cache.health = "ill"
         router.events.clear()
-        actor._perform(io.Probe(number("s-1")), clock.now())
+        actor._perform(io.SendHealthCheck(number("s-1")), clock.now())
         await until(lambda: len(ended()) == 1, "the third ends")
-        assert ended()[number("s-1")].ending is Ending.ERROR
+        assert ended()[number("s-1")].ending is AttemptOutcome.ERROR
         actor.cancel()
         for each in actor.caches.values():
             each.cancel()
@@ -234,7 +246,7 @@
     for wait, token in ((3, 30), (1, 10), (2, 20)):
         actor._perform(io.SetTimer(wait, token), 0)
     actor._due()
-    assert [event.token for event in router.events if isinstance(event, io.TimerDue)] == [10, 20, 30]
+    assert [event.token for event in router.events if isinstance(event, io.TimerFired)] == [10, 20, 30]
 
 
 def test_an_answer_not_begun_can_still_become_a_failure() -> None:
@@ -265,13 +277,13 @@
 @pytest.mark.parametrize(
     ("error", "ending"),
     [
-        (ConnectionRefusedError, Ending.CONNECT_FAILED),
-        (TimeoutError, Ending.CONNECT_FAILED),
-        (ConnectionResetError, Ending.MOOT),
+        (ConnectionRefusedError, AttemptOutcome.CONNECT_FAILED),
+        (TimeoutError, AttemptOutcome.CONNECT_FAILED),
+        (ConnectionResetError, AttemptOutcome.NOT_PROCESSED),
     ],
 )
 def test_only_a_refusal_or_none_in_time_says_that_a_machine_is_not_there(
-    monkeypatch: pytest.MonkeyPatch, error: type[OSError], ending: Ending
+    monkeypatch: pytest.MonkeyPatch, error: type[OSError], ending: AttemptOutcome
 ) -> None:
     async def fails(address: tuple[str, int], timeout: float) -> None:
         raise error
@@ -280,15 +292,19 @@
 
     async def play() -> None:
         def script(event: io.Event) -> list[io.Action]:
-            return [io.Ask(event.request, number, clock.SECOND)] if isinstance(event, io.RequestCame) else []
+            return (
+                [io.ForwardRequest(event.request, number, clock.SECOND)]
+                if isinstance(event, io.RequestReceived)
+                else []
+            )
 
         actor, router = make_module(script)
         number = actor.directory.number("s-1")
         actor.begin()
         ask(actor, Inbox())
 
-        def ended() -> list[Ending]:
-            return [event.ending for event in router.events if isinstance(event, io.AttemptEnded)]
+        def ended() -> list[AttemptOutcome]:
+            return [event.ending for event in router.events if isinstance(event, io.AttemptCompleted)]
 
         await until(lambda: bool(ended()), "the attempt ends")
         assert ended() == [ending]
@@ -321,9 +337,9 @@
     request = ask(actor, Inbox())
     actor._perform(io.SetTimer(0, 16, request.number), 0)
     actor._due()
-    assert io.TimerDue(16) in router.events
+    assert io.TimerFired(16) in router.events
     router.events.clear()
     actor._perform(io.SetTimer(0, 24, request.number), 0)
     actor.safely(Left(request))
     actor._due()
-    assert router.events == [io.ClientLeft(request.number)] and not actor.timers
+    assert router.events == [io.ClientDisconnected(request.number)] and not actor.timers
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -32,7 +32,7 @@
     parse_term,
 )
 from quincepier.addresses.order import precedence
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 
 MS = 1_000_000
 V4, V6, UNIX = parse("127.0.0.1:1"), parse("[::1]:1"), parse("unix:/s")
@@ -538,7 +538,7 @@
                     fate = after_break(False, absent, recalled, moves, 0)
                     after.append((f"ended {fate}", moves, recalled, read, late))
             case "up" if recalled:  # looked at right before the first byte
-                after.append((f"ended {Ending.MOOT}", moves, recalled, read, late))
+                after.append((f"ended {AttemptOutcome.NOT_PROCESSED}", moves, recalled, read, late))
             case "up":
                 after += [("part out", moves, recalled, read, late), ("out", moves, recalled, read + 1, late)]
                 after.append(("unsent", moves, recalled, read, late))
@@ -553,7 +553,9 @@
                 seen.add(state)
                 left.append(state)
     whole = {where for where, read in ends if read}
-    assert whole == {"ended left", "ended answered", f"ended {Ending.RESET}"}, "what ran is told so"
+    assert whole == {"ended left", "ended answered", f"ended {AttemptOutcome.RESET}"}, "what ran is told so"
     assert {where for where, read in ends if not read} >= {
-        f"ended {Ending.RESET}", f"ended {Ending.MOOT}", f"ended {Ending.CONNECT_FAILED}"
-    }  # fmt: skip
+        f"ended {AttemptOutcome.RESET}",
+        f"ended {AttemptOutcome.NOT_PROCESSED}",
+        f"ended {AttemptOutcome.CONNECT_FAILED}",
+    }
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 
 from quincepier import interface as io
-from quincepier.interface import CacheState, Ending, ListScope, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, UpdateScope
 from quincepier.policy import Router
 from tests.rig import (
     CACHES,
@@ -90,15 +90,19 @@
                         if n in told and self.names & {sent.cache, getattr(sent, "source", -1)}:
                             self.sends.append((now, math.exp(chance.gauss(-0.72, 1.2))))
                         if self.leave:
-                            bench.give(io.ClientLeft(number))
-                        bench.end(sent, Ending.CANCELLED if self.leave else Ending.OK, Note.FILLED)
+                            bench.give(io.ClientDisconnected(number))
+                        bench.end(
+                            sent,
+                            AttemptOutcome.CANCELLED if self.leave else AttemptOutcome.OK,
+                            CacheStatus.FILLED,
+                        )
             now += STEP
         return self
 
     def tell(self, n: int, at: int, cache: int) -> None:
         new = replace(machine(cache, self.kind, at), size=self.size)
-        gone = [replace(machine(c, self.kind), state=CacheState.GONE) for c in self.names if c != cache]
-        self.benches[n].give(io.ListNews(ListScope.CHANGES, (new, *gone)))
+        gone = [replace(machine(c, self.kind), state=EndpointState.GONE) for c in self.names if c != cache]
+        self.benches[n].give(io.EndpointUpdate(UpdateScope.CHANGES, (new, *gone)))
 
     def restart(self, now: int, count: int) -> None:
         """They find the machine on the list that they begin with."""
@@ -199,15 +203,15 @@
     for seed in range(30):
         bench = Bench(settings, listed, seed)
         (sent,) = attempts(bench.ask(1, obj=5))
-        assert isinstance(sent, io.Fetch) and sent.source == PARENTS[0]
+        assert isinstance(sent, io.FetchThrough) and sent.source == PARENTS[0]
         bench.wait(100 * MS)
         new = replace(machine(PARENTS[0], PARENT, bench.now), size=1.0)
-        bench.give(io.ListNews(ListScope.CHANGES, (new,)))
+        bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (new,)))
         assert not bench.router.room(bench.router.nodes[PARENTS[0]])  # it begins in debt
-        bench.end(sent, Ending.OK, Note.HIT)
+        bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
         bench.wait(20 * MS)
         (after,) = attempts(bench.ask(2, obj=6))
-        early += isinstance(after, io.Fetch) and after.source == PARENTS[0]
+        early += isinstance(after, io.FetchThrough) and after.source == PARENTS[0]
     assert early <= 4, f"{early} of 30 fronts ask it at once"  # N is 0.6 calls: 0.6 + 2 x root of 0.6 + 2
 
 
@@ -216,7 +220,7 @@
     listed = tuple(replace(m, size=1.0) for m in fleet())
     bench = Bench(make_settings(fronts=1, fronts_by_zone=(0, 1)), listed)
     node, started = bench.router.nodes[CACHES[0]], bench.now
-    bench.give(io.ListNews(ListScope.CHANGES, (replace(node.machine, up_since=started),)))
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (replace(node.machine, up_since=started),)))
     for _ in range(2):  # the last look while it is cold
         bench.wait(7 * SECOND)
         bench.router.now = bench.now
@@ -225,9 +229,9 @@
     bench.wait(3 * SECOND)
     for number in range(1, 61):
         for sent in attempts(bench.ask(number, obj=number)):
-            bench.end(sent, Ending.OK, Note.FILLED)
+            bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
     again = replace(node.machine, up_since=started + 13 * SECOND)
-    bench.give(io.ListNews(ListScope.CHANGES, (again,)))
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (again,)))
     bench.router.room(node)
     assert -WORK * SECOND <= node.credit <= 0, node.credit / SECOND  # one request at most
 
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -34,7 +34,7 @@
 from quincepier.consistency.snapshot import Snapshot
 from quincepier.consistency.tree import Tree
 from quincepier.consistency.words import decode
-from quincepier.interface import CacheState, Home, ListNews, ListScope
+from quincepier.interface import EndpointState, EndpointUpdate, HomeShard, UpdateScope
 from quincepier.keys import mix
 from quincepier.lab.alike import AlikeNet, Front, listed, other_floats, other_seed
 from quincepier.lab.experiment import load
@@ -350,7 +350,7 @@
 def test_within_homes_the_rule_is_the_homes_own() -> None:
     """Objects of two tenants, each at home at a part of the caches."""
     world = World(SITES["mixed"])
-    parts = [Home(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
+    parts = [HomeShard(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
     world.router.homes = lambda e: parts[e.object % 2]
     witness, dice = Witness(world.router, 1.0, 1), random.Random(3)
     watch(world.router, witness)
@@ -464,8 +464,8 @@
     [first] = attempts(bench.ask(1))
     witness(replace(bench.router.requests[1].e, request=9), 101, 201)
     assert witness.counts[Reason.BREACH] == 1 and len(witness.breaches) == 1
-    drained = machine(first.cache, state=CacheState.DRAINING)
-    bench.give(ListNews(ListScope.CHANGES, (drained,)))
+    drained = machine(first.cache, state=EndpointState.DRAINING)
+    bench.give(EndpointUpdate(UpdateScope.CHANGES, (drained,)))
     watch(bench.router, witness)
     bench.ask(2)
     assert [seen.reason for seen in witness.records] == [Reason.BREACH, Reason.OFF]
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from quincepier import clock
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 from quincepier.memory.requests import OpenRequest
 from quincepier.net.messages import CallOff
 from tests.attemptkit import BID, IMAGE, Clock, Inside, Wire, answer, on_loop
@@ -86,7 +86,7 @@
             cut(await inside.out(request, times), request, "half an answer")
         (await inside.out(request, 3)).answer(request.job)
         assert await inside.status(request) == 200
-        assert inside.endings(request) == [Ending.RESET, Ending.RESET, Ending.OK]
+        assert inside.endings(request) == [AttemptOutcome.RESET, AttemptOutcome.RESET, AttemptOutcome.OK]
         assert len({id(wire) for wire in inside.serves(request)}) == 3
         await inside.settled()
 
@@ -132,7 +132,7 @@
         request = inside.ask()
         first = await inside.out(request)
         cache, attempt = inside.cache("s-1"), request.attempts[0]
-        cache._give_up(attempt, Ending.MOOT)  # so it goes to the same machine again
+        cache._give_up(attempt, AttemptOutcome.NOT_PROCESSED)  # so it goes to the same machine again
         second = await inside.out(request, 2)
         assert second is not first
         await until(lambda: inside.cancels(request) == 1, "the first is called off")
@@ -166,7 +166,7 @@
         if order == "cancel, answer":
             wire.answer(request.job, b"y" * 100_000)
         assert await inside.status(request) == 502
-        assert inside.endings(request) == [Ending.CANCELLED]
+        assert inside.endings(request) == [AttemptOutcome.CANCELLED]
         await until(lambda: inside.checks.counts["late or second answers dropped"] == 1, "dropped")
         assert inside.pool.used == 0
         assert await inside.served(BID) is wire
@@ -277,7 +277,7 @@
         again = await inside.out(request)
         assert again is not wire and connection not in inside.connections()
         again.answer(request.job)
-        assert await inside.status(request) == 200 and inside.endings(request) == [Ending.OK]
+        assert await inside.status(request) == 200 and inside.endings(request) == [AttemptOutcome.OK]
         await inside.settled()
 
     on_loop(scenario)
@@ -295,7 +295,7 @@
         else:
             wire.reset()
         assert await inside.status(request) == 200
-        assert inside.endings(request) == [Ending.OK]
+        assert inside.endings(request) == [AttemptOutcome.OK]
         await inside.settled()
 
     on_loop(scenario)
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from quincepier import interface as io
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 from quincepier.net.cache import CacheActor
 from quincepier.net.messages import CallOff, Recall, ToCache, ToModule
 from tests.attemptkit import BID, IMAGE, Clock, Dials, Inside, on_loop
@@ -42,7 +42,7 @@
 
         def handle(now: int, event: io.Event) -> list[io.Action]:
             actions = decide(now, event)
-            request.gone = request.gone or isinstance(event, io.RequestCame)
+            request.gone = request.gone or isinstance(event, io.RequestReceived)
             return actions
 
         inside.module.router.handle = handle  # type: ignore[method-assign]
@@ -52,7 +52,7 @@
         assert not inside.serves(request) and not request.owner.got  # type: ignore[attr-defined]
         inside.left(request)
         await inside.settled()
-        assert inside.events.count(io.ClientLeft(request.number)) == 1
+        assert inside.events.count(io.ClientDisconnected(request.number)) == 1
 
     on_loop(scenario)
 
@@ -85,10 +85,10 @@
         wire.reset()
         await until(lambda: request.over, "the module lets go of it without its Left")
         await inside.served()
-        assert len(inside.serves(request)) == 1 and inside.endings(request) == [Ending.RESET]
+        assert len(inside.serves(request)) == 1 and inside.endings(request) == [AttemptOutcome.RESET]
         inside.left(request)
         await inside.settled()
-        assert inside.events.count(io.ClientLeft(request.number)) == 1
+        assert inside.events.count(io.ClientDisconnected(request.number)) == 1
 
     on_loop(scenario)
 
@@ -133,7 +133,7 @@
                     await asyncio.sleep(0)
                 case error:
                     dials.let(ERRORS[error])
-        assert await inside.status(request) == 502 and inside.endings(request) == [Ending.CANCELLED]
+        assert await inside.status(request) == 502 and inside.endings(request) == [AttemptOutcome.CANCELLED]
         assert len(inside.connections()) == inside.descriptors.caches
         await inside.served(BID)
         written = "written" in order
@@ -211,12 +211,12 @@
 
 
 def test_the_latest_moment_of_a_repeat_is_that_of_its_window() -> None:
-    keyed = make_class(effect=io.Effect.KEYED, window=2 * SECOND, deadline=9 * SECOND)
+    keyed = make_class(effect=io.Idempotency.KEYED, window=2 * SECOND, deadline=9 * SECOND)
     bench = Bench(make_settings(classes=(keyed, make_class(deadline=9 * SECOND))))
     for request, cls, within in ((1, 0, 1500 * MS), (2, 1, 0)):
         (first,) = attempts(bench.ask(request, cls))
         bench.now += 500 * MS
-        (again,) = attempts(bench.end(first, Ending.RESET))
+        (again,) = attempts(bench.end(first, AttemptOutcome.RESET))
         assert (first.within, again.within) == (0, within)
 
 
@@ -275,7 +275,9 @@
         wire = await inside.out(request)
         assert wire in inside.machines["o-2"].wires
         wire.answer(request.job)
-        assert await inside.status(request) == 200 and inside.endings(request)[0] is Ending.MOOT
+        assert (
+            await inside.status(request) == 200 and inside.endings(request)[0] is AttemptOutcome.NOT_PROCESSED
+        )
         await inside.settled()
 
     on_loop(scenario)
@@ -294,7 +296,7 @@
         inside.listed(inside.host("o-1", health="DELETED"), inside.host("o-1", host="o-9", dial=address))
         dials.let()
         wire = await inside.out(waiting)  # for the new one, over a connection of its own
-        assert wire is not old and inside.endings(waiting) == [Ending.MOOT]
+        assert wire is not old and inside.endings(waiting) == [AttemptOutcome.NOT_PROCESSED]
         wire.answer(waiting.job)
         old.answer(begun.job)
         assert (await inside.status(waiting), await inside.status(begun)) == (200, 200)
@@ -318,12 +320,12 @@
         cache, attempt = inside.cache("o-1"), request.attempts[0]
         wire.answer(request.job)
         wire.reset()
-        cache._give_up(attempt, Ending.TIMEOUT)
+        cache._give_up(attempt, AttemptOutcome.TIMEOUT)
         cache.safely(CallOff(attempt))
         cache.safely(Recall(attempt))
         assert await inside.status(request) == 502
         await until(lambda: not inside.connections(), "the break is heard")
-        assert inside.endings(request) == [Ending.TIMEOUT]
+        assert inside.endings(request) == [AttemptOutcome.TIMEOUT]
         await inside.settled()
 
     on_loop(scenario)
--- a/tests/test_crossings_commands.py
+++ b/tests/test_crossings_commands.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 from quincepier.memory.requests import OpenRequest
 from quincepier.net import sockets
 from quincepier.net.connection import Connection
@@ -48,7 +48,7 @@
         inside = Inside(ONE)
         wire, connection, request = await in_part(inside)
         inside.left(request)
-        await until(lambda: inside.endings(request) == [Ending.CANCELLED], "given up")
+        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "given up")
         assert not connection.idle
         inside.machines["o-1"].held = False
         other = await inside.served(BID)  # not in the middle of that line
@@ -78,7 +78,7 @@
         inside.machines["o-1"].held = False
         wire.reset()
         assert await inside.status(request) == 502
-        assert inside.endings(request) == [Ending.RESET]
+        assert inside.endings(request) == [AttemptOutcome.RESET]
         assert len(inside.machines["o-1"].wires) == 1
         await inside.settled()
 
@@ -91,7 +91,7 @@
         inside = Inside(ONE)
         _, connection, request = await in_part(inside)
         inside.left(request)
-        await until(lambda: inside.endings(request) == [Ending.CANCELLED], "given up")
+        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "given up")
         connection.doubtful = True  # as where nothing was heard over it for long
         inside.sweep()
         await until(lambda: not inside.connections(), "its descriptor is free again")
@@ -124,7 +124,7 @@
         await until(lambda: bool(requests), "the end can be read")
         (await inside.out(requests[0])).answer(requests[0].job)
         assert await inside.status(requests[0]) == 200
-        assert inside.endings(requests[0]) == [Ending.MOOT, Ending.OK]
+        assert inside.endings(requests[0]) == [AttemptOutcome.NOT_PROCESSED, AttemptOutcome.OK]
         await inside.settled()
 
     on_loop(scenario)
--- a/tests/test_crossings_dials.py
+++ b/tests/test_crossings_dials.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from quincepier.interface import Ending, Note
+from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.memory.requests import OpenRequest
 from quincepier.net.cache import CacheActor
 from tests.attemptkit import Dials, Inside, Wire, on_loop
@@ -39,7 +39,7 @@
         for request, over in ((second, wire), (third, other)):
             over.answer(request.job)
             assert await inside.status(request) == 200
-            assert inside.endings(request) == [Ending.OK]
+            assert inside.endings(request) == [AttemptOutcome.OK]
         await inside.settled()
 
     on_loop(scenario)
@@ -112,9 +112,9 @@
     assert late.cache == other.cache
     bench.wait(100 * MS)
     if answers:
-        bench.end(other, Ending.OK, Note.HIT)
+        bench.end(other, AttemptOutcome.OK, CacheStatus.HIT)
     bench.wait(300 * MS)
-    bench.end(late, Ending.CONNECT_FAILED)
+    bench.end(late, AttemptOutcome.CONNECT_FAILED)
     assert bench.router.nodes[late.cache].suspect is not answers
 
 
@@ -124,9 +124,9 @@
     node = bench.router.nodes[first[0].cache]
     assert {sent.cache for sent in first} == {first[0].cache}
     bench.wait(100 * MS)
-    bench.end(first[0], Ending.OK, Note.HIT)
+    bench.end(first[0], AttemptOutcome.OK, CacheStatus.HIT)
     failed = 0
     while not node.suspect:
         failed += 1
-        bench.end(first[failed], Ending.CONNECT_FAILED)
+        bench.end(first[failed], AttemptOutcome.CONNECT_FAILED)
     assert 1 < failed < len(first) - 1
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -13,7 +13,7 @@
 import pytest
 
 from quincepier.addresses import parse
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 from quincepier.memory.pool import Body
 from quincepier.memory.requests import OpenAttempt
 from quincepier.net import sockets
@@ -166,7 +166,7 @@
         await asyncio.sleep(0)
         assert attempt not in cache.out, "its end waits for no more than a turn"
         await until(lambda: bool(inside.endings(request)), "the module hears")
-        assert inside.endings(request)[0] is (Ending.TIMEOUT if size is None else Ending.OK)
+        assert inside.endings(request)[0] is (AttemptOutcome.TIMEOUT if size is None else AttemptOutcome.OK)
         if size is not None:
             assert await inside.status(request) == 200 and not inside.cancels(request)
             assert not inside.checks.counts["late or second answers dropped"]
@@ -220,7 +220,7 @@
         asyncio.get_running_loop().call_soon(cross, connection.sock)
         connection.write(None, lines.cancel("f" * 16))  # goes out right behind it, in the same turn
         assert await inside.status(request) == 200
-        assert inside.endings(request) == [Ending.OK] and there == [len(text)]
+        assert inside.endings(request) == [AttemptOutcome.OK] and there == [len(text)]
         await inside.settled()
 
     on_loop(scenario)
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -17,7 +17,7 @@
 from quincepier import clock
 from quincepier.checks import Checks
 from quincepier.consensus import Committed, Role, Send, Store
-from quincepier.interface import CacheState, Effect, ListNews, ListScope, Note
+from quincepier.interface import CacheStatus, EndpointState, EndpointUpdate, Idempotency, UpdateScope
 from quincepier.maintenance import leaving
 from quincepier.net.fleet.chair import Chair
 from quincepier.net.fleet.effects import Effects
@@ -295,11 +295,13 @@
 # Effects
 
 
-def front(kept: RuleVersion | None = None, effects: Any = Effects) -> tuple[Any, Follower, list[ListNews]]:
-    told: list[ListNews] = []
-    classes = (SimpleNamespace(effect=Effect.SAFE, worth=1.0, on_time=clock.SECOND),)
+def front(
+    kept: RuleVersion | None = None, effects: Any = Effects
+) -> tuple[Any, Follower, list[EndpointUpdate]]:
+    told: list[EndpointUpdate] = []
+    classes = (SimpleNamespace(effect=Idempotency.SAFE, worth=1.0, on_time=clock.SECOND),)
     entries = {
-        h: SimpleNamespace(machine=machine(n, CacheState.READY), record=SimpleNamespace(host=h))
+        h: SimpleNamespace(machine=machine(n, EndpointState.READY), record=SimpleNamespace(host=h))
         for n, h in HOSTS.items()
     }
     module: Any = SimpleNamespace(
@@ -351,7 +353,7 @@
     follower.holder.until = clock.boot()  # as after a standstill
     right = effects.stale()
     effects.before(clock.now())
-    right = right and told[-1].machines == (machine(1, CacheState.DRAINING),)
+    right = right and told[-1].machines == (machine(1, EndpointState.DRAINING),)
     assert right is (kind is Effects)
 
 
@@ -361,10 +363,10 @@
     kept.save(version(5, WAITS))
     effects, follower, told = front(kept.load())
     effects.apply()
-    assert told[-1].machines[0].state is CacheState.DRAINING and effects.report().number == 0
+    assert told[-1].machines[0].state is EndpointState.DRAINING and effects.report().number == 0
     follower.heard(clock.boot(), "a", Told(1, encode(version(6))))
     effects.apply()
-    assert told[-1].machines == (machine(1, CacheState.READY),)
+    assert told[-1].machines == (machine(1, EndpointState.READY),)
     (tmp_path / "adopted").write_bytes(b"spoilt")
     with pytest.raises(RulesError):
         kept.load()
@@ -376,10 +378,10 @@
     effects.apply()
     follower.heard(clock.boot(), "a", Told(1, encode(version(4))))
     effects.apply()
-    assert told[-1].machines == (machine(1, CacheState.DRAINING),) and effects.number == 5
+    assert told[-1].machines == (machine(1, EndpointState.DRAINING),) and effects.number == 5
     lease(follower, 4)  # the voters have lost it: what they answer holds
     effects.apply()
-    assert told[-1].machines == (machine(1, CacheState.READY),) and effects.number == 4
+    assert told[-1].machines == (machine(1, EndpointState.READY),) and effects.number == 4
 
 
 def test_a_start_waits_for_an_answer_and_not_for_what_comes_by_the_way() -> None:
@@ -398,8 +400,8 @@
     follower.heard(clock.boot(), "a", Told(1, encode(version(2, DRAINS))))
     lease(follower, 2)
     effects.apply()
-    news = effects.listed(ListNews(ListScope.CHANGES, (machine(1, CacheState.READY),)))
-    assert news.machines[0].state is CacheState.DRAINING
+    news = effects.listed(EndpointUpdate(UpdateScope.CHANGES, (machine(1, EndpointState.READY),)))
+    assert news.machines[0].state is EndpointState.DRAINING
 
 
 def test_a_version_that_can_be_used_in_part_alone_gives_no_lease_and_its_orders_hold() -> None:
@@ -419,7 +421,7 @@
     effects.apply()
     effects.apply()
     assert effects.cautious and effects.report().number == 2 and effects.report().cautious
-    assert told[-1].machines == (machine(1, CacheState.DRAINING),)
+    assert told[-1].machines == (machine(1, EndpointState.DRAINING),)
     assert made == [(2, False, False), (2, True, True)]  # what may not be repeated is refused
     follower.heard(clock.boot(), "a", Told(1, encode(version(4, DRAINS))))
     lease(follower, 4)
@@ -457,14 +459,14 @@
 
 
 def test_a_report_counts_its_span_and_what_is_open_now() -> None:
-    cls: Any = SimpleNamespace(effect=Effect.KEYED, worth=2.0, on_time=clock.SECOND)
+    cls: Any = SimpleNamespace(effect=Idempotency.KEYED, worth=2.0, on_time=clock.SECOND)
     tally = Tally((cls,), 0, 2)
     attempt: Any = SimpleNamespace(cache=1, source=2, ended=False)
     request: Any = SimpleNamespace(cls=0, tenant="acme", shard="north", came=0, attempts=[attempt], over=True)
     attempt.request = request
     tally.sent(attempt, 0)
     tally.answered(request, 200, clock.SECOND // 2)
-    tally.ended(request, Note.HIT, clock.SECOND // 2)
+    tally.ended(request, CacheStatus.HIT, clock.SECOND // 2)
     about = report("f", 2)
     told = tally.report(clock.SECOND, about, [request], [], {1: "s-1", 2: "p-1"})
     assert dict(told.open_at) == {"s-1": 1, "p-1": 1} and told.open_keyed == (("acme", "north", 1),)
--- a/tests/test_fleet_shell.py
+++ b/tests/test_fleet_shell.py
@@ -11,7 +11,7 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from quincepier.interface import CacheState, ListNews, ListScope, Machine
+from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, UpdateScope
 from quincepier.lifecycle.operators import Operators
 from quincepier.net.fleet import words
 from quincepier.net.fleet.overlay import Overlay
@@ -19,7 +19,7 @@
 from quincepier.rules import Ask, FrontReport, Grant
 
 HOSTS = {n: f"s-{n}" for n in range(1, 5)}
-STATES = st.sampled_from(list(CacheState))
+STATES = st.sampled_from(list(EndpointState))
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("order"), st.frozensets(st.sampled_from(list(HOSTS.values())))),
@@ -29,30 +29,30 @@
 )
 
 
-def machine(number: int, state: CacheState) -> Machine:
-    return Machine(number, 0, 1, 0, 1.0, 0, state)
+def machine(number: int, state: EndpointState) -> Endpoint:
+    return Endpoint(number, 0, 1, 0, 1.0, 0, state)
 
 
 class Blind(Overlay):
     """Mutant: a line of the log lifts an order."""
 
-    def over(self, news: ListNews) -> ListNews:
+    def over(self, news: EndpointUpdate) -> EndpointUpdate:
         return news
 
 
 class Forgetful(Overlay):
     """Mutant: what is given back is told to nobody."""
 
-    def change(self, leaving: frozenset[str], listed: Iterable[Machine]) -> ListNews | None:
+    def change(self, leaving: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
         return super().change(self.leaving | leaving, listed)
 
 
 def played(overlay: Overlay, steps: Sequence[tuple[str, Any]]) -> bool:
     """Whether the module knows each machine as the log says, but for those under orders, after each step."""
-    log = {n: CacheState.READY for n in HOSTS}
+    log = {n: EndpointState.READY for n in HOSTS}
     module = dict(log)
 
-    def told(news: ListNews | None) -> None:
+    def told(news: EndpointUpdate | None) -> None:
         for m in news.machines if news is not None else ():
             module[m.cache] = m.state
 
@@ -60,14 +60,18 @@
     for what, about in steps:
         if what == "order":
             leaving = about
-            told(overlay.change(leaving, [machine(n, s) for n, s in log.items() if s is not CacheState.GONE]))
+            told(
+                overlay.change(
+                    leaving, [machine(n, s) for n, s in log.items() if s is not EndpointState.GONE]
+                )
+            )
         else:
             number, state = about
             log[number] = state
-            told(overlay.over(ListNews(ListScope.CHANGES, (machine(number, state),))))
+            told(overlay.over(EndpointUpdate(UpdateScope.CHANGES, (machine(number, state),))))
         for n, state in log.items():
-            drains = HOSTS[n] in leaving and state is CacheState.READY
-            if module[n] is not (CacheState.DRAINING if drains else state):
+            drains = HOSTS[n] in leaving and state is EndpointState.READY
+            if module[n] is not (EndpointState.DRAINING if drains else state):
                 return False
     return True
 
@@ -80,7 +84,7 @@
 
 @pytest.mark.parametrize("wrong", [Blind, Forgetful])
 def test_the_rule_finds_a_wrong_overlay(wrong: type[Overlay]) -> None:
-    story = [("order", frozenset({"s-1"})), ("log", (1, CacheState.READY)), ("order", frozenset[str]())]
+    story = [("order", frozenset({"s-1"})), ("log", (1, EndpointState.READY)), ("order", frozenset[str]())]
     assert played(Overlay(HOSTS), story) and not played(wrong(HOSTS), story)
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -143,7 +143,7 @@
     for front in world.fronts:  # each attempt is given a short time, so that it is asked for again
         send = front._send
 
-        def short(action: io.Ask | io.Fetch, send=send) -> None:  # type: ignore[no-untyped-def]
+        def short(action: io.ForwardRequest | io.FetchThrough, send=send) -> None:  # type: ignore[no-untyped-def]
             action.timeout = min(action.timeout or SECOND, SECOND)
             send(action)
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from quincepier import clock
-from quincepier.interface import CacheState, ListScope
+from quincepier.interface import EndpointState, UpdateScope
 from quincepier.memory.machines import Directory
 from quincepier.memory.pool import BUFFER_SIZE, Body, BufferPool
 from quincepier.memory.requests import OpenRequest, Requests
@@ -69,7 +69,7 @@
     assert other.number != kept.number and len(requests.open) == 2
 
 
-def record(host: str, state: CacheState = CacheState.READY, **changes: object) -> HostRecord:
+def record(host: str, state: EndpointState = EndpointState.READY, **changes: object) -> HostRecord:
     values: dict[str, object] = {
         "host": host, "address": ("127.0.0.9", 5050), "site": "east", "kind": "std", "cell": 2,
         "state": state, "size": 4.0, "born_ms": 0,
@@ -79,7 +79,7 @@
 
 def make_directory() -> Directory:
     directory = Directory(("west", "east"), ("std", "parent"))
-    directory.apply(FleetChange(1, True, (record("s-1"), record("s-2"))), ListScope.REMEMBERED)
+    directory.apply(FleetChange(1, True, (record("s-1"), record("s-2"))), UpdateScope.RESTORED)
     return directory
 
 
@@ -92,8 +92,8 @@
 
 def test_new_id_on_an_old_address_is_another_machine() -> None:
     directory = make_directory()
-    news = directory.apply(FleetChange(2, False, (record("s-1", CacheState.GONE), record("s-3"))))
-    assert [m.state for m in news.machines] == [CacheState.GONE, CacheState.READY]
+    news = directory.apply(FleetChange(2, False, (record("s-1", EndpointState.GONE), record("s-3"))))
+    assert [m.state for m in news.machines] == [EndpointState.GONE, EndpointState.READY]
     assert len({m.cache for m in news.machines}) == 2
     assert {r.host for _, r in directory.listed()} == {"s-2", "s-3"}
     assert directory.entry(directory.number("s-1")) is None
@@ -101,9 +101,11 @@
 
 def test_whole_list_replaces_and_changes_add() -> None:
     directory = make_directory()
-    news = directory.apply(FleetChange(2, True, (record("s-9", site="west", kind="parent"),)), ListScope.FULL)
+    news = directory.apply(
+        FleetChange(2, True, (record("s-9", site="west", kind="parent"),)), UpdateScope.FULL
+    )
     (machine,) = news.machines
-    assert (news.scope, machine.zone, machine.kind) == (ListScope.FULL, 0, 1)
+    assert (news.scope, machine.zone, machine.kind) == (UpdateScope.FULL, 0, 1)
     assert [r.host for _, r in directory.listed()] == ["s-9"]
     assert directory.whole().machines == news.machines
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -13,7 +13,7 @@
 
 from quincepier import interface as io
 from quincepier.config import FrontConfig, SettingsError, read_front
-from quincepier.interface import Effect, Ending, Group, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, DeduplicationScope, Idempotency
 from quincepier.keys import MEMORY_MOST
 from quincepier.memory.machines import Directory
 from quincepier.recovery import fronts_that_ask
@@ -33,10 +33,10 @@
 @st.composite
 def request_classes(draw: st.DrawFn) -> io.RequestClass:
     deadline = draw(st.sampled_from([1, MS, 30 * MS, 900 * MS, 5 * SECOND, 600 * SECOND]))
-    effect = draw(st.sampled_from(Effect))
+    effect = draw(st.sampled_from(Idempotency))
     return make_class(
         effect=effect,
-        group=draw(st.sampled_from(Group)),
+        group=draw(st.sampled_from(DeduplicationScope)),
         window=draw(SPANS),
         on_time=draw(st.sampled_from([0, 1, MS, 250 * MS, deadline // 2, deadline, 2 * deadline])),
         stretch=draw(st.sampled_from([0.0, 0.3, 2.0, 1e6])),
@@ -44,7 +44,7 @@
         worth=draw(st.sampled_from([0.0, 1.0, 1.0, 2.5, 1e12])),
         fresh=draw(SPANS),
         grace=draw(SPANS),
-        never_kept=draw(st.booleans()) or effect is Effect.UNSAFE,
+        never_kept=draw(st.booleans()) or effect is Idempotency.UNSAFE,
     )
 
 
@@ -101,7 +101,7 @@
 
     def check_final(self, action: io.Action, request: int) -> None:
         cls = self.site.classes[self.owed[request][0].cls] if request in self.owed else None
-        if cls is not None and cls.effect is Effect.KEYED and cls.group is Group.ALL:
+        if cls is not None and cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL:
             _, deadline = self.owed.pop(
                 request
             )  # may be refused though it ran: docs/crossings.md has the gap
@@ -147,11 +147,13 @@
 
 @pytest.mark.parametrize("wanted", [1, 2])
 def test_what_never_ran_is_sent_again_where_all_its_time_is_wanted_time(wanted: int) -> None:
-    bid = make_class(effect=Effect.UNSAFE, never_kept=True, deadline=3 * SECOND, on_time=wanted * 3 * SECOND)
+    bid = make_class(
+        effect=Idempotency.UNSAFE, never_kept=True, deadline=3 * SECOND, on_time=wanted * 3 * SECOND
+    )
     bench = Bench(make_settings(classes=(bid,)))
     (sent,) = attempts(bench.ask(1))
     bench.wait(MS)
-    assert len(attempts(bench.end(sent, Ending.CONNECT_FAILED, elapsed=MS))) == 1
+    assert len(attempts(bench.end(sent, AttemptOutcome.CONNECT_FAILED, elapsed=MS))) == 1
 
 
 def test_a_class_wanted_at_once_weighs_on_a_cold_cache() -> None:
@@ -164,7 +166,7 @@
     for n in range(60):
         for attempt in attempts(bench.ask(n, obj=n)):
             sent += attempt.cache == CACHES[0]
-            bench.end(attempt, Ending.OK, Note.FILLED, elapsed=MS)
+            bench.end(attempt, AttemptOutcome.OK, CacheStatus.FILLED, elapsed=MS)
     assert sent <= 2
 
 
@@ -185,7 +187,9 @@
     }  # fmt: skip
     taken = open_request(Call(1, params, b"", True), class_table(config), Inbox(), 0)
     assert taken.cls == 1
-    return serve(taken.job, serve_fields(io.Ask(1, 1, SECOND), taken, Directory((), ()), SECOND), b"")
+    return serve(
+        taken.job, serve_fields(io.ForwardRequest(1, 1, SECOND), taken, Directory((), ()), SECOND), b""
+    )
 
 
 @pytest.mark.parametrize("name", ["a", "büro", "图片", "x=y/z;%20", "é" * 100, "lot-video2"])
