--- a/tests/test_policy_homes.py
+++ b/tests/test_policy_homes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from quincepier import interface as io
-from quincepier.interface import CacheState, Effect, Ending, ListScope, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, Idempotency, UpdateScope
 from quincepier.policy import Attempt, Node, Request, Router
 from tests.rig import (
     CACHES,
@@ -26,16 +26,16 @@
     refused,
 )
 
-KEYED = (make_class(), make_class(effect=Effect.KEYED), make_class(effect=Effect.UNSAFE))
+KEYED = (make_class(), make_class(effect=Idempotency.KEYED), make_class(effect=Idempotency.UNSAFE))
 
 
 def home(
     name: int = 1, caches: tuple[int, ...] = CACHES[:2], parents: tuple[int, ...] = PARENTS[:1], **more: Any
-) -> io.Home:
-    return io.Home(name, frozenset(caches), frozenset(parents), **more)
+) -> io.HomeShard:
+    return io.HomeShard(name, frozenset(caches), frozenset(parents), **more)
 
 
-def homed(found: Callable[[io.RequestCame], io.Home | None], **changes: Any) -> Bench:
+def homed(found: Callable[[io.RequestReceived], io.HomeShard | None], **changes: Any) -> Bench:
     bench = Bench(make_settings(classes=KEYED, **changes))
     bench.router.homes = found
     return bench
@@ -46,8 +46,8 @@
     found = list[tuple[int, int]]()
     for n in range(first, first + count):
         (sent,) = attempts(bench.ask(n, obj=n % 60))
-        found.append((sent.cache, sent.source if isinstance(sent, io.Fetch) else 0))
-        bench.end(sent, Ending.OK, Note.FILLED)
+        found.append((sent.cache, sent.source if isinstance(sent, io.FetchThrough) else 0))
+        bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
     return found
 
 
@@ -69,7 +69,7 @@
     for n in range(6):
         (sent,) = attempts(bench.ask(n, obj=5, tenant=n % 3))
         assert sent.cache == CACHES[n % 3]
-        bench.end(sent, Ending.OK, Note.HIT)
+        bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
 
 
 def a_closed_home_refuses_what_may_not_simply_be_repeated() -> None:
@@ -87,26 +87,26 @@
     """A version that changes between two attempts must not send one request to two homes."""
     calls = list[int]()
 
-    def found(e: io.RequestCame) -> io.Home:
+    def found(e: io.RequestReceived) -> io.HomeShard:
         calls.append(e.request)
         return home(len(calls), CACHES[:2] if len(calls) == 1 else CACHES[2:])
 
     bench = homed(found)
     (sent,) = attempts(bench.ask(1))
-    (again,) = attempts(bench.end(sent, Ending.CONNECT_FAILED))
+    (again,) = attempts(bench.end(sent, AttemptOutcome.CONNECT_FAILED))
     assert {sent.cache, again.cache} == set(CACHES[:2]) and calls == [1]
 
 
 def each_attempt_has_its_witness() -> None:
     bench, seen = homed(lambda e: None), list[tuple[int, int, int | None]]()
 
-    def witness(e: io.RequestCame, node: Node, source: Node | None) -> None:
+    def witness(e: io.RequestReceived, node: Node, source: Node | None) -> None:
         seen.append((e.request, node.machine.cache, source.machine.cache if source else None))
 
     bench.router.witness = witness
     (sent,) = attempts(bench.ask(1))
-    (again,) = attempts(bench.end(sent, Ending.CONNECT_FAILED))
-    assert isinstance(sent, io.Fetch) and isinstance(again, io.Fetch)
+    (again,) = attempts(bench.end(sent, AttemptOutcome.CONNECT_FAILED))
+    assert isinstance(sent, io.FetchThrough) and isinstance(again, io.FetchThrough)
     assert seen == [(1, a.cache, a.source) for a in (sent, again)]
 
 
@@ -116,7 +116,7 @@
     (sent,) = attempts(bench.ask(1, obj=7))
     req = bench.router.requests[1]
     order = [n.machine.cache for n in bench.router.rank(bench.router.edges, req.key)]
-    bench.end(sent, Ending.OK, Note.HIT)
+    bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
     first = bench.router.nodes[order[0]]
     first.out = {(5000 + n, 0): Attempt(req, 0, bench.now, first, None) for n in range(200)}
     bench.router.homes = lambda e: home(caches=(order[0], order[2]))
@@ -126,10 +126,10 @@
 
 def without_a_usable_cache_a_home_is_served_straight_from_its_parent() -> None:
     """As where no cache at all is usable; with nothing straight it is refused."""
-    drains = tuple(replace(machine(c), state=CacheState.DRAINING) for c in CACHES[:2])
+    drains = tuple(replace(machine(c), state=EndpointState.DRAINING) for c in CACHES[:2])
     for direct in (True, False):
         bench = homed(lambda e: home(), direct=direct)
-        bench.give(io.ListNews(ListScope.CHANGES, drains))
+        bench.give(io.EndpointUpdate(UpdateScope.CHANGES, drains))
         done = bench.ask(1)
         assert [a.cache for a in attempts(done)] == [PARENTS[0]] * direct
         assert refused(done) == [1] * (not direct)
@@ -139,8 +139,8 @@
     """Orders are made anew as the list changes: what joins a home is used, what is gone is not."""
     bench = homed(lambda e: home(caches=(*CACHES[:2], 104)))
     asked(bench)
-    gone = replace(machine(CACHES[0]), state=CacheState.GONE)
-    bench.give(io.ListNews(ListScope.CHANGES, (gone, machine(104))))
+    gone = replace(machine(CACHES[0]), state=EndpointState.GONE)
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (gone, machine(104))))
     assert {cache for cache, _ in asked(bench, first=100)} == {CACHES[1], 104}
 
 
@@ -166,7 +166,7 @@
 rank, came, send, listed = Router.rank, Router.came, Router.send, Router.listed
 
 
-def ranked(change: Callable[[Router, list[Node], int, io.Home | None], list[Node]]) -> Patch:
+def ranked(change: Callable[[Router, list[Node], int, io.HomeShard | None], list[Node]]) -> Patch:
     return lambda patch: patch.setattr(Router, "rank", lambda s, n, k, h=None: change(s, n, k, h))
 
 
@@ -183,7 +183,7 @@
 
 
 def never_closed(patch: pytest.MonkeyPatch) -> None:
-    def open_to_all(self: Router, e: io.RequestCame) -> None:
+    def open_to_all(self: Router, e: io.RequestReceived) -> None:
         found = self.homes
         self.homes = found and (lambda e: (h := found(e)) and replace(h, closed=False))
         came(self, e)
@@ -221,9 +221,9 @@
 def straight_to_any_parent(patch: pytest.MonkeyPatch) -> None:
     """A home with no cache left falls back to all machines."""
 
-    def fallen(s: Router, n: list[Node], k: int, h: io.Home | None) -> list[Node]:
+    def fallen(s: Router, n: list[Node], k: int, h: io.HomeShard | None) -> list[Node]:
         usable = h and any(
-            m.machine.cache in h.caches and m.machine.state is CacheState.READY for m in s.edges
+            m.machine.cache in h.caches and m.machine.state is EndpointState.READY for m in s.edges
         )
         return rank(s, n, k, h if usable else None)
 
@@ -231,7 +231,7 @@
 
 
 def orders_outlast_the_list(patch: pytest.MonkeyPatch) -> None:
-    def kept(self: Router, news: io.ListNews) -> None:
+    def kept(self: Router, news: io.EndpointUpdate) -> None:
         before = self.ranks
         listed(self, news)
         self.ranks = before
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -11,7 +11,14 @@
 from hypothesis import strategies as st
 
 from quincepier import interface as io
-from quincepier.interface import CacheState, Effect, Ending, Group, ListScope, Note
+from quincepier.interface import (
+    AttemptOutcome,
+    CacheStatus,
+    DeduplicationScope,
+    EndpointState,
+    Idempotency,
+    UpdateScope,
+)
 from quincepier.policy import Router
 from tests.rig import (
     CACHES,
@@ -27,9 +34,14 @@
     make_settings,
 )
 
-RAN_NOT = (Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT, Ending.MISS)
-UNSAFE = make_class(effect=Effect.UNSAFE, never_kept=True, worth=3.0)
-KEYED = make_class(effect=Effect.KEYED, group=Group.CELL, window=2 * SECOND)
+RAN_NOT = (
+    AttemptOutcome.OVERLOADED,
+    AttemptOutcome.CONNECT_FAILED,
+    AttemptOutcome.NOT_PROCESSED,
+    AttemptOutcome.MISS,
+)
+UNSAFE = make_class(effect=Idempotency.UNSAFE, never_kept=True, worth=3.0)
+KEYED = make_class(effect=Idempotency.KEYED, group=DeduplicationScope.CELL, window=2 * SECOND)
 STREAM = make_class(stream=True)
 FRESH = make_class(fresh=4 * SECOND, grace=3 * SECOND, on_time=250 * MS, deadline=3 * SECOND)
 SITES = {
@@ -65,17 +77,17 @@
     def __init__(self, site: io.Settings) -> None:
         self.site, self.now = site, 1000 * SECOND
         self.router = Router(site, 11, self.now)
-        self.owed: dict[int, tuple[io.RequestCame, int]] = {}
+        self.owed: dict[int, tuple[io.RequestReceived, int]] = {}
         self.begun: set[int] = set()
-        self.out: dict[tuple[int, int], tuple[io.Ask | io.Fetch, int]] = {}
-        self.sends: dict[int, list[tuple[int, int, Ending | None]]] = {}
+        self.out: dict[tuple[int, int], tuple[io.ForwardRequest | io.FetchThrough, int]] = {}
+        self.sends: dict[int, list[tuple[int, int, AttemptOutcome | None]]] = {}
         self.timers: list[tuple[int, int]] = []
         self.purged: dict[tuple[int, int], int] = {}
         many = LARGE if site.fronts > 100 else ()
         self.states = {m.cache: m for m in (*fleet(), *many)}
         self.cold: dict[int, list[int]] = {}
         self.next = 0
-        self.give(io.ListNews(ListScope.REMEMBERED, tuple(self.states.values())))
+        self.give(io.EndpointUpdate(UpdateScope.RESTORED, tuple(self.states.values())))
 
     def give(self, event: io.Event) -> None:
         for action in self.router.handle(self.now, event):
@@ -83,14 +95,14 @@
                 case io.SetTimer(wait, token):
                     assert wait >= 0
                     self.timers.append((self.now + wait, token))
-                case io.Ask() | io.Fetch():
+                case io.ForwardRequest() | io.FetchThrough():
                     self.check_send(action)
-                case io.Refuse(request) | io.Fail(request):
+                case io.RejectRequest(request) | io.FailRequest(request):
                     self.check_final(action, request)
-                case io.Cancel(request, attempt):
+                case io.CancelAttempt(request, attempt):
                     assert self.site.cancel and attempt < len(self.sends[request])
 
-    def check_send(self, sent: io.Ask | io.Fetch) -> None:
+    def check_send(self, sent: io.ForwardRequest | io.FetchThrough) -> None:
         assert sent.request in self.owed, "sent after the end"
         came, deadline = self.owed[sent.request]
         assert self.now < deadline and sent.timeout <= deadline - self.now
@@ -101,19 +113,19 @@
         ran = [(at, cache) for at, cache, ending in past if ending not in RAN_NOT]
         assert self.site.second_copies or not flying
         assert len(past) < self.site.attempts
-        assert effect is not Effect.UNSAFE or not ran
-        if effect is Effect.KEYED and ran:
+        assert effect is not Idempotency.UNSAFE or not ran
+        if effect is Idempotency.KEYED and ran:
             here = self.states[sent.cache]
             for at, cache in ran:
                 first = self.states[cache]
                 assert self.now - at < cls.window
-                assert cls.group is Group.ALL or first.zone == here.zone
-                assert cls.group is not Group.CELL or first.cell == here.cell
-        targets = [sent.cache] + ([sent.source] if isinstance(sent, io.Fetch) else [])
+                assert cls.group is DeduplicationScope.ALL or first.zone == here.zone
+                assert cls.group is not DeduplicationScope.CELL or first.cell == here.cell
+        targets = [sent.cache] + ([sent.source] if isinstance(sent, io.FetchThrough) else [])
         for target in targets:
-            assert self.states[target].state is CacheState.READY, "drained or gone"
+            assert self.states[target].state is EndpointState.READY, "drained or gone"
         assert self.states[sent.cache].zone == HOME or self.site.direct
-        if isinstance(sent, io.Fetch):
+        if isinstance(sent, io.FetchThrough):
             told = [self.purged.get((0, came.object), -1), self.purged.get((1, came.group), -1)]
             if max(told) >= 0 and self.now - max(told) <= self.site.purge_settles:
                 assert 1 <= sent.age <= max(self.now - max(told), 1), "an older copy would do"
@@ -142,7 +154,10 @@
         assert request in self.owed, "a second final answer"
         came, deadline = self.owed.pop(request)
         assert request in self.begun or self.now <= deadline
-        if isinstance(action, io.Refuse) and self.site.classes[came.cls].effect is not Effect.SAFE:
+        if (
+            isinstance(action, io.RejectRequest)
+            and self.site.classes[came.cls].effect is not Idempotency.SAFE
+        ):
             assert all(ending in RAN_NOT for _, _, ending in self.sends.get(request, []))
 
     def advance(self, span: int) -> None:
@@ -151,34 +166,36 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.give(io.TimerDue(due[1]))
+            self.give(io.TimerFired(due[1]))
             for request, (_, deadline) in self.owed.items():
                 assert request in self.begun or self.now <= deadline, "no answer in time"
         self.now = until
 
-    def end(self, pick: int, ending: Ending, note: Note) -> None:
+    def end(self, pick: int, ending: AttemptOutcome, note: CacheStatus) -> None:
         if not self.out:
             return
         request, no = sorted(self.out)[pick % len(self.out)]
         sent, at = self.out.pop((request, no))
         self.sends[request][no] = (at, sent.cache, ending)
-        if ending is Ending.OK:
+        if ending is AttemptOutcome.OK:
             self.owed.pop(request, None)
         last = request not in self.owed
         waited = (self.now - at) // 2
         report = tuple(float(pick % 40) for _ in self.site.reports)  # quiet, full, and far past full
-        self.give(io.AttemptEnded(request, no, sent.cache, ending, self.now - at, last, note, waited, report))
+        self.give(
+            io.AttemptCompleted(request, no, sent.cache, ending, self.now - at, last, note, waited, report)
+        )
 
-    def relist(self, pick: int, state: CacheState) -> None:
+    def relist(self, pick: int, state: EndpointState) -> None:
         cache = (*CACHES, *PARENTS)[pick % 5]
         old = self.states[cache]
-        up = self.now if state is CacheState.READY else old.up_since
-        size = 8.0 if state is CacheState.READY else old.size  # a cold budget that can be passed
+        up = self.now if state is EndpointState.READY else old.up_since
+        size = 8.0 if state is EndpointState.READY else old.size  # a cold budget that can be passed
         new = replace(old, state=state, up_since=up, size=size)
         self.states[cache] = new
-        if state is CacheState.READY:
+        if state is EndpointState.READY:
             self.cold[cache] = []
-        self.give(io.ListNews(ListScope.CHANGES, (new,)))
+        self.give(io.EndpointUpdate(UpdateScope.CHANGES, (new,)))
 
     def step(self, kind: int, pick: int, span: int) -> None:
         self.advance(span * MS)
@@ -186,42 +203,46 @@
             for n in range(1 + pick % 7):
                 cls = (pick + n) % len(self.site.classes)
                 left = self.site.classes[cls].deadline // (1 + pick % 2)
-                came = io.RequestCame(self.next, cls, 0.0, 0, pick % 4, pick % 9 + 1, n, False, left)
+                came = io.RequestReceived(self.next, cls, 0.0, 0, pick % 4, pick % 9 + 1, n, False, left)
                 self.owed[self.next] = (came, self.now + left)
                 self.next += 1
                 self.give(came)
         elif kind <= 6:
             for n in range(1 + pick % 5):
-                self.end(pick + n, Ending.OK, (Note.HIT, Note.FILLED, Note.STALE)[pick % 3])
+                self.end(
+                    pick + n,
+                    AttemptOutcome.OK,
+                    (CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.STALE)[pick % 3],
+                )
         elif kind == 7:
             for n in range(1 + pick % 3):
-                endings = [e for e in Ending if e is not Ending.OK]
-                self.end(pick + n, endings[pick % len(endings)], Note(pick % 11))
+                endings = [e for e in AttemptOutcome if e is not AttemptOutcome.OK]
+                self.end(pick + n, endings[pick % len(endings)], CacheStatus(pick % 11))
         elif kind == 8:
-            self.relist(pick, list(CacheState)[pick % 3])
+            self.relist(pick, list(EndpointState)[pick % 3])
         elif kind == 9:
             key = (0, pick % 9 + 1) if pick % 3 else (1, pick % 4)
             self.purged[key] = max(self.purged.get(key, 0), self.now - span * MS)
-            self.give(io.Purged(pick % 4, key[1] if key[0] == 0 else 0, span * MS))
+            self.give(io.ObjectPurged(pick % 4, key[1] if key[0] == 0 else 0, span * MS))
         elif kind == 10 and self.owed:
             request = sorted(self.owed)[pick % len(self.owed)]
             if request not in self.begun:
                 del self.owed[request]
-                self.give(io.ClientLeft(request))
+                self.give(io.ClientDisconnected(request))
         elif kind == 11 and self.out:
             request, no = sorted(self.out)[pick % len(self.out)]
             stream = request in self.owed and self.site.classes[self.owed[request][0].cls].stream
             if stream and request not in self.begun:
                 self.begun.add(request)
-                self.give(io.StreamBegan(request, no, self.out[request, no][0].cache))
+                self.give(io.ResponseStarted(request, no, self.out[request, no][0].cache))
 
     def finish(self) -> None:
         while self.out:
-            self.end(0, Ending.CANCELLED, Note.NONE)
+            self.end(0, AttemptOutcome.CANCELLED, CacheStatus.NONE)
         self.advance(20 * SECOND)  # in which held requests may leave
         while self.out:
             while self.out:
-                self.end(0, Ending.CANCELLED, Note.NONE)
+                self.end(0, AttemptOutcome.CANCELLED, CacheStatus.NONE)
             self.advance(20 * SECOND)
         assert set(self.owed) <= self.begun, "some request never got its answer"
         router = self.router
@@ -286,8 +307,8 @@
 
 def test_begun_stream_and_lost_root_leave_nothing_behind() -> None:
     world = World(SITES["mixed"])
-    world.states[ROOT] = replace(machine(ROOT, ORIGIN), state=CacheState.GONE)
-    world.give(io.ListNews(ListScope.CHANGES, (world.states[ROOT],)))
+    world.states[ROOT] = replace(machine(ROOT, ORIGIN), state=EndpointState.GONE)
+    world.give(io.EndpointUpdate(UpdateScope.CHANGES, (world.states[ROOT],)))
     for n in range(40):
         world.step(n % 4, n * 17, 30)
     world.finish()
--- a/tests/test_policy_recorded.py
+++ b/tests/test_policy_recorded.py
@@ -39,7 +39,12 @@
             hooks |= {"witness"} if line[0] == "event" and line[5] else set()
     tags = {tag for tag, _ in found}
     assert set(policy_stream.CLASS_BY_TAG) - tags == {"probe"}
-    kinds = {"outcome": io.Ending, "note": io.Note, "scope": io.ListScope, "state": io.CacheState}
+    kinds = {
+        "outcome": io.AttemptOutcome,
+        "note": io.CacheStatus,
+        "scope": io.UpdateScope,
+        "state": io.EndpointState,
+    }
     for tag, cls in kinds.items():
         assert {value for at, value in found if at == tag} == {each.value for each in cls}
     assert hooks == {"homes", "witness"}
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -7,7 +7,14 @@
 import pytest
 
 from quincepier import interface as io
-from quincepier.interface import CacheState, Effect, Ending, Group, ListScope, Note
+from quincepier.interface import (
+    AttemptOutcome,
+    CacheStatus,
+    DeduplicationScope,
+    EndpointState,
+    Idempotency,
+    UpdateScope,
+)
 from quincepier.policy import WATCH
 from tests.rig import (
     CACHES,
@@ -25,80 +32,87 @@
     refused,
 )
 
-UNSAFE = make_class(effect=Effect.UNSAFE, never_kept=True)
+UNSAFE = make_class(effect=Idempotency.UNSAFE, never_kept=True)
 
 
 def test_deadline_gives_one_final_answer_and_silence_after() -> None:
     bench = Bench()
     (sent,) = attempts(bench.ask(1))
     ends = finals(bench.wait(6 * SECOND))
-    assert ends == [io.Fail(1)]
-    after = bench.end(sent, Ending.TIMEOUT, last=True)
+    assert ends == [io.FailRequest(1)]
+    after = bench.end(sent, AttemptOutcome.TIMEOUT, last=True)
     assert attempts(after) == [] and finals(after) == []
 
 
 def test_served_request_gets_no_answer_of_ours() -> None:
     bench = Bench()
     (sent,) = attempts(bench.ask(1))
-    assert finals(bench.end(sent, Ending.OK, Note.HIT)) == []
+    assert finals(bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)) == []
     assert finals(bench.wait(10 * SECOND)) == []
 
 
 def test_client_that_leaves_is_owed_nothing() -> None:
     bench = Bench()
     (sent,) = attempts(bench.ask(1))
-    assert bench.give(io.ClientLeft(1)) == [io.Cancel(1, 0)]
-    assert attempts(bench.end(sent, Ending.CANCELLED, last=True)) == []
+    assert bench.give(io.ClientDisconnected(1)) == [io.CancelAttempt(1, 0)]
+    assert attempts(bench.end(sent, AttemptOutcome.CANCELLED, last=True)) == []
     assert finals(bench.wait(10 * SECOND)) == []
 
 
-@pytest.mark.parametrize("ending", [Ending.ERROR, Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED])
-def test_unsafe_work_that_may_have_run_fails(ending: Ending) -> None:
+@pytest.mark.parametrize(
+    "ending", [AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED]
+)
+def test_unsafe_work_that_may_have_run_fails(ending: AttemptOutcome) -> None:
     bench = Bench(make_settings(classes=(UNSAFE,)))
     (sent,) = attempts(bench.ask(1))
     assert sent.cache == ROOT
     done = bench.end(sent, ending)
-    assert finals(done) == [io.Fail(1)] and attempts(done) == []
+    assert finals(done) == [io.FailRequest(1)] and attempts(done) == []
 
 
-@pytest.mark.parametrize("ending", [Ending.FULL, Ending.CONNECT_FAILED, Ending.MISS])
-def test_unsafe_work_that_never_ran_is_sent_again(ending: Ending) -> None:
+@pytest.mark.parametrize(
+    "ending", [AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MISS]
+)
+def test_unsafe_work_that_never_ran_is_sent_again(ending: AttemptOutcome) -> None:
     bench = Bench(make_settings(classes=(UNSAFE,)))
     (sent,) = attempts(bench.ask(1))
     done = bench.end(sent, ending)
     assert len(attempts(done)) == 1 and finals(done) == []
 
 
-@pytest.mark.parametrize("group", [Group.ZONE, Group.CELL])
-def test_keyed_work_stays_in_its_group(group: Group) -> None:
-    keyed = make_class(effect=Effect.KEYED, group=group)
+@pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
+def test_keyed_work_stays_in_its_group(group: DeduplicationScope) -> None:
+    keyed = make_class(effect=Idempotency.KEYED, group=group)
     bench = Bench(make_settings(classes=(keyed,)))
     (sent,) = attempts(bench.ask(1))
-    done = bench.end(sent, Ending.ERROR)
-    if group is Group.ZONE:
+    done = bench.end(sent, AttemptOutcome.ERROR)
+    if group is DeduplicationScope.ZONE:
         assert len(attempts(done)) == 1
     else:  # every cache of the rig is a cell of its own
-        assert attempts(done) == [] and finals(done) == [io.Fail(1)]
+        assert attempts(done) == [] and finals(done) == [io.FailRequest(1)]
 
 
 def test_keyed_work_is_not_sent_again_past_its_window() -> None:
-    keyed = make_class(effect=Effect.KEYED, window=SECOND, deadline=9 * SECOND)
+    keyed = make_class(effect=Idempotency.KEYED, window=SECOND, deadline=9 * SECOND)
     bench = Bench(make_settings(classes=(keyed,)))
     (sent,) = attempts(bench.ask(1))
     bench.now += SECOND
-    done = bench.end(sent, Ending.ERROR)
+    done = bench.end(sent, AttemptOutcome.ERROR)
     assert attempts(done) == [] and refused(done) == [1]
 
 
 def test_drained_cache_gets_nothing_as_target_or_source() -> None:
     bench = Bench()
-    gone = (machine(CACHES[0], state=CacheState.DRAINING), machine(PARENTS[0], 1, state=CacheState.DRAINING))
-    bench.give(io.ListNews(ListScope.CHANGES, gone))
+    gone = (
+        machine(CACHES[0], state=EndpointState.DRAINING),
+        machine(PARENTS[0], 1, state=EndpointState.DRAINING),
+    )
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, gone))
     for n in range(60):
         for sent in attempts(bench.ask(n, obj=n)):
-            assert isinstance(sent, io.Fetch)
+            assert isinstance(sent, io.FetchThrough)
             assert sent.cache != CACHES[0] and sent.source != PARENTS[0]
-            bench.end(sent, Ending.OK, Note.HIT)
+            bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
 
 
 def test_held_request_finds_its_cache_anew_after_a_drain() -> None:
@@ -107,8 +121,8 @@
     assert len(out) == 16
     assert attempts(bench.ask(99, obj=99)) == []
     for cache in CACHES[:2]:
-        bench.give(io.ListNews(ListScope.CHANGES, (machine(cache, state=CacheState.DRAINING),)))
-    released = attempts(bench.end(out[0], Ending.OK, Note.FILLED))
+        bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (machine(cache, state=EndpointState.DRAINING),)))
+    released = attempts(bench.end(out[0], AttemptOutcome.OK, CacheStatus.FILLED))
     assert [(a.request, a.cache) for a in released] == [(99, CACHES[2])]
 
 
@@ -125,7 +139,7 @@
         for sent in attempts(bench.ask(n, obj=n)):
             if sent.cache == CACHES[0]:
                 sends.append(bench.now)
-            bench.end(sent, Ending.OK, Note.FILLED)
+            bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
         bench.wait(20 * MS)
     assert sends
     work, size = 0.5, 30.0  # seconds of a request as first guessed, transfers that the cache can carry
@@ -137,7 +151,7 @@
 
 def test_restart_shows_as_fresh_start_and_is_cold() -> None:
     bench = Bench()
-    bench.give(io.ListNews(ListScope.CHANGES, (machine(PARENTS[0], 1, up_since=bench.now),)))
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (machine(PARENTS[0], 1, up_since=bench.now),)))
     node = bench.router.nodes[PARENTS[0]]
     bench.router.room(node)  # starts in debt
     bench.router.now += SECOND
@@ -160,7 +174,7 @@
             if step % 4 == n % 4:
                 for sent in attempts(bench.ask(step, obj=step * fronts + n)):
                     sends += [bench.now] * (sent.cache == CACHES[0])
-                    bench.end(sent, Ending.OK, Note.FILLED)
+                    bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
     for at in range(start, start + 3 * SECOND, 100 * MS):
         in_window = sum(at <= s < at + settings.cold_window for s in sends)
         share = settings.cold_from + (1 - settings.cold_from) * (at - start) / settings.cold_time
@@ -171,31 +185,31 @@
 @pytest.mark.parametrize(("group", "obj"), [(3, 5), (3, 0)])
 def test_purge_limits_age_until_it_has_settled(group: int, obj: int) -> None:
     bench = Bench()
-    bench.give(io.Purged(group, obj, 300 * MS))
+    bench.give(io.ObjectPurged(group, obj, 300 * MS))
     (first,) = attempts(bench.ask(1))
-    assert isinstance(first, io.Fetch) and first.age == 300 * MS
+    assert isinstance(first, io.FetchThrough) and first.age == 300 * MS
     bench.now += SECOND
     (second,) = attempts(bench.ask(2))
-    assert isinstance(second, io.Fetch) and second.age == 1300 * MS
+    assert isinstance(second, io.FetchThrough) and second.age == 1300 * MS
     bench.now += 20 * SECOND
     (third,) = attempts(bench.ask(3))
-    assert isinstance(third, io.Fetch) and third.age == 0
+    assert isinstance(third, io.FetchThrough) and third.age == 0
 
 
 def test_purge_told_at_once_limits_to_the_least_age() -> None:
     bench = Bench()
-    bench.give(io.Purged(3, 5, 0))
+    bench.give(io.ObjectPurged(3, 5, 0))
     (sent,) = attempts(bench.ask(1))
-    assert isinstance(sent, io.Fetch) and sent.age == 1
+    assert isinstance(sent, io.FetchThrough) and sent.age == 1
 
 
 def test_purge_told_while_held_counts_at_release() -> None:
     bench = Bench()
     out = [a for n in range(16) for a in attempts(bench.ask(n, obj=100 + n))]
     bench.ask(99, obj=5)
-    bench.give(io.Purged(3, 5, 200 * MS))
-    (late,) = attempts(bench.end(out[0], Ending.OK, Note.FILLED))
-    assert isinstance(late, io.Fetch) and late.request == 99 and late.age == 200 * MS
+    bench.give(io.ObjectPurged(3, 5, 200 * MS))
+    (late,) = attempts(bench.end(out[0], AttemptOutcome.OK, CacheStatus.FILLED))
+    assert isinstance(late, io.FetchThrough) and late.request == 99 and late.age == 200 * MS
 
 
 def test_one_attempt_at_a_time_where_copies_are_barred() -> None:
@@ -205,7 +219,7 @@
     for _ in range(6):
         open_now += 1
         assert open_now == 1
-        done = bench.end(sent, Ending.RESET)
+        done = bench.end(sent, AttemptOutcome.RESET)
         open_now -= 1
         if finals(done):
             break
@@ -216,18 +230,18 @@
 
 def test_replaced_full_list_drops_what_it_lacks() -> None:
     bench = Bench()
-    bench.give(io.ListNews(ListScope.FULL, fleet()[1:]))
+    bench.give(io.EndpointUpdate(UpdateScope.FULL, fleet()[1:]))
     for n in range(30):
         for sent in attempts(bench.ask(n, obj=n)):
             assert sent.cache != CACHES[0]
-            bench.end(sent, Ending.OK, Note.HIT)
+            bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
 
 
 def test_members_keep_their_start_time_across_lists() -> None:
     bench = Bench()
     line = replace(machine(CACHES[0]), up_since=bench.now)
-    bench.give(io.ListNews(ListScope.CHANGES, (line,)))
-    bench.give(io.ListNews(ListScope.CHANGES, (line,)))
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (line,)))
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (line,)))
     assert bench.router.nodes[CACHES[0]].cold_at == line.up_since
 
 
@@ -244,7 +258,7 @@
     out = [a for n in range(16) for a in attempts(bench.ask(n, obj=100 + n))]
     bench.ask(99, obj=99)
     bench.now += 5 * SECOND
-    done = bench.end(out[0], Ending.OK, Note.FILLED)
+    done = bench.end(out[0], AttemptOutcome.OK, CacheStatus.FILLED)
     assert attempts(done) == [] and len(finals(done)) == 1
 
 
@@ -254,7 +268,7 @@
         bench.ask(n, obj=n)
     due = min(t for t in bench.timers if t[1] & 7 == WATCH)
     bench.now += 3 * SECOND
-    bench.give(io.TimerDue(due[1]))
+    bench.give(io.TimerFired(due[1]))
     assert not any(node.suspect for node in bench.router.nodes.values())
 
 
@@ -264,32 +278,34 @@
     for n in range(20):
         (sent,) = attempts(bench.ask(n))
         if n % 3 == 2:
-            bench.end(sent, Ending.OK, Note.HIT)
+            bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
         else:
-            bench.end(sent, Ending.RESET, last=True)
+            bench.end(sent, AttemptOutcome.RESET, last=True)
     assert not any(node.suspect for node in bench.router.nodes.values())
 
 
 def test_new_instance_keeps_the_purges_that_it_is_told() -> None:
     """A front that starts anew hears of the last purges before its first request."""
     bench = Bench()
-    bench.give(io.ListNews(ListScope.REMEMBERED, fleet()))
-    bench.give(io.Purged(3, 0, 4 * SECOND))
+    bench.give(io.EndpointUpdate(UpdateScope.RESTORED, fleet()))
+    bench.give(io.ObjectPurged(3, 0, 4 * SECOND))
     (inside,) = attempts(bench.ask(1))
     (outside,) = attempts(bench.ask(2, group=4))
-    assert isinstance(inside, io.Fetch) and inside.age == 4 * SECOND
-    assert isinstance(outside, io.Fetch) and outside.age == 0
+    assert isinstance(inside, io.FetchThrough) and inside.age == 4 * SECOND
+    assert isinstance(outside, io.FetchThrough) and outside.age == 0
 
 
 def test_caches_of_other_zones_cost_nothing() -> None:
     """A list of hundreds of foreign caches leaves no machine, and their changes make no hash order anew."""
     bench = Bench()
     known, sent = len(bench.router.nodes), attempts(bench.ask(1))
-    bench.end(sent[0], Ending.OK, Note.HIT)
+    bench.end(sent[0], AttemptOutcome.OK, CacheStatus.HIT)
     ranks = dict(bench.router.ranks)
     far = tuple(replace(machine(1000 + n), zone=7) for n in range(300))
-    bench.give(io.ListNews(ListScope.CHANGES, far))
-    bench.give(io.ListNews(ListScope.CHANGES, tuple(replace(m, state=CacheState.GONE) for m in far)))
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, far))
+    bench.give(
+        io.EndpointUpdate(UpdateScope.CHANGES, tuple(replace(m, state=EndpointState.GONE) for m in far))
+    )
     assert len(bench.router.nodes) == known and bench.router.ranks == ranks != {}
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from quincepier import interface as io
-from quincepier.interface import CacheState, Ending, ListScope, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, UpdateScope
 from quincepier.policy import BOUND_START
 from quincepier.recovery import Ramp, Return, Stage, first_poll, fronts_that_ask
 from quincepier.recovery.memory import (
@@ -105,7 +105,7 @@
     bench.ask(999, cls=1)
     for n in range(10):
         for sent in attempts(bench.ask(n, cls=n % classes, obj=n)):
-            bench.end(sent, Ending.OK, Note.HIT)
+            bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
     bench.router.bound = 200
     bench.now += gap * SECOND
     bench.wait(SECOND)
@@ -141,14 +141,14 @@
 def test_a_purge_a_drain_and_a_cold_start_of_the_first_list_hold_for_the_first_request() -> None:
     now = 100 * SECOND
     draining = tuple(
-        replace(m, state=CacheState.DRAINING) if m.cache == CACHES[0]
+        replace(m, state=EndpointState.DRAINING) if m.cache == CACHES[0]
         else replace(m, up_since=now - SECOND) if m.cache == CACHES[1] else m
         for m in fleet()
     )  # fmt: skip
     bench = Bench(machines=draining)
-    bench.give(io.Purged(3, 0, 2 * SECOND))
+    bench.give(io.ObjectPurged(3, 0, 2 * SECOND))
     sent = [a for n in range(60) for a in attempts(bench.ask(n, obj=n))]
-    fetches = [a for a in sent if isinstance(a, io.Fetch)]
+    fetches = [a for a in sent if isinstance(a, io.FetchThrough)]
     assert fetches and all(0 < a.age <= 2 * SECOND for a in fetches)
     asked = [a.cache for a in sent]
     assert CACHES[0] not in asked
@@ -164,9 +164,13 @@
         bench.now += 20 * MS
         for sent in attempts(bench.ask(n, cls=n % 2, obj=n % 37)):
             slow = 900 * MS if sent.cache == CACHES[0] else 60 * MS
-            bench.end(sent, Ending.OK, Note.HIT if n > 37 else Note.FILLED, elapsed=slow)
-    bench.give(io.Purged(5, 0, 100 * MS))
-    bench.give(io.ListNews(ListScope.CHANGES, (replace(machine(CACHES[2]), state=CacheState.DRAINING),)))
+            bench.end(
+                sent, AttemptOutcome.OK, CacheStatus.HIT if n > 37 else CacheStatus.FILLED, elapsed=slow
+            )
+    bench.give(io.ObjectPurged(5, 0, 100 * MS))
+    bench.give(
+        io.EndpointUpdate(UpdateScope.CHANGES, (replace(machine(CACHES[2]), state=EndpointState.DRAINING),))
+    )
     bench.router.distrust(bench.router.nodes[PARENTS[0]], "lost")
     bench.router.nodes[CACHES[1]].cold_at = bench.now - SECOND
     return list(learned(bench.router))
@@ -178,7 +182,7 @@
     for n in range(first, first + 40):
         for sent in attempts(bench.ask(n, obj=n)):
             found.add(sent.cache)
-            bench.end(sent, Ending.OK, Note.HIT)
+            bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
     assert found
     return found
 
@@ -194,7 +198,7 @@
     assert nodes[PARENTS[0]].suspect and nodes[PARENTS[0]].trial_at <= new.now  # one request tries it
     assert router.purges[1, 5] == new.now - SECOND - 100 * MS
     assert CACHES[2] not in asked(new, 0)  # it drained, whatever an older list says
-    new.give(io.ListNews(ListScope.CHANGES, (machine(CACHES[2]),)))
+    new.give(io.EndpointUpdate(UpdateScope.CHANGES, (machine(CACHES[2]),)))
     assert CACHES[2] in asked(new, 100)  # the log has named it anew
 
 
@@ -204,10 +208,10 @@
     cold = plain.router.nodes[CACHES[0]].cold_at = plain.now - SECOND
     plain.router.doubt(plain.router.nodes[CACHES[0]])
     well: list[io.Learned] = [
-        io.LearnedMachine(CACHES[0], 0.0, 900.0, 0, -1, -1, -1),
-        io.LearnedMachine(CACHES[0], -50.0, 900.0, 0, 60 * SECOND, -1, -1),
-        io.LearnedBound(256, 0),
-        io.LearnedBound(5, 0),  # shed hits by processes, as nothing is known to be held yet
+        io.LearnedEndpoint(CACHES[0], 0.0, 900.0, 0, -1, -1, -1),
+        io.LearnedEndpoint(CACHES[0], -50.0, 900.0, 0, 60 * SECOND, -1, -1),
+        io.LearnedFetchLimit(256, 0),
+        io.LearnedFetchLimit(5, 0),  # shed hits by processes, as nothing is known to be held yet
     ]
     assert recall(new.router, well, 0) == 0 and new.router.bound == BOUND_START
     recall(plain.router, well, 0)
@@ -259,26 +263,26 @@
     new = Bench()
     recall(new.router, told, seconds * SECOND)
     now, bounds = new.now, dict[type, int]()
-    bounds |= {io.LearnedClass: CLASS_MOST, io.LearnedUsual: CLASS_MOST}
-    bounds |= {io.LearnedWork: WORK_MOST}
+    bounds |= {io.LearnedTransferTime: CLASS_MOST, io.LearnedLatency: CLASS_MOST}
+    bounds |= {io.LearnedServedWork: WORK_MOST}
     alive = [f for f in told if f.ago + seconds * SECOND < bounds.get(type(f), 0)]
-    assert len(new.router.samples) == sum(isinstance(f, io.LearnedClass) for f in alive)
-    assert len(new.router.usual) == sum(isinstance(f, io.LearnedUsual) for f in alive)
-    assert len(new.router.borne) == sum(isinstance(f, io.LearnedWork) for f in alive)
+    assert len(new.router.samples) == sum(isinstance(f, io.LearnedTransferTime) for f in alive)
+    assert len(new.router.usual) == sum(isinstance(f, io.LearnedLatency) for f in alive)
+    assert len(new.router.borne) == sum(isinstance(f, io.LearnedServedWork) for f in alive)
     assert all(now < until <= now + CLASS_MOST for until, _ in new.router.lapses)
-    paced = next(f for f in told if isinstance(f, io.LearnedMachine) and f.cache == CACHES[0])
+    paced = next(f for f in told if isinstance(f, io.LearnedEndpoint) and f.cache == CACHES[0])
     pace = new.router.nodes[CACHES[0]].pace
     assert (pace.signs > 0) == (paced.ago + seconds * SECOND < PACE_MOST)
-    aside = next(f for f in told if isinstance(f, io.LearnedMachine) and f.aside_ago >= 0)
+    aside = next(f for f in told if isinstance(f, io.LearnedEndpoint) and f.aside_ago >= 0)
     assert new.router.nodes[aside.cache].suspect == (seconds * SECOND <= ASIDE_MOST)
 
 
 def test_own_answers_outlast_the_recalled_mean() -> None:
     new = Bench()
-    recall(new.router, [io.LearnedClass(0, 5.0 * MS, 900, 0)], 0)
+    recall(new.router, [io.LearnedTransferTime(0, 5.0 * MS, 900, 0)], 0)
     for n in range(60):
         for sent in attempts(new.ask(n, obj=n)):
-            new.end(sent, Ending.OK, Note.HIT, elapsed=80 * MS)
+            new.end(sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=80 * MS)
     mine = new.router.work[0]
     assert mine > 60 * MS  # it counted as four answers, however many it was made of
     new.now += CLASS_MOST
@@ -297,7 +301,11 @@
         answered += [f.request for f in finals(actions)]
         for sent in attempts(actions):
             good = n % 3 != 0
-            more = new.end(sent, Ending.OK if good else Ending.TIMEOUT, Note.HIT if good else Note.NONE)
+            more = new.end(
+                sent,
+                AttemptOutcome.OK if good else AttemptOutcome.TIMEOUT,
+                CacheStatus.HIT if good else CacheStatus.NONE,
+            )
             answered += [sent.request] * good + [f.request for f in finals(more)]
     answered += [f.request for f in finals(new.wait(10 * SECOND))]
     assert len(answered) == len(set(answered)) and new.settings.zone == HOME
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -14,7 +14,7 @@
 from quincepier import clock
 from quincepier.addresses import Address, Cause, Preference, parse, parse_term
 from quincepier.addresses.section import Aside, Dials
-from quincepier.interface import Ending
+from quincepier.interface import AttemptOutcome
 from quincepier.lab.scripted import Machine, Moment, Script
 from quincepier.net import dialer as dialing
 from tests.addresskit import KEYED, SAFE, UNSAFE, Inside, play, quick
@@ -105,7 +105,7 @@
 
 def test_a_machine_is_lost_to_the_module_only_when_every_address_has_failed(tmp_path: Path) -> None:
     async def scenario() -> None:
-        machine, endings = Machine(tmp_path), list[Ending]()
+        machine, endings = Machine(tmp_path), list[AttemptOutcome]()
         inside = Inside(tmp_path, {"s-1": machine, "o-1": Machine(tmp_path)}, **quick())
         await inside.start()
         told = inside.module._ended
@@ -119,13 +119,13 @@
             machine.set(kind, Script(Moment.REFUSE))
             await inside.serve(SAFE, left)
             await until(lambda: not inside.cache("s-1").out, "nothing is out")
-        assert set(endings) == {Ending.OK}
+        assert set(endings) == {AttemptOutcome.OK}
         machine.set("ipv4", Script(Moment.REFUSE))
         for connection in inside.cache("s-1").connections:
             connection.close()
         await until(lambda: not inside.cache("s-1").connections, "the old connections are gone")
         await inside.serve(SAFE, 9)
-        assert Ending.CONNECT_FAILED in endings and inside.cache("s-1").number in {
+        assert AttemptOutcome.CONNECT_FAILED in endings and inside.cache("s-1").number in {
             n.machine.cache for n in inside.module.router.nodes.values() if n.suspect
         }
         machine.set("ipv4", Script())  # set aside or not, what is listed is tried
@@ -206,10 +206,10 @@
         inside = Inside(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **quick())
         await inside.start()
         first, _ = await inside.serve(UNSAFE)
-        cache, endings = inside.cache("o-1"), list[Ending]()
+        cache, endings = inside.cache("o-1"), list[AttemptOutcome]()
         told = cache.ended
 
-        def ended(what: Any, ending: Ending, at: int, another_way: bool = False) -> None:
+        def ended(what: Any, ending: AttemptOutcome, at: int, another_way: bool = False) -> None:
             endings.append(ending)
             told(what, ending, at, another_way)
 
@@ -224,7 +224,7 @@
 
         connection.send = tell  # type: ignore[method-assign]
         second, status = await inside.serve(UNSAFE)
-        assert (endings, status, origin.whole[second]) == ([Ending.MOOT], 200, 1)
+        assert (endings, status, origin.whole[second]) == ([AttemptOutcome.NOT_PROCESSED], 200, 1)
         await inside.close()
 
     play(scenario)
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -8,7 +8,7 @@
 
 from quincepier import interface as io
 from quincepier.config import SettingsError
-from quincepier.interface import CacheState, Effect, Ending, ListScope, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, Idempotency, UpdateScope
 from quincepier.simwire import (
     Started,
     WireError,
@@ -41,39 +41,41 @@
     now, batch, events = decode_batch(data)
     assert (now, batch) == (8412250000, 12)
     assert events == [
-        (3, io.RequestCame(1564119492, 0, 640.0, 0, 11, 0x91F03B7C55D20A64, 3, False, 240000000)),
-        (3, io.TimerDue(77)),
-        (5, io.ClientLeft(242166553)),
+        (3, io.RequestReceived(1564119492, 0, 640.0, 0, 11, 0x91F03B7C55D20A64, 3, False, 240000000)),
+        (3, io.TimerFired(77)),
+        (5, io.ClientDisconnected(242166553)),
     ]
 
 
 EVENTS = [
     (
         "1004 22000000 03000000 c4913a5d 0000 074a1203 00 a0491a0100000000 01 02 c06e8f0000000000 00",
-        io.AttemptEnded(0x5D3A91C4, 0, 0x03124A07, Ending.OK, 18500000, True, Note.FILLED, 9400000, ()),
+        io.AttemptCompleted(
+            0x5D3A91C4, 0, 0x03124A07, AttemptOutcome.OK, 18500000, True, CacheStatus.FILLED, 9400000, ()
+        ),
     ),
     (
         "4c04 16000000 03000000 0b00 010ad2557c000000 40ff100500000000",
-        io.Purged(11, 0x7C55D20A01, 85000000),
+        io.ObjectPurged(11, 0x7C55D20A01, 85000000),
     ),
     (
         "0604 16000000 03000000 c4913a5d 0000 074a1203 d0248d0000000000",
-        io.StreamBegan(0x5D3A91C4, 0, 0x03124A07),
+        io.ResponseStarted(0x5D3A91C4, 0, 0x03124A07),
     ),
-    ("3804 0e000000 03000000 02000000 0400 68692037", io.PeerSaid(2, b"hi 7")),
+    ("3804 0e000000 03000000 02000000 0400 68692037", io.PeerMessage(2, b"hi 7")),
     (
         "2e04 1a000000 03000000 c05c150000000000 f211902c 00 02 0000003f 0000803e",
-        io.ProbeEnded(0x2C9011F2, Ending.OK, 1400000, (0.5, 0.25)),
+        io.HealthCheckCompleted(0x2C9011F2, AttemptOutcome.OK, 1400000, (0.5, 0.25)),
     ),
     (
         "f203 39000000 03000000 03 29000000 02000000"
         "0000 0000803f 074a1203 0000000000000000 00 0000 00"
         "0000 0000c03f f211902c 009d966b01000000 00 0100 00",
-        io.ListNews(
-            ListScope.REMEMBERED,
+        io.EndpointUpdate(
+            UpdateScope.RESTORED,
             (
-                io.Machine(0x03124A07, 0, 0, 0, 1.0, 0, CacheState.READY),
-                io.Machine(0x2C9011F2, 0, 1, 0, 1.5, 6100000000, CacheState.READY),
+                io.Endpoint(0x03124A07, 0, 0, 0, 1.0, 0, EndpointState.READY),
+                io.Endpoint(0x2C9011F2, 0, 1, 0, 1.5, 6100000000, EndpointState.READY),
             ),
         ),
     ),
@@ -86,16 +88,19 @@
 
 
 ACTIONS = [
-    (io.Ask(0x5D3A91C4, 0x03124A07, 80000000), "2404 14000000 03000000 c4913a5d 074a1203 00b4c40400000000"),
-    (io.Follow(), "fc03 05000000 03000000 01"),
-    (io.Cancel(0x5D3A91C4, 0), "e803 0a000000 03000000 c4913a5d 0000"),
-    (io.Fail(0x0E6F2B19), "1a04 08000000 03000000 192b6f0e"),
+    (
+        io.ForwardRequest(0x5D3A91C4, 0x03124A07, 80000000),
+        "2404 14000000 03000000 c4913a5d 074a1203 00b4c40400000000",
+    ),
+    (io.WatchEndpoints(), "fc03 05000000 03000000 01"),
+    (io.CancelAttempt(0x5D3A91C4, 0), "e803 0a000000 03000000 c4913a5d 0000"),
+    (io.FailRequest(0x0E6F2B19), "1a04 08000000 03000000 192b6f0e"),
     (io.SetTimer(500000000, 77), "1004 14000000 03000000 0065cd1d00000000 4d00000000000000"),
-    (io.Log("two servers known"), "3804 17000000 03000000 1100 74776f2073657276657273206b6e6f776e"),
-    (io.Refuse(0x0E6F2B19, 250000000), "f203 10000000 03000000 192b6f0e 80b2e60e00000000"),
-    (io.Probe(0x2C9011F2), "2e04 08000000 03000000 f211902c"),
+    (io.WriteLog("two servers known"), "3804 17000000 03000000 1100 74776f2073657276657273206b6e6f776e"),
+    (io.RejectRequest(0x0E6F2B19, 250000000), "f203 10000000 03000000 192b6f0e 80b2e60e00000000"),
+    (io.SendHealthCheck(0x2C9011F2), "2e04 08000000 03000000 f211902c"),
     (
-        io.Fetch(0x5D3A91C4, 0x03124A07, 900000000, 0x2C9011F2, 2, 1500000000, True, True, False),
+        io.FetchThrough(0x5D3A91C4, 0x03124A07, 900000000, 0x2C9011F2, 2, 1500000000, True, True, False),
         "4204 22000000 03000000 c4913a5d 074a1203 00e9a43500000000 f211902c 02 002f685900000000 09",
     ),
 ]
@@ -113,17 +118,17 @@
 
 def test_short_optional_fields_read_as_zero() -> None:
     short = record(1020, struct.pack("<IIB", 3, 8, 1))
-    assert decode_batch(frame(short))[2] == [(3, io.RequestCame(8, 1, 0.0, 0, 0, 0, 0, False, 0))]
+    assert decode_batch(frame(short))[2] == [(3, io.RequestReceived(8, 1, 0.0, 0, 0, 0, 0, False, 0))]
     bare = record(1040, struct.pack("<IIHIBQB", 3, 8, 0, 101, 110, 5, 1))
-    want = io.AttemptEnded(8, 0, 101, Ending.TIMEOUT, 5, True, Note.NONE, 0, ())
+    want = io.AttemptCompleted(8, 0, 101, AttemptOutcome.TIMEOUT, 5, True, CacheStatus.NONE, 0, ())
     assert decode_batch(frame(bare))[2] == [(3, want)]
     group_only = record(1100, struct.pack("<IH", 3, 11))
-    assert decode_batch(frame(group_only))[2] == [(3, io.Purged(11, 0, 0))]
+    assert decode_batch(frame(group_only))[2] == [(3, io.ObjectPurged(11, 0, 0))]
 
 
 def test_unknown_codes_and_further_fields_are_skipped() -> None:
     longer = record(1050, struct.pack("<II", 3, 8) + b"more")
-    assert decode_batch(frame(record(9999, b"abc"), longer))[2] == [(3, io.ClientLeft(8))]
+    assert decode_batch(frame(record(9999, b"abc"), longer))[2] == [(3, io.ClientDisconnected(8))]
 
 
 @pytest.mark.parametrize(
@@ -151,7 +156,7 @@
     s = decode_settings(started.conf)
     assert (s.zone, s.fronts, s.fronts_by_zone, s.parent_kind, s.origin_kind) == (1, 2, (0, 2), 1, 2)
     assert (s.purge_settles, s.cold_window, s.parent_cold_from) == (6 * 10**9, 1500 * 10**6, 0.1)
-    assert [c.effect for c in s.classes] == [Effect.SAFE, Effect.UNSAFE]
+    assert [c.effect for c in s.classes] == [Idempotency.SAFE, Idempotency.UNSAFE]
     assert [(c.fresh, c.grace, c.stretch) for c in s.classes] == [(0, 0, 2.0), (12 * 10**9, 10 * 10**9, 0.0)]
     assert s.sizes_compare and not s.list_on_request
 
--- a/tests/test_standing_cold.py
+++ b/tests/test_standing_cold.py
@@ -8,7 +8,8 @@
 import pytest
 
 from quincepier import interface as io
-from quincepier.interface import CacheState, Ending, ListScope, Note
+from quincepier.fading import Pace
+from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, UpdateScope
 from quincepier.policy import Node, Router
 from tests.rig import CACHES, MS, PARENT, PARENTS, SECOND, Bench, attempts, fleet, machine, make_settings
 
@@ -32,9 +33,9 @@
     def tell(self, cache: int, at: int) -> None:
         """It starts at `at`, and those that are told hear of it now; the old id is gone for them."""
         new = replace(machine(cache, self.kind, at), size=SIZE)
-        gone = [replace(machine(c, self.kind), state=CacheState.GONE) for c in self.names if c != cache]
+        gone = [replace(machine(c, self.kind), state=EndpointState.GONE) for c in self.names if c != cache]
         for n in self.told:
-            self.benches[n].give(io.ListNews(ListScope.CHANGES, (new, *gone)))
+            self.benches[n].give(io.EndpointUpdate(UpdateScope.CHANGES, (new, *gone)))
         self.names.add(cache)
         self.start = at
 
@@ -50,7 +51,7 @@
                     for sent in attempts(bench.ask(self.number, obj=self.number)):
                         if self.names & {sent.cache, getattr(sent, "source", -1)}:
                             self.sends.append((bench.now, n))
-                        bench.end(sent, Ending.OK, Note.FILLED)
+                        bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
 
     def stands(self, at: int) -> float:
         """N + 2 x root of N + 2, from the settings."""
@@ -91,7 +92,7 @@
     """A machine is cold once: when it starts again as it warms up, it is taken for warm."""
     plain = Router.listed
 
-    def listed(self: Router, news: io.ListNews) -> None:
+    def listed(self: Router, news: io.EndpointUpdate) -> None:
         cold = {cache for cache, node in self.nodes.items() if node.cold_at}
         plain(self, news)
         for m in news.machines:
@@ -105,8 +106,8 @@
     """An id that was not there before is taken for warm."""
     plain = Node.__init__
 
-    def begin(self: Node, machine: io.Machine) -> None:
-        plain(self, machine)
+    def begin(self: Node, machine: io.Endpoint, pace: Pace, recent: int) -> None:
+        plain(self, machine, pace, recent)
         self.cold_at = 0
 
     patch.setattr(Node, "__init__", begin)
--- a/tests/test_standing_floors.py
+++ b/tests/test_standing_floors.py
@@ -7,7 +7,7 @@
 import pytest
 
 from quincepier import interface as io
-from quincepier.interface import Effect, Ending, Note
+from quincepier.interface import AttemptOutcome, CacheStatus, Idempotency
 from quincepier.lab.experiment import Experiment
 from quincepier.lab.world import World
 from quincepier.operator.reading import read_struct
@@ -93,9 +93,9 @@
     """What may not be repeated is kept out with the rest."""
     plain = Router.came
 
-    def came(self: Router, e: io.RequestCame) -> None:
-        if self.s.classes[e.cls].effect is Effect.UNSAFE and self.fills >= GATE * self.bound:
-            self.out.append(io.Refuse(e.request, 0))
+    def came(self: Router, e: io.RequestReceived) -> None:
+        if self.s.classes[e.cls].effect is Idempotency.UNSAFE and self.fills >= GATE * self.bound:
+            self.out.append(io.RejectRequest(e.request, 0))
         else:
             plain(self, e)
 
@@ -123,7 +123,7 @@
         bench.now += 100 * MS
         bench.router.bound = 16
         bench.router.work = [0.5 * SECOND] * 3
-        for freed in attempts(bench.end(out.pop(0), Ending.OK, Note.FILLED)):
+        for freed in attempts(bench.end(out.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)):
             left[freed.request // 1000 - 1] += 1
             out.append(freed)
     return left
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -340,12 +340,12 @@
         ("video", "bid"), ("std", "parent"), lambda n: ("a", 100) if n == 1 else ("b", 200), lambda h, b: 0
     )
     told: list[io.Learned] = [
-        io.LearnedBound(8, 1),
-        io.LearnedClass(1, 5.0, 3, 2),
-        io.LearnedUsual(0, True, False, 1.0, 30, 0.5, 3),
-        io.LearnedWork(1, 2.0, 4, 5),
-        io.LearnedMachine(1, 0.5, 1.0, 6, -1, -1, 0),
-        io.LearnedMachine(2, 0.7, 1.0, 6, 9, 0, -1),
+        io.LearnedFetchLimit(8, 1),
+        io.LearnedTransferTime(1, 5.0, 3, 2),
+        io.LearnedLatency(0, True, False, 1.0, 30, 0.5, 3),
+        io.LearnedServedWork(1, 2.0, 4, 5),
+        io.LearnedEndpoint(1, 0.5, 1.0, 6, -1, -1, 0),
+        io.LearnedEndpoint(2, 0.7, 1.0, 6, 9, 0, -1),
         io.LearnedPurge(0, 1 << 63, 7),
     ]
     gathered = Gathered(before)
@@ -356,11 +356,11 @@
     now = Names(("bid", "image", "video"), ("parent",), lambda n: None,
                 lambda host, born: 11 if (host, born) == ("a", numbers["a"][1]) else None)  # fmt: skip
     assert list(facts(content, now)) == [
-        io.LearnedBound(8, 1),
-        io.LearnedClass(0, 5.0, 3, 2),
-        io.LearnedUsual(2, True, False, 1.0, 30, 0.5, 3),
-        io.LearnedWork(0, 2.0, 4, 5),
-        io.LearnedMachine(11, 0.5, 1.0, 6, -1, -1, 0),
+        io.LearnedFetchLimit(8, 1),
+        io.LearnedTransferTime(0, 5.0, 3, 2),
+        io.LearnedLatency(2, True, False, 1.0, 30, 0.5, 3),
+        io.LearnedServedWork(0, 2.0, 4, 5),
+        io.LearnedEndpoint(11, 0.5, 1.0, 6, -1, -1, 0),
         io.LearnedPurge(0, 1 << 63, 7),
     ]
 
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -47,9 +47,11 @@
 from tests.tenancykit import Exploration, Rules
 
 SECOND = clock.SECOND
-SAFE = io.RequestClass(io.Effect.SAFE, io.Group.ALL, 0, SECOND, 0.0, SECOND, 1.0, False, 0, 0, False)
+SAFE = io.RequestClass(
+    io.Idempotency.SAFE, io.DeduplicationScope.ALL, 0, SECOND, 0.0, SECOND, 1.0, False, 0, 0, False
+)
 KEYED = io.RequestClass(
-    io.Effect.KEYED, io.Group.ZONE, 30 * SECOND, 1, 0.0, 4 * SECOND, 1.0, False, 0, 0, True
+    io.Idempotency.KEYED, io.DeduplicationScope.ZONE, 30 * SECOND, 1, 0.0, 4 * SECOND, 1.0, False, 0, 0, True
 )
 TEXT = """tenants:
   shards:
@@ -144,8 +146,10 @@
     assert tenants.name(1) == "acme" and tenants.name(7) == ""
 
 
-def asked(home: Callable[[io.RequestCame], io.Home | None], key: int, cls: int, **but: Any) -> io.Home:
-    came = io.RequestCame(1, cls, 0.0, but.get("tenant", 1), 0, key, 0, but.get("repeat", False), SECOND)
+def asked(
+    home: Callable[[io.RequestReceived], io.HomeShard | None], key: int, cls: int, **but: Any
+) -> io.HomeShard:
+    came = io.RequestReceived(1, cls, 0.0, but.get("tenant", 1), 0, key, 0, but.get("repeat", False), SECOND)
     found = home(came)
     assert found is not None
     return found
@@ -193,7 +197,7 @@
 def test_a_home_without_a_machine_serves_what_is_harmless_elsewhere_and_refuses_the_rest() -> None:
     v = homes_of(version(MoveStep.DRAINING, 256), caches=(8, 9))
     assert asked(v, 5, 0).caches == {8, 9} and asked(v, 5, 1).closed
-    assert homes_of(RuleVersion(3, 1))(io.RequestCame(1, 0, 0.0, 1, 0, 5, 0, False, 1)) is None
+    assert homes_of(RuleVersion(3, 1))(io.RequestReceived(1, 0, 0.0, 1, 0, 5, 0, False, 1)) is None
     twice = RuleVersion(1, 1, (), (), (*NORTH, Shard("south", ("s-2",))))
     with pytest.raises(TenancyError, match="two shards"):
         homes_of(twice)
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -10,7 +10,7 @@
 from quincepier import clock
 from quincepier import interface as io
 from quincepier.config import lay_out
-from quincepier.interface import Ending, Note
+from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.memory.machines import Directory
 from quincepier.memory.requests import OpenAttempt, Requests
 from quincepier.net.messages import Ended
@@ -51,10 +51,10 @@
     """Caches know the repeats of a keyed write by it; without it they take the request for another one."""
     taken, known = open_request(call(b"xy", "bid", HTTP_X_UNIQUE=key), CLASSES, Inbox(), 50), directory()
     for sent in range(2):  # each attempt
-        fields = serve_fields(io.Ask(1, known.number("s-1"), sent), taken, known, clock.SECOND)
+        fields = serve_fields(io.ForwardRequest(1, known.number("s-1"), sent), taken, known, clock.SECOND)
         assert [value for name, value in fields if name == "once"] == [key]
     plain = open_request(call(b"xy", "bid"), CLASSES, Inbox(), 50)
-    ask = io.Ask(1, known.number("s-1"), 0)
+    ask = io.ForwardRequest(1, known.number("s-1"), 0)
     assert "once" not in dict(serve_fields(ask, plain, known, clock.SECOND))
 
 
@@ -123,26 +123,32 @@
 
 
 def test_endings_and_notes_are_one_to_one() -> None:
-    assert list(NOTES.values()) == list(Note)[1:]
-    assert set(ENDINGS.values()) == {Ending.OK, Ending.MISS, Ending.FULL, Ending.ERROR, Ending.MOOT}
+    assert list(NOTES.values()) == list(CacheStatus)[1:]
+    assert set(ENDINGS.values()) == {
+        AttemptOutcome.OK,
+        AttemptOutcome.MISS,
+        AttemptOutcome.OVERLOADED,
+        AttemptOutcome.ERROR,
+        AttemptOutcome.NOT_PROCESSED,
+    }
     head = read_line(b"id data how=pulled_far,lag=34.5,stats=util:0.61;x0:0.4 0")
-    assert (note_of(head), waited_of(head)) == (Note.FROM_ORIGIN, 34_500_000)
+    assert (note_of(head), waited_of(head)) == (CacheStatus.FROM_ORIGIN, 34_500_000)
     assert report_of(head, ("load_share", "x0", "depth")) == (0.61, 0.4, 0.0)
     bare = read_line(b"id full how=strange,lag=nan 0")
-    assert (note_of(bare), waited_of(bare), report_of(bare, ("x0",))) == (Note.NONE, 0, ())
+    assert (note_of(bare), waited_of(bare), report_of(bare, ("x0",))) == (CacheStatus.NONE, 0, ())
 
 
 def test_last_says_that_the_request_is_over() -> None:
     taken = frontkit.open_request(Inbox())
     attempt = OpenAttempt(taken, 0, 5, 1000)
 
-    def last(ending: Ending) -> bool:
+    def last(ending: AttemptOutcome) -> bool:
         return attempt_ended(attempt, Ended(attempt, ending, 1500)).last
 
-    assert attempt_ended(attempt, Ended(attempt, Ending.OK, 1500, Note.HIT, 7)).elapsed == 500
-    assert last(Ending.OK) and not last(Ending.TIMEOUT) and not last(Ending.CANCELLED)
+    assert attempt_ended(attempt, Ended(attempt, AttemptOutcome.OK, 1500, CacheStatus.HIT, 7)).elapsed == 500
+    assert last(AttemptOutcome.OK) and not last(AttemptOutcome.TIMEOUT) and not last(AttemptOutcome.CANCELLED)
     taken.over = True
-    assert last(Ending.TIMEOUT)
+    assert last(AttemptOutcome.TIMEOUT)
 
 
 def directory() -> Directory:
@@ -156,10 +162,10 @@
 def test_fields_of_a_command() -> None:
     known, taken = directory(), frontkit.open_request(Inbox(), known="4be0c1927d55a6f3", part=3)
     edge, parent = known.number("s-1"), known.number("p-1")
-    ask = serve_fields(io.Ask(1, edge, 0), taken, known, 1500 * clock.MS)
+    ask = serve_fields(io.ForwardRequest(1, edge, 0), taken, known, 1500 * clock.MS)
     plain = [("class", "lot-image"), ("key", "7f3a9c21e0b4d655"), ("part", "3"), ("wait", "1500")]
     assert ask == [*plain, ("known", "4be0c1927d55a6f3")]
-    fetch = io.Fetch(1, edge, 0, parent, 2, 1_999_999, True, True, True)
+    fetch = io.FetchThrough(1, edge, 0, parent, 2, 1_999_999, True, True, True)
     more = [
         ("via", "p-1"),
         ("tier", "2"),
@@ -168,13 +174,13 @@
         ("known", taken.known),
     ]
     assert serve_fields(fetch, taken, known, 1500 * clock.MS) == [*plain, *more]
-    own = io.Fetch(1, edge, 0, edge, 0, 0, False, False, False)
+    own = io.FetchThrough(1, edge, 0, edge, 0, 0, False, False, False)
     assert serve_fields(own, taken, known, 0) == [*plain[:3], ("wait", "1"), ("known", taken.known)]
 
 
 def test_an_age_under_a_millisecond_is_not_sent_as_no_limit() -> None:
     known, taken = directory(), frontkit.open_request(Inbox())
-    fetch = io.Fetch(1, known.number("s-1"), 0, known.number("p-1"), 1, 900_000, False, False, False)
+    fetch = io.FetchThrough(1, known.number("s-1"), 0, known.number("p-1"), 1, 900_000, False, False, False)
     assert ("fresh", "1") in serve_fields(fetch, taken, known, clock.SECOND)
 
 
@@ -191,7 +197,7 @@
     host.reply(wirekit.frame(start, view, now=now))
     router, requests = Router(config.settings, seed, now), Requests(100)
     news = known.whole()
-    router.handle(now, io.ListNews(io.ListScope.REMEMBERED, news.machines))
+    router.handle(now, io.EndpointUpdate(io.UpdateScope.RESTORED, news.machines))
 
     def same(event: io.Event, code: int, fields: bytes) -> list[io.Action]:
         actions = router.handle(now, event)
@@ -213,14 +219,14 @@
         packed = (3, taken.number, cls, 0.0, 0, 17.0, n % 7 + 1, float(part), 0, taken.allow)
         actions = same(event, 1020, struct.pack("<IIBfHfQfBQ", *packed))
         for action in actions:
-            if isinstance(action, io.Ask | io.Fetch):
+            if isinstance(action, io.ForwardRequest | io.FetchThrough):
                 asked += 1
                 attempt = requests.attempt(taken, action.cache, now)
-                endings = (Ending.OK, 0), (Ending.FULL, 11), (Ending.RESET, 104)
+                endings = (AttemptOutcome.OK, 0), (AttemptOutcome.OVERLOADED, 11), (AttemptOutcome.RESET, 104)
                 ending, number = endings[0 if n % 5 else n // 5 % 3]
                 now += 20 * clock.MS
-                ended = attempt_ended(attempt, Ended(attempt, ending, now, Note.FILLED, 5))
-                taken.over = ending is Ending.OK
+                ended = attempt_ended(attempt, Ended(attempt, ending, now, CacheStatus.FILLED, 5))
+                taken.over = ending is AttemptOutcome.OK
                 outcome = (3, taken.number, 0, action.cache, number, 20 * clock.MS, ended.last, 2, 5, 0)
                 same(ended, 1040, struct.pack("<IIHIBQBBQB", *outcome))
     assert asked >= 40
--- a/tests/test_wire_changelog.py
+++ b/tests/test_wire_changelog.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 from quincepier.wire import changelog
 from quincepier.wire.errors import ProtocolError
 
@@ -51,7 +51,7 @@
     assert single == changelog.PurgeRecord(2, 0x7F3A9C21E0B4D655, 0, 1764576000123)
     assert group == changelog.PurgeRecord(3, None, 17, 1764576000480)
     assert isinstance(change, changelog.FleetChange) and not change.whole
-    assert (change.hosts[0].state, change.hosts[0].born_ms) == (CacheState.DRAINING, 1764576000000)
+    assert (change.hosts[0].state, change.hosts[0].born_ms) == (EndpointState.DRAINING, 1764576000000)
 
 
 @pytest.mark.parametrize(
