--- a/quincepier/net/fleet/overlay.py
+++ b/quincepier/net/fleet/endpoint_overlay.py
@@ -13,7 +13,7 @@
 from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, UpdateScope
 
 
-class Overlay:
+class EndpointOverlay:
     """`hosts`: host ids by the module's numbers, as the directory keeps them."""
 
     def __init__(self, hosts: Mapping[int, str]) -> None:
--- a/quincepier/tenancy/gap.py
+++ b/quincepier/tenancy/write_pause.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wishes:
+class MigrationPolicy:
     """What the leader's file says, and the times that follow from the settings; all in nanoseconds."""
 
     section: TenantsSection
@@ -32,5 +32,5 @@
     notice: int
 
     @classmethod
-    def of(cls, section: TenantsSection, classes: Iterable[RequestClass]) -> Wishes:
+    def of(cls, section: TenantsSection, classes: Iterable[RequestClass]) -> MigrationPolicy:
         return cls(section, hold(classes), int(section.notice_s * SECOND))
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -15,7 +15,7 @@
 from quincepier.config import FrontConfig, SettingsError, read_front
 from quincepier.interface import AttemptOutcome, CacheStatus, DeduplicationScope, Idempotency
 from quincepier.keys import MEMORY_MOST
-from quincepier.memory.machines import Directory
+from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.recovery import fronts_that_ask
 from quincepier.translate import class_table, open_request, serve_fields
 from quincepier.wire.fastcgi import Call
@@ -188,7 +188,7 @@
     taken = open_request(Call(1, params, b"", True), class_table(config), Inbox(), 0)
     assert taken.cls == 1
     return serve(
-        taken.job, serve_fields(io.ForwardRequest(1, 1, SECOND), taken, Directory((), ()), SECOND), b""
+        taken.job, serve_fields(io.ForwardRequest(1, 1, SECOND), taken, MachineDirectory((), ()), SECOND), b""
     )
 
 
