--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -15,7 +15,7 @@
 
 from quincepier import clock
 from quincepier.consensus import ElectionTimeouts, EntryCommitted, LeaderChanged
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 from quincepier.net.fleet import version_diff
 from quincepier.net.fleet.active_rules import ActiveRules
 from quincepier.net.fleet.follower import Follower
@@ -304,7 +304,7 @@
             kind = "parent" if m.kind == s.parent_kind else "origin" if m.kind == s.origin_kind else "cache"
             warm = (s.parent_cold_time if kind == "parent" else s.cold_time) + s.cold_window
             up = now - m.up_since if m.up_since else 1 << 61
-            ready = m.state is CacheState.READY
+            ready = m.state is EndpointState.READY
             out[host] = MachineObservation(
                 host, kind, entry.record.site, ready, up // clock.MS, warm // clock.MS
             )
