--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -15,7 +15,7 @@
 
 from quincepier import interface as io
 from quincepier.consistency.decision import STANDARD_ARITHMETIC, Arithmetic
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 
 # As in the design; the module has its own, so that one that was changed there alone shows as breaches
 HOT_SHARE, HOT_OF = 0.25, 32  # widening
@@ -47,7 +47,7 @@
 class Node(Protocol):
     """What is read of a machine as the module has it."""
 
-    machine: io.Machine
+    machine: io.Endpoint
     suspect: bool
     trial_at: int
     wait: int
@@ -100,7 +100,7 @@
 
 def why_not(router: Router, node: Node, avoided: Collection[int]) -> Reason | None:
     """Why the module may not use a machine now; None where it may."""
-    if node.machine.state is not CacheState.READY:
+    if node.machine.state is not EndpointState.READY:
         return Reason.OFF
     if node.machine.cache in avoided:
         return Reason.AVOIDED
@@ -125,8 +125,8 @@
 
 
 def explain(
-    router: Router, event: io.RequestCame, node: int, source: int, before: Before | None = None,
-    home: io.Home | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
+    router: Router, event: io.RequestReceived, node: int, source: int, before: Before | None = None,
+    home: io.HomeShard | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
 ) -> Reason:  # fmt: skip
     """Of an attempt at machine `node` with `source` (-1: none), as it is made, before or after it is booked.
 
@@ -137,8 +137,8 @@
 
 
 def decision_record(
-    router: Router, event: io.RequestCame, node: int, source: int, before: Before | None = None,
-    home: io.Home | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
+    router: Router, event: io.RequestReceived, node: int, source: int, before: Before | None = None,
+    home: io.HomeShard | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
 ) -> DecisionRecord:  # fmt: skip
     """The same with what the rule has."""
     req, nodes = router.requests.get(event.request), router.nodes
@@ -161,7 +161,7 @@
     """One request before the rules, by the module's state now."""
 
     def __init__(
-        self, router: Router, req: Any, event: io.RequestCame, home: io.Home | None, how: Arithmetic
+        self, router: Router, req: Any, event: io.RequestReceived, home: io.HomeShard | None, how: Arithmetic
     ) -> None:
         self.router, self.req, self.event = router, req, event
         self.booked, self.work = frozenset[int](), 0.0
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -17,7 +17,7 @@
 from quincepier import clock
 from quincepier.checks import Checks
 from quincepier.consensus import EntryCommitted, LeaderChanged, PersistRecords, SendMessage
-from quincepier.interface import CacheState, Effect, ListNews, ListScope, Note
+from quincepier.interface import CacheStatus, EndpointState, EndpointUpdate, Idempotency, UpdateScope
 from quincepier.maintenance import cordoned_hosts
 from quincepier.net.fleet.follower import Follower
 from quincepier.net.fleet.leader import Leader
@@ -83,7 +83,7 @@
 
 
 def at_once(action: Any) -> Any:
-    return replace(action, after=0) if hasattr(action, "after") else action
+    return replace(action, after_ticket=0) if hasattr(action, "after_ticket") else action
 
 
 async def three(folder: Path, kind: Callable[..., RaftNode], fails: str = "") -> dict[str, Any]:
@@ -94,7 +94,7 @@
     def send(me: str) -> Callable[[str, bytes], None]:
         def out(to: str, raw: bytes) -> None:
             said.append((me, to))
-            loop.call_soon(seats[to].heard, me, raw)
+            loop.call_soon(seats[to].on_message, me, raw)
 
         return out
 
@@ -111,13 +111,13 @@
         disk.fails = name == fails
         seats[name] = kind(name, VOTERS, disk, WorkerThread(name), n, send(name), hear(name), checks)
     for seat in seats.values():
-        seat.open()
+        seat.start()
     end, proposed = loop.time() + 8.0, False
     while loop.time() < end and len(agreed) < (2 if fails else 3):
         for seat in seats.values():
-            if clock.boot() >= seat.wake:
+            if clock.boot() >= seat.next_tick_ns:
                 seat.tick()
-        leader = next((s for s in seats.values() if s.leads), None)
+        leader = next((s for s in seats.values() if s.is_leader), None)
         if leader is not None and not proposed:
             proposed = True
             leader.propose(b"one")
@@ -137,7 +137,7 @@
     """All that the first start says rests on its first record, so its disk shows by silence."""
     found = asyncio.run(three(tmp_path, kind, fails="a"))
     silent = not [to for me, to in found["said"] if me == "a"]
-    assert silent is (kind is RaftNode) and found["checks"].counts["voter silent"] > 0
+    assert silent is (kind is RaftNode) and found["checks"].counts["voter_silent"] > 0
 
 
 def test_a_write_that_failed_is_not_tried_again_behind_a_newer_one() -> None:
@@ -147,23 +147,23 @@
     later: list[Callable[[], None]] = []
     waiting: list[tuple[Callable[[], Any], Callable[[Any], None]]] = []
 
-    def do(work: Callable[[], Any], told: Callable[[Any], None]) -> bool:
-        waiting.append((work, told))
+    def submit(work: Callable[[], Any], on_done: Callable[[Any], None]) -> bool:
+        waiting.append((work, on_done))
         return True
 
     def turn(outcome: Any = None) -> None:
-        work, told = waiting.pop(0)
-        told(outcome or work())
+        work, on_done = waiting.pop(0)
+        on_done(outcome or work())
 
     def again(_: float, call: Any, *args: Any) -> None:
         later.append(lambda: call(*args))
 
-    thread: Any = SimpleNamespace(do=do, loop=SimpleNamespace(call_later=again))
+    thread: Any = SimpleNamespace(submit=submit, loop=SimpleNamespace(call_later=again))
     disk: Any = SimpleNamespace(save=saved.append)
     seat = RaftNode(
         "a", VOTERS, disk, thread, 1, lambda to, raw: said.append(to), lambda what: None, Checks()
     )
-    seat.voter = SimpleNamespace(stored=lambda now, ticket: [])  # type: ignore[assignment]
+    seat.raft = SimpleNamespace(on_persisted=lambda now, ticket: [])  # type: ignore[assignment]
     seat._perform(
         [
             PersistRecords(1, ("vote in 5",)),  # type: ignore[arg-type]
@@ -178,7 +178,7 @@
     later.pop()()
     while waiting:
         turn()
-    assert saved == [("vote in 5",), ("vote in 6",)] and said == ["b"] and seat.on_disk == 2
+    assert saved == [("vote in 5",), ("vote in 6",)] and said == ["b"] and seat.persisted_ticket == 2
 
 
 # The follower
@@ -221,8 +221,8 @@
 
 def chair_of(planner: Any, leads: bool = True) -> tuple[Leader, list[bytes], Any]:
     proposed: list[bytes] = []
-    voter = SimpleNamespace(term=1, lease_until=1 << 60)
-    seat: Any = SimpleNamespace(voter=voter, leads=leads, leader="b", propose=proposed.append)
+    raft = SimpleNamespace(term=1, lease_until_ns=1 << 60)
+    seat: Any = SimpleNamespace(raft=raft, is_leader=leads, leader="b", propose=proposed.append)
     chair = Leader("a", VOTERS, seat, PACE, lambda: [planner], dict, lambda: VOTERS, Checks())
     return chair, proposed, seat
 
@@ -243,7 +243,7 @@
     assert decode(proposed[-1]).number == 41
     answer = chair.asked(2 * clock.SECOND, ReportMessage(LeaseRequest(2, report("g", 0))))
     assert isinstance(answer, LeaseGranted) and answer.grant.lease_ms == 0 and answer.raw == proposed[0]
-    seat.leads = False
+    seat.is_leader = False
     chair.turn(3 * clock.SECOND)
     assert len(proposed) == 2 and chair.ledger is None
     turned = chair.asked(3 * clock.SECOND, ReportMessage(LeaseRequest(3, report("g", 0))))
@@ -263,7 +263,7 @@
     chair.committed(decode(proposed[0]))
     chair.turn(5 * clock.SECOND)
     assert decode(proposed[2]).number == 2
-    seat.voter.term = 2  # what an earlier term left was agreed by then, or is gone
+    seat.raft.term = 2  # what an earlier term left was agreed by then, or is gone
     chair.turn(6 * clock.SECOND)
     assert decode(proposed[3]).number == 2 and decode(proposed[3]).term == 2
 
@@ -309,11 +309,11 @@
 
 def front(
     kept: RuleVersion | None = None, effects: Any = VersionEffects
-) -> tuple[Any, Follower, list[ListNews]]:
-    told: list[ListNews] = []
-    classes = (SimpleNamespace(effect=Effect.SAFE, worth=1.0, on_time=clock.SECOND),)
+) -> tuple[Any, Follower, list[EndpointUpdate]]:
+    told: list[EndpointUpdate] = []
+    classes = (SimpleNamespace(effect=Idempotency.SAFE, worth=1.0, on_time=clock.SECOND),)
     entries = {
-        h: SimpleNamespace(machine=machine(n, CacheState.READY), record=SimpleNamespace(host=h))
+        h: SimpleNamespace(machine=machine(n, EndpointState.READY), record=SimpleNamespace(host=h))
         for n, h in HOSTS.items()
     }
     module: Any = SimpleNamespace(
@@ -365,7 +365,7 @@
     follower.holder.until = clock.boot()  # as after a standstill
     right = effects.stale()
     effects.before(clock.now())
-    right = right and told[-1].machines == (machine(1, CacheState.DRAINING),)
+    right = right and told[-1].machines == (machine(1, EndpointState.DRAINING),)
     assert right is (kind is VersionEffects)
 
 
@@ -375,10 +375,10 @@
     kept.save(version(5, WAITS))
     effects, follower, told = front(kept.load())
     effects.apply()
-    assert told[-1].machines[0].state is CacheState.DRAINING and effects.report().number == 0
+    assert told[-1].machines[0].state is EndpointState.DRAINING and effects.report().number == 0
     follower.heard(clock.boot(), "a", VersionCommitted(1, encode(version(6))))
     effects.apply()
-    assert told[-1].machines == (machine(1, CacheState.READY),)
+    assert told[-1].machines == (machine(1, EndpointState.READY),)
     (tmp_path / "adopted").write_bytes(b"spoilt")
     with pytest.raises(RulesError):
         kept.load()
@@ -390,10 +390,10 @@
     effects.apply()
     follower.heard(clock.boot(), "a", VersionCommitted(1, encode(version(4))))
     effects.apply()
-    assert told[-1].machines == (machine(1, CacheState.DRAINING),) and effects.number == 5
+    assert told[-1].machines == (machine(1, EndpointState.DRAINING),) and effects.number == 5
     lease(follower, 4)  # the voters have lost it: what they answer holds
     effects.apply()
-    assert told[-1].machines == (machine(1, CacheState.READY),) and effects.number == 4
+    assert told[-1].machines == (machine(1, EndpointState.READY),) and effects.number == 4
 
 
 def test_a_start_waits_for_an_answer_and_not_for_what_comes_by_the_way() -> None:
@@ -412,8 +412,8 @@
     follower.heard(clock.boot(), "a", VersionCommitted(1, encode(version(2, DRAINS))))
     lease(follower, 2)
     effects.apply()
-    news = effects.listed(ListNews(ListScope.CHANGES, (machine(1, CacheState.READY),)))
-    assert news.machines[0].state is CacheState.DRAINING
+    news = effects.listed(EndpointUpdate(UpdateScope.CHANGES, (machine(1, EndpointState.READY),)))
+    assert news.machines[0].state is EndpointState.DRAINING
 
 
 def test_a_version_that_can_be_used_in_part_alone_gives_no_lease_and_its_orders_hold() -> None:
@@ -433,7 +433,7 @@
     effects.apply()
     effects.apply()
     assert effects.cautious and effects.report().number == 2 and effects.report().cautious
-    assert told[-1].machines == (machine(1, CacheState.DRAINING),)
+    assert told[-1].machines == (machine(1, EndpointState.DRAINING),)
     assert made == [(2, False, False), (2, True, True)]  # what may not be repeated is refused
     follower.heard(clock.boot(), "a", VersionCommitted(1, encode(version(4, DRAINS))))
     lease(follower, 4)
@@ -471,14 +471,14 @@
 
 
 def test_a_report_counts_its_span_and_what_is_open_now() -> None:
-    cls: Any = SimpleNamespace(effect=Effect.KEYED, worth=2.0, on_time=clock.SECOND)
+    cls: Any = SimpleNamespace(effect=Idempotency.KEYED, worth=2.0, on_time=clock.SECOND)
     tally = ReportCounters((cls,), 0, 2)
     attempt: Any = SimpleNamespace(cache=1, source=2, ended=False)
     request: Any = SimpleNamespace(cls=0, tenant="acme", shard="north", came=0, attempts=[attempt], over=True)
     attempt.request = request
     tally.sent(attempt, 0)
     tally.answered(request, 200, clock.SECOND // 2)
-    tally.ended(request, Note.HIT, clock.SECOND // 2)
+    tally.ended(request, CacheStatus.HIT, clock.SECOND // 2)
     about = report("f", 2)
     told = tally.report(clock.SECOND, about, [request], [], {1: "s-1", 2: "p-1"})
     assert dict(told.open_at) == {"s-1": 1, "p-1": 1} and told.open_keyed == (("acme", "north", 1),)
