--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -24,6 +24,7 @@
 
 NAME = "KNOWN-RED.txt"
 MOST = 3  # lines
+ID = pytest.StashKey[str]()  # as it is in the list
 FORM = "tests/test_x.py::test_name | cause | issue 40"
 TEST, ISSUE = re.compile(r"tests/(\w+/)*test_\w+\.py::\S.*"), re.compile(r"issue [1-9][0-9]*")
 
@@ -89,6 +90,8 @@
     @pytest.hookimpl(tryfirst=True)  # before anything is deselected
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
         here = {item.nodeid for item in items}
+        for item in items:  # pytest-xdist will write the group of a test behind its id
+            item.stash[ID] = item.nodeid
         self._check(line for line in self.listed.values() if line.test not in here and self._whole(line.file))
         if hasattr(self.config, "workeroutput") and NAME in self.config.workeroutput:
             items.clear()
@@ -126,7 +129,7 @@
         self, item: pytest.Item, call: pytest.CallInfo[None]
     ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
         report = yield
-        line = self.listed.get(item.nodeid)
+        line = self.listed.get(item.stash[ID])
         if hasattr(report, "wasxfail"):
             del report.wasxfail
             self._fail(
@@ -141,7 +144,8 @@
         elif report.passed and report.when == "call":
             self._fail(report, f"passes again: take line {line.number} out of {NAME}")
         elif report.failed and report.when != "teardown" and call.excinfo is not None:
-            report.user_properties.append((NAME, call.excinfo.exconly().partition("\n")[0]))
+            why = call.excinfo.exconly().partition("\n")[0]
+            report.user_properties.append((NAME, [line.test, why]))
             report.outcome, report.wasxfail = "skipped", f"{line.cause} | {line.issue}"
         return report
 
@@ -149,9 +153,10 @@
         report.outcome, report.longrepr = "failed", why
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        for name, why in report.user_properties:
-            if name == NAME:
-                self.failed[report.nodeid] = str(why)
+        for name, value in report.user_properties:
+            if name == NAME and isinstance(value, list):
+                test, why = value
+                self.failed[test] = why
 
     def pytest_terminal_summary(self, terminalreporter: TerminalReporter) -> None:
         for line in self.listed.values():
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -80,6 +80,20 @@
         assert f"known red: {line.strip()} | {error}" in out
 
 
+@pytest.mark.parametrize("dist", ["load", "loadgroup"])
+def test_a_test_of_a_group_is_known_by_its_own_id(suite: Suite, dist: str) -> None:
+    """Also where side by side its group stands behind it; the same for one that passes again."""
+    words = ("--dist", dist) if suite.options else ()
+    group = "import pytest\npytestmark = pytest.mark.xdist_group('@[g]')\n"
+    suite.write("test_x", group + RED + GOOD).list(LINE)
+    code, out = suite.run(*words)
+    assert code == 0 and "1 passed, 1 xfailed" in out, out
+    assert f"known red: {LINE.strip()} | ValueError: still broken" in out
+    suite.list(LINE.replace("test_red", "test_good"))
+    code, out = suite.run(*words)
+    assert code == 1 and "2 failed" in out and "passes again: take line 1 out" in out, out
+
+
 def test_what_is_not_listed_fails_the_run(suite: Suite) -> None:
     """Neither a listed neighbour nor a case of the same test covers it, nor an id without its case."""
     suite.write("test_x", RED + RED.replace("red", "other")).write("test_z", CASES.replace("== 'a'", "== ''"))
