--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -17,7 +17,7 @@
 from quincepier.errors import QuincepierError
 from quincepier.lifecycle import signals
 from quincepier.memory.buffer_pool import BufferPool
-from quincepier.memory.memory_budget import divide_memory, own_memory
+from quincepier.memory.memory_budget import divide_memory, resident_bytes
 from quincepier.net.actor import Actor
 from quincepier.net.clients import ConnectionManager
 from quincepier.net.listener import Listener
@@ -42,10 +42,10 @@
         self, config: FrontConfig, path: str | None = None, operators: Operators | None = None
     ) -> None:
         self.config, self.path, self.checks, self.operators = config, path, Checks(), operators
-        budget = divide_memory(config.memory_mb, own_memory(), config.max_open)
+        budget = divide_memory(config.memory_mb, resident_bytes(), config.max_open)
         self.descriptors = Descriptors(config.sockets)
         reserve = self.descriptors.clients_most + self.descriptors.caches_most
-        self.pool = BufferPool(budget.buffers, min(reserve, budget.buffers // 2))
+        self.pool = BufferPool(budget.max_buffers, min(reserve, budget.max_buffers // 2))
         self.module = ModuleActor(config, self.checks, self.pool, self.descriptors, self._make_room, budget)
         if operators is not None:
             operators.equip(self.module)
@@ -201,7 +201,7 @@
             memory_kb=used.ru_maxrss,
             descriptors=self.descriptors.peak,
             lag_ms=round(self.lag_most / clock.MS),
-            requests=self.module.requests.taken,
+            requests=self.module.requests.accepted,
         )
         told.info(
             "front {} {}: CPU {:.2f} s, memory {:.0f} MB at most, descriptors {} at most, buffers {} of {}, "
@@ -211,10 +211,10 @@
             used.ru_utime + used.ru_stime,
             used.ru_maxrss / 1024,
             self.descriptors.peak,
-            self.pool.made,
-            self.pool.most,
+            self.pool.allocated,
+            self.pool.max_buffers,
             self.lag_most / clock.MS,
-            self.module.requests.taken,
+            self.module.requests.accepted,
             ", ".join(f"{kind} {n}" for kind, n in sorted(self.checks.counts.items())) or "none",
         )
 
--- a/quincepier/memory/__init__.py
+++ b/quincepier/memory/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in memory: buffers, open requests, the directory of machines."""
+"""State held in memory: buffer pool, memory budget, open request table, machine directory."""
--- a/quincepier/memory/buffer_pool.py
+++ b/quincepier/memory/buffer_pool.py
@@ -1,69 +1,97 @@
-"""Buffers of one size, used again, with a hard cap; and objects kept in them."""
+"""A bounded pool of equally sized buffers, and object bodies stored in them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
 
 BUFFER_SIZE = 16_384
+"""Bytes of one buffer."""
 
 
 class BufferPool:
-    def __init__(self, most: int, reserve: int = 0) -> None:
-        self.most, self.made = most, 0
-        self.reserve = reserve  # left for connections to read into, whatever objects are held
-        self.free: list[bytearray] = []
-        self.on_free: Callable[[], None] | None = None  # told when buffers come back
+    """Buffers of `BUFFER_SIZE` bytes which are reused, with a hard limit on their number.
+
+    Args:
+        max_buffers: Limit on the buffers allocated at any time.
+        reserved: Buffers of that limit which bodies may not use, so that connections can always read.
+
+    Attributes:
+        allocated: Buffers allocated so far, in use or free.
+        on_release: Called after buffers have come back, if set.
+    """
+
+    def __init__(self, max_buffers: int, reserved: int = 0) -> None:
+        self.max_buffers = max_buffers
+        self.reserved = reserved
+        self.allocated = 0
+        self.on_release: Callable[[], None] | None = None
+        self._free: list[bytearray] = []
 
     @property
     def used(self) -> int:
-        return self.made - len(self.free)
+        """Buffers that are in use now."""
+        return self.allocated - len(self._free)
+
+    def acquire(self, count: int = 1, reserved: int = 0) -> list[bytearray] | None:
+        """Take buffers out of the pool, all or none.
 
-    def take(self, count: int = 1, reserve: int = 0) -> list[bytearray] | None:
-        """So many buffers, or None where the cap less the reserve leaves fewer."""
-        if self.used + count > self.most - reserve:
+        Args:
+            count: Number of buffers.
+            reserved: Buffers of the limit which must stay available to others.
+
+        Returns:
+            The buffers, or None if the limit does not allow that many.
+        """
+        if self.used + count > self.max_buffers - reserved:
             return None
-        taken = [self.free.pop() for _ in range(min(count, len(self.free)))]
-        while len(taken) < count:
-            taken.append(bytearray(BUFFER_SIZE))
-            self.made += 1
-        return taken
-
-    def give(self, buffers: list[bytearray]) -> None:
-        self.free += buffers
-        if buffers and self.on_free is not None:
-            self.on_free()
+        acquired = [self._free.pop() for _ in range(min(count, len(self._free)))]
+        while len(acquired) < count:
+            acquired.append(bytearray(BUFFER_SIZE))
+            self.allocated += 1
+        return acquired
+
+    def release(self, buffers: list[bytearray]) -> None:
+        """Give buffers back. The list is cleared, so releasing it again has no effect."""
+        self._free += buffers
+        if buffers and self.on_release is not None:
+            self.on_release()
         buffers.clear()
 
 
 class PooledBody:
-    """One object's bytes in buffers of the pool, all of them taken at once; given back by `release`."""
+    """The bytes of one object, in buffers of a pool that are acquired together."""
 
     def __init__(self, pool: BufferPool, buffers: list[bytearray]) -> None:
-        self.pool, self.buffers, self.length = pool, buffers, 0
+        self.pool = pool
+        self.buffers = buffers
+        self.length = 0
 
     @classmethod
-    def of_length(cls, pool: BufferPool, length: int) -> PooledBody | None:
-        """Room for so many bytes, or None where the pool has too little."""
-        buffers = pool.take(-(-length // BUFFER_SIZE), pool.reserve)
+    def allocate(cls, pool: BufferPool, length: int) -> PooledBody | None:
+        """Return an empty body with room for `length` bytes, or None if the pool has too little room."""
+        buffers = pool.acquire(-(-length // BUFFER_SIZE), pool.reserved)
         return None if buffers is None else cls(pool, buffers)
 
     def append(self, data: bytes | memoryview) -> None:
-        at, size = 0, len(data)
-        while at < size:
-            buffer, inside = divmod(self.length, BUFFER_SIZE)
-            part = min(size - at, BUFFER_SIZE - inside)
-            self.buffers[buffer][inside : inside + part] = data[at : at + part]
-            self.length += part
-            at += part
+        """Copy `data` to the end of the body."""
+        copied = 0
+        while copied < len(data):
+            index, offset = divmod(self.length, BUFFER_SIZE)
+            size = min(len(data) - copied, BUFFER_SIZE - offset)
+            self.buffers[index][offset : offset + size] = data[copied : copied + size]
+            self.length += size
+            copied += size
 
     def chunks(self) -> Iterator[memoryview]:
-        left = self.length
+        """Yield the bytes, one view a buffer."""
+        remaining = self.length
         for buffer in self.buffers:
-            if left <= 0:
+            if remaining <= 0:
                 break
-            yield memoryview(buffer)[: min(left, BUFFER_SIZE)]
-            left -= BUFFER_SIZE
+            yield memoryview(buffer)[: min(remaining, BUFFER_SIZE)]
+            remaining -= BUFFER_SIZE
 
     def release(self) -> None:
+        """Give the buffers back to the pool; calling it again has no effect."""
         self.length = 0
-        self.pool.give(self.buffers)
+        self.pool.release(self.buffers)
--- a/quincepier/memory/machine_directory.py
+++ b/quincepier/memory/machine_directory.py
@@ -1,4 +1,4 @@
-"""The directory of machines: host id to the module's number and back, addresses, and what the list said last.
+"""The machine directory: machine numbers by host id and back, and what the endpoint list said last of each.
 
 A number follows from the host id alone, so that all fronts hash an object to the same machine.
 """
@@ -14,73 +14,122 @@
 from quincepier.wire.changelog import FleetChange, HostRecord
 from quincepier.wire.errors import ProtocolError
 
+MAX_MACHINE_NUMBER = 0xFFFFFFFF
+CELL_MASK = 0xFFFF
+
 
 @dataclass(slots=True)
 class MachineEntry:
+    """A listed machine: its record as received, and the same as the router takes it."""
+
     record: HostRecord
     machine: Machine
 
 
 class MachineDirectory:
+    """All listed machines, and the numbers of unlisted ones that are still in use.
+
+    Args:
+        zones: Names of the zones, in the order of their numbers.
+        kinds: Names of the kinds of machine, in the order of their numbers.
+
+    Attributes:
+        entry_by_host: The listed machines, by host id.
+        host_by_number: Host ids of machines that are listed or still in use.
+    """
+
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
-        self.zones = {name: n for n, name in enumerate(zones)}
-        self.kinds = {name: n for n, name in enumerate(kinds)}
-        self.entries: dict[str, MachineEntry] = {}
-        self.numbers: dict[str, int] = {}  # of the hosts listed, and of those that are still in use
-        self.hosts: dict[int, str] = {}
-
-    def number(self, host: str) -> int:
-        if host not in self.numbers:
-            number = int.from_bytes(hashlib.blake2b(host.encode(), digest_size=4).digest(), "little") or 1
-            while number in self.hosts:
-                number = number % 0xFFFFFFFF + 1
-            self.numbers[host], self.hosts[number] = number, host
-        return self.numbers[host]
-
-    def entry(self, number: int) -> MachineEntry | None:
-        return self.entries.get(self.hosts.get(number, ""))
-
-    def _machine(self, record: HostRecord) -> Machine:
-        if record.site not in self.zones or record.kind not in self.kinds:
+        self.zone_by_name = {name: zone for zone, name in enumerate(zones)}
+        self.kind_by_name = {name: kind for kind, name in enumerate(kinds)}
+        self.entry_by_host: dict[str, MachineEntry] = {}
+        self.number_by_host: dict[str, int] = {}
+        self.host_by_number: dict[int, str] = {}
+
+    def assign_number(self, host: str) -> int:
+        """Return the number of a host id; a first use assigns it."""
+        if host not in self.number_by_host:
+            digest = hashlib.blake2b(host.encode(), digest_size=4).digest()
+            number = int.from_bytes(digest, "little") or 1
+            while number in self.host_by_number:
+                number = number % MAX_MACHINE_NUMBER + 1
+            self.number_by_host[host] = number
+            self.host_by_number[number] = host
+        return self.number_by_host[host]
+
+    def find_entry(self, number: int) -> MachineEntry | None:
+        """Return the listed machine of this number, or None."""
+        return self.entry_by_host.get(self.host_by_number.get(number, ""))
+
+    def _to_machine(self, record: HostRecord) -> Machine:
+        if record.site not in self.zone_by_name or record.kind not in self.kind_by_name:
             raise ProtocolError(f"host {record.host[:40]} has an unknown site or class")
-        before = self.entries.get(record.host)
-        # the same start stays the same time, though the clocks may drift apart
-        known = before is not None and before.record.born_ms == record.born_ms
-        up_since = before.machine.up_since if before and known else clock.since(record.born_ms)
-        number, cell = self.number(record.host), record.cell & 0xFFFF
-        kind, zone = self.kinds[record.kind], self.zones[record.site]
-        return Machine(number, kind, zone, cell, record.size, up_since, record.state)
+        return Machine(
+            self.assign_number(record.host),
+            self.kind_by_name[record.kind],
+            self.zone_by_name[record.site],
+            record.cell & CELL_MASK,
+            record.size,
+            self._up_since(record),
+            record.state,
+        )
+
+    def _up_since(self, record: HostRecord) -> int:
+        """Convert the start time; the same start keeps its first conversion, as the clocks may drift."""
+        previous = self.entry_by_host.get(record.host)
+        if previous is not None and previous.record.born_ms == record.born_ms:
+            return previous.machine.up_since
+        return clock.since(record.born_ms)
 
     def apply(self, change: FleetChange, scope: ListScope = ListScope.CHANGES) -> ListNews:
-        """Take a change in whole or, where a record of it can't be used, not at all.
+        """Apply a change completely or, if one of its records can't be used, not at all.
+
+        The last record of a host counts. A new machine at the address of another one implies that the other
+        has gone, reported or not: what is meant for it would reach the new one.
 
-        Of a host named twice the last record counts. Where a machine comes at the address of another, that
-        one has gone, told or not yet: what is meant for it would reach the new one.
+        Args:
+            change: Records of hosts, all or those that changed.
+            scope: How the router is to take the result.
+
+        Returns:
+            The changed machines, as the router takes them.
+
+        Raises:
+            ProtocolError: A record names a zone or kind that the settings don't have.
         """
-        entries = {record.host: MachineEntry(record, self._machine(record)) for record in change.hosts}
-        new = [e for e in entries.values() if e.record.host not in self.entries]
-        left = {e.record.address for e in entries.values() if e.machine.state is CacheState.GONE}
-        came = {e.record.address for e in new if e.machine.state is CacheState.READY} - left - {None}
-        for host, old in self.entries.items():
-            if old.record.address in came and host not in entries and not change.whole:
-                entries[host] = MachineEntry(old.record, replace(old.machine, state=CacheState.GONE))
+        changed = {record.host: MachineEntry(record, self._to_machine(record)) for record in change.hosts}
+        if not change.whole:
+            changed |= self._replaced_entries(changed)
         if change.whole:
-            self.entries.clear()
-        for entry in entries.values():
+            self.entry_by_host.clear()
+        for host, entry in changed.items():
             if entry.machine.state is CacheState.GONE:
-                self.entries.pop(entry.record.host, None)
+                self.entry_by_host.pop(host, None)
             else:
-                self.entries[entry.record.host] = entry
-        return ListNews(scope, tuple(entry.machine for entry in entries.values()))
-
-    def whole(self) -> ListNews:
-        return ListNews(ListScope.FULL, tuple(entry.machine for entry in self.entries.values()))
-
-    def forget(self, used: Collection[int]) -> None:
-        """Let go of hosts that are off the list and that nothing open refers to."""
-        for number, host in list(self.hosts.items()):
-            if host not in self.entries and number not in used:
-                del self.hosts[number], self.numbers[host]
-
-    def listed(self) -> Iterable[tuple[int, HostRecord]]:
-        return ((entry.machine.cache, entry.record) for entry in self.entries.values())
+                self.entry_by_host[host] = entry
+        return ListNews(scope, tuple(entry.machine for entry in changed.values()))
+
+    def _replaced_entries(self, changed: dict[str, MachineEntry]) -> dict[str, MachineEntry]:
+        """Entries, as gone, of listed machines whose address a new machine has."""
+        new = [entry for host, entry in changed.items() if host not in self.entry_by_host]
+        freed = {e.record.address for e in changed.values() if e.machine.state is CacheState.GONE}
+        occupied = {e.record.address for e in new if e.machine.state is CacheState.READY} - freed - {None}
+        return {
+            host: MachineEntry(entry.record, replace(entry.machine, state=CacheState.GONE))
+            for host, entry in self.entry_by_host.items()
+            if entry.record.address in occupied and host not in changed
+        }
+
+    def full_list(self) -> ListNews:
+        """Return all listed machines, as the router takes them."""
+        return ListNews(ListScope.FULL, tuple(entry.machine for entry in self.entry_by_host.values()))
+
+    def forget_unlisted(self, used: Collection[int]) -> None:
+        """Drop the numbers of hosts that are neither listed nor among the `used` numbers."""
+        for number, host in list(self.host_by_number.items()):
+            if host not in self.entry_by_host and number not in used:
+                del self.host_by_number[number]
+                del self.number_by_host[host]
+
+    def listed_hosts(self) -> Iterable[tuple[int, HostRecord]]:
+        """Yield the number and the record of each listed machine."""
+        return ((entry.machine.cache, entry.record) for entry in self.entry_by_host.values())
--- a/quincepier/memory/memory_budget.py
+++ b/quincepier/memory/memory_budget.py
@@ -1,4 +1,4 @@
-"""How the memory limit is shared out: what the program takes itself is measured, the rest has parts."""
+"""Divides the memory limit: what the process uses itself is measured, the remainder is split by purpose."""
 
 from __future__ import annotations
 
@@ -9,34 +9,56 @@
 from quincepier.memory.buffer_pool import BUFFER_SIZE
 
 MB = 1024 * 1024
-OWN_GUESS = 30 * MB  # where the system does not tell what the program takes
-SPARE = 0.15  # of the limit: growth of the program, the kernel's share, files
-LEAST = 0.1  # of the limit: shared out even where the program leaves less
-BUFFERS, BODIES, REQUESTS = 0.5, 0.12, 0.2  # of what is left; the rest is for connections and tables
-REQUEST_COST = 6 * 1024  # bytes of one open request with its attempts, timers and commands, bodies apart
+DEFAULT_RESIDENT_BYTES = 30 * MB  # assumed where the system does not report the resident size
+HEADROOM_FRACTION = 0.15  # of the limit: growth of the process, the kernel's buffers, files
+MIN_DIVIDED_FRACTION = 0.1  # of the limit: divided even where the process leaves less
+# Fractions of what is divided; connections and tables use the remainder.
+BUFFER_FRACTION = 0.5
+BODY_FRACTION = 0.12
+REQUEST_FRACTION = 0.2
+REQUEST_BYTES = 6 * 1024  # one open request with its attempts, timers and commands, without its body
+MIN_BUFFERS = 64
+MIN_BODY_BYTES = 256 * 1024
+MIN_OPEN_REQUESTS = 64
 
 
 @dataclass(slots=True, frozen=True)
 class MemoryBudget:
-    buffers: int  # of one size, over all connections and objects
-    bodies: int  # bytes of requests' bodies
-    requests: int  # open at a time
+    """Limits that follow from the memory limit.
 
+    Attributes:
+        max_buffers: Buffers of `BUFFER_SIZE`, over all connections and objects.
+        max_body_bytes: Bytes of all request bodies together.
+        max_open_requests: Requests that may be open at a time.
+    """
 
-def own_memory() -> int:
-    """Bytes that the process has resident now."""
+    max_buffers: int
+    max_body_bytes: int
+    max_open_requests: int
+
+
+def resident_bytes() -> int:
+    """Return the resident size of this process, in bytes."""
     try:
         pages = int(Path("/proc/self/statm").read_text().split()[1])
     except (OSError, ValueError, IndexError):
-        return OWN_GUESS
+        return DEFAULT_RESIDENT_BYTES
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
-def divide_memory(memory_mb: int, own: int, max_open: int) -> MemoryBudget:
+def divide_memory(memory_mb: int, resident: int, max_open_requests: int) -> MemoryBudget:
+    """Divide the memory limit.
+
+    Args:
+        memory_mb: The limit of the process, in megabytes.
+        resident: Bytes that the process uses before it serves.
+        max_open_requests: Upper limit on open requests, whatever memory there is.
+    """
     limit = memory_mb * MB
-    left = max(limit * (1 - SPARE) - own, limit * LEAST)
+    divided = max(limit * (1 - HEADROOM_FRACTION) - resident, limit * MIN_DIVIDED_FRACTION)
+    open_requests = min(int(divided * REQUEST_FRACTION / REQUEST_BYTES), max_open_requests)
     return MemoryBudget(
-        buffers=max(int(left * BUFFERS / BUFFER_SIZE), 64),
-        bodies=max(int(left * BODIES), 256 * 1024),
-        requests=max(min(int(left * REQUESTS / REQUEST_COST), max_open), 64),
+        max_buffers=max(int(divided * BUFFER_FRACTION / BUFFER_SIZE), MIN_BUFFERS),
+        max_body_bytes=max(int(divided * BODY_FRACTION), MIN_BODY_BYTES),
+        max_open_requests=max(open_requests, MIN_OPEN_REQUESTS),
     )
--- a/quincepier/memory/open_requests.py
+++ b/quincepier/memory/open_requests.py
@@ -1,100 +1,159 @@
-"""Open requests and their attempts. Numbers are the module's, not used again while they may matter."""
+"""The table of open requests and their attempts; a request number is not reused while it may still matter."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-NUMBERS = 1 << 32  # the module's request numbers lie below
+REQUEST_NUMBER_LIMIT = 1 << 32  # request numbers are below this
 
 
-class Owner(Protocol):
-    """Whoever asked, and gets the answer."""
+class ResponseReceiver(Protocol):
+    """The client connection that sent a request and takes its response."""
 
-    def push(self, answer: Any) -> None: ...
+    def push(self, answer: Any) -> None:
+        """Queue a response for the client."""
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """What a client asked, as taken from its connection. `came` is when its last byte was read."""
-
-    owner: Owner
-    stream: int  # the request's number on that connection
-    job: str
-    cls: int
+    """A client's request as read from its connection, until it has a response and no attempt is under way.
+
+    Attributes:
+        receiver: Where the response goes.
+        stream_id: The request's number on that connection.
+        job_id: The client's id of the request; one of the requests on the wire to caches.
+        class_index: Index of its class in the settings.
+        class_name: Name of that class.
+        object_key: The object's id as text, 16 hexadecimal digits.
+        object_id: The same as a number.
+        part: Which part of the object is asked for.
+        group: The object's group, of which all may be purged together.
+        is_repeat: Whether the client has sent it before.
+        known_version: Version of the object that the client holds; empty if it holds none.
+        allowed_ns: How long the client waits for a response.
+        received_at_ns: When the last byte of the request was read.
+        body: The request's body.
+        idempotency_key: Of a write that caches deduplicate by this key; passed on unchanged.
+        number: Its number in the table; -1 before it is added.
+        is_finished: It has its final response, or the client has gone.
+        is_cancelled: The client closed or cancelled it; its connection sets this before the router is told.
+        tenant: Its tenant, where placement of tenants is in force.
+        shard: The shard at which the tenant was placed.
+        attempts: All attempts, in their order.
+    """
+
+    receiver: ResponseReceiver
+    stream_id: int
+    job_id: str
+    class_index: int
     class_name: str
-    item: str
-    object: int
+    object_key: str
+    object_id: int
     part: int
     group: int
-    repeat: bool
-    known: str
-    allow: int
-    came: int
+    is_repeat: bool
+    known_version: str
+    allowed_ns: int
+    received_at_ns: int
     body: bytes
-    idempotency_key: str = ""  # of a write whose repeats the caches drop by it; passed on unchanged
+    idempotency_key: str = ""
     number: int = -1
-    over: bool = False  # it has its final answer, or the client has left
-    gone: bool = False  # its client closed or cancelled: set by its connection before the module hears
-    tenant: str = ""  # where fronts settle homes of tenants: whose it is, and at which shard it was placed
+    is_finished: bool = False
+    is_cancelled: bool = False
+    tenant: str = ""
     shard: str = ""
     attempts: list[OpenAttempt] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
 class OpenAttempt:
+    """One attempt to have a request answered by a cache.
+
+    Attributes:
+        request: The request it belongs to.
+        number: Its index among the request's attempts.
+        cache: Number of the machine it is sent to.
+        started_at_ns: When it was started.
+        source: Number of the machine the cache fills from; -1 for none.
+        is_ended: It has an outcome.
+        is_revoked: By a purge, or as its cache or source leaves: its first byte must not be sent.
+        first_byte_deadline_ns: From then on its first byte would be a repeat that may do harm; 0 for none.
+    """
+
     request: OpenRequest
-    no: int
+    number: int
     cache: int
-    at: int
+    started_at_ns: int
     source: int = -1
-    ended: bool = False
-    recalled: bool = False  # at a purge, or as its cache or source leaves: its first byte is not to go out
-    latest: int = 0  # from this moment on its first byte would be a repeat that may do harm; 0: never
+    is_ended: bool = False
+    is_revoked: bool = False
+    first_byte_deadline_ns: int = 0
 
-    def barred(self, now: int) -> bool:
-        """Whether its first byte is not to go out any more, wherever it waits."""
-        unasked = self.request.gone or self.request.over
-        return unasked or self.recalled or 0 < self.latest <= now
+    def is_barred(self, now_ns: int) -> bool:
+        """Whether its first byte must not be sent any more, wherever the attempt waits."""
+        if self.request.is_cancelled or self.request.is_finished or self.is_revoked:
+            return True
+        return 0 < self.first_byte_deadline_ns <= now_ns
 
 
 class OpenRequestTable:
-    """Requests by number, kept until they are over and none of their attempts is out."""
-
-    def __init__(self, most: int) -> None:
-        self.most, self.next = most, 1
-        self.open: dict[int, OpenRequest] = {}
-        self.jobs: set[str] = set()  # ids of the open ones: none of them goes out for anything else
-        self.unanswered = self.taken = 0
+    """Open requests by number, kept until they are finished and all their attempts have ended.
+
+    Args:
+        max_requests: Limit on open requests; the caller checks `is_full` before it adds one.
+
+    Attributes:
+        request_by_number: The open requests.
+        job_ids: Client's ids of the open requests; none of these may be used for anything else on the wire.
+        next_number: The number to be tried next.
+        unanswered: Requests without a final response.
+        accepted: Requests added so far.
+    """
+
+    def __init__(self, max_requests: int) -> None:
+        self.max_requests = max_requests
+        self.request_by_number: dict[int, OpenRequest] = {}
+        self.job_ids: set[str] = set()
+        self.next_number = 1
+        self.unanswered = 0
+        self.accepted = 0
 
     @property
-    def full(self) -> bool:
-        return len(self.open) >= self.most
+    def is_full(self) -> bool:
+        """Whether the limit is reached."""
+        return len(self.request_by_number) >= self.max_requests
 
     def add(self, request: OpenRequest) -> None:
-        while self.next in self.open:
-            self.next = self.next % (NUMBERS - 1) + 1
-        request.number = self.next
-        self.next = self.next % (NUMBERS - 1) + 1
-        self.open[request.number] = request
-        self.jobs.add(request.job)
+        """Add a request under the next free number."""
+        while self.next_number in self.request_by_number:
+            self._advance_number()
+        request.number = self.next_number
+        self._advance_number()
+        self.request_by_number[request.number] = request
+        self.job_ids.add(request.job_id)
         self.unanswered += 1
-        self.taken += 1
+        self.accepted += 1
 
-    def attempt(self, request: OpenRequest, cache: int, now: int, source: int = -1) -> OpenAttempt:
-        attempt = OpenAttempt(request, len(request.attempts), cache, now, source)
+    def _advance_number(self) -> None:
+        self.next_number = self.next_number % (REQUEST_NUMBER_LIMIT - 1) + 1
+
+    def start_attempt(self, request: OpenRequest, cache: int, now_ns: int, source: int = -1) -> OpenAttempt:
+        """Add an attempt to a request."""
+        attempt = OpenAttempt(request, len(request.attempts), cache, now_ns, source)
         request.attempts.append(attempt)
         return attempt
 
     def finish(self, request: OpenRequest) -> None:
-        """It has its final answer or needs none."""
-        if not request.over:
-            request.over = True
+        """Note that a request has its final response or needs none."""
+        if not request.is_finished:
+            request.is_finished = True
             self.unanswered -= 1
-        self.settle(request)
-
-    def settle(self, request: OpenRequest) -> None:
-        done = request.over and all(attempt.ended for attempt in request.attempts)
-        if done and self.open.pop(request.number, None) is not None:
-            self.jobs.discard(request.job)
-            request.attempts = []  # each points back: without the circle they are freed at once
+        self.remove_if_done(request)
+
+    def remove_if_done(self, request: OpenRequest) -> None:
+        """Remove a request that is finished and whose attempts have all ended."""
+        is_done = request.is_finished and all(attempt.is_ended for attempt in request.attempts)
+        if is_done and self.request_by_number.pop(request.number, None) is not None:
+            self.job_ids.discard(request.job_id)
+            request.attempts = []  # each refers back: without the cycle they are freed at once
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -47,7 +47,7 @@
     def handle(self, message: ToCache) -> None:
         match message:
             case Send(attempt, command, timeout):
-                self._send(attempt.request.job, attempt, command, timeout)
+                self._send(attempt.request.job_id, attempt, command, timeout)
             case CallOff(attempt):
                 self._give_up(attempt, Ending.CANCELLED)
             case Recall(attempt):
@@ -61,11 +61,11 @@
 
     def spoiled(self, message: ToCache) -> None:
         """An attempt that could not be handled may have run or not."""
-        if isinstance(message, Send | CallOff) and not message.attempt.ended:
+        if isinstance(message, Send | CallOff) and not message.attempt.is_ended:
             self.ended(message.attempt, Ending.RESET, clock.now())
 
     def _send(self, id: str, what: OpenAttempt | Probe, command: bytes, timeout: int) -> None:
-        if isinstance(what, OpenAttempt) and what.barred(clock.now()):  # as it waited in the mailbox
+        if isinstance(what, OpenAttempt) and what.is_barred(clock.now()):  # as it waited in the mailbox
             self.ended(what, Ending.MOOT, clock.now())
             return
         connection = self._connection(id)
@@ -89,7 +89,7 @@
     ) -> None:
         """Its connection ended, one of several addresses: on over another, or told as it is."""
         assert self.way is not None
-        recalled = self.leaving or (isinstance(what, OpenAttempt) and what.barred(clock.now()))
+        recalled = self.leaving or (isinstance(what, OpenAttempt) and what.is_barred(clock.now()))
         most = len(self.way.book.entries) if command is not None else 0
         ending = self.way.fate(begun, absent, recalled, self.moves.get(what, 0), most)
         connection = self._connection(id) if ending is None else None
@@ -180,8 +180,8 @@
         self._over(what)
         if isinstance(what, Probe):
             self.shared.module.push(Checked(self.number, ending, at - what.at, ()))
-        elif self.checks.must(not what.ended, "an attempt ends once"):
-            what.ended = True
+        elif self.checks.must(not what.is_ended, "an attempt ends once"):
+            what.is_ended = True
             self.shared.module.push(Ended(what, ending, at, another_way=another_way))
 
     def answered(self, what: OpenAttempt | Probe, head: lines.Head, body: PooledBody | None, at: int) -> None:
@@ -189,8 +189,8 @@
         report = report_of(head, self.shared.config.report_fields)
         if isinstance(what, Probe):
             self.shared.module.push(Checked(self.number, PROBE_WORDS[head.word], at - what.at, report))
-        elif self.checks.must(not what.ended, "an attempt ends once"):
-            what.ended = True
+        elif self.checks.must(not what.is_ended, "an attempt ends once"):
+            what.is_ended = True
             still = head.word == "unchanged"
             end = Ended(what, ENDINGS[head.word], at, note_of(head), waited_of(head), report, body, still)
             self.shared.module.push(end)
--- a/quincepier/net/client.py
+++ b/quincepier/net/client.py
@@ -123,7 +123,7 @@
             for outgoing in session.sending:
                 outgoing.release()
             for request in session.open.values():
-                request.gone = True
+                request.is_cancelled = True
                 self._forget(request)
                 manager.module.push(Left(request))
         if self.writer is not None:
@@ -153,7 +153,7 @@
         """What the module has not taken up yet is not to be sent on any more."""
         for request in list(self.session.open.values()) if self.session is not None else ():
             if request.number < 0:
-                request.over = True
+                request.is_finished = True
                 self.push(Answer(request, 503, wait_ms=self.manager.wait_ms()))
 
     def fail_unbegun(self) -> int:
--- a/quincepier/net/clients.py
+++ b/quincepier/net/clients.py
@@ -53,8 +53,8 @@
         most = self.descriptors.clients_most
         caps = Caps(most) if places is None else places.caps(most)
         self.registry: ConnectionRegistry[ClientConnection] = ConnectionRegistry(caps)
-        self.bodies, self.bodies_most = 0, means.budget.bodies
-        buffers = means.pool.take()
+        self.bodies, self.bodies_most = 0, means.budget.max_body_bytes
+        buffers = means.pool.acquire()
         assert buffers is not None, "the first buffer of the pool is there"
         self.scratch = memoryview(buffers[0])  # all connections are read into it, each for a moment
         self.lingering = Lingering(self.checks, self.descriptors, self.scratch)
@@ -115,7 +115,7 @@
         """Who has taken nothing of its answers for longest, and for long, with none still to be made."""
         latest = self.active_clock.time - int(STALLED_FOR * clock.SECOND)
         found = [c for c, (_, since) in self.stalled.items() if since <= latest and not c.closed]
-        done = [c for c in found if c.session and all(r.over for r in c.session.open.values())]
+        done = [c for c in found if c.session and all(r.is_finished for r in c.session.open.values())]
         return min(done, key=lambda c: self.stalled[c][1]) if done else None
 
     def make_room(self) -> None:
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -83,7 +83,10 @@
         self.past(id)
         self.write(None, lines.cancel(id))
         # Nothing heard since it went out: the peer may have lost this connection. New ones try it.
-        silent = self.heard < attempt.at and clock.now() - attempt.at > self.shared.config.dial_timeout
+        silent = (
+            self.heard < attempt.started_at_ns
+            and clock.now() - attempt.started_at_ns > self.shared.config.dial_timeout
+        )
         self.doubtful = self.doubtful or silent
         if silent:
             self.against("silent", owed=True)
@@ -224,11 +227,11 @@
             what, command = self.outgoing[0]
             stale = self.shared.stale
             if isinstance(what, OpenAttempt) and (
-                what.barred(clock.now()) or (stale is not None and stale())
+                what.is_barred(clock.now()) or (stale is not None and stale())
             ):
                 # looked at right before its first byte: a front that stood still may have lost its lease
                 self.outgoing.popleft()
-                self.open.pop(what.request.job, None)
+                self.open.pop(what.request.job_id, None)
                 self.actor.ended(what, Ending.MOOT, clock.now())
                 continue
             try:
@@ -261,7 +264,7 @@
         await self._readable(loop, sock)
         try:
             while True:
-                while (buffers := pool.take()) is None:
+                while (buffers := pool.acquire()) is None:
                     await asyncio.sleep(NO_BUFFER_PAUSE)
                 try:
                     view = memoryview(buffers[0])
@@ -273,7 +276,7 @@
                 except (BlockingIOError, InterruptedError):
                     row = 0
                 finally:
-                    pool.give(buffers)
+                    pool.release(buffers)
                 if not row:
                     await self._readable(loop, sock)
                 elif row % READS == 0:  # others get their turn
@@ -326,7 +329,7 @@
         self.surplus = False
         if isinstance(what, Probe) != (head.word in PROBE_WORDS):
             raise ProtocolError(f"the answer {head.word} to another command")
-        if isinstance(what, OpenAttempt) and head.word == "unchanged" and not what.request.known:
+        if isinstance(what, OpenAttempt) and head.word == "unchanged" and not what.request.known_version:
             raise ProtocolError("unchanged, though no copy was named")
         if isinstance(what, OpenAttempt) and head.word == "data":
             self.body = await self.shared.room(head.length)
--- a/quincepier/net/fleet/active_rules.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -82,14 +82,16 @@
             return None
         from quincepier.tenancy import PlacementTable
 
-        settings, number = self.module.config.settings, self.module.directory.numbers.get
+        settings, number = self.module.config.settings, self.module.directory.number_by_host.get
         return PlacementTable(version, cautious, number, self.tenants, settings.classes, self.listed, unsure)
 
     def listed(self) -> tuple[frozenset[int], frozenset[int]]:
         """Numbers of the caches and of the parents that the log lists as ready."""
         s = self.module.config.settings
         ready = [
-            e.machine for e in self.module.directory.entries.values() if e.machine.state is CacheState.READY
+            e.machine
+            for e in self.module.directory.entry_by_host.values()
+            if e.machine.state is CacheState.READY
         ]
         upper = (s.parent_kind, s.origin_kind)
         caches = frozenset(m.cache for m in ready if m.kind not in upper)
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -69,7 +69,7 @@
             self._perform(self.checker.tick(now))
 
     def _have(self, version: RuleVersion) -> None:
-        entries = sorted(self.module.directory.entries.values(), key=lambda e: e.record.host)
+        entries = sorted(self.module.directory.entry_by_host.values(), key=lambda e: e.record.host)
         self.lines = tuple(
             ListedEndpoint(
                 e.record.host, m.cache, m.kind, m.zone, m.cell, m.size, m.state is CacheState.READY
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -301,7 +301,7 @@
 
     def _machines(self) -> dict[str, MachineObservation]:
         s, now, out = self.module.config.settings, clock.now(), dict[str, MachineObservation]()
-        for host, entry in self.module.directory.entries.items():
+        for host, entry in self.module.directory.entry_by_host.items():
             m = entry.machine
             kind = "parent" if m.kind == s.parent_kind else "origin" if m.kind == s.origin_kind else "cache"
             warm = (s.parent_cold_time if kind == "parent" else s.cold_time) + s.cold_window
--- a/quincepier/net/fleet/report_counters.py
+++ b/quincepier/net/fleet/report_counters.py
@@ -54,7 +54,7 @@
         second, r = self._second(now), attempt.request
         if attempt.cache in second.sent or len(second.sent) < HOSTS_MOST:
             second.sent[attempt.cache] += 1
-        if r.tenant and self.classes[r.cls].effect is not Effect.SAFE:
+        if r.tenant and self.classes[r.class_index].effect is not Effect.SAFE:
             key = (r.tenant, r.shard or COMMON)
             if key in self.keyed or len(self.keyed) < ROWS_MOST:
                 self.keyed[key] = now
@@ -71,8 +71,8 @@
                     yield row
 
     def answered(self, r: OpenRequest, status: int, now: int) -> None:
-        cls = self.classes[r.cls]
-        in_time = status == 200 and now - r.came <= cls.on_time
+        cls = self.classes[r.class_index]
+        in_time = status == 200 and now - r.received_at_ns <= cls.on_time
         for row in self._rows(self._second(now), r):
             row[0] += 1
             row[1] += cls.worth
@@ -104,13 +104,17 @@
         for r in requests:
             out = 0
             for attempt in r.attempts:
-                if not attempt.ended:
+                if not attempt.is_ended:
                     out += 1
                     open_at[attempt.cache] += 1
                     if attempt.source >= 0 and attempt.source != attempt.cache:
                         open_at[attempt.source] += 1
             # one that is held counts too: it may be sent on under the version that it came by
-            if (out or not r.over) and r.tenant and self.classes[r.cls].effect is not Effect.SAFE:
+            if (
+                (out or not r.is_finished)
+                and r.tenant
+                and self.classes[r.class_index].effect is not Effect.SAFE
+            ):
                 keyed[r.tenant, r.shard or COMMON] += 1
         self.keyed = {k: at for k, at in self.keyed.items() if now - at < 3600 * clock.SECOND}
         return FrontReport(
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -32,7 +32,7 @@
     def __init__(self, module: ModuleActor, follower: Follower, bearing: ActiveRules, span: int) -> None:
         self.module, self.follower, self.bearing = module, follower, bearing
         self.checks = module.checks
-        self.overlay = EndpointOverlay(module.directory.hosts)
+        self.overlay = EndpointOverlay(module.directory.host_by_number)
         self.tally = ReportCounters(module.config.settings.classes, clock.now(), span)
         self.homes: PlacementTable | None = None
         self.kept: RuleVersion | None = None  # of an earlier start
@@ -98,7 +98,7 @@
             self._take_back()
         self.module.router.homes = self.homes
         leaving = self.bearing.leaving(version, cautious)
-        news = self.overlay.change(leaving, [e.machine for e in self.module.directory.entries.values()])
+        news = self.overlay.change(leaving, [e.machine for e in self.module.directory.entry_by_host.values()])
         if changed:
             self.checks.count("cautious set entered" if cautious else "cautious set left")
             what = "cautious entered" if cautious else "cautious left"
@@ -116,8 +116,8 @@
         """What may not be repeated and is not written goes back to the module: after a standstill its time is
         over, and the tenant may be served at another home. Machines are seen to by their list lines.
         """
-        for request in list(self.module.requests.open.values()):
-            if request.tenant and self.bearing.once[request.cls]:
+        for request in list(self.module.requests.request_by_number.values()):
+            if request.tenant and self.bearing.once[request.class_index]:
                 for attempt in request.attempts:
                     self.module.take_back(attempt)
 
@@ -145,9 +145,9 @@
             self.revision = self.seq
 
     def came(self, event: RequestCame, request: OpenRequest) -> None:
-        event.tenant, request.tenant = self.bearing.tenant_of(request.item)
+        event.tenant, request.tenant = self.bearing.tenant_of(request.object_key)
         if self.homes is not None:
-            once = self.bearing.once[request.cls]
+            once = self.bearing.once[request.class_index]
             request.shard = self.homes.decide(event.tenant, event.object, once, event.repeat)[0]
 
     def sent(self, attempt: OpenAttempt, now: int) -> None:
@@ -164,10 +164,10 @@
 
     def report(self) -> FrontReport:
         module, now = self.module, clock.now()
-        hosts, number = module.directory.hosts, self.follower.version.number
+        hosts, number = module.directory.host_by_number, self.follower.version.number
         aside = [
             entry.record.host
-            for entry in module.directory.entries.values()
+            for entry in module.directory.entry_by_host.values()
             if entry.machine.state is CacheState.READY and self._set_aside(entry.machine.cache)
         ]
         about = FrontReport(
@@ -179,7 +179,7 @@
             0,
             purge_place=self.seq,
         )
-        return self.tally.report(now, about, list(module.requests.open.values()), aside, hosts)
+        return self.tally.report(now, about, list(module.requests.request_by_number.values()), aside, hosts)
 
     def _set_aside(self, number: int) -> bool:
         node = self.module.router.nodes.get(number)
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -69,7 +69,7 @@
         self.means = Means(config, checks, pool, descriptors, self.mailbox, budget)
         self.shared = Shared(self.means, make_room)
         self.directory = MachineDirectory(config.zones, config.kinds)
-        self.requests = OpenRequestTable(budget.requests)
+        self.requests = OpenRequestTable(budget.max_open_requests)
         self.caches: dict[int, CacheActor] = self.shared.actors
         self.timers: Wheel[tuple[int, int]] = Wheel(clock.now(), clock.MS)  # token, the request it is about
         self.alarm: asyncio.TimerHandle | None = None
@@ -105,7 +105,7 @@
                 self._came(request)
             case Left(request):
                 if request.number < 0:  # its turn has not come yet
-                    request.over = True
+                    request.is_finished = True
                 else:
                     self._leave(request)
             case Ended():
@@ -120,7 +120,9 @@
     def _due(self) -> None:
         while (timer := self.timers.take(clock.now())) is not None:
             token, number = timer.what
-            if number >= 0 and ((request := self.requests.open.get(number)) is None or request.over):
+            if number >= 0 and (
+                (request := self.requests.request_by_number.get(number)) is None or request.is_finished
+            ):
                 continue
             self._tell(io.TimerDue(token))
 
@@ -158,22 +160,22 @@
             except Exception as error:
                 kind = f"{type(action).__name__}: {type(error).__name__}: {error}"
                 self.checks.event("exception in the module actor", kind)
-                self._fail(self.requests.open.get(getattr(action, "request", -1)))
+                self._fail(self.requests.request_by_number.get(getattr(action, "request", -1)))
         while self.later:
             self._tell(self.later.popleft())
 
     def _came(self, request: OpenRequest) -> None:
-        if request.over or request.gone:  # the client left as it waited
+        if request.is_finished or request.is_cancelled:  # the client left as it waited
             return
-        if self.requests.full:
+        if self.requests.is_full:
             self.checks.event("request refused: too many open")
-            request.over = True
-            request.owner.push(Answer(request, 503, wait_ms=self.means.config.wait_ms))
+            request.is_finished = True
+            request.receiver.push(Answer(request, 503, wait_ms=self.means.config.wait_ms))
             return
-        if request.job in self.requests.jobs:
+        if request.job_id in self.requests.job_ids:
             self.checks.event("bad request", "HTTP_X_JOB_ID is that of an open request")
-            request.over = True
-            request.owner.push(Answer(request, 409))
+            request.is_finished = True
+            request.receiver.push(Answer(request, 409))
             return
         self.requests.add(request)
         event = request_came(request, clock.now())
@@ -183,23 +185,23 @@
 
     def _leave(self, request: OpenRequest) -> None:
         """Its client is gone: nothing begins for it any more."""
-        if not request.over:
+        if not request.is_finished:
             self.requests.finish(request)
             self._tell(io.ClientLeft(request.number))
 
     def _ended(self, end: Ended) -> None:
         attempt = end.attempt
         request = attempt.request
-        if request.gone:  # heard before its Left, which may stand behind much else
+        if request.is_cancelled:  # heard before its Left, which may stand behind much else
             self._leave(request)
         event = attempt_ended(attempt, end)
         if self.settled is not None:
             self.settled.ended(attempt, end.note)
-        if end.ending is Ending.OK and not request.over:
+        if end.ending is Ending.OK and not request.is_finished:
             self._answer(Answer(request, 200, end.body, end.still))
         elif end.body is not None:
             end.body.release()
-        self.requests.settle(request)
+        self.requests.remove_if_done(request)
         self._tell(event, request)
 
     def _news(self, event: ChangeEvent, scope: ListScope) -> None:
@@ -232,8 +234,8 @@
 
     def _recall(self, purge: PurgeRecord) -> None:
         """What was decided before this purge and is not written yet goes back to the module."""
-        for request in list(self.requests.open.values()):
-            if request.object == purge.object or (purge.object is None and request.group == purge.group):
+        for request in list(self.requests.request_by_number.values()):
+            if request.object_id == purge.object or (purge.object is None and request.group == purge.group):
                 for attempt in request.attempts:
                     self.take_back(attempt)
 
@@ -244,15 +246,15 @@
         if news.scope is not ListScope.CHANGES:
             leaving |= self.caches.keys() - listed.keys()
         if leaving:
-            for request in list(self.requests.open.values()):
+            for request in list(self.requests.request_by_number.values()):
                 for attempt in request.attempts:
                     if attempt.cache in leaving or attempt.source in leaving:
                         self.take_back(attempt)
 
     def take_back(self, attempt: OpenAttempt) -> None:
         """From now on its first byte does not go out; where one has, that is of no effect."""
-        if not attempt.ended and (cache := self.caches.get(attempt.cache)) is not None:
-            attempt.recalled = True
+        if not attempt.is_ended and (cache := self.caches.get(attempt.cache)) is not None:
+            attempt.is_revoked = True
             cache.mailbox.push(Recall(attempt))
 
     def follow_addresses(self, section: AddressesSection) -> None:
@@ -263,7 +265,7 @@
 
     def _follow_list(self, anew: bool = False) -> None:
         """An actor for every machine on the list; those of machines off it end when nothing is open."""
-        listed = {number: record for number, record in self.directory.listed()}
+        listed = {number: record for number, record in self.directory.listed_hosts()}
         for number, record in listed.items():
             if number not in self.caches:
                 self.caches[number] = CacheActor(
@@ -276,7 +278,7 @@
 
     def _askers(self, site: str) -> int:
         settings = self.config.settings
-        return fronts_that_ask(settings.fronts, settings.fronts_by_zone, self.directory.zones[site])
+        return fronts_that_ask(settings.fronts, settings.fronts_by_zone, self.directory.zone_by_name[site])
 
     # Actions
 
@@ -285,8 +287,8 @@
             case io.Ask() | io.Fetch():
                 self._send(action, now)
             case io.Cancel(number, no):
-                request = self.requests.open.get(number)
-                if request is not None and no < len(request.attempts) and not request.attempts[no].ended:
+                request = self.requests.request_by_number.get(number)
+                if request is not None and no < len(request.attempts) and not request.attempts[no].is_ended:
                     attempt = request.attempts[no]
                     if (cache := self.caches.get(attempt.cache)) is not None:
                         cache.mailbox.push(CallOff(attempt))
@@ -302,18 +304,20 @@
                 if machine in self.caches:
                     self.caches[machine].mailbox.push(Check(self.config.report_on_probe))
             case io.Follow():
-                whole = self.directory.whole()
+                whole = self.directory.full_list()
                 self.later.append(whole if self.settled is None else self.settled.listed(whole))
             case io.Log(text):
                 logger.bind(event="module", detail=(named := self._named(text))).info("module: {}", named)
 
     def _named(self, text: str) -> str:
         """A log line of the module with host ids in place of its numbers."""
-        return " ".join(self.directory.hosts.get(int(w), w) if w.isdecimal() else w for w in text.split(" "))
+        return " ".join(
+            self.directory.host_by_number.get(int(w), w) if w.isdecimal() else w for w in text.split(" ")
+        )
 
     def _owed(self, number: int) -> OpenRequest | None:
-        request = self.requests.open.get(number)
-        return request if request is not None and not request.over else None
+        request = self.requests.request_by_number.get(number)
+        return request if request is not None and not request.is_finished else None
 
     def _send(self, action: io.Ask | io.Fetch, now: int) -> None:
         request = self._owed(action.request)
@@ -321,34 +325,34 @@
             return
         assert request is not None
         source = action.source if isinstance(action, io.Fetch) else -1
-        attempt = self.requests.attempt(request, action.cache, now, source)
-        attempt.latest = now + action.within if action.within else 0
-        left = max(request.allow - (now - request.came), 0)
+        attempt = self.requests.start_attempt(request, action.cache, now, source)
+        attempt.first_byte_deadline_ns = now + action.within if action.within else 0
+        left = max(request.allowed_ns - (now - request.received_at_ns), 0)
         timeout = min(action.timeout, left) if action.timeout else left
         cache = self.caches.get(action.cache)
         if cache is None or len(request.attempts) > self.config.settings.attempts:
-            attempt.ended = True
+            attempt.is_ended = True
             self.mailbox.push(Ended(attempt, Ending.MOOT, now))
             return
         if self.settled is not None:
             self.settled.sent(attempt, now)
         fields = serve_fields(action, request, self.directory, timeout)
-        command = lines.serve(request.job, fields, request.body)
+        command = lines.serve(request.job_id, fields, request.body)
         cache.mailbox.push(Send(attempt, command, timeout))
 
     def _answer(self, answer: Answer) -> None:
         request = answer.request
-        if self.checks.must(not request.over, "one final answer a request"):
+        if self.checks.must(not request.is_finished, "one final answer a request"):
             if self.settled is not None:
                 self.settled.answered(request, answer.status)
             self.requests.finish(request)
-            request.owner.push(answer)
+            request.receiver.push(answer)
         elif answer.body is not None:
             answer.body.release()
 
     def _fail(self, request: OpenRequest | None) -> None:
         """After an exception: a failure, as what has run is not known."""
-        if request is not None and not request.over:
+        if request is not None and not request.is_finished:
             self._answer(Answer(request, 500))
 
     def spoiled(self, message: ToModule) -> None:
@@ -367,9 +371,9 @@
                 del self.caches[number]
                 if self.shared.dialer is not None:
                     self.shared.dialer.forget(number)
-        self.directory.forget(self.caches.keys())
+        self.directory.forget_unlisted(self.caches.keys())
 
     def fail_open(self) -> None:
         """The process ends: what is still open is answered as failed, and the module told no more."""
-        for request in [r for r in self.requests.open.values() if not r.over]:
+        for request in [r for r in self.requests.request_by_number.values() if not r.is_finished]:
             self._answer(Answer(request, 502))
--- a/quincepier/net/reading.py
+++ b/quincepier/net/reading.py
@@ -147,7 +147,7 @@
             session.control = deque(item for item in session.control if item[0] != stream)
         request = session.open.pop(stream, None)
         if request is not None:
-            request.gone = True
+            request.is_cancelled = True
             self._forget(request)
             self.manager.module.push(Left(request))
 
--- a/quincepier/net/shared.py
+++ b/quincepier/net/shared.py
@@ -27,7 +27,7 @@
         self.actors: dict[int, CacheActor] = {}
         self.dialer: Dialer | None = None  # where the operators' file has several addresses a machine
         self.stale: Callable[[], bool] | None = None  # whether what was decided before may not hold any more
-        self.pool.on_free = self.freed
+        self.pool.on_release = self.freed
 
     @property
     def config(self) -> FrontConfig:
@@ -60,7 +60,7 @@
 
     async def room(self, length: int) -> PooledBody:
         """Buffers for so many bytes; nothing more is read from the connection until they are there."""
-        while (body := PooledBody.of_length(self.pool, length)) is None:
+        while (body := PooledBody.allocate(self.pool, length)) is None:
             self.checks.count("waits for buffers")
             self.make_room()
             freed = asyncio.get_running_loop().create_future()
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -127,11 +127,11 @@
         directory, config = self.module.directory, self.module.config
 
         def machine(number: int) -> tuple[str, int] | None:
-            entry = directory.entry(number)
+            entry = directory.find_entry(number)
             return None if entry is None else (entry.record.host, entry.record.born_ms)
 
         def number(host: str, born_ms: int) -> int | None:
-            entry = directory.entries.get(host)
+            entry = directory.entry_by_host.get(host)
             known = entry is not None and entry.record.born_ms == born_ms
             return entry.machine.cache if entry is not None and known else None
 
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -65,7 +65,7 @@
         self.last, self.failures, self.tries = means.config.known_seq, 0, 0
         self.random = random.Random(means.config.seed)
         self.sock: socket.socket | None = None
-        self.buffers = means.pool.take() or []  # its own for good: purges come whatever else is short
+        self.buffers = means.pool.acquire() or []  # its own for good: purges come whatever else is short
         self.polling: asyncio.Task[bytes] | None = None
         self.due = 0.0  # the next poll, by the loop's clock in seconds
         self.resting = False  # the connection is one that was kept, and has told nothing since the last ask
--- a/quincepier/net/writing.py
+++ b/quincepier/net/writing.py
@@ -107,13 +107,15 @@
 
     def _take(self, session: Session, answer: Answer) -> None:
         request = answer.request
-        if session.open.get(request.stream) is not request:  # it was aborted as the answer was made
+        if session.open.get(request.stream_id) is not request:  # it was aborted as the answer was made
             if answer.body is not None:
                 answer.body.release()
             return
-        del session.open[request.stream]
+        del session.open[request.stream_id]
         self._forget(request)
-        self._say(session, request.stream, cgi_head(answer.status, answer.still, answer.wait_ms), answer.body)
+        self._say(
+            session, request.stream_id, cgi_head(answer.status, answer.still, answer.wait_ms), answer.body
+        )
 
     def _flush(self) -> None:
         """Write as much as the socket takes and a turn allows; what goes wrong ends this connection alone."""
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -12,7 +12,7 @@
 from quincepier.errors import Inflicted
 from quincepier.interface import Ending, Note
 from quincepier.memory.machine_directory import MachineDirectory
-from quincepier.memory.open_requests import OpenAttempt, OpenRequest, Owner
+from quincepier.memory.open_requests import OpenAttempt, OpenRequest, ResponseReceiver
 from quincepier.wire.changelog import PurgeRecord
 from quincepier.wire.fastcgi import Call
 from quincepier.wire.lines import Head
@@ -85,7 +85,9 @@
     return value
 
 
-def open_request(call: Call, classes: Mapping[str, tuple[int, int]], owner: Owner, came: int) -> OpenRequest:
+def open_request(
+    call: Call, classes: Mapping[str, tuple[int, int]], owner: ResponseReceiver, came: int
+) -> OpenRequest:
     """A call as taken; raises BadRequest where it is not of the stated form."""
     if call.fault:
         raise BadRequest(413 if "body" in call.fault else 400, call.fault)
@@ -105,19 +107,19 @@
         raise _at_fault(params)
     job, item, part, group, allow, again, known, idempotency_key = values
     return OpenRequest(
-        owner=owner,
-        stream=call.id,
-        job=job,
-        cls=number,
+        receiver=owner,
+        stream_id=call.id,
+        job_id=job,
+        class_index=number,
         class_name=name,
-        item=item,
-        object=int(item, 16),
+        object_key=item,
+        object_id=int(item, 16),
         part=_whole("HTTP_X_N", part, 0, PART_MOST),
         group=_whole("HTTP_X_SHARD", group, 0, GROUP_MOST),
-        repeat=again == "1",
-        known=known,
-        allow=_whole("HTTP_X_ALLOW_MS", allow, 1, ALLOW_TIMES * deadline // clock.MS) * clock.MS,
-        came=came,
+        is_repeat=again == "1",
+        known_version=known,
+        allowed_ns=_whole("HTTP_X_ALLOW_MS", allow, 1, ALLOW_TIMES * deadline // clock.MS) * clock.MS,
+        received_at_ns=came,
         body=call.body,
         idempotency_key=idempotency_key,
     )
@@ -125,9 +127,11 @@
 
 def request_came(request: OpenRequest, now: int) -> io.RequestCame:
     """The time left counts from when the request was there, not from when its turn came."""
-    r, waited = request, max(now - request.came, 0)
-    left = max(r.allow - waited, 0)
-    return io.RequestCame(r.number, r.cls, 0.0, 0, r.group, r.object, r.part, r.repeat, left, waited)
+    r, waited = request, max(now - request.received_at_ns, 0)
+    left = max(r.allowed_ns - waited, 0)
+    return io.RequestCame(
+        r.number, r.class_index, 0.0, 0, r.group, r.object_id, r.part, r.is_repeat, left, waited
+    )
 
 
 def purged(record: PurgeRecord) -> io.Purged:
@@ -147,13 +151,13 @@
 
 def attempt_ended(attempt: OpenAttempt, end: End) -> io.AttemptEnded:
     """`last` says that the request is over, by this ending or earlier."""
-    r, last = attempt.request, attempt.request.over or end.ending is Ending.OK
+    r, last = attempt.request, attempt.request.is_finished or end.ending is Ending.OK
     return io.AttemptEnded(
         request=r.number,
-        attempt=attempt.no,
+        attempt=attempt.number,
         cache=attempt.cache,
         ending=end.ending,
-        elapsed=max(end.at - attempt.at, 0),
+        elapsed=max(end.at - attempt.started_at_ns, 0),
         last=last,
         note=end.note,
         waited=end.waited,
@@ -191,11 +195,11 @@
     action: io.Ask | io.Fetch, request: OpenRequest, directory: MachineDirectory, timeout: int
 ) -> list[tuple[str, str]]:
     """The fields of the command for an attempt. A source that is the machine itself is no source."""
-    fields = [("class", request.class_name), ("key", request.item), ("part", str(request.part))]
+    fields = [("class", request.class_name), ("key", request.object_key), ("part", str(request.part))]
     fields.append(("wait", str(max(timeout // clock.MS, 1))))
     if isinstance(action, io.Fetch):
         if action.source != action.cache:
-            fields.append(("via", directory.hosts[action.source]))
+            fields.append(("via", directory.host_by_number[action.source]))
         if action.rank:
             fields.append(("tier", str(action.rank)))
         if action.age:  # whole milliseconds, never older than decided; 0 would say something else
@@ -203,8 +207,8 @@
         chosen = (("join", action.join), ("held", action.held_only), ("renew", action.renew))
         if opts := "+".join(word for word, on in chosen if on):
             fields.append(("opts", opts))
-    if request.known:
-        fields.append(("known", request.known))
+    if request.known_version:
+        fields.append(("known", request.known_version))
     if request.idempotency_key:
         fields.append(("once", request.idempotency_key))
     return fields
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -27,7 +27,7 @@
 from tests.frontkit import Inbox, host, open_request, raw_config
 from tests.standins import until
 
-BUDGET = MemoryBudget(buffers=4000, bodies=1 << 24, requests=8192)
+BUDGET = MemoryBudget(max_buffers=4000, max_body_bytes=1 << 24, max_open_requests=8192)
 KINDS = {"s": "std", "p": "parent", "o": "origin"}
 SAFE, KEYED, UNSAFE = 1, 0, 2  # the classes, by their number
 
@@ -56,7 +56,7 @@
         for machine in self.machines.values():
             if not machine.doors:
                 await machine.start()
-        checks, pool = Checks(), BufferPool(BUDGET.buffers)
+        checks, pool = Checks(), BufferPool(BUDGET.max_buffers)
         descriptors = Descriptors(sockets)
         self.module = ModuleActor(self.config(order), checks, pool, descriptors, lambda: None, BUDGET)
         self.module.means.judge = parse
@@ -73,7 +73,7 @@
         return self.module.shared.dialer
 
     def cache(self, name: str) -> CacheActor:
-        return self.module.caches[self.module.directory.number(name)]
+        return self.module.caches[self.module.directory.assign_number(name)]
 
     def way(self, name: str) -> Way:
         way = self.cache(name).way
@@ -84,7 +84,7 @@
         inbox = Inbox()
         self.asked += 1
         job = f"{self.asked:016x}"
-        request = open_request(inbox, cls, job, part=part, came=clock.now())
+        request = open_request(inbox, cls, job, part=part, received_at_ns=clock.now())
         self.module.mailbox.push(Came(request))
         return job, inbox, request
 
@@ -113,7 +113,7 @@
 
     async def quiet(self) -> None:
         """Nothing is out and nobody waits for an answer."""
-        await until(lambda: not self.module.requests.open, "nothing is open")
+        await until(lambda: not self.module.requests.request_by_number, "nothing is open")
 
     async def close(self) -> None:
         self.module.cancel()
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -124,7 +124,7 @@
         known = {"seq": 1, "results": [{"seq": 1, "fleet": {"seq": 0, "whole": True, "hosts": hosts}}]}
         self.config: FrontConfig = make_config(settings=settings, known=known)
         self.checks, self.pool, self.seq, self.asked = Checks(), BufferPool(100), 1, 0
-        budget = MemoryBudget(buffers=100, bodies=1 << 20, requests=4096)
+        budget = MemoryBudget(max_buffers=100, max_body_bytes=1 << 20, max_open_requests=4096)
         self.descriptors = sockets.Descriptors(1024)
         self.module = ModuleActor(self.config, self.checks, self.pool, self.descriptors, lambda: None, budget)
         self.events: list[io.Event] = []
@@ -152,7 +152,7 @@
         """Into the module's mailbox; its owner keeps what it is answered."""
         self.asked += 1
         job, now = f"{self.asked:016x}", clock.now()
-        values: dict[str, Any] = {"came": now, "allow": 30 * clock.SECOND} | changes
+        values: dict[str, Any] = {"received_at_ns": now, "allowed_ns": 30 * clock.SECOND} | changes
         request = open_request(Inbox(), cls, job, **values)
         assert self.module.mailbox.add(Came(request))
         return request
@@ -168,7 +168,7 @@
 
     def left(self, request: OpenRequest) -> None:
         """As its client's connection does, the mark first and the message when the module gets to it."""
-        request.gone = True
+        request.is_cancelled = True
         self.module.mailbox.push(Left(request))
 
     def look(self) -> None:
@@ -183,13 +183,13 @@
     def serves(self, request: OpenRequest) -> list[Wire]:
         """The connections over which it came, one for each `serve` line with its id."""
         self.look()
-        line = f"serve {request.job} ".encode()
+        line = f"serve {request.job_id} ".encode()
         wires = [wire for machine in self.machines.values() for wire in machine.wires]
         return [wire for wire in wires for _ in range(wire.text.count(line))]
 
     def cancels(self, request: OpenRequest) -> int:
         self.look()
-        line = f"cancel {request.job}\r\n".encode()
+        line = f"cancel {request.job_id}\r\n".encode()
         return sum(wire.text.count(line) for machine in self.machines.values() for wire in machine.wires)
 
     async def out(self, request: OpenRequest, times: int = 1) -> Wire:
@@ -197,13 +197,13 @@
         await until(lambda: len(self.serves(request)) >= times, "it goes out")
         found = self.serves(request)
         assert len(found) == times, "it went out too often"
-        known = self.told.setdefault(request.job, [])
+        known = self.told.setdefault(request.job_id, [])
         (new,) = [wire for wire in found if not any(wire is each for each in known)]
         known.append(new)
         return new
 
     async def status(self, request: OpenRequest) -> int:
-        got: list[Any] = request.owner.got  # type: ignore[attr-defined]
+        got: list[Any] = request.receiver.got  # type: ignore[attr-defined]
         await until(lambda: bool(got), "it is answered")
         assert len(got) == 1, "one final answer"
         if got[0].body is not None:
@@ -215,7 +215,7 @@
         """One more request, answered as it should: whatever was to go out before it has by then."""
         request = self.ask(cls)
         wire = await self.out(request)
-        wire.answer(request.job)
+        wire.answer(request.job_id)
         assert await self.status(request) == 200
         return wire
 
@@ -225,7 +225,7 @@
         ]
 
     def cache(self, name: str) -> CacheActor:
-        return self.module.caches[self.module.directory.number(name)]
+        return self.module.caches[self.module.directory.assign_number(name)]
 
     def connections(self) -> list[Connection]:
         return [c for cache in self.module.caches.values() for c in cache.connections]
@@ -235,7 +235,10 @@
 
     async def settled(self) -> None:
         """Nothing is open and nothing is left: no attempt, no descriptor, no buffer; nothing went wrong."""
-        await until(lambda: not self.module.requests.open, "all requests are over and their attempts ended")
+        await until(
+            lambda: not self.module.requests.request_by_number,
+            "all requests are over and their attempts ended",
+        )
         for connection in self.connections():
             connection.close()
         await until(lambda: not self.connections(), "the connections are gone")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,6 +16,6 @@
 
 
 @pytest.fixture(autouse=True)
-def own_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+def resident_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     """A front shares out what its process has left, and this process holds all other tests too."""
-    monkeypatch.setattr(front, "own_memory", lambda: OWN_MEMORY)
+    monkeypatch.setattr(front, "resident_bytes", lambda: OWN_MEMORY)
--- a/tests/frontkit.py
+++ b/tests/frontkit.py
@@ -101,8 +101,19 @@
 
 def open_request(owner: Inbox, cls: int = 1, job: str = "9b1f03aa5c7e2d41", **changes: Any) -> OpenRequest:
     values: dict[str, Any] = {
-        "owner": owner, "stream": 1, "job": job, "cls": cls, "class_name": SETTINGS["services"][cls]["name"],
-        "item": "7f3a9c21e0b4d655", "object": 0x7F3A9C21E0B4D655, "part": 0, "group": 17, "repeat": False,
-        "known": "", "allow": 3_000_000_000, "came": 0, "body": b"",
-    }  # fmt: skip
+        "receiver": owner,
+        "stream_id": 1,
+        "job_id": job,
+        "class_index": cls,
+        "class_name": SETTINGS["services"][cls]["name"],
+        "object_key": "7f3a9c21e0b4d655",
+        "object_id": 0x7F3A9C21E0B4D655,
+        "part": 0,
+        "group": 17,
+        "is_repeat": False,
+        "known_version": "",
+        "allowed_ns": 3_000_000_000,
+        "received_at_ns": 0,
+        "body": b"",
+    }
     return OpenRequest(**(values | changes))
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -43,10 +43,10 @@
 
 def test_a_client_that_left_before_its_turn_is_not_told_to_the_module() -> None:
     actor, router = make_module(lambda event: [])
-    request = open_request(Inbox(), came=clock.now())
+    request = open_request(Inbox(), received_at_ns=clock.now())
     actor.safely(Left(request))
     actor.safely(Came(request))
-    assert router.events == [] and actor.requests.unanswered == 0 and not actor.requests.open
+    assert router.events == [] and actor.requests.unanswered == 0 and not actor.requests.request_by_number
 
 
 def test_wake_lets_the_reader_look_up_without_a_message() -> None:
@@ -74,7 +74,7 @@
         return self.script(event)
 
 
-BUDGET = MemoryBudget(buffers=100, bodies=1 << 20, requests=4096)
+BUDGET = MemoryBudget(max_buffers=100, max_body_bytes=1 << 20, max_open_requests=4096)
 
 
 def make_module(
@@ -87,7 +87,7 @@
 
 
 def ask(actor: ModuleActor, inbox: Inbox, cls: int = 1, job: str = "") -> Any:
-    request = open_request(inbox, cls, job or f"{actor.requests.taken:016x}", came=clock.now())
+    request = open_request(inbox, cls, job or f"{actor.requests.accepted:016x}", received_at_ns=clock.now())
     actor.safely(Came(request))
     return request
 
@@ -132,17 +132,17 @@
     router.script = lambda event: [io.Refuse(other.number, 0)]
     actor.safely(Left(other))
     assert len(inbox.got) == 1 and isinstance(router.events[-1], io.ClientLeft)
-    assert actor.requests.open == {} and actor.requests.unanswered == 0
+    assert actor.requests.request_by_number == {} and actor.requests.unanswered == 0
 
 
 def test_answer_that_comes_when_the_request_is_over_gives_its_buffers_back() -> None:
     actor, router = make_module(lambda event: [])
     inbox = Inbox()
     request = ask(actor, inbox)
-    attempt: OpenAttempt = actor.requests.attempt(request, 5, clock.now())
+    attempt: OpenAttempt = actor.requests.start_attempt(request, 5, clock.now())
     actor.safely(Left(request))
-    attempt.ended = True
-    body = PooledBody.of_length(actor.shared.pool, 40_000)
+    attempt.is_ended = True
+    body = PooledBody.allocate(actor.shared.pool, 40_000)
     assert body is not None and actor.shared.pool.used == 3
     actor.safely(Ended(attempt, Ending.OK, clock.now(), body=body))
     assert actor.shared.pool.used == 0 and inbox.got == []
@@ -183,7 +183,7 @@
 
 def test_too_many_open_requests_are_refused_with_a_time_and_not_told() -> None:
     actor, router = make_module(lambda event: [])
-    actor.requests.most = 2
+    actor.requests.max_requests = 2
     inbox = Inbox()
     for _ in range(3):
         ask(actor, inbox)
@@ -203,7 +203,7 @@
         raw["settings"]["report"]["how"] = how
         actor, router = make_module(lambda event: [], read_front(raw, {}))
         actor.begin()
-        number = actor.directory.number
+        number = actor.directory.assign_number
         actor._perform(io.Probe(number("s-1")), clock.now())
         actor._perform(io.Probe(number("s-2")), clock.now())
 
@@ -239,7 +239,7 @@
 
 def test_an_answer_not_begun_can_still_become_a_failure() -> None:
     pool = BufferPool(100)
-    body = PooledBody.of_length(pool, 50_000)
+    body = PooledBody.allocate(pool, 50_000)
     assert body is not None
     body.append(b"x" * 50_000)
     outgoing = Outgoing(4, True, cgi_head(200), body)
@@ -283,7 +283,7 @@
             return [io.Ask(event.request, number, clock.SECOND)] if isinstance(event, io.RequestCame) else []
 
         actor, router = make_module(script)
-        number = actor.directory.number("s-1")
+        number = actor.directory.assign_number("s-1")
         actor.begin()
         ask(actor, Inbox())
 
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -75,7 +75,9 @@
         for _ in range(times):
             self.number += 1
             job = f"{self.number:016x}"
-            request = open_request(self.inbox, 0, job, object=self.number, item=job, came=clock.now())
+            request = open_request(
+                self.inbox, 0, job, object_id=self.number, object_key=job, received_at_ns=clock.now()
+            )
             self.front.module.mailbox.push(Came(request))
 
     def hold(self, name: str) -> list[asyncio.Event]:
@@ -191,8 +193,8 @@
         place.caches["s-1"].asked.clear()
         place.let_through()
         assert [answer.status for answer in await place.answered(13)] == [200] * 13
-        module, new = place.front.module, place.front.module.directory.number("s-9")
-        known = {module.directory.hosts.get(number) for number in module.router.nodes}
+        module, new = place.front.module, place.front.module.directory.assign_number("s-9")
+        known = {module.directory.host_by_number.get(number) for number in module.router.nodes}
         assert known == {"s-9", "p-1", "o-1"} and module.caches[new].out == {}
         assert len(place.caches["s-1"].asked) == 12, "the new one serves them"
         assert not before & set(place.over("s-1")), "over a connection that was the old one's"
@@ -212,7 +214,7 @@
             told["born_ms"] = unix_ms(asyncio.get_running_loop().time())
         place.tell(*events)
         await asyncio.sleep(0.01)
-        router, new = place.front.module.router, place.front.module.directory.number("s-9")
+        router, new = place.front.module.router, place.front.module.directory.assign_number("s-9")
         assert router.nodes[new].cold_at > 0 and router.cold(router.nodes[new])[0] < 1
 
     play(monkeypatch, story)
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -21,7 +21,7 @@
 
 def cut(wire: Wire, request: OpenRequest, how: str) -> None:
     """The machine dies in the middle of its answer, of its line, or of its work."""
-    whole = answer(request.job, b"x" * 1000)
+    whole = answer(request.job_id, b"x" * 1000)
     if how != "no byte":
         wire.say(whole[: 20 if how == "half a line" else 500])
     if how == "end":
@@ -54,7 +54,7 @@
         front_clock.on(later * SECOND)
         cut(wire, request, how)
         if again:
-            (await inside.out(request, 2)).answer(request.job)
+            (await inside.out(request, 2)).answer(request.job_id)
         assert await inside.status(request) == (200 if again else 503 if classes is KEYED else 502)
         assert len(inside.serves(request)) == 1 + again
         await inside.settled()
@@ -70,7 +70,7 @@
         request = inside.ask()
         (await inside.out(request)).reset()
         if again:
-            (await inside.out(request, 2)).answer(request.job)
+            (await inside.out(request, 2)).answer(request.job_id)
         assert await inside.status(request) == (200 if again else 502)
         assert len(inside.serves(request)) == 1 + again
         await inside.settled()
@@ -84,7 +84,7 @@
         request = inside.ask()
         for times in (1, 2):
             cut(await inside.out(request, times), request, "half an answer")
-        (await inside.out(request, 3)).answer(request.job)
+        (await inside.out(request, 3)).answer(request.job_id)
         assert await inside.status(request) == 200
         assert inside.endings(request) == [Ending.RESET, Ending.RESET, Ending.OK]
         assert len({id(wire) for wire in inside.serves(request)}) == 3
@@ -101,8 +101,8 @@
     async def scenario() -> None:
         inside = Inside(ONE)
         first = inside.ask(BID)
-        wire, second = await inside.out(first), answer(first.job, b"other bytes")
-        wire.say(answer(first.job) + (second if when == "in one piece" else b""))
+        wire, second = await inside.out(first), answer(first.job_id, b"other bytes")
+        wire.say(answer(first.job_id) + (second if when == "in one piece" else b""))
         assert await inside.status(first) == 200
         if when == "before the next":
             wire.say(second)
@@ -113,7 +113,7 @@
         assert await inside.out(request) is wire
         if when == "behind the next command":
             wire.say(second)
-        wire.answer(request.job)
+        wire.answer(request.job_id)
         assert await inside.status(request) == 200
         assert inside.checks.counts["late or second answers dropped"] == 1
         await inside.settled()
@@ -137,16 +137,16 @@
         assert second is not first
         await until(lambda: inside.cancels(request) == 1, "the first is called off")
         if late == "before the second's":
-            first.say(answer(request.job, b"of the first"))
+            first.say(answer(request.job_id, b"of the first"))
             await until(lambda: inside.checks.counts["late or second answers dropped"] == 1, "dropped")
-            assert not request.over
-        second.answer(request.job, b"of the second")
-        got = request.owner.got  # type: ignore[attr-defined]
+            assert not request.is_finished
+        second.answer(request.job_id, b"of the second")
+        got = request.receiver.got  # type: ignore[attr-defined]
         await until(lambda: bool(got), "it is answered")
         assert [bytes(chunk) for chunk in got[0].body.chunks()] == [b"of the second"]
         assert await inside.status(request) == 200
         if late == "behind the second's":
-            first.say(answer(request.job, b"of the first"))
+            first.say(answer(request.job_id, b"of the first"))
             await until(lambda: inside.checks.counts["late or second answers dropped"] == 1, "dropped")
         await inside.settled()
 
@@ -161,10 +161,10 @@
         wire = await inside.out(request)
         cache, attempt = inside.cache("o-1"), request.attempts[0]
         if order == "answer, cancel":
-            wire.answer(request.job, b"y" * 100_000)  # it can be read; it has not been
+            wire.answer(request.job_id, b"y" * 100_000)  # it can be read; it has not been
         cache.safely(CallOff(attempt))
         if order == "cancel, answer":
-            wire.answer(request.job, b"y" * 100_000)
+            wire.answer(request.job_id, b"y" * 100_000)
         assert await inside.status(request) == 502
         assert inside.endings(request) == [Ending.CANCELLED]
         await until(lambda: inside.checks.counts["late or second answers dropped"] == 1, "dropped")
@@ -187,21 +187,21 @@
         request = inside.ask(BID)
         wire = await inside.out(request)
         (connection,) = inside.connections()
-        endless = answer(request.job, b"z" * 100_000)[:300]
+        endless = answer(request.job_id, b"z" * 100_000)[:300]
         if whose == "given up":
             wire.say(endless)
             await until(lambda: connection.body is not None, "it has begun")
             inside.left(request)
             await until(lambda: bool(inside.endings(request)), "given up")
         else:
-            wire.answer(request.job)
+            wire.answer(request.job_id)
             assert await inside.status(request) == 200
             wire.say(endless if whose == "of a second copy" else endless[:20])
             await until(lambda: not connection.between, "it has begun")
         behind = inside.ask(BID)
         other = await inside.out(behind)
         assert other is not wire
-        other.answer(behind.job)
+        other.answer(behind.job_id)
         assert await inside.status(behind) == 200
         inside.sweep()
         assert not connection.lost  # it may still become whole
@@ -243,14 +243,14 @@
         request = inside.ask()
         wire = await inside.out(request)
         (connection,) = inside.connections()
-        wire.say(answer(request.job, b"x" * 1000)[:500])
+        wire.say(answer(request.job_id, b"x" * 1000)[:500])
         await until(lambda: not connection.between, "it has begun")
         front_clock.on(2 * inside.config.dial_timeout)
         inside.module.sweep(clock.now(), late=True)  # a standstill of our own accuses nobody
         assert not connection.lost
         inside.sweep()
         if again:
-            (await inside.out(request, 2)).answer(request.job)
+            (await inside.out(request, 2)).answer(request.job_id)
         assert await inside.status(request) == (200 if again else 502)
         assert len(inside.serves(request)) == 1 + again
         await inside.settled()
@@ -266,7 +266,7 @@
         wire = await inside.served(BID)
         (connection,) = inside.connections()
         request = inside.ask(BID)
-        text = answer(request.job if what == "a whole answer" else "0" * 16, b"x" * 1000)
+        text = answer(request.job_id if what == "a whole answer" else "0" * 16, b"x" * 1000)
         text = text if what == "a whole answer" else text[: 20 if what == "half a line" else 500]
         if first == "the bytes":
             wire.say(text)
@@ -276,7 +276,7 @@
             wire.say(text)
         again = await inside.out(request)
         assert again is not wire and connection not in inside.connections()
-        again.answer(request.job)
+        again.answer(request.job_id)
         assert await inside.status(request) == 200 and inside.endings(request) == [Ending.OK]
         await inside.settled()
 
@@ -289,7 +289,7 @@
         inside = Inside(ONE)
         request = inside.ask(BID)
         wire = await inside.out(request)
-        wire.answer(request.job, b"y" * 1000)  # all of it is over there before the end is
+        wire.answer(request.job_id, b"y" * 1000)  # all of it is over there before the end is
         if how == "end":
             wire.close()
         else:
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -26,7 +26,7 @@
     async def scenario() -> None:
         inside = Inside(ONE)
         request = inside.ask()
-        request.gone = True  # its Left stands behind
+        request.is_cancelled = True  # its Left stands behind
         await inside.served()
         assert not inside.serves(request) and request.number < 0
         inside.left(request)
@@ -42,14 +42,14 @@
 
         def handle(now: int, event: io.Event) -> list[io.Action]:
             actions = decide(now, event)
-            request.gone = request.gone or isinstance(event, io.RequestCame)
+            request.is_cancelled = request.is_cancelled or isinstance(event, io.RequestCame)
             return actions
 
         inside.module.router.handle = handle  # type: ignore[method-assign]
-        await until(lambda: request.over, "the module lets go of it without its Left")
+        await until(lambda: request.is_finished, "the module lets go of it without its Left")
         inside.module.router.handle = decide  # type: ignore[method-assign]
         await inside.served()
-        assert not inside.serves(request) and not request.owner.got  # type: ignore[attr-defined]
+        assert not inside.serves(request) and not request.receiver.got  # type: ignore[attr-defined]
         inside.left(request)
         await inside.settled()
         assert inside.events.count(io.ClientLeft(request.number)) == 1
@@ -64,9 +64,9 @@
         dials, inside = Dials(monkeypatch), Inside(ONE)
         request = inside.ask()
         await dials.begun()
-        request.gone = True  # its Left stands behind
+        request.is_cancelled = True  # its Left stands behind
         dials.let()
-        await until(lambda: request.over, "the module lets go of it without its Left")
+        await until(lambda: request.is_finished, "the module lets go of it without its Left")
         wire = await inside.served()
         assert not inside.serves(request) and not inside.cancels(request)
         assert len(inside.machines["s-1"].wires) == 1 and wire  # the connection is of use to the next
@@ -81,9 +81,9 @@
         inside = Inside(("s-1", "s-2", "o-1"))
         request = inside.ask()
         wire = await inside.out(request)
-        request.gone = True  # its Left stands behind
+        request.is_cancelled = True  # its Left stands behind
         wire.reset()
-        await until(lambda: request.over, "the module lets go of it without its Left")
+        await until(lambda: request.is_finished, "the module lets go of it without its Left")
         await inside.served()
         assert len(inside.serves(request)) == 1 and inside.endings(request) == [Ending.RESET]
         inside.left(request)
@@ -148,7 +148,7 @@
 ) -> None:
     async def scenario() -> None:
         dials, inside = Dials(monkeypatch), Inside(ONE)
-        request = inside.ask(allow=50 * MS)
+        request = inside.ask(allowed_ns=50 * MS)
         await dials.begun()
         cache, heard = inside.cache("s-1"), list[ToCache]()
         cache.timers[request.attempts[0]].cancel()
@@ -199,7 +199,7 @@
             assert await inside.status(request) == 503
             assert len(inside.serves(request)) == 1
         else:
-            (await inside.out(request, 2)).answer(request.job)
+            (await inside.out(request, 2)).answer(request.job_id)
             assert await inside.status(request) == 200
         await inside.settled()
 
@@ -251,7 +251,7 @@
         for _ in range(cache.mailbox.most):
             cache.mailbox.push(Recall(request.attempts[0]))
         inside.listed(inside.host("o-1", health="DELETED"))
-        wire.answer(request.job)  # what is out is heard to its end
+        wire.answer(request.job_id)  # what is out is heard to its end
         assert await inside.status(request) == 200
         inside.sweep()
         await until(lambda: not inside.connections(), "its connections end")
@@ -274,7 +274,7 @@
         dials.let()
         wire = await inside.out(request)
         assert wire in inside.machines["o-2"].wires
-        wire.answer(request.job)
+        wire.answer(request.job_id)
         assert await inside.status(request) == 200 and inside.endings(request)[0] is Ending.MOOT
         await inside.settled()
 
@@ -295,8 +295,8 @@
         dials.let()
         wire = await inside.out(waiting)  # for the new one, over a connection of its own
         assert wire is not old and inside.endings(waiting) == [Ending.MOOT]
-        wire.answer(waiting.job)
-        old.answer(begun.job)
+        wire.answer(waiting.job_id)
+        old.answer(begun.job_id)
         assert (await inside.status(waiting), await inside.status(begun)) == (200, 200)
         assert inside.cache("o-9").connections and len(inside.cache("o-9").connections) == 1
         inside.sweep()
@@ -316,7 +316,7 @@
         request = inside.ask(BID)
         wire = await inside.out(request)
         cache, attempt = inside.cache("o-1"), request.attempts[0]
-        wire.answer(request.job)
+        wire.answer(request.job_id)
         wire.reset()
         cache._give_up(attempt, Ending.TIMEOUT)
         cache.safely(CallOff(attempt))
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -84,16 +84,16 @@
 
 
 def taken(manager: ConnectionManager) -> list[str]:
-    return [message.request.job for message in manager.module.last if isinstance(message, Came)]
+    return [message.request.job_id for message in manager.module.last if isinstance(message, Came)]
 
 
 def give(manager: ConnectionManager, request: object, body: bytes) -> None:
     """The module's answer to what it took up."""
-    manager.pool.most = 1000
-    held = PooledBody.of_length(manager.pool, len(body))
+    manager.pool.max_buffers = 1000
+    held = PooledBody.allocate(manager.pool, len(body))
     assert held is not None
     held.append(body)
-    request.owner.push(Answer(request, 200, held))  # type: ignore[attr-defined, arg-type]
+    request.receiver.push(Answer(request, 200, held))  # type: ignore[attr-defined, arg-type]
 
 
 async def drained(manager: ConnectionManager, peer: Peer) -> None:
@@ -303,7 +303,7 @@
         assert isinstance(message, Came) and not peer.at_front.reading
         leave(peer)
         async with asyncio.timeout(5):
-            while not message.request.gone:
+            while not message.request.is_cancelled:
                 await asyncio.sleep(0.005)
         assert [m.request for m in manager.module.queue if isinstance(m, Left)] == [message.request]
 
@@ -324,7 +324,7 @@
         assert isinstance(message, Came) and not peer.at_front.reading
         peer.sock.close()
         async with asyncio.timeout(5):
-            while not message.request.gone:
+            while not message.request.is_cancelled:
                 await asyncio.sleep(0.005)
         assert peer.at_front.closed
 
@@ -344,10 +344,10 @@
         manager.active.left = 0  # the others had this turn
         peer.sock.close()
         turns = 0
-        while not message.request.gone and turns <= 3 * len(crowd) // READS:
+        while not message.request.is_cancelled and turns <= 3 * len(crowd) // READS:
             await asyncio.sleep(0)
             turns += 1
-        assert message.request.gone and manager.active.longest > READS
+        assert message.request.is_cancelled and manager.active.longest > READS
 
     on_loop(scenario)
 
@@ -361,12 +361,12 @@
         peer.send(call(1, params("1" * 16)) + LATE)
         await until(lambda: len(taken(manager)) == 2, "both are asked")
         first, second = (m.request for m in manager.module.last if isinstance(m, Came))
-        assert not first.gone and not second.gone
+        assert not first.is_cancelled and not second.is_cancelled
         peer.send(rec(ABORT, 1))
         peer.at_front.receive()
-        assert first.gone and not second.gone
+        assert first.is_cancelled and not second.gone
         peer.sock.close()
         await until(lambda: peer.at_front.closed, "it is heard")
-        assert second.gone
+        assert second.is_cancelled
 
     on_loop(scenario)
--- a/tests/test_crossings_commands.py
+++ b/tests/test_crossings_commands.py
@@ -54,7 +54,7 @@
         other = await inside.served(BID)  # not in the middle of that line
         assert other is not wire
         wire.held = False
-        tail = LARGE[-10:] + b"\r\ncancel %b\r\n" % request.job.encode()
+        tail = LARGE[-10:] + b"\r\ncancel %b\r\n" % request.job_id.encode()
         await until(lambda: inside.read(wire).endswith(tail), "whole, then the cancel")
         await inside.settled()
 
@@ -117,12 +117,12 @@
         def asked(connection: Connection) -> None:
             requests.append(inside.ask(BID))
             inside.taken("o-1")
-            assert requests[0].job in connection.open
+            assert requests[0].job_id in connection.open
 
         late.append(asked)
         wire.close()
         await until(lambda: bool(requests), "the end can be read")
-        (await inside.out(requests[0])).answer(requests[0].job)
+        (await inside.out(requests[0])).answer(requests[0].job_id)
         assert await inside.status(requests[0]) == 200
         assert inside.endings(requests[0]) == [Ending.MOOT, Ending.OK]
         await inside.settled()
@@ -151,11 +151,11 @@
         inside = Inside(ONE)
         wire, connection = await crowded(inside)
         request = inside.ask(BID)
-        await until(lambda: request.job in connection.open, "it waits there")
+        await until(lambda: request.job_id in connection.open, "it waits there")
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         if how == "gone":
-            request.gone = True  # its Left stands behind
+            request.is_cancelled = True  # its Left stands behind
         else:
             inside.left(request)
             await until(lambda: inside.endings(request) != [], "it is called off")
--- a/tests/test_crossings_dials.py
+++ b/tests/test_crossings_dials.py
@@ -29,7 +29,7 @@
         inside, first, wire, dials = await one_out(monkeypatch)
         second, third = inside.ask(), inside.ask()
         await dials.begun(2)
-        wire.answer(first.job)
+        wire.answer(first.job_id)
         assert await inside.status(first) == 200
         assert await inside.out(second) is wire  # in the order in which they came
         assert not inside.serves(third)
@@ -37,7 +37,7 @@
         other = await inside.out(third)
         assert other is not wire
         for request, over in ((second, wire), (third, other)):
-            over.answer(request.job)
+            over.answer(request.job_id)
             assert await inside.status(request) == 200
             assert inside.endings(request) == [Ending.OK]
         await inside.settled()
@@ -52,13 +52,13 @@
         inside, first, wire, dials = await one_out(monkeypatch)
         second = inside.ask()
         await dials.begun()
-        wire.answer(first.job)
+        wire.answer(first.job_id)
         assert await inside.status(first) == 200
         assert await inside.out(second) is wire
         dials.let(TimeoutError())
         await until(lambda: len(inside.cache("s-1").connections) == 1, "the dial has failed")
-        assert not second.over and not inside.endings(second)
-        wire.answer(second.job)
+        assert not second.is_finished and not inside.endings(second)
+        wire.answer(second.job_id)
         assert await inside.status(second) == 200
         await inside.settled()
 
@@ -73,12 +73,12 @@
         second = inside.ask()
         await dials.begun()
         (up,) = (c for c in inside.connections() if c.sock is not None)
-        up.past(second.job)  # an answer to this id may still come there
-        wire.answer(first.job)
+        up.past(second.job_id)  # an answer to this id may still come there
+        wire.answer(first.job_id)
         assert await inside.status(first) == 200
         dials.let()
         assert await inside.out(second) is not wire
-        inside.told[second.job][0].answer(second.job)
+        inside.told[second.job_id][0].answer(second.job_id)
         assert await inside.status(second) == 200
         await inside.settled()
 
@@ -93,11 +93,11 @@
         second = inside.ask()
         await dials.begun()
         monkeypatch.setattr(CacheActor, "_rests", lambda self, connection: True)
-        wire.answer(first.job)
+        wire.answer(first.job_id)
         assert await inside.status(first) == 200
         dials.let()
         assert await inside.out(second) is not wire
-        inside.told[second.job][0].answer(second.job)
+        inside.told[second.job_id][0].answer(second.job_id)
         assert await inside.status(second) == 200
         await inside.settled()
 
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -48,14 +48,14 @@
 ) -> None:
     async def scenario() -> None:
         manager = make_manager()
-        manager.pool.most = 1000
+        manager.pool.max_buffers = 1000
         peer = Peer(manager)
         connection = peer.connection
         peer.sock.send(call(1, params("1" * 16)))
         await until(lambda: bool(manager.module.last), "it is asked")
         message = manager.module.take()
         assert isinstance(message, Came)
-        large = PooledBody.of_length(manager.pool, len(LARGE))
+        large = PooledBody.allocate(manager.pool, len(LARGE))
         assert large is not None
         large.append(LARGE)
         seen = list[bool]()
@@ -66,7 +66,7 @@
             act(peer.sock)
             connection.receive()
 
-        message.request.owner.push(Answer(message.request, 200, large))
+        message.request.receiver.push(Answer(message.request, 200, large))
         asyncio.get_running_loop().call_soon(cross)
         await until(lambda: connection.closed, "its end is read")
         assert seen == [True]
@@ -161,7 +161,7 @@
         cache = inside.cache("s-1")
         (attempt,), (connection,), (time_is_up,) = cache.out, cache.connections, timers
         if size is not None:
-            wire.answer(request.job, b"b" * size)
+            wire.answer(request.job_id, b"b" * size)
         time_is_up()  # the loop has not looked since
         await asyncio.sleep(0)
         assert attempt not in cache.out, "its end waits for no more than a turn"
@@ -209,7 +209,7 @@
         (connection,) = inside.cache("s-1").connections
         assert connection.sock is not None
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2 * size + 4096)
-        text = answer(request.job, b"b" * size)
+        text = answer(request.job_id, b"b" * size)
         there = list[int]()
 
         def cross(sock: socket.socket) -> None:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -318,10 +318,10 @@
     }
     module: Any = SimpleNamespace(
         checks=Checks(),
-        directory=SimpleNamespace(hosts=HOSTS, entries=entries),
+        directory=SimpleNamespace(host_by_number=HOSTS, entry_by_host=entries),
         config=SimpleNamespace(settings=SimpleNamespace(classes=classes)),
         router=SimpleNamespace(homes=None, nodes={}),
-        requests=SimpleNamespace(open={}),
+        requests=SimpleNamespace(request_by_number={}),
         told_of_list=told.append,
     )
     rules: Any = SimpleNamespace(
@@ -454,8 +454,8 @@
     back: list[str] = []
     effects.bearing.once, effects.module.take_back = [True, False], back.append
     for n, (tenant, cls) in enumerate((("acme", 0), ("acme", 1), ("", 0))):
-        effects.module.requests.open[n] = SimpleNamespace(
-            tenant=tenant, cls=cls, attempts=[f"{tenant} {cls}"]
+        effects.module.requests.request_by_number[n] = SimpleNamespace(
+            tenant=tenant, class_index=cls, attempts=[f"{tenant} {cls}"]
         )
     follower.heard(clock.boot(), "a", VersionCommitted(1, encode(version(2))))
     lease(follower, 2)
@@ -473,8 +473,10 @@
 def test_a_report_counts_its_span_and_what_is_open_now() -> None:
     cls: Any = SimpleNamespace(effect=Effect.KEYED, worth=2.0, on_time=clock.SECOND)
     tally = ReportCounters((cls,), 0, 2)
-    attempt: Any = SimpleNamespace(cache=1, source=2, ended=False)
-    request: Any = SimpleNamespace(cls=0, tenant="acme", shard="north", came=0, attempts=[attempt], over=True)
+    attempt: Any = SimpleNamespace(cache=1, source=2, is_ended=False)
+    request: Any = SimpleNamespace(
+        class_index=0, tenant="acme", shard="north", received_at_ns=0, attempts=[attempt], is_finished=True
+    )
     attempt.request = request
     tally.sent(attempt, 0)
     tally.answered(request, 200, clock.SECOND // 2)
@@ -482,7 +484,9 @@
     about = report("f", 2)
     told = tally.report(clock.SECOND, about, [request], [], {1: "s-1", 2: "p-1"})
     assert dict(told.open_at) == {"s-1": 1, "p-1": 1} and told.open_keyed == (("acme", "north", 1),)
-    held: Any = SimpleNamespace(cls=0, tenant="acme", shard="north", came=0, attempts=[], over=False)
+    held: Any = SimpleNamespace(
+        class_index=0, tenant="acme", shard="north", received_at_ns=0, attempts=[], is_finished=False
+    )
     assert tally.report(clock.SECOND, about, [held], [], {}).open_keyed == told.open_keyed
     assert dict(told.sent) == {"s-1": 1} and told.last_keyed == (("acme", "north", 1000),)
     rows = {(s.tenant, s.shard): (s.asked, s.in_time, s.hits) for s in told.service}
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -34,7 +34,7 @@
 def make_manager(sockets: int = 1024, places: Places | None = None) -> ConnectionManager:
     checks, pool = Checks(), BufferPool(8)
     module: Mailbox[ToModule] = Mailbox(4096)
-    budget = MemoryBudget(buffers=8, bodies=1 << 20, requests=4096)
+    budget = MemoryBudget(max_buffers=8, max_body_bytes=1 << 20, max_open_requests=4096)
     means = Means(make_config(), checks, pool, Descriptors(sockets), module, budget)
     return ConnectionManager(means, lambda: True, places)
 
@@ -173,7 +173,9 @@
         for peer in peers:
             peer.sock.send(call(1, params("1" * 16)))
         await until(lambda: len(manager.module.last) == len(peers), "all are read")
-        came = [message.request.came for message in manager.module.last if isinstance(message, Came)]
+        came = [
+            message.request.received_at_ns for message in manager.module.last if isinstance(message, Came)
+        ]
         assert max(came) - min(came) < clock.now() - min(came)  # those read last were there before
         first, last = came[READS - 1], came[READS:]
         assert sum(at < first + (clock.now() - first) // 2 for at in last) > READS
@@ -227,8 +229,8 @@
     async def scenario() -> None:
         manager = make_manager()
         assert (
-            manager.pool.take(manager.pool.most - manager.pool.used) is not None
-            and manager.pool.take() is None
+            manager.pool.acquire(manager.pool.max_buffers - manager.pool.used) is not None
+            and manager.pool.acquire() is None
         )
         peer = Peer(manager)
         peer.sock.send(PING)
@@ -278,13 +280,13 @@
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         peer.sock.send(b"".join(call(n, params(f"{n:016x}")) for n in range(1, 33)))
         await until(lambda: len(manager.module.last) == 32, "all are asked")
-        manager.pool.most = 1000
+        manager.pool.max_buffers = 1000
         while (message := manager.module.take()) is not None:
             assert isinstance(message, Came)
-            body = PooledBody.of_length(manager.pool, len(large))
+            body = PooledBody.allocate(manager.pool, len(large))
             assert body is not None
             body.append(large)
-            message.request.owner.push(Answer(message.request, 200, body))
+            message.request.receiver.push(Answer(message.request, 200, body))
         await until(lambda: peer.connection.writer is not None, "the socket is full")
         assert peer.connection.owed
         await until(lambda: all(peer.answered(n) for n in range(1, 33)), "all are taken in the end")
@@ -294,10 +296,10 @@
         await until(lambda: bool(manager.module.last), "the last is asked")
         message = manager.module.take()
         assert isinstance(message, Came)
-        body = PooledBody.of_length(manager.pool, len(large))
+        body = PooledBody.allocate(manager.pool, len(large))
         assert body is not None
         body.append(large)
-        message.request.owner.push(Answer(message.request, 200, body))
+        message.request.receiver.push(Answer(message.request, 200, body))
         await until(lambda: peer.connection.writer is not None, "the socket is full")
         now = clock.now()
         while not peer.connection.closed:
@@ -312,17 +314,17 @@
 def test_a_large_answer_that_is_there_first_takes_turns_with_small_ones() -> None:
     async def scenario() -> None:
         manager = make_manager()
-        manager.pool.most = 1000
+        manager.pool.max_buffers = 1000
         peer, sizes = Peer(manager), {1: 240_000, 2: 5, 3: 70_000, 4: 5}
         peer.sock.send(b"".join(call(n, params(f"{n:016x}")) for n in sizes))
         await until(lambda: len(manager.module.last) == 4, "all are asked")
         while (message := manager.module.take()) is not None:  # all in one turn, the largest first
             assert isinstance(message, Came)
-            size = sizes[message.request.stream]
-            body = PooledBody.of_length(manager.pool, size)
+            size = sizes[message.request.stream_id]
+            body = PooledBody.allocate(manager.pool, size)
             assert body is not None
             body.append(bytes(size))
-            message.request.owner.push(Answer(message.request, 200, body))
+            message.request.receiver.push(Answer(message.request, 200, body))
         await until(lambda: all(peer.answered(n) for n in sizes), "all are answered")
         assert peer.reader.order == [2, 4, 3, 1]
         assert [len(peer.reader.got[n].body) for n in sizes] == [*sizes.values()]
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -22,7 +22,7 @@
 def test_body_keeps_bytes_over_buffers(parts: list[bytes]) -> None:
     pool = BufferPool(100)
     data = b"".join(parts)
-    body = PooledBody.of_length(pool, len(data))
+    body = PooledBody.allocate(pool, len(data))
     assert body is not None
     for part in parts:
         body.append(part)
@@ -35,38 +35,40 @@
 def test_pool_has_a_hard_cap_and_uses_buffers_again() -> None:
     pool = BufferPool(3)
     freed: list[int] = []
-    pool.on_free = lambda: freed.append(pool.used)
-    first = PooledBody.of_length(pool, 2 * BUFFER_SIZE)
-    assert first is not None and pool.take(2) is None and PooledBody.of_length(pool, 2 * BUFFER_SIZE) is None
+    pool.on_release = lambda: freed.append(pool.used)
+    first = PooledBody.allocate(pool, 2 * BUFFER_SIZE)
+    assert (
+        first is not None and pool.acquire(2) is None and PooledBody.allocate(pool, 2 * BUFFER_SIZE) is None
+    )
     ids = {id(buffer) for buffer in first.buffers}
     first.release()
     first.release()  # a second time gives nothing back
     assert freed == [0]
-    again = pool.take(2)
-    assert again is not None and {id(buffer) for buffer in again} == ids and pool.made == 2
+    again = pool.acquire(2)
+    assert again is not None and {id(buffer) for buffer in again} == ids and pool.allocated == 2
 
 
 def test_request_stays_until_its_attempts_have_ended() -> None:
     requests = OpenRequestTable(10)
     request = open_request(Inbox())
     requests.add(request)
-    attempt = requests.attempt(request, 5, 0)
+    attempt = requests.start_attempt(request, 5, 0)
     requests.finish(request)
     requests.finish(request)
-    assert requests.unanswered == 0 and requests.open == {request.number: request}
-    attempt.ended = True
-    requests.settle(request)
-    assert requests.open == {}
+    assert requests.unanswered == 0 and requests.request_by_number == {request.number: request}
+    attempt.is_ended = True
+    requests.remove_if_done(request)
+    assert requests.request_by_number == {}
 
 
 def test_number_is_not_used_again_while_it_matters() -> None:
     requests = OpenRequestTable(10)
     kept = open_request(Inbox())
     requests.add(kept)
-    requests.next = kept.number  # as after a full turn of the numbers
+    requests.next_number = kept.number  # as after a full turn of the numbers
     other: OpenRequest = open_request(Inbox())
     requests.add(other)
-    assert other.number != kept.number and len(requests.open) == 2
+    assert other.number != kept.number and len(requests.request_by_number) == 2
 
 
 def record(host: str, state: CacheState = CacheState.READY, **changes: object) -> HostRecord:
@@ -86,8 +88,8 @@
 def test_numbers_follow_from_the_host_alone() -> None:
     one, other = make_directory(), MachineDirectory(("west", "east"), ("std", "parent"))
     other.apply(FleetChange(1, True, (record("s-2"), record("s-1"))))
-    assert one.number("s-1") == other.number("s-1") != one.number("s-2")
-    assert one.hosts[one.number("s-1")] == "s-1"
+    assert one.assign_number("s-1") == other.assign_number("s-1") != one.assign_number("s-2")
+    assert one.host_by_number[one.assign_number("s-1")] == "s-1"
 
 
 def test_new_id_on_an_old_address_is_another_machine() -> None:
@@ -95,8 +97,8 @@
     news = directory.apply(FleetChange(2, False, (record("s-1", CacheState.GONE), record("s-3"))))
     assert [m.state for m in news.machines] == [CacheState.GONE, CacheState.READY]
     assert len({m.cache for m in news.machines}) == 2
-    assert {r.host for _, r in directory.listed()} == {"s-2", "s-3"}
-    assert directory.entry(directory.number("s-1")) is None
+    assert {r.host for _, r in directory.listed_hosts()} == {"s-2", "s-3"}
+    assert directory.find_entry(directory.assign_number("s-1")) is None
 
 
 def test_whole_list_replaces_and_changes_add() -> None:
@@ -104,16 +106,16 @@
     news = directory.apply(FleetChange(2, True, (record("s-9", site="west", kind="parent"),)), ListScope.FULL)
     (machine,) = news.machines
     assert (news.scope, machine.zone, machine.kind) == (ListScope.FULL, 0, 1)
-    assert [r.host for _, r in directory.listed()] == ["s-9"]
-    assert directory.whole().machines == news.machines
+    assert [r.host for _, r in directory.listed_hosts()] == ["s-9"]
+    assert directory.full_list().machines == news.machines
 
 
 def test_unusable_change_leaves_the_last_good_list() -> None:
     directory = make_directory()
-    before = list(directory.listed())
+    before = list(directory.listed_hosts())
     with pytest.raises(ProtocolError, match="s-4"):
         directory.apply(FleetChange(2, True, (record("s-3"), record("s-4", site="nowhere"))))
-    assert list(directory.listed()) == before
+    assert list(directory.listed_hosts()) == before
 
 
 def test_late_start_keeps_its_time_when_told_again() -> None:
@@ -137,7 +139,7 @@
 
 
 def test_objects_leave_the_reserve_to_connections_that_read() -> None:
-    pool = BufferPool(8, reserve=3)
-    body = PooledBody.of_length(pool, 5 * BUFFER_SIZE)
-    assert body is not None and PooledBody.of_length(pool, 1) is None
-    assert all(pool.take() is not None for _ in range(3)) and pool.take() is None
+    pool = BufferPool(8, reserved=3)
+    body = PooledBody.allocate(pool, 5 * BUFFER_SIZE)
+    assert body is not None and PooledBody.allocate(pool, 1) is None
+    assert all(pool.acquire() is not None for _ in range(3)) and pool.acquire() is None
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -184,8 +184,10 @@
         "HTTP_X_ITEM": "7f3a9c21e0b4d655", "HTTP_X_N": "0", "HTTP_X_SHARD": "17", "HTTP_X_ALLOW_MS": "900",
     }  # fmt: skip
     taken = open_request(Call(1, params, b"", True), class_table(config), Inbox(), 0)
-    assert taken.cls == 1
-    return serve(taken.job, serve_fields(io.Ask(1, 1, SECOND), taken, MachineDirectory((), ()), SECOND), b"")
+    assert taken.class_index == 1
+    return serve(
+        taken.job_id, serve_fields(io.Ask(1, 1, SECOND), taken, MachineDirectory((), ()), SECOND), b""
+    )
 
 
 @pytest.mark.parametrize("name", ["a", "büro", "图片", "x=y/z;%20", "é" * 100, "lot-video2"])
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -45,9 +45,9 @@
 def test_the_memory_shared_out_stays_under_the_limit_less_what_the_program_takes() -> None:
     for limit in (32, 48, 64, 80, 96, 128, 192):
         budget = divide_memory(limit, 24 * MB, 20_000)
-        given = budget.buffers * 16_384 + budget.bodies + budget.requests * 6144
-        assert given <= max(limit * 0.85 - 24, limit * 0.1) * MB and budget.buffers >= 64
-    assert divide_memory(192, 24 * MB, 500).requests == 500
+        given = budget.max_buffers * 16_384 + budget.max_body_bytes + budget.max_open_requests * 6144
+        assert given <= max(limit * 0.85 - 24, limit * 0.1) * MB and budget.max_buffers >= 64
+    assert divide_memory(192, 24 * MB, 500).max_open_requests == 500
 
 
 def rewrite(front: Front, **changes: object) -> None:
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -181,13 +181,13 @@
         (attempt,) = request.attempts
         match news:
             case "purge":
-                inside.tell(invalidate={"object": f"{request.object:016x}", "time": 1})
+                inside.tell(invalidate={"object": f"{request.object_id:016x}", "time": 1})
             case "source drains":
                 inside.tell(inside.record("p-1", machines["p-1"].addresses(), health="DRAINING"))
             case _:
                 state = "DRAINING" if news == "drain" else "DELETED"
                 inside.tell(inside.record("s-1", edge.addresses(), health=state))
-        await until(lambda: attempt.recalled and attempt.ended, "the attempt went back")
+        await until(lambda: attempt.is_revoked and attempt.is_ended, "the attempt went back")
         for kind in edge.kinds:
             edge.set(kind, Script())
         assert await inside.answered(inbox) == 200
@@ -220,7 +220,7 @@
         def tell(id: str, what: Any, command: bytes) -> None:
             send(id, what, command)
             if not endings:
-                what.recalled = True  # told in the same turn, after the command was queued
+                what.is_revoked = True  # told in the same turn, after the command was queued
 
         connection.send = tell  # type: ignore[method-assign]
         second, status = await inside.serve(UNSAFE)
@@ -304,7 +304,7 @@
         inside.tell(
             inside.record("s-1", old.addresses(), health="DELETED"), inside.record("s-2", old.addresses())
         )
-        await until(lambda: "s-2" in inside.module.directory.entries, "the list is taken")
+        await until(lambda: "s-2" in inside.module.directory.entry_by_host, "the list is taken")
         new = inside.way("s-2")
         assert new is not way and not new.resting(parse(old.doors["unix"].text))  # another machine
         inside.tell(inside.record("s-3", old.addresses()))
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -108,9 +108,9 @@
                 self.inbox,
                 0,
                 f"{self.number:016x}",
-                object=self.number % 97,
-                item=f"{self.number % 97:016x}",
-                came=clock.now(),
+                object_id=self.number % 97,
+                object_key=f"{self.number % 97:016x}",
+                received_at_ns=clock.now(),
             )
             self.front.module.mailbox.push(Came(request))
             await asyncio.sleep(EVERY)
@@ -245,13 +245,13 @@
 
 def forgets_starts(patch: pytest.MonkeyPatch) -> None:
     """A new start of a machine on the list keeps the time of the one before."""
-    plain = MachineDirectory._machine
+    plain = MachineDirectory._to_machine
 
     def machine(self: MachineDirectory, record: Any) -> Any:
-        before, now = self.entries.get(record.host), plain(self, record)
+        before, now = self.entry_by_host.get(record.host), plain(self, record)
         return replace(now, up_since=before.machine.up_since) if before is not None else now
 
-    patch.setattr(MachineDirectory, "_machine", machine)
+    patch.setattr(MachineDirectory, "_to_machine", machine)
 
 
 def purges_from_long_ago(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -51,10 +51,10 @@
     """Caches know the repeats of a keyed write by it; without it they take the request for another one."""
     taken, known = open_request(call(b"xy", "bid", HTTP_X_UNIQUE=key), CLASSES, Inbox(), 50), directory()
     for sent in range(2):  # each attempt
-        fields = serve_fields(io.Ask(1, known.number("s-1"), sent), taken, known, clock.SECOND)
+        fields = serve_fields(io.Ask(1, known.assign_number("s-1"), sent), taken, known, clock.SECOND)
         assert [value for name, value in fields if name == "once"] == [key]
     plain = open_request(call(b"xy", "bid"), CLASSES, Inbox(), 50)
-    ask = io.Ask(1, known.number("s-1"), 0)
+    ask = io.Ask(1, known.assign_number("s-1"), 0)
     assert "once" not in dict(serve_fields(ask, plain, known, clock.SECOND))
 
 
@@ -66,14 +66,14 @@
 
 def test_request_in_the_stated_form() -> None:
     taken = open_request(call(b"xy", HTTP_X_AGAIN="1", HTTP_X_MINE="4be0c1927d55a6f3"), CLASSES, Inbox(), 50)
-    assert (taken.stream, taken.job, taken.cls, taken.class_name) == (4, JOB, 1, "lot-image")
-    assert (taken.item, taken.object, taken.part, taken.group) == (
+    assert (taken.stream_id, taken.job_id, taken.class_index, taken.class_name) == (4, JOB, 1, "lot-image")
+    assert (taken.object_key, taken.object_id, taken.part, taken.group) == (
         "7f3a9c21e0b4d655",
         0x7F3A9C21E0B4D655,
         0,
         17,
     )
-    assert (taken.repeat, taken.known, taken.allow, taken.body) == (
+    assert (taken.is_repeat, taken.known_version, taken.allowed_ns, taken.body) == (
         True,
         "4be0c1927d55a6f3",
         3000 * clock.MS,
@@ -115,7 +115,7 @@
 
 
 def test_time_left_counts_from_when_the_request_was_there() -> None:
-    taken = frontkit.open_request(Inbox(), allow=3000 * clock.MS, came=100)
+    taken = frontkit.open_request(Inbox(), allowed_ns=3000 * clock.MS, received_at_ns=100)
     taken.number = 8
     assert request_came(taken, 100).time_left == 3000 * clock.MS
     assert request_came(taken, 100 + 200 * clock.MS).time_left == 2800 * clock.MS
@@ -141,7 +141,7 @@
 
     assert attempt_ended(attempt, Ended(attempt, Ending.OK, 1500, Note.HIT, 7)).elapsed == 500
     assert last(Ending.OK) and not last(Ending.TIMEOUT) and not last(Ending.CANCELLED)
-    taken.over = True
+    taken.is_finished = True
     assert last(Ending.TIMEOUT)
 
 
@@ -154,8 +154,8 @@
 
 
 def test_fields_of_a_command() -> None:
-    known, taken = directory(), frontkit.open_request(Inbox(), known="4be0c1927d55a6f3", part=3)
-    edge, parent = known.number("s-1"), known.number("p-1")
+    known, taken = directory(), frontkit.open_request(Inbox(), known_version="4be0c1927d55a6f3", part=3)
+    edge, parent = known.assign_number("s-1"), known.assign_number("p-1")
     ask = serve_fields(io.Ask(1, edge, 0), taken, known, 1500 * clock.MS)
     plain = [("class", "lot-image"), ("key", "7f3a9c21e0b4d655"), ("part", "3"), ("wait", "1500")]
     assert ask == [*plain, ("known", "4be0c1927d55a6f3")]
@@ -165,16 +165,18 @@
         ("tier", "2"),
         ("fresh", "1"),
         ("opts", "join+held+renew"),
-        ("known", taken.known),
+        ("known", taken.known_version),
     ]
     assert serve_fields(fetch, taken, known, 1500 * clock.MS) == [*plain, *more]
     own = io.Fetch(1, edge, 0, edge, 0, 0, False, False, False)
-    assert serve_fields(own, taken, known, 0) == [*plain[:3], ("wait", "1"), ("known", taken.known)]
+    assert serve_fields(own, taken, known, 0) == [*plain[:3], ("wait", "1"), ("known", taken.known_version)]
 
 
 def test_an_age_under_a_millisecond_is_not_sent_as_no_limit() -> None:
     known, taken = directory(), frontkit.open_request(Inbox())
-    fetch = io.Fetch(1, known.number("s-1"), 0, known.number("p-1"), 1, 900_000, False, False, False)
+    fetch = io.Fetch(
+        1, known.assign_number("s-1"), 0, known.assign_number("p-1"), 1, 900_000, False, False, False
+    )
     assert ("fresh", "1") in serve_fields(fetch, taken, known, clock.SECOND)
 
 
@@ -183,14 +185,15 @@
     config, known, seed, now = make_config(), directory(), 9, 10**9
     conf = "\n".join(f"{key}={value}" for key, value in lay_out(frontkit.SETTINGS)).encode()
     entries = [
-        struct.pack("<HfIQBHB", m.cell, m.size, m.cache, 0, m.kind, m.zone, 0) for m in known.whole().machines
+        struct.pack("<HfIQBHB", m.cell, m.size, m.cache, 0, m.kind, m.zone, 0)
+        for m in known.full_list().machines
     ]
     host = Host()
     start = wirekit.record(1000, struct.pack("<IQI", 3, seed, len(conf)) + conf)
     view = wirekit.record(1010, struct.pack("<IBII", 3, 3, 1, len(entries)) + b"".join(entries))
     host.reply(wirekit.frame(start, view, now=now))
     router, requests = Router(config.settings, seed, now), OpenRequestTable(100)
-    news = known.whole()
+    news = known.full_list()
     router.handle(now, io.ListNews(io.ListScope.REMEMBERED, news.machines))
 
     def same(event: io.Event, code: int, fields: bytes) -> list[io.Action]:
@@ -210,17 +213,17 @@
         )
         requests.add(taken)
         event = request_came(taken, now)
-        packed = (3, taken.number, cls, 0.0, 0, 17.0, n % 7 + 1, float(part), 0, taken.allow)
+        packed = (3, taken.number, cls, 0.0, 0, 17.0, n % 7 + 1, float(part), 0, taken.allowed_ns)
         actions = same(event, 1020, struct.pack("<IIBfHfQfBQ", *packed))
         for action in actions:
             if isinstance(action, io.Ask | io.Fetch):
                 asked += 1
-                attempt = requests.attempt(taken, action.cache, now)
+                attempt = requests.start_attempt(taken, action.cache, now)
                 endings = (Ending.OK, 0), (Ending.FULL, 11), (Ending.RESET, 104)
                 ending, number = endings[0 if n % 5 else n // 5 % 3]
                 now += 20 * clock.MS
                 ended = attempt_ended(attempt, Ended(attempt, ending, now, Note.FILLED, 5))
-                taken.over = ending is Ending.OK
+                taken.is_finished = ending is Ending.OK
                 outcome = (3, taken.number, 0, action.cache, number, 20 * clock.MS, ended.last, 2, 5, 0)
                 same(ended, 1040, struct.pack("<IIHIBQBBQB", *outcome))
     assert asked >= 40
