--- a/quincepier/memory/machine_directory.py
+++ b/quincepier/memory/machine_directory.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 
 from quincepier import clock
-from quincepier.interface import CacheState, ListNews, ListScope, Machine
+from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, UpdateScope
 from quincepier.wire.changelog import FleetChange, HostRecord
 from quincepier.wire.errors import ProtocolError
 
@@ -23,7 +23,7 @@
     """A listed machine: its record as received, and the same as the router takes it."""
 
     record: HostRecord
-    machine: Machine
+    machine: Endpoint
 
 
 class MachineDirectory:
@@ -60,10 +60,10 @@
         """Return the listed machine of this number, or None."""
         return self.entry_by_host.get(self.host_by_number.get(number, ""))
 
-    def _to_machine(self, record: HostRecord) -> Machine:
+    def _to_machine(self, record: HostRecord) -> Endpoint:
         if record.site not in self.zone_by_name or record.kind not in self.kind_by_name:
             raise ProtocolError(f"host {record.host[:40]} has an unknown site or class")
-        return Machine(
+        return Endpoint(
             self.assign_number(record.host),
             self.kind_by_name[record.kind],
             self.zone_by_name[record.site],
@@ -80,7 +80,7 @@
             return previous.machine.up_since
         return clock.since(record.born_ms)
 
-    def apply(self, change: FleetChange, scope: ListScope = ListScope.CHANGES) -> ListNews:
+    def apply(self, change: FleetChange, scope: UpdateScope = UpdateScope.CHANGES) -> EndpointUpdate:
         """Apply a change completely or, if one of its records can't be used, not at all.
 
         The last record of a host counts. A new machine at the address of another one implies that the other
@@ -102,26 +102,26 @@
         if change.whole:
             self.entry_by_host.clear()
         for host, entry in changed.items():
-            if entry.machine.state is CacheState.GONE:
+            if entry.machine.state is EndpointState.GONE:
                 self.entry_by_host.pop(host, None)
             else:
                 self.entry_by_host[host] = entry
-        return ListNews(scope, tuple(entry.machine for entry in changed.values()))
+        return EndpointUpdate(scope, tuple(entry.machine for entry in changed.values()))
 
     def _replaced_entries(self, changed: dict[str, MachineEntry]) -> dict[str, MachineEntry]:
         """Entries, as gone, of listed machines whose address a new machine has."""
         new = [entry for host, entry in changed.items() if host not in self.entry_by_host]
-        freed = {e.record.address for e in changed.values() if e.machine.state is CacheState.GONE}
-        occupied = {e.record.address for e in new if e.machine.state is CacheState.READY} - freed - {None}
+        freed = {e.record.address for e in changed.values() if e.machine.state is EndpointState.GONE}
+        occupied = {e.record.address for e in new if e.machine.state is EndpointState.READY} - freed - {None}
         return {
-            host: MachineEntry(entry.record, replace(entry.machine, state=CacheState.GONE))
+            host: MachineEntry(entry.record, replace(entry.machine, state=EndpointState.GONE))
             for host, entry in self.entry_by_host.items()
             if entry.record.address in occupied and host not in changed
         }
 
-    def full_list(self) -> ListNews:
+    def full_list(self) -> EndpointUpdate:
         """Return all listed machines, as the router takes them."""
-        return ListNews(ListScope.FULL, tuple(entry.machine for entry in self.entry_by_host.values()))
+        return EndpointUpdate(UpdateScope.FULL, tuple(entry.machine for entry in self.entry_by_host.values()))
 
     def forget_unlisted(self, used: Collection[int]) -> None:
         """Drop the numbers of hosts that are neither listed nor among the `used` numbers."""
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -18,7 +18,7 @@
 from quincepier.consistency.explain import DecisionRecord
 from quincepier.consistency.findings import Finding
 from quincepier.consistency.section import ConsistencySection
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 from quincepier.net.fleet.active_rules import ActiveRules
 from quincepier.net.fleet.messages import ALIKE
 from quincepier.net.fleet.version_effects import VersionEffects
@@ -72,7 +72,7 @@
         entries = sorted(self.module.directory.entry_by_host.values(), key=lambda e: e.record.host)
         self.lines = tuple(
             ListedEndpoint(
-                e.record.host, m.cache, m.kind, m.zone, m.cell, m.size, m.state is CacheState.READY
+                e.record.host, m.cache, m.kind, m.zone, m.cell, m.size, m.state is EndpointState.READY
             )
             for e in entries
             for m in (e.machine,)
@@ -89,7 +89,7 @@
             return None
         numbers = {name: n for n, name in enumerate(tenants.names)}
 
-        def home(tenant: str, e: io.RequestCame) -> io.Home | None:
+        def home(tenant: str, e: io.RequestReceived) -> io.HomeShard | None:
             e.tenant = numbers.get(tenant, 0)
             return homes(e)
 
--- a/tests/tenancykit.py
+++ b/tests/tenancykit.py
@@ -36,7 +36,9 @@
     (MigrationRequest("m", "acme", "north"),),
 )
 MACHINES = {h: MachineObservation(h, "cache", "a", True, 10**6, 1) for h in ("s-1", "s-9")}
-KEYED = io.RequestClass(io.Effect.KEYED, io.Group.CELL, 1, 1, 0.0, 1, 1.0, False, 0, 0, True)
+KEYED = io.RequestClass(
+    io.Idempotency.KEYED, io.DeduplicationScope.CELL, 1, 1, 0.0, 1, 1.0, False, 0, 0, True
+)
 OLD, NEW = 0, 1
 ALL = frozenset({"leader", "rollback", "pause", "folder"})  # beside leases, ticks and repeats in any order
 UNKNOWN = (-1, 0)  # a version in which the tenant is under no move yet
@@ -112,7 +114,7 @@
                 lambda: ((1, 9), ()),
                 unsure,
             )
-        home = self._homes[key](io.RequestCame(1, 0, 0.0, 1, 0, 5, 0, repeat, 1))
+        home = self._homes[key](io.RequestReceived(1, 0, 0.0, 1, 0, 5, 0, repeat, 1))
         assert home is not None
         return None if home.closed else NEW if home.caches == {1} else OLD
 
@@ -145,7 +147,7 @@
                 LONG * late,
             )
             line = MigrationRequest("m", "acme", "north", rollback=s.rollback, pause=s.pause)
-            section = TenantsSection(SECTION.shards, SECTION.tenants, (line,))
+            section = TenantsSection(SECTION.shard_by_name, SECTION.tenant_by_name, (line,))
             change = advance(
                 version, MigrationPolicy(section, self.rules.hold * TICK, self.rules.notice * TICK), seen
             )
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -364,7 +364,7 @@
         assert not first.is_cancelled and not second.is_cancelled
         peer.send(rec(ABORT, 1))
         peer.at_front.receive()
-        assert first.is_cancelled and not second.gone
+        assert first.is_cancelled and not second.is_cancelled
         peer.sock.close()
         await until(lambda: peer.at_front.closed, "it is heard")
         assert second.is_cancelled
