--- a/bench/members.py
+++ b/bench/membership.py
@@ -1,6 +1,6 @@
 """Membership in virtual time beside two baselines in the same runs: detection, wrong accusations, bytes.
 
-    .venv/bin/python bench/members.py [MEMBERS ...]
+    .venv/bin/python bench/membership.py [MEMBERS ...]
 
 Baselines of our own: a heartbeat of each to all with a fixed time, and SWIM as first published (one accuser
 is enough, no health, suspicion of a fixed time).
@@ -17,16 +17,21 @@
 from quincepier.membership.probe_intervals import MS, SECOND
 
 SWIM = ProbeIntervals(
-    accusers=1, health_most=0, suspicion=1000 * MS, suspicion_most=1000 * MS, gather=1, gather_most=1
+    required_suspicions=1,
+    max_local_health=0,
+    min_suspicion_timeout_ns=1000 * MS,
+    max_suspicion_timeout_ns=1000 * MS,
+    view_change_delay_ns=1,
+    max_view_change_delay_ns=1,
 )
 BEAT, SILENT = 200 * MS, 1200 * MS  # of the baseline: between heartbeats; without one, a member is put out
 
 
 def ours(
-    count: int, seed: int, pace: ProbeIntervals | None, fault: str
+    count: int, seed: int, intervals: ProbeIntervals | None, fault: str
 ) -> tuple[list[float], int, float, float]:
     """Seconds until each knew of the kill, members wrongly put out, bytes and datagrams a second of each."""
-    net = PeerNet(count, seed, pace, loss=0.2 if fault == "loss" else 0.0)
+    net = PeerNet(count, seed, intervals, loss=0.2 if fault == "loss" else 0.0)
     net.start()
     net.run(8 * SECOND)
     since, sent, told = net.now, sum(net.bytes.values()), sum(net.datagrams.values())
@@ -41,10 +46,10 @@
         dead.kill()
     net.run(20 * SECOND)
     times = [
-        (at - since) / SECOND for p in net.peers for at, v in p.views if at > since and dead.name in v.went
+        (at - since) / SECOND for p in net.peers for at, v in p.views if at > since and dead.name in v.removed
     ]
     wrong = sum(name != dead.name or fault != "kill" for p in net.peers for at, v in p.views
-                if at > since for name in v.went)  # fmt: skip
+                if at > since for name in v.removed)  # fmt: skip
     each = 20 * count
     return times, wrong, (sum(net.bytes.values()) - sent) / each, (sum(net.datagrams.values()) - told) / each
 
@@ -85,9 +90,9 @@
             cells = []
             for fault in ("kill", "loss", "pause", "cut"):
                 seeds = range(1, 4 if count <= 100 else 2)
-                pace = SWIM if name == "SWIM" else None
+                intervals = SWIM if name == "SWIM" else None
                 beat = name == "heartbeats"
-                runs = [beats(count, s, fault) if beat else ours(count, s, pace, fault) for s in seeds]
+                runs = [beats(count, s, fault) if beat else ours(count, s, intervals, fault) for s in seeds]
                 times = sorted(t for run in runs for t in run[0])
                 if fault == "kill":
                     last = times[int(len(times) * 0.99)] if times else 0.0
--- a/bench/members_fleet.py
+++ b/bench/membership_fleet.py
@@ -1,6 +1,6 @@
 """Membership by processes: fronts on loopback, all pairs through the relay, struck one fault after another.
 
-    .venv/bin/python bench/members_fleet.py [MEMBERS ...]
+    .venv/bin/python bench/membership_fleet.py [MEMBERS ...]
 
 Told of each fault: members wrongly put out (sums over all views), how long until a death is known (median,
 worst), changes of the view at a front that was not struck (median, most), and how long after the fault all
@@ -20,7 +20,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bench.measure import cpu_of
-from tests.memberskit import Fleet, middle
+from tests.membershipkit import Fleet, middle
 
 REST = 10.0  # seconds
 
--- a/quincepier/lab/peers.py
+++ b/quincepier/lab/peers.py
@@ -67,20 +67,20 @@
             self.stopped, waiting, self.waiting = False, self.waiting, []
             for data in waiting:
                 self.hear(data)
-            self._perform(self.detector.tick(self.net.now))
+            self._perform(self.detector.on_tick(self.net.now))
 
     def _tick(self, start: int) -> None:
         if not self.alive or start != self.starts:
             return
         if not self.stopped:
-            self._perform(self.detector.tick(self.net.now))
-        self.net.after(max(self.detector.wake - self.net.now, 5 * MS), self._tick, start)
+            self._perform(self.detector.on_tick(self.net.now))
+        self.net.after(max(self.detector.next_tick_ns - self.net.now, 5 * MS), self._tick, start)
 
     def hear(self, data: bytes) -> None:
         if self.stopped:
             self.waiting.append(data)
         elif self.alive:
-            self._perform(self.detector.heard(self.net.now, data))
+            self._perform(self.detector.on_datagram(self.net.now, data))
 
     def _perform(self, actions: list[Any]) -> None:
         net = self.net
@@ -102,11 +102,11 @@
             return
         if net.cut(self, other) or net.cut(other, self):
             return
-        mine, theirs = self.detector.whole(net.now), other.detector.whole(net.now)
+        mine, theirs = self.detector.encode_full_state(net.now), other.detector.encode_full_state(net.now)
         net.bytes[self.name] += len(mine)
         net.bytes[other.name] += len(theirs)
-        other._perform(other.detector.merge(net.now, mine))
-        self._perform(self.detector.merge(net.now, theirs))
+        other._perform(other.detector.on_full_state(net.now, mine))
+        self._perform(self.detector.on_full_state(net.now, theirs))
 
 
 class PeerNet:
--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -54,7 +54,7 @@
     def __init__(self, path: str) -> None:
         """Raises OperatorError with all that is wrong with the file."""
         self.path, self.file = path, checked(path)
-        self.divider: QuotaAllocator | None = None
+        self.quota_allocator: QuotaAllocator | None = None
 
     @property
     def log_format(self) -> str:
@@ -110,8 +110,8 @@
         section = self.file.get(MembersSection)
         if section is None:
             return None
-        peers = PeerNetwork.told(section, module.config, module.means)
-        self.divider = QuotaAllocator(module, peers)
+        peers = PeerNetwork.from_section(section, module.config, module.means)
+        self.quota_allocator = QuotaAllocator(module, peers)
         return peers
 
     def fleet(self, module: ModuleActor, peers: PeerNetwork | None) -> AgreementNode | None:
--- /dev/null
+++ b/quincepier/membership/broadcast_queue.py
@@ -0,0 +1,84 @@
+"""Membership updates that wait to be piggybacked on datagrams (SWIM, section 4.1)."""
+
+from __future__ import annotations
+
+import heapq
+import math
+from dataclasses import dataclass, replace
+
+import msgspec
+
+from quincepier.membership.member_table import MemberState
+from quincepier.membership.messages import MembershipUpdate, encoded_size
+from quincepier.membership.probe_intervals import MS
+
+MAX_QUEUED_UPDATES = 8192
+MAX_PIGGYBACKED_UPDATES = 40  # in one datagram
+
+
+@dataclass(slots=True, frozen=True)
+class QueuedUpdate:
+    """An update, how often it was sent, and when it was queued."""
+
+    update: MembershipUpdate
+    queued_at_ns: int
+    transmit_count: int = 0
+
+    def to_update(self, now_ns: int) -> MembershipUpdate:
+        """Returns the update with the age of its suspicion at this time."""
+        if self.update.state != MemberState.SUSPECT:
+            return self.update
+        waited_ms = (now_ns - self.queued_at_ns) // MS
+        age_ms = self.update.suspected_for_ms + waited_ms
+        return msgspec.structs.replace(self.update, suspected_for_ms=age_ms)
+
+
+class BroadcastQueue:
+    """Updates to pass on, each a limited number of times, the least often sent first."""
+
+    def __init__(self, retransmit_multiplier: float) -> None:
+        self._retransmit_multiplier = retransmit_multiplier
+        self._queued: dict[tuple[str, str], QueuedUpdate] = {}  # by member and, of suspicions, who suspects
+
+    def __len__(self) -> int:
+        return len(self._queued)
+
+    def add(self, now_ns: int, update: MembershipUpdate) -> None:
+        """Queues an update; one that ends a suspicion replaces all about that member."""
+        is_suspicion = update.state == MemberState.SUSPECT
+        if not is_suspicion:
+            self._discard(update.name)
+        if len(self._queued) < MAX_QUEUED_UPDATES:
+            key = (update.name, update.suspected_by if is_suspicion else "")
+            self._queued[key] = QueuedUpdate(update, now_ns)
+
+    def take(self, now_ns: int, member_count: int, max_bytes: int) -> list[MembershipUpdate]:
+        """Returns updates for one datagram and counts them as sent.
+
+        Args:
+            now_ns: The current time in nanoseconds.
+            member_count: The members that are known; an update is sent about log2 of it times.
+            max_bytes: The space that is left in the datagram.
+        """
+        transmit_limit = math.ceil(self._retransmit_multiplier * math.log2(member_count + 2))
+        taken = []
+        for key, queued in self._least_sent():
+            update = queued.to_update(now_ns)
+            size = encoded_size(update)
+            if size > max_bytes:
+                break
+            taken.append(update)
+            max_bytes -= size
+            if queued.transmit_count + 1 >= transmit_limit:
+                del self._queued[key]
+            else:
+                self._queued[key] = replace(queued, transmit_count=queued.transmit_count + 1)
+        return taken
+
+    def _least_sent(self) -> list[tuple[tuple[str, str], QueuedUpdate]]:
+        items = self._queued.items()
+        return heapq.nsmallest(MAX_PIGGYBACKED_UPDATES, items, key=lambda item: item[1].transmit_count)
+
+    def _discard(self, name: str) -> None:
+        for key in [key for key in self._queued if key[0] == name]:
+            del self._queued[key]
--- a/quincepier/membership/member_table.py
+++ b/quincepier/membership/member_table.py
@@ -1,41 +1,202 @@
-"""What a front believes of each other front, and which of two claims goes before.
+"""What this front knows of the other members, and which update about a member supersedes another.
 
-A claim of a higher incarnation goes before any of a lower one: only the member itself raises it. Of one
-incarnation, that it left or was put out goes before that it is suspected, and that before that it is alive.
+An assertion of a higher incarnation supersedes any of a lower one: only the member itself raises it. Within
+one incarnation dead or left supersedes suspect, and suspect supersedes alive (SWIM, section 4.2).
 """
 
 from __future__ import annotations
 
+from collections.abc import Collection
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-Address = tuple[str, int]
+from quincepier.membership.messages import Address, MembershipUpdate
+from quincepier.membership.probe_intervals import MS, ProbeIntervals
+
+KEPT_SUSPICIONS = 2  # times the required ones: members remembered as suspecting one
 
 
 class MemberState(IntEnum):
+    """What is believed of a member, in the order of precedence within one incarnation."""
+
     ALIVE = 0
-    SUSPECT = 1  # accused by some, still a member
-    GONE = 2  # put out: enough accusers agreed and nobody refuted
-    LEFT = 3  # it said so itself
+    SUSPECT = 1  # suspected by some, still a member of the view
+    DEAD = 2  # enough members suspected it for long enough and it did not refute
+    LEFT = 3  # it announced that it leaves
 
 
 @dataclass(slots=True)
 class MemberRecord:
-    """One member as this front believes it to be."""
+    """One other member as this front believes it to be.
+
+    Attributes:
+        name: Its name.
+        address: The address that it announces.
+        incarnation: The highest one heard of.
+        state: What is believed of it.
+        since_ns: When it got this state; of a suspect, when it was first suspected by anybody.
+        suspected_by: Names of the members that suspect it independently.
+    """
 
     name: str
     address: Address
     incarnation: int
-    standing: MemberState = MemberState.ALIVE
-    since: int = 0  # when it got this standing; of a suspect: when it was accused first
-    accusers: set[str] = field(default_factory=set)
-    heard: int = 0  # when it answered this front last
+    state: MemberState = MemberState.ALIVE
+    since_ns: int = 0
+    suspected_by: set[str] = field(default_factory=set)
+
+    @property
+    def is_live(self) -> bool:
+        """Whether it counts as a member of the view."""
+        return self.state <= MemberState.SUSPECT
+
+    def to_update(self, now_ns: int, suspected_by: str = "") -> MembershipUpdate:
+        """Returns what to tell others of it.
+
+        Args:
+            now_ns: The current time in nanoseconds.
+            suspected_by: The suspicion to pass on; without one, the first by name.
+        """
+        if self.state is not MemberState.SUSPECT:
+            return MembershipUpdate(self.name, self.address, self.incarnation, self.state, 0, suspected_by)
+        suspected_for_ms = max(now_ns - self.since_ns, 0) // MS
+        suspected_by = suspected_by or min(self.suspected_by, default="")
+        return MembershipUpdate(
+            self.name, self.address, self.incarnation, self.state, suspected_for_ms, suspected_by
+        )
+
+
+def supersedes(incarnation: int, state: MemberState, record: MemberRecord) -> bool:
+    """Whether an assertion changes what is believed of a member.
+
+    A further suspicion of a suspect does not supersede the first; it is counted beside it.
+    """
+    return (incarnation, state) > (record.incarnation, record.state)
+
+
+class MemberTable:
+    """The records of all other members, at most `max_members` of them."""
+
+    def __init__(self, intervals: ProbeIntervals) -> None:
+        self._intervals = intervals
+        self._records_by_name: dict[str, MemberRecord] = {}
+        self._suspects: set[str] = set()
+        self._live_count = 0
+        self._live_set_version = 0
+
+    def __len__(self) -> int:
+        return len(self._records_by_name)
+
+    @property
+    def live_count(self) -> int:
+        """The number of live members, suspects included."""
+        return self._live_count
+
+    @property
+    def suspect_count(self) -> int:
+        """The number of suspects."""
+        return len(self._suspects)
 
     @property
-    def member(self) -> bool:
-        return self.standing <= MemberState.SUSPECT
+    def live_set_version(self) -> int:
+        """A number that grows with each change of the set of live members."""
+        return self._live_set_version
+
+    def get(self, name: str) -> MemberRecord | None:
+        """Returns the record of a member, if it is known."""
+        return self._records_by_name.get(name)
+
+    def records(self) -> Collection[MemberRecord]:
+        """Returns all records, dead members included."""
+        return self._records_by_name.values()
+
+    def live_records(self) -> list[MemberRecord]:
+        """Returns the records of the live members, suspects included."""
+        return [record for record in self._records_by_name.values() if record.is_live]
+
+    def suspects(self) -> list[MemberRecord]:
+        """Returns the records of the suspects, by name."""
+        return [self._records_by_name[name] for name in sorted(self._suspects)]
+
+    def apply(self, now_ns: int, update: MembershipUpdate) -> MembershipUpdate | None:
+        """Takes an update about another member in.
+
+        Returns:
+            What to tell others of the member, or None where nothing changed.
+        """
+        record = self._records_by_name.get(update.name)
+        if record is None:
+            return self._add(now_ns, update)
+        is_suspicion = update.state == MemberState.SUSPECT and record.state is MemberState.SUSPECT
+        if is_suspicion and update.incarnation == record.incarnation:
+            return self._add_suspicion(now_ns, record, update)
+        if not supersedes(update.incarnation, MemberState(update.state), record):
+            return None
+        return self._replace(now_ns, record, update)
+
+    def declare_dead(self, now_ns: int, record: MemberRecord) -> None:
+        """Marks a suspect as dead from now on."""
+        record.since_ns = now_ns
+        self._set_state(record, MemberState.DEAD)
+
+    def postpone_suspicions(self, by_ns: int) -> None:
+        """Moves the start of all suspicions, by time in which this process was paused."""
+        for record in self._records_by_name.values():
+            if record.state is MemberState.SUSPECT:
+                record.since_ns += by_ns
+
+    def remove_tombstones(self, now_ns: int) -> None:
+        """Forgets members that have been dead or gone for longer than the tombstone timeout."""
+        expired = [
+            name
+            for name, record in self._records_by_name.items()
+            if not record.is_live and now_ns - record.since_ns > self._intervals.tombstone_timeout_ns
+        ]
+        for name in expired:
+            del self._records_by_name[name]
+
+    def _add(self, now_ns: int, update: MembershipUpdate) -> MembershipUpdate | None:
+        if len(self._records_by_name) >= self._intervals.max_members:
+            return None
+        since_ns = self._since_ns(now_ns, update)
+        record = MemberRecord(update.name, update.address, update.incarnation, MemberState.LEFT, since_ns)
+        if update.suspected_by:
+            record.suspected_by.add(update.suspected_by)
+        self._records_by_name[update.name] = record
+        self._set_state(record, MemberState(update.state))
+        return record.to_update(now_ns, update.suspected_by)
+
+    def _add_suspicion(
+        self, now_ns: int, record: MemberRecord, update: MembershipUpdate
+    ) -> MembershipUpdate | None:
+        earliest_ns = now_ns - self._intervals.max_suspicion_timeout_ns
+        record.since_ns = min(record.since_ns, max(self._since_ns(now_ns, update), earliest_ns))
+        if not update.suspected_by or update.suspected_by in record.suspected_by:
+            return None
+        if len(record.suspected_by) >= KEPT_SUSPICIONS * self._intervals.required_suspicions:
+            return None
+        record.suspected_by.add(update.suspected_by)
+        return record.to_update(now_ns, update.suspected_by)
+
+    def _replace(self, now_ns: int, record: MemberRecord, update: MembershipUpdate) -> MembershipUpdate:
+        if update.incarnation > record.incarnation or update.state != MemberState.DEAD:
+            record.suspected_by = {update.suspected_by} if update.suspected_by else set()
+        record.address = update.address
+        record.incarnation = update.incarnation
+        record.since_ns = self._since_ns(now_ns, update)
+        self._set_state(record, MemberState(update.state))
+        return record.to_update(now_ns, update.suspected_by)
 
+    def _since_ns(self, now_ns: int, update: MembershipUpdate) -> int:
+        return now_ns - min(update.suspected_for_ms * MS, self._intervals.tombstone_timeout_ns)
 
-def supersedes(incarnation: int, standing: MemberState, old: MemberRecord) -> bool:
-    """Whether a claim changes what is believed. Further accusers of a suspect are not asked about here."""
-    return (incarnation, standing) > (old.incarnation, old.standing)
+    def _set_state(self, record: MemberRecord, state: MemberState) -> None:
+        was_live = record.is_live
+        record.state = state
+        if state is MemberState.SUSPECT:
+            self._suspects.add(record.name)
+        else:
+            self._suspects.discard(record.name)
+        if record.is_live != was_live:
+            self._live_count += 1 if record.is_live else -1
+            self._live_set_version += 1
--- a/quincepier/membership/messages.py
+++ b/quincepier/membership/messages.py
@@ -1,107 +1,133 @@
-"""The datagrams between fronts: msgpack arrays of at most 1,400 bytes, checked before anything is believed.
+"""The protocol's messages: msgpack arrays in datagrams of at most 1,400 bytes, and the full state over TCP.
 
-The trust boundary is the network: whoever may send from a listed network is believed. Words of another fleet
-or version are refused here.
+The trust boundary is the network: whoever can send from a listed network is believed. Messages of another
+fleet or version, malformed or out of bounds, are rejected here, before anything is believed.
 """
 
 from __future__ import annotations
 
 from enum import IntEnum
-from typing import Annotated
+from typing import Annotated, TypeVar
 
 import msgspec
 
 from quincepier.errors import Inflicted
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 1400  # bytes: one frame of an Ethernet, with what goes round it
-MAX_FULL_STATE_BYTES = 4 * 1024 * 1024  # bytes of a whole view, over TCP
+MAX_DATAGRAM_BYTES = 1400  # one Ethernet frame, less the headers around it
+MAX_FULL_STATE_BYTES = 4 * 1024 * 1024
+MAX_REASON_LENGTH = 100  # characters of a decoder's own error text
+
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
+OptionalName = Annotated[str, msgspec.Meta(max_length=64)]
 Host = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Millis = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]
+Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]
 Address = tuple[Host, Port]
 
 
 class InvalidMessageError(Inflicted, ValueError):
-    """A datagram that is none of ours; it is dropped and counted."""
+    """A datagram or full state that can't be used; it is dropped and counted."""
 
     code = "QP-MEMBERS"
     remedy = "check that `members.fleet` and the build are alike at all fronts, and who else sends there"
 
 
 class MessageKind(IntEnum):
+    """What a datagram asks for or answers; SWIM, section 3.1, and Lifeguard's nack."""
+
     PING = 0
-    ASK = 1  # probe that member for me
+    PING_REQUEST = 1  # probe the target on the sender's behalf
     ACK = 2
-    NACK = 3  # the member that you asked for does not answer me either
+    NACK = 3  # the target of a ping request does not answer the sender either
     LEAVE = 4
 
 
 class MembershipUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """One claim about a member. Its age travels, never a time."""
+    """One assertion about a member, passed on by gossip. Ages travel, never times."""
 
     name: Name
     address: Address
     incarnation: Number
-    standing: Annotated[int, msgspec.Meta(ge=0, le=3)]
-    age_ms: Millis  # of the accusation
-    by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # who accuses
+    state: Annotated[int, msgspec.Meta(ge=0, le=3)]  # a MemberState
+    suspected_for_ms: Milliseconds
+    suspected_by: OptionalName = ""
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
+    """One datagram: a probe message with membership updates piggybacked on it."""
+
     version: int
     fleet: Name
     kind: MessageKind
-    number: Number  # of the probe
-    name: Name  # the sender
-    address: Address
-    incarnation: Number
-    about: Annotated[str, msgspec.Meta(max_length=64)] = ""  # of ASK, and of an ACK or NACK to it
-    news: Annotated[tuple[MembershipUpdate, ...], msgspec.Meta(max_length=100)] = ()
+    sequence_number: Number  # of the probe
+    sender: Name
+    address: Address  # of the sender, as it announces it
+    incarnation: Number  # of the sender
+    target: OptionalName = ""  # whom a ping request, or the answer to one, is about
+    updates: Annotated[tuple[MembershipUpdate, ...], msgspec.Meta(max_length=100)] = ()
 
 
 class FullState(msgspec.Struct, frozen=True, array_like=True):
-    """All that a front believes, for an exchange."""
+    """All that a member knows, exchanged over a stream (push/pull)."""
 
     version: int
     fleet: Name
-    news: Annotated[tuple[MembershipUpdate, ...], msgspec.Meta(max_length=100_000)]
+    updates: Annotated[tuple[MembershipUpdate, ...], msgspec.Meta(max_length=100_000)]
+
+
+_Decoded = TypeVar("_Decoded", Message, FullState)
+_message_decoder = msgspec.msgpack.Decoder(Message)
+_full_state_decoder = msgspec.msgpack.Decoder(FullState)
+_encoder = msgspec.msgpack.Encoder()
 
 
-_words, _whole = msgspec.msgpack.Decoder(Message), msgspec.msgpack.Decoder(FullState)
-_encode = msgspec.msgpack.Encoder().encode
+def encode(message: Message | FullState) -> bytes:
+    """Encodes a datagram or a full state."""
+    return _encoder.encode(message)
 
 
-def encode(words: Message | FullState) -> bytes:
-    return _encode(words)
+def encoded_size(update: MembershipUpdate) -> int:
+    """Returns the bytes that an update takes in a message."""
+    return len(_encoder.encode(update))
 
 
-def size_of(news: MembershipUpdate) -> int:
-    return len(_encode(news))
+def decode(data: bytes, fleet: str) -> Message:
+    """Decodes a datagram.
 
+    Args:
+        data: The datagram.
+        fleet: The name of the fleet that it must come from.
 
-def decode(raw: bytes, fleet: str) -> Message:
-    """The words of a datagram; BadWords for anything that is not of this fleet and version."""
-    if len(raw) > MAX_DATAGRAM_BYTES:
+    Raises:
+        InvalidMessageError: It is too long, malformed, or of another fleet or version.
+    """
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise InvalidMessageError("a datagram over 1,400 bytes")
-    try:
-        words = _words.decode(raw)
-    except (msgspec.DecodeError, RecursionError, ValueError) as error:
-        raise InvalidMessageError(str(error)[:100]) from None
-    if words.version != VERSION or words.fleet != fleet:
-        raise InvalidMessageError("of another version or fleet")
-    return words
+    return _decode(_message_decoder, data, fleet)
+
+
+def decode_full_state(data: bytes, fleet: str) -> FullState:
+    """Decodes a full state.
+
+    Args:
+        data: What came over the stream.
+        fleet: The name of the fleet that it must come from.
+
+    Raises:
+        InvalidMessageError: It is too long, malformed, or of another fleet or version.
+    """
+    if len(data) > MAX_FULL_STATE_BYTES:
+        raise InvalidMessageError("a full state over 4 MiB")
+    return _decode(_full_state_decoder, data, fleet)
 
 
-def decode_full_state(raw: bytes, fleet: str) -> FullState:
-    if len(raw) > MAX_FULL_STATE_BYTES:
-        raise InvalidMessageError("a whole view over 4 MiB")
+def _decode(decoder: msgspec.msgpack.Decoder[_Decoded], data: bytes, fleet: str) -> _Decoded:
     try:
-        whole = _whole.decode(raw)
+        message = decoder.decode(data)
     except (msgspec.DecodeError, RecursionError, ValueError) as error:
-        raise InvalidMessageError(str(error)[:100]) from None
-    if whole.version != VERSION or whole.fleet != fleet:
+        raise InvalidMessageError(str(error)[:MAX_REASON_LENGTH]) from None
+    if message.version != VERSION or message.fleet != fleet:
         raise InvalidMessageError("of another version or fleet")
-    return whole
+    return message
--- a/quincepier/membership/probe_intervals.py
+++ b/quincepier/membership/probe_intervals.py
@@ -1,33 +1,53 @@
-"""The times and counts of the failure detector; docs/membership.md has the reasons."""
+"""Intervals, timeouts and limits of the failure detector; docs/membership.md gives the reasons."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 SECOND = 1000 * MS
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeIntervals:
-    """Nanoseconds and counts."""
+    """Intervals and timeouts in nanoseconds, and limits as counts.
 
-    period: int = 200 * MS  # between probes of one front
-    answer: int = 80 * MS  # that a direct probe is waited for; then others are asked to probe
-    helpers: int = 3  # that are asked
-    # from the first accusation on, until one may be put out: longer than a pause of 2 s
-    suspicion: int = 2150 * MS
-    suspicion_most: int = 6 * SECOND  # with a single accuser
-    accusers: int = 3  # that have to agree, of those that there are
-    gather: int = 300 * MS  # changes due within this of each other are one change of the view
-    gather_most: int = 4 * SECOND
-    # a front that heard nobody, or stood still, for so long knows nothing of the others
-    lease: int = 2500 * MS
-    late: int = 100 * MS  # a turn that comes so late was a standstill of the front's own
-    health_most: int = 8  # a front that is ill waits up to so many times as long
-    whole_every: int = 10 * SECOND  # between exchanges of whole views, among so many members:
-    whole_for: int = 32
-    lost_every: int = 5 * SECOND  # between probes of one that was put out, or of a seed
-    forget: int = 600 * SECOND  # after which one that is gone is forgotten
-    members_most: int = 4096
-    repeats: float = 3.0  # times the logarithm of the members: how often one piece of news is told
+    Attributes:
+        probe_interval_ns: Between the direct probes that one member starts.
+        probe_timeout_ns: For the answer to a direct probe; then other members are asked to probe.
+        indirect_probes: Members asked to probe on this one's behalf.
+        min_suspicion_timeout_ns: From the first suspicion until a member may be declared dead, with
+            `required_suspicions` independent ones. Longer than a process pause of 2 s.
+        max_suspicion_timeout_ns: The same with a single independent suspicion.
+        required_suspicions: Members that must suspect independently, of those that are there.
+        view_change_delay_ns: Changes due within this time of each other are one change of the view.
+        max_view_change_delay_ns: The longest that a change of the view may be delayed to join others.
+        isolation_timeout_ns: A member that heard nobody, or was paused, for this long knows nothing
+            about the others.
+        pause_threshold_ns: A tick that is late by more than this was a pause of this process.
+        max_local_health: The highest local health score; timeouts are multiplied by up to one more.
+        full_sync_interval_ns: Between exchanges of the full state.
+        full_sync_scale_threshold: With more members than this the interval grows in proportion.
+        reconnect_interval_ns: Between probes of a dead member, or of a seed.
+        tombstone_timeout_ns: After which a member that is dead or has left is forgotten.
+        max_members: Members kept in the table.
+        retransmit_multiplier: Times the logarithm of the members: how often one update is sent.
+    """
+
+    probe_interval_ns: int = 200 * MS
+    probe_timeout_ns: int = 80 * MS
+    indirect_probes: int = 3
+    min_suspicion_timeout_ns: int = 2150 * MS
+    max_suspicion_timeout_ns: int = 6 * SECOND
+    required_suspicions: int = 3
+    view_change_delay_ns: int = 300 * MS
+    max_view_change_delay_ns: int = 4 * SECOND
+    isolation_timeout_ns: int = 2500 * MS
+    pause_threshold_ns: int = 100 * MS
+    max_local_health: int = 8
+    full_sync_interval_ns: int = 10 * SECOND
+    full_sync_scale_threshold: int = 32
+    reconnect_interval_ns: int = 5 * SECOND
+    tombstone_timeout_ns: int = 600 * SECOND
+    max_members: int = 4096
+    retransmit_multiplier: float = 3.0
--- /dev/null
+++ b/quincepier/membership/reconnection.py
@@ -0,0 +1,45 @@
+"""Pings a dead member or a seed now and then, so that the parts of a partitioned fleet find each other."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Sequence
+
+from quincepier.membership.actions import Action, StartStateSync
+from quincepier.membership.member_table import MemberState, MemberTable
+from quincepier.membership.message_sender import MessageSender
+from quincepier.membership.messages import Address, MessageKind
+from quincepier.membership.probe_intervals import ProbeIntervals
+
+
+class Reconnector:
+    """Pings those that are not in the view and might be there."""
+
+    def __init__(
+        self,
+        intervals: ProbeIntervals,
+        table: MemberTable,
+        sender: MessageSender,
+        seeds: Sequence[Address],
+        rng: random.Random,
+        emit: Callable[[Action], None],
+    ) -> None:
+        self._intervals = intervals
+        self._table = table
+        self._sender = sender
+        self._seeds = seeds
+        self._rng = rng
+        self._emit = emit
+
+    def reconnect(self, now_ns: int) -> None:
+        """Pings one candidate; where no other member is live, several, and asks each for its full state."""
+        live = {record.address for record in self._table.live_records()}
+        candidates = [r.address for r in self._table.records() if r.state is MemberState.DEAD]
+        candidates += [seed for seed in self._seeds if seed not in live]
+        if not live:
+            count = min(len(candidates), self._intervals.indirect_probes)
+            for address in self._rng.sample(candidates, count):
+                self._sender.send(now_ns, MessageKind.PING, address)
+                self._emit(StartStateSync(address))
+        elif candidates:
+            self._sender.send(now_ns, MessageKind.PING, self._rng.choice(candidates))
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -49,7 +49,7 @@
         module.router.witness = self.witness
         self.had = (-1, -1, "", -1)  # revision of the list, version and its digest, file
         self.viewed: tuple[object, ...] = ()
-        peers.channel(ALIKE, self.heard)
+        peers.register_channel(ALIKE, self.heard)
 
     def turn(self, now: int) -> None:
         """At each look of the fleet at what is due."""
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -103,7 +103,7 @@
         self.others: list[Callable[[int], None]] = []  # told at each look: what else is due
         for voter, address in section.voters.items():
             host, _, port = address.rpartition(":")
-            peers.know(voter, (host.strip("[]"), int(port)))
+            peers.add_address(voter, (host.strip("[]"), int(port)))
 
     # Life
 
@@ -121,7 +121,7 @@
         elif kept is not None:
             self.checks.event("kept version not used", f"{type(kept).__name__}: {kept}")
         self.effects.apply()
-        self.peers.channel(RULES, self._heard)
+        self.peers.register_channel(RULES, self._heard)
         if name in self.voters:
             log = VoterStore(FileSystem(self.kept.folder))
             seed = time.time_ns() ^ module.config.seed
@@ -145,10 +145,10 @@
                 self._machines,
                 lambda: self.peers.view,
                 self.checks,
-                silent=self.peers.silent,
+                silent=self.peers.recently_dead,
                 gone=lambda: self.rules.gone,
             )
-            self.peers.channel(AGREEMENT, self.seat.heard)
+            self.peers.register_channel(AGREEMENT, self.seat.heard)
             self.seat.open()
         if self.compared is not None:
             self._compare(self.compared)
--- /dev/null
+++ b/quincepier/net/peers/background_tasks.py
@@ -0,0 +1,41 @@
+"""The tasks that a part of the peer network has started and that nobody awaits."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine
+
+from quincepier.checks import Checks
+from quincepier.net.peers.defects import log_defect
+
+
+class BackgroundTasks:
+    """Owns its tasks until they end; an exception that ends one is logged as a defect."""
+
+    def __init__(self, checks: Checks, defect_event: str) -> None:
+        self._checks = checks
+        self._defect_event = defect_event
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def __len__(self) -> int:
+        return len(self._tasks)
+
+    def start(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
+        """Starts a task."""
+        task = asyncio.get_running_loop().create_task(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._on_done)
+        return task
+
+    def cancel_all(self) -> None:
+        """Cancels the tasks that have not ended."""
+        for task in list(self._tasks):
+            task.cancel()
+
+    def _on_done(self, task: asyncio.Task[None]) -> None:
+        self._tasks.discard(task)
+        if task.cancelled():
+            return
+        error = task.exception()
+        if error is not None:
+            log_defect(self._checks, self._defect_event, error)
--- a/quincepier/net/peers/frames.py
+++ b/quincepier/net/peers/frames.py
@@ -1,7 +1,8 @@
-"""Frames on a stream between two fronts: two bytes of length, a head in msgpack, then the data. No I/O."""
+"""Frames on a stream between two fronts: two bytes of length, a header in msgpack, then the data. No I/O."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Annotated
 
 import msgspec
@@ -9,70 +10,110 @@
 from quincepier.errors import QuincepierError
 
 VERSION = 1
-FRAME_MOST = 2 * 1024 * 1024  # bytes of data in one frame
-HEAD_MOST = 400  # bytes of a head: two names of 64 characters and numbers are less
-CHANNELS = 256
+MAX_FRAME_BYTES = 2 * 1024 * 1024  # of data in one frame
+MAX_HEADER_BYTES = 400  # two names of 64 characters and the numbers take less
+LENGTH_BYTES = 2
+CHANNEL_COUNT = 256
+MAX_REASON_LENGTH = 100  # characters of a decoder's own error text
+
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 
 
 class PeersError(QuincepierError):
-    """A stream that is none of ours, or a setting by which no front can be found."""
+    """A stream that breaks the protocol, or a setting by which no front can be found."""
 
     code = "QP-PEERS"
     remedy = "check `fleet`, `fronts` and `listen` of the section `members`, and that all run the same build"
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
+class FrameHeader(msgspec.Struct, frozen=True, array_like=True):
+    """Who sends a frame, on which channel, and how many bytes of data follow."""
+
     version: int
     fleet: Name
-    name: Name  # the sender
-    channel: Annotated[int, msgspec.Meta(ge=0, lt=CHANNELS)]
-    size: Annotated[int, msgspec.Meta(ge=0, le=FRAME_MOST)]
+    sender: Name
+    channel: Annotated[int, msgspec.Meta(ge=0, lt=CHANNEL_COUNT)]
+    size: Annotated[int, msgspec.Meta(ge=0, le=MAX_FRAME_BYTES)]
 
 
-_decode = msgspec.msgpack.Decoder(Head).decode
-_encode = msgspec.msgpack.Encoder().encode
+@dataclass(slots=True, frozen=True)
+class Frame:
+    """One frame as it was received."""
 
+    header: FrameHeader
+    data: bytes
 
-def frame(fleet: str, name: str, channel: int, data: bytes) -> bytes:
-    head = _encode(Head(VERSION, fleet, name, channel, len(data)))
-    return len(head).to_bytes(2, "big") + head + data
 
+_header_decoder = msgspec.msgpack.Decoder(FrameHeader)
+_header_encoder = msgspec.msgpack.Encoder()
 
-class Splitter:
-    """Bytes of a stream in, whole frames out. Holds one frame at most, and what came with its last bytes."""
 
-    def __init__(self, fleet: str) -> None:
-        self.fleet, self.held = fleet, bytearray()
-        self.head: Head | None = None
+def encode_frame(fleet: str, sender: str, channel: int, data: bytes) -> bytes:
+    """Encodes a frame with its header."""
+    header = _header_encoder.encode(FrameHeader(VERSION, fleet, sender, channel, len(data)))
+    return len(header).to_bytes(LENGTH_BYTES, "big") + header + data
+
 
-    def feed(self, data: bytes) -> list[tuple[Head, bytes]]:
-        """Raises PeersError for bytes that are no frame of this fleet and version: the stream must end."""
-        self.held += data
-        held, at, out = self.held, 0, list[tuple[Head, bytes]]()
+class FrameDecoder:
+    """Splits a stream of bytes into frames; keeps one partial frame and what came with its last bytes."""
+
+    def __init__(self, fleet: str) -> None:
+        self._fleet = fleet
+        self._buffer = bytearray()
+        self._header: FrameHeader | None = None
+
+    @property
+    def buffered_bytes(self) -> int:
+        """The number of bytes kept for a frame that is not complete."""
+        return len(self._buffer)
+
+    @property
+    def has_partial_frame(self) -> bool:
+        """Whether a frame has begun and is not complete."""
+        return self._header is not None or bool(self._buffer)
+
+    def feed(self, data: bytes) -> list[Frame]:
+        """Takes received bytes in and returns the frames that are complete.
+
+        Raises:
+            PeersError: The bytes are no frame of this fleet and version; the stream must be closed.
+        """
+        self._buffer += data
+        frames = []
+        offset = 0
         while True:
-            if self.head is None:
-                if len(held) - at < 2:
+            if self._header is None:
+                header_size = self._header_size(offset)
+                if header_size is None:
                     break
-                size = held[at] << 8 | held[at + 1]
-                if not 0 < size <= HEAD_MOST:
-                    raise PeersError(f"a frame's head of {size} bytes")
-                if len(held) - at < 2 + size:
-                    break
-                self.head = self._head(bytes(held[at + 2 : at + 2 + size]))
-                at += 2 + size
-            if len(held) - at < self.head.size:
+                start = offset + LENGTH_BYTES
+                self._header = self._decode_header(bytes(self._buffer[start : start + header_size]))
+                offset = start + header_size
+            end = offset + self._header.size
+            if len(self._buffer) < end:
                 break
-            out.append((self.head, bytes(held[at : at + self.head.size])))
-            at, self.head = at + self.head.size, None
-        del held[:at]
-        return out
-
-    def _head(self, raw: bytes) -> Head:
+            frames.append(Frame(self._header, bytes(self._buffer[offset:end])))
+            offset = end
+            self._header = None
+        del self._buffer[:offset]
+        return frames
+
+    def _header_size(self, offset: int) -> int | None:
+        """Returns the size of the header at an offset, or None until all of it was received."""
+        available = len(self._buffer) - offset
+        if available < LENGTH_BYTES:
+            return None
+        size = int.from_bytes(self._buffer[offset : offset + LENGTH_BYTES], "big")
+        if not 0 < size <= MAX_HEADER_BYTES:
+            raise PeersError(f"a frame's head of {size} bytes")
+        return size if available >= LENGTH_BYTES + size else None
+
+    def _decode_header(self, data: bytes) -> FrameHeader:
         try:
-            head = _decode(raw)
+            header = _header_decoder.decode(data)
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
-            raise PeersError(f"a frame's head is malformed: {str(error)[:100]}") from None
-        if head.version != VERSION or head.fleet != self.fleet:
-            raise PeersError(f"a frame of fleet {head.fleet!r}, version {head.version}")
-        return head
+            reason = str(error)[:MAX_REASON_LENGTH]
+            raise PeersError(f"a frame's head is malformed: {reason}") from None
+        if header.version != VERSION or header.fleet != self._fleet:
+            raise PeersError(f"a frame of fleet {header.fleet!r}, version {header.version}")
+        return header
--- a/quincepier/net/peers/peer_network.py
+++ b/quincepier/net/peers/peer_network.py
@@ -1,19 +1,12 @@
-"""One front among the others: its detector on a socket and a clock, and its streams.
-
-The announced address of a front is one and the same for all; where this front reaches another in a way of its
-own (`book`), the address is exchanged for that one on the way out, and nowhere else.
-"""
+"""This front among the others: membership over UDP, and frames on numbered channels over TCP streams."""
 
 from __future__ import annotations
 
 import asyncio
-import ipaddress
 import os
 import random
-import socket
 import time
 from collections.abc import Callable, Mapping, Sequence
-from functools import lru_cache
 
 from loguru import logger
 
@@ -21,90 +14,106 @@
 from quincepier.checks import Checks
 from quincepier.config import FrontConfig
 from quincepier.membership import (
+    Action,
     DuplicateMember,
     FailureDetector,
+    MemberState,
     ProbeIntervals,
     SendDatagram,
     StartStateSync,
     ViewChanged,
 )
-from quincepier.membership.failure_detector import Action
-from quincepier.membership.member_table import MemberState
 from quincepier.membership.section import MembersSection
 from quincepier.net.means import Means
-from quincepier.net.peers.frames import CHANNELS, PeersError
-from quincepier.net.peers.stream_pool import SWEEP, Address, StreamPool
+from quincepier.net.peers import state_sync
+from quincepier.net.peers.address_book import Address, AddressBook
+from quincepier.net.peers.datagram_socket import DatagramSocket
+from quincepier.net.peers.defects import log_defect
+from quincepier.net.peers.detector_actor import DetectorActor
+from quincepier.net.peers.frames import CHANNEL_COUNT, PeersError
+from quincepier.net.peers.state_sync import StateSync
+from quincepier.net.peers.stream_pool import SWEEP_INTERVAL_S, StreamPool
 from quincepier.net.sockets import Descriptors
 
-TURN_LEAST = 5 * clock.MS  # between turns of the detector
-NAMES_TOLD = 100  # in a log line
-WHOLE = 0  # the channel of whole views
-ASKS, ANSWERS = b"?", b"="  # first byte of a whole view: give me yours; here is mine
-KNOWN_MOST = 4096
-BUFFER = 1 << 20  # bytes of datagrams that may wait while this front stands still
-
-
-@lru_cache(KNOWN_MOST)
-def is_ip(host: str) -> bool:
-    """What others announce may be any text; a name would be looked up, and that holds the loop."""
-    try:
-        return bool(ipaddress.ip_address(host))
-    except ValueError:
-        return False
-
-
-class DatagramSocket(asyncio.DatagramProtocol):
-    def __init__(self, peers: PeerNetwork) -> None:
-        self.peers = peers
-
-    def datagram_received(self, data: bytes, address: object) -> None:
-        self.peers.heard(data)
-
-    def error_received(self, error: Exception) -> None:
-        self.peers.checks.count("peers: datagrams not sent")
+MAX_LOGGED_NAMES = 100
+OWN_SOCKETS = 2  # the UDP socket and the TCP listener
+INCARNATION_RANDOM_BITS = 10  # beside Unix milliseconds, for two starts within one
 
 
 class PeerNetwork:
-    """`view`: the members' names in order, this front's own among them."""
+    """The other fronts as this one sees and reaches them.
+
+    Attributes:
+        name: This front's name.
+        listen_address: Where it listens, UDP and TCP.
+        intervals: Of the failure detector.
+        checks: Counters and log events.
+        streams: The streams to the others.
+        view: The members' names in order, this front's own among them.
+    """
 
     def __init__(
         self,
         fleet: str,
         name: str,
-        listen: Address,
+        listen_address: Address,
         checks: Checks,
         descriptors: Descriptors,
         seed: int,
         *,
-        announce: Address | None = None,
-        book: Mapping[str, Address] | None = None,
+        announced_address: Address | None = None,
+        addresses: Mapping[str, Address] | None = None,
         seeds: Sequence[Address] = (),
-        pace: ProbeIntervals | None = None,
+        intervals: ProbeIntervals | None = None,
     ) -> None:
-        """`announce`: where others find it, if not at `listen`. `book`: where this front finds others."""
-        self.fleet, self.name, self.listen, self.checks = fleet, name, listen, checks
-        self.announce, self.book = announce or listen, {k: v for k, v in (book or {}).items() if k != name}
-        self.names = {address: other for other, address in self.book.items()}
-        self.seeds = list(dict.fromkeys((*seeds, *self.book.values())))
-        self.pace, self.random = pace or ProbeIntervals(), random.Random(f"{seed} peers")
+        """Makes the network without opening a socket.
+
+        Args:
+            fleet: The fleet's name.
+            name: This front's name.
+            listen_address: Where it listens.
+            checks: Counters and log events.
+            descriptors: The account of sockets.
+            seed: Of the source of chance.
+            announced_address: Where others reach this front, if not at `listen_address`.
+            addresses: Where this front reaches others, by name.
+            seeds: More addresses to find the fleet by.
+            intervals: Of the failure detector, if not the usual ones.
+        """
+        self.name = name
+        self.listen_address = listen_address
+        self.intervals = intervals or ProbeIntervals()
+        self.checks = checks
         self.view: tuple[str, ...] = (name,)
-        self.at: dict[Address, str] = {}  # whose announced address it is
-        self.hears: dict[int, Callable[[str, bytes], None]] = {WHOLE: self._whole}
-        self.viewers: list[Callable[[ViewChanged], None]] = []
-        self.lines = StreamPool(fleet, name, self.address, self._framed, checks, descriptors, self.random)
-        self.detector: FailureDetector | None = None
-        self.server: asyncio.Server | None = None
-        self.datagrams: asyncio.DatagramTransport | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.turned = clock.now()
-        self.sweeping: asyncio.TimerHandle | None = None
-        self.descriptors = descriptors
+        self._fleet = fleet
+        self._announced_address = announced_address or listen_address
+        self._descriptors = descriptors
+        self._rng = random.Random(f"{seed} peers")
+        self._detector = DetectorActor(self.intervals, self._perform, checks)
+        self._addresses = AddressBook(name, addresses or {}, self._detector)
+        self._seeds = list(dict.fromkeys((*seeds, *self._addresses.addresses())))
+        self._socket = DatagramSocket(self._detector.on_datagram, checks)
+        self.streams = StreamPool(
+            fleet, name, self._addresses.address_of, self._on_frame, checks, descriptors, self._rng
+        )
+        self._state_sync = StateSync(self._detector, self._addresses, self.streams, checks)
+        self._frame_handlers: dict[int, Callable[[str, bytes], None]] = {
+            state_sync.CHANNEL: self._state_sync.on_frame
+        }
+        self._view_listeners: list[Callable[[ViewChanged], None]] = []
+        self._server: asyncio.Server | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     @classmethod
-    def told(cls, section: MembersSection, config: FrontConfig, means: Means) -> PeerNetwork:
-        """As the operators' file says; PeersError where that has no place for a front of this name."""
-        listen, announce = section.listens_at(config.name), section.announces(config.name)
-        if listen is None or announce is None:
+    def from_section(cls, section: MembersSection, config: FrontConfig, means: Means) -> PeerNetwork:
+        """Makes the network that the operators' file describes.
+
+        Raises:
+            PeersError: The section has no endpoint for a front of this name.
+        """
+        listen = section.listen_endpoint(config.name)
+        announced = section.announced_endpoint(config.name)
+        if listen is None or announced is None:
             raise PeersError(
                 f"no place for a front named {config.name!r}", "members.fronts", "add a line, or `listen`"
             )
@@ -115,227 +124,159 @@
             means.checks,
             means.descriptors,
             config.seed,
-            announce=announce.address,
-            book={name: place.address for name, place in section.fronts.items()},
-            seeds=[place.address for place in section.seeds],
+            announced_address=announced.address,
+            addresses={name: endpoint.address for name, endpoint in section.fronts.items()},
+            seeds=[endpoint.address for endpoint in section.seeds],
         )
 
-    # For those who use it
-
-    def on_view(self, call: Callable[[ViewChanged], None]) -> None:
-        """Called with each change of the view, after `view` is the new one."""
-        self.viewers.append(call)
-
-    def channel(self, number: int, hear: Callable[[str, bytes], None]) -> None:
-        """Who hears the frames of a channel, 1 to 255: called with the sender's name and the data."""
-        if not WHOLE < number < CHANNELS or number in self.hears:
-            raise PeersError(f"channel {number} is taken, or none")
-        self.hears[number] = hear
-
-    def send(self, name: str, number: int, data: bytes) -> bool:
-        """At most once, in order on a stream. False: it is dropped, as the peer can't be reached or is full.
+    async def start(self) -> None:
+        """Listens and joins the fleet.
 
-        True is no promise that it arrives. `data` of 2 MiB at most.
+        Raises:
+            PeersError: The listen address can't be bound.
         """
-        return self.lines.send(name, number, data)
+        await self._open_sockets()
+        now_ns = clock.now()
+        self._detector.start(self._make_detector(now_ns), now_ns)
+        loop = asyncio.get_running_loop()
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def know(self, name: str, address: Address) -> None:
-        """Where one is found that need not be in the view."""
-        if name != self.name and name not in self.book and len(self.book) < KNOWN_MOST:
-            self.book[name], self.names[address] = address, name
+    async def leave(self) -> None:
+        """Announces that this front leaves and closes; what was written to streams is still sent."""
+        if not self._detector.is_running:
+            return
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
+        self._detector.leave()
+        self.streams.close()
+        if self._server is not None:
+            self._server.close()
+        await asyncio.sleep(0)  # the loop sends the datagrams before the socket closes
+        self._socket.close()
+        self._descriptors.cache(-OWN_SOCKETS)
+
+    def add_view_listener(self, listener: Callable[[ViewChanged], None]) -> None:
+        """Has a function called with each change, after `view` is the new one."""
+        self._view_listeners.append(listener)
+
+    def register_channel(self, channel: int, on_frame: Callable[[str, bytes], None]) -> None:
+        """Has a function called with the sender's name and the data of each frame of a channel.
+
+        Args:
+            channel: 1 to 255.
+            on_frame: The function.
+
+        Raises:
+            PeersError: The channel is registered already, or out of range.
+        """
+        if not state_sync.CHANNEL < channel < CHANNEL_COUNT or channel in self._frame_handlers:
+            raise PeersError(f"channel {channel} is taken, or none")
+        self._frame_handlers[channel] = on_frame
 
-    def address(self, name: str) -> Address | None:
-        """Where this front reaches that one; None where it never heard of it."""
-        if (known := self.book.get(name)) is not None:
-            return known
-        claim = self.detector.claims.get(name) if self.detector is not None else None
-        return claim.address if claim is not None and is_ip(claim.address[0]) else None
+    def send(self, name: str, channel: int, data: bytes) -> bool:
+        """Sends a frame of at most 2 MiB, at most once and in order on a stream.
 
-    def silent(self, age: int) -> frozenset[str]:
-        """Names of fronts that were put out of the view in the last `age` nanoseconds and did not leave."""
-        claims, now = self.detector.claims.values() if self.detector is not None else (), clock.now()
-        return frozenset(c.name for c in claims if c.standing is MemberState.GONE and now - c.since <= age)
+        Returns:
+            False where it was dropped, as the peer can't be reached or its queue is full. True does not
+            promise that it arrives.
+        """
+        return self.streams.send(name, channel, data)
+
+    def add_address(self, name: str, address: Address) -> None:
+        """Adds where a front is reached that need not be in the view."""
+        self._addresses.add(name, address)
+
+    def recently_dead(self, max_age_ns: int) -> frozenset[str]:
+        """Returns the members declared dead within the last nanoseconds; none that announced its leave."""
+        now_ns = clock.now()
+        return frozenset(
+            record.name
+            for record in self._detector.records()
+            if record.state is MemberState.DEAD and now_ns - record.since_ns <= max_age_ns
+        )
 
-    # Life
+    def departed_members(self) -> list[str]:
+        """Returns the members that announced that they leave."""
+        return [record.name for record in self._detector.records() if record.state is MemberState.LEFT]
 
-    async def start(self) -> None:
-        """PeersError where the address can't be had."""
+    async def _open_sockets(self) -> None:
         loop = asyncio.get_running_loop()
-        address = f"{self.listen[0]}:{self.listen[1]}"
         try:
-            self.datagrams, _ = await loop.create_datagram_endpoint(lambda: DatagramSocket(self), self.listen)
-            self.server = await loop.create_server(self.lines.accept, *self.listen, reuse_address=True)
+            await self._socket.open(self.listen_address)
+            self._server = await loop.create_server(
+                self.streams.accept, *self.listen_address, reuse_address=True
+            )
         except OSError as error:
-            if self.datagrams is not None:
-                self.datagrams.close()
-            why = os.strerror(error.errno or 0)
-            raise PeersError(f"can't listen: {why}", address, "find the process that has it") from None
-        self.descriptors.cache(2)
-        now = clock.now()
-        # greater at each start: Unix milliseconds, with chance for two starts within one
-        number = time.time_ns() // clock.MS << 10 | self.random.getrandbits(10)
-        self.detector = FailureDetector(
-            self.fleet,
+            self._socket.close()
+            reason = os.strerror(error.errno or 0)
+            raise PeersError(
+                f"can't listen: {reason}", self._listen_text, "find the process that has it"
+            ) from None
+        self._descriptors.cache(OWN_SOCKETS)
+        logger.bind(
+            event="member_listening", fleet=self._fleet, name=self.name, address=self._listen_text
+        ).info("member {} of fleet {} listens on {}", self.name, self._fleet, self._listen_text)
+
+    @property
+    def _listen_text(self) -> str:
+        return f"{self.listen_address[0]}:{self.listen_address[1]}"
+
+    def _make_detector(self, now_ns: int) -> FailureDetector:
+        unix_ms = time.time_ns() // clock.MS
+        random_bits = self._rng.getrandbits(INCARNATION_RANDOM_BITS)
+        return FailureDetector(
+            self._fleet,
             self.name,
-            self.announce,
-            number,
-            now,
-            self.random.getrandbits(32),
-            self.seeds,
-            self.pace,
+            self._announced_address,
+            unix_ms << INCARNATION_RANDOM_BITS | random_bits,
+            now_ns,
+            self._rng.getrandbits(32),
+            self._seeds,
+            self.intervals,
         )
-        self.turned = now
-        if (sock := self.datagrams.get_extra_info("socket")) is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
-        logger.bind(event="member listens", fleet=self.fleet, name=self.name, address=address).info(
-            "member {} of fleet {} listens on {}", self.name, self.fleet, address
-        )
-        self._turn()
-        self.sweeping = loop.call_later(SWEEP, self._sweep)
-
-    async def leave(self) -> None:
-        """Say so, and end. What was given to streams before still goes out."""
-        detector = self.detector
-        if detector is None or detector.left:
-            return
-        for handle in (self.timer, self.sweeping):
-            if handle is not None:
-                handle.cancel()
-        try:
-            for action in detector.leave(clock.now()):
-                self._perform(action)
-        except Exception as error:  # a defect: the drain goes on
-            self._spoiled(error)
-        self.detector = None
-        self.lines.end()
-        if self.server is not None:
-            self.server.close()
-        await asyncio.sleep(0)
-        if self.datagrams is not None:
-            self.datagrams.close()
-        self.descriptors.cache(-2)
-
-    # The detector
-
-    def _turn(self) -> None:
-        """One turn of the clock; sets the next."""
-        detector = self.detector
-        if detector is None:
-            return
-        try:
-            now = self._tick(detector)
-            wait = max(detector.wake - now, TURN_LEAST)
-        except Exception as error:  # a defect: the next turn comes all the same
-            self._spoiled(error)
-            wait = self.pace.period
-        self.timer = asyncio.get_running_loop().call_later(wait / clock.SECOND, self._turn)
-
-    def _tick(self, detector: FailureDetector) -> int:
-        now = self.turned = clock.now()
-        for action in detector.tick(now):
-            self._perform(action)
-        return now
-
-    def heard(self, data: bytes) -> None:
-        detector = self.detector
-        if detector is None:
-            return
-        try:
-            if clock.now() - self.turned > self.pace.period + self.pace.late:
-                self._tick(detector)  # this front stood still: that is known before what waited is heard
-            bad = detector.bad
-            for action in detector.heard(clock.now(), data):
-                self._perform(action)
-            if detector.bad != bad:
-                self.checks.count("peers: datagrams not taken")
-        except Exception as error:
-            self._spoiled(error)
-
-    def _spoiled(self, error: Exception) -> None:
-        self.checks.event("exception among the peers", f"{type(error).__name__}: {error}")
 
     def _perform(self, action: Action) -> None:
         match action:
             case SendDatagram(address, data):
-                self._say(data, self._way(address))
+                self._socket.send(data, self._addresses.route_to(address))
             case StartStateSync(address):
-                self._exchange(address)
+                self._state_sync.start(address)
             case ViewChanged():
-                self._viewed(action)
+                self._on_view_changed(action)
             case DuplicateMember(address):
-                self.checks.event("another process has this front's name", f"at {address[0]}:{address[1]}")
-
-    def _say(self, data: bytes, address: Address) -> None:
-        try:
-            if self.datagrams is not None and is_ip(address[0]):
-                self.datagrams.sendto(data, address)
-        except (OSError, ValueError, TypeError):  # of another family than the socket's, say
-            self.checks.count("peers: datagrams not sent")
-
-    def _whose(self, address: Address) -> str | None:
-        """The name of who announced an address."""
-        claims = self.detector.claims if self.detector is not None else {}
-        name = self.at.get(address, "")
-        if name not in claims or claims[name].address != address:
-            self.at = {claim.address: claim.name for claim in claims.values()}
-            name = self.at.get(address, "")
-        return name or None
-
-    def _way(self, address: Address) -> Address:
-        name = self._whose(address) if self.book else None
-        return self.book.get(name, address) if name is not None else address
-
-    def _exchange(self, address: Address) -> None:
-        if self.detector is None:
-            return
-        mine = ASKS + self.detector.whole(clock.now())
-        name = self._whose(address) or self.names.get(address)
-        if name is None and is_ip(address[0]):
-            self.lines.ask(address, WHOLE, mine)
-        elif name is None:
-            self.checks.count("peers: datagrams not sent")
-        else:
-            self.lines.send(name, WHOLE, mine)
-
-    def _whole(self, name: str, data: bytes) -> None:
-        detector = self.detector
-        if detector is None:
-            return
-        bad = detector.bad
-        for action in detector.merge(clock.now(), data[1:]):
-            self._perform(action)
-        if detector.bad != bad:
-            self.checks.count("peers: whole views not taken")
-        if data[:1] == ASKS:
-            self.lines.send(name, WHOLE, ANSWERS + detector.whole(clock.now()))
-
-    def _viewed(self, viewed: ViewChanged) -> None:
-        self.view = viewed.members
-        came, went = (", ".join(names[:NAMES_TOLD]) or "nobody" for names in (viewed.came, viewed.went))
-        told = logger.bind(event="view", members=len(viewed.members), came=came, went=went)
-        told.info("view: {} members, came {}, went {}", len(viewed.members), came, went)
-        self.checks.count("changes of the view")
-        for call in self.viewers:
+                self.checks.event("duplicate_member", f"at {address[0]}:{address[1]}")
+
+    def _on_view_changed(self, change: ViewChanged) -> None:
+        self.view = change.members
+        joined = ", ".join(change.joined[:MAX_LOGGED_NAMES]) or "nobody"
+        removed = ", ".join(change.removed[:MAX_LOGGED_NAMES]) or "nobody"
+        logger.bind(event="view_changed", members=len(change.members), joined=joined, removed=removed).info(
+            "view of {} members: joined {}, removed {}", len(change.members), joined, removed
+        )
+        self.checks.count("view_changes")
+        for listener in self._view_listeners:
             try:
-                call(viewed)
-            except Exception as error:
-                self._spoiled(error)
-
-    # Streams
-
-    def _framed(self, name: str, channel: int, data: bytes) -> None:
-        hear = self.hears.get(channel)
-        if hear is None:
-            self.checks.count("peers: frames of no channel")
+                listener(change)
+            except Exception as error:  # noqa: BLE001 - a listener's defect must not keep it from the others
+                self._log_defect(error)
+
+    def _on_frame(self, sender: str, channel: int, data: bytes) -> None:
+        handler = self._frame_handlers.get(channel)
+        if handler is None:
+            self.checks.count("peer_frames_without_channel")
             return
         try:
-            hear(name, data)
-        except Exception as error:
-            self._spoiled(error)
+            handler(sender, data)
+        except Exception as error:  # noqa: BLE001 - a handler's defect must not end the stream
+            self._log_defect(error)
 
     def _sweep(self) -> None:
         try:
-            self.lines.sweep()
-        except Exception as error:
-            self._spoiled(error)
-        self.sweeping = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
+            self.streams.sweep()
+        except Exception as error:  # noqa: BLE001 - a defect must not end the sweeps
+            self._log_defect(error)
+        loop = asyncio.get_running_loop()
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    def _log_defect(self, error: Exception) -> None:
+        log_defect(self.checks, "peer_network_exception", error)
--- /dev/null
+++ b/quincepier/net/peers/peer_stream_queue.py
@@ -0,0 +1,123 @@
+"""What is on its way to one peer: its stream, the frames that wait for it, and the backoff between dials."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections import deque
+
+from quincepier import clock
+from quincepier.net.peers.peer_stream import PeerStream
+
+MAX_QUEUED_BYTES = 4 << 20  # for one peer
+MAX_TOTAL_QUEUED_BYTES = 64 << 20  # for all peers
+MAX_QUEUED_FRAMES = 4096
+MIN_BACKOFF_S = 0.1  # between dials of a peer that can't be reached; doubled with each failure
+MAX_BACKOFF_S = 1.0
+MAX_COUNTED_FAILURES = 10
+
+
+class QueuedBytes:
+    """The size of the frames that wait for all peers together."""
+
+    def __init__(self) -> None:
+        self._total = 0
+
+    @property
+    def total(self) -> int:
+        """The bytes that wait."""
+        return self._total
+
+    def has_space_for(self, data: bytes) -> bool:
+        """Whether one more frame may wait."""
+        return self._total + len(data) <= MAX_TOTAL_QUEUED_BYTES
+
+    def add(self, count: int) -> None:
+        """Counts bytes that wait from now on, or, negative, that do no longer."""
+        self._total += count
+
+
+class PeerStreamQueue:
+    """The frames that wait for the stream to one peer.
+
+    Attributes:
+        name: The peer's name.
+        stream: The stream that is used, None while there is none.
+        dial_task: The dial under way.
+    """
+
+    __slots__ = (
+        "_failed_dials",
+        "_frames",
+        "_queued_bytes",
+        "_retry_at_ns",
+        "_total_queued_bytes",
+        "dial_task",
+        "name",
+        "stream",
+    )
+
+    def __init__(self, name: str, total_queued_bytes: QueuedBytes) -> None:
+        self.name = name
+        self.stream: PeerStream | None = None
+        self.dial_task: asyncio.Task[None] | None = None
+        self._frames = deque[bytes]()
+        self._queued_bytes = 0
+        self._total_queued_bytes = total_queued_bytes
+        self._failed_dials = 0  # in a row
+        self._retry_at_ns = 0
+
+    @property
+    def is_empty(self) -> bool:
+        """Whether no frame waits."""
+        return not self._frames
+
+    def is_backing_off(self, now_ns: int) -> bool:
+        """Whether the peer is not to be dialled yet."""
+        return now_ns < self._retry_at_ns
+
+    def is_unused(self, now_ns: int) -> bool:
+        """Whether nothing is lost when it is dropped."""
+        has_work = self.stream is not None or self.dial_task is not None or bool(self._frames)
+        return not has_work and now_ns > self._retry_at_ns
+
+    def has_space_for(self, data: bytes) -> bool:
+        """Whether one more frame may wait."""
+        if len(self._frames) >= MAX_QUEUED_FRAMES or self._queued_bytes + len(data) > MAX_QUEUED_BYTES:
+            return False
+        return self._total_queued_bytes.has_space_for(data)
+
+    def append(self, data: bytes) -> None:
+        """Queues an encoded frame."""
+        self._frames.append(data)
+        self._count_bytes(len(data))
+
+    def flush(self) -> None:
+        """Writes queued frames to the stream while its peer reads."""
+        stream = self.stream
+        while self._frames and stream is not None and stream.is_connected and not stream.is_stalled:
+            data = self._frames.popleft()
+            self._count_bytes(-len(data))
+            stream.write(data)
+
+    def clear(self) -> int:
+        """Drops all queued frames and returns how many there were."""
+        dropped = len(self._frames)
+        self._frames.clear()
+        self._count_bytes(-self._queued_bytes)
+        return dropped
+
+    def record_failed_dial(self, rng: random.Random) -> None:
+        """Backs off exponentially, with jitter."""
+        self._failed_dials = min(self._failed_dials + 1, MAX_COUNTED_FAILURES)
+        backoff_s = min(MIN_BACKOFF_S * 2 ** (self._failed_dials - 1), MAX_BACKOFF_S) * rng.uniform(0.5, 1)
+        self._retry_at_ns = clock.now() + int(backoff_s * clock.SECOND)
+
+    def record_contact(self) -> None:
+        """The peer was heard: it may be dialled at once."""
+        self._failed_dials = 0
+        self._retry_at_ns = 0
+
+    def _count_bytes(self, count: int) -> None:
+        self._queued_bytes += count
+        self._total_queued_bytes.add(count)
--- a/quincepier/net/peers/quota_allocator.py
+++ b/quincepier/net/peers/quota_allocator.py
@@ -1,4 +1,4 @@
-"""The living count in the decisions: into how many parts this front divides what all may be asked for."""
+"""Scales the settings of the decisions to this front's quota of what all fronts share."""
 
 from __future__ import annotations
 
@@ -8,43 +8,53 @@
 
 from quincepier import clock
 from quincepier.interface import Settings
-from quincepier.membership import MemberState, ViewChanged
+from quincepier.membership import ViewChanged
 from quincepier.membership.quotas import LiveMemberCount, QuotaHolder
 from quincepier.net.module import ModuleActor
 from quincepier.net.peers.peer_network import PeerNetwork
 
 
-def scale_settings(settings: Settings, parts: int) -> Settings:
-    """The same settings for so many fronts; zones keep their proportions, rounded up to the smaller part."""
-    told = max(settings.fronts, 1)
-    by_zone = tuple(-(-n * parts // told) for n in settings.fronts_by_zone)
-    return replace(settings, fronts=parts, fronts_by_zone=by_zone)
+def scale_settings(settings: Settings, front_count: int) -> Settings:
+    """Returns the settings for a number of fronts; zones keep their proportions, rounded up."""
+    configured = max(settings.fronts, 1)
+    by_zone = tuple(-(-count * front_count // configured) for count in settings.fronts_by_zone)
+    return replace(settings, fronts=front_count, fronts_by_zone=by_zone)
 
 
 class QuotaAllocator:
-    """Follows the view. `Router.s` is read at each decision, so a change counts from the next one on."""
+    """Follows the view and the quota lease; a change counts from the next decision on."""
 
     def __init__(self, module: ModuleActor, peers: PeerNetwork) -> None:
-        self.module, self.peers, self.settings = module, peers, module.router.s
-        self.claims = LiveMemberCount(peers.name, self.settings.fronts, peers.pace.forget)
-        self.parts = max(self.settings.fronts, 1)
-        # set where the fronts agree: then its lease says how much, and `look` is to be called as that ends
-        self.holder: QuotaHolder | None = None
-        peers.on_view(self.viewed)
-
-    def viewed(self, viewed: ViewChanged) -> None:
-        detector = self.peers.detector
-        known = detector.claims.values() if detector is not None else ()
-        left = [claim.name for claim in known if claim.standing is MemberState.LEFT]
-        self.claims.viewed(clock.now(), viewed.members, left)
-        self.look()
-
-    def look(self) -> None:
-        """Take the part that is ours now, before the next decision."""
-        now = clock.now()
-        part = self.holder.part(now) if self.holder else Fraction(1, self.claims.divisor(now))
-        parts = math.ceil(1 / part)
-        if parts != self.parts:
-            self.parts = parts
-            self.module.router.s = scale_settings(self.settings, parts)
-            self.module.checks.count("changes of this front's part")
+        self._module = module
+        self._peers = peers
+        self._settings = module.router.s
+        self._live_count = LiveMemberCount(
+            peers.name, self._settings.fronts, peers.intervals.tombstone_timeout_ns
+        )
+        self._holder: QuotaHolder | None = None
+        self._front_count = max(self._settings.fronts, 1)
+        peers.add_view_listener(self.on_view_changed)
+
+    def use_leases(self, holder: QuotaHolder) -> None:
+        """Takes the quota from the lease of a holder; `update` is to be called as a lease comes or ends."""
+        self._holder = holder
+        self.update()
+
+    def on_view_changed(self, change: ViewChanged) -> None:
+        """Counts the members anew."""
+        self._live_count.on_view_changed(clock.now(), change.members, self._peers.departed_members())
+        self.update()
+
+    def update(self) -> None:
+        """Puts the quota as it is now into the settings of the decisions."""
+        front_count = math.ceil(1 / self._current_quota())
+        if front_count != self._front_count:
+            self._front_count = front_count
+            self._module.router.s = scale_settings(self._settings, front_count)
+            self._module.checks.count("quota_changes")
+
+    def _current_quota(self) -> Fraction:
+        now_ns = clock.now()
+        if self._holder is not None:
+            return self._holder.quota(now_ns)
+        return Fraction(1, self._live_count.divisor(now_ns))
--- a/quincepier/net/peers/stream_pool.py
+++ b/quincepier/net/peers/stream_pool.py
@@ -1,7 +1,7 @@
-"""One stream to each peer: dialled when there is something to say, shared by both sides, closed when idle.
+"""The streams to all peers: one a pair, dialled when there is something to send, closed when idle.
 
-Where both dial at once the stream that the front with the lower name dialled stays. A frame is given to one
-stream once: what a stream that broke had not delivered is lost, and those who use a channel say it again.
+Where both sides dial at once, the stream that the front with the lower name dialled stays. A frame is written
+to one stream once: what a broken stream had not delivered is lost, and the users of a channel send it again.
 """
 
 from __future__ import annotations
@@ -9,306 +9,270 @@
 import asyncio
 import contextlib
 import random
-from collections import deque
 from collections.abc import Callable
 
 from quincepier import clock
 from quincepier.checks import Checks
-from quincepier.net.peers.frames import FRAME_MOST, PeersError, Splitter, frame
+from quincepier.net.peers.background_tasks import BackgroundTasks
+from quincepier.net.peers.frames import MAX_FRAME_BYTES, Frame, PeersError, encode_frame
+from quincepier.net.peers.peer_stream import PeerStream
+from quincepier.net.peers.peer_stream_queue import PeerStreamQueue, QueuedBytes
 from quincepier.net.sockets import Descriptors
 
 Address = tuple[str, int]
-QUEUE_MOST, QUEUED_MOST, WAITING_MOST = 4 << 20, 64 << 20, 4096  # bytes for one peer, for all; frames for one
-BUFFER = 256 << 10  # bytes given to the system's care before a peer that does not read is waited for
-LINES_MOST, STREAMS_MOST, ASKS_MOST = 4096, 1024, 8
-DIAL_WITHIN, YOUNG = 1.0, 1.0  # seconds: of a dial; a stream that ends so soon is a failed dial as well
-REST_FIRST, REST_MOST = 0.1, 1.0  # seconds between dials of a peer that can't be reached, doubled
-IDLE, STALLED, NAMELESS = 30 * clock.SECOND, 5 * clock.SECOND, 5 * clock.SECOND
-SWEEP = 1.0  # seconds
 
-
-class PeerStreamQueue:
-    """To one peer: its stream, and the frames that wait for it."""
-
-    __slots__ = ("dialling", "failures", "name", "queue", "rests", "size", "stream")
-
-    def __init__(self, name: str) -> None:
-        self.name, self.queue, self.size = name, deque[bytes](), 0
-        self.stream: PeerStream | None = None
-        self.dialling: asyncio.Task[None] | None = None
-        self.failures = self.rests = 0  # dials in a row; until when it is not dialled
-
-
-class PeerStream(asyncio.Protocol):
-    """One connection. `name` is empty until the other side has said it."""
-
-    def __init__(self, lines: StreamPool, name: str = "", dialled: bool = False) -> None:
-        self.lines, self.name, self.dialled = lines, name, dialled
-        self.splitter = Splitter(lines.fleet)
-        self.transport: asyncio.Transport | None = None
-        self.began = self.used = clock.now()
-        self.stalled = 0  # since when the other side takes nothing more
-        self.closing = False
-
-    def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        self.transport = transport
-        transport.set_write_buffer_limits(high=BUFFER)
-        self.lines.opened(self)
-
-    def data_received(self, data: bytes) -> None:
-        self.used = clock.now()
-        try:
-            for head, content in self.splitter.feed(data):
-                self.lines.framed(self, head.name, head.channel, content)
-                if self.transport is None:
-                    return
-        except PeersError as error:
-            self.lines.checks.event("peers: a stream not taken", error.line())
-            self.abort()
-
-    def write(self, data: bytes) -> None:
-        if self.transport is not None:
-            self.used = clock.now()
-            self.transport.write(data)
-
-    def pause_writing(self) -> None:
-        self.stalled = clock.now()
-
-    def resume_writing(self) -> None:
-        self.stalled = 0
-        self.lines.flush(self)
-
-    def connection_lost(self, error: Exception | None) -> None:
-        if self.transport is not None:
-            self.transport, self.closing = None, True
-            self.lines.lost(self)
-
-    def close(self) -> None:
-        """What was written still goes out; nothing more is."""
-        if self.transport is not None and not self.closing:
-            self.closing, self.used = True, clock.now()
-            self.transport.close()
-
-    def abort(self) -> None:
-        if self.transport is not None:
-            self.closing = True
-            self.transport.abort()
+MAX_PEERS = 4096
+MAX_STREAMS = 1024
+MIN_STREAM_LIMIT = 8
+MAX_DIALS_TO_UNNAMED = 8  # dials at once to addresses whose front is not known yet
+DIAL_TIMEOUT_S = 1.0
+FAILED_DIAL_AGE_NS = clock.SECOND  # a dialled stream that ends sooner counts as a failed dial
+MIN_EVICTION_IDLE_NS = clock.SECOND  # a stream used more recently is not closed in favour of another
+IDLE_TIMEOUT_NS = 30 * clock.SECOND
+STALL_TIMEOUT_NS = 5 * clock.SECOND
+FIRST_FRAME_TIMEOUT_NS = 5 * clock.SECOND
+SWEEP_INTERVAL_S = 1.0
 
 
 class StreamPool:
-    """All streams of one front. `hear(name, channel, data)` is told each frame; it must not raise."""
+    """Sends frames to peers by name, and hands received ones on."""
 
     def __init__(
         self,
         fleet: str,
-        me: str,
-        address_of: Callable[[str], Address | None],
-        hear: Callable[[str, int, bytes], None],
+        own_name: str,
+        find_address: Callable[[str], Address | None],
+        on_frame: Callable[[str, int, bytes], None],
         checks: Checks,
         descriptors: Descriptors,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
-        self.fleet, self.me, self.address_of, self.hear = fleet, me, address_of, hear
-        self.checks, self.descriptors, self.random = checks, descriptors, chance
-        self.lines: dict[str, PeerStreamQueue] = {}
-        self.streams: set[PeerStream] = set()
-        self.most = min(STREAMS_MOST, max(descriptors.caches_most // 2, 8))
-        self.queued = 0  # bytes that wait, of all lines
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.swept, self.ended = clock.now(), False
-
-    # Out
+        """Takes its dependencies.
+
+        Args:
+            fleet: The fleet's name.
+            own_name: This front's name.
+            find_address: Returns where a peer is reached, None where that is not known.
+            on_frame: Called with a received frame's sender, channel and data; must not raise.
+            checks: Counters and log events.
+            descriptors: The account of sockets.
+            rng: The source of jitter.
+        """
+        self._fleet = fleet
+        self._own_name = own_name
+        self._find_address = find_address
+        self._on_frame = on_frame
+        self._checks = checks
+        self._descriptors = descriptors
+        self._rng = rng
+        self._queues: dict[str, PeerStreamQueue] = {}  # by peer
+        self._queued_bytes = QueuedBytes()
+        self._streams: set[PeerStream] = set()
+        self._max_streams = min(MAX_STREAMS, max(descriptors.caches_most // 2, MIN_STREAM_LIMIT))
+        self._dials = BackgroundTasks(checks, "peer_stream_exception")
+        self._last_sweep_ns = clock.now()
+        self._is_closed = False
+
+    @property
+    def stream_count(self) -> int:
+        """The number of open streams."""
+        return len(self._streams)
+
+    @property
+    def queued_bytes(self) -> int:
+        """The size of the frames that wait for a stream, of all peers."""
+        return self._queued_bytes.total
 
     def send(self, name: str, channel: int, data: bytes) -> bool:
-        """Whether the frame was given to a stream, or waits for one."""
-        if self.ended or name == self.me or len(data) > FRAME_MOST:
-            return self._dropped("not to be sent")
-        line = self._line(name)
-        if line is None:
-            return self._dropped("too many peers")
-        raw = frame(self.fleet, self.me, channel, data)
-        if line.stream is not None and not line.stream.stalled and not line.queue:
-            line.stream.write(raw)
+        """Sends a frame to a peer; returns whether it was written to a stream, or waits for one."""
+        if self._is_closed or name == self._own_name or len(data) > MAX_FRAME_BYTES:
+            return self._drop("unsendable")
+        queue = self._queue_for(name)
+        if queue is None:
+            return self._drop("too_many_peers")
+        frame = encode_frame(self._fleet, self._own_name, channel, data)
+        if queue.stream is not None and not queue.stream.is_stalled and queue.is_empty:
+            queue.stream.write(frame)
             return True
-        if line.stream is None and line.dialling is None:
-            if clock.now() < line.rests or self.address_of(name) is None:
-                return self._dropped("peer out of reach")
-            line.dialling = self._spawn(self._dial(line))
-        full = line.size + len(raw) > QUEUE_MOST or len(line.queue) >= WAITING_MOST
-        if full or self.queued + len(raw) > QUEUED_MOST:
-            return self._dropped("queue full")
-        line.queue.append(raw)
-        line.size, self.queued = line.size + len(raw), self.queued + len(raw)
+        if queue.stream is None and queue.dial_task is None:
+            if queue.is_backing_off(clock.now()) or self._find_address(name) is None:
+                return self._drop("peer_unreachable")
+            queue.dial_task = self._dials.start(self._dial(queue))
+        if not queue.has_space_for(frame):
+            return self._drop("queue_full")
+        queue.append(frame)
         return True
 
-    def ask(self, address: Address, channel: int, data: bytes) -> None:
-        """One frame to whoever is at an address; that one's name is learned from its answer."""
-        if not self.ended and len(self.tasks) < ASKS_MOST + len(self.lines):
-            self._spawn(self._ask(address, frame(self.fleet, self.me, channel, data)))
+    def send_to_address(self, address: Address, channel: int, data: bytes) -> None:
+        """Sends one frame to whoever is at an address; its name is learned from its answer."""
+        if not self._is_closed and len(self._dials) < MAX_DIALS_TO_UNNAMED + len(self._queues):
+            frame = encode_frame(self._fleet, self._own_name, channel, data)
+            self._dials.start(self._dial_address(address, frame))
 
-    async def _ask(self, address: Address, raw: bytes) -> None:
-        with contextlib.suppress(OSError):
-            (await self._connect(address, "")).write(raw)
+    def accept(self) -> PeerStream:
+        """Returns the protocol of a stream that a peer dialled."""
+        return PeerStream(self, self._fleet)
 
-    def _dropped(self, why: str) -> bool:
-        self.checks.count(f"peers: frames dropped, {why}")
-        return False
+    def sweep(self) -> None:
+        """Closes idle and stalled streams and forgets unused queues; to be called about every second."""
+        now_ns = clock.now()
+        elapsed_ns = now_ns - self._last_sweep_ns
+        self._last_sweep_ns = now_ns
+        if elapsed_ns > 2 * SWEEP_INTERVAL_S * clock.SECOND:
+            # This process was paused: what the peers sent meanwhile is read before they are judged.
+            for stream in self._streams:
+                stream.restart_timeouts(now_ns)
+            return
+        for stream in list(self._streams):
+            self._check_timeouts(now_ns, stream)
+        for queue in list(self._queues.values()):
+            if queue.is_unused(now_ns):
+                del self._queues[queue.name]
 
-    def _line(self, name: str) -> PeerStreamQueue | None:
-        line = self.lines.get(name)
-        if line is None and len(self.lines) < LINES_MOST:
-            line = self.lines[name] = PeerStreamQueue(name)
-        return line
+    def close(self) -> None:
+        """Sends nothing more; what was written to streams is still sent."""
+        self._is_closed = True
+        self._dials.cancel_all()
+        for stream in list(self._streams):
+            stream.close()
 
-    async def _connect(self, address: Address, name: str) -> PeerStream:
-        if not self._room():
-            raise OSError("no room for a stream")
-        loop = asyncio.get_running_loop()
-        async with asyncio.timeout(DIAL_WITHIN):
-            _, stream = await loop.create_connection(lambda: PeerStream(self, name, True), *address)
-        return stream
+    def on_opened(self, stream: PeerStream) -> None:
+        """Counts a stream; one that was accepted beyond the limit is aborted."""
+        self._streams.add(stream)
+        self._descriptors.cache(1)
+        is_over_limit = not stream.is_dialled and len(self._streams) > self._max_streams
+        if self._is_closed or (is_over_limit and not self._make_room()):
+            stream.abort()
+
+    def on_frame(self, stream: PeerStream, frame: Frame) -> None:
+        """Hands a frame on.
+
+        Raises:
+            PeersError: The sender is this front, or not the one that the stream belongs to.
+        """
+        header = frame.header
+        if stream.name != header.sender:
+            if stream.name or header.sender == self._own_name:
+                owner = stream.name or "this front"
+                raise PeersError(f"a stream of {owner!r} says it is {header.sender!r}")
+            self._on_identified(stream, header.sender)
+        queue = self._queues.get(header.sender)
+        if queue is not None:
+            queue.record_contact()
+        self._on_frame(header.sender, header.channel, frame.data)
+
+    def on_rejected(self, error: PeersError) -> None:
+        """Logs that a peer broke the protocol."""
+        self._checks.event("peer_stream_rejected", error.line())
+
+    def on_writable(self, stream: PeerStream) -> None:
+        """Writes what waits for the stream."""
+        queue = self._queues.get(stream.name)
+        if queue is not None and queue.stream is stream:
+            queue.flush()
+
+    def on_closed(self, stream: PeerStream) -> None:
+        """Dials again where frames wait, or backs off where the stream had hardly opened."""
+        self._streams.discard(stream)
+        self._descriptors.cache(-1)
+        queue = self._queues.get(stream.name)
+        if queue is None or queue.stream is not stream:
+            return
+        queue.stream = None
+        if self._is_closed:
+            self._drop_queued(queue)
+        elif stream.is_dialled and clock.now() - stream.opened_at_ns < FAILED_DIAL_AGE_NS:
+            self._on_dial_failed(queue)
+        elif not queue.is_empty and queue.dial_task is None:
+            queue.dial_task = self._dials.start(self._dial(queue))
+
+    def _queue_for(self, name: str) -> PeerStreamQueue | None:
+        queue = self._queues.get(name)
+        if queue is None and len(self._queues) < MAX_PEERS:
+            queue = self._queues[name] = PeerStreamQueue(name, self._queued_bytes)
+        return queue
+
+    async def _dial_address(self, address: Address, frame: bytes) -> None:
+        with contextlib.suppress(OSError):
+            stream = await self._connect(address)
+            stream.write(frame)
 
-    async def _dial(self, line: PeerStreamQueue) -> None:
-        address = self.address_of(line.name)
+    async def _dial(self, queue: PeerStreamQueue) -> None:
+        address = self._find_address(queue.name)
         try:
-            stream = await self._connect(address, line.name) if address is not None else None
+            stream = await self._connect(address, queue.name) if address is not None else None
         except OSError:  # refused, or not up in time
             stream = None
         finally:
-            line.dialling = None
+            queue.dial_task = None
         if stream is None:
-            if line.stream is None:
-                self._unreached(line)
-        elif line.stream is None or line.stream.closing or self.me < line.name:
-            line.stream = stream if stream.transport is not None else line.stream
-            self._flush(line)
-        else:  # its own dial was first, and stays
+            if queue.stream is None:
+                self._on_dial_failed(queue)
+        elif queue.stream is None or queue.stream.is_closing or self._own_name < queue.name:
+            if stream.is_connected:
+                queue.stream = stream
+            queue.flush()
+        else:  # the peer's own dial came first, and stays
             stream.close()
 
-    def _unreached(self, line: PeerStreamQueue) -> None:
-        line.failures = min(line.failures + 1, 10)
-        rest = min(REST_FIRST * 2 ** (line.failures - 1), REST_MOST) * self.random.uniform(0.5, 1)
-        line.rests = clock.now() + int(rest * clock.SECOND)
-        self.checks.count("peers: streams that did not come up")
-        self._empty(line)
-
-    def _empty(self, line: PeerStreamQueue) -> None:
-        if line.queue:
-            self.checks.count("peers: frames dropped, peer out of reach", len(line.queue))
-        self.queued -= line.size
-        line.queue.clear()
-        line.size = 0
-
-    def flush(self, stream: PeerStream) -> None:
-        line = self.lines.get(stream.name)
-        if line is not None and line.stream is stream:
-            self._flush(line)
-
-    def _flush(self, line: PeerStreamQueue) -> None:
-        stream = line.stream
-        while line.queue and stream is not None and stream.transport is not None and not stream.stalled:
-            raw = line.queue.popleft()
-            line.size, self.queued = line.size - len(raw), self.queued - len(raw)
-            stream.write(raw)
-
-    def _spawn(self, work: object) -> asyncio.Task[None]:
-        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)  # type: ignore[arg-type]
-        self.tasks.add(task)
-        task.add_done_callback(self._done)
-        return task
-
-    def _done(self, task: asyncio.Task[None]) -> None:
-        self.tasks.discard(task)
-        if not task.cancelled() and (error := task.exception()) is not None:
-            self.checks.event("exception in the peers' streams", f"{type(error).__name__}: {error}")
-
-    # In
+    async def _connect(self, address: Address, name: str = "") -> PeerStream:
+        if not self._make_room():
+            raise OSError("no room for a stream")
+        loop = asyncio.get_running_loop()
+        async with asyncio.timeout(DIAL_TIMEOUT_S):
+            _, stream = await loop.create_connection(
+                lambda: PeerStream(self, self._fleet, name, is_dialled=True), *address
+            )
+        return stream
 
-    def accept(self) -> PeerStream:
-        return PeerStream(self)
+    def _on_dial_failed(self, queue: PeerStreamQueue) -> None:
+        queue.record_failed_dial(self._rng)
+        self._checks.count("peer_stream_dials_failed")
+        self._drop_queued(queue)
 
-    def opened(self, stream: PeerStream) -> None:
-        self.streams.add(stream)
-        self.descriptors.cache(1)
-        if self.ended or (not stream.dialled and len(self.streams) > self.most and not self._room()):
-            stream.abort()
+    def _on_identified(self, stream: PeerStream, name: str) -> None:
+        """Decides, alike at both ends, which of two streams with a peer stays."""
+        stream.name = name
+        queue = self._queue_for(name)
+        if queue is None or stream.is_closing:
+            return
+        old = queue.stream
+        if old is not None and not old.is_closing:
+            if stream.is_dialled or (old.is_dialled and self._own_name < name):
+                return  # the old one stays; this one is read until it is idle
+            old.close()
+        queue.stream = stream
+        queue.flush()
 
-    def _room(self) -> bool:
-        """Room for one more stream, where need be in place of the one that was used longest ago."""
-        if len(self.streams) < self.most:
+    def _make_room(self) -> bool:
+        """Whether one more stream may be opened, if need be in place of the least recently used one."""
+        if len(self._streams) < self._max_streams:
             return True
-        self.checks.count("peers: streams at their most")
-        oldest = min((s for s in self.streams if not s.closing), key=lambda s: s.used, default=None)
-        if oldest is None or clock.now() - oldest.used < clock.SECOND:
+        self._checks.count("peer_stream_limit_reached")
+        candidates = [stream for stream in self._streams if not stream.is_closing]
+        oldest = min(candidates, key=lambda stream: stream.last_used_ns, default=None)
+        if oldest is None or clock.now() - oldest.last_used_ns < MIN_EVICTION_IDLE_NS:
             return False
         oldest.close()
         return True
 
-    def framed(self, stream: PeerStream, name: str, channel: int, data: bytes) -> None:
-        if stream.name != name:
-            if stream.name or name == self.me:
-                raise PeersError(f"a stream of {stream.name or 'this front'!r} says it is {name!r}")
-            self._named(stream, name)
-        line = self.lines.get(name)
-        if line is not None:
-            line.failures = line.rests = 0
-        self.hear(name, channel, data)
-
-    def _named(self, stream: PeerStream, name: str) -> None:
-        """Which of two streams with a peer stays is decided alike at both ends."""
-        stream.name, line = name, self._line(name)
-        if line is None or stream.closing:
-            return
-        old = line.stream
-        if old is not None and not old.closing:
-            if stream.dialled or (old.dialled and self.me < name):
-                return  # the old one stays; what comes over this one is heard until it is idle
-            old.close()
-        line.stream = stream
-        self._flush(line)
-
-    def lost(self, stream: PeerStream) -> None:
-        self.streams.discard(stream)
-        self.descriptors.cache(-1)
-        line = self.lines.get(stream.name)
-        if line is None or line.stream is not stream:
-            return
-        line.stream = None
-        if self.ended:
-            self._empty(line)
-        elif stream.dialled and clock.now() - stream.began < YOUNG * clock.SECOND:
-            self._unreached(line)
-        elif line.queue and line.dialling is None:
-            line.dialling = self._spawn(self._dial(line))
+    def _check_timeouts(self, now_ns: int, stream: PeerStream) -> None:
+        is_stalled = stream.is_stalled and now_ns - stream.stalled_since_ns > STALL_TIMEOUT_NS
+        is_silent = not stream.name and now_ns - stream.opened_at_ns > FIRST_FRAME_TIMEOUT_NS
+        unused_ns = now_ns - stream.last_used_ns
+        if is_stalled or is_silent:
+            self._checks.count("peer_streams_aborted")
+            stream.abort()
+        elif stream.is_closing and unused_ns > STALL_TIMEOUT_NS:
+            stream.abort()
+        elif unused_ns > IDLE_TIMEOUT_NS:
+            stream.close()
 
-    # Upkeep
+    def _drop_queued(self, queue: PeerStreamQueue) -> None:
+        dropped = queue.clear()
+        if dropped:
+            self._checks.count("peer_frames_dropped_peer_unreachable", dropped)
 
-    def sweep(self) -> None:
-        """To be called about every second."""
-        now = clock.now()
-        late, self.swept = now - self.swept > 2 * SWEEP * clock.SECOND, now
-        if late:  # by a standstill of this front's own: what waits is read first
-            for stream in self.streams:
-                stream.stalled = stream.stalled and now
-                stream.used = now
-            return
-        for stream in list(self.streams):
-            stalled = stream.stalled and now - stream.stalled > STALLED
-            if stalled or (not stream.name and now - stream.began > NAMELESS):
-                self.checks.count("peers: streams given up")
-                stream.abort()
-            elif stream.closing and now - stream.used > STALLED:
-                stream.abort()
-            elif now - stream.used > IDLE:
-                stream.close()
-        for line in list(self.lines.values()):
-            if line.stream is None and line.dialling is None and not line.queue and now > line.rests:
-                del self.lines[line.name]
-
-    def end(self) -> None:
-        """No more is sent; what streams were given still goes out."""
-        self.ended = True
-        for task in list(self.tasks):
-            task.cancel()
-        for stream in list(self.streams):
-            stream.close()
+    def _drop(self, reason: str) -> bool:
+        self._checks.count(f"peer_frames_dropped_{reason}")
+        return False
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -23,7 +23,7 @@
 from quincepier.membership import messages as membership
 from quincepier.net.fleet import messages as fleet
 from quincepier.net.fleet import version_store as adopted
-from quincepier.net.peers import frames, peer_network
+from quincepier.net.peers import frames, state_sync
 from quincepier.rules import lease_holder
 from quincepier.rules import version as rules
 from quincepier.state import (
@@ -54,27 +54,27 @@
 
 
 def _view(raw: bytes) -> tuple[int, Any]:
-    return (peer_network.ASKS, peer_network.ANSWERS).index(raw[:1]), membership.decode_full_state(
+    return (state_sync.REQUEST, state_sync.RESPONSE).index(raw[:1]), membership.decode_full_state(
         raw[1:], FLEET
     )
 
 
 def _view_bytes(view: tuple[int, Any]) -> bytes:
-    return (peer_network.ASKS, peer_network.ANSWERS)[view[0]] + membership.encode(view[1])
+    return (state_sync.REQUEST, state_sync.RESPONSE)[view[0]] + membership.encode(view[1])
 
 
-def _frames(raw: bytes) -> list[tuple[Any, bytes]]:
-    splitter = frames.Splitter(FLEET)
-    found = splitter.feed(raw)
-    assert splitter.head is None and not splitter.held
+def _frames(raw: bytes) -> list[frames.Frame]:
+    decoder = frames.FrameDecoder(FLEET)
+    found = decoder.feed(raw)
+    assert not decoder.has_partial_frame
     return found
 
 
-def _frames_bytes(found: list[tuple[Any, bytes]]) -> bytes:
+def _frames_bytes(found: list[frames.Frame]) -> bytes:
     return b"".join(
-        frames.frame(head.fleet, head.name, head.channel, data)
-        for head, data in found
-        if head.version == frames.VERSION and head.size == len(data)
+        frames.encode_frame(frame.header.fleet, frame.header.sender, frame.header.channel, frame.data)
+        for frame in found
+        if frame.header.version == frames.VERSION and frame.header.size == len(frame.data)
     )
 
 
--- a/tests/memberskit.py
+++ b/tests/membershipkit.py
@@ -34,8 +34,8 @@
     at: float
     front: int
     members: int
-    came: tuple[str, ...]
-    went: tuple[str, ...]
+    joined: tuple[str, ...]
+    removed: tuple[str, ...]
 
 
 class Struck(NamedTuple):
@@ -94,15 +94,17 @@
             return () if text == "nobody" else tuple(text.split(", "))
 
         return [
-            Change(at, front, f["members"], names(f["came"]), names(f["went"]))
-            for at, front, f in self.logged("view")
+            Change(at, front, f["members"], names(f["joined"]), names(f["removed"]))
+            for at, front, f in self.logged("view_changed")
             if at >= since
         ]
 
     def views(self) -> list[int]:
         """How many each front that runs sees."""
         seen = dict.fromkeys(range(self.count), 1)
-        told = self.logged("view") + self.logged("member listens")  # a start sees itself alone at first
+        told = self.logged("view_changed") + self.logged(
+            "member_listening"
+        )  # a start sees itself alone at first
         for _, front, fields in sorted(told, key=lambda one: one[0]):
             seen[front] = fields.get("members", 1)
         return [seen[front.number] for front in self.fronts if front.alive]
@@ -132,8 +134,8 @@
         await asyncio.sleep(3.0)  # accusations made now would come to their end
         bad, changes = {f"n{n}" for n in ill}, self.changes(since)
         healthy = [c for c in changes if c.front not in ill]
-        wrong = sum(len(set(c.went) - bad) for c in healthy)
-        known = tuple(c.at - since for c in healthy for name in c.went if name in bad)
+        wrong = sum(len(set(c.removed) - bad) for c in healthy)
+        known = tuple(c.at - since for c in healthy for name in c.removed if name in bad)
         counts = [sum(c.front == n for c in healthy) for n in range(self.count) if n not in ill]
         return Struck(wrong, known, tuple(counts), again)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -45,7 +45,7 @@
 def went(net: PeerNet, since: int, of: Iterable[Peer] | None = None) -> list[str]:
     """Members that were put out of a view of these peers after that moment."""
     peers = net.peers if of is None else of
-    return [name for peer in peers for at, view in peer.views if at > since for name in view.went]
+    return [name for peer in peers for at, view in peer.views if at > since for name in view.removed]
 
 
 def settle(net: PeerNet, within: int) -> int:
@@ -225,9 +225,9 @@
     net.run(10 * SECOND)
     assert net.whole()
     words = Message(VERSION, "another", MessageKind.PING, 1, "x", ("10.0.0.7", 7), 1)
-    before = net.peers[0].detector.bad
-    assert net.peers[0].detector.heard(net.now, encode(words)) == []
-    assert net.peers[0].detector.bad == before + 1
+    before = net.peers[0].detector.rejected_count
+    assert net.peers[0].detector.on_datagram(net.now, encode(words)) == []
+    assert net.peers[0].detector.rejected_count == before + 1
 
 
 def test_every_way_of_six_datagrams_lost_doubled_or_delivered_ends_in_one_view() -> None:
@@ -252,16 +252,16 @@
         for _ in range(30):
             net.run(100 * MS)
             for peer in net.peers:
-                for name, claim in peer.detector.claims.items():
-                    assert claim.incarnation >= 0 and peer.detector.incarnation >= highest[peer.name]
-                    assert claim.incarnation <= net.peers[int(name[1:])].detector.incarnation
+                for record in peer.detector.records():
+                    assert record.incarnation >= 0 and peer.detector.incarnation >= highest[peer.name]
+                    assert record.incarnation <= net.peers[int(record.name[1:])].detector.incarnation
                 highest[peer.name] = peer.detector.incarnation
         assert net.whole() and not went(net, since), ways
 
 
 def test_datagrams_stay_within_one_frame_and_state_within_its_bounds() -> None:
-    pace = ProbeIntervals(members_most=50)
-    one = FailureDetector("fleet", "me", ("10.0.0.1", 1), 1, 0, 1, pace=pace)
+    intervals = ProbeIntervals(max_members=50)
+    one = FailureDetector("fleet", "me", ("10.0.0.1", 1), 1, 0, 1, intervals=intervals)
     for n in range(500):
         name = f"member-{n:03d}-" + "x" * 50
         news = tuple(
@@ -270,7 +270,7 @@
         words = Message(
             VERSION,
             "fleet",
-            MessageKind.ASK,
+            MessageKind.PING_REQUEST,
             n,
             name[:64],
             ("10.1.1.1", 9),
@@ -278,15 +278,15 @@
             "member-000-" + "x" * 50,
             news,
         )
-        actions = one.heard(n * MS // 10, encode(words)) + one.tick(n * MS // 10)
+        actions = one.on_datagram(n * MS // 10, encode(words)) + one.on_tick(n * MS // 10)
         assert all(len(a.data) <= MAX_DATAGRAM_BYTES for a in actions if isinstance(a, SendDatagram))
-    assert len(one.claims) == 50 and len(one.probes) == 256 and len(one.told) <= 8192
-    assert all(len(claim.accusers) <= 2 * pace.accusers for claim in one.claims.values())
+    assert len(one.records()) == 50 and one.open_probe_count == 256 and one.queued_update_count <= 8192
+    assert all(len(record.suspected_by) <= 2 * intervals.required_suspicions for record in one.records())
 
 
 def test_a_lone_front_is_a_member_of_its_own_view_and_asks_its_seeds() -> None:
     one = FailureDetector("fleet", "me", ("10.0.0.1", 1), 1, 0, 1, seeds=[("10.0.0.2", 2), ("10.0.0.1", 1)])
-    actions = [a for n in range(100) for a in one.tick(n * 100 * MS)]
+    actions = [a for n in range(100) for a in one.on_tick(n * 100 * MS)]
     assert {a.address for a in actions if isinstance(a, SendDatagram)} == {("10.0.0.2", 2)}
     assert one.members == {"me"} and not any(isinstance(a, ViewChanged) for a in actions)
 
@@ -299,8 +299,8 @@
     good[at % len(good)] = value
     for raw in (noise, bytes(good), bytes(good[: at % len(good)]), bytes(good) + noise):
         one = FailureDetector("fleet", "a", ("10.0.0.1", 1), 1, 0, 1)
-        one.heard(MS, raw)
-        assert "a" in one.members and len(one.members) <= 3 and len(one.claims) <= 2
+        one.on_datagram(MS, raw)
+        assert "a" in one.members and len(one.members) <= 3 and len(one.records()) <= 2
         for read in (decode, decode_full_state):
             try:
                 read(raw, "fleet")
--- a/tests/test_members_processes.py
+++ b/tests/test_membership_processes.py
@@ -11,7 +11,7 @@
 
 from quincepier.membership import ProbeIntervals
 from quincepier.membership.probe_intervals import SECOND
-from tests.memberskit import Fleet, file_of, middle
+from tests.membershipkit import Fleet, file_of, middle
 
 COUNT = 8
 EVERYONE = range(COUNT)
@@ -49,8 +49,9 @@
         got = await fleet.struck([7], lambda: fleet.kill([7], 6))
         assert got.wrong == 0 and len(got.known) == COUNT - 1
         # two accusations at their earliest would be a defect; the latest is that of a single accuser
-        pace = ProbeIntervals()
-        assert pace.suspicion / SECOND < middle(got.known) < pace.suspicion_most / SECOND
+        intervals = ProbeIntervals()
+        assert intervals.min_suspicion_timeout_ns / SECOND < middle(got.known)
+        assert middle(got.known) < intervals.max_suspicion_timeout_ns / SECOND
         assert set(got.changes) == {2}  # it went, it came
 
     played(tmp_path, story)
@@ -60,11 +61,11 @@
     async def story(fleet: Fleet) -> None:
         fleet.fault("cut", NEAR, apart=FAR)
         await fleet.see(COUNT // 2, 30)
-        halves = [c for c in fleet.changes() if c.went]
+        halves = [c for c in fleet.changes() if c.removed]
         for half in (NEAR, FAR):
             others = {f"n{n}" for n in EVERYONE if n not in half}
             for n in half:
-                went = [name for c in halves if c.front == n for name in c.went]
+                went = [name for c in halves if c.front == n for name in c.removed]
                 assert sorted(went) == sorted(others), "just the other half, each once"
         fleet.fault("cut", NEAR, heal=True, apart=FAR)
         await fleet.see(COUNT, 60)
@@ -84,7 +85,7 @@
         got = await fleet.struck([2], lambda: fleet.pause([2], 10))
         assert got.wrong == 0 and len(got.known) == COUNT - 1 and set(got.changes) == {2}
         alone = [c for c in fleet.changes() if c.front == 2 and c.members == 1]
-        assert len(alone) == 1 and len(alone[0].went) == COUNT - 1
+        assert len(alone) == 1 and len(alone[0].removed) == COUNT - 1
 
     played(tmp_path, story)
 
@@ -96,7 +97,7 @@
         left = asyncio.create_task(fleet.fronts[2].term())
         await fleet.see(2, 20, of=(0, 1))
         await left
-        assert [c.went for c in fleet.changes() if c.front != 2 and c.went] == [("n2",), ("n2",)]
+        assert [c.removed for c in fleet.changes() if c.front != 2 and c.removed] == [("n2",), ("n2",)]
         await fleet.fronts[0].term()
         told.write_text(file_of(0, fleet).replace("n0: ", "other: "))
         await fleet.fronts[0].start()
--- a/tests/test_members_shell.py
+++ b/tests/test_peer_network.py
@@ -6,6 +6,7 @@
 import socket
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
+from functools import partial
 from types import SimpleNamespace
 from typing import Any
 
@@ -16,10 +17,10 @@
 from quincepier import clock
 from quincepier.checks import Checks
 from quincepier.config import read_front
-from quincepier.membership.quotas import QuotaGrant, QuotaHolder
+from quincepier.membership.quotas import GrantNumber, QuotaGrant, QuotaHolder
 from quincepier.membership.section import MembersSection
-from quincepier.net.peers import FRAME_MOST, PeerNetwork, PeersError
-from quincepier.net.peers.frames import Splitter, frame
+from quincepier.net.peers import MAX_FRAME_BYTES, PeerNetwork, PeersError
+from quincepier.net.peers.frames import FrameDecoder, encode_frame
 from quincepier.net.peers.quota_allocator import QuotaAllocator, scale_settings
 from quincepier.net.sockets import Descriptors
 from quincepier.operator import OperatorError, read
@@ -37,7 +38,7 @@
 def fleet(count: int) -> list[PeerNetwork]:
     book = {f"n{n}": own_address() for n in range(count)}
     return [
-        PeerNetwork("f", name, place, Checks(), Descriptors(1024), n, book=book)
+        PeerNetwork("f", name, place, Checks(), Descriptors(1024), n, addresses=book)
         for n, (name, place) in enumerate(book.items())
     ]
 
@@ -58,11 +59,12 @@
 
 def test_one_book_serves_all_fronts() -> None:
     book = section("{fleet: web, fronts: {a: '10.0.0.1:7400', b: '[fd00::2]:7400'}}")
-    assert book.listens_at("a") == book.announces("a") and book.listens_at("c") is None
+    assert book.listen_endpoint("a") == book.announced_endpoint("a") and book.listen_endpoint("c") is None
     assert book.fronts["b"].address == ("fd00::2", 7400)
     beside = section("{fleet: web, listen: '0.0.0.0:7400', fronts: {a: '10.0.0.1:7400'}}")
     assert (
-        beside.listens_at("a") != beside.announces("a") == book.fronts["a"] and beside.announces("c") is None
+        beside.listen_endpoint("a") != beside.announced_endpoint("a") == book.fronts["a"]
+        and beside.announced_endpoint("c") is None
     )
 
 
@@ -87,32 +89,40 @@
 
 @given(st.lists(st.binary(max_size=60), max_size=6), st.lists(st.integers(1, 40), max_size=30))
 def test_frames_come_out_whole_however_the_bytes_come(datas: list[bytes], cuts: list[int]) -> None:
-    raw, splitter, got, at = b"".join(frame("f", "n1", 7, d) for d in datas), Splitter("f"), list[bytes](), 0
+    raw, splitter, got, at = (
+        b"".join(encode_frame("f", "n1", 7, d) for d in datas),
+        FrameDecoder("f"),
+        list[bytes](),
+        0,
+    )
     for size in (*cuts, len(raw)):
-        got += [data for _, data in splitter.feed(raw[at : at + size])]
+        got += [frame.data for frame in splitter.feed(raw[at : at + size])]
         at += size
-    assert got == datas and not splitter.held
+    assert got == datas and not splitter.has_partial_frame
 
 
 @given(st.binary(min_size=3, max_size=80))
 def test_bytes_that_are_no_frame_end_the_stream(raw: bytes) -> None:
-    splitter = Splitter("f")
+    splitter = FrameDecoder("f")
     try:
         assert splitter.feed(raw) == []
     except PeersError as error:
         assert error.code == "QP-PEERS" and error.do
-    assert len(splitter.held) <= len(raw)
-    for wrong in (frame("g", "n1", 7, b""), b"\xff\xff", b"\0\0"):
+    assert splitter.buffered_bytes <= len(raw)
+    for wrong in (encode_frame("g", "n1", 7, b""), b"\xff\xff", b"\0\0"):
         with pytest.raises(PeersError):
-            Splitter("f").feed(wrong)
+            FrameDecoder("f").feed(wrong)
 
 
 def test_all_find_each_other_and_frames_keep_their_order_on_one_stream_a_pair() -> None:
     peers, got = fleet(4), dict[tuple[str, str], list[bytes]]()
 
+    def receive(receiver: str, sender: str, data: bytes) -> None:
+        got.setdefault((receiver, sender), []).append(data)
+
     async def story() -> None:
         for one in peers:
-            one.channel(5, lambda sender, data, me=one.name: got.setdefault((me, sender), []).append(data))  # type: ignore[misc]
+            one.register_channel(5, partial(receive, one.name))
         await until(lambda: all(len(one.view) == 4 for one in peers), "all see all")
         for n in range(200):
             for one in peers:
@@ -120,10 +130,10 @@
                     assert one is other or one.send(other.name, 5, b"%d" % n)
         await until(lambda: sum(map(len, got.values())) == 12 * 200, "all frames are there")
         assert len(got) == 12 and all(data == [b"%d" % n for n in range(200)] for data in got.values())
-        await until(lambda: all(len(one.lines.streams) == 3 for one in peers), "one stream a pair is left")
-        assert peers[0].send("n1", 5, bytes(FRAME_MOST))
-        await until(lambda: len(got["n1", "n0"][-1]) == FRAME_MOST, "the greatest frame is there")
-        assert not peers[0].send("n1", 5, bytes(FRAME_MOST + 1)) and not peers[0].send("n0", 5, b"")
+        await until(lambda: all(one.streams.stream_count == 3 for one in peers), "one stream a pair is left")
+        assert peers[0].send("n1", 5, bytes(MAX_FRAME_BYTES))
+        await until(lambda: len(got["n1", "n0"][-1]) == MAX_FRAME_BYTES, "the greatest frame is there")
+        assert not peers[0].send("n1", 5, bytes(MAX_FRAME_BYTES + 1)) and not peers[0].send("n0", 5, b"")
         await peers[3].leave()
         assert not peers[3].send("n0", 5, b"late")
         await until(lambda: all(one.view == ("n0", "n1", "n2") for one in peers[:3]), "who left is out")
@@ -139,13 +149,13 @@
         silent.bind(("127.0.0.1", 0))
         assert not one.send("nobody", 5, b"x")
         assert one.send("n1", 5, b"x")  # it waits for the dial
-        refused = "peers: frames dropped, peer out of reach"
+        refused = "peer_frames_dropped_peer_unreachable"
         await until(lambda: one.checks.counts[refused] >= 2, "the dial is refused")
         silent.listen(1)
-        one.know("silent", silent.getsockname())
-        sent = sum(one.send("silent", 5, bytes(FRAME_MOST)) for _ in range(50))
-        assert 0 < sent < 4 and one.checks.counts["peers: frames dropped, queue full"] == 50 - sent
-        assert one.lines.queued <= 4 << 20
+        one.add_address("silent", silent.getsockname())
+        sent = sum(one.send("silent", 5, bytes(MAX_FRAME_BYTES)) for _ in range(50))
+        assert 0 < sent < 4 and one.checks.counts["peer_frames_dropped_queue_full"] == 50 - sent
+        assert one.streams.queued_bytes <= 4 << 20
 
     played([one], story)
     silent.close()
@@ -159,21 +169,22 @@
         raise RuntimeError("planted")
 
     async def story() -> None:
-        peers[1].channel(9, hear)
-        peers[1].on_view(lambda viewed: hear("view", b""))
+        peers[1].register_channel(9, hear)
+        peers[1].add_view_listener(lambda viewed: hear("view", b""))
         await until(lambda: len(peers[1].view) == 2, "they see each other")
         with pytest.raises(PeersError):
-            peers[1].channel(9, hear)
-        reader, writer = await asyncio.open_connection(*peers[1].listen)
+            peers[1].register_channel(9, hear)
+        reader, writer = await asyncio.open_connection(*peers[1].listen_address)
         writer.write(b"GET / HTTP/1.1\r\n\r\n")
         assert await reader.read() == b""
-        peers[0].datagrams.sendto(b"\xc1" * 50, peers[1].listen)  # type: ignore[union-attr]
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+            stranger.sendto(b"\xc1" * 50, peers[1].listen_address)
         for _ in range(2):
             assert peers[0].send("n1", 9, b"x")
         await until(lambda: heard.count("n0") == 2, "frames still come")
         counts = peers[1].checks.counts
-        await until(lambda: counts["peers: datagrams not taken"] == 1, "the datagram is dropped")
-        assert counts["exception among the peers"] == len(heard) and counts["peers: a stream not taken"] == 1
+        await until(lambda: counts["peer_datagrams_rejected"] == 1, "the datagram is dropped")
+        assert counts["peer_network_exception"] == len(heard) and counts["peer_stream_rejected"] == 1
 
     played(peers, story)
 
@@ -196,11 +207,11 @@
         assert enough.router.s.fronts == 6
         await peers[3].leave()
         await until(lambda: few.router.s.fronts == 3, "who said that it leaves gave its claim up")
-        agreeing.holder = QuotaHolder(6, 10 * clock.SECOND, 0)
-        agreeing.look()
+        holder = QuotaHolder(6, 10 * clock.SECOND, 0)
+        agreeing.use_leases(holder)
         assert enough.router.s.fronts == 24, "without a lease a quarter of a part"
-        agreeing.holder.granted(clock.now(), clock.now(), QuotaGrant((1, 1), 2))
-        agreeing.look()
+        holder.on_grant(clock.now(), clock.now(), QuotaGrant(GrantNumber(1, 1), 2))
+        agreeing.update()
         assert enough.router.s.fronts == 3  # two share 5 in 6 of the whole
 
     played(peers, story)
