--- a/quincepier/consistency/snapshot.py
+++ b/quincepier/consistency/snapshot.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
+from enum import Enum
 
 import msgspec
 import xxhash
@@ -19,6 +20,7 @@
 from quincepier.consistency.errors import ConsistencyError
 from quincepier.consistency.merkle_tree import MerkleTree
 from quincepier.consistency.messages import About, DigestResponse, LeafResponse
+from quincepier.interface import DeduplicationScope, Idempotency
 
 LABEL_MOST = 200
 LINES_AT_ONCE = 64  # leaves of the list between two places at which a slice may end
@@ -43,14 +45,25 @@
     return found
 
 
+# Names of enums as other builds know them: their text is in the digests that fronts compare.
+DIGESTED_ENUM_NAMES: dict[type[Enum], str] = {Idempotency: "Effect", DeduplicationScope: "Group"}
+
+
+def _digested_text(value: object) -> str:
+    """The text of a setting's value, the same in every build."""
+    if isinstance(value, Enum):
+        return f"<{DIGESTED_ENUM_NAMES[type(value)]}.{value.name}: {value.value!r}>"
+    return repr(value)
+
+
 def fields_of_settings(inputs: DecisionInputs) -> dict[str, Fields]:
     """Each setting; a front's own zone is its seat, no rule."""
     s = inputs.settings
     names = [n for n in s.__dataclass_fields__ if n not in ("zone", "classes")]
-    found: dict[str, Fields] = {n: ((n, repr(getattr(s, n))),) for n in names}
+    found: dict[str, Fields] = {n: ((n, _digested_text(getattr(s, n))),) for n in names}
     for place, cls in enumerate(s.classes):
         for n in cls.__dataclass_fields__:
-            found[f"classes[{place}].{n}"] = ((n, repr(getattr(cls, n))),)
+            found[f"classes[{place}].{n}"] = ((n, _digested_text(getattr(cls, n))),)
     return found
 
 
