--- a/quincepier/consistency/__init__.py
+++ b/quincepier/consistency/__init__.py
@@ -1,34 +1,33 @@
-"""Whether all fronts decide alike: rule decisions, digests, where two differ, real decisions witnessed.
+"""Whether all fronts decide alike: rule decisions, their digests, divergences, and explained real decisions.
 
-It decides who is outside of the majority, by which input, key and field, and whether a real decision has a
-reason. It never routes, sends, reads a clock or changes what a front decides. Read `decision.py` first, then
-`checker.py`; docs/consistency.md.
+The package finds which front is outside the majority, by which input, key and field, and whether a real
+decision has a reason. It never routes, sends, reads a clock or changes what a front decides. Start reading at
+`decision.py`, then `checker.py`; docs/consistency.md describes the protocol.
 """
 
+from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
 from quincepier.consistency.checker import CheckerAction, ConsistencyChecker, SendMessage
 from quincepier.consistency.decision import (
-    STANDARD_ARITHMETIC,
-    Arithmetic,
     DecisionInputs,
     DecisionKey,
     DecisionRules,
-    HomeOf,
+    HomeShardLookup,
     ListedEndpoint,
-    Memory,
+    RankingCache,
     RuleDecision,
     decide,
-    sample,
 )
-from quincepier.consistency.decision_recorder import DecisionRecorder, module_memory, stale_rankings
+from quincepier.consistency.decision_recorder import DecisionRecorder, router_ranking_cache, stale_rankings
 from quincepier.consistency.errors import ConsistencyError
 from quincepier.consistency.explain import BREACH, Reason, explain
-from quincepier.consistency.findings import CAUTIOUS, FAULTS, DivergenceKind, Finding
+from quincepier.consistency.findings import CAUTIOUS_KINDS, FAULT_KINDS, DivergenceKind, Finding
+from quincepier.consistency.key_sample import sample_keys
 from quincepier.consistency.section import ConsistencySection
 
 __all__ = [
     "BREACH",
-    "CAUTIOUS",
-    "FAULTS",
+    "CAUTIOUS_KINDS",
+    "FAULT_KINDS",
     "STANDARD_ARITHMETIC",
     "Arithmetic",
     "CheckerAction",
@@ -41,15 +40,15 @@
     "DecisionRules",
     "DivergenceKind",
     "Finding",
-    "HomeOf",
+    "HomeShardLookup",
     "ListedEndpoint",
-    "Memory",
+    "RankingCache",
     "Reason",
     "RuleDecision",
     "SendMessage",
     "decide",
     "explain",
-    "module_memory",
-    "sample",
+    "router_ranking_cache",
+    "sample_keys",
     "stale_rankings",
 ]
--- a/quincepier/consistency/checker.py
+++ b/quincepier/consistency/checker.py
@@ -1,21 +1,29 @@
-"""One front's part in the comparison: it answers whoever collects, and collects where that falls to it.
+"""One front's part in the comparison of rule decisions: it answers collectors, and collects where it must.
 
-Who collects: the leader; where none leads, the three members first by a hash of their names, each for itself.
-A front sends its digests to who collects alone, so words grow with the fronts, not with their square. Pure:
-words and times in, words and findings out.
+The leader collects; where no member leads, the three members first by a hash of their names do, each for
+itself. A front sends its digests to collectors alone, so messages grow with the number of fronts, not with
+its square. Pure: messages and times in, messages and findings out.
 """
 
 from __future__ import annotations
 
 import random
-from collections import OrderedDict, deque
+from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 import xxhash
 
-from quincepier.consistency.decision import STANDARD_ARITHMETIC, Arithmetic, DecisionInputs, Memory
-from quincepier.consistency.digest_collector import DigestCollector, LateMembers
+from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
+from quincepier.consistency.decision import DecisionInputs, RankingCache
+from quincepier.consistency.digest_collector import (
+    CollectorOutput,
+    DigestCollector,
+    ListRevisionHistory,
+    OutgoingMessage,
+    RoundResult,
+)
+from quincepier.consistency.digest_responder import DigestResponder
 from quincepier.consistency.errors import ConsistencyError
 from quincepier.consistency.findings import Finding
 from quincepier.consistency.messages import (
@@ -31,16 +39,16 @@
     encode,
 )
 from quincepier.consistency.section import ConsistencySection
-from quincepier.consistency.snapshot import Snapshot
 
-MS = 1_000_000
-COLLECTORS = 3  # where no front leads
-ROUNDS_KEPT = 8  # of others' asking, one a collector; the oldest goes
-SLICE = 2000  # draws between two turns of the front's other work: some 5 ms
+COLLECTORS_WITHOUT_LEADER = 3
+MAX_HASHES_PER_SLICE = 2000  # some 5 ms between two turns of the front's other work
+ROUND_ID_BITS = 40
 
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
+    """An encoded message to be sent to a member."""
+
     to: str
     data: bytes
 
@@ -49,183 +57,189 @@
 
 
 class ConsistencyChecker:
+    """Compares one front's rule decisions with those of the other fronts."""
+
     def __init__(
         self,
         name: str,
         seed: int,
         section: ConsistencySection | None = None,
-        now: int = 0,
-        how: Arithmetic = STANDARD_ARITHMETIC,
-        memory: Memory | None = None,
+        now_ns: int = 0,
+        arithmetic: Arithmetic = STANDARD_ARITHMETIC,
+        ranking_cache: RankingCache | None = None,
     ) -> None:
-        self.name, self.section, self.how, self.memory = name, section or ConsistencySection(), how, memory
-        self.random = random.Random(seed)
-        self.members, self.leader = frozenset[str]((name,)), ""
-        self.inputs: DecisionInputs | None = None
-        self.due = now + self.random.randrange(self.section.every)  # of the next round, if it collects
-        self.rounds = self.random.getrandbits(40)  # a new collector draws other samples
-        self.asked: OrderedDict[str, Snapshot] = OrderedDict()  # the last round of each who collects
-        self.answers = dict[str, bytes]()
-        self.fresh = dict[str, int]()  # when each who collects began its last round here
-        self.gathering: DigestCollector | None = None
-        self.late = LateMembers()
-        self.breaches = self.stale = self.dropped = 0
-        self.otherwise = -1  # number of the version by which this front was found to decide otherwise
-        self.last = (-1, False, False)  # of the last round: version, all answered and comparable, no fault
-        self.took = 0  # nanoseconds of the last round, until all had answered
-        self.local: deque[Message] = deque()
-
-    # What the shell tells
-
-    def view(self, members: Iterable[str], leader: str) -> None:
-        """Who is there, this front among them, and who leads ("": nobody)."""
-        self.members, self.leader = frozenset(members) | {self.name}, leader
-        for gone in [name for name in self.asked if name not in self.members]:
-            del self.asked[gone], self.answers[gone], self.fresh[gone]
-
-    def have(self, inputs: DecisionInputs) -> None:
-        """What this front decides by from now on. All of it is of one moment."""
-        self.inputs = inputs
-
-    def count(self, breaches: int = 0, stale: int = 0) -> None:
-        """What the witness met since the last call; told with the next answer."""
-        self.breaches, self.stale = self.breaches + breaches, self.stale + stale
-
-    # What it tells
+        """Make the checker of the front `name`; its first round as a collector is at a random time."""
+        self.last_result: RoundResult | None = None  # of the last round that this front collected
+        self._invalid_messages = 0
+        self._name = name
+        self._section = section or ConsistencySection()
+        self._round_interval_ns = self._section.round_interval_ns
+        self._members = frozenset[str]((name,))
+        self._leader = ""
+        self._inputs: DecisionInputs | None = None
+        draw = random.Random(seed)
+        self._next_round_ns = now_ns + draw.randrange(self._round_interval_ns)
+        self._round_id = draw.getrandbits(ROUND_ID_BITS)  # so that a new collector draws other samples
+        self._responder = DigestResponder(name, self._round_interval_ns, arithmetic, ranking_cache)
+        self._collector: DigestCollector | None = None
+        self._list_history = ListRevisionHistory()
+        self._unexplained_decisions = 0
+        self._stale_rankings = 0
+        self._diverged_version: int | None = None  # rule version by which this front was found to diverge
+        self._local_messages: deque[Message] = deque()  # of this front to itself
+
+    def on_view_changed(self, members: Iterable[str], leader: str) -> None:
+        """Take the living members, this front among them, and the leader; empty where nobody leads."""
+        self._members = frozenset(members) | {self._name}
+        self._leader = leader
+        self._responder.retain_collectors(self._members)
+
+    def on_inputs_changed(self, inputs: DecisionInputs) -> None:
+        """Take the inputs by which this front decides from now on, all of one moment."""
+        self._inputs = inputs
+
+    def add_router_faults(self, unexplained_decisions: int = 0, stale_rankings: int = 0) -> None:
+        """Count faults of this front's router, which its next digest response reports."""
+        self._unexplained_decisions += unexplained_decisions
+        self._stale_rankings += stale_rankings
 
     @property
-    def cautious(self) -> bool:
-        """Whether this front was found to decide otherwise by the version that it has."""
-        return self.inputs is not None and self.otherwise == self.inputs.version.number
+    def is_cautious(self) -> bool:
+        """Whether this front was found to diverge by the rule version that it has."""
+        return self._inputs is not None and self._diverged_version == self._inputs.rule_version.number
 
-    def alike(self, number: int) -> bool | None:
-        """Of who collects: whether all fronts decide alike by that version; None: not known."""
-        version, whole, good = self.last
-        return None if version != number or (good and not whole) else good
+    @property
+    def dropped_messages(self) -> int:
+        """Messages that were invalid, or requests that came too early."""
+        return self._invalid_messages + self._responder.rejected_requests
+
+    def is_consistent(self, rule_version: int) -> bool | None:
+        """Whether all fronts decide alike by a rule version; None where this collector does not know."""
+        result = self.last_result
+        if result is None or result.rule_version != rule_version:
+            return None
+        if result.has_fault:
+            return False
+        return True if result.is_unanimous else None
 
     @property
     def collectors(self) -> tuple[str, ...]:
-        if self.leader in self.members:
-            return (self.leader,)
-        return tuple(
-            sorted(self.members, key=lambda name: xxhash.xxh3_64_intdigest(name.encode()))[:COLLECTORS]
-        )
+        """The members that collect digests now."""
+        if self._leader in self._members:
+            return (self._leader,)
+        by_hash = sorted(self._members, key=lambda name: xxhash.xxh3_64_intdigest(name.encode()))
+        return tuple(by_hash[:COLLECTORS_WITHOUT_LEADER])
 
     @property
-    def wake(self) -> int:
-        """When `tick` is wanted next; past where a slice of work waits."""
-        if any(not snapshot.done for snapshot in self.asked.values()):
+    def next_tick_ns(self) -> int:
+        """When `on_tick` is due next; 0 where a slice of work waits."""
+        if self._responder.has_work:
             return 0
-        own = self.due if self.name in self.collectors else self.due + self.section.every
-        return own if self.gathering is None else min(own, self.gathering.wake)
+        is_collector = self._name in self.collectors
+        own = self._next_round_ns if is_collector else self._next_round_ns + self._round_interval_ns
+        return own if self._collector is None else min(own, self._collector.next_tick_ns)
 
-    # Words and time
-
-    def said(self, now: int, sender: str, raw: bytes) -> list[CheckerAction]:
-        """A word of a member; what is none is dropped and counted."""
+    def on_message(self, now_ns: int, sender: str, raw: bytes) -> list[CheckerAction]:
+        """Handle a member's message; an invalid one is dropped and counted."""
         try:
-            if sender not in self.members:
+            if sender not in self._members:
                 raise ConsistencyError("not a member", sender[:64])
-            return self._drain(now, self._heard(now, sender, decode(raw)))
+            return self._drain_local(now_ns, self._handle(now_ns, sender, decode(raw)))
         except ConsistencyError:
-            self.dropped += 1
+            self._invalid_messages += 1
             return []
 
-    def tick(self, now: int) -> list[CheckerAction]:
-        """One slice of work; the next round, or what is to be asked again, where it is time."""
-        out = list[CheckerAction]()
-        pending = next((s for s in self.asked.items() if not s[1].done), None)
-        if pending is not None and pending[1].step(SLICE):
-            out += self._answer(now, *pending)
-        if now >= self.due:
-            out += self.round(now) if self.name in self.collectors else []
-            self.due = max(self.due + self.section.every, now + self.section.every // 2)
-        if self.gathering is not None:
-            out += self._posted(self.gathering.tick(now))
-            self._closed()
-        return self._drain(now, out)
-
-    def round(self, now: int) -> list[CheckerAction]:
-        """Begin a round, of the version that this front has."""
-        if self.inputs is None:
-            return []
-        self.rounds += 1
-        number = self.inputs.version.number
-        late = self.late, self.section.late_list
-        self.gathering = DigestCollector(now, self.rounds, number, self.members, self.section.sample, *late)
-        return self._drain(now, self._posted(self.gathering.tick(now)))
-
-    def _heard(self, now: int, sender: str, word: Message) -> list[CheckerAction]:
-        match word:
-            case DigestRequest(round_, number, size):
-                return self._asked(now, sender, round_, number, size)
-            case SubtreeRequest(round_, about, path, split):
-                children, leaves = self._snapshot(sender, round_).tree(about).look(path, split)
-                return self._to(sender, SubtreeResponse(round_, about, path, children, leaves))
-            case LeafRequest(round_, about, label):
-                return self._to(sender, self._snapshot(sender, round_).show(about, label))
-            case ConsistencyVerdict(_, number, alike, _):
-                self.otherwise = number if not alike else -1
-            case DigestResponse() | SubtreeResponse() | LeafResponse() if self.gathering is not None:
-                out = self._posted(self.gathering.heard(now, sender, word))
-                self._closed()
-                return out
-        return []
-
-    def _asked(self, now: int, sender: str, round_: int, number: int, size: int) -> list[CheckerAction]:
-        before = self.asked.get(sender)
-        if before is not None and before.round == round_:
-            return [SendMessage(sender, self.answers[sender])] if sender in self.answers else []
-        early = now - self.fresh.get(sender, now - self.section.every) < self.section.every // 8
-        if self.inputs is None or (early and sender != self.name):  # nobody makes it work without end
-            self.dropped += early
+    def on_tick(self, now_ns: int) -> list[CheckerAction]:
+        """Do one slice of work, and start a round or send requests again where that is due."""
+        actions = list[CheckerAction]()
+        collector = self._responder.advance(MAX_HASHES_PER_SLICE)
+        if collector is not None:
+            actions += self._respond(collector)
+        if now_ns >= self._next_round_ns:
+            actions += self.start_round(now_ns) if self._name in self.collectors else []
+            next_ns = self._next_round_ns + self._round_interval_ns
+            self._next_round_ns = max(next_ns, now_ns + self._round_interval_ns // 2)
+        if self._collector is not None:
+            actions += self._dispatch(self._collector.on_tick(now_ns))
+            self._take_result(self._collector)
+        return self._drain_local(now_ns, actions)
+
+    def start_round(self, now_ns: int) -> list[CheckerAction]:
+        """Start a round by the rule version that this front has."""
+        if self._inputs is None:
             return []
-        self.answers.pop(sender, None)
-        self.fresh[sender] = now
-        self.asked[sender] = Snapshot(round_, number, size, self.inputs, self.how, self.memory)
-        self.asked.move_to_end(sender)
-        while len(self.asked) > ROUNDS_KEPT:
-            gone, _ = self.asked.popitem(last=False)
-            self.answers.pop(gone, None)
-            self.fresh.pop(gone, None)
-        return []
-
-    def _answer(self, now: int, sender: str, snapshot: Snapshot) -> list[CheckerAction]:
-        cautious = self.otherwise == snapshot.inputs.version.number
-        answer = snapshot.answer(self.breaches, self.stale, cautious)
-        self.breaches = self.stale = 0
-        self.answers[sender] = encode(answer)
-        return self._to(sender, answer)
-
-    def _snapshot(self, sender: str, round_: int) -> Snapshot:
-        snapshot = self.asked.get(sender)
-        if snapshot is None or snapshot.round != round_ or not snapshot.done:
-            raise ConsistencyError("that round is over", str(round_))
-        return snapshot
-
-    def _closed(self) -> None:
-        gathering = self.gathering
-        if gathering is not None and gathering.closed:
-            self.last = gathering.number, gathering.whole, gathering.good
-            self.took = gathering.took
-
-    def _to(self, to: str, word: Message) -> list[CheckerAction]:
-        if to == self.name:
-            self.local.append(word)
+        self._round_id += 1
+        number = self._inputs.rule_version.number
+        request = DigestRequest(self._round_id, number, self._section.sample_size)
+        self._collector = DigestCollector(
+            now_ns, request, self._members, self._list_history, self._section.max_list_lag_ns
+        )
+        return self._drain_local(now_ns, self._dispatch(self._collector.on_tick(now_ns)))
+
+    def _handle(self, now_ns: int, sender: str, message: Message) -> list[CheckerAction]:
+        match message:
+            case DigestRequest():
+                return self._on_digest_request(now_ns, sender, message)
+            case SubtreeRequest():
+                return self._send(sender, self._responder.on_subtree_request(sender, message))
+            case LeafRequest():
+                return self._send(sender, self._responder.on_leaf_request(sender, message))
+            case ConsistencyVerdict():
+                self._diverged_version = None if message.is_consistent else message.rule_version
+                return []
+            case DigestResponse() | SubtreeResponse() | LeafResponse():
+                return self._on_response(now_ns, sender, message)
+
+    def _on_digest_request(self, now_ns: int, sender: str, request: DigestRequest) -> list[CheckerAction]:
+        response = self._responder.on_digest_request(now_ns, sender, request, self._inputs)
+        return [] if response is None else self._send(sender, response)
+
+    def _on_response(
+        self, now_ns: int, sender: str, response: DigestResponse | SubtreeResponse | LeafResponse
+    ) -> list[CheckerAction]:
+        collector = self._collector
+        if collector is None:
             return []
-        return [SendMessage(to, encode(word))]
+        if isinstance(response, DigestResponse):
+            actions = self._dispatch(collector.on_digest_response(now_ns, sender, response))
+        else:
+            actions = self._dispatch(collector.on_tree_response(now_ns, sender, response))
+        self._take_result(collector)
+        return actions
+
+    def _respond(self, collector: str) -> list[CheckerAction]:
+        """Send the digests of a complete snapshot, and the faults counted since the last response."""
+        response = self._responder.complete(
+            collector, self._unexplained_decisions, self._stale_rankings, self._diverged_version
+        )
+        self._unexplained_decisions = 0
+        self._stale_rankings = 0
+        return self._send(collector, response)
 
-    def _posted(self, said: Iterable[tuple[str, Message] | Finding]) -> list[CheckerAction]:
-        out = list[CheckerAction]()
-        for one in said:
-            out += [one] if isinstance(one, Finding) else self._to(*one)
-        return out
+    def _take_result(self, collector: DigestCollector) -> None:
+        if collector.result is not None:
+            self.last_result = collector.result
 
-    def _drain(self, now: int, out: list[CheckerAction]) -> list[CheckerAction]:
-        """What this front says to itself."""
-        while self.local:
+    def _send(self, to: str, message: Message) -> list[CheckerAction]:
+        if to == self._name:
+            self._local_messages.append(message)
+            return []
+        return [SendMessage(to, encode(message))]
+
+    def _dispatch(self, outputs: Iterable[CollectorOutput]) -> list[CheckerAction]:
+        actions = list[CheckerAction]()
+        for output in outputs:
+            if isinstance(output, OutgoingMessage):
+                actions += self._send(output.to, output.message)
+            else:
+                actions.append(output)
+        return actions
+
+    def _drain_local(self, now_ns: int, actions: list[CheckerAction]) -> list[CheckerAction]:
+        """Handle what this front sent to itself."""
+        while self._local_messages:
             try:
-                out += self._heard(now, self.name, self.local.popleft())
+                actions += self._handle(now_ns, self._name, self._local_messages.popleft())
             except ConsistencyError:
-                self.dropped += 1
-        return out
+                self._invalid_messages += 1
+        return actions
--- a/quincepier/consistency/decision_recorder.py
+++ b/quincepier/consistency/decision_recorder.py
@@ -13,7 +13,8 @@
 import xxhash
 
 from quincepier import interface as io
-from quincepier.consistency.decision import STANDARD_ARITHMETIC, Arithmetic, ListedEndpoint, Memory
+from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
+from quincepier.consistency.decision import ListedEndpoint, RankingCache
 from quincepier.consistency.explain import Before, DecisionRecord, Reason, Router, decision_record, order
 
 RECORDS_KEPT, BREACHES_KEPT, REQUESTS_KEPT = 256, 64, 4096
@@ -71,7 +72,7 @@
     return stale
 
 
-def module_memory(router: Router, lines: Callable[[], Sequence[ListedEndpoint]]) -> Memory:
+def router_ranking_cache(router: Router, lines: Callable[[], Sequence[ListedEndpoint]]) -> RankingCache:
     """What the module itself ranks, for the digests: of its own zone and the parents, while no machine has a
     step of pace and its list is the one that the round goes by; else None, and the rule is computed alone.
     """
--- a/quincepier/consistency/errors.py
+++ b/quincepier/consistency/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a word or with a rule decision's inputs."""
+"""The package's error: an invalid message, or inputs that no rule decision follows from."""
 
 from __future__ import annotations
 
@@ -6,5 +6,7 @@
 
 
 class ConsistencyError(QuincepierError):
+    """An invalid message between fronts, or a request for what a front does not hold."""
+
     code = "QP-ALIKE"
     remedy = "check that the fronts run builds whose words agree; compare the named input at the named front"
--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from quincepier import interface as io
-from quincepier.consistency.decision import STANDARD_ARITHMETIC, Arithmetic
+from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
 from quincepier.interface import CacheState
 
 # As in the design; the module has its own, so that one that was changed there alone shows as breaches
@@ -94,7 +94,7 @@
     scored = []
     for n in listed:
         part = (n.machine.size if weigh else 1.0) / (2 ** (n.step / 2) if paced else 1.0)
-        scored.append((how.score(how.mix(key, n.machine.cache), part), n.machine.cache))
+        scored.append((how.score(how.hash(key, n.machine.cache), part), n.machine.cache))
     return [number for _, number in sorted(scored)]
 
 
@@ -166,7 +166,7 @@
         self.router, self.req, self.event = router, req, event
         self.booked, self.work = frozenset[int](), 0.0
         self.avoided = frozenset(n.machine.cache for n in req.avoid)
-        s, mixed = router.s, how.mix
+        s, mixed = router.s, how.hash
         self.origins: list[int] = [n.machine.cache for n in router.origins]
         key, obj, sized = mixed(event.object, event.part), mixed(event.object), s.sizes_compare
         caches = [order(router.edges, key, sized, paced, how) for paced in (False, True)]
--- /dev/null
+++ b/quincepier/consistency/leaf_fields.py
@@ -0,0 +1,99 @@
+"""Leaves of the compared trees: each as labelled fields of text, and its digest.
+
+Labels and texts are compared between fronts of different builds, so they are part of the message format:
+where a field of the code is renamed, a table here keeps its label.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+import xxhash
+
+from quincepier.consistency.decision import DecisionInputs, ListedEndpoint, RuleDecision
+from quincepier.consistency.merkle_tree import MAX_LABEL_LENGTH
+from quincepier.consistency.messages import LeafField
+
+LeafFields = tuple[LeafField, ...]
+
+VERSION_ENTRIES = ("orders", "allowances", "shards", "homes", "moves")
+ENTRY_NAME_FIELDS = ("wish", "target", "tenant", "kind", "name")
+DECISION_LABELS = {
+    "tier": "tier",
+    "bypasses_caches": "direct",
+    "caches": "caches",
+    "sources": "sources",
+    "max_copy_age": "oldest",
+    "home_shard": "home",
+    "is_write_paused": "closed",
+    "retries": "repeats",
+}
+MAX_LISTED_VALUES = 8  # of a long order of endpoints, as text
+
+encode_leaf = msgspec.msgpack.Encoder().encode
+
+
+def leaf_digest(value: object) -> bytes:
+    """Digest (16 bytes) of a leaf's value."""
+    return xxhash.xxh3_128_digest(encode_leaf(value))
+
+
+def version_leaves(inputs: DecisionInputs) -> dict[str, LeafFields]:
+    """Fields of each entry of the rule version, by a label that names the entry."""
+    version = inputs.rule_version
+    number, term = LeafField("number", str(version.number)), LeafField("term", str(version.term))
+    leaves: dict[str, LeafFields] = {"version": (number, term)}
+    for kind in VERSION_ENTRIES:
+        for place, entry in enumerate(getattr(version, kind)):
+            label = f"{kind} {_entry_name(entry)}"[:MAX_LABEL_LENGTH]
+            fields = [LeafField(name, str(getattr(entry, name))) for name in entry.__struct_fields__]
+            leaves[label] = (LeafField("place", str(place)), *fields)
+    return leaves
+
+
+def _entry_name(entry: Any) -> str:
+    return ":".join(str(getattr(entry, name)) for name in ENTRY_NAME_FIELDS if hasattr(entry, name))
+
+
+def settings_leaves(inputs: DecisionInputs) -> dict[str, LeafFields]:
+    """Each setting by its label; the zone is the front's own place and is not compared."""
+    settings = inputs.settings
+    names = [name for name in settings.__dataclass_fields__ if name not in ("zone", "classes")]
+    leaves: dict[str, LeafFields] = {
+        name: (LeafField(name, repr(getattr(settings, name))),) for name in names
+    }
+    for place, request_class in enumerate(settings.classes):
+        for name in request_class.__dataclass_fields__:
+            text = repr(getattr(request_class, name))
+            leaves[f"classes[{place}].{name}"] = (LeafField(name, text),)
+    return leaves
+
+
+def endpoint_fields(endpoint: ListedEndpoint) -> LeafFields:
+    """Fields of an endpoint list entry."""
+    return tuple(LeafField(name, str(getattr(endpoint, name))) for name in endpoint.__struct_fields__)
+
+
+def decision_fields(decision: RuleDecision) -> LeafFields:
+    """Fields of a rule decision; of a long order of endpoints its beginning and a digest of all."""
+    return tuple(
+        LeafField(label, _decision_text(getattr(decision, name))) for name, label in DECISION_LABELS.items()
+    )
+
+
+def _decision_text(value: object) -> str:
+    if isinstance(value, msgspec.Struct):
+        return str(msgspec.structs.astuple(value))
+    if isinstance(value, tuple) and len(value) > MAX_LISTED_VALUES:
+        first = ", ".join(map(str, value[:MAX_LISTED_VALUES]))
+        return f"{first}, of {len(value)}, {xxhash.xxh3_64_hexdigest(str(value).encode())}"
+    return str(value)
+
+
+def truncate_fields(fields: LeafFields, max_fields: int) -> LeafFields:
+    """Cut fields to what a message may hold."""
+    return tuple(
+        LeafField(field.name[:MAX_LABEL_LENGTH], field.text[:MAX_LABEL_LENGTH])
+        for field in fields[:max_fields]
+    )
--- a/quincepier/consistency/merkle_descent.py
+++ b/quincepier/consistency/merkle_descent.py
@@ -1,95 +1,150 @@
-"""Narrowing one difference: two fronts are asked down the tree until the leaf and the field are known."""
+"""The descent through the Merkle trees of two fronts, down to the leaf and field in which they differ."""
 
 from __future__ import annotations
 
-from quincepier.consistency.findings import Divergence, DivergenceKind, Finding
-from quincepier.consistency.messages import About, LeafRequest, LeafResponse, SubtreeRequest, SubtreeResponse
+from quincepier.consistency.findings import Divergence, DivergenceKind, DivergentValue, Finding
+from quincepier.consistency.messages import (
+    MAX_PATH_LENGTH,
+    LeafRequest,
+    LeafResponse,
+    SubtreeRequest,
+    SubtreeResponse,
+    TreeKind,
+)
 
-DEEPEST = 32  # hex digits of a label's hash
+ITEM_NAMES: dict[TreeKind, str] = {
+    TreeKind.RULE_VERSION: "entry",
+    TreeKind.SETTINGS: "setting",
+    TreeKind.ENDPOINTS: "endpoint",
+    TreeKind.DECISIONS: "key",
+}
+PRESENT = "present"
 
 
 class MerkleDescent:
-    """One difference of `odd.front` from `other`. `word` is what both are asked now; `take` their answers."""
+    """The search for one difference between a diverging front and a reference front.
 
-    def __init__(self, round_: int, number: int, odd: Divergence, other: str, about: About) -> None:
-        self.round, self.number, self.odd, self.other, self.about = round_, number, odd, other, about
-        self.path, self.label, self.told = "", "", dict[str, SubtreeResponse | LeafResponse]()
-        self.split = False
-        self.leaf, self.asked_at, self.tries, self.exchanges = b"", 0, 0, 0
-        self.found: Finding | None = None
+    Both fronts are sent `request`; `on_response` takes their answers and moves on to the next request, until
+    `finding` is set.
+    """
+
+    def __init__(
+        self, round_id: int, rule_version: int, divergence: Divergence, reference: str, tree: TreeKind
+    ) -> None:
+        self.attempts = 0  # times that the current request was sent
+        self.requested_at_ns = 0
+        self.finding: Finding | None = None
+        self._round_id = round_id
+        self._rule_version = rule_version
+        self._divergence = divergence
+        self._reference = reference
+        self._tree = tree
+        self._path = ""
+        self._expand = False
+        self._label = ""  # of the leaf, once it is known
+        self._leaf_digest = b""
+        self._responses = dict[str, SubtreeResponse | LeafResponse]()
 
     @property
-    def word(self) -> SubtreeRequest | LeafRequest:
-        if self.label:
-            return LeafRequest(self.round, self.about, self.label)
-        return SubtreeRequest(self.round, self.about, self.path, self.split)
+    def request(self) -> SubtreeRequest | LeafRequest:
+        """What both fronts are asked now."""
+        if self._label:
+            return LeafRequest(self._round_id, self._tree, self._label)
+        return SubtreeRequest(self._round_id, self._tree, self._path, self._expand)
 
     @property
-    def waits_for(self) -> list[str]:
-        return [front for front in (self.odd.front, self.other) if front not in self.told]
-
-    def take(self, sender: str, word: SubtreeResponse | LeafResponse) -> bool:
-        """Whether both have answered, so that the next is asked, or `found` is set."""
-        fits = word.about == self.about and (
-            (word.path == self.path and not self.label)
-            if isinstance(word, SubtreeResponse)
-            else word.label == self.label != ""
-        )
-        if not fits or sender not in self.waits_for:
+    def awaited_fronts(self) -> list[str]:
+        """The fronts that have not answered the current request."""
+        fronts = (self._divergence.front, self._reference)
+        return [front for front in fronts if front not in self._responses]
+
+    def record_request(self, now_ns: int) -> None:
+        """Note that the current request is sent to the awaited fronts."""
+        self.requested_at_ns = now_ns
+        self.attempts += 1
+
+    def on_response(self, sender: str, response: SubtreeResponse | LeafResponse) -> bool:
+        """Take an answer; True once both have answered, so that the next request or the finding is there."""
+        if not self._matches_request(response) or sender not in self.awaited_fronts:
             return False
-        self.told[sender] = word
-        if self.waits_for:
+        self._responses[sender] = response
+        if self.awaited_fronts:
             return False
-        mine, theirs = self.told[self.odd.front], self.told[self.other]
-        self.told, self.tries, self.exchanges = {}, 0, self.exchanges + 1
-        if isinstance(mine, SubtreeResponse) and isinstance(theirs, SubtreeResponse):
-            self._descend(mine, theirs)
-        elif isinstance(mine, LeafResponse) and isinstance(theirs, LeafResponse):
-            self._compare(mine, theirs)
+        diverging, reference = self._responses[self._divergence.front], self._responses[self._reference]
+        self._responses = {}
+        self.attempts = 0
+        if isinstance(diverging, SubtreeResponse) and isinstance(reference, SubtreeResponse):
+            self._compare_subtrees(diverging, reference)
+        elif isinstance(diverging, LeafResponse) and isinstance(reference, LeafResponse):
+            self._compare_leaves(diverging, reference)
         return True
 
-    def _descend(self, mine: SubtreeResponse, theirs: SubtreeResponse) -> None:
-        if mine.leaves or theirs.leaves or not (mine.children and theirs.children):
-            here, there = dict(mine.leaves), dict(theirs.leaves)
-            if mine.children or theirs.children:  # sixteen leaves at one, seventeen at the other
-                self.split = True
-                return
-            label = next((n for n in sorted(here | there) if here.get(n) != there.get(n)), None)
-            if label is None:
-                self.end()  # it changed since the round: nothing is claimed
-            elif label not in here or label not in there:
-                name = f"{NAMES[self.about]} {label}"
-                self.end(name, "", "there" if label in here else "", "there" if label in there else "")
-            else:
-                self.label, self.leaf = label, here[label]
-            return
-        pairs = enumerate(zip(mine.children, theirs.children, strict=True))
-        place = next((n for n, (a, b) in pairs if a != b), None)
-        if place is None or len(self.path) >= DEEPEST:
-            self.end()
-        else:
-            self.path, self.split = f"{self.path}{place:x}", False
-
-    def _compare(self, mine: LeafResponse, theirs: LeafResponse) -> None:
-        here, there = dict(mine.fields), dict(theirs.fields)
-        field = next((n for n in here | there if here.get(n) != there.get(n)), "")
-        stale = self.about == "decisions" and bool(mine.anew) and mine.anew != self.leaf
-        kind = DivergenceKind.MEMORY if stale and self.odd.kind is DivergenceKind.DECISION else self.odd.kind
-        what = mine.of or f"{NAMES[self.about]} {self.label}"
-        self.end(what, field, here.get(field, ""), there.get(field, ""), kind)
-
-    def end(
-        self,
-        what: str = "",
-        field: str = "",
-        mine: str = "",
-        theirs: str = "",
-        kind: DivergenceKind | None = None,
-    ) -> None:
-        """With nothing known: it could not be narrowed."""
-        self.found = Finding(
-            self.round, self.number, kind or self.odd.kind, self.odd.front, True, what, field, mine, theirs
+    def finish(self, value: DivergentValue | None = None, kind: DivergenceKind | None = None) -> None:
+        """Set the finding; without a value the difference could not be located."""
+        self.finding = Finding(
+            self._round_id,
+            self._rule_version,
+            kind or self._divergence.kind,
+            self._divergence.front,
+            True,
+            value or DivergentValue(),
         )
 
+    def _matches_request(self, response: SubtreeResponse | LeafResponse) -> bool:
+        if response.tree is not self._tree:
+            return False
+        if isinstance(response, SubtreeResponse):
+            return response.path == self._path and not self._label
+        return response.label == self._label != ""
+
+    def _compare_subtrees(self, diverging: SubtreeResponse, reference: SubtreeResponse) -> None:
+        if diverging.children and reference.children and not diverging.leaves and not reference.leaves:
+            self._descend(diverging, reference)
+        elif diverging.children or reference.children:
+            self._expand = True  # sixteen leaves at one front, seventeen at the other: compare digests
+        else:
+            self._select_leaf(diverging, reference)
+
+    def _descend(self, diverging: SubtreeResponse, reference: SubtreeResponse) -> None:
+        pairs = enumerate(zip(diverging.children, reference.children, strict=True))
+        digit = next((place for place, (ours, theirs) in pairs if ours != theirs), None)
+        if digit is None or len(self._path) >= MAX_PATH_LENGTH:
+            self.finish()
+        else:
+            self._path = f"{self._path}{digit:x}"
+            self._expand = False
+
+    def _select_leaf(self, diverging: SubtreeResponse, reference: SubtreeResponse) -> None:
+        ours = {leaf.label: leaf.digest for leaf in diverging.leaves}
+        theirs = {leaf.label: leaf.digest for leaf in reference.leaves}
+        label = next((name for name in sorted(ours | theirs) if ours.get(name) != theirs.get(name)), None)
+        if label is None:
+            self.finish()  # the trees changed since the round, so nothing can be claimed
+        elif label in ours and label in theirs:
+            self._label = label
+            self._leaf_digest = ours[label]
+        else:
+            item = f"{ITEM_NAMES[self._tree]} {label}"
+            self.finish(
+                DivergentValue(
+                    item,
+                    diverging=PRESENT if label in ours else "",
+                    reference=PRESENT if label in theirs else "",
+                )
+            )
+
+    def _compare_leaves(self, diverging: LeafResponse, reference: LeafResponse) -> None:
+        ours = {field.name: field.text for field in diverging.fields}
+        theirs = {field.name: field.text for field in reference.fields}
+        field = next((name for name in ours | theirs if ours.get(name) != theirs.get(name)), "")
+        item = diverging.key or f"{ITEM_NAMES[self._tree]} {self._label}"
+        value = DivergentValue(item, field, ours.get(field, ""), theirs.get(field, ""))
+        kind = self._divergence.kind
+        if kind is DivergenceKind.DECISION and self._is_stale(diverging):
+            kind = DivergenceKind.MEMORY
+        self.finish(value, kind)
 
-NAMES: dict[About, str] = {"version": "entry", "settings": "setting", "lines": "line", "decisions": "key"}
+    def _is_stale(self, diverging: LeafResponse) -> bool:
+        """Whether the front decides otherwise once it computes the key without its ranking cache."""
+        recomputed = diverging.recomputed_digest
+        return self._tree is TreeKind.DECISIONS and bool(recomputed) and recomputed != self._leaf_digest
--- a/quincepier/consistency/merkle_tree.py
+++ b/quincepier/consistency/merkle_tree.py
@@ -1,43 +1,72 @@
-"""A tree of digests over labelled leaves, so that two fronts find what differs in few small words.
+"""A Merkle tree over labelled leaves, by which two fronts find what differs in a few small messages.
 
-After Merkle ("A Digital Signature Based on a Conventional Encryption Function", 1987). 16-ary by the hex
-digits of the label's hash, so a leaf that is missing at one front moves no other. xxh3-128: against
-chance, not against malice.
+After Merkle, "A Digital Signature Based on a Conventional Encryption Function" (CRYPTO 1987). The tree is
+16-ary by the hex digits of a label's hash, so a leaf that is missing at one front moves no other leaf. The
+digest is xxh3-128: it guards against chance, not against malice.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_left
 from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Annotated
 
+import msgspec
 import xxhash
 
-WIDE = 16  # children of a node, and most leaves that are told as they are
+FAN_OUT = 16  # children of an inner node, and the most leaves that are given in place of children
+MAX_LABEL_LENGTH = 200
+AFTER_HEX_DIGITS = "g"  # sorts after every path below a prefix
+
+Digest = Annotated[bytes, msgspec.Meta(min_length=16, max_length=16)]
+Label = Annotated[str, msgspec.Meta(max_length=MAX_LABEL_LENGTH)]
+
+
+class LeafDigest(msgspec.Struct, frozen=True, array_like=True):
+    """A leaf as other fronts see it."""
+
+    label: Label
+    digest: Digest
+
+
+@dataclass(slots=True, frozen=True)
+class Subtree:
+    """The next level below a path: digests of the 16 children, or else the few leaves."""
+
+    children: tuple[bytes, ...] = ()
+    leaves: tuple[LeafDigest, ...] = ()
 
 
 class MerkleTree:
-    def __init__(self, leaves: Mapping[str, bytes]) -> None:
-        """Leaves are 16 bytes, labels any text."""
-        self.rows = sorted(
-            (xxhash.xxh3_128_hexdigest(label.encode()), label, leaf) for label, leaf in leaves.items()
+    """An immutable tree over digests by label."""
+
+    def __init__(self, leaf_digests: Mapping[str, bytes]) -> None:
+        """Build the tree over 16-byte digests by label."""
+        self._rows = sorted(
+            (xxhash.xxh3_128_hexdigest(label.encode()), label, digest)
+            for label, digest in leaf_digests.items()
         )
-        self.root = self._digest(0, len(self.rows))
+        self.root = self._digest(0, len(self._rows))
+
+    def subtree(self, path: str, expand: bool = False) -> Subtree:
+        """Return what is below a path.
 
-    def look(self, path: str, split: bool = False) -> tuple[tuple[bytes, ...], tuple[tuple[str, bytes], ...]]:
-        """What is below `path` (hex digits): the digests of 16 children, or instead the leaves where they
-        are few and `split` does not ask for digests all the same.
+        Args:
+            path: Hex digits that the hash of a leaf's label begins with.
+            expand: Give the digests of children even where the leaves are few.
         """
         low, high = self._span(path)
-        if high - low <= WIDE and not split:
-            return (), tuple((label, leaf) for _, label, leaf in self.rows[low:high])
-        return tuple(self._digest(*self._span(f"{path}{n:x}")) for n in range(WIDE)), ()
+        if high - low <= FAN_OUT and not expand:
+            return Subtree(leaves=tuple(LeafDigest(label, leaf) for _, label, leaf in self._rows[low:high]))
+        return Subtree(tuple(self._digest(*self._span(f"{path}{digit:x}")) for digit in range(FAN_OUT)))
 
     def _span(self, path: str) -> tuple[int, int]:
-        return bisect_left(self.rows, (path,)), bisect_left(self.rows, (path + "g",))
+        return bisect_left(self._rows, (path,)), bisect_left(self._rows, (path + AFTER_HEX_DIGITS,))
 
     def _digest(self, low: int, high: int) -> bytes:
-        told = xxhash.xxh3_128()
-        for label, _, leaf in self.rows[low:high]:
-            told.update(label.encode())
-            told.update(leaf)
-        return told.digest()
+        digest = xxhash.xxh3_128()
+        for label_hash, _, leaf in self._rows[low:high]:
+            digest.update(label_hash.encode())
+            digest.update(leaf)
+        return digest.digest()
--- a/quincepier/consistency/messages.py
+++ b/quincepier/consistency/messages.py
@@ -1,91 +1,118 @@
-"""What fronts say to each other about their decisions: msgpack, small, checked before anything is believed.
+"""Messages between fronts about their rule decisions, in msgpack, validated before use.
 
-The trust boundary is the network, as for membership: whoever may send as a member is believed.
+The trust boundary is the network, as for membership: a sender that is a member is believed. Messages are
+arrays, so the order of fields and the tags are the format.
 """
 
 from __future__ import annotations
 
-from typing import Annotated, Literal
+from enum import StrEnum
+from typing import Annotated
 
 import msgspec
 
 from quincepier.consistency.errors import ConsistencyError
+from quincepier.consistency.merkle_tree import FAN_OUT, Digest, Label, LeafDigest
 
-WORD_MOST = 16 * 1024  # bytes
-Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Digest = Annotated[bytes, msgspec.Meta(min_length=16, max_length=16)]
-Label = Annotated[str, msgspec.Meta(max_length=200)]
-Path = Annotated[str, msgspec.Meta(max_length=32, pattern="^[0-9a-f]*$")]
-About = Literal["version", "settings", "lines", "decisions"]
+MAX_MESSAGE_BYTES = 16 * 1024
+MAX_SAMPLE_SIZE = 4096
+MAX_BUILD_LENGTH = 64
+MAX_PATH_LENGTH = 32  # hex digits of a label's hash
+MAX_LEAF_FIELDS = 32
+
+Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
+TreePath = Annotated[str, msgspec.Meta(max_length=MAX_PATH_LENGTH, pattern="^[0-9a-f]*$")]
+
+
+class TreeKind(StrEnum):
+    """What a Merkle tree is built over; the values are part of the format."""
+
+    RULE_VERSION = "version"
+    SETTINGS = "settings"
+    ENDPOINTS = "lines"
+    DECISIONS = "decisions"
+
+
+class LeafField(msgspec.Struct, frozen=True, array_like=True):
+    """One field of a leaf as text."""
+
+    name: Label
+    text: Label
 
 
 class DigestRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """From who collects: compute the keys that version and round draw, and tell their digest."""
+    """A collector asks a front to decide the keys that rule version and round draw, and to send digests."""
 
-    round: Number
-    number: Number
-    size: Annotated[int, msgspec.Meta(ge=1, le=4096)]  # keys; of who collects, as files may differ
+    round_id: Count
+    rule_version: Count
+    sample_size: Annotated[
+        int, msgspec.Meta(ge=1, le=MAX_SAMPLE_SIZE)
+    ]  # the collector's: settings may differ
 
 
 class DigestResponse(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """What a front decided, and by which inputs. All of one moment."""
-
-    round: Number
-    number: Number  # of the front's own version
-    version: Digest
-    revision: Number
-    lines: Digest
-    settings: Digest
-    build: Annotated[str, msgspec.Meta(max_length=64)]
-    hash: Digest
-    floats: Digest
-    decisions: Digest
-    breaches: Number = 0  # that its witness met since its last answer
-    stale: Number = 0  # rankings in its module's memory that are not what the list gives now
-    cautious: bool = False
+    """Digests of a front's decisions and of their inputs, all of one moment."""
+
+    round_id: Count
+    rule_version: Count  # the front's own
+    rule_version_digest: Digest
+    list_revision: Count
+    endpoints_digest: Digest
+    settings_digest: Digest
+    build: Annotated[str, msgspec.Meta(max_length=MAX_BUILD_LENGTH)]
+    hash_canary: Digest
+    float_canary: Digest
+    decisions_digest: Digest
+    unexplained_decisions: Count = 0  # since the front's last response
+    stale_rankings: Count = 0  # rankings in its router's cache that the endpoint list no longer gives
+    is_cautious: bool = False
 
 
 class SubtreeRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    round: Number
-    about: About
-    path: Path
-    split: bool = False  # digests of children even where leaves are few
+    """Ask for the level of a tree below a path."""
+
+    round_id: Count
+    tree: TreeKind
+    path: TreePath
+    expand: bool = False  # digests of children even where leaves are few
 
 
 class SubtreeResponse(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Digests of 16 children, or the leaves."""
+    """Digests of the 16 children below a path, or else the few leaves."""
 
-    round: Number
-    about: About
-    path: Path
-    children: Annotated[tuple[Digest, ...], msgspec.Meta(max_length=16)]
-    leaves: Annotated[tuple[tuple[Label, Digest], ...], msgspec.Meta(max_length=16)]
+    round_id: Count
+    tree: TreeKind
+    path: TreePath
+    children: Annotated[tuple[Digest, ...], msgspec.Meta(max_length=FAN_OUT)]
+    leaves: Annotated[tuple[LeafDigest, ...], msgspec.Meta(max_length=FAN_OUT)]
 
 
 class LeafRequest(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    round: Number
-    about: About
+    """Ask for the fields of one leaf."""
+
+    round_id: Count
+    tree: TreeKind
     label: Label
 
 
 class LeafResponse(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The leaf's fields as text, clipped; of a decision also its digest computed anew, without any memory."""
+    """The fields of one leaf as text, truncated."""
 
-    round: Number
-    about: About
+    round_id: Count
+    tree: TreeKind
     label: Label
-    of: Label  # the key, of a decision
-    fields: Annotated[tuple[tuple[Label, Label], ...], msgspec.Meta(max_length=32)]
-    anew: bytes = b""
+    key: Label  # the decided key as text; empty for other trees
+    fields: Annotated[tuple[LeafField, ...], msgspec.Meta(max_length=MAX_LEAF_FIELDS)]
+    recomputed_digest: bytes = b""  # of a decision, computed anew without the ranking cache
 
 
 class ConsistencyVerdict(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """You decide otherwise than the majority by that version; or alike, again."""
+    """A collector tells a front whether its decisions by a rule version agree with the majority."""
 
-    round: Number
-    number: Number
-    alike: bool
-    why: Label = ""
+    round_id: Count
+    rule_version: Count
+    is_consistent: bool
+    reason: Label = ""
 
 
 Message = (
@@ -102,10 +129,15 @@
 
 
 def decode(raw: bytes) -> Message:
-    if len(raw) > WORD_MOST:
-        raise ConsistencyError("a word over 16 KiB")
+    """Decode and validate a message.
+
+    Raises:
+        ConsistencyError: The bytes are too many, or no valid message.
+    """
+    if len(raw) > MAX_MESSAGE_BYTES:
+        raise ConsistencyError(f"message over {MAX_MESSAGE_BYTES} bytes")
     try:
-        word: Message = _decode(raw)
-        return word
+        message: Message = _decode(raw)
+        return message
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise ConsistencyError(f"not a word: {str(error)[:100]}") from None
+        raise ConsistencyError(f"invalid message: {str(error)[:100]}") from None
--- a/quincepier/consistency/snapshot.py
+++ b/quincepier/consistency/snapshot.py
@@ -1,148 +1,153 @@
-"""One front's inputs and decisions at one moment, computed in slices of bounded work, with a tree of each."""
+"""A front's inputs and rule decisions at one moment, with a Merkle tree of each, computed in slices."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-import msgspec
-import xxhash
-
-from quincepier.consistency.decision import (
-    Arithmetic,
-    DecisionInputs,
-    DecisionKey,
-    DecisionRules,
-    Memory,
-    canaries,
-    sample,
-)
+from quincepier.consistency.arithmetic import Arithmetic, compute_canaries
+from quincepier.consistency.decision import DecisionInputs, DecisionKey, DecisionRules, RankingCache
 from quincepier.consistency.errors import ConsistencyError
-from quincepier.consistency.merkle_tree import MerkleTree
-from quincepier.consistency.messages import About, DigestResponse, LeafResponse
-
-LABEL_MOST = 200
-LINES_AT_ONCE = 64  # leaves of the list between two places at which a slice may end
-Fields = tuple[tuple[str, str], ...]
-_encode = msgspec.msgpack.Encoder().encode
-
-
-def leaf(value: object) -> bytes:
-    return xxhash.xxh3_128_digest(_encode(value))
-
-
-def fields_of_version(inputs: DecisionInputs) -> dict[str, Fields]:
-    """Each entry of a version by what it is of; its fields as text."""
-    version = inputs.version
-    found: dict[str, Fields] = {"version": (("number", str(version.number)), ("term", str(version.term)))}
-    for kind in ("orders", "allowances", "shards", "homes", "moves"):
-        for place, entry in enumerate(getattr(version, kind)):
-            name = ":".join(str(getattr(entry, n)) for n in ("wish", "target", "tenant", "kind", "name")
-                            if hasattr(entry, n))  # fmt: skip
-            fields = (("place", str(place)), *((f, str(getattr(entry, f))) for f in entry.__struct_fields__))
-            found[f"{kind} {name}"[:LABEL_MOST]] = fields
-    return found
-
+from quincepier.consistency.key_sample import sample_keys
+from quincepier.consistency.leaf_fields import (
+    LeafFields,
+    decision_fields,
+    endpoint_fields,
+    leaf_digest,
+    settings_leaves,
+    truncate_fields,
+    version_leaves,
+)
+from quincepier.consistency.merkle_tree import MAX_LABEL_LENGTH, MerkleTree
+from quincepier.consistency.messages import (
+    MAX_BUILD_LENGTH,
+    MAX_LEAF_FIELDS,
+    DigestRequest,
+    DigestResponse,
+    LeafResponse,
+    TreeKind,
+)
 
-def fields_of_settings(inputs: DecisionInputs) -> dict[str, Fields]:
-    """Each setting; a front's own zone is its seat, no rule."""
-    s = inputs.settings
-    names = [n for n in s.__dataclass_fields__ if n not in ("zone", "classes")]
-    found: dict[str, Fields] = {n: ((n, repr(getattr(s, n))),) for n in names}
-    for place, cls in enumerate(s.classes):
-        for n in cls.__dataclass_fields__:
-            found[f"classes[{place}].{n}"] = ((n, repr(getattr(cls, n))),)
-    return found
+CANARY_COST = 320  # work of the canaries, in hashes
+SETTINGS_COST = 100  # work of the settings tree, in hashes
+ENDPOINTS_PER_YIELD = 64  # leaves of the endpoint list between two points at which a slice may end
 
 
 class Snapshot:
-    """A round of one front. `step` until `done`; then `answer`, `tree` and `show`."""
+    """One round of one front: `advance` until it is complete, then the trees and leaves can be read."""
 
     def __init__(
         self,
-        round_: int,
-        number: int,
-        size: int,
+        request: DigestRequest,
         inputs: DecisionInputs,
-        how: Arithmetic,
-        memory: Memory | None,
+        arithmetic: Arithmetic,
+        ranking_cache: RankingCache | None,
     ) -> None:
-        self.round, self.number, self.inputs, self.how = round_, number, inputs, how
-        self.rules = DecisionRules(inputs, how, memory)
-        self.size, self.keys = size, list[DecisionKey]()
-        self.done, self.work = False, self._work()
-        self.decisions = dict[str, bytes]()
-        self.trees = dict[str, MerkleTree]()
-
-    def step(self, limit: int) -> bool:
-        """Work of about `limit` draws (2 to 3 us each), one decision more at most; True when all is done."""
+        self.request = request
+        self.inputs = inputs
+        self.is_complete = False
+        self._arithmetic = arithmetic
+        self._rules = DecisionRules(inputs, arithmetic, ranking_cache)
+        self._keys = list[DecisionKey]()
+        self._trees = dict[TreeKind, MerkleTree]()
+        self._work = self._compute()
+
+    def advance(self, max_hashes: int) -> bool:
+        """Do about `max_hashes` of work (2 to 3 us each), at most one decision more; True when complete."""
         spent = 0
-        while not self.done and spent < limit:
-            cost = next(self.work, None)
-            self.done = cost is None
+        while not self.is_complete and spent < max_hashes:
+            cost = next(self._work, None)
+            self.is_complete = cost is None
             spent += cost or 0
-        return self.done
-
-    def _work(self) -> Iterator[int]:
-        """All of it anew in each round: a digest that is kept would hide what was spoilt since."""
-        inputs, leaves = self.inputs, dict[str, bytes]()
-        self.canaries = canaries(self.how)
-        yield 320
-        self.digest = bytes.fromhex(inputs.version.digest)
-        told = fields_of_settings(inputs)
-        self.trees["settings"] = MerkleTree({label: leaf(fields) for label, fields in told.items()})
-        yield 100
-        for place, line in enumerate(inputs.lines):
-            leaves[line.host] = leaf(line)
-            if place % LINES_AT_ONCE == LINES_AT_ONCE - 1:
-                yield LINES_AT_ONCE
-        self.trees["lines"] = MerkleTree(leaves)
-        self.keys = sample(self.number, self.round, self.size, inputs)
-        for place, key in enumerate(self.keys):
-            self.decisions[str(place)] = leaf((key, self.rules.decide(key)))
-            yield self.rules.cost(key)
-        self.trees["decisions"] = MerkleTree(self.decisions)
-
-    def answer(self, breaches: int, stale: int, cautious: bool) -> DigestResponse:
+        return self.is_complete
+
+    def _compute(self) -> Iterator[int]:
+        """Compute everything anew and yield the cost of each step.
+
+        Nothing is reused from the round before: a stored digest would hide what was corrupted since.
+        """
         inputs = self.inputs
+        self._canaries = compute_canaries(self._arithmetic)
+        yield CANARY_COST
+        self._rule_version_digest = bytes.fromhex(inputs.rule_version.digest)
+        self._trees[TreeKind.SETTINGS] = _tree_of(settings_leaves(inputs))
+        yield SETTINGS_COST
+        yield from self._compute_endpoints()
+        yield from self._compute_decisions()
+
+    def _compute_endpoints(self) -> Iterator[int]:
+        digests = dict[str, bytes]()
+        for place, endpoint in enumerate(self.inputs.endpoints):
+            digests[endpoint.host] = leaf_digest(endpoint)
+            if place % ENDPOINTS_PER_YIELD == ENDPOINTS_PER_YIELD - 1:
+                yield ENDPOINTS_PER_YIELD
+        self._trees[TreeKind.ENDPOINTS] = MerkleTree(digests)
+
+    def _compute_decisions(self) -> Iterator[int]:
+        request, digests = self.request, dict[str, bytes]()
+        self._keys = sample_keys(request.rule_version, request.round_id, request.sample_size, self.inputs)
+        for place, key in enumerate(self._keys):
+            digests[str(place)] = leaf_digest((key, self._rules.decide(key)))
+            yield self._rules.count_hashes(key)
+        self._trees[TreeKind.DECISIONS] = MerkleTree(digests)
+
+    def to_digest_response(
+        self, unexplained_decisions: int, stale_rankings: int, is_cautious: bool
+    ) -> DigestResponse:
+        """The digests of the complete snapshot, with what the front counted since its last response."""
         return DigestResponse(
-            round=self.round,
-            number=inputs.version.number,
-            version=self.digest,
-            revision=inputs.revision,
-            lines=self.trees["lines"].root,
-            settings=self.trees["settings"].root,
-            build=inputs.build[:64],
-            hash=self.canaries[0],
-            floats=self.canaries[1],
-            decisions=self.trees["decisions"].root,
-            breaches=breaches,
-            stale=stale,
-            cautious=cautious,
+            round_id=self.request.round_id,
+            rule_version=self.inputs.rule_version.number,
+            rule_version_digest=self._rule_version_digest,
+            list_revision=self.inputs.list_revision,
+            endpoints_digest=self._trees[TreeKind.ENDPOINTS].root,
+            settings_digest=self._trees[TreeKind.SETTINGS].root,
+            build=self.inputs.build[:MAX_BUILD_LENGTH],
+            hash_canary=self._canaries.hash,
+            float_canary=self._canaries.floats,
+            decisions_digest=self._trees[TreeKind.DECISIONS].root,
+            unexplained_decisions=unexplained_decisions,
+            stale_rankings=stale_rankings,
+            is_cautious=is_cautious,
         )
 
-    def tree(self, about: About) -> MerkleTree:
-        if about == "version" and about not in self.trees:
-            told = fields_of_version(self.inputs)
-            self.trees[about] = MerkleTree({label: leaf(fields) for label, fields in told.items()})
-        return self.trees[about]
-
-    def show(self, about: About, label: str) -> LeafResponse:
-        """ConsistencyError where there is no such leaf."""
-        of, anew = "", b""
-        if about == "decisions":
-            place = int(label) if label.isdecimal() else len(self.keys)
-            if place >= len(self.keys):
-                raise ConsistencyError("no such key in the sample", label)
-            key = self.keys[place]
-            fresh = DecisionRules(self.inputs, self.how).decide(key)  # with no memory
-            of, fields, anew = str(key), self.rules.decide(key).fields(), leaf((key, fresh))
-        elif about == "lines":
-            line = next((line for line in self.inputs.lines if line.host == label), None)
-            if line is None:
-                raise ConsistencyError("no such line in the list", label)
-            fields = tuple((name, str(getattr(line, name))) for name in line.__struct_fields__)
-        else:
-            found = fields_of_version if about == "version" else fields_of_settings
-            fields = found(self.inputs).get(label, ())
-        clipped = tuple((name[:LABEL_MOST], text[:LABEL_MOST]) for name, text in fields)[:32]
-        return LeafResponse(self.round, about, label, of[:LABEL_MOST], clipped, anew)
+    def tree(self, kind: TreeKind) -> MerkleTree:
+        """The tree of a kind; that of the rule version is built only once it is asked for."""
+        if kind is TreeKind.RULE_VERSION and kind not in self._trees:
+            self._trees[kind] = _tree_of(version_leaves(self.inputs))
+        return self._trees[kind]
+
+    def to_leaf_response(self, kind: TreeKind, label: str) -> LeafResponse:
+        """The fields of a leaf.
+
+        Raises:
+            ConsistencyError: There is no such key or endpoint.
+        """
+        round_id = self.request.round_id
+        if kind is TreeKind.DECISIONS:
+            key = self._find_key(label)
+            fields = truncate_fields(decision_fields(self._rules.decide(key)), MAX_LEAF_FIELDS)
+            recomputed = DecisionRules(self.inputs, self._arithmetic).decide(key)
+            name = str(key)[:MAX_LABEL_LENGTH]
+            return LeafResponse(round_id, kind, label, name, fields, leaf_digest((key, recomputed)))
+        fields = truncate_fields(self._find_fields(kind, label), MAX_LEAF_FIELDS)
+        return LeafResponse(round_id, kind, label, "", fields)
+
+    def _find_key(self, label: str) -> DecisionKey:
+        place = int(label) if label.isdecimal() else len(self._keys)
+        if place >= len(self._keys):
+            raise ConsistencyError("no such key in the sample", label)
+        return self._keys[place]
+
+    def _find_fields(self, kind: TreeKind, label: str) -> LeafFields:
+        if kind is TreeKind.RULE_VERSION:
+            return version_leaves(self.inputs).get(label, ())
+        if kind is TreeKind.SETTINGS:
+            return settings_leaves(self.inputs).get(label, ())
+        endpoint = next((e for e in self.inputs.endpoints if e.host == label), None)
+        if endpoint is None:
+            raise ConsistencyError("no such endpoint in the list", label)
+        return endpoint_fields(endpoint)
+
+
+def _tree_of(leaves: dict[str, LeafFields]) -> MerkleTree:
+    return MerkleTree({label: leaf_digest(fields) for label, fields in leaves.items()})
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -1,20 +1,21 @@
-"""Whether this front decides as the others do: the checker's words between fronts, and what follows.
+"""The consistency checker of a running front: its messages over the peer network, and what follows.
 
-A front that is found to decide otherwise goes to its cautious set until a round finds it alike again.
-Imported only where the operators' file has the section `consistency`.
+A front that is found to diverge goes to its cautious set until a round finds it consistent again. The module
+is imported only where the operators' file has the section `consistency`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from loguru import logger
 
 from quincepier import __version__, clock
 from quincepier import interface as io
 from quincepier.consistency.checker import CheckerAction, ConsistencyChecker, SendMessage
-from quincepier.consistency.decision import DecisionInputs, HomeOf, ListedEndpoint
-from quincepier.consistency.decision_recorder import DecisionRecorder, module_memory, stale_rankings
+from quincepier.consistency.decision import DecisionInputs, HomeShardLookup, ListedEndpoint
+from quincepier.consistency.decision_recorder import DecisionRecorder, router_ranking_cache, stale_rankings
 from quincepier.consistency.explain import DecisionRecord
 from quincepier.consistency.findings import Finding
 from quincepier.consistency.section import ConsistencySection
@@ -26,10 +27,24 @@
 from quincepier.net.peers import PeerNetwork
 from quincepier.rules import RuleVersion
 
-DOUBT = "it decides otherwise than most"
+DIVERGED_REASON = "its decisions diverge from the majority"
+CONSISTENT_REASON = "its decisions match the majority again"
+MAX_RECORD_LENGTH = 200
+
+
+@dataclass(slots=True, frozen=True)
+class _InputsIdentity:
+    """Identifies the inputs that the checker holds; any change means that it must be given new ones."""
+
+    list_revision: int
+    rule_version: int
+    rule_version_digest: str
+    operators_file: int
 
 
 class ConsistencyService:
+    """Runs the checker and the decision recorder of one front."""
+
     def __init__(
         self,
         module: ModuleActor,
@@ -37,87 +52,127 @@
         effects: VersionEffects,
         rules: ActiveRules,
         section: ConsistencySection,
-        leader: Callable[[], str],
+        find_leader: Callable[[], str],
     ) -> None:
-        self.module, self.peers, self.effects, self.rules = module, peers, effects, rules
-        self.checks, self.leader = module.checks, leader
+        """Register with the router and the peer network.
+
+        Args:
+            module: The actor that owns the router.
+            peers: Carries the messages.
+            effects: Supplies the adopted rule version and puts the cautious set in force.
+            rules: Supplies tenants and placements.
+            section: Settings.
+            find_leader: Name of the leader; empty where nobody leads.
+        """
+        self._module = module
+        self._peers = peers
+        self._effects = effects
+        self._rules = rules
+        self._find_leader = find_leader
+        self._endpoints: tuple[ListedEndpoint, ...] = ()
+        self._inputs_identity: _InputsIdentity | None = None
+        self._view: tuple[object, ...] = ()
         seed = module.config.seed
-        self.lines: tuple[ListedEndpoint, ...] = ()
-        memory = module_memory(module.router, lambda: self.lines)
-        self.checker = ConsistencyChecker(module.config.name, seed, section, clock.boot(), memory=memory)
-        self.witness = DecisionRecorder(module.router, section.witnessed, seed, self._breach)
-        module.router.witness = self.witness
-        self.had = (-1, -1, "", -1)  # revision of the list, version and its digest, file
-        self.viewed: tuple[object, ...] = ()
-        peers.channel(ALIKE, self.heard)
-
-    def turn(self, now: int) -> None:
-        """At each look of the fleet at what is due."""
-        view = (self.peers.view, self.leader())
-        if view != self.viewed:
-            self.viewed = view
-            self.checker.view(*view)
-        version = self.effects.version
-        digest = version.digest if version.number != self.had[1] else self.had[2]
-        had = (self.effects.revision, version.number, digest, self.rules.taken)
-        if had != self.had:
-            self.had = had
-            self._have(version)
-        if now >= self.checker.wake:
-            if stale := stale_rankings(self.module.router):
-                self.checker.count(stale=stale)
-            self._perform(self.checker.tick(now))
-
-    def _have(self, version: RuleVersion) -> None:
-        entries = sorted(self.module.directory.entries.values(), key=lambda e: e.record.host)
-        self.lines = tuple(
-            ListedEndpoint(
-                e.record.host, m.cache, m.kind, m.zone, m.cell, m.size, m.state is CacheState.READY
-            )
-            for e in entries
-            for m in (e.machine,)
+        ranking_cache = router_ranking_cache(module.router, lambda: self._endpoints)
+        self.checker = ConsistencyChecker(
+            module.config.name, seed, section, clock.boot(), ranking_cache=ranking_cache
+        )
+        module.router.witness = DecisionRecorder(
+            module.router, section.recorded_share, seed, self._on_unexplained_decision
         )
-        settings = self.module.config.settings
-        homes = self._homes(version, settings)
-        self.checker.have(
-            DecisionInputs(version, settings, self.lines, self.effects.revision, __version__, homes)
+        peers.channel(ALIKE, self.on_message)
+
+    def on_tick(self, now_ns: int) -> None:
+        """Give the checker changed views and inputs, and do what is due."""
+        self._update_view()
+        self._update_inputs()
+        if now_ns >= self.checker.next_tick_ns:
+            if stale := stale_rankings(self._module.router):
+                self.checker.add_router_faults(stale_rankings=stale)
+            self._perform(self.checker.on_tick(now_ns))
+
+    def on_message(self, sender: str, raw: bytes) -> None:
+        """Handle a message of another front."""
+        now_ns = clock.boot()
+        self._perform(self.checker.on_message(now_ns, sender, raw))
+        if self.checker.next_tick_ns <= now_ns:
+            self._perform(self.checker.on_tick(now_ns))
+
+    def _update_view(self) -> None:
+        members, leader = self._peers.view, self._find_leader()
+        if (members, leader) != self._view:
+            self._view = (members, leader)
+            self.checker.on_view_changed(members, leader)
+
+    def _update_inputs(self) -> None:
+        version, known = self._effects.version, self._inputs_identity
+        # The digest is taken of the whole version, so it is computed once for each number.
+        is_known = known is not None and known.rule_version == version.number
+        digest = known.rule_version_digest if known is not None and is_known else version.digest
+        identity = _InputsIdentity(self._effects.revision, version.number, digest, self._rules.taken)
+        if identity != known:
+            self._inputs_identity = identity
+            self._take_inputs(version)
+
+    def _take_inputs(self, version: RuleVersion) -> None:
+        entries = sorted(self._module.directory.entries.values(), key=lambda entry: entry.record.host)
+        self._endpoints = tuple(_listed_endpoint(entry.record.host, entry.machine) for entry in entries)
+        settings = self._module.config.settings
+        self.checker.on_inputs_changed(
+            DecisionInputs(
+                version,
+                settings,
+                self._endpoints,
+                self._effects.revision,
+                __version__,
+                self._home_shard_lookup(version),
+            )
         )
 
-    def _homes(self, version: RuleVersion, settings: io.Settings) -> HomeOf | None:
-        tenants, homes = self.rules.tenants, self.rules.homes(version, False, False)
-        if tenants is None or homes is None:
+    def _home_shard_lookup(self, version: RuleVersion) -> HomeShardLookup | None:
+        tenants, placements = self._rules.tenants, self._rules.homes(version, False, False)
+        if tenants is None or placements is None:
             return None
-        numbers = {name: n for n, name in enumerate(tenants.names)}
-
-        def home(tenant: str, e: io.RequestCame) -> io.Home | None:
-            e.tenant = numbers.get(tenant, 0)
-            return homes(e)
+        number_by_tenant = {name: number for number, name in enumerate(tenants.names)}
 
-        return home
+        def find_home_shard(tenant: str, request: io.RequestCame) -> io.Home | None:
+            request.tenant = number_by_tenant.get(tenant, 0)
+            return placements(request)
 
-    def heard(self, sender: str, raw: bytes) -> None:
-        now = clock.boot()
-        self._perform(self.checker.said(now, sender, raw))
-        if self.checker.wake <= now:
-            self._perform(self.checker.tick(now))
+        return find_home_shard
 
-    def _perform(self, out: list[CheckerAction]) -> None:
-        for one in out:
-            if isinstance(one, SendMessage):
-                self.peers.send(one.to, ALIKE, one.data)
+    def _perform(self, actions: list[CheckerAction]) -> None:
+        for action in actions:
+            if isinstance(action, SendMessage):
+                self._peers.send(action.to, ALIKE, action.data)
             else:
-                self._found(one)
-        doubt = DOUBT if self.checker.cautious else ""
-        if doubt != self.effects.doubt:
-            self.effects.doubt = doubt
-            self.effects.apply("it decides as most do again")
-
-    def _found(self, finding: Finding) -> None:
-        what = "fronts differ" if finding.fault else "a front is behind"
-        self.checks.count(what)
-        told = logger.bind(event=what, front=finding.front, kind=finding.kind.value, number=finding.number)
-        told.log("WARNING" if finding.fault else "INFO", "{}: {}", what, finding.line())
-
-    def _breach(self, account: DecisionRecord) -> None:
-        self.checker.count(breaches=1)
-        self.checks.event("decision without a reason", str(account)[:200])
+                self._log_finding(action)
+        doubt = DIVERGED_REASON if self.checker.is_cautious else ""
+        if doubt != self._effects.doubt:
+            self._effects.doubt = doubt
+            self._effects.apply(CONSISTENT_REASON)
+
+    def _log_finding(self, finding: Finding) -> None:
+        event = "front_diverged" if finding.is_fault else "front_build_differs"
+        self._module.checks.count(event)
+        log = logger.bind(
+            event=event,
+            front=finding.front,
+            kind=finding.kind.name.lower(),
+            rule_version=finding.rule_version,
+            round_id=finding.round_id,
+            item=finding.value.item,
+            field=finding.value.field,
+        )
+        log.log("WARNING" if finding.is_fault else "INFO", "{}", finding.to_text())
+
+    def _on_unexplained_decision(self, record: DecisionRecord) -> None:
+        self.checker.add_router_faults(unexplained_decisions=1)
+        self._module.checks.event("unexplained_decision", str(record)[:MAX_RECORD_LENGTH])
+
+
+def _listed_endpoint(host: str, machine: io.Machine) -> ListedEndpoint:
+    is_ready = machine.state is CacheState.READY
+    return ListedEndpoint(
+        host, machine.cache, machine.kind, machine.zone, machine.cell, machine.size, is_ready
+    )
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -165,10 +165,10 @@
         def leader() -> str:
             return self.name if self.chair is not None and self.chair.ledger else self.follower.told_leader
 
-        alike = ConsistencyService(self.module, self.peers, self.effects, self.rules, section, leader)
-        self.others.append(alike.turn)
+        service = ConsistencyService(self.module, self.peers, self.effects, self.rules, section, leader)
+        self.others.append(service.on_tick)
         if self.chair is not None:
-            self.chair.alike = alike.checker.alike
+            self.chair.alike = service.checker.is_consistent
 
     def end(self) -> None:
         if self.running is not None:
--- a/tests/agreementrig.py
+++ b/tests/agreementrig.py
@@ -214,7 +214,7 @@
     run = asyncio.run(asyncio.wait_for(rig.play(), 110))
     if rig.failed is not None:
         raise rig.failed
-    breaks = ("fronts differ", "decision without a reason", "exception in the fleet",
+    breaks = ("front_diverged", "unexplained_decision", "exception in the fleet",
               "exception in a planner")  # fmt: skip
     assert not [line for event in breaks for line in rig.said(event)][:3]
     assert not run.void, run.void
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -17,7 +17,7 @@
 from quincepier import interface as io
 from quincepier import simwire
 from quincepier.consensus import messages as consensus
-from quincepier.consistency import decision, snapshot
+from quincepier.consistency import decision, leaf_fields
 from quincepier.consistency import messages as consistency
 from quincepier.consistency.merkle_tree import MerkleTree as MerkleTree
 from quincepier.membership import messages as membership
@@ -102,9 +102,9 @@
     "rules.grant": Codec(
         lease_holder.LeaseGrant, lease_holder.decode_lease_grant, lease_holder.encode_message
     ),
-    "consistency.line": _plain_codec(decision.ListedEndpoint, snapshot._encode),
-    "consistency.key": _plain_codec(decision.DecisionKey, snapshot._encode),
-    "consistency.decision": _plain_codec(decision.RuleDecision, snapshot._encode),
+    "consistency.line": _plain_codec(decision.ListedEndpoint, leaf_fields.encode_leaf),
+    "consistency.key": _plain_codec(decision.DecisionKey, leaf_fields.encode_leaf),
+    "consistency.decision": _plain_codec(decision.RuleDecision, leaf_fields.encode_leaf),
     "voter.record": _plain_codec(voter_records.Record, voter_store._encode),
     "voter.saved": Codec(voter_records.VoterState, voter_store._decode, voter_store._encode),
     "state.content": Codec(
@@ -238,20 +238,17 @@
 def _settings_fields(raw: bytes) -> Any:
     """What fronts compare of their settings: label and text of each, and the digest over all."""
     inputs = decision.DecisionInputs(rules.initial_version(), simwire.decode_settings(raw), (), 0, "")
-    found = snapshot.fields_of_settings(inputs)
-    return [plain(found), MerkleTree({name: snapshot.leaf(one) for name, one in found.items()}).root.hex()]
+    found = leaf_fields.settings_leaves(inputs)
+    digests = {name: leaf_fields.leaf_digest(one) for name, one in found.items()}
+    return [plain(msgspec.to_builtins(found)), MerkleTree(digests).root.hex()]
 
 
 def _version_fields(raw: bytes) -> Any:
     """What fronts compare of their rule versions."""
     version = msgspec.msgpack.decode(raw, type=rules.RuleVersion)
-    return plain(
-        snapshot.fields_of_version(
-            decision.DecisionInputs(
-                version, simwire.decode_settings(Path(FOLDER, "sim.settings.bin").read_bytes()), (), 0, ""
-            )
-        )
-    )
+    settings = simwire.decode_settings(Path(FOLDER, "sim.settings.bin").read_bytes())
+    inputs = decision.DecisionInputs(version, settings, (), 0, "")
+    return plain(msgspec.to_builtins(leaf_fields.version_leaves(inputs)))
 
 
 READERS: dict[str, Callable[[bytes], Any]] = {
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -1,4 +1,7 @@
-"""All fronts decide alike: what is found, how it is named, what is no fault; real decisions have reasons."""
+"""All fronts decide alike: which divergences are found, how they are named, which are no fault.
+
+Real decisions are either the rule's or have a reason.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 import random
 from collections import Counter
 from collections.abc import Callable, Sequence
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any
 
 import msgspec
@@ -15,28 +18,36 @@
 from hypothesis import strategies as st
 
 from quincepier.consistency import (
+    STANDARD_ARITHMETIC,
     ConsistencyChecker,
     ConsistencyError,
     ConsistencySection,
     DecisionInputs,
     DecisionRecorder,
+    DecisionRules,
     DivergenceKind,
     ListedEndpoint,
     Reason,
     SendMessage,
     decide,
-    module_memory,
-    sample,
+    majority,
+    router_ranking_cache,
+    sample_keys,
     stale_rankings,
 )
-from quincepier.consistency import decision as deciding
-from quincepier.consistency import findings as judging
+from quincepier.consistency.decision import rank_endpoints
 from quincepier.consistency.merkle_tree import MerkleTree
-from quincepier.consistency.messages import decode
+from quincepier.consistency.messages import DigestRequest, decode, encode
 from quincepier.consistency.snapshot import Snapshot
 from quincepier.interface import CacheState, Home, ListNews, ListScope
 from quincepier.keys import mix
-from quincepier.lab.alike import AlikeNet, Front, listed, other_floats, other_seed
+from quincepier.lab.consistency_trial import (
+    SimulatedFleet,
+    SimulatedFront,
+    arithmetic_with_other_float_order,
+    arithmetic_with_other_seed,
+    make_endpoint_list,
+)
 from quincepier.lab.experiment import load
 from quincepier.lab.front import Front as WorldFront
 from quincepier.lab.world import World as LabWorld
@@ -45,291 +56,336 @@
 from tests.rig import CACHES, MS, PARENTS, SECOND, Bench, attempts, machine, make_settings
 from tests.test_policy_properties import SITES, World
 
-OFTEN = ConsistencySection(sample=24, every_s=2, late_list_s=5)
-LINES = listed(2, 5, 2)
+SECTION = ConsistencySection(sample_size=24, round_interval_s=2, max_list_lag_s=5)
+ENDPOINTS = make_endpoint_list(2, 5, 2)
+DRAINED_HOST = "s-1-1"
+VERSION_WITH_TASK = RuleVersion(
+    7, 2, orders=(MaintenanceTask("w", DRAINED_HOST, "cache", "z1", MaintenanceStep.DRAINING, 7),)
+)
+
 
+def make_fleet(count: int = 8, seed: int = 1, **options: Any) -> SimulatedFleet:
+    return SimulatedFleet(count, seed, make_settings(), SECTION, ENDPOINTS, **options)
 
-def net(count: int = 8, seed: int = 1, **more: Any) -> AlikeNet:
-    return AlikeNet(count, seed, make_settings(), OFTEN, LINES, **more)
 
+def cautious_fronts(fleet: SimulatedFleet) -> list[str]:
+    return [front.name for front in fleet.fronts if front.checker.is_cautious]
 
-# Planted faults: each is found within two rounds of who collects, and named rightly
 
+# Planted faults: each is found within two rounds of the collector, and named rightly
 
-def flipped_bit(front: Front) -> None:
-    """One bit of an order in the version that it holds."""
 
-    def spoil(inputs: DecisionInputs) -> DecisionInputs:
-        first = inputs.version.orders[0]
-        other = msgspec.structs.replace(first, step=MaintenanceStep(first.step ^ 1))
-        version = msgspec.structs.replace(inputs.version, orders=(other, *inputs.version.orders[1:]))
-        return replace(inputs, version=version)
+def flip_bit_in_version(front: SimulatedFront) -> None:
+    """One bit of a maintenance task in the version that it holds."""
 
-    front.spoil = spoil
+    def corrupt(inputs: DecisionInputs) -> DecisionInputs:
+        first, *others = inputs.rule_version.orders
+        flipped = msgspec.structs.replace(first, step=MaintenanceStep(first.step ^ 1))
+        version = msgspec.structs.replace(inputs.rule_version, orders=(flipped, *others))
+        return replace(inputs, rule_version=version)
 
+    front.corrupt = corrupt
 
-def missing_line(front: Front) -> None:
-    front.spoil = lambda inputs: replace(inputs, lines=inputs.lines[:3] + inputs.lines[4:])
 
+def remove_endpoint(front: SimulatedFront) -> None:
+    front.corrupt = lambda inputs: replace(inputs, endpoints=inputs.endpoints[:3] + inputs.endpoints[4:])
 
-def hash_seed(front: Front) -> None:
-    front.how = other_seed()
 
+def change_hash_seed(front: SimulatedFront) -> None:
+    front.arithmetic = arithmetic_with_other_seed()
 
-def floats(front: Front) -> None:
-    front.how = other_floats()
 
+def change_float_order(front: SimulatedFront) -> None:
+    front.arithmetic = arithmetic_with_other_float_order()
 
-def stale_memory(front: Front) -> None:
-    """It ranks the caches of a zone as they were before one came."""
 
-    def memory(zone: int, key: int) -> Sequence[int] | None:
-        before = [line for line in LINES if line.zone == zone and line.kind == 0][:-1]
-        return deciding.order_of(before, key, True) if zone > 0 else None
+def keep_stale_rankings(front: SimulatedFront) -> None:
+    """It ranks the caches of a zone as they were before one was added."""
 
-    front.memory = memory  # type: ignore[method-assign]
+    def ranking_cache(zone: int, key_hash: int) -> Sequence[int] | None:
+        before = [endpoint for endpoint in ENDPOINTS if endpoint.zone == zone and endpoint.kind == 0][:-1]
+        return rank_endpoints(before, key_hash, True) if zone > 0 else None
 
+    front.ranking_cache = ranking_cache  # type: ignore[method-assign]
 
-def changed_build(front: Front) -> None:
-    """Renewed, and it takes the least worthy class for the most worthy one."""
+
+def change_build(front: SimulatedFront) -> None:
     front.build = "build-2"
 
 
-def renewed_and_other(front: Front) -> None:
+def change_build_and_decisions(front: SimulatedFront) -> None:
     front.build = "build-2"
-    stale_memory(front)
+    keep_stale_rankings(front)
 
 
-def setting(front: Front) -> None:
+def change_setting(front: SimulatedFront) -> None:
     front.settings = make_settings(purge_settles=7 * SECOND)
 
 
-FAULTS: dict[str, tuple[Callable[[Front], None], DivergenceKind, str, str]] = {
-    "a flipped bit in a version": (flipped_bit, DivergenceKind.VERSION, "entry orders w:s-1-1:cache", "step"),
-    "one list line missing": (missing_line, DivergenceKind.LIST, "line s-1-3", ""),
-    "another hash seed": (hash_seed, DivergenceKind.HASH, "object", "caches"),
-    "another order of floats": (floats, DivergenceKind.FLOATS, "fixed work", ""),
-    "a stale cache of ranks": (stale_memory, DivergenceKind.MEMORY, "object", "caches"),
-    "one build changed": (changed_build, DivergenceKind.BUILD, "build", ""),
-    "one build changed that decides otherwise": (renewed_and_other, DivergenceKind.BUILD, "object", "caches"),
-    "one setting": (setting, DivergenceKind.SETTINGS, "setting purge_settles", "purge_settles"),
+@dataclass(frozen=True)
+class PlantedFault:
+    """What is done to a front, and how it must be found; `item` is what the finding's item starts with."""
+
+    plant: Callable[[SimulatedFront], None]
+    kind: DivergenceKind
+    item: str
+    field: str = ""
+
+
+FAULTS = {
+    "a flipped bit in a version": PlantedFault(
+        flip_bit_in_version, DivergenceKind.VERSION, "entry orders w:s-1-1:cache", "step"
+    ),
+    "one endpoint missing": PlantedFault(remove_endpoint, DivergenceKind.LIST, "endpoint s-1-3"),
+    "another hash seed": PlantedFault(change_hash_seed, DivergenceKind.HASH, "object", "caches"),
+    "another order of floats": PlantedFault(change_float_order, DivergenceKind.FLOATS, "canary"),
+    "stale rankings": PlantedFault(keep_stale_rankings, DivergenceKind.MEMORY, "object", "caches"),
+    "one build changed": PlantedFault(change_build, DivergenceKind.BUILD, "build"),
+    "one build changed that decides otherwise": PlantedFault(
+        change_build_and_decisions, DivergenceKind.BUILD, "object", "caches"
+    ),
+    "one setting": PlantedFault(
+        change_setting, DivergenceKind.SETTINGS, "setting purge_settles", "purge_settles"
+    ),
 }
-ORDERED = RuleVersion(
-    7, 2, orders=(MaintenanceTask("w", "s-1-1", "cache", "z1", MaintenanceStep.DRAINING, 7),)
-)
 
 
-@pytest.mark.parametrize("at", ["f0", "f5"], ids=["at who leads", "at another"])
+@pytest.mark.parametrize("at", ["f0", "f5"], ids=["at the leader", "at another"])
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_planted_fault_is_found_within_two_rounds_and_named(name: str, at: str) -> None:
-    plant, kind, what, field = FAULTS[name]
-    fleet = net(version=ORDERED)
-    plant(fleet.by_name[at])
+    planted = FAULTS[name]
+    fleet = make_fleet(rule_version=VERSION_WITH_TASK)
+    planted.plant(fleet.front_by_name[at])
     fleet.start()
-    fleet.run(2 * OFTEN.every)
-    told = fleet.told()
-    assert told and {(f.front, f.kind) for f in told} == {(at, kind)}
-    assert told[0].what.startswith(what) and told[0].field == field, told[0].line()
-    fault = name != "one build changed"
-    assert told[0].fault is fault
-    assert [f.name for f in fleet.fronts if f.checker.cautious] == ([at] if fault else [])
-    assert fleet.fronts[0].checker.alike(7) is (False if fault else None)
+    fleet.run(2 * SECTION.round_interval_ns)
+    found = fleet.divergence_findings()
+    assert found and {(f.front, f.kind) for f in found} == {(at, planted.kind)}
+    value = found[0].value
+    assert value.item.startswith(planted.item) and value.field == planted.field, found[0].to_text()
+    is_fault = name != "one build changed"
+    assert found[0].is_fault is is_fault
+    assert cautious_fronts(fleet) == ([at] if is_fault else [])
+    assert fleet.fronts[0].checker.is_consistent(7) is (False if is_fault else None)
 
 
 def test_a_front_that_agrees_again_leaves_the_cautious_set() -> None:
-    fleet = net()
-    missing_line(fleet.by_name["f5"])
+    fleet = make_fleet()
+    front = fleet.front_by_name["f5"]
+    remove_endpoint(front)
     fleet.start()
     fleet.run(4 * SECOND)
-    front = fleet.by_name["f5"]
-    assert front.checker.cautious and front.inputs is not None
-    front.spoil = lambda inputs: inputs
-    front.take(front.inputs)
+    assert front.checker.is_cautious and front.inputs is not None
+    front.corrupt = lambda inputs: inputs
+    front.adopt(front.inputs)
     fleet.run(4 * SECOND)
-    assert not front.checker.cautious and fleet.fronts[0].checker.alike(1) is True
+    assert not front.checker.is_cautious and fleet.fronts[0].checker.is_consistent(1) is True
 
 
-def test_of_two_that_differ_both_are_told_and_of_many_only_the_few() -> None:
+def test_of_two_that_differ_both_are_reported_and_of_many_only_the_few() -> None:
     """Nobody knows which of two is right; two of eight are outvoted."""
     for count, planted, blamed in ((2, 1, 2), (8, 2, 2)):
-        fleet = net(count)
+        fleet = make_fleet(count)
         for front in fleet.fronts[:planted]:
-            missing_line(front)
+            remove_endpoint(front)
         fleet.start()
         fleet.run(4 * SECOND)
-        assert len({f.front for f in fleet.told()}) == blamed
+        assert len({finding.front for finding in fleet.divergence_findings()}) == blamed
 
 
-def test_a_list_that_is_behind_is_late_for_so_long_and_then_told_by_name() -> None:
-    fleet = net()
-    fleet.by_name["f4"].lags = 60 * SECOND
+def test_a_list_that_lags_is_late_for_so_long_and_then_reported_by_name() -> None:
+    fleet = make_fleet()
+    late, collector = fleet.front_by_name["f4"], fleet.fronts[0]
+    late.list_delay_ns = 60 * SECOND
     fleet.start()
     fleet.run(3 * SECOND)
-    fleet.relist(MS, listed(2, 6, 2))
+    fleet.publish_list(MS, make_endpoint_list(2, 6, 2))
     fleet.run(4 * SECOND)
-    kinds = {f.kind for _, _, f in fleet.findings}
-    assert not fleet.told() and kinds <= {DivergenceKind.LATE_LIST}
-    assert fleet.fronts[0].checker.alike(1) is None  # not known while one has another list
+    kinds = {reported.finding.kind for reported in fleet.findings}
+    assert not fleet.divergence_findings() and kinds <= {DivergenceKind.LATE_LIST}
+    assert collector.checker.is_consistent(1) is None  # not known while one has another list
     fleet.run(6 * SECOND)
-    assert {(f.front, f.kind) for f in fleet.told()} == {("f4", DivergenceKind.LIST_TOO_LATE)}
-    assert not fleet.by_name["f4"].checker.cautious  # behind, not wrong
+    found = {(finding.front, finding.kind) for finding in fleet.divergence_findings()}
+    assert found == {("f4", DivergenceKind.LIST_TOO_LATE)}
+    assert not late.checker.is_cautious  # behind, not wrong
 
 
 def test_without_a_leader_three_members_collect() -> None:
-    fleet = net()
+    fleet = make_fleet()
     fleet.leader = "nobody"
-    hash_seed(fleet.by_name["f5"])
+    change_hash_seed(fleet.front_by_name["f5"])
     fleet.start()
     fleet.run(4 * SECOND)
-    told = {name for _, name, f in fleet.findings if f.kind is DivergenceKind.HASH}
-    assert len(told) == 3 and fleet.by_name["f5"].checker.cautious
+    reported = [r for r in fleet.findings if r.finding.kind is DivergenceKind.HASH]
+    assert len({r.collector for r in reported}) == 3 and fleet.front_by_name["f5"].checker.is_cautious
+
+
+def test_a_collector_may_leave_before_it_is_answered() -> None:
+    checker = ConsistencyChecker("a", 1)
+    checker.on_inputs_changed(make_inputs())
+    checker.on_view_changed(["a", "b", "c"], "b")
+    request = encode(DigestRequest(3, 7, 24))
+    assert checker.on_message(0, "b", request) == []  # the snapshot is begun, not complete
+    checker.on_view_changed(["a", "c"], "c")
+    assert checker.next_tick_ns > 0  # nothing of its round is left to be computed
+    assert checker.on_message(0, "c", request) == [] and checker.next_tick_ns == 0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_no_alarm_while_all_that_is_usual_happens(seed: int) -> None:
-    """A fifth of the words is lost, versions and lists roll, fronts start, a half is cut off and healed."""
-    fleet, chance = net(9, seed, loss=0.2), random.Random(seed)
+def test_no_alarm_in_a_healthy_fleet(seed: int) -> None:
+    """Messages are lost, versions and lists roll out, fronts restart, a half is cut off and healed."""
+    fleet, draw = make_fleet(9, seed, loss_probability=0.2), random.Random(seed)
     fleet.start()
     for turn in range(30):
-        fleet.roll(3 * SECOND)
+        fleet.roll_out_version(3 * SECOND)
         if turn % 2:
-            fleet.relist(2 * SECOND, listed(2, 4 + chance.randrange(3), 2, chance.randrange(3)))
+            endpoints = make_endpoint_list(2, 4 + draw.randrange(3), 2, draw.randrange(3))
+            fleet.publish_list(2 * SECOND, endpoints)
         if turn % 5 == 1:
-            fleet.restart(chance.choice(fleet.fronts), SECOND)
+            fleet.restart(draw.choice(fleet.fronts), SECOND)
         if turn % 6 in (2, 4):
             half = frozenset(f"f{n}" for n in range(4))
-            fleet.cut(half if turn % 6 == 2 else frozenset())
-        fleet.run(chance.randrange(500, 4000) * MS)
-    assert fleet.told() == []
-    assert not any(front.checker.cautious for front in fleet.fronts)
-    assert fleet.fronts[0].checker.took > 0
+            fleet.partition(half if turn % 6 == 2 else frozenset())
+        fleet.run(draw.randrange(500, 4000) * MS)
+    assert fleet.divergence_findings() == []
+    assert cautious_fronts(fleet) == []
+    result = fleet.fronts[0].checker.last_result
+    assert result is not None and result.duration_ns > 0
 
 
 # Rule decisions
 
 
-def inputs(**changes: Any) -> DecisionInputs:
-    return replace(DecisionInputs(ORDERED, make_settings(), LINES, 3, "b"), **changes)
+def make_inputs(**changes: Any) -> DecisionInputs:
+    return replace(DecisionInputs(VERSION_WITH_TASK, make_settings(), ENDPOINTS, 3, "b"), **changes)
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.randoms(use_true_random=False), st.integers(0, 2**40))
-def test_a_decision_follows_from_the_inputs_alone(chance: random.Random, round_: int) -> None:
-    """Not from the order of the lines, nor from the front's own zone; what is under an order is not in it."""
-    mixed = list(LINES)
-    chance.shuffle(mixed)
-    here = inputs()
-    there = inputs(lines=tuple(mixed), settings=make_settings(zone=2))
-    keys = sample(7, round_, 8, here)
-    assert keys == sample(7, round_, 8, there) and keys != sample(8, round_, 8, here)
+def test_a_decision_follows_from_the_inputs_alone(draw: random.Random, round_id: int) -> None:
+    """Not from the order of endpoints, nor from the front's own zone; a cordoned endpoint is not in it."""
+    shuffled = list(ENDPOINTS)
+    draw.shuffle(shuffled)
+    here = make_inputs()
+    there = make_inputs(endpoints=tuple(shuffled), settings=make_settings(zone=2))
+    keys = sample_keys(7, round_id, 8, here)
+    assert keys == sample_keys(7, round_id, 8, there) and keys != sample_keys(8, round_id, 8, here)
     for key in keys:
-        made = decide(here, key)
-        assert made == decide(there, key)
-        away = next(line.number for line in LINES if line.host == "s-1-1")
-        wanted = {m.number for m in LINES if m.kind == 0 and m.zone == key.zone} - {away}
-        assert set(made.caches) == wanted and made.sources[-1] == 999
+        decision = decide(here, key)
+        assert decision == decide(there, key)
+        cordoned = next(endpoint.number for endpoint in ENDPOINTS if endpoint.host == DRAINED_HOST)
+        usable = {e.number for e in ENDPOINTS if e.kind == 0 and e.zone == key.zone} - {cordoned}
+        assert set(decision.caches) == usable and decision.sources[-1] == 999
 
 
-def test_the_rule_is_where_the_module_itself_sends() -> None:
-    """All warm and idle: the module's own order is the rule's, and its memory serves the digests."""
+def test_the_rule_is_where_the_router_itself_sends() -> None:
+    """All warm and idle: the router's own order is the rule's, and its ranking cache serves the digests."""
     bench = Bench()
-    nodes = bench.router.nodes.values()
-    lines = tuple(ListedEndpoint(f"h{n.machine.cache}", n.machine.cache, n.machine.kind, n.machine.zone, 0,
-                       n.machine.size, True) for n in nodes)  # fmt: skip
-    here = inputs(lines=lines, settings=bench.settings, version=RuleVersion(0, 0))
-    memory = module_memory(bench.router, lambda: lines)
-    for key in sample(0, 5, 32, here):
+    machines = [node.machine for node in bench.router.nodes.values()]
+    endpoints = tuple(
+        ListedEndpoint(f"h{m.cache}", m.cache, m.kind, m.zone, 0, m.size, True) for m in machines
+    )
+    inputs = make_inputs(endpoints=endpoints, settings=bench.settings, rule_version=RuleVersion(0, 0))
+    ranking_cache = router_ranking_cache(bench.router, lambda: endpoints)
+    for key in sample_keys(0, 5, 32, inputs):
         ranked = bench.router.rank(bench.router.edges, mix(key.object, key.part))
-        made = decide(here, key)
-        assert made.caches == tuple(n.machine.cache for n in ranked)
-        assert made == deciding.DecisionRules(here, memory=memory).decide(key)
-    assert memory(9, 1) is None and stale_rankings(bench.router) == 0
-    kept = next(iter(bench.router.ranks))
-    bench.router.ranks[kept] = bench.router.ranks[kept][::-1]
+        decision = decide(inputs, key)
+        assert decision.caches == tuple(node.machine.cache for node in ranked)
+        assert decision == DecisionRules(inputs, ranking_cache=ranking_cache).decide(key)
+    assert ranking_cache(9, 1) is None and stale_rankings(bench.router) == 0
+    cached = next(iter(bench.router.ranks))
+    bench.router.ranks[cached] = bench.router.ranks[cached][::-1]
     assert stale_rankings(bench.router) == 1
 
 
 def test_work_comes_in_slices_and_a_round_is_the_same_however_it_is_cut() -> None:
-    whole = Snapshot(3, 7, 24, inputs(), deciding.STANDARD_ARITHMETIC, None)
-    assert whole.step(10**9)
-    sliced = Snapshot(3, 7, 24, inputs(), deciding.STANDARD_ARITHMETIC, None)
-    turns = 1
-    while not sliced.step(40):
-        turns += 1
-    assert turns > 5 and sliced.answer(0, 0, False) == whole.answer(0, 0, False)
+    request = DigestRequest(3, 7, 24)
+    whole = Snapshot(request, make_inputs(), STANDARD_ARITHMETIC, None)
+    assert whole.advance(10**9)
+    sliced = Snapshot(request, make_inputs(), STANDARD_ARITHMETIC, None)
+    slices = 1
+    while not sliced.advance(40):
+        slices += 1
+    assert slices > 5 and sliced.to_digest_response(0, 0, False) == whole.to_digest_response(0, 0, False)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.integers(0, 400), st.integers(0, 399), st.booleans())
-@example(count=338, place=25, gone=True)  # sixteen leaves at one, seventeen at the other
-def test_the_tree_leads_to_the_leaf_that_differs(count: int, place: int, gone: bool) -> None:
+@example(count=338, place=25, is_missing=True)  # sixteen leaves at one, seventeen at the other
+def test_the_tree_leads_to_the_leaf_that_differs(count: int, place: int, is_missing: bool) -> None:
     leaves = {f"l{n}": n.to_bytes(16, "big") for n in range(count)}
-    other = dict(leaves)
-    if f"l{place}" in other:
-        other[f"l{place}"] = bytes(16) if place else b"x" * 16
-        if gone:
-            del other[f"l{place}"]
-    here, there, path = MerkleTree(leaves), MerkleTree(other), ""
-    assert (here.root == there.root) == (leaves == other)
+    others = dict(leaves)
+    if f"l{place}" in others:
+        others[f"l{place}"] = bytes(16) if place else b"x" * 16
+        if is_missing:
+            del others[f"l{place}"]
+    here, there, path = MerkleTree(leaves), MerkleTree(others), ""
+    assert (here.root == there.root) == (leaves == others)
     while here.root != there.root:
-        (a, mine), (b, theirs) = here.look(path, True), there.look(path, True)
-        assert len(a) == len(b) == 16 and not mine and not theirs
-        path += f"{next(n for n in range(16) if a[n] != b[n]):x}"
-        (here_children, here_leaves), (there_children, there_leaves) = here.look(path), there.look(path)
-        if not here_children and not there_children:  # sixteen leaves beside seventeen: once more by digests
-            assert {label for label, _ in set(here_leaves) ^ set(there_leaves)} == {f"l{place}"}
+        ours, theirs = here.subtree(path, expand=True), there.subtree(path, expand=True)
+        assert len(ours.children) == len(theirs.children) == 16 and not ours.leaves and not theirs.leaves
+        path += f"{next(n for n in range(16) if ours.children[n] != theirs.children[n]):x}"
+        ours, theirs = here.subtree(path), there.subtree(path)
+        if not ours.children and not theirs.children:  # sixteen beside seventeen leaves: once more by digests
+            ours_by_label = {leaf.label: leaf.digest for leaf in ours.leaves}
+            theirs_by_label = {leaf.label: leaf.digest for leaf in theirs.leaves}
+            differing = ours_by_label.items() ^ theirs_by_label.items()
+            assert {label for label, _ in differing} == {f"l{place}"}
             break
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_word_or_refused_and_no_checker_is_upset(raw: bytes) -> None:
+def test_any_bytes_are_a_message_or_refused_and_no_checker_fails(raw: bytes) -> None:
     try:
         decode(raw)
     except ConsistencyError as error:
         assert error.code == "QP-ALIKE"
     checker = ConsistencyChecker("a", 1)
-    checker.view(["a", "b"], "b")
-    checker.have(inputs())
-    assert all(isinstance(out, SendMessage) for out in checker.said(0, "b", raw))
-    assert checker.said(0, "stranger", raw) == [] and checker.dropped >= 1
+    checker.on_view_changed(["a", "b"], "b")
+    checker.on_inputs_changed(make_inputs())
+    assert all(isinstance(action, SendMessage) for action in checker.on_message(0, "b", raw))
+    assert checker.on_message(0, "stranger", raw) == [] and checker.dropped_messages >= 1
 
 
 # Real decisions
 
 
-def watch(router: Router, witness: DecisionRecorder) -> None:
-    """The module tells the witness of each attempt; one that can't yet is made to."""
+def attach(router: Router, recorder: DecisionRecorder) -> None:
+    """The router tells the recorder of each attempt; one that can't yet is made to."""
     if hasattr(router, "witness"):
-        router.witness = witness
+        router.witness = recorder
         return
     plain = router.send
 
     def send(req: Any, node: Any, source: Any, anew: bool = False) -> None:
-        witness(req.e, node, source)
+        recorder(req.e, node, source)
         plain(req, node, source, anew)
 
     router.send = send  # type: ignore[method-assign]
 
 
-def witnessed(site: str, seed: int, steps: int = 90) -> DecisionRecorder:
-    """A long random run in which each attempt is held against the rule."""
-    world = World(SITES[site])
-    witness = DecisionRecorder(world.router, 1.0, seed)
-    watch(world.router, witness)
-    dice = random.Random(seed)
+def play(world: World, recorder: DecisionRecorder, seed: int, steps: int) -> None:
+    """A random run in which each attempt is held against the rule."""
+    attach(world.router, recorder)
+    draw = random.Random(seed)
     for _ in range(steps):
-        world.step(dice.randrange(12), dice.randrange(10**6), dice.randrange(200))
-    return witness
+        world.step(draw.randrange(12), draw.randrange(10**6), draw.randrange(200))
+
+
+def record_random_run(site: str, seed: int, steps: int = 90) -> DecisionRecorder:
+    world = World(SITES[site])
+    recorder = DecisionRecorder(world.router, 1.0, seed)
+    play(world, recorder, seed, steps)
+    return recorder
 
 
 @pytest.mark.parametrize("site", SITES)
 def test_no_real_decision_is_without_a_reason(site: str) -> None:
     counts = Counter[Reason]()
     for seed in range(8):
-        witness = witnessed(site, seed)
-        assert list(witness.breaches) == []
-        counts += witness.counts
+        recorder = record_random_run(site, seed)
+        assert list(recorder.breaches) == []
+        counts += recorder.counts
     assert counts.total() > 200 and counts[Reason.RULE] > counts.total() // 4
     assert {Reason.OFF, Reason.COLD, Reason.ASIDE, Reason.BOUND} <= counts.keys()
 
@@ -337,30 +393,28 @@
 def test_a_bad_day_in_the_laboratory_has_no_breach(monkeypatch: pytest.MonkeyPatch) -> None:
     """Machines die and come back, fronts are killed: wherever requests then go has a reason."""
     day = load("experiments/bad-day.yaml")
-    start, witnesses = WorldFront.start, list[DecisionRecorder]()
+    start, recorders = WorldFront.start, list[DecisionRecorder]()
 
-    def started(self: WorldFront) -> None:
+    def start_recorded(self: WorldFront) -> None:
         start(self)
-        witnesses.append(DecisionRecorder(self.router, 0.2, 1))
-        watch(self.router, witnesses[-1])
+        recorders.append(DecisionRecorder(self.router, 0.2, 1))
+        attach(self.router, recorders[-1])
 
-    monkeypatch.setattr(WorldFront, "start", started)
+    monkeypatch.setattr(WorldFront, "start", start_recorded)
     LabWorld(day, day.variants[0], day.seeds[0]).play()
-    reasons = sum((witness.counts for witness in witnesses), Counter[Reason]())
-    assert reasons.total() > 500 and Reason.ASIDE in reasons and Reason.BREACH not in reasons
+    counts = sum((recorder.counts for recorder in recorders), Counter[Reason]())
+    assert counts.total() > 500 and Reason.ASIDE in counts and Reason.BREACH not in counts
 
 
-def test_within_homes_the_rule_is_the_homes_own() -> None:
-    """Objects of two tenants, each at home at a part of the caches."""
+def test_within_home_shards_the_rule_is_the_shards_own() -> None:
+    """Objects of two tenants, each with a home shard of some of the caches."""
     world = World(SITES["mixed"])
-    parts = [Home(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
-    world.router.homes = lambda e: parts[e.object % 2]
-    witness, dice = DecisionRecorder(world.router, 1.0, 1), random.Random(3)
-    watch(world.router, witness)
-    for _ in range(150):
-        world.step(dice.randrange(12), dice.randrange(10**6), dice.randrange(200))
-    assert witness.counts[Reason.RULE] > 50 and not witness.breaches
-    world.router.homes = lambda e: parts[0]
+    shards = [Home(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
+    world.router.homes = lambda request: shards[request.object % 2]
+    recorder = DecisionRecorder(world.router, 1.0, 1)
+    play(world, recorder, seed=3, steps=150)
+    assert recorder.counts[Reason.RULE] > 50 and not recorder.breaches
+    world.router.homes = lambda request: shards[0]
     assert stale_rankings(world.router) == 0
 
 
@@ -372,41 +426,42 @@
     return sorted(nodes, key=lambda n: int(n.machine.cache))
 
 
-PLAIN_RANK, KEPT = Router.rank, dict[tuple[int, int], list[Any]]()
+ORIGINAL_RANK, FIRST_RANKINGS = Router.rank, dict[tuple[int, int], list[Any]]()
 
 
-def stale(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
+def first_ranking(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
     """What was ranked first is used for ever, as far as it is still listed."""
-    first = KEPT.setdefault((id(self), key), [n.machine.cache for n in PLAIN_RANK(self, nodes, key)])
+    ranked = [n.machine.cache for n in ORIGINAL_RANK(self, nodes, key)]
+    first = FIRST_RANKINGS.setdefault((id(self), key), ranked)
     return [self.nodes[n] for n in first if n in self.nodes]
 
 
-def no_parts(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
+def unweighted(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
     return sorted(nodes, key=lambda n: -math.log((mix(key, n.machine.cache) + 1) / 2**64))
 
 
-def always(self: Router, *args: object) -> bool:
+def always_true(self: Router, *args: object) -> bool:
     return True
 
 
 MUTANTS: dict[str, tuple[str, Callable[..., object]]] = {
     "wrong hash": ("rank", wrong_hash),
     "order by id": ("rank", by_id),
-    "stale ranks": ("rank", stale),
-    "sizes passed over": ("rank", no_parts),
-    "what is set aside is used": ("usable", always),
-    "cold budget passed over": ("room", always),
+    "stale rankings": ("rank", first_ranking),
+    "sizes passed over": ("rank", unweighted),
+    "an ejected endpoint is used": ("usable", always_true),
+    "warm-up budget passed over": ("room", always_true),
 }
 
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_a_mutant_of_placement_is_a_breach(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    KEPT.clear()
+    FIRST_RANKINGS.clear()
     monkeypatch.setattr(Router, *MUTANTS[name])
     found = 0
     for seed in range(8):
         try:
-            found = witnessed("mixed", seed).counts[Reason.BREACH]
+            found = record_random_run("mixed", seed).counts[Reason.BREACH]
         except AssertionError:  # it breaks another rule too, which the world itself notices
             continue
         if found:
@@ -417,59 +472,59 @@
 # Each rule of the comparison has a mutant that some test above would notice
 
 
-def broken(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def plant_comparison_mutant(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if name == "no majority asked":
-        monkeypatch.setattr(judging, "outside", lambda values, of_all: (set[str](), ""))
+        monkeypatch.setattr(majority, "find_minority", lambda values, front_count: majority.Minority())
     elif name == "small groups judged":
-        plain = judging.outside
-        monkeypatch.setattr(judging, "outside", lambda values, of_all: plain(values, len(values)))
+        plain = majority.find_minority
+        monkeypatch.setattr(majority, "find_minority", lambda values, front_count: plain(values, len(values)))
     elif name == "lists of any revision compared":
-        monkeypatch.setattr(judging, "standard", lambda answers: 0)
-    elif name == "away machines decided for":
+        monkeypatch.setattr(majority, "reference_list_revision", lambda responses: 0)
+    elif name == "cordoned endpoints decided for":
         monkeypatch.setattr(MaintenanceTask, "aside", False)
 
 
 def test_late_fronts_that_differ_are_not_blamed_by_so_few() -> None:
     """Two of nine are one list behind, and one of them decides otherwise: nothing says which."""
-    fleet = net(9)
+    fleet = make_fleet(9)
     for name in ("f4", "f5"):
-        fleet.by_name[name].lags = 60 * SECOND
-    stale_memory(fleet.by_name["f5"])
+        fleet.front_by_name[name].list_delay_ns = 60 * SECOND
+    keep_stale_rankings(fleet.front_by_name["f5"])
     fleet.start()
-    fleet.now += MS
-    fleet.relist(MS, listed(2, 6, 2))
+    fleet.now_ns += MS
+    fleet.publish_list(MS, make_endpoint_list(2, 6, 2))
     fleet.run(4 * SECOND)
-    assert "f4" not in {f.front for f in fleet.told()}
-    assert not fleet.by_name["f4"].checker.cautious
+    assert "f4" not in {finding.front for finding in fleet.divergence_findings()}
+    assert not fleet.front_by_name["f4"].checker.is_cautious
 
 
 def test_the_comparison_without_one_of_its_rules_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    stories: dict[str, Callable[[], None]] = {
+    test_by_mutant: dict[str, Callable[[], None]] = {
         "no majority asked": lambda: test_a_planted_fault_is_found_within_two_rounds_and_named(
-            "one list line missing", "f5"
+            "one endpoint missing", "f5"
         ),
         "small groups judged": test_late_fronts_that_differ_are_not_blamed_by_so_few,
         "lists of any revision compared": (
-            test_a_list_that_is_behind_is_late_for_so_long_and_then_told_by_name
+            test_a_list_that_lags_is_late_for_so_long_and_then_reported_by_name
         ),
-        "away machines decided for": test_a_decision_follows_from_the_inputs_alone,
+        "cordoned endpoints decided for": test_a_decision_follows_from_the_inputs_alone,
     }
-    for name, story in stories.items():
+    for name, test in test_by_mutant.items():
         with monkeypatch.context() as patch:
-            broken(name, patch)
+            plant_comparison_mutant(name, patch)
             with pytest.raises(AssertionError):
-                story()
+                test()
 
 
-def test_a_drained_machine_is_no_breach_and_a_request_nobody_made_is() -> None:
+def test_a_drained_endpoint_is_no_breach_and_a_request_nobody_made_is() -> None:
     bench = Bench()
-    witness = DecisionRecorder(bench.router, 1.0, 1)
+    recorder = DecisionRecorder(bench.router, 1.0, 1)
     [first] = attempts(bench.ask(1))
-    witness(replace(bench.router.requests[1].e, request=9), 101, 201)
-    assert witness.counts[Reason.BREACH] == 1 and len(witness.breaches) == 1
+    recorder(replace(bench.router.requests[1].e, request=9), 101, 201)
+    assert recorder.counts[Reason.BREACH] == 1 and len(recorder.breaches) == 1
     drained = machine(first.cache, state=CacheState.DRAINING)
     bench.give(ListNews(ListScope.CHANGES, (drained,)))
-    watch(bench.router, witness)
+    attach(bench.router, recorder)
     bench.ask(2)
-    assert [seen.reason for seen in witness.records] == [Reason.BREACH, Reason.OFF]
-    assert witness.records[-1].rule == first.cache != witness.records[-1].node
+    assert [record.reason for record in recorder.records] == [Reason.BREACH, Reason.OFF]
+    assert recorder.records[-1].rule == first.cache != recorder.records[-1].node
