--- a/quincepier/consistency/decision.py
+++ b/quincepier/consistency/decision.py
@@ -16,7 +16,9 @@
 from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
 from quincepier.rules import RuleVersion
 
-HomeShardLookup = Callable[[str, io.RequestCame], io.Home | None]  # tenant name and a request of the tenant
+HomeShardLookup = Callable[
+    [str, io.RequestReceived], io.HomeShard | None
+]  # tenant name and a request of the tenant
 RankingCache = Callable[[int, int], Sequence[int] | None]  # zone and key hash: endpoint numbers, best first
 PARENT_ZONE = -1  # stands for the parents of all zones in a ranking cache
 MAX_TIER = 2
@@ -175,10 +177,10 @@
         """Number of hashes that the decision of a key takes: a measure of its work."""
         return len(self._caches_by_zone.get(key.zone, ())) + len(self._parents) + 1
 
-    def _find_home_shard(self, key: DecisionKey, request_class: io.RequestClass) -> io.Home | None:
+    def _find_home_shard(self, key: DecisionKey, request_class: io.RequestClass) -> io.HomeShard | None:
         if self._inputs.find_home_shard is None:
             return None
-        request = io.RequestCame(
+        request = io.RequestReceived(
             0, key.cls, 0.0, 0, key.group, key.object, key.part, False, request_class.deadline
         )
         return self._inputs.find_home_shard(key.tenant, request)
--- a/quincepier/consistency/leaf_fields.py
+++ b/quincepier/consistency/leaf_fields.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from enum import Enum
 from typing import Any
 
 import msgspec
@@ -14,6 +15,7 @@
 from quincepier.consistency.decision import DecisionInputs, ListedEndpoint, RuleDecision
 from quincepier.consistency.merkle_tree import MAX_LABEL_LENGTH
 from quincepier.consistency.messages import LeafField
+from quincepier.interface import DeduplicationScope, Idempotency
 
 LeafFields = tuple[LeafField, ...]
 
@@ -29,6 +31,7 @@
     "is_write_paused": "closed",
     "retries": "repeats",
 }
+ENUM_LABELS: dict[type[Enum], str] = {Idempotency: "Effect", DeduplicationScope: "Group"}
 MAX_LISTED_VALUES = 8  # of a long order of endpoints, as text
 
 encode_leaf = msgspec.msgpack.Encoder().encode
@@ -61,15 +64,21 @@
     settings = inputs.settings
     names = [name for name in settings.__dataclass_fields__ if name not in ("zone", "classes")]
     leaves: dict[str, LeafFields] = {
-        name: (LeafField(name, repr(getattr(settings, name))),) for name in names
+        name: (LeafField(name, _setting_text(getattr(settings, name))),) for name in names
     }
     for place, request_class in enumerate(settings.classes):
         for name in request_class.__dataclass_fields__:
-            text = repr(getattr(request_class, name))
+            text = _setting_text(getattr(request_class, name))
             leaves[f"classes[{place}].{name}"] = (LeafField(name, text),)
     return leaves
 
 
+def _setting_text(value: object) -> str:
+    if isinstance(value, Enum):
+        return f"<{ENUM_LABELS[type(value)]}.{value.name}: {value.value!r}>"
+    return repr(value)
+
+
 def endpoint_fields(endpoint: ListedEndpoint) -> LeafFields:
     """Fields of an endpoint list entry."""
     return tuple(LeafField(name, str(getattr(endpoint, name))) for name in endpoint.__struct_fields__)
--- a/quincepier/net/fleet/active_rules.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from quincepier import clock
-from quincepier.interface import CacheState, Effect
+from quincepier.interface import EndpointState, Idempotency
 from quincepier.maintenance import MaintenanceSection, cordoned_hosts, plan, requested_hosts
 from quincepier.net.fleet.leader import Planner
 from quincepier.net.module import ModuleActor
@@ -27,7 +27,7 @@
 class ActiveRules:
     def __init__(self, module: ModuleActor, file: OperatorFile) -> None:
         self.module, self.name = module, module.config.name
-        self.once = [c.effect is not Effect.SAFE for c in module.config.settings.classes]
+        self.once = [c.effect is not Idempotency.SAFE for c in module.config.settings.classes]
         self.notice = NOTICE
         self.plans: list[Planner] = []
         self.named, self.gone = frozenset[str](), frozenset[str]()
@@ -42,7 +42,7 @@
         if file.named("maintenance") is not None:
             wished = file.get(MaintenanceSection) or wished
         self.named, self.waits = requested_hosts(wished), ()
-        self.gone = frozenset(wished.gone)
+        self.gone = frozenset(wished.decommissioned_fronts)
         # an order that nobody wishes any more is ended by the same plan: there is one without a section
         self.plans = [lambda version, seen: self._orders(wished, version, seen)]
         self.tenants, self.notice, self.taken = None, NOTICE, self.taken + 1
@@ -66,8 +66,8 @@
         if section is None:
             return
         self.tenants = TenantLookup(section)
-        wishes = MigrationPolicy.of(section, self.module.config.settings.classes)
-        self.notice = wishes.notice
+        wishes = MigrationPolicy.from_section(section, self.module.config.settings.classes)
+        self.notice = wishes.grace_period_ns
         self.plans.append(lambda version, seen: advance(version, wishes, seen))
 
     def planners(self) -> list[Planner]:
@@ -89,7 +89,9 @@
         """Numbers of the caches and of the parents that the log lists as ready."""
         s = self.module.config.settings
         ready = [
-            e.machine for e in self.module.directory.entries.values() if e.machine.state is CacheState.READY
+            e.machine
+            for e in self.module.directory.entries.values()
+            if e.machine.state is EndpointState.READY
         ]
         upper = (s.parent_kind, s.origin_kind)
         caches = frozenset(m.cache for m in ready if m.kind not in upper)
@@ -100,4 +102,4 @@
         if self.tenants is None:
             return 0, ""
         number = self.tenants.tenant_of(item)
-        return number, self.tenants.name(number)
+        return number, self.tenants.name_of(number)
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -19,7 +19,7 @@
 from quincepier.consistency.explain import DecisionRecord
 from quincepier.consistency.findings import Finding
 from quincepier.consistency.section import ConsistencySection
-from quincepier.interface import CacheState
+from quincepier.interface import EndpointState
 from quincepier.net.fleet.active_rules import ActiveRules
 from quincepier.net.fleet.messages import ALIKE
 from quincepier.net.fleet.version_effects import VersionEffects
@@ -135,7 +135,7 @@
             return None
         number_by_tenant = {name: number for number, name in enumerate(tenants.names)}
 
-        def find_home_shard(tenant: str, request: io.RequestCame) -> io.Home | None:
+        def find_home_shard(tenant: str, request: io.RequestReceived) -> io.HomeShard | None:
             request.tenant = number_by_tenant.get(tenant, 0)
             return placements(request)
 
@@ -171,8 +171,8 @@
         self._module.checks.event("unexplained_decision", str(record)[:MAX_RECORD_LENGTH])
 
 
-def _listed_endpoint(host: str, machine: io.Machine) -> ListedEndpoint:
-    is_ready = machine.state is CacheState.READY
+def _listed_endpoint(host: str, machine: io.Endpoint) -> ListedEndpoint:
+    is_ready = machine.state is EndpointState.READY
     return ListedEndpoint(
         host, machine.cache, machine.kind, machine.zone, machine.cell, machine.size, is_ready
     )
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -143,10 +143,10 @@
 def rewrite_voter(source: Path, target: Path) -> None:
     read, written = (voter_store.VoterStore(snapshot_store.FileSystem(folder)) for folder in (source, target))
     saved = read.load()
-    assert saved is not None and saved.base is not None
+    assert saved is not None and saved.snapshot is not None
     written.open()
     written.load()
-    written.save((saved.mark, saved.base, *saved.lines))
+    written.save((saved.hard_state, saved.snapshot, *saved.entries))
     written.close()
 
 
@@ -164,25 +164,25 @@
 
 # Typed values without a name of their own on the wire, by the name that their plain form has.
 NAMES: dict[str, type] = {
-    "ask": io.Ask,
-    "fetch": io.Fetch,
-    "cancel": io.Cancel,
-    "refuse": io.Refuse,
-    "fail": io.Fail,
+    "ask": io.ForwardRequest,
+    "fetch": io.FetchThrough,
+    "cancel": io.CancelAttempt,
+    "refuse": io.RejectRequest,
+    "fail": io.FailRequest,
     "timer": io.SetTimer,
-    "probe": io.Probe,
-    "follow": io.Follow,
-    "log": io.Log,
-    "list": io.ListNews,
-    "machine": io.Machine,
-    "request": io.RequestCame,
-    "timer due": io.TimerDue,
-    "stream began": io.StreamBegan,
-    "attempt ended": io.AttemptEnded,
-    "client left": io.ClientLeft,
-    "probe ended": io.ProbeEnded,
-    "peer said": io.PeerSaid,
-    "purged": io.Purged,
+    "probe": io.SendHealthCheck,
+    "follow": io.WatchEndpoints,
+    "log": io.WriteLog,
+    "list": io.EndpointUpdate,
+    "machine": io.Endpoint,
+    "request": io.RequestReceived,
+    "timer due": io.TimerFired,
+    "stream began": io.ResponseStarted,
+    "attempt ended": io.AttemptCompleted,
+    "client left": io.ClientDisconnected,
+    "probe ended": io.HealthCheckCompleted,
+    "peer said": io.PeerMessage,
+    "purged": io.ObjectPurged,
     "started": simwire.Started,
     "crashed": simwire.Crashed,
     "settings": io.Settings,
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -39,7 +39,7 @@
 from quincepier.consistency.merkle_tree import MerkleTree
 from quincepier.consistency.messages import DigestRequest, decode, encode
 from quincepier.consistency.snapshot import Snapshot
-from quincepier.interface import CacheState, Home, ListNews, ListScope
+from quincepier.interface import EndpointState, EndpointUpdate, HomeShard, UpdateScope
 from quincepier.keys import mix
 from quincepier.lab.consistency_trial import (
     SimulatedFleet,
@@ -409,7 +409,7 @@
 def test_within_home_shards_the_rule_is_the_shards_own() -> None:
     """Objects of two tenants, each with a home shard of some of the caches."""
     world = World(SITES["mixed"])
-    shards = [Home(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
+    shards = [HomeShard(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
     world.router.homes = lambda request: shards[request.object % 2]
     recorder = DecisionRecorder(world.router, 1.0, 1)
     play(world, recorder, seed=3, steps=150)
@@ -522,8 +522,8 @@
     [first] = attempts(bench.ask(1))
     recorder(replace(bench.router.requests[1].e, request=9), 101, 201)
     assert recorder.counts[Reason.BREACH] == 1 and len(recorder.breaches) == 1
-    drained = machine(first.cache, state=CacheState.DRAINING)
-    bench.give(ListNews(ListScope.CHANGES, (drained,)))
+    drained = machine(first.cache, state=EndpointState.DRAINING)
+    bench.give(EndpointUpdate(UpdateScope.CHANGES, (drained,)))
     attach(bench.router, recorder)
     bench.ask(2)
     assert [record.reason for record in recorder.records] == [Reason.BREACH, Reason.OFF]
