--- a/quincepier/consensus/cluster_configuration.py
+++ b/quincepier/consensus/cluster_configuration.py
@@ -10,19 +10,20 @@
 from __future__ import annotations
 
 from quincepier.consensus.follower_progress import FollowerProgress
+from quincepier.consensus.leader_state import LeaderState
 from quincepier.consensus.messages import Hello, Message, StorageRollback
-from quincepier.consensus.raft_state import Announcement, DropReason, ProcessStart, RaftState
+from quincepier.consensus.process_starts import ProcessStart
+from quincepier.consensus.raft_state import Announcement, DropReason, RaftState
 from quincepier.consensus.replication import propose
 from quincepier.state.voter_records import MAX_VOTERS, EntryKind, Member, Snapshot
 
 MIN_CONFIGURATION_SIZE = 2
-MAX_KNOWN_STARTS = 32
 
 
 def on_tick(state: RaftState) -> None:
     """As leader propose a change that is wanted; a voter that is not in yet announces itself."""
-    if state.is_leader:
-        propose_configuration_change(state)
+    if state.leader_state is not None:
+        propose_configuration_change(state, state.leader_state)
     elif state.now_ns >= state.retry_deadline_ns and needs_announcement(state):
         state.retry_deadline_ns = state.now_ns + state.config.timeouts.retry_interval_ns
         bootstrap_if_complete(state)
@@ -38,8 +39,7 @@
 
 def bootstrap_if_complete(state: RaftState) -> None:
     """The first voter by name binds itself once it has heard all; the others bind to what it announces."""
-    is_unbound = state.log.snapshot is None and not state.term
-    if not is_unbound or state.config.name != min(state.config.voters):
+    if not state.is_unbound or state.config.name != min(state.config.voters):
         return
     identity_by_name = {
         name: announcement.identity
@@ -63,8 +63,7 @@
     state.announcement_by_name[message.sender_name] = Announcement(
         message.sender_identity, hello.configuration, state.now_ns
     )
-    is_unbound = state.log.snapshot is None and not state.term
-    if is_unbound and _is_first_configuration(state, hello.configuration):
+    if state.is_unbound and _is_first_configuration(state, hello.configuration):
         bind_to_configuration(state, hello.configuration)
     if not state.is_bootstrapped and state.log.snapshot is not None and state.log.last_index == 0:
         state.is_bootstrapped = _are_all_bound(state)
@@ -93,37 +92,40 @@
     )
 
 
-def propose_configuration_change(state: RaftState) -> None:
+def propose_configuration_change(state: RaftState, leader_state: LeaderState) -> None:
     """Propose the next removal or addition, if one is wanted and may be made now (thesis 4.1, 4.2.1)."""
-    has_committed_in_term = state.commit_index >= state.first_index_of_term
+    has_committed_in_term = state.commit_index >= leader_state.first_index
     is_change_pending = state.log.configuration_index > state.commit_index
     if not has_committed_in_term or is_change_pending:
         return
     identity_by_name = {member.name: member.identity for member in state.configuration}
-    removed = _voter_to_remove(state, identity_by_name)
+    removed = _voter_to_remove(state, leader_state, identity_by_name)
     if removed is not None:
         del identity_by_name[removed]
-        propose_configuration(state, _sorted_members(identity_by_name))
+        propose_configuration(state, leader_state, _sorted_members(identity_by_name))
         return
-    added = _voter_to_add(state, identity_by_name)
+    added = _voter_to_add(state, leader_state, identity_by_name)
     if added is not None:
         identity_by_name[added.name] = added.identity
-        propose_configuration(state, _sorted_members(identity_by_name))
+        propose_configuration(state, leader_state, _sorted_members(identity_by_name))
 
 
-def _voter_to_remove(state: RaftState, identity_by_name: dict[str, str]) -> str | None:
+def _voter_to_remove(
+    state: RaftState, leader_state: LeaderState, identity_by_name: dict[str, str]
+) -> str | None:
     """Return a voter that the file no longer names, or that came back under another identity."""
     if len(identity_by_name) <= MIN_CONFIGURATION_SIZE:
         return None
     for name, identity in identity_by_name.items():
         is_self = name == state.config.name
         is_unnamed = name not in state.config.voters
-        if not is_self and (is_unnamed or _has_lost_identity(state, name, identity)):
+        progress = leader_state.progress_by_identity.get(identity)
+        if not is_self and (is_unnamed or _has_lost_identity(state, name, identity, progress)):
             return name
     return None
 
 
-def _has_lost_identity(state: RaftState, name: str, identity: str) -> bool:
+def _has_lost_identity(state: RaftState, name: str, identity: str, progress: FollowerProgress | None) -> bool:
     """Whether the name announced another identity, and the known one is silent.
 
     While the known one still answers, the announcement is of a second process under that name.
@@ -131,12 +133,13 @@
     announcement = state.announcement_by_name.get(name)
     if announcement is None or announcement.identity == identity:
         return False
-    progress = state.progress_by_identity.get(identity)
     silence_ns = state.config.timeouts.max_election_timeout_ns
     return progress is None or state.now_ns - progress.last_contact_ns >= silence_ns
 
 
-def _voter_to_add(state: RaftState, identity_by_name: dict[str, str]) -> Member | None:
+def _voter_to_add(
+    state: RaftState, leader_state: LeaderState, identity_by_name: dict[str, str]
+) -> Member | None:
     """Return a voter that the file names and whose log has caught up (thesis 4.2.1)."""
     if len(identity_by_name) >= MAX_VOTERS:
         return None
@@ -147,7 +150,7 @@
             continue
         if state.now_ns - announcement.received_at_ns > max_age_ns:
             continue
-        progress = state.progress_by_identity.setdefault(
+        progress = leader_state.progress_by_identity.setdefault(
             announcement.identity, FollowerProgress(0, last_contact_ns=state.now_ns)
         )
         committed_index = max(state.log.snapshot_index, state.commit_index)
@@ -156,13 +159,15 @@
     return None
 
 
-def propose_configuration(state: RaftState, configuration: tuple[Member, ...]) -> None:
+def propose_configuration(
+    state: RaftState, leader_state: LeaderState, configuration: tuple[Member, ...]
+) -> None:
     """Append a configuration, which counts from now on, and drop the progress of who is not in it."""
     propose(state, EntryKind.CONFIGURATION, configuration=configuration)
     identities = {member.identity for member in configuration}
-    for identity in list(state.progress_by_identity):
+    for identity in list(leader_state.progress_by_identity):
         if identity not in identities:
-            del state.progress_by_identity[identity]
+            del leader_state.progress_by_identity[identity]
 
 
 def _sorted_members(identity_by_name: dict[str, str]) -> tuple[Member, ...]:
@@ -170,29 +175,14 @@
 
 
 def accept_start(state: RaftState, message: Message) -> bool:
-    """Whether the sender's process start is the newest known one of that voter.
-
-    An older start, or another one with the same count, comes from a storage folder that was put back to an
-    older copy; the sender is told.
-    """
-    voter = (message.sender_name, message.sender_identity)
+    """Whether no newer process start of the sender is known; else it is told that it was rolled back."""
     start = ProcessStart(message.start_count, message.start_nonce)
-    known = state.start_by_voter.get(voter)
-    if known is not None and _is_rolled_back(start, known):
-        state.dropped[DropReason.STALE_START] += 1
-        rollback = StorageRollback(message.start_count, message.start_nonce)
-        state.queue_message(message.sender_name, rollback, message.sender_identity)
-        return False
-    state.start_by_voter.pop(voter, None)
-    state.start_by_voter[voter] = start
-    if len(state.start_by_voter) > MAX_KNOWN_STARTS:
-        oldest = next(iter(state.start_by_voter))
-        del state.start_by_voter[oldest]
-    return True
-
-
-def _is_rolled_back(start: ProcessStart, known: ProcessStart) -> bool:
-    return start.count < known.count or (start.count == known.count and start.nonce != known.nonce)
+    if state.process_starts.accept(message.sender_name, message.sender_identity, start):
+        return True
+    state.dropped[DropReason.STALE_START] += 1
+    rollback = StorageRollback(message.start_count, message.start_nonce)
+    state.queue_message(message.sender_name, rollback, message.sender_identity)
+    return False
 
 
 def on_storage_rollback(state: RaftState, rollback: StorageRollback) -> None:
--- a/quincepier/consensus/election.py
+++ b/quincepier/consensus/election.py
@@ -12,19 +12,19 @@
 
 from __future__ import annotations
 
+from quincepier.consensus.leader_state import LeaderState
 from quincepier.consensus.messages import Message, RequestVote, VoteResponse
 from quincepier.consensus.raft_state import RaftRole, RaftState
 
 
 def on_tick(state: RaftState) -> None:
     """Start an election that is due, repeat unanswered requests; as leader, check the quorum."""
-    if state.is_leader:
-        check_quorum(state)
+    if state.leader_state is not None:
+        check_quorum(state, state.leader_state)
         return
     if state.now_ns >= state.election_deadline_ns:
         start_election(state)
-    is_standing = state.role in (RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE)
-    if is_standing and state.now_ns >= state.retry_deadline_ns:
+    if state.is_standing and state.now_ns >= state.retry_deadline_ns:
         send_vote_requests(state)
 
 
@@ -38,7 +38,7 @@
     state.leader = None
     state.reset_election_deadline()
     if not can_become_candidate(state):
-        state.role = RaftRole.FOLLOWER
+        state.abandon_election()
         return
     if state.config.pre_vote:
         state.become_pre_candidate()
@@ -95,7 +95,7 @@
     # once for each: one that asks for ever and is never answered would keep all others back
     if state.role is not RaftRole.CANDIDATE and message.sender_identity not in state.deferred_to:
         state.deferred_to.add(message.sender_identity)
-        state.role = RaftRole.FOLLOWER
+        state.abandon_election()
         state.reset_election_deadline()
     return True
 
@@ -139,24 +139,19 @@
     return state.role is RaftRole.CANDIDATE and response.term == state.term
 
 
-def check_quorum(state: RaftState) -> None:
+def check_quorum(state: RaftState, leader_state: LeaderState) -> None:
     """Renew the lease; step down without a quorum, or with a disk that does not write (thesis 6.2)."""
     timeouts = state.config.timeouts
     acknowledged_ns = quorum_acknowledged_ns(state)
-    last_quorum_ns = max(acknowledged_ns, state.leader_since_ns)
+    last_quorum_ns = max(acknowledged_ns, leader_state.since_ns)
     has_lost_quorum = state.now_ns - last_quorum_ns >= timeouts.max_election_timeout_ns
     if has_lost_quorum or state.persistence.is_stalled(state.now_ns, timeouts.max_election_timeout_ns):
         state.become_follower(state.term)
-    elif acknowledged_ns and state.commit_index >= state.first_index_of_term:
-        state.lease_until_ns = max(state.lease_until_ns, acknowledged_ns + timeouts.leader_lease_ns)
+    elif acknowledged_ns and state.commit_index >= leader_state.first_index:
+        lease_until_ns = acknowledged_ns + timeouts.leader_lease_ns
+        leader_state.lease_until_ns = max(leader_state.lease_until_ns, lease_until_ns)
 
 
 def quorum_acknowledged_ns(state: RaftState) -> int:
     """Return the send time (ns) of the newest messages that a quorum has answered; 0: there is none."""
-    times = [state.now_ns] if state.is_member else []
-    for member in state.other_members():
-        progress = state.progress_by_identity.get(member.identity)
-        if progress is not None:
-            times.append(progress.acknowledged_at_ns)
-    times.sort(reverse=True)
-    return times[state.quorum_size - 1] if len(times) >= state.quorum_size else 0
+    return state.quorum_value(state.now_ns, lambda progress: progress.acknowledged_at_ns)
--- a/quincepier/consensus/raft.py
+++ b/quincepier/consensus/raft.py
@@ -22,7 +22,7 @@
     VoteResponse,
     decode,
 )
-from quincepier.consensus.raft_state import DropReason, RaftRole, RaftState
+from quincepier.consensus.raft_state import DropReason, RaftState
 from quincepier.state.voter_records import MAX_ENTRY_DATA_BYTES, EntryKind, Member, VoterState
 
 
@@ -101,10 +101,9 @@
         state = self._state
         if state.records or state.committed:
             return state.now_ns
-        if state.is_leader:
-            return state.heartbeat_deadline_ns
-        is_standing = state.role in (RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE)
-        if is_standing or cluster_configuration.needs_announcement(state):
+        if state.leader_state is not None:
+            return state.leader_state.heartbeat_deadline_ns
+        if state.is_standing or cluster_configuration.needs_announcement(state):
             return min(state.election_deadline_ns, state.retry_deadline_ns)
         return state.election_deadline_ns
 
@@ -121,13 +120,14 @@
     @property
     def is_leader(self) -> bool:
         """Whether it leads and an entry of its term is committed; reads need the lease besides."""
-        state = self._state
-        return state.is_leader and state.commit_index >= state.first_index_of_term
+        leader_state = self._state.leader_state
+        return leader_state is not None and self._state.commit_index >= leader_state.first_index
 
     @property
     def lease_until_ns(self) -> int:
         """Until then no other voter can lead; 0 where it does not lead. To be checked after each pause."""
-        return self._state.lease_until_ns
+        leader_state = self._state.leader_state
+        return leader_state.lease_until_ns if leader_state is not None else 0
 
     @property
     def is_member(self) -> bool:
--- a/quincepier/consensus/raft_state.py
+++ b/quincepier/consensus/raft_state.py
@@ -9,6 +9,7 @@
 
 import random
 from collections import Counter
+from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum, StrEnum
 
@@ -21,8 +22,10 @@
 )
 from quincepier.consensus.config import RaftConfig
 from quincepier.consensus.follower_progress import FollowerProgress
+from quincepier.consensus.leader_state import LeaderState
 from quincepier.consensus.messages import VERSION, Body, Message, encode
 from quincepier.consensus.persistence import PersistenceProgress
+from quincepier.consensus.process_starts import ProcessStartRegistry
 from quincepier.consensus.raft_log import RaftLog
 from quincepier.state.voter_records import (
     EntryKind,
@@ -44,6 +47,20 @@
     LEADER = "leader"
 
 
+# Without pre-vote a follower becomes candidate at once; a timeout restarts an election (Raft, figure 4).
+ROLE_TRANSITIONS = {
+    RaftRole.FOLLOWER: {RaftRole.FOLLOWER, RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE},
+    RaftRole.PRE_CANDIDATE: {RaftRole.FOLLOWER, RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE},
+    RaftRole.CANDIDATE: {
+        RaftRole.FOLLOWER,
+        RaftRole.PRE_CANDIDATE,
+        RaftRole.CANDIDATE,
+        RaftRole.LEADER,
+    },
+    RaftRole.LEADER: {RaftRole.FOLLOWER},
+}
+
+
 class DropReason(StrEnum):
     """Why a message or a proposal was not accepted; the key of its counter."""
 
@@ -57,14 +74,6 @@
     PROPOSAL_LIMIT = "proposal_limit"
 
 
-@dataclass(slots=True, frozen=True)
-class ProcessStart:
-    """One start of a voter's process; the nonce is random."""
-
-    count: int
-    nonce: int
-
-
 @dataclass(slots=True, frozen=True)
 class Announcement:
     """The newest Hello of a voter's name."""
@@ -102,16 +111,12 @@
         leader: Name of the leader of this term, where it is known.
         leader_contact_ns: When the leader was last heard.
         election_deadline_ns: When a voter that does not lead starts an election.
-        heartbeat_deadline_ns: When a leader sends its next heartbeat.
         retry_deadline_ns: When requests that were not answered are repeated.
         votes_granted: Identities whose vote or pre-vote was granted, its own among them.
         deferred_to: Identities of other pre-candidates that this one let go first since it heard a leader.
-        progress_by_identity: Of a leader, for each follower and each voter that is to be added.
-        first_index_of_term: Of a leader, its first entry of its term.
-        leader_since_ns: When it became leader.
-        lease_until_ns: Until then no other voter can become leader; 0 where it does not lead.
+        leader_state: What only a leader has; None in all other roles.
         is_bootstrapped: Whether all voters were bound to the first configuration.
-        start_by_voter: The newest known start of each (name, identity).
+        process_starts: The newest known start of each voter.
         announcement_by_name: The newest Hello of each name.
         response_sequence: Responses sent by this process.
         storage_rollbacks: How often this voter was told that its folder was rolled back.
@@ -146,15 +151,10 @@
         self.retry_deadline_ns = now_ns
         self.votes_granted: set[str] = set()
         self.deferred_to: set[str] = set()
-
-        self.heartbeat_deadline_ns = now_ns
-        self.progress_by_identity: dict[str, FollowerProgress] = {}
-        self.first_index_of_term = 0
-        self.leader_since_ns = 0
-        self.lease_until_ns = 0
+        self.leader_state: LeaderState | None = None
 
         self.is_bootstrapped = bool(self.log.last_index or self.term)
-        self.start_by_voter: dict[tuple[str, str], ProcessStart] = {}
+        self.process_starts = ProcessStartRegistry()
         self.announcement_by_name: dict[str, Announcement] = {}
         self.response_sequence = 0
         self.storage_rollbacks = 0
@@ -184,12 +184,38 @@
     @property
     def is_leader(self) -> bool:
         """Whether it leads its term."""
-        return self.role is RaftRole.LEADER
+        return self.leader_state is not None
+
+    @property
+    def is_standing(self) -> bool:
+        """Whether it asks for votes or pre-votes."""
+        return self.role in (RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE)
+
+    @property
+    def is_unbound(self) -> bool:
+        """Whether it never had a configuration nor a term, as in a new storage folder."""
+        return self.log.snapshot is None and not self.term
 
     def other_members(self) -> list[Member]:
         """Return the configuration without this voter."""
         return [member for member in self.configuration if member.identity != self.identity]
 
+    def quorum_value(self, own: int, value_of: Callable[[FollowerProgress], int]) -> int:
+        """As leader, return the highest value that a quorum has reached.
+
+        Args:
+            own: The leader's own value; it counts if the leader is a member.
+            value_of: The value of a follower; 0 where its progress is not tracked.
+        """
+        assert self.leader_state is not None
+        progress_by_identity = self.leader_state.progress_by_identity
+        values = [own] if self.is_member else []
+        for member in self.other_members():
+            progress = progress_by_identity.get(member.identity)
+            values.append(value_of(progress) if progress is not None else 0)
+        values.sort(reverse=True)
+        return values[self.quorum_size - 1] if len(values) >= self.quorum_size else 0
+
     def random_election_timeout_ns(self) -> int:
         """Draw how long to wait for a leader."""
         timeouts = self.config.timeouts
@@ -227,19 +253,21 @@
             self.leader = None
         if self.role is not RaftRole.FOLLOWER:
             self.reset_election_deadline()
-        self.role = RaftRole.FOLLOWER
-        self.lease_until_ns = 0
+        self._change_role(RaftRole.FOLLOWER)
         self.votes_granted.clear()
-        self.progress_by_identity.clear()
+
+    def abandon_election(self) -> None:
+        """Ask for no more votes; granted ones are ignored in the role of a follower."""
+        self._change_role(RaftRole.FOLLOWER)
 
     def become_pre_candidate(self) -> None:
         """Ask for pre-votes; the term stays (thesis 9.6)."""
-        self.role = RaftRole.PRE_CANDIDATE
+        self._change_role(RaftRole.PRE_CANDIDATE)
         self.votes_granted = {self.identity}
 
     def become_candidate(self) -> None:
         """Stand for election in the next term."""
-        self.role = RaftRole.CANDIDATE
+        self._change_role(RaftRole.CANDIDATE)
         self.term += 1
         self.voted_for = self.identity
         self.votes_granted = {self.identity}
@@ -252,17 +280,18 @@
         before it (Raft 5.4.2).
         """
         next_index = self.log.last_index + 1
-        self.role = RaftRole.LEADER
+        self._change_role(RaftRole.LEADER)
         self.leader = self.config.name
-        self.leader_since_ns = self.now_ns
-        self.lease_until_ns = 0
-        self.progress_by_identity = {
-            member.identity: FollowerProgress(next_index, last_contact_ns=self.now_ns)
-            for member in self.other_members()
-        }
-        self.first_index_of_term = next_index
+        self.leader_state = LeaderState(
+            since_ns=self.now_ns,
+            first_index=next_index,
+            heartbeat_deadline_ns=self.now_ns,
+            progress_by_identity={
+                member.identity: FollowerProgress(next_index, last_contact_ns=self.now_ns)
+                for member in self.other_members()
+            },
+        )
         self.append_entry(LogEntry(next_index, self.term, EntryKind.NO_OP))
-        self.heartbeat_deadline_ns = self.now_ns
 
     def reset_identity(self) -> None:
         """Start over under another identity with an empty log.
@@ -303,6 +332,11 @@
         self.committed = []
         return actions
 
+    def _change_role(self, role: RaftRole) -> None:
+        assert role in ROLE_TRANSITIONS[self.role], f"{self.role} to {role}"
+        self.role = role
+        self.leader_state = None
+
     def _to_send_action(self, queued: QueuedMessage) -> SendMessage:
         message = Message(
             VERSION,
--- a/quincepier/consensus/replication.py
+++ b/quincepier/consensus/replication.py
@@ -8,6 +8,7 @@
 
 from quincepier.consensus.actions import EntryCommitted
 from quincepier.consensus.follower_progress import FollowerProgress, ResponseId
+from quincepier.consensus.leader_state import LeaderState
 from quincepier.consensus.messages import (
     MAX_BATCH_BYTES,
     MAX_ENTRIES_PER_MESSAGE,
@@ -23,40 +24,41 @@
 
 def send_due_heartbeats(state: RaftState) -> None:
     """As leader, send heartbeats once their interval is over."""
-    if state.is_leader and state.now_ns >= state.heartbeat_deadline_ns:
-        send_heartbeats(state)
+    leader_state = state.leader_state
+    if leader_state is not None and state.now_ns >= leader_state.heartbeat_deadline_ns:
+        send_heartbeats(state, leader_state)
 
 
-def send_heartbeats(state: RaftState) -> None:
+def send_heartbeats(state: RaftState, leader_state: LeaderState) -> None:
     """Send to each follower what it lacks, or nothing but the commit index."""
-    for receiver in _receivers(state):
-        send_append_entries(state, receiver)
-    state.heartbeat_deadline_ns = state.now_ns + state.config.timeouts.heartbeat_interval_ns
+    for receiver in _receivers(state, leader_state):
+        send_append_entries(state, receiver, leader_state.progress_by_identity[receiver.identity])
+    leader_state.heartbeat_deadline_ns = state.now_ns + state.config.timeouts.heartbeat_interval_ns
 
 
-def send_new_entries(state: RaftState) -> None:
+def send_new_entries(state: RaftState, leader_state: LeaderState) -> None:
     """Send to each follower that has not been sent everything."""
-    for receiver in _receivers(state):
-        if state.progress_by_identity[receiver.identity].next_index <= state.log.last_index:
-            send_append_entries(state, receiver)
+    for receiver in _receivers(state, leader_state):
+        progress = leader_state.progress_by_identity[receiver.identity]
+        if progress.next_index <= state.log.last_index:
+            send_append_entries(state, receiver, progress)
 
 
-def _receivers(state: RaftState) -> list[Member]:
+def _receivers(state: RaftState, leader_state: LeaderState) -> list[Member]:
     """The other voters and those that are being added, as far as their progress is tracked."""
     name_by_identity = {member.identity: member.name for member in state.other_members()}
     for name, announcement in state.announcement_by_name.items():
-        if announcement.identity in state.progress_by_identity:
+        if announcement.identity in leader_state.progress_by_identity:
             name_by_identity.setdefault(announcement.identity, name)
     return [
         Member(name, identity)
         for identity, name in name_by_identity.items()
-        if identity in state.progress_by_identity
+        if identity in leader_state.progress_by_identity
     ]
 
 
-def send_append_entries(state: RaftState, receiver: Member) -> None:
+def send_append_entries(state: RaftState, receiver: Member, progress: FollowerProgress) -> None:
     """Send the next entries to a follower, or the snapshot where they are compacted."""
-    progress = state.progress_by_identity[receiver.identity]
     if progress.next_index <= state.log.snapshot_index:
         _send_snapshot(state, receiver, progress)
         return
@@ -84,7 +86,7 @@
     """Append an entry and send it; False where this voter does not lead or too much is uncommitted."""
     log = state.log
     limits = state.config.limits
-    if not state.is_leader:
+    if state.leader_state is None:
         return False
     uncommitted_entries = log.last_index - state.commit_index
     uncommitted_bytes = log.bytes_after(state.commit_index) + len(data)
@@ -95,7 +97,7 @@
         state.dropped[DropReason.PROPOSAL_LIMIT] += 1
         return False
     state.append_entry(LogEntry(log.last_index + 1, state.term, kind, data, configuration))
-    send_new_entries(state)
+    send_new_entries(state, state.leader_state)
     return True
 
 
@@ -166,7 +168,9 @@
 
 def on_append_entries_response(state: RaftState, message: Message, response: AppendEntriesResponse) -> None:
     """As leader, follow the progress of the sender; one whose log became shorter lost its storage."""
-    progress = state.progress_by_identity.get(message.sender_identity)
+    if state.leader_state is None:
+        return
+    progress = state.leader_state.progress_by_identity.get(message.sender_identity)
     is_unexpected = response.sent_at_ns > state.now_ns or response.match_index > state.log.last_index
     if progress is None or is_unexpected:
         state.dropped[DropReason.UNEXPECTED_RESPONSE] += 1
@@ -184,7 +188,7 @@
         _record_match(progress, response, response_id)
     elif response.sent_at_ns >= progress.rejected_at_ns:
         _move_back(state, progress, response)
-        send_append_entries(state, Member(message.sender_name, message.sender_identity))
+        send_append_entries(state, Member(message.sender_name, message.sender_identity), progress)
 
 
 def _record_match(
@@ -205,21 +209,12 @@
 
 def advance_commit_index(state: RaftState) -> None:
     """As leader, commit up to the highest index on a quorum's disks, if that entry is of its term."""
-    if not state.is_leader:
+    if state.leader_state is None:
         return
-    index = _quorum_match_index(state)
+    index = state.quorum_value(state.persistence.durable_index, lambda progress: progress.match_index)
     if index > state.commit_index and state.log.term_at(index) == state.term:
         commit_up_to(state, index)
-        send_heartbeats(state)
-
-
-def _quorum_match_index(state: RaftState) -> int:
-    match_indexes = [state.persistence.durable_index] if state.is_member else []
-    for member in state.other_members():
-        progress = state.progress_by_identity.get(member.identity)
-        match_indexes.append(progress.match_index if progress is not None else 0)
-    match_indexes.sort(reverse=True)
-    return match_indexes[state.quorum_size - 1] if len(match_indexes) >= state.quorum_size else 0
+        send_heartbeats(state, state.leader_state)
 
 
 def commit_up_to(state: RaftState, index: int) -> None:
--- a/quincepier/lab/explored.py
+++ b/quincepier/lab/explored.py
@@ -89,19 +89,21 @@
 
     def key(self) -> Any:
         s = self.state
+        progress_by_identity = s.leader_state.progress_by_identity if s.leader_state else {}
         progress = frozenset(
             (identity, p.next_index, p.match_index, p.matched_by)
-            for identity, p in s.progress_by_identity.items()
+            for identity, p in progress_by_identity.items()
         )
+        first_index = s.leader_state.first_index if s.leader_state else 0
         hard_state = (s.identity, s.start_count, s.term, s.voted_for)
-        own = (hard_state, s.role, s.leader, s.is_bootstrapped, s.first_index_of_term, s.commit_index)
+        own = (hard_state, s.role, s.leader, s.is_bootstrapped, first_index, s.commit_index)
         pending = tuple(write.durable_index for write in s.persistence.pending)
         log = (s.persistence.durable_index, s.log.snapshot, tuple(s.log.entries), pending)
         others = (
             frozenset(s.deferred_to),
             frozenset(s.votes_granted),
             progress,
-            frozenset(s.start_by_voter.items()),
+            frozenset(s.process_starts.start_by_voter.items()),
             frozenset(s.announcement_by_name.items()),
         )
         return (s.config.name, own, log, others, self.disk, self.writes, self.held)
@@ -118,9 +120,9 @@
     state.committed = list(state.committed)
     state.votes_granted = set(state.votes_granted)
     state.deferred_to = set(state.deferred_to)
-    state.start_by_voter = dict(state.start_by_voter)
+    state.process_starts = copy.deepcopy(state.process_starts)
     state.announcement_by_name = dict(state.announcement_by_name)
-    state.progress_by_identity = {i: copy.copy(p) for i, p in state.progress_by_identity.items()}
+    state.leader_state = copy.deepcopy(state.leader_state)
     state.dropped = Counter()
     # one number for all: only a response of another start can tell of what was forgotten
     state.response_sequence = 0
@@ -228,8 +230,9 @@
                 assert kept is not None
                 disk, actions = kept, voter.on_persisted(NOW, done)
             case "timer":
-                state.election_deadline_ns = state.heartbeat_deadline_ns = NOW
-                state.retry_deadline_ns = NOW
+                state.election_deadline_ns = state.retry_deadline_ns = NOW
+                if state.leader_state is not None:
+                    state.leader_state.heartbeat_deadline_ns = NOW
                 actions = voter.tick(NOW)
             case ("propose", data):
                 actions = voter.propose(NOW, data)
--- a/tests/test_consensus_explored.py
+++ b/tests/test_consensus_explored.py
@@ -76,8 +76,9 @@
 
 def entries_of_earlier_terms_are_committed_by_count(patch: Patch) -> None:
     def advance_commit_index(state: RaftState) -> None:
-        if state.role is RaftRole.LEADER:
-            matches = [progress.match_index for progress in state.progress_by_identity.values()]
+        if state.leader_state is not None:
+            progress_by_identity = state.leader_state.progress_by_identity
+            matches = [progress.match_index for progress in progress_by_identity.values()]
             matches = sorted([state.persistence.durable_index, *matches], reverse=True)
             index = max(state.commit_index, matches[state.quorum_size - 1])
             replication.commit_up_to(state, index)
