--- a/bench/state.py
+++ b/bench/state.py
@@ -19,19 +19,25 @@
 
 from quincepier import interface as io
 from quincepier.interface import EndpointState, UpdateScope
-from quincepier.net.state_persistence import SLICE, stamp
+from quincepier.net.state_persistence import FACTS_PER_SLICE
 from quincepier.policy import Router
 from quincepier.recovery.learned_facts import export_facts, restore_facts
-from quincepier.state import FileSystem, SnapshotStore, StateError, pack_record, unpack_record
-from quincepier.state.learned_state import (
-    LearnedState,
+from quincepier.state import (
+    FileSystem,
+    SnapshotStore,
+    StateError,
+    current_timestamp,
+    pack_record,
+    unpack_record,
+)
+from quincepier.state.fact_conversion import (
     LearnedStateBuilder,
+    MachineIdentity,
     NameMapping,
-    decode,
-    encode,
     facts_from_state,
 )
-from quincepier.state.schema_upgrades import CURRENT
+from quincepier.state.learned_state import LearnedState, decode, encode
+from quincepier.state.schema_upgrades import CURRENT_VERSION
 
 MS, SECOND = 1_000_000, 1_000_000_000
 TURNS = 20
@@ -63,7 +69,10 @@
     made = router(machines)
     classes, kinds = ("a", "b", "c", "d"), ("std", "parent", "origin")
     names = NameMapping(
-        classes, kinds, lambda n: (f"machine-{n:05d}.example", n), lambda host, born: int(host[8:13])
+        classes,
+        kinds,
+        lambda number: MachineIdentity(f"machine-{number:05d}.example", number),
+        lambda identity: int(identity.host[8:13]),
     )
     gather, slices, write, read, lag = (list[float]() for _ in range(5))
     size = 0
@@ -79,23 +88,25 @@
         store = SnapshotStore(FileSystem(Path(folder)))
         store.open()
         for _ in range(TURNS):
-            gathered, began = LearnedStateBuilder(names), time.perf_counter()
+            builder, began = LearnedStateBuilder(names), time.perf_counter()
             since = began
             for n, fact in enumerate(export_facts(made), 1):
-                gathered.add(fact)
-                if n % SLICE == 0:
+                builder.add(fact)
+                if n % FACTS_PER_SLICE == 0:
                     slices.append(time.perf_counter() - since)
                     await asyncio.sleep(0)
                     since = time.perf_counter()
             gather.append(time.perf_counter() - began)
             began = time.perf_counter()
-            size = await asyncio.to_thread(lambda g=gathered: store.save(encode(g.kept("n1", stamp()))))
+            size = await asyncio.to_thread(
+                lambda b=builder: store.save(encode(b.build("n1", current_timestamp())))
+            )
             write.append(time.perf_counter() - began)
             began = time.perf_counter()
-            found = await asyncio.to_thread(store.load)
-            assert found.kept is not None
-            told = list(facts_from_state(found.kept, names))
-            restore_facts(made, told, 0)
+            loaded = await asyncio.to_thread(store.load)
+            assert loaded.state is not None
+            facts = list(facts_from_state(loaded.state, names))
+            restore_facts(made, facts, 0)
             made.lapses.clear()
             read.append(time.perf_counter() - began)
     watching.cancel()
@@ -110,13 +121,15 @@
 def fuzz(seconds: float) -> None:
     """Bytes changed, cut, joined and moved; contents of other shapes under a good checksum."""
     chance, came, inputs = random.Random(1), Counter[str](), 0
-    gathered = LearnedStateBuilder(
-        NameMapping(("a",) * 4, ("std",), lambda n: (f"m{n}", n), lambda host, born: None)
+    builder = LearnedStateBuilder(
+        NameMapping(
+            ("a",) * 4, ("std",), lambda number: MachineIdentity(f"m{number}", number), lambda identity: None
+        )
     )
     for fact in export_facts(router(200)):
-        gathered.add(fact)
-    kept = gathered.kept("n1", stamp())
-    good, plain = pack_record(CURRENT, 3, encode(kept)), msgspec.to_builtins(kept)
+        builder.add(fact)
+    state = builder.build("n1", current_timestamp())
+    good, plain = pack_record(CURRENT_VERSION, 3, encode(state)), msgspec.to_builtins(state)
     odd = [None, -1, 0, 1 << 63, float("nan"), float("inf"), "", "x" * 300, b"\xff", [], {}, [[]], True]
     until = time.perf_counter() + seconds
     while time.perf_counter() < until:
--- a/quincepier/__main__.py
+++ b/quincepier/__main__.py
@@ -93,10 +93,10 @@
 
         return command.run(chosen)
     if chosen["state"]:
-        from quincepier.net.state_persistence import stamp
         from quincepier.state import command as state_command
+        from quincepier.state import current_timestamp
 
-        return state_command.run(chosen, stamp())
+        return state_command.run(chosen, current_timestamp())
     place, operators = chosen["--operator"] or os.environ.get("ROUTER_OPERATOR"), None
     try:
         if place:
--- a/quincepier/lab/powercut.py
+++ b/quincepier/lab/powercut.py
@@ -1,98 +1,146 @@
-"""A disk in memory whose power fails at a chosen system call of a store, and what may be found then."""
+"""A simulated disk whose power fails at a chosen system call, and what may be found on it afterwards."""
 
 from __future__ import annotations
 
 import itertools
 import random
 from collections.abc import Iterator
+from dataclasses import dataclass
+from enum import Enum
 from pathlib import Path
 
 from quincepier.state import FileSystem
 
+MAX_WRITE_BYTES = 60  # few a call, so that one record takes many calls
 
-class Cut(Exception):
-    """The power is gone."""
 
+class PowerCutError(Exception):
+    """The power has failed."""
 
-class PowerDisk(FileSystem):
-    """A disk of which only what was synced is sure, and whose power fails at one system call."""
+
+class UnsyncedWrites(Enum):
+    """What a power cut may leave of writes that were not synced."""
+
+    LOST = "none"
+    COMPLETE = "all"
+    TORN = "torn"  # a prefix
+    HOLE = "hole"  # one of them reads as zeros
+
+
+@dataclass(slots=True, frozen=True)
+class NameChange:
+    """A change of the folder that is not yet synced; `old_name` is empty for a new file."""
+
+    old_name: str
+    inode: int
+    new_name: str
+
+
+class PowerCutDisk(FileSystem):
+    """A disk on which only what was synced is durable.
+
+    Attributes:
+        calls_left: System calls until the power fails; None for never.
+        synced_content: Durable content by inode.
+        unsynced_writes: Later writes by inode.
+        synced_names: Durable names, with their inodes.
+        unsynced_changes: Later changes of names.
+        inode_by_name: Names as the running process sees them.
+    """
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
-        self.left: int | None = None  # system calls until the power is gone; None: it stays
-        self.sure: dict[int, bytes] = {}  # by inode, as synced
-        self.since: dict[int, list[bytes]] = {}  # writes after that
-        self.names: dict[str, int] = {}  # as synced
-        self.renames: list[tuple[str, int, str]] = []  # after that: a name given up, the inode, its new name
-        self.inodes = itertools.count(1)
-        self.now: dict[str, int] = {}
-
-    def step(self) -> None:
-        if self.left is not None:
-            self.left -= 1
-            if self.left < 0:
-                raise Cut
-
-    def take_lock(self) -> None:
-        return
-
-    def read(self, name: str, most: int) -> bytes | None:
-        inode = self.now.get(name)
-        return None if inode is None else (self.sure.get(inode, b"") + b"".join(self.since.get(inode, [])))
+        self.calls_left: int | None = None
+        self.synced_content: dict[int, bytes] = {}
+        self.unsynced_writes: dict[int, list[bytes]] = {}
+        self.synced_names: dict[str, int] = {}
+        self.unsynced_changes: list[NameChange] = []
+        self.inode_by_name: dict[str, int] = {}
+        self._inodes = itertools.count(1)
+
+    def _count_call(self) -> None:
+        if self.calls_left is not None:
+            self.calls_left -= 1
+            if self.calls_left < 0:
+                raise PowerCutError
+
+    def acquire_lock(self) -> None:
+        """Do nothing: one process uses the disk."""
+
+    def read(self, name: str, max_bytes: int) -> bytes | None:
+        """Return the content of a file as the running process sees it."""
+        inode = self.inode_by_name.get(name)
+        if inode is None:
+            return None
+        content = self.synced_content.get(inode, b"") + b"".join(self.unsynced_writes.get(inode, []))
+        return content[: max_bytes + 1]
 
     def create(self, name: str) -> int:
-        self.step()
-        inode = next(self.inodes)
-        self.now[name], self.sure[inode], self.since[inode] = inode, b"", []
-        self.renames.append(("", inode, name))
+        """Create a file; its descriptor is its inode."""
+        self._count_call()
+        inode = next(self._inodes)
+        self.inode_by_name[name] = inode
+        self.synced_content[inode] = b""
+        self.unsynced_writes[inode] = []
+        self.unsynced_changes.append(NameChange("", inode, name))
         return inode
 
     def write(self, fd: int, data: bytes) -> int:
-        self.step()
-        part = data[:60]  # few bytes a call, so that a record takes many
-        self.since[fd].append(part)
-        return len(part)
+        """Write a few bytes."""
+        self._count_call()
+        written = data[:MAX_WRITE_BYTES]
+        self.unsynced_writes[fd].append(written)
+        return len(written)
 
     def sync(self, fd: int) -> None:
-        self.step()
-        self.sure[fd] += b"".join(self.since[fd])
-        self.since[fd] = []
+        """Make the content durable."""
+        self._count_call()
+        self.synced_content[fd] += b"".join(self.unsynced_writes[fd])
+        self.unsynced_writes[fd] = []
 
     def close(self, fd: int) -> None:
-        return
+        """Do nothing."""
 
-    def rename(self, name: str, to: str) -> None:
-        self.step()
-        inode = self.now.pop(name)
-        self.now[to] = inode
-        self.renames.append((name, inode, to))
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename a file; not durable before `sync_folder`."""
+        self._count_call()
+        inode = self.inode_by_name.pop(name)
+        self.inode_by_name[new_name] = inode
+        self.unsynced_changes.append(NameChange(name, inode, new_name))
 
     def sync_folder(self) -> None:
-        self.step()
-        self.names, self.renames = dict(self.now), []
-
-    def afterwards(self, chance: random.Random) -> Iterator[PowerDisk]:
-        """What may be found: each unsynced change of a name there or not, unsynced writes gone, whole, torn,
-        or with a hole where one of them is missing.
-        """
-        for count in range(len(self.renames) + 1):
-            for kept_names in itertools.combinations(self.renames, count):
-                names = dict(self.names)
-                for old, inode, new in kept_names:
-                    names = {n: i for n, i in names.items() if n != old}
-                    names[new] = inode
-                for style in ("none", "all", "torn", "hole"):
-                    after = PowerDisk(self.folder)
+        """Make all names durable."""
+        self._count_call()
+        self.synced_names = dict(self.inode_by_name)
+        self.unsynced_changes = []
+
+    def states_after_cut(self, chance: random.Random) -> Iterator[PowerCutDisk]:
+        """Yield the disks that may be found: any set of the unsynced changes, each fate of the writes."""
+        for count in range(len(self.unsynced_changes) + 1):
+            for changes in itertools.combinations(self.unsynced_changes, count):
+                names = self._names_with(changes)
+                for fate in UnsyncedWrites:
+                    found = PowerCutDisk(self.folder)
                     for name, inode in names.items():
-                        after.now[name], after.sure[inode] = inode, self._content(inode, style, chance)
-                    yield after
-
-    def _content(self, inode: int, style: str, chance: random.Random) -> bytes:
-        late = self.since[inode]
-        if style == "torn" and late:
-            cut = chance.randrange(len(late))
-            late = [*late[:cut], late[cut][: chance.randrange(len(late[cut]) + 1)]]
-        elif style == "hole" and late:
-            gone = chance.randrange(len(late))
-            late = [bytes(len(part)) if n == gone else part for n, part in enumerate(late)]
-        return self.sure[inode] + (b"" if style == "none" else b"".join(late))
+                        found.inode_by_name[name] = inode
+                        found.synced_content[inode] = self._content_after_cut(inode, fate, chance)
+                    yield found
+
+    def _names_with(self, changes: tuple[NameChange, ...]) -> dict[str, int]:
+        names = dict(self.synced_names)
+        for change in changes:
+            names.pop(change.old_name, None)
+            names[change.new_name] = change.inode
+        return names
+
+    def _content_after_cut(self, inode: int, fate: UnsyncedWrites, chance: random.Random) -> bytes:
+        writes = self.unsynced_writes[inode]
+        if fate is UnsyncedWrites.LOST:
+            writes = []
+        elif fate is UnsyncedWrites.TORN and writes:
+            cut = chance.randrange(len(writes))
+            writes = [*writes[:cut], writes[cut][: chance.randrange(len(writes[cut]) + 1)]]
+        elif fate is UnsyncedWrites.HOLE and writes:
+            hole = chance.randrange(len(writes))
+            writes = [bytes(len(data)) if index == hole else data for index, data in enumerate(writes)]
+        return self.synced_content[inode] + b"".join(writes)
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -69,7 +69,7 @@
         signals.tell(lambda: loop.call_soon_threadsafe(self._signalled))
         self.module.begin()
         if self.keeper is not None:
-            await self.keeper.recall()
+            await self.keeper.restore()
         if self.peers is not None:
             await self.peers.start()
         self.watch.start()
@@ -97,7 +97,7 @@
             self.fleet.end()
         if self.keeper is not None and keeping is not None:
             keeping.cancel()
-            await self.keeper.end()
+            await self.keeper.write_final()
         upkeep.cancel()
         actors: list[Actor[Any]] = [self.watch, *self.module.caches.values(), self.module]
         for actor in actors:
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -41,7 +41,7 @@
 from quincepier.rules import LeaseTimings, MachineObservation, RulesError, RuleVersion
 from quincepier.rules import decode as decode_version
 from quincepier.rules import encode as encode_version
-from quincepier.state.snapshot_store import FileSystem
+from quincepier.state.file_system import FileSystem
 from quincepier.state.voter_store import VoterStore
 
 if TYPE_CHECKING:
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -1,191 +1,201 @@
-"""The shell of the package `state`: what was learned is read at the start and written now and then.
+"""Persistence of a front's learned state: restored once at the start, then written periodically.
 
-Reading and writing happen in a thread of their own, so that a disk that hangs delays no request and no end.
-Facts are gathered in slices; a turn of the loop holds few of them.
+The disk is used in threads of their own, so that one that hangs delays no request, start or stop. Facts are
+collected in slices, a few in each turn of the event loop. Whatever fails here, the front serves without it.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-import threading
-import time
-from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 from loguru import logger
 
 from quincepier import clock
+from quincepier.net.daemon_thread import run_in_daemon_thread
 from quincepier.net.module import ModuleActor
 from quincepier.recovery.learned_facts import export_facts, restore_facts
-from quincepier.state import FileSystem, LoadedSnapshot, SnapshotStore, Timestamp, age_of
-from quincepier.state.learned_state import (
-    AddressBackoffRecord,
+from quincepier.state import (
+    FileSystem,
+    LearnedState,
+    LoadedSnapshot,
+    SnapshotStore,
+    age_of,
+    current_timestamp,
+)
+from quincepier.state.fact_conversion import (
     LearnedStateBuilder,
+    MachineIdentity,
     NameMapping,
-    encode,
     facts_from_state,
 )
+from quincepier.state.learned_state import AddressBackoffRecord, encode
 from quincepier.state.section import StateSection
 
-SLICE = 100  # facts gathered in one turn of the loop
-START_WAITS = 0.05  # seconds that a start waits for what is kept
-BOOT = Path("/proc/sys/kernel/random/boot_id")
+FACTS_PER_SLICE = 100  # collected in one turn of the event loop
+LOAD_TIMEOUT_S = 0.05  # that a start waits for the disk
+WRITE_INTERVAL_JITTER = 0.2  # share of the interval by which it varies
+THREAD_NAME = "state"
+MS_PER_S = 1000
 
 
-def stamp() -> Timestamp:
-    """Now, by both clocks."""
-    try:
-        boot = BOOT.read_text().strip()
-    except OSError:
-        boot = ""
-    return Timestamp(max(time.time_ns() // clock.MS, 0), boot, time.clock_gettime_ns(time.CLOCK_BOOTTIME))
+class StatePersistence:
+    """Restores and writes the learned state of one front.
 
+    Args:
+        module: The actor of the router, whose facts are stored.
+        section: The operators' settings of the folder.
 
-class StatePersistence:
-    """One for a front. Whatever fails here, the front serves on without it."""
+    Attributes:
+        is_usable: The folder was opened and read.
+        is_writing: A write is under way.
+    """
 
     def __init__(self, module: ModuleActor, section: StateSection) -> None:
-        self.module, self.checks, self.section = module, module.checks, section
+        self.module = module
+        self.checks = module.checks
+        self.section = section
         self.store = SnapshotStore(FileSystem(Path(section.folder)))
         self.random = random.Random(module.config.seed)
-        self.usable, self.busy = False, False
-
-    def _thread(self, work: Callable[[], Any]) -> asyncio.Future[Any]:
-        """Its outcome; an exception as the result. The thread ends with the process, done or not."""
-        loop = asyncio.get_running_loop()
-        done: asyncio.Future[Any] = loop.create_future()
-
-        def told(outcome: Any) -> None:
-            if not done.done():
-                done.set_result(outcome)
-
-        def body() -> None:
-            try:
-                outcome = work()
-            except Exception as error:
-                outcome = error
-            try:
-                loop.call_soon_threadsafe(told, outcome)
-            except RuntimeError:  # the loop has ended meanwhile
-                return
-
-        threading.Thread(target=body, daemon=True, name="state").start()
-        return done
-
-    # The start
-
-    async def recall(self) -> None:
-        """Tell the module what an earlier start kept, if that can be read in time."""
-        reading = self._thread(self._open)
-        try:
-            found = await asyncio.wait_for(asyncio.shield(reading), START_WAITS)
-        except TimeoutError:
-            self.checks.event("state not used", "it can't be read in time")
-            reading.add_done_callback(lambda done: self._ready(done.result()))
+        self.is_usable = False
+        self.is_writing = False
+
+    # Restore
+
+    async def restore(self) -> None:
+        """Give the router the facts that an earlier start stored, if they can be read in time."""
+        loading = run_in_daemon_thread(self._open_and_load, THREAD_NAME)
+        await asyncio.wait((loading,), timeout=LOAD_TIMEOUT_S)
+        if not loading.done():
+            self.checks.event("state_not_used", "it can't be read in time")
+            loading.add_done_callback(lambda done: self._on_loaded(done.result()))
             return
-        if self._ready(found) and found.kept is not None:
-            self._take(found)
+        loaded = self._on_loaded(loading.result())
+        if loaded is not None and loaded.newest is not None:
+            self._restore_state(loaded.newest.state, loaded.newest.size_bytes)
 
-    def _open(self) -> LoadedSnapshot:
+    def _open_and_load(self) -> LoadedSnapshot:
         self.store.open()
         return self.store.load()
 
-    def _ready(self, found: LoadedSnapshot | Exception) -> bool:
-        """Whether the folder is ours from now on."""
-        if isinstance(found, Exception):
-            self.checks.event("state not used", str(found))
-            return False
-        for name, error in found.faults:
-            self.checks.event("state not used", f"{name}: {error}")
-        if self.store.kept_out:
-            self.checks.event("state not written", self.store.kept_out)
-        self.usable = True
-        return True
-
-    def _take(self, found: LoadedSnapshot) -> None:
-        assert found.kept is not None
-        age = age_of(found.kept.stamp, stamp())
-        if age is None:
-            self.checks.event("state of unknown age", "its clocks are ahead of this machine's")
-        told = list(facts_from_state(found.kept, self._names()))
+    def _on_loaded(self, outcome: LoadedSnapshot | Exception) -> LoadedSnapshot | None:
+        """Take the folder into use, if it could be opened."""
+        if isinstance(outcome, Exception):
+            self.checks.event("state_not_used", str(outcome))
+            return None
+        for fault in outcome.faults:
+            self.checks.event("state_not_used", f"{fault.name}: {fault.error}")
+        if self.store.read_only_reason:
+            self.checks.event("state_not_written", self.store.read_only_reason)
+        self.is_usable = True
+        return outcome
+
+    def _restore_state(self, state: LearnedState, size_bytes: int) -> None:
+        age_ns = age_of(state.written_at, current_timestamp())
+        if age_ns is None:
+            self.checks.event("state_age_unknown", "its clocks are ahead of this machine's")
+        facts = list(facts_from_state(state, self._name_mapping()))
         try:
-            counted = restore_facts(self.module.router, told, age)
-        except Exception as error:  # a defect: the front begins as one that knows nothing
-            self.checks.event("exception as state was recalled", f"{type(error).__name__}: {error}")
+            restored = restore_facts(self.module.router, facts, age_ns)
+        except Exception as error:  # noqa: BLE001 - a defect: the front starts as one without stored state
+            self._report_defect("state_restore_exception", error)
+            return
+        self.checks.count("state_facts_restored", restored)
+        if age_ns is not None:
+            self._restore_address_backoffs(state, age_ns)
+        age_ms = -1 if age_ns is None else age_ns // clock.MS
+        logger.bind(
+            event="state_read", facts=restored, total=len(facts), age_ms=age_ms, size_bytes=size_bytes
+        ).info(
+            "state_read: {} of {} facts count, {} ms old, {} bytes", restored, len(facts), age_ms, size_bytes
+        )
+
+    def _restore_address_backoffs(self, state: LearnedState, age_ns: int) -> None:
+        dialer = self.module.shared.dialer
+        if dialer is None:
             return
-        self.checks.count("facts recalled", counted)
-        if age is not None and self.module.shared.dialer is not None:
-            asides = [(a.host, a.address, a.failures, a.left - age) for a in found.kept.aside]
-            self.checks.count("addresses recalled as set aside", self.module.shared.dialer.recall(asides))
-        ms, size = -1 if age is None else age // clock.MS, found.size
-        bound = logger.bind(event="state read", facts=counted, of=len(told), age_ms=ms, bytes=size)
-        bound.info("state read: {} of {} facts count, {} ms old, {} bytes", counted, len(told), ms, size)
-
-    def _names(self) -> NameMapping:
-        directory, config = self.module.directory, self.module.config
-
-        def machine(number: int) -> tuple[str, int] | None:
+        backoffs = [
+            (record.host, record.address, record.failure_count, record.remaining_ns - age_ns)
+            for record in state.address_backoffs
+        ]
+        self.checks.count("state_addresses_restored", dialer.recall(backoffs))
+
+    def _name_mapping(self) -> NameMapping:
+        directory = self.module.directory
+        config = self.module.config
+
+        def identify(number: int) -> MachineIdentity | None:
             entry = directory.find_entry(number)
-            return None if entry is None else (entry.record.host, entry.record.born_ms)
+            return None if entry is None else MachineIdentity(entry.record.host, entry.record.born_ms)
 
-        def number(host: str, born_ms: int) -> int | None:
-            entry = directory.entry_by_host.get(host)
-            known = entry is not None and entry.record.born_ms == born_ms
-            return entry.machine.cache if entry is not None and known else None
+        def find_number(identity: MachineIdentity) -> int | None:
+            entry = directory.entry_by_host.get(identity.host)
+            if entry is None or entry.record.born_ms != identity.started_at_ms:
+                return None
+            return entry.machine.cache
 
-        return NameMapping(config.classes, config.kinds, machine, number)
+        return NameMapping(config.classes, config.kinds, identify, find_number)
 
-    # Now and then
+    # Periodic writes
 
     async def run(self) -> None:
-        """Write every so many seconds, at moments of this front's own, until it is cancelled."""
+        """Write at intervals with jitter until cancelled."""
         while True:
-            await asyncio.sleep(self.section.every_s * self.random.uniform(0.8, 1.2))
-            if self.busy:
-                self.checks.event("state not written", "the last write is not over")
+            jitter = self.random.uniform(1 - WRITE_INTERVAL_JITTER, 1 + WRITE_INTERVAL_JITTER)
+            await asyncio.sleep(self.section.write_interval_s * jitter)
+            if self.is_writing:
+                self.checks.event("state_not_written", "the last write is not over")
             else:
-                await self._save()
+                await self._start_write()
+
+    async def write_final(self) -> None:
+        """Write once more as the front ends, and wait for it no longer than the section allows."""
+        timeout_ms = self.section.final_write_timeout_ms
+        if timeout_ms and (writing := await self._start_write()) is not None:
+            await asyncio.wait((writing,), timeout=timeout_ms / MS_PER_S)
 
-    async def _save(self) -> asyncio.Future[Any] | None:
-        """A write that has begun; None where there is none, for whatever reason."""
-        if not self.usable or self.busy or self.store.kept_out:
+    async def _start_write(self) -> asyncio.Future[int | Exception] | None:
+        """Start a write and return its future; None if there is none to be done."""
+        if not self.is_usable or self.is_writing or self.store.read_only_reason:
             return None
         try:
-            return self._write(await self._gather())
-        except Exception as error:  # a defect: the next write is tried all the same
-            self.checks.event("exception as state was written", f"{type(error).__name__}: {error}")
+            return self._write(await self._collect_facts())
+        except Exception as error:  # noqa: BLE001 - a defect: the next write is tried all the same
+            self._report_defect("state_write_exception", error)
             return None
 
-    async def _gather(self) -> LearnedStateBuilder:
-        gathered = LearnedStateBuilder(self._names())
-        for n, fact in enumerate(export_facts(self.module.router), 1):
-            gathered.add(fact)
-            if n % SLICE == 0:
+    async def _collect_facts(self) -> LearnedStateBuilder:
+        builder = LearnedStateBuilder(self._name_mapping())
+        for count, fact in enumerate(export_facts(self.module.router), 1):
+            builder.add(fact)
+            if count % FACTS_PER_SLICE == 0:
                 await asyncio.sleep(0)
         if self.module.shared.dialer is not None:
-            for host, address, failures, left in self.module.shared.dialer.aside():
-                gathered.aside.append(AddressBackoffRecord(host, address, failures, left))
-        return gathered
-
-    def _write(self, gathered: LearnedStateBuilder) -> asyncio.Future[Any]:
-        writer, now = self.module.config.name, stamp()
-        writing = self._thread(lambda: self.store.save(encode(gathered.kept(writer, now))))
-        self.busy = True
-
-        def over(done: asyncio.Future[Any]) -> None:
-            self.busy = False
-            outcome = done.result()
-            if isinstance(outcome, Exception):
-                self.checks.event("state not written", str(outcome))
-            else:
-                self.checks.count("state written")
+            for host, address, failure_count, remaining_ns in self.module.shared.dialer.aside():
+                builder.add_address_backoff(AddressBackoffRecord(host, address, failure_count, remaining_ns))
+        return builder
+
+    def _write(self, builder: LearnedStateBuilder) -> asyncio.Future[int | Exception]:
+        writer = self.module.config.name
+        written_at = current_timestamp()
+
+        def save() -> int:
+            return self.store.save(encode(builder.build(writer, written_at)))
 
-        writing.add_done_callback(over)
+        writing = run_in_daemon_thread(save, THREAD_NAME)
+        self.is_writing = True
+        writing.add_done_callback(self._on_written)
         return writing
 
-    async def end(self) -> None:
-        """The last write; an end of the front is held up for no longer than the section says."""
-        if self.section.end_ms and (writing := await self._save()) is not None:
-            await asyncio.wait((writing,), timeout=self.section.end_ms / 1000)
+    def _on_written(self, writing: asyncio.Future[int | Exception]) -> None:
+        self.is_writing = False
+        outcome = writing.result()
+        if isinstance(outcome, Exception):
+            self.checks.event("state_not_written", str(outcome))
+        else:
+            self.checks.count("state_writes")
+
+    def _report_defect(self, event: str, error: Exception) -> None:
+        self.checks.event(event, f"{type(error).__name__}: {error}")
+        logger.opt(exception=error).bind(event=event).debug("{} with its traceback", event)
--- a/quincepier/state/__init__.py
+++ b/quincepier/state/__init__.py
@@ -1,16 +1,24 @@
-"""What a front has learned, kept in a folder over its starts.
+"""What a front has learned, stored in a folder over restarts.
 
-It decides how a record is written and checked (`record.py`), what it holds and how older versions are read
-(`kept.py`, `versions.py`), which of two generations counts and what a cut of power may leave (`store.py`). It
-never decides what an old fact is worth: that is `recovery`'s. Read `store.py` first; docs/state.md.
+`record_format` writes and verifies single records, `learned_state` and `schema_upgrades` define their
+content, `snapshot_store` keeps two generations of it, and `fact_conversion` maps it to the router's facts.
+How much an old fact still counts is decided in `quincepier.recovery`. See docs/state.md.
 """
 
-from quincepier.state.learned_state import LearnedState, MachineRecord, Timestamp, age_of
-from quincepier.state.record_format import RECORD_MOST, RecordFault, StateError, pack_record, unpack_record
-from quincepier.state.snapshot_store import FileSystem, LoadedSnapshot, SnapshotStore
+from quincepier.state.file_system import FileSystem
+from quincepier.state.learned_state import LearnedState, MachineRecord
+from quincepier.state.record_format import (
+    MAX_RECORD_BYTES,
+    RecordFault,
+    StateError,
+    pack_record,
+    unpack_record,
+)
+from quincepier.state.snapshot_store import LoadedSnapshot, SnapshotStore
+from quincepier.state.timestamps import Timestamp, age_of, current_timestamp
 
 __all__ = [
-    "RECORD_MOST",
+    "MAX_RECORD_BYTES",
     "FileSystem",
     "LearnedState",
     "LoadedSnapshot",
@@ -20,6 +28,7 @@
     "StateError",
     "Timestamp",
     "age_of",
+    "current_timestamp",
     "pack_record",
     "unpack_record",
 ]
--- a/quincepier/state/command.py
+++ b/quincepier/state/command.py
@@ -1,108 +1,131 @@
-"""The sub-commands `state show`, `state check` and `state prune`.
-
-Exit codes: 0 all is well, 1 a record can't be used, 2 the folder or the command line is at fault, 3 a record
-is of a newer version, 4 a front has the folder in use (`prune` alone; the others only read).
-"""
+"""The sub-commands `state show`, `state check` and `state prune`."""
 
 from __future__ import annotations
 
 import os
 import sys
 from collections.abc import Mapping
+from enum import IntEnum
 from pathlib import Path
 from typing import Any
 
 import msgspec
 
-from quincepier.state.learned_state import LearnedState, Timestamp, age_of, decode
-from quincepier.state.record_format import RecordFault, StateError, unpack_record
+from quincepier.state.file_system import FileSystem
+from quincepier.state.learned_state import LearnedState
+from quincepier.state.record_format import RecordFault, StateError
 from quincepier.state.snapshot_store import (
-    FILE_MOST,
-    GENERATIONS,
-    NEW,
-    FileSystem,
+    GENERATION_NAMES,
+    TEMPORARY_NAME,
     LoadedSnapshot,
     SnapshotStore,
+    read_generation,
 )
+from quincepier.state.timestamps import Timestamp, age_of
+
+NS_PER_S = 1e9
+
+
+class ExitCode(IntEnum):
+    """Exit codes of the sub-commands; `prune` alone gives LOCKED, as the others only read."""
 
-WELL, DAMAGED, FOLDER, NEWER, LOCKED = range(5)
+    OK = 0
+    UNUSABLE_RECORD = 1
+    UNUSABLE_FOLDER = 2
+    NEWER_VERSION = 3
+    LOCKED = 4
 
 
-def _code(found: LoadedSnapshot) -> int:
-    faults = {error.fault for _, error in found.faults}
-    return NEWER if RecordFault.NEWER in faults else DAMAGED if faults else WELL
+def _exit_code(loaded: LoadedSnapshot) -> ExitCode:
+    faults = {fault.error.fault for fault in loaded.faults}
+    if RecordFault.NEWER_VERSION in faults:
+        return ExitCode.NEWER_VERSION
+    return ExitCode.UNUSABLE_RECORD if faults else ExitCode.OK
 
 
-def _age(kept: LearnedState, now: Timestamp) -> str:
-    age = age_of(kept.stamp, now)
-    return "of unknown age" if age is None else f"{age / 1e9:.1f} s old"
+def _describe_age(state: LearnedState, now: Timestamp) -> str:
+    age_ns = age_of(state.written_at, now)
+    return "of unknown age" if age_ns is None else f"{age_ns / NS_PER_S:.1f} s old"
 
 
-def _read(folder: Path) -> tuple[LoadedSnapshot, FileSystem]:
+def _open_files(folder: Path) -> FileSystem:
     if not folder.is_dir():
-        raise StateError(RecordFault.FOLDER, f"{folder} is no folder")
-    files = FileSystem(folder)
-    return SnapshotStore(files).load(), files
+        raise StateError(RecordFault.UNUSABLE_FOLDER, f"{folder} is no folder")
+    return FileSystem(folder)
 
 
-def show(folder: Path, now: Timestamp) -> int:
-    """The newest whole record, as JSON on the standard output."""
-    found, _ = _read(folder)
-    for name, error in found.faults:
-        print(f"quincepier: {name}: {error}", file=sys.stderr)
-    if found.kept is None:
+def show(folder: Path, now: Timestamp) -> ExitCode:
+    """Print the newest whole generation as JSON, and faults on the standard error."""
+    loaded = SnapshotStore(_open_files(folder)).load()
+    for fault in loaded.faults:
+        print(f"quincepier: {fault.name}: {fault.error}", file=sys.stderr)
+    newest = loaded.newest
+    if newest is None:
         print(f"quincepier: {folder} holds no record that can be read", file=sys.stderr)
-        return _code(found) or DAMAGED
-    about = {"version": found.version, "sequence": found.sequence, "bytes": found.size}
-    whole = about | {"age": _age(found.kept, now), "content": msgspec.to_builtins(found.kept)}
-    sys.stdout.buffer.write(msgspec.json.format(msgspec.json.encode(whole), indent=1) + b"\n")
-    return _code(found)
-
-
-def check(folder: Path, now: Timestamp) -> int:
-    """A line for each generation."""
-    found, files = _read(folder)
-    for name in GENERATIONS:
-        fault = next((error for at, error in found.faults if at == name), None)
-        raw = files.read(name, FILE_MOST) if fault is None else None
-        if fault is not None:
-            print(f"{name}: {fault}")
-        elif raw is None:
+        return _exit_code(loaded) or ExitCode.UNUSABLE_RECORD
+    shown = {
+        "version": newest.version,
+        "sequence": newest.sequence,
+        "bytes": newest.size_bytes,
+        "age": _describe_age(newest.state, now),
+        "content": msgspec.to_builtins(newest.state),
+    }
+    sys.stdout.buffer.write(msgspec.json.format(msgspec.json.encode(shown), indent=1) + b"\n")
+    return _exit_code(loaded)
+
+
+def check(folder: Path, now: Timestamp) -> ExitCode:
+    """Print a line for each generation."""
+    files = _open_files(folder)
+    loaded = SnapshotStore(files).load()
+    error_by_name = {fault.name: fault.error for fault in loaded.faults}
+    for name in GENERATION_NAMES:
+        if (error := error_by_name.get(name)) is not None:
+            print(f"{name}: {error}")
+        elif (generation := read_generation(files, name)) is None:
             print(f"{name}: not there")
         else:
-            version, sequence, content = unpack_record(raw)
-            kept = decode(version, content)
-            print(
-                f"{name}: whole, version {version}, sequence {sequence}, {len(raw)} bytes, {_age(kept, now)}"
-            )
-    return _code(found)
+            numbers = f"version {generation.version}, sequence {generation.sequence}"
+            age = _describe_age(generation.state, now)
+            print(f"{name}: whole, {numbers}, {generation.size_bytes} bytes, {age}")
+    return _exit_code(loaded)
 
 
-def prune(folder: Path, now: Timestamp) -> int:
-    """Take away what can't be used and what was left half written; newer versions stay."""
-    found, files = _read(folder)
+def prune(folder: Path, now: Timestamp) -> ExitCode:  # noqa: ARG001, all three take the same
+    """Remove generations that can't be used, and a half-written file; newer versions stay."""
+    files = _open_files(folder)
+    loaded = SnapshotStore(files).load()
     store = SnapshotStore(files)
     store.open()
     try:
-        for name, error in found.faults:
-            if error.fault is not RecordFault.NEWER:
-                files.remove(name)
-                print(f"{name}: taken away: {error}")
-        if (folder / NEW).exists():
-            files.remove(NEW)
-            print(f"{NEW}: taken away: half written")
+        for fault in loaded.faults:
+            if fault.error.fault is not RecordFault.NEWER_VERSION:
+                files.remove(fault.name)
+                print(f"{fault.name}: taken away: {fault.error}")
+        if (folder / TEMPORARY_NAME).exists():
+            files.remove(TEMPORARY_NAME)
+            print(f"{TEMPORARY_NAME}: taken away: half written")
         files.sync_folder()
     except OSError as error:
-        raise StateError(RecordFault.FOLDER, os.strerror(error.errno or 0)) from None
+        raise StateError(RecordFault.UNUSABLE_FOLDER, os.strerror(error.errno or 0)) from None
     finally:
         store.close()
-    return NEWER if _code(found) == NEWER else WELL
+    return ExitCode.NEWER_VERSION if _exit_code(loaded) is ExitCode.NEWER_VERSION else ExitCode.OK
+
+
+SUB_COMMANDS = {"show": show, "check": check, "prune": prune}
+
 
+def run(arguments: Mapping[str, Any], now: Timestamp) -> ExitCode:
+    """Run the sub-command that the parsed command line names.
 
-def run(chosen: Mapping[str, Any], now: Timestamp) -> int:
-    what = next(work for name, work in (("show", show), ("check", check), ("prune", prune)) if chosen[name])
+    Args:
+        arguments: The command line, by docopt's names.
+        now: The present moment.
+    """
+    sub_command = next(function for name, function in SUB_COMMANDS.items() if arguments[name])
     try:
-        return what(Path(chosen["FOLDER"]), now)
+        return sub_command(Path(arguments["FOLDER"]), now)
     except StateError as error:
         print(f"quincepier: {error}", file=sys.stderr)
-        return LOCKED if error.fault is RecordFault.LOCKED else FOLDER
+        return ExitCode.LOCKED if error.fault is RecordFault.LOCKED else ExitCode.UNUSABLE_FOLDER
--- a/quincepier/state/record_format.py
+++ b/quincepier/state/record_format.py
@@ -1,13 +1,14 @@
-"""One record: a fixed head, then msgpack, compressed where that is worth it. Bytes in, bytes out; no I/O.
+"""The format of one stored record: a fixed header with a checksum, then msgpack, compressed where it pays.
 
-Head, little-endian: magic `qpst`, version of the content, flags, sequence, length as stored and as taken
-apart; then xxh3-128 over the head and all that follows. What is not whole, or not ours, is one StateError.
+The header is little-endian: magic `qpst`, version of the content, flags, sequence number, length as stored,
+length of the content; then the xxh3-128 digest of the header and all that follows. Nothing here does I/O.
 """
 
 from __future__ import annotations
 
 import struct
 from enum import Enum
+from typing import NamedTuple
 
 import xxhash
 import zstandard
@@ -15,77 +16,119 @@
 from quincepier.errors import QuincepierError
 
 MAGIC = b"qpst"
-HEAD = struct.Struct("<4sHHQII")
-DIGEST = 16
-ZSTD = 1  # flag: the content is compressed
-COMPRESS_FROM = 4096  # bytes; below it compressing costs more than it saves
-RECORD_MOST = 16 * 1024 * 1024  # bytes of a record, and of its content as it is taken apart
+HEADER = struct.Struct("<4sHHQII")
+FLAGS_OFFSET = 6
+STORED_LENGTH_OFFSET = HEADER.size - 8
+DIGEST_BYTES = 16
+CONTENT_OFFSET = HEADER.size + DIGEST_BYTES
+FLAG_ZSTD = 1  # the content is compressed
+ZSTD_LEVEL = 1
+MIN_COMPRESSED_BYTES = 4096  # compressing less costs more than it saves
+MAX_RECORD_BYTES = 16 * 1024 * 1024  # of the content, stored and decompressed
+MAX_FILE_BYTES = CONTENT_OFFSET + MAX_RECORD_BYTES
 
 
 class RecordFault(Enum):
-    """Why a record, or the folder, can't be used."""
+    """Why a record, or its folder, can't be used; the value is the text that operators read."""
 
-    SHORT = "cut short"
-    FOREIGN = "no record of quincepier"
+    TRUNCATED = "cut short"
+    UNKNOWN_FORMAT = "no record of quincepier"
     DAMAGED = "damaged"
-    LARGE = "too large"
-    NEWER = "of a newer version"
-    CONTENT = "content that can't be read"
+    TOO_LARGE = "too large"
+    NEWER_VERSION = "of a newer version"
+    INVALID_CONTENT = "content that can't be read"
     LOCKED = "in use by another front"
-    FOLDER = "the folder can't be used"
+    UNUSABLE_FOLDER = "the folder can't be used"
 
 
 class StateError(QuincepierError):
-    """The one error of this package: what is wrong, and at which byte where that can be told (else -1)."""
+    """The error of this package.
+
+    Attributes:
+        fault: What is wrong.
+        offset: The byte at which it is wrong, -1 where unknown.
+    """
 
     code = "QP-STATE"
     remedy = "see `quincepier state check FOLDER`; `state prune` takes away what is damaged"
 
     def __init__(self, fault: RecordFault, detail: str = "", offset: int = -1) -> None:
-        at = f" at byte {offset}" if offset >= 0 else ""
-        super().__init__(f"{fault.value}{at}{': ' if detail else ''}{detail}")
-        self.fault, self.offset = fault, offset
+        position = f" at byte {offset}" if offset >= 0 else ""
+        super().__init__(f"{fault.value}{position}{': ' if detail else ''}{detail}")
+        self.fault = fault
+        self.offset = offset
+
+
+class Record(NamedTuple):
+    """A record as read.
+
+    Attributes:
+        version: Version of the content.
+        sequence: Grows by one with each write.
+        content: The content, decompressed.
+    """
+
+    version: int
+    sequence: int
+    content: bytes
 
 
 def pack_record(version: int, sequence: int, content: bytes) -> bytes:
-    """A record of this content; StateError where it is too large."""
-    if len(content) > RECORD_MOST:
-        raise StateError(RecordFault.LARGE, f"{len(content)} bytes")
-    stored, flags = content, 0
-    if len(content) >= COMPRESS_FROM:
-        stored, flags = zstandard.ZstdCompressor(level=1).compress(content), ZSTD
-    head = HEAD.pack(MAGIC, version, flags, sequence, len(stored), len(content))
-    return head + xxhash.xxh3_128_digest(head + stored) + stored
-
-
-def unpack_record(raw: bytes) -> tuple[int, int, bytes]:
-    """(version, sequence, content) of a whole record; StateError for any other bytes."""
-    if len(raw) < HEAD.size + DIGEST:
-        raise StateError(RecordFault.SHORT, f"{len(raw)} bytes", len(raw))
-    magic, version, flags, sequence, stored, whole = HEAD.unpack_from(raw)
+    """Return the bytes of a record.
+
+    Raises:
+        StateError: The content is too large.
+    """
+    if len(content) > MAX_RECORD_BYTES:
+        raise StateError(RecordFault.TOO_LARGE, f"{len(content)} bytes")
+    stored = content
+    flags = 0
+    if len(content) >= MIN_COMPRESSED_BYTES:
+        stored = zstandard.ZstdCompressor(level=ZSTD_LEVEL).compress(content)
+        flags = FLAG_ZSTD
+    header = HEADER.pack(MAGIC, version, flags, sequence, len(stored), len(content))
+    return header + xxhash.xxh3_128_digest(header + stored) + stored
+
+
+def unpack_record(raw: bytes) -> Record:
+    """Read the bytes of one whole record.
+
+    Raises:
+        StateError: For any other bytes.
+    """
+    if len(raw) < CONTENT_OFFSET:
+        raise StateError(RecordFault.TRUNCATED, f"{len(raw)} bytes", len(raw))
+    magic, version, flags, sequence, stored_length, content_length = HEADER.unpack_from(raw)
     if magic != MAGIC:
-        raise StateError(RecordFault.FOREIGN, repr(raw[:4]), 0)
-    if max(stored, whole) > RECORD_MOST:
-        raise StateError(RecordFault.LARGE, f"{max(stored, whole)} bytes", HEAD.size - 8)
-    body = raw[HEAD.size + DIGEST :]
-    if len(body) < stored:
-        raise StateError(RecordFault.SHORT, f"{len(body)} of {stored} bytes", len(raw))
-    if len(body) > stored:
-        raise StateError(RecordFault.DAMAGED, "bytes after its end", HEAD.size + DIGEST + stored)
-    if xxhash.xxh3_128_digest(raw[: HEAD.size] + body) != raw[HEAD.size : HEAD.size + DIGEST]:
+        raise StateError(RecordFault.UNKNOWN_FORMAT, repr(raw[:4]), 0)
+    stored = _checked_body(raw, stored_length, content_length)
+    if flags & ~FLAG_ZSTD:
+        raise StateError(RecordFault.NEWER_VERSION, f"flags {flags:#x}", FLAGS_OFFSET)
+    content = _decompress(stored, content_length) if flags & FLAG_ZSTD else stored
+    if len(content) != content_length:
+        raise StateError(RecordFault.DAMAGED, f"{len(content)} bytes in place of {content_length}")
+    return Record(version, sequence, content)
+
+
+def _checked_body(raw: bytes, stored_length: int, content_length: int) -> bytes:
+    """Return what follows the header, once its lengths and the digest have been verified."""
+    claimed = max(stored_length, content_length)
+    if claimed > MAX_RECORD_BYTES:
+        raise StateError(RecordFault.TOO_LARGE, f"{claimed} bytes", STORED_LENGTH_OFFSET)
+    stored = raw[CONTENT_OFFSET:]
+    if len(stored) < stored_length:
+        raise StateError(RecordFault.TRUNCATED, f"{len(stored)} of {stored_length} bytes", len(raw))
+    if len(stored) > stored_length:
+        raise StateError(RecordFault.DAMAGED, "bytes after its end", CONTENT_OFFSET + stored_length)
+    if xxhash.xxh3_128_digest(raw[: HEADER.size] + stored) != raw[HEADER.size : CONTENT_OFFSET]:
         raise StateError(RecordFault.DAMAGED, "the checksum differs")
-    if flags & ~ZSTD:
-        raise StateError(RecordFault.NEWER, f"flags {flags:#x}", 6)
-    content = _inflate(body, whole) if flags & ZSTD else body
-    if len(content) != whole:
-        raise StateError(RecordFault.DAMAGED, f"{len(content)} bytes in place of {whole}")
-    return version, sequence, content
+    return stored
 
 
-def _inflate(body: bytes, whole: int) -> bytes:
-    """At most one byte more than was told, whatever the frame says of itself."""
+def _decompress(stored: bytes, content_length: int) -> bytes:
+    """Decompress at most one byte more than the header claims, whatever the frame says of its size."""
     try:
-        with zstandard.ZstdDecompressor(max_window_size=RECORD_MOST).stream_reader(body) as reader:
-            return reader.read(whole + 1)
+        with zstandard.ZstdDecompressor(max_window_size=MAX_RECORD_BYTES).stream_reader(stored) as reader:
+            return reader.read(content_length + 1)
     except (zstandard.ZstdError, MemoryError) as error:
         raise StateError(RecordFault.DAMAGED, str(error)) from None
--- a/quincepier/state/schema_upgrades.py
+++ b/quincepier/state/schema_upgrades.py
@@ -1,25 +1,28 @@
-"""Older versions of a record's content, brought up one step at a time. Pure: plain values in and out."""
+"""Upgrades of a record's content from older schema versions, one version at a time, on plain values."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
 from typing import Any
 
-CURRENT = 2
+CURRENT_VERSION = 2
 
 
 def upgrade_from_1(content: dict[str, Any]) -> dict[str, Any]:
-    """Version 1 knew nothing of addresses."""
+    """Add the address backoffs, which version 1 did not have."""
     return {**content, "aside": ()}
 
 
-STEPS: Mapping[int, Callable[[dict[str, Any]], dict[str, Any]]] = {
-    1: upgrade_from_1
-}  # by the version they read
+UPGRADE_BY_VERSION: Mapping[int, Callable[[dict[str, Any]], dict[str, Any]]] = {1: upgrade_from_1}
+"""By the version that is read; each gives the content of the next version."""
 
 
 def upgrade(version: int, content: Any) -> Any:
-    """Content of a version of ours as the current one has it; KeyError where there is no such step."""
-    for n in range(version, CURRENT):
-        content = STEPS[n](dict(content))
+    """Upgrade content of `version` to the current schema.
+
+    Raises:
+        KeyError: There is no upgrade from that version.
+    """
+    for older in range(version, CURRENT_VERSION):
+        content = UPGRADE_BY_VERSION[older](dict(content))
     return content
--- a/quincepier/state/section.py
+++ b/quincepier/state/section.py
@@ -1,4 +1,4 @@
-"""The section `state` of the operators' file: where what was learned is kept, and how often."""
+"""The section `state` of the operators' file: the folder for learned state, and how often it is written."""
 
 from __future__ import annotations
 
@@ -8,12 +8,23 @@
 import msgspec
 
 
-class StateSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A folder of this front alone. The last write, as a front ends, is waited for `end_ms` at most."""
+class StateSection(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"write_interval_s": "every_s", "final_write_timeout_ms": "end_ms"},
+):
+    """The section's keys.
+
+    Attributes:
+        folder: Absolute path of a folder that no other front uses.
+        write_interval_s: Mean seconds between two writes (`every_s`).
+        final_write_timeout_ms: How long a front that ends waits for its last write (`end_ms`); 0: none.
+    """
 
     folder: Annotated[str, msgspec.Meta(min_length=1, max_length=4096)]
-    every_s: Annotated[float, msgspec.Meta(ge=0.1, le=3600)] = 2
-    end_ms: Annotated[float, msgspec.Meta(ge=0, le=1000)] = 200
+    write_interval_s: Annotated[float, msgspec.Meta(ge=0.1, le=3600)] = 2
+    final_write_timeout_ms: Annotated[float, msgspec.Meta(ge=0, le=1000)] = 200
 
     def __post_init__(self) -> None:
         if "\0" in self.folder or not Path(self.folder).is_absolute():
--- a/quincepier/state/snapshot_store.py
+++ b/quincepier/state/snapshot_store.py
@@ -1,176 +1,172 @@
-"""The folder: two generations of one record, a lock, and the steps of a write that a cut of power may stop.
+"""The snapshot store: two generations of one record in a folder, of which the newest whole one counts.
 
-A write goes to a file beside, is synced, takes the place of the older generation, and the folder is synced.
-So one whole generation is there at each moment, and the newest whole one counts. Blocking: for a thread.
+A write replaces the older generation atomically, so one whole generation is there at each moment, whatever
+a power cut leaves of the other. All calls block; they belong in a worker thread.
 """
 
 from __future__ import annotations
 
-import contextlib
 import errno
-import fcntl
 import os
 from dataclasses import dataclass, field
-from pathlib import Path
 
+from quincepier.state.file_system import FileSystem
 from quincepier.state.learned_state import LearnedState, decode
 from quincepier.state.record_format import (
-    DIGEST,
-    HEAD,
-    RECORD_MOST,
+    MAX_FILE_BYTES,
     RecordFault,
     StateError,
     pack_record,
     unpack_record,
 )
-from quincepier.state.schema_upgrades import CURRENT
+from quincepier.state.schema_upgrades import CURRENT_VERSION
 
-GENERATIONS = ("learned.0", "learned.1")
-NEW, LOCK = "learned.new", "lock"
-FILE_MOST = HEAD.size + DIGEST + RECORD_MOST
+GENERATION_NAMES = ("learned.0", "learned.1")
+TEMPORARY_NAME = "learned.new"
+READ_ONLY_ERRORS = (errno.EACCES, errno.EPERM, errno.EROFS)
 
 
-class FileSystem:
-    """The system calls that a store makes, in one folder. OSError as they raise it."""
+@dataclass(slots=True, frozen=True)
+class Generation:
+    """One whole generation as read.
 
-    def __init__(self, folder: Path) -> None:
-        self.folder = folder
-        self.lock: int | None = None
+    Attributes:
+        name: Its file's name.
+        state: The learned state in it, upgraded to the current schema.
+        version: The schema version that was stored.
+        sequence: Sequence number of the write.
+        size_bytes: Size of the file.
+    """
 
-    def read(self, name: str, most: int) -> bytes | None:
-        """At most so many bytes and one; None where there is no such file."""
-        try:
-            with (self.folder / name).open("rb", buffering=0) as file:
-                parts, left = list[bytes](), most + 1
-                while left > 0 and (part := file.read(min(left, 1 << 20))):
-                    parts.append(part)
-                    left -= len(part)
-                return b"".join(parts)
-        except FileNotFoundError:
-            return None
+    name: str
+    state: LearnedState
+    version: int
+    sequence: int
+    size_bytes: int
 
-    def create(self, name: str) -> int:
-        return os.open(self.folder / name, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
 
-    def write(self, fd: int, data: bytes) -> int:
-        return os.write(fd, data)
+@dataclass(slots=True, frozen=True)
+class GenerationFault:
+    """A generation that can't be used: its file's name, and why."""
 
-    def sync(self, fd: int) -> None:
-        os.fsync(fd)
+    name: str
+    error: StateError
 
-    def close(self, fd: int) -> None:
-        os.close(fd)
 
-    def rename(self, name: str, to: str) -> None:
-        os.rename(self.folder / name, self.folder / to)
+@dataclass(slots=True)
+class LoadedSnapshot:
+    """What a folder holds.
 
-    def sync_folder(self) -> None:
-        fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        try:
-            os.fsync(fd)
-        finally:
-            os.close(fd)
+    Attributes:
+        newest: The newest whole generation, if any.
+        faults: Generations that can't be used.
+    """
 
-    def remove(self, name: str) -> None:
-        with contextlib.suppress(FileNotFoundError):
-            os.unlink(self.folder / name)
+    newest: Generation | None = None
+    faults: list[GenerationFault] = field(default_factory=list)
 
-    def take_lock(self) -> None:
-        """Held until the process ends; BlockingIOError where another has it."""
-        self.lock = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
-            self.let_go()
-            raise
+    @property
+    def state(self) -> LearnedState | None:
+        """The learned state of the newest whole generation, if any."""
+        return None if self.newest is None else self.newest.state
 
-    def let_go(self) -> None:
-        if self.lock is not None:
-            os.close(self.lock)
-            self.lock = None
 
+def read_generation(files: FileSystem, name: str) -> Generation | None:
+    """Read one generation; None if there is no such file.
 
-@dataclass(slots=True)
-class LoadedSnapshot:
-    """The newest whole record, if any, and what was wrong with others, by file."""
-
-    kept: LearnedState | None = None
-    sequence: int = 0
-    version: int = 0
-    size: int = 0
-    faults: list[tuple[str, StateError]] = field(default_factory=list)
+    Raises:
+        StateError: The file can't be read or is not a whole record of a known version.
+    """
+    try:
+        raw = files.read(name, MAX_FILE_BYTES)
+    except OSError as error:
+        raise StateError(RecordFault.UNUSABLE_FOLDER, os.strerror(error.errno or 0)) from None
+    if raw is None:
+        return None
+    if len(raw) > MAX_FILE_BYTES:
+        raise StateError(RecordFault.TOO_LARGE, f"over {MAX_FILE_BYTES} bytes")
+    record = unpack_record(raw)
+    state = decode(record.version, record.content)
+    return Generation(name, state, record.version, record.sequence, len(raw))
 
 
 class SnapshotStore:
-    """One folder in use by one front. What it can't do is a StateError; nothing else is raised."""
+    """The snapshots of one front, in a folder of its own. Every failure is a StateError.
+
+    Attributes:
+        sequence: Sequence number of the newest whole generation, 0 for none.
+        next_generation: Index of the generation that the next write replaces.
+        read_only_reason: Why nothing may be written; empty if writing is allowed.
+    """
 
     def __init__(self, files: FileSystem) -> None:
         self.files = files
         self.sequence = 0
-        self.place = 0  # of the generation to be written next
-        self.kept_out = ""  # why nothing may be written
+        self.next_generation = 0
+        self.read_only_reason = ""
 
     def open(self) -> None:
-        """Take the folder for this process; StateError where another has it, or there is none."""
+        """Create the folder where missing and lock it for this process; a read-only folder is accepted.
+
+        Raises:
+            StateError: Another process holds the folder, or it can't be used.
+        """
+        folder = self.files.folder
         try:
-            self.files.folder.mkdir(parents=True, exist_ok=True)
-            self.files.take_lock()
+            folder.mkdir(parents=True, exist_ok=True)
+            self.files.acquire_lock()
         except BlockingIOError:
-            raise StateError(RecordFault.LOCKED, str(self.files.folder)) from None
+            raise StateError(RecordFault.LOCKED, str(folder)) from None
         except OSError as error:
-            if error.errno in (errno.EACCES, errno.EPERM, errno.EROFS) and self.files.folder.is_dir():
-                self.kept_out = "the folder is read-only"  # it can still be read
+            if error.errno in READ_ONLY_ERRORS and folder.is_dir():
+                self.read_only_reason = "the folder is read-only"
                 return
-            raise StateError(
-                RecordFault.FOLDER, f"{self.files.folder}: {os.strerror(error.errno or 0)}"
-            ) from None
+            reason = os.strerror(error.errno or 0)
+            raise StateError(RecordFault.UNUSABLE_FOLDER, f"{folder}: {reason}") from None
 
     def load(self) -> LoadedSnapshot:
-        """Never raises: what can't be used is told, and left alone where it is of a newer version."""
-        found, newest = LoadedSnapshot(), -1
-        for place, name in enumerate(GENERATIONS):
+        """Read both generations. Faults are returned; one of a newer version is never overwritten."""
+        loaded = LoadedSnapshot()
+        for index, name in enumerate(GENERATION_NAMES):
             try:
-                raw = self.files.read(name, FILE_MOST)
-                if raw is None:
-                    continue
-                if len(raw) > FILE_MOST:
-                    raise StateError(RecordFault.LARGE, f"over {FILE_MOST} bytes")
-                version, sequence, content = unpack_record(raw)
-                kept = decode(version, content)
+                generation = read_generation(self.files, name)
             except StateError as error:
-                found.faults.append((name, error))
-                if error.fault is RecordFault.NEWER:
-                    self.kept_out = f"{name} is {error}"
+                loaded.faults.append(GenerationFault(name, error))
+                if error.fault is RecordFault.NEWER_VERSION:
+                    self.read_only_reason = f"{name} is {error}"
                 continue
-            except OSError as error:
-                found.faults.append((name, StateError(RecordFault.FOLDER, os.strerror(error.errno or 0))))
+            if generation is None:
                 continue
-            if sequence > newest:
-                newest, self.place = sequence, 1 - place
-                found.kept, found.sequence, found.version, found.size = kept, sequence, version, len(raw)
-        self.sequence = max(newest, 0)
-        return found
-
-    def save(self, content: bytes, version: int = CURRENT) -> int:
-        """Write the next generation; its bytes. StateError where it can't be done: the older one stays."""
-        if self.kept_out:
-            raise StateError(RecordFault.FOLDER, self.kept_out)
+            if loaded.newest is None or generation.sequence > loaded.newest.sequence:
+                loaded.newest = generation
+                self.next_generation = 1 - index
+        self.sequence = loaded.newest.sequence if loaded.newest is not None else 0
+        return loaded
+
+    def save(self, content: bytes, version: int = CURRENT_VERSION) -> int:
+        """Write the next generation; it is durable on return.
+
+        Args:
+            content: The encoded state.
+            version: Its schema version.
+
+        Returns:
+            The size of the file in bytes.
+
+        Raises:
+            StateError: The write failed or is not allowed; the older generation is as it was.
+        """
+        if self.read_only_reason:
+            raise StateError(RecordFault.UNUSABLE_FOLDER, self.read_only_reason)
         record = pack_record(version, self.sequence + 1, content)
         try:
-            fd = self.files.create(NEW)
-            try:
-                rest = memoryview(record)
-                while rest:
-                    rest = rest[self.files.write(fd, bytes(rest[: 1 << 20])) :]
-                self.files.sync(fd)
-            finally:
-                self.files.close(fd)
-            self.files.rename(NEW, GENERATIONS[self.place])
-            self.files.sync_folder()
+            self.files.replace_file(GENERATION_NAMES[self.next_generation], TEMPORARY_NAME, record)
         except OSError as error:
-            raise StateError(RecordFault.FOLDER, os.strerror(error.errno or 0)) from None
-        self.sequence, self.place = self.sequence + 1, 1 - self.place
+            raise StateError(RecordFault.UNUSABLE_FOLDER, os.strerror(error.errno or 0)) from None
+        self.sequence += 1
+        self.next_generation = 1 - self.next_generation
         return len(record)
 
     def close(self) -> None:
-        self.files.let_go()
+        """Unlock the folder."""
+        self.files.release_lock()
--- a/quincepier/state/voter_store.py
+++ b/quincepier/state/voter_store.py
@@ -17,22 +17,19 @@
 
 import msgspec
 
+from quincepier.state.file_system import FileSystem
 from quincepier.state.record_format import (
-    DIGEST,
-    HEAD,
-    RECORD_MOST,
+    CONTENT_OFFSET,
+    MAX_FILE_BYTES,
     RecordFault,
     StateError,
     pack_record,
     unpack_record,
 )
-from quincepier.state.snapshot_store import FileSystem
 from quincepier.state.voter_records import Record, Snapshot, VoterState, apply_records
 
 FILE_NAME = "voter"
 TEMPORARY_FILE_NAME = "voter.new"
-MAX_FILE_BYTES = HEAD.size + DIGEST + RECORD_MOST
-WRITE_CHUNK_BYTES = 1 << 20
 VERSION = 1
 REMEDY = "put this voter's folder aside and start it with an empty one: the other voters take it in anew"
 
@@ -62,7 +59,7 @@
         """
         try:
             self.files.folder.mkdir(parents=True, exist_ok=True)
-            self.files.take_lock()
+            self.files.acquire_lock()
         except BlockingIOError:
             detail = f"{self.files.folder}; give each voter a folder of its own"
             raise StateError(RecordFault.LOCKED, detail) from None
@@ -98,13 +95,13 @@
             StateError: If the write failed; the file is then as before or as asked.
         """
         if not self.is_loaded:
-            raise StateError(RecordFault.FOLDER, f"{self._path} was not read")
+            raise StateError(RecordFault.UNUSABLE_FOLDER, f"{self._path} was not read")
         saved = apply_records(self.saved, records)
         if saved is None:
-            raise StateError(RecordFault.CONTENT, "records without a hard state")
+            raise StateError(RecordFault.INVALID_CONTENT, "records without a hard state")
         content = pack_record(VERSION, self.sequence + 1, _encode(saved))
         try:
-            self._replace_file(content)
+            self.files.replace_file(FILE_NAME, TEMPORARY_FILE_NAME, content)
         except OSError as error:
             raise self._unusable_folder(error) from None
         self.saved = saved
@@ -113,45 +110,32 @@
 
     def close(self) -> None:
         """Unlock the folder."""
-        self.files.let_go()
+        self.files.release_lock()
 
     @property
     def _path(self) -> Path:
         return self.files.folder / FILE_NAME
 
-    def _replace_file(self, content: bytes) -> None:
-        fd = self.files.create(TEMPORARY_FILE_NAME)
-        try:
-            remaining = memoryview(content)
-            while remaining:
-                written = self.files.write(fd, bytes(remaining[:WRITE_CHUNK_BYTES]))
-                remaining = remaining[written:]
-            self.files.sync(fd)
-        finally:
-            self.files.close(fd)
-        self.files.rename(TEMPORARY_FILE_NAME, FILE_NAME)
-        self.files.sync_folder()
-
     def _unusable_folder(self, error: OSError) -> StateError:
         is_full = error.errno in (errno.ENOSPC, errno.EDQUOT)
         remedy = (
             "make room; it votes again then" if is_full else "see to the disk; it does not vote until then"
         )
         reason = os.strerror(error.errno or 0)
-        return StateError(RecordFault.FOLDER, f"{self._path}: {reason}; {remedy}")
+        return StateError(RecordFault.UNUSABLE_FOLDER, f"{self._path}: {reason}; {remedy}")
 
 
 def _decode_file(raw: bytes) -> tuple[VoterState, int]:
     """Return the state and the sequence number of a file; StateError for bytes that are not a whole file."""
     if len(raw) > MAX_FILE_BYTES:
-        raise StateError(RecordFault.LARGE, f"over {MAX_FILE_BYTES} bytes", MAX_FILE_BYTES)
+        raise StateError(RecordFault.TOO_LARGE, f"over {MAX_FILE_BYTES} bytes", MAX_FILE_BYTES)
     version, sequence, content = unpack_record(raw)
     if version != VERSION:
-        raise StateError(RecordFault.NEWER, f"version {version}", 4)
+        raise StateError(RecordFault.NEWER_VERSION, f"version {version}", 4)
     try:
         saved = _decode(content)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise StateError(RecordFault.CONTENT, str(error)[:100], HEAD.size + DIGEST) from None
+        raise StateError(RecordFault.INVALID_CONTENT, str(error)[:100], CONTENT_OFFSET) from None
     _check_entry_order(saved)
     return saved, sequence
 
@@ -163,5 +147,5 @@
     for index, entry in enumerate(saved.entries, snapshot.index + 1):
         if entry.index != index or entry.term < term or entry.term > saved.hard_state.term:
             detail = f"entry {entry.index} is out of order"
-            raise StateError(RecordFault.CONTENT, detail, HEAD.size + DIGEST)
+            raise StateError(RecordFault.INVALID_CONTENT, detail, CONTENT_OFFSET)
         term = entry.term
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -27,6 +27,7 @@
 from quincepier.rules import lease_holder
 from quincepier.rules import version as rules
 from quincepier.state import (
+    file_system,
     learned_state,
     record_format,
     schema_upgrades,
@@ -80,7 +81,7 @@
 
 def _state(raw: bytes) -> tuple[int, Any]:
     version, sequence, content = record_format.unpack_record(raw)
-    assert version == schema_upgrades.CURRENT
+    assert version == schema_upgrades.CURRENT_VERSION
     return sequence, learned_state.decode(version, content)
 
 
@@ -109,7 +110,7 @@
     "voter.saved": Codec(voter_records.VoterState, voter_store._decode, voter_store._encode),
     "state.content": Codec(
         learned_state.LearnedState,
-        lambda raw: learned_state.decode(schema_upgrades.CURRENT, raw),
+        lambda raw: learned_state.decode(schema_upgrades.CURRENT_VERSION, raw),
         learned_state.encode,
     ),
     # Of several parts: their generic values are those of the parts, above.
@@ -120,7 +121,7 @@
         None,
         _state,
         lambda found: record_format.pack_record(
-            schema_upgrades.CURRENT, found[0], learned_state.encode(found[1])
+            schema_upgrades.CURRENT_VERSION, found[0], learned_state.encode(found[1])
         ),
     ),
 }
@@ -132,16 +133,16 @@
 
 def rewrite_learned(source: Path, target: Path) -> None:
     """Both generations of a folder of learned state, read and written anew in their order."""
-    written = snapshot_store.SnapshotStore(snapshot_store.FileSystem(target))
+    written = snapshot_store.SnapshotStore(file_system.FileSystem(target))
     written.open()
-    for name in snapshot_store.GENERATIONS:
+    for name in snapshot_store.GENERATION_NAMES:
         version, _, content = record_format.unpack_record((source / name).read_bytes())
         written.save(learned_state.encode(learned_state.decode(version, content)))
     written.close()
 
 
 def rewrite_voter(source: Path, target: Path) -> None:
-    read, written = (voter_store.VoterStore(snapshot_store.FileSystem(folder)) for folder in (source, target))
+    read, written = (voter_store.VoterStore(file_system.FileSystem(folder)) for folder in (source, target))
     saved = read.load()
     assert saved is not None and saved.snapshot is not None
     written.open()
--- a/tests/test_consensus_disk.py
+++ b/tests/test_consensus_disk.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from quincepier.lab.powercut import Cut, PowerDisk
+from quincepier.lab.powercut import PowerCutDisk, PowerCutError
 from quincepier.state import FileSystem, RecordFault, StateError
 from quincepier.state.voter_records import (
     EntryKind,
@@ -52,7 +52,7 @@
 Loaded = VoterState | StateError | None
 
 
-def power_cuts(disk_type: type[PowerDisk], folder: Path) -> Iterator[tuple[bool, Loaded, Loaded, Loaded]]:
+def power_cuts(disk_type: type[PowerCutDisk], folder: Path) -> Iterator[tuple[bool, Loaded, Loaded, Loaded]]:
     """Cut each write at each system call; yield whether it was done, and the states before, after, loaded."""
     rng = random.Random(1)
     for number in range(len(WRITES)):
@@ -62,11 +62,11 @@
             for records in WRITES[:number]:
                 store.save(records)
             before = store.saved
-            disk.left = fails_at
-            with contextlib.suppress(Cut):
+            disk.calls_left = fails_at
+            with contextlib.suppress(PowerCutError):
                 store.save(WRITES[number])
                 done = True
-            for again in disk.afterwards(rng):
+            for again in disk.states_after_cut(rng):
                 loaded: Loaded
                 try:
                     loaded = VoterStore(again).load()
@@ -78,7 +78,7 @@
 
 
 def test_a_power_cut_at_any_system_call_leaves_the_old_state_or_the_new(tmp_path: Path) -> None:
-    outcomes = list(power_cuts(PowerDisk, tmp_path))
+    outcomes = list(power_cuts(PowerCutDisk, tmp_path))
     for done, before, after, loaded in outcomes:
         assert loaded == after if done else loaded in (before, after)
     assert len(outcomes) > 150 and sum(done for done, *_ in outcomes) >= len(WRITES)
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("call", ["sync", "sync_folder"])
 def test_a_write_without_one_of_its_syncs_loses_an_acknowledged_state(call: str, tmp_path: Path) -> None:
-    careless = type("Careless", (PowerDisk,), {call: lambda self, *about: None})
+    careless = type("Careless", (PowerCutDisk,), {call: lambda self, *about: None})
     assert any(loaded != after for done, _, after, loaded in power_cuts(careless, tmp_path) if done)
 
 
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -45,7 +45,7 @@
     encode,
     initial_version,
 )
-from quincepier.state.snapshot_store import FileSystem
+from quincepier.state.file_system import FileSystem
 from quincepier.state.voter_store import VoterStore
 from quincepier.tenancy import TenancyError
 from tests.test_fleet_shell import HOSTS, machine
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""What is kept over starts: every cut of power, every byte, every version; the folder at its worst."""
+"""Learned state on disk: power cuts, damaged bytes, schema versions, faulty folders, the state commands."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 from quincepier import interface as io
 from quincepier.checks import Checks
-from quincepier.lab.powercut import Cut, PowerDisk
+from quincepier.lab.powercut import PowerCutDisk, PowerCutError
 from quincepier.memory.machine_directory import MachineDirectory
-from quincepier.net.state_persistence import StatePersistence, stamp
+from quincepier.net.state_persistence import StatePersistence
 from quincepier.state import (
     FileSystem,
     LearnedState,
@@ -38,23 +38,28 @@
     StateError,
     Timestamp,
     age_of,
+    current_timestamp,
     pack_record,
     unpack_record,
 )
-from quincepier.state.command import run as command
+from quincepier.state.command import run as run_command
+from quincepier.state.fact_conversion import (
+    LearnedStateBuilder,
+    MachineIdentity,
+    NameMapping,
+    facts_from_state,
+)
+from quincepier.state.file_system import LOCK_NAME
 from quincepier.state.learned_state import (
     AddressBackoffRecord,
     FetchLimitRecord,
-    LearnedStateBuilder,
-    NameMapping,
     decode,
     encode,
-    facts_from_state,
 )
-from quincepier.state.record_format import RECORD_MOST
-from quincepier.state.schema_upgrades import CURRENT
+from quincepier.state.record_format import MAX_FILE_BYTES, MAX_RECORD_BYTES
+from quincepier.state.schema_upgrades import CURRENT_VERSION
 from quincepier.state.section import StateSection
-from quincepier.state.snapshot_store import FILE_MOST, GENERATIONS, LOCK, NEW
+from quincepier.state.snapshot_store import GENERATION_NAMES, TEMPORARY_NAME
 from tests.rig import Bench
 from tests.standins import Asked, Front, play, until
 
@@ -63,24 +68,24 @@
 SECOND = 1_000_000_000
 
 
-def kept(bound: int, machines: int = 3) -> LearnedState:
-    listed = tuple(MachineRecord(f"s-{n}", n, 0.5, 1.0, 7, -1, -1, -1) for n in range(machines))
-    return LearnedState("n1", NOW, bound=FetchLimitRecord(bound, 0), machines=listed)
+def learned_state(fetch_limit: int, machine_count: int = 3) -> LearnedState:
+    machines = tuple(MachineRecord(f"s-{n}", n, 0.5, 1.0, 7, -1, -1, -1) for n in range(machine_count))
+    return LearnedState("n1", NOW, fetch_limit=FetchLimitRecord(fetch_limit, 0), machines=machines)
 
 
-def store(folder: Path) -> SnapshotStore:
-    made = SnapshotStore(FileSystem(folder))
-    made.open()
-    return made
+def opened_store(folder: Path) -> SnapshotStore:
+    store = SnapshotStore(FileSystem(folder))
+    store.open()
+    return store
 
 
 # Records
 
 
-def test_every_byte_flipped_and_every_length_cut_is_told_and_never_another_record() -> None:
-    for content in (encode(kept(16)), encode(kept(16, 300))):  # as it is, and compressed
-        record = pack_record(CURRENT, 9, content)
-        assert unpack_record(record) == (CURRENT, 9, content)
+def test_every_flipped_bit_and_every_truncation_of_a_record_is_refused() -> None:
+    for content in (encode(learned_state(16)), encode(learned_state(16, 300))):  # as it is, and compressed
+        record = pack_record(CURRENT_VERSION, 9, content)
+        assert unpack_record(record) == (CURRENT_VERSION, 9, content)
         places = range(len(record)) if len(record) < 2000 else range(0, len(record), 7)
         for at, bit in itertools.product(places, range(8)):
             damaged = bytearray(record)
@@ -92,26 +97,26 @@
                 unpack_record(record[:length])
         with pytest.raises(StateError):
             unpack_record(record + b"x")
-    with pytest.raises(StateError) as told:
-        pack_record(CURRENT, 1, bytes(RECORD_MOST + 1))
-    assert told.value.fault is RecordFault.LARGE
+    with pytest.raises(StateError) as raised:
+        pack_record(CURRENT_VERSION, 1, bytes(MAX_RECORD_BYTES + 1))
+    assert raised.value.fault is RecordFault.TOO_LARGE
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 4), st.booleans())
-def test_hostile_content_under_a_good_checksum_is_one_typed_error(
+def test_hostile_content_under_a_valid_checksum_is_one_typed_error(
     content: bytes, version: int, own: bool
 ) -> None:
     try:
-        found = decode(version, encode(kept(3))[: len(content)] + content if own else content)
+        found = decode(version, encode(learned_state(3))[: len(content)] + content if own else content)
     except StateError as error:
-        assert error.fault in (RecordFault.CONTENT, RecordFault.NEWER)
+        assert error.fault in (RecordFault.INVALID_CONTENT, RecordFault.NEWER_VERSION)
     else:
         assert isinstance(found, LearnedState)
 
 
-def test_content_that_is_out_of_bounds_is_refused() -> None:
-    good = msgspec.to_builtins(kept(16))
+def test_content_out_of_bounds_is_refused() -> None:
+    good = msgspec.to_builtins(learned_state(16))
     machine = good["machines"][0]
     wrong = [
         {**good, "bound": [0, 0]},
@@ -130,117 +135,130 @@
     ]
     for value in wrong:
         with pytest.raises(StateError):
-            decode(CURRENT, msgspec.msgpack.encode(value))
+            decode(CURRENT_VERSION, msgspec.msgpack.encode(value))
     deep = b"\x91" * 100_000 + b"\x00"
     with pytest.raises(StateError):
-        decode(CURRENT, deep)
+        decode(CURRENT_VERSION, deep)
 
 
-def test_a_compressed_frame_that_claims_more_than_it_is_allowed_is_not_taken_apart() -> None:
+def test_a_compressed_frame_larger_than_its_header_claims_is_not_decompressed() -> None:
     """A frame may say anything of its size; no more than the head tells is ever made of it."""
     bomb = zstandard.ZstdCompressor().compress(bytes(64 * 1024 * 1024))
     import struct
 
     import xxhash
 
-    head = struct.Struct("<4sHHQII").pack(b"qpst", CURRENT, 1, 1, len(bomb), 1000)
-    with pytest.raises(StateError) as told:
+    head = struct.Struct("<4sHHQII").pack(b"qpst", CURRENT_VERSION, 1, 1, len(bomb), 1000)
+    with pytest.raises(StateError) as raised:
         unpack_record(head + xxhash.xxh3_128_digest(head + bomb) + bomb)
-    assert told.value.fault is RecordFault.DAMAGED
+    assert raised.value.fault is RecordFault.DAMAGED
 
 
-@pytest.mark.parametrize("version", range(1, CURRENT + 1))
-def test_a_record_of_each_version_is_read(version: int) -> None:
+@pytest.mark.parametrize("version", range(1, CURRENT_VERSION + 1))
+def test_a_record_of_each_schema_version_is_read(version: int) -> None:
     found, sequence, content = unpack_record((DATA / f"state-v{version}.bin").read_bytes())
     read = decode(found, content)
     assert (found, sequence) == (version, 7)
-    assert read.bound == FetchLimitRecord(12, 5) and read.machines[0].host == "s-1"
-    assert read.aside == ((AddressBackoffRecord("s-1", "tcp://[::1]:6001", 3, 1000),) if version > 1 else ())
+    assert read.fetch_limit == FetchLimitRecord(12, 5) and read.machines[0].host == "s-1"
+    assert read.address_backoffs == (
+        (AddressBackoffRecord("s-1", "tcp://[::1]:6001", 3, 1000),) if version > 1 else ()
+    )
 
 
-def test_a_newer_version_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
-    newer = pack_record(CURRENT + 1, 3, b"of the future")
-    (tmp_path / GENERATIONS[1]).write_bytes(newer)
-    one = store(tmp_path)
-    one_found = one.load()
-    assert one_found.kept is None and one_found.faults[0][1].fault is RecordFault.NEWER
+def test_a_newer_schema_version_is_refused_and_not_overwritten(tmp_path: Path) -> None:
+    newer = pack_record(CURRENT_VERSION + 1, 3, b"of the future")
+    (tmp_path / GENERATION_NAMES[1]).write_bytes(newer)
+    store = opened_store(tmp_path)
+    loaded = store.load()
+    assert loaded.state is None and loaded.faults[0].error.fault is RecordFault.NEWER_VERSION
     with pytest.raises(StateError):
-        one.save(encode(kept(4)))
-    assert (tmp_path / GENERATIONS[1]).read_bytes() == newer and not (tmp_path / GENERATIONS[0]).exists()
+        store.save(encode(learned_state(4)))
+    assert (tmp_path / GENERATION_NAMES[1]).read_bytes() == newer and not (
+        tmp_path / GENERATION_NAMES[0]
+    ).exists()
 
 
-# Power
+# Power cuts
 
 
-def cuts(made: type[PowerDisk], folder: Path) -> Iterator[tuple[int, bool, LearnedState | None]]:
+def power_cuts(
+    disk_type: type[PowerCutDisk], folder: Path
+) -> Iterator[tuple[int, bool, LearnedState | None]]:
     """A fourth write stopped at each system call: which, whether it was done, and each record read then."""
-    chance = random.Random(1)
+    rng = random.Random(1)
     for fails_at in itertools.count():
-        disk, done = made(folder), False
-        one = SnapshotStore(disk)
-        for bound in (1, 2, 3):  # both generations are there, and the older one again
-            one.save(encode(kept(bound)))
-        disk.left = fails_at
-        with contextlib.suppress(Cut):
-            one.save(encode(kept(4)))
+        disk, done = disk_type(folder), False
+        store = SnapshotStore(disk)
+        for fetch_limit in (1, 2, 3):  # both generations are there, and the older one again
+            store.save(encode(learned_state(fetch_limit)))
+        disk.calls_left = fails_at
+        with contextlib.suppress(PowerCutError):
+            store.save(encode(learned_state(4)))
             done = True
-        for again in disk.afterwards(chance):
-            yield fails_at, done, SnapshotStore(again).load().kept
+        for found in disk.states_after_cut(rng):
+            yield fails_at, done, SnapshotStore(found).load().state
         if done:
             return
 
 
-def test_a_cut_of_power_at_any_system_call_leaves_the_old_record_or_the_new(tmp_path: Path) -> None:
-    found = list(cuts(PowerDisk, tmp_path))
-    for fails_at, done, record in found:
-        assert record in ((kept(4),) if done else (kept(3), kept(4))), fails_at
-    assert found[-1][0] >= 8 and len(found) > 60
+def test_a_power_cut_at_any_system_call_leaves_the_old_record_or_the_new(tmp_path: Path) -> None:
+    outcomes = list(power_cuts(PowerCutDisk, tmp_path))
+    for fails_at, done, state in outcomes:
+        assert state in ((learned_state(4),) if done else (learned_state(3), learned_state(4))), fails_at
+    assert outcomes[-1][0] >= 8 and len(outcomes) > 60
 
 
-def test_a_store_without_its_sync_is_found_out_by_the_same_cuts(tmp_path: Path) -> None:
-    class Careless(PowerDisk):
+def test_a_store_without_fsync_fails_under_the_same_power_cuts(tmp_path: Path) -> None:
+    class Careless(PowerCutDisk):
         def sync(self, fd: int) -> None:
             return
 
-    assert any(record not in (kept(3), kept(4)) for _, _, record in cuts(Careless, tmp_path))
+    assert any(
+        state not in (learned_state(3), learned_state(4)) for _, _, state in power_cuts(Careless, tmp_path)
+    )
 
 
-# The folder
+# Snapshot store
 
 
-def test_two_generations_alternate_and_the_newest_whole_one_counts(tmp_path: Path) -> None:
-    one = store(tmp_path / "new" / "folder")  # made where it is missing
-    for bound in range(1, 6):
-        one.save(encode(kept(bound)))
-    one.close()
-    again = store(tmp_path / "new" / "folder")
+def test_two_generations_alternate_and_the_newest_whole_one_is_loaded(tmp_path: Path) -> None:
+    store = opened_store(tmp_path / "new" / "folder")  # made where it is missing
+    for fetch_limit in range(1, 6):
+        store.save(encode(learned_state(fetch_limit)))
+    store.close()
+    again = opened_store(tmp_path / "new" / "folder")
     found = again.load()
-    assert found.kept == kept(5) and found.sequence == 5 and not found.faults
-    newest = GENERATIONS[1 - again.place]
+    assert (
+        found.state == learned_state(5)
+        and found.newest is not None
+        and found.newest.sequence == 5
+        and not found.faults
+    )
+    newest = GENERATION_NAMES[1 - again.next_generation]
     (tmp_path / "new" / "folder" / newest).write_bytes(b"damaged")
     found = again.load()
-    assert found.kept == kept(4) and [name for name, _ in found.faults] == [newest]
-    again.save(encode(kept(9)))
-    assert again.load().kept == kept(9)
+    assert found.state == learned_state(4) and [fault.name for fault in found.faults] == [newest]
+    again.save(encode(learned_state(9)))
+    assert again.load().state == learned_state(9)
 
 
-def test_two_fronts_in_one_folder_and_one_that_ends(tmp_path: Path) -> None:
-    first, second = store(tmp_path), SnapshotStore(FileSystem(tmp_path))
-    with pytest.raises(StateError) as told:
+def test_a_folder_is_locked_by_one_front_until_it_closes(tmp_path: Path) -> None:
+    first, second = opened_store(tmp_path), SnapshotStore(FileSystem(tmp_path))
+    with pytest.raises(StateError) as raised:
         second.open()
-    assert told.value.fault is RecordFault.LOCKED
+    assert raised.value.fault is RecordFault.LOCKED
     first.close()
     second.open()
-    second.save(encode(kept(2)))
+    second.save(encode(learned_state(2)))
 
 
-def refusing(number: int, *calls: str) -> type[FileSystem]:
-    """Files whose calls of these names fail with that error."""
+def failing(number: int, *calls: str) -> type[FileSystem]:
+    """A file system whose calls of these names fail with that errno."""
 
     def fail(*_: object) -> int:
         raise OSError(number, os.strerror(number))
 
-    return type("Refusing", (FileSystem,), dict.fromkeys(calls, fail))
+    return type("Failing", (FileSystem,), dict.fromkeys(calls, fail))
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EDQUOT])
@@ -248,81 +266,82 @@
 def test_a_full_or_broken_disk_is_one_typed_error_and_the_old_record_stays(
     tmp_path: Path, number: int, call: str
 ) -> None:
-    one = store(tmp_path)
-    one.save(encode(kept(1)))
-    one.close()
-    full = SnapshotStore(refusing(number, call)(tmp_path))
+    store = opened_store(tmp_path)
+    store.save(encode(learned_state(1)))
+    store.close()
+    full = SnapshotStore(failing(number, call)(tmp_path))
     full.open()
     full.load()
-    with pytest.raises(StateError) as told:
-        full.save(encode(kept(2)))
-    assert told.value.fault is RecordFault.FOLDER
+    with pytest.raises(StateError) as raised:
+        full.save(encode(learned_state(2)))
+    assert raised.value.fault is RecordFault.UNUSABLE_FOLDER
     full.close()
-    read = store(tmp_path).load().kept
-    assert read == kept(1) or (call == "sync_folder" and read == kept(2))
+    read = opened_store(tmp_path).load().state
+    assert read == learned_state(1) or (call == "sync_folder" and read == learned_state(2))
 
 
 def test_a_read_only_folder_is_read_and_never_written(tmp_path: Path) -> None:
-    one = store(tmp_path)
-    one.save(encode(kept(1)))
-    one.close()
-    locked = SnapshotStore(refusing(errno.EROFS, "take_lock")(tmp_path))
+    store = opened_store(tmp_path)
+    store.save(encode(learned_state(1)))
+    store.close()
+    locked = SnapshotStore(failing(errno.EROFS, "acquire_lock")(tmp_path))
     locked.open()
-    assert locked.load().kept == kept(1)
+    assert locked.load().state == learned_state(1)
     with pytest.raises(StateError):
-        locked.save(encode(kept(2)))
+        locked.save(encode(learned_state(2)))
 
 
-def test_a_folder_that_is_none_and_a_file_far_too_large(tmp_path: Path) -> None:
+def test_a_path_that_is_no_folder_and_a_file_over_the_limit_are_refused(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    with pytest.raises(StateError) as told:
+    with pytest.raises(StateError) as raised:
         SnapshotStore(FileSystem(tmp_path / "file" / "state")).open()
-    assert told.value.fault is RecordFault.FOLDER
-    with (tmp_path / GENERATIONS[0]).open("wb") as file:
+    assert raised.value.fault is RecordFault.UNUSABLE_FOLDER
+    with (tmp_path / GENERATION_NAMES[0]).open("wb") as file:
         file.truncate(1 << 30)
-    taken = list[int]()
+    read_sizes = list[int]()
 
-    class Counted(FileSystem):
-        def read(self, name: str, most: int) -> bytes | None:
-            raw = super().read(name, most)
-            taken.append(len(raw or b""))
+    class CountingFileSystem(FileSystem):
+        def read(self, name: str, max_bytes: int) -> bytes | None:
+            raw = super().read(name, max_bytes)
+            read_sizes.append(len(raw or b""))
             return raw
 
-    found = SnapshotStore(Counted(tmp_path)).load()
-    assert found.faults[0][1].fault is RecordFault.LARGE and max(taken) == FILE_MOST + 1
+    found = SnapshotStore(CountingFileSystem(tmp_path)).load()
+    assert found.faults[0].error.fault is RecordFault.TOO_LARGE and max(read_sizes) == MAX_FILE_BYTES + 1
 
 
-def test_a_writer_killed_two_hundred_times_in_a_row_leaves_a_whole_record_each_time(tmp_path: Path) -> None:
+def test_a_writer_killed_two_hundred_times_leaves_a_whole_record_each_time(tmp_path: Path) -> None:
     """One process forks writers, as starting two hundred programs would take minutes."""
     script = """
 import os, random, signal, sys, time
 from pathlib import Path
 from quincepier.state import FileSystem, SnapshotStore
-from tests.test_state import encode, kept
-chance, last = random.Random(3), 0
-for turn in range(200):
-    ready, told = os.pipe()
+from tests.test_state import encode, learned_state
+rng, last = random.Random(3), 0
+for _ in range(200):
+    ready_reader, ready_writer = os.pipe()
     child = os.fork()
     if not child:
-        one = SnapshotStore(FileSystem(Path(sys.argv[1])))
-        one.open()
-        one.load()
-        os.write(told, b"r")
+        store = SnapshotStore(FileSystem(Path(sys.argv[1])))
+        store.open()
+        store.load()
+        os.write(ready_writer, b"r")
         while True:
-            one.save(encode(kept(one.sequence + 2, 40)))
-    os.read(ready, 1)
-    time.sleep(chance.uniform(0, 0.01))
+            store.save(encode(learned_state(store.sequence + 2, 40)))
+    os.read(ready_reader, 1)
+    time.sleep(rng.uniform(0, 0.01))
     os.kill(child, signal.SIGKILL)
     os.waitpid(child, 0)
-    os.close(ready), os.close(told)
-    one = SnapshotStore(FileSystem(Path(sys.argv[1])))
-    one.open()
-    found = one.load()
-    one.close()
-    assert not found.faults or last == 0, found.faults
-    if found.kept is not None:
-        assert found.sequence >= last and found.kept == kept(found.sequence + 1, 40), (found.sequence, last)
-        last = found.sequence
+    os.close(ready_reader), os.close(ready_writer)
+    store = SnapshotStore(FileSystem(Path(sys.argv[1])))
+    store.open()
+    loaded = store.load()
+    store.close()
+    assert not loaded.faults or last == 0, loaded.faults
+    if (newest := loaded.newest) is not None:
+        assert newest.sequence >= last, (newest, last)
+        assert newest.state == learned_state(newest.sequence + 1, 40), newest
+        last = newest.sequence
 assert last > 20, last
 """
     command_line = [sys.executable, "-c", script, str(tmp_path)]
@@ -331,33 +350,31 @@
     assert done.returncode == 0, done.stderr[-2000:]
 
 
-# Clocks
+# Timestamps
 
 
-def test_the_age_of_a_record_by_the_clock_that_no_setting_moves() -> None:
-    later = Timestamp(NOW.unix_ms + 7000, "boot", NOW.boot_ns + 2 * SECOND)
+def test_the_age_of_a_record_by_the_clock_since_boot_where_the_boot_is_the_same() -> None:
+    later = Timestamp(NOW.unix_ms + 7000, "boot", NOW.since_boot_ns + 2 * SECOND)
     assert age_of(NOW, later) == 2 * SECOND  # the same boot: whatever the clock of the day says
-    assert age_of(NOW, replace_stamp(later, unix_ms=0)) == 2 * SECOND
-    other = replace_stamp(later, boot="another boot", boot_ns=1)
+    assert age_of(NOW, replaced(later, unix_ms=0)) == 2 * SECOND
+    other = replaced(later, boot_id="another boot", since_boot_ns=1)
     assert age_of(NOW, other) == 7 * SECOND
-    assert age_of(NOW, replace_stamp(other, unix_ms=NOW.unix_ms - 86_400_000)) is None  # set back by a day
-    assert age_of(NOW, replace_stamp(NOW, boot_ns=0)) is None
-    here = stamp()
-    assert age_of(here, stamp()) is not None
+    assert age_of(NOW, replaced(other, unix_ms=NOW.unix_ms - 86_400_000)) is None  # set back by a day
+    assert age_of(NOW, replaced(NOW, since_boot_ns=0)) is None
+    here = current_timestamp()
+    assert age_of(here, current_timestamp()) is not None
 
 
-def replace_stamp(of: Timestamp, **changes: object) -> Timestamp:
+def replaced(of: Timestamp, **changes: object) -> Timestamp:
     return msgspec.structs.replace(of, **changes)
 
 
-# Names
+# Fact conversion
 
 
-def test_facts_come_back_by_name_and_only_for_the_same_start_of_a_machine() -> None:
-    numbers = {"a": (1, 100), "b": (2, 200)}
-    before = NameMapping(
-        ("video", "bid"), ("std", "parent"), lambda n: ("a", 100) if n == 1 else ("b", 200), lambda h, b: 0
-    )
+def test_facts_are_mapped_by_name_and_only_for_the_same_start_of_a_machine() -> None:
+    identities = {1: MachineIdentity("a", 100), 2: MachineIdentity("b", 200)}
+    before = NameMapping(("video", "bid"), ("std", "parent"), identities.get, lambda identity: 0)
     told: list[io.Learned] = [
         io.LearnedFetchLimit(8, 1),
         io.LearnedTransferTime(1, 5.0, 3, 2),
@@ -367,13 +384,13 @@
         io.LearnedEndpoint(2, 0.7, 1.0, 6, 9, 0, -1),
         io.LearnedPurge(0, 1 << 63, 7),
     ]
-    gathered = LearnedStateBuilder(before)
+    builder = LearnedStateBuilder(before)
     for fact in told:
-        gathered.add(fact)
-    content = decode(CURRENT, encode(gathered.kept("n1", NOW)))
+        builder.add(fact)
+    content = decode(CURRENT_VERSION, encode(builder.build("n1", NOW)))
     # another process: other numbers, classes in another order, machine b started anew
-    now = NameMapping(("bid", "image", "video"), ("parent",), lambda n: None,
-                lambda host, born: 11 if (host, born) == ("a", numbers["a"][1]) else None)  # fmt: skip
+    numbers = {MachineIdentity("a", 100): 11, MachineIdentity("b", 300): 12}
+    now = NameMapping(("bid", "image", "video"), ("parent",), lambda number: None, numbers.get)
     assert list(facts_from_state(content, now)) == [
         io.LearnedFetchLimit(8, 1),
         io.LearnedTransferTime(0, 5.0, 3, 2),
@@ -387,59 +404,55 @@
 # The commands
 
 
-def test_the_commands_tell_a_folder_by_their_exit_codes(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
-    def does(what: str, folder: Path = tmp_path) -> int:
-        words = dict.fromkeys(("show", "check", "prune"), False) | {what: True, "FOLDER": str(folder)}
-        return command(words, NOW)
-
-    assert does("show", tmp_path / "none") == 2
-    one = store(tmp_path)
-    one.save(encode(kept(1)))
-    one.save(encode(kept(2)))
-    assert does("prune") == 4  # in use
-    assert does("check") == 0 and does("show") == 0
+def test_the_exit_codes_of_the_state_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    def run(command: str, folder: Path = tmp_path) -> int:
+        arguments = dict.fromkeys(("show", "check", "prune"), False) | {command: True, "FOLDER": str(folder)}
+        return run_command(arguments, NOW)
+
+    assert run("show", tmp_path / "none") == 2
+    store = opened_store(tmp_path)
+    store.save(encode(learned_state(1)))
+    store.save(encode(learned_state(2)))
+    assert run("prune") == 4  # in use
+    assert run("check") == 0 and run("show") == 0
     out = capsys.readouterr().out
     assert json.loads(out[out.index("{") :])["content"]["bound"] == [2, 0]
-    one.close()
-    (tmp_path / NEW).write_bytes(b"half")
-    (tmp_path / GENERATIONS[0]).write_bytes(b"qpst")
-    assert does("check") == 1 and does("prune") == 0 and does("check") == 0
-    assert sorted(p.name for p in tmp_path.iterdir()) == sorted([GENERATIONS[1], LOCK])
-    (tmp_path / GENERATIONS[0]).write_bytes(pack_record(CURRENT + 1, 9, b""))
-    assert does("check") == 3 and does("prune") == 3 and (tmp_path / GENERATIONS[0]).exists()
+    store.close()
+    (tmp_path / TEMPORARY_NAME).write_bytes(b"half")
+    (tmp_path / GENERATION_NAMES[0]).write_bytes(b"qpst")
+    assert run("check") == 1 and run("prune") == 0 and run("check") == 0
+    assert sorted(p.name for p in tmp_path.iterdir()) == sorted([GENERATION_NAMES[1], LOCK_NAME])
+    (tmp_path / GENERATION_NAMES[0]).write_bytes(pack_record(CURRENT_VERSION + 1, 9, b""))
+    assert run("check") == 3 and run("prune") == 3 and (tmp_path / GENERATION_NAMES[0]).exists()
 
 
-# A front
+# State persistence of a front
 
 
-class Held(FileSystem):
-    """A disk whose calls of these names do not come back until it is let go."""
+class HangingDisk(FileSystem):
+    """A disk whose calls of these names do not return before `released` is set."""
 
-    def __init__(self, folder: Path, *held: str) -> None:
+    def __init__(self, folder: Path, *hanging: str) -> None:
         super().__init__(folder)
-        self.held, self.free, self.met = held, threading.Event(), threading.Event()
+        self.hanging, self.released, self.reached = hanging, threading.Event(), threading.Event()
 
     def _wait(self, call: str) -> None:
-        if call in self.held:
-            self.met.set()
-            self.free.wait()
+        if call in self.hanging:
+            self.reached.set()
+            self.released.wait()
 
-    def read(self, name: str, most: int) -> bytes | None:
+    def read(self, name: str, max_bytes: int) -> bytes | None:
         self._wait("read")
-        return super().read(name, most)
+        return super().read(name, max_bytes)
 
     def sync(self, fd: int) -> None:
         self._wait("sync")
         super().sync(fd)
 
 
-@pytest.mark.parametrize("held", ["read", "sync"])
-def test_a_disk_that_hangs_holds_up_neither_the_start_nor_the_loop_nor_the_end(
-    tmp_path: Path, held: str
-) -> None:
-    disk, checks = Held(tmp_path, held), Checks()
+@pytest.mark.parametrize("hanging", ["read", "sync"])
+def test_a_hanging_disk_delays_neither_start_nor_event_loop_nor_stop(tmp_path: Path, hanging: str) -> None:
+    disk, checks = HangingDisk(tmp_path, hanging), Checks()
     config = SimpleNamespace(seed=1, name="n1", classes=("a", "b"), kinds=("std",))
     module = SimpleNamespace(
         checks=checks,
@@ -450,21 +463,22 @@
     )
 
     async def run() -> None:
-        keeper = StatePersistence(module, StateSection(folder=str(tmp_path), every_s=0.1, end_ms=50))  # type: ignore[arg-type]
-        keeper.store = SnapshotStore(disk)
-        await keeper.recall()
-        if held == "read":
-            assert checks.counts["state not used"] == 1 and not keeper.usable
-        keeping = asyncio.create_task(keeper.run())
-        if held == "sync":
-            while not checks.counts["state not written"]:  # the next write finds the last one under way
+        section = StateSection(folder=str(tmp_path), write_interval_s=0.1, final_write_timeout_ms=50)
+        persistence = StatePersistence(module, section)  # type: ignore[arg-type]
+        persistence.store = SnapshotStore(disk)
+        await persistence.restore()
+        if hanging == "read":
+            assert checks.counts["state_not_used"] == 1 and not persistence.is_usable
+        writes = asyncio.create_task(persistence.run())
+        if hanging == "sync":
+            while not checks.counts["state_not_written"]:  # the next write finds the last one under way
                 await asyncio.sleep(0.01)
-        keeping.cancel()
-        await keeper.end()
-        assert disk.met.is_set() and not disk.free.is_set()  # it hangs still, and all this came to its end
-        disk.free.set()
-        while (held == "sync" and not checks.counts["state written"]) or (
-            held == "read" and not keeper.usable
+        writes.cancel()
+        await persistence.write_final()
+        assert disk.reached.is_set() and not disk.released.is_set()  # it hangs still
+        disk.released.set()
+        while (hanging == "sync" and not checks.counts["state_writes"]) or (
+            hanging == "read" and not persistence.is_usable
         ):
             await asyncio.sleep(0.01)
 
@@ -475,7 +489,7 @@
     asked.data()
 
 
-def test_a_front_keeps_what_it_learned_over_a_kill_and_serves_with_a_damaged_folder(tmp_path: Path) -> None:
+def test_a_front_restores_its_state_after_a_kill_and_serves_with_a_damaged_folder(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         folder, told = tmp_path / "kept", front.folder / "operator.yaml"
         told.write_text(f"state: {{folder: {folder}, every_s: 0.2}}\n")
@@ -484,18 +498,18 @@
         for n in range(1, 30):
             client.ask(n)
             assert (await client.ended(n)).status == 200
-        await until(lambda: any((folder / name).exists() for name in GENERATIONS), "a record is there")
+        await until(lambda: any((folder / name).exists() for name in GENERATION_NAMES), "a record is there")
         before = await learned(folder)
-        assert before.classes and before.bound is not None
+        assert before.service_times and before.fetch_limit is not None
         await again(front)
-        assert front.logged("state read: ")
+        assert front.logged("state_read: ")
         client = await front.client()
         client.ask(1)
         assert (await client.ended(1)).status == 200
-        for name in GENERATIONS:
+        for name in GENERATION_NAMES:
             (folder / name).write_bytes(b"damaged")
         await again(front)
-        assert front.logged("state not used: ")
+        assert front.logged("state_not_used: ")
         client = await front.client()
         client.ask(1)
         assert (await client.ended(1)).status == 200
@@ -508,7 +522,7 @@
         await front.start()
 
     async def learned(folder: Path) -> LearnedState:
-        while (found := SnapshotStore(FileSystem(folder)).load().kept) is None or not found.classes:
+        while (found := SnapshotStore(FileSystem(folder)).load().state) is None or not found.service_times:
             await asyncio.sleep(0.05)
         return found
 
