--- a/quincepier/consistency/decision.py
+++ b/quincepier/consistency/decision.py
@@ -140,7 +140,7 @@
         for line in by_number:
             if line.kind not in (s.parent_kind, s.origin_kind):
                 self.edges.setdefault(line.zone, []).append(line)
-        aside = {order.target for order in inputs.version.orders if order.aside}
+        aside = {order.target for order in inputs.version.maintenance_tasks if order.is_cordoned}
         self.away = {line.number for line in inputs.lines if not line.ready or line.host in aside}
 
     def decide(self, key: DecisionKey) -> RuleDecision:
@@ -186,7 +186,7 @@
     upper = (s.parent_kind, s.origin_kind)
     zones = sorted({line.zone for line in inputs.lines if line.kind not in upper}) or [0]
     version = inputs.version
-    named = {m.tenant for m in version.moves} | {h.tenant for h in version.homes}
+    named = {m.tenant for m in version.migrations} | {h.tenant for h in version.placements}
     tenants = sorted(named)[:TENANTS_MOST]
     return [
         DecisionKey(
--- a/quincepier/consistency/snapshot.py
+++ b/quincepier/consistency/snapshot.py
@@ -30,16 +30,38 @@
     return xxhash.xxh3_128_digest(_encode(value))
 
 
+# Labels that fronts of earlier builds compare; a field that was renamed since keeps its own.
+VERSION_LABEL_BY_FIELD = {
+    "maintenance_tasks": "orders",
+    "disruption_limits": "allowances",
+    "shards": "shards",
+    "placements": "homes",
+    "migrations": "moves",
+}
+ENTRY_LABEL_BY_FIELD = {
+    "request_id": "wish",
+    "since_version": "since",
+    "reason": "why",
+    "max_per_zone": "zone_most",
+    "max_total": "most",
+    "source_shard": "old",
+    "target_shard": "new",
+    "moved_slots": "part",
+}
+NAMING_FIELDS = ("request_id", "target", "tenant", "kind", "name")
+
+
 def fields_of_version(inputs: DecisionInputs) -> dict[str, Fields]:
     """Each entry of a version by what it is of; its fields as text."""
     version = inputs.version
     found: dict[str, Fields] = {"version": (("number", str(version.number)), ("term", str(version.term)))}
-    for kind in ("orders", "allowances", "shards", "homes", "moves"):
-        for place, entry in enumerate(getattr(version, kind)):
-            name = ":".join(str(getattr(entry, n)) for n in ("wish", "target", "tenant", "kind", "name")
-                            if hasattr(entry, n))  # fmt: skip
-            fields = (("place", str(place)), *((f, str(getattr(entry, f))) for f in entry.__struct_fields__))
-            found[f"{kind} {name}"[:LABEL_MOST]] = fields
+    for field, label in VERSION_LABEL_BY_FIELD.items():
+        for place, entry in enumerate(getattr(version, field)):
+            name = ":".join(str(getattr(entry, n)) for n in NAMING_FIELDS if hasattr(entry, n))
+            texts = (
+                (ENTRY_LABEL_BY_FIELD.get(f, f), str(getattr(entry, f))) for f in entry.__struct_fields__
+            )
+            found[f"{label} {name}"[:LABEL_MOST]] = (("place", str(place)), *texts)
     return found
 
 
--- a/quincepier/lab/moves.py
+++ b/quincepier/lab/moves.py
@@ -130,17 +130,17 @@
         fills, s = self.fills_by_second, self.sums
         usual = sum(fills[warm - 50 : warm]) / 50
         most = max(sum(fills[at : at + SPAN]) / SPAN for at in range(warm, len(fills) - SPAN))
-        move = self.version.moves[-1] if self.version.moves else None
+        move = self.version.migrations[-1] if self.version.migrations else None
         took = (self.done_at - begin) / SECOND if self.done_at >= 0 else -1.0
         worth, others = (s[f"{who} in time"] / max(s[who], 1) for who in ("acme", "other"))
         return Outcome(
             worth, others, most / usual, took, move.step.name if move else "",
-            self.gaps, self.repeats, move.why if move else "",
+            self.gaps, self.repeats, move.reason if move else "",
         )  # fmt: skip
 
     def begin(self) -> None:
         if self.way == "at once":
-            done = Migration("m", "acme", "", "north", MigrationStep.DONE, 2, 256)
+            done = Migration("m", "acme", "", "north", MigrationStep.COMPLETED, 2, 256)
             homes = (TenantPlacement("acme", "north"),)
             self.agree(RuleVersion(2, 1, (), (), self.version.shards, homes, (done,)))
 
@@ -154,7 +154,7 @@
         front, way = self.fronts[n], self.random.randrange(WAY // 2, WAY)
         if self.now >= self.agreed_at:
             front.number = self.version.number
-            front.move = self.version.moves[-1] if self.version.moves else None
+            front.move = self.version.migrations[-1] if self.version.migrations else None
         front.until = self.now + LEASE
         self.known[n] = (front.number, self.now + way + LEASE + MARGIN)
 
@@ -171,7 +171,7 @@
         rows = self.rows()
         reports = {
             self.names[n]: FrontReport(
-                self.names[n], 1, k[0], "", False, SPAN * 1000, service=() if i else rows
+                self.names[n], 1, k[0], "", False, SPAN * 1000, service_statistics=() if i else rows
             )
             for i, (n, k) in enumerate(known.items())
         }
@@ -184,10 +184,10 @@
         change = advance(self.version, self.wishes, seen)
         if change is None:
             return
-        before = self.version.moves[-1].step if self.version.moves else None
+        before = self.version.migrations[-1].step if self.version.migrations else None
         self.agree(apply(self.version, 1, (change,)))
-        step = self.version.moves[-1].step
-        if step is MigrationStep.DONE:
+        step = self.version.migrations[-1].step
+        if step is MigrationStep.COMPLETED:
             self.done_at = self.now
         if step is self.kill_at and step is not before:  # agreed, told to nobody yet
             self.leads_from, self.kill_at = self.now + self.random.randrange(*ELECTION), None
@@ -210,10 +210,10 @@
         once = chance.random() < KEYED_PART
         repeat = once and chance.random() < 0.05
         home, closed = (
-            "north" if moved and front.move and front.move.step is MigrationStep.DONE else "",
+            "north" if moved and front.move and front.move.step is MigrationStep.COMPLETED else "",
             False,
         )
-        if moved and front.move is not None and front.move.open:
+        if moved and front.move is not None and front.move.is_active:
             home, closed = place(front.move, part_of(key), once, repeat, self.now >= front.until)
         in_time = hit = fill = False
         if closed:
--- a/quincepier/lab/orders.py
+++ b/quincepier/lab/orders.py
@@ -220,7 +220,7 @@
         self.word_bytes += len(encode_message(ask))
         grant = ledger.heard(self.clock(leader), ask, 1 << 62)
         if grant is not None:
-            version = self.versions[grant.number] if grant.number > ask.report.number else None
+            version = self.versions[grant.number] if grant.number > ask.report.version_number else None
             self.carry(front, self.granted, front, grant, version)
 
     def granted(self, front: Front, grant: object, version: RuleVersion | None) -> None:
@@ -304,8 +304,8 @@
         self.agreeing = False
         self.versions.append(version)
         self.ledger.agreed(version)
-        for order in version.orders:
-            before = was.order_of(order.target)
+        for order in version.maintenance_tasks:
+            before = was.task_for(order.target)
             if before is not None and before.step == order.step:
                 continue
             self.entered(order.target, order.step)
@@ -313,17 +313,17 @@
                 self.killed, self.leader, self.ledger, leader.alive = True, None, None, False
                 self.after(ELECTED, self.lead, self.fronts[1])
                 self.after(3 * SECOND, self.crash, leader)
-        self.out_most = max(self.out_most, sum(order.out for order in version.orders))
-        done = {o.target for o in version.orders if o.step is MaintenanceStep.IN}
+        self.out_most = max(self.out_most, sum(order.is_unavailable for order in version.maintenance_tasks))
+        done = {o.target for o in version.maintenance_tasks if o.step is MaintenanceStep.COMPLETED}
         if len(done) == len(self.machines):
             self.done = self.now
 
     def entered(self, host: str, step: MaintenanceStep) -> None:
         machine = self.machines[host]
-        if step is MaintenanceStep.EMPTY:
+        if step is MaintenanceStep.DRAINED:
             machine.since = self.now
             self.after(BEGINS, self.work, machine)
-        elif step is MaintenanceStep.BACK:
+        elif step is MaintenanceStep.RESTORED:
             machine.closed.append((machine.since, self.now))
             machine.since = -1
 
@@ -348,7 +348,7 @@
         self.batch = frozenset(hosts)
         self.out_most = max(self.out_most, len(hosts))
         for host in hosts:
-            self.after(GRACE, self.entered, host, MaintenanceStep.EMPTY)
+            self.after(GRACE, self.entered, host, MaintenanceStep.DRAINED)
         self.after(GRACE + BEGINS + WORK + WARM, self.tenth, at + len(hosts))
 
 
--- a/quincepier/maintenance/candidates.py
+++ b/quincepier/maintenance/candidates.py
@@ -25,16 +25,16 @@
 def targets(wish: MaintenanceRequest, seen: Observations) -> dict[str, tuple[str, str]]:
     """What a wish means as the list is now: host id or name to kind and zone (kind "": not listed)."""
     if wish.kind == "front":
-        return {name: ("front", "") for name in seen.view}
+        return {name: ("front", "") for name in seen.members}
     if wish.kind:
         return {
             host: (m.kind, m.zone)
-            for host, m in seen.machines.items()
+            for host, m in seen.machine_by_host.items()
             if m.kind == wish.kind and wish.zone in ("", m.zone)
         }
-    found = {name: ("front" if name in seen.view else "", "") for name in wish.fronts}
+    found = {name: ("front" if name in seen.members else "", "") for name in wish.fronts}
     for host in wish.machines:
-        machine = seen.machines.get(host)
+        machine = seen.machine_by_host.get(host)
         known = machine is not None and machine.kind in ("cache", "parent")
         found[host] = (machine.kind, machine.zone) if machine is not None and known else ("", "")
     return found
@@ -43,10 +43,10 @@
 def loads(seen: Observations) -> dict[str, float]:
     """Commands a second at each machine, and sent by each front."""
     found = dict[str, float]()
-    for name, report in seen.reports.items():
+    for name, report in seen.report_by_front.items():
         if name == report.front:
-            for host, count in report.sent:
-                rate = count * 1000 / max(report.span_ms, 1)
+            for host, count in report.sent_commands:
+                rate = count * 1000 / max(report.window_ms, 1)
                 found[host] = found.get(host, 0.0) + rate
                 found[name] = found.get(name, 0.0) + rate
     return found
@@ -56,7 +56,7 @@
     """All known ones that a wish means, in the order in which they go."""
     seen = room.seen
     load, meant = loads(seen), targets(wish, seen)
-    begun = {(o.kind, o.zone) for o in room.orders if o.wish == wish.id}
+    begun = {(o.kind, o.zone) for o in room.orders if o.request_id == wish.id}
     zones = dict[tuple[str, str], float]()
     for target, place in meant.items():
         zones[place] = zones.get(place, 0.0) + load.get(target, 0.0)
--- a/quincepier/maintenance/disruption_budget.py
+++ b/quincepier/maintenance/disruption_budget.py
@@ -15,7 +15,7 @@
 
 
 def is_recently_started(machine: MachineObservation) -> bool:
-    return machine.up_ms < max(machine.warm_ms, FRESH_MS)
+    return machine.uptime_ms < max(machine.warm_up_ms, FRESH_MS)
 
 
 class DisruptionBudget:
@@ -29,23 +29,23 @@
         seen: Observations,
     ) -> None:
         self.version, self.orders, self.allowed, self.seen = version, orders, allowed, seen
-        reports = [r for name, r in seen.reports.items() if name == r.front]
+        reports = [r for name, r in seen.report_by_front.items() if name == r.front]
         aside = dict[str, int]()
         for report in reports:
-            for host in set(report.aside):
+            for host in set(report.ejected_hosts):
                 aside[host] = aside.get(host, 0) + 1
         self.broken = {
             host: (m.kind, m.zone)
-            for host, m in seen.machines.items()
-            if not m.ready or m.up_ms < m.warm_ms or 2 * aside.get(host, 0) > len(reports)
+            for host, m in seen.machine_by_host.items()
+            if not m.is_ready or m.uptime_ms < m.warm_up_ms or 2 * aside.get(host, 0) > len(reports)
         }
-        self.broken |= {name: ("front", "") for name in seen.view if name not in seen.reports}
+        self.broken |= {name: ("front", "") for name in seen.members if name not in seen.report_by_front}
 
     def out(self, kind: str, waiting: bool) -> dict[str, str]:
         """Those of a kind that count as out, and their zones; with those that wait for their turn."""
         found = {host: zone for host, (k, zone) in self.broken.items() if k == kind}
         for order in self.orders:
-            if order.kind == kind and (order.out or (waiting and order.open)):
+            if order.kind == kind and (order.is_unavailable or (waiting and order.is_active)):
                 found[order.target] = order.zone
         return found
 
@@ -71,7 +71,7 @@
         if least:
             left = sum(
                 m.kind == kind and m.zone == zone and host not in out
-                for host, m in self.seen.machines.items()
+                for host, m in self.seen.machine_by_host.items()
             )
             if left < least:
                 return f"{left} would be in service in zone {zone}, under {least}"
@@ -97,6 +97,8 @@
             return ""
         out = self.out("front", waiting=True)
         for voter in seen.voters:
-            if voter != target and (voter in out or voter not in seen.view or voter not in seen.reports):
+            if voter != target and (
+                voter in out or voter not in seen.members or voter not in seen.report_by_front
+            ):
                 return f"voter {voter} is out"
         return ""
--- a/quincepier/maintenance/draining.py
+++ b/quincepier/maintenance/draining.py
@@ -17,9 +17,9 @@
     """
     found = {
         order.target
-        for order in version.orders
-        if (order.aside and (order.kind != "front" or order.target == me))
-        or (cautious and order.open and order.kind != "front")
+        for order in version.maintenance_tasks
+        if (order.is_cordoned and (order.kind != "front" or order.target == me))
+        or (cautious and order.is_active and order.kind != "front")
     }
     return frozenset(found | wished) if cautious else frozenset(found)
 
--- a/quincepier/maintenance/service_level.py
+++ b/quincepier/maintenance/service_level.py
@@ -21,13 +21,17 @@
     asks and nothing usual is known at all, service is not known to be as before.
     """
     sums = dict[str, tuple[int, float, float]]()
-    for name, report in seen.reports.items():
-        for row in report.service if name == report.front else ():
+    for name, report in seen.report_by_front.items():
+        for row in report.service_statistics if name == report.front else ():
             if not row.shard:
                 asked, worth, good = sums.get(row.tenant, (0, 0.0, 0.0))
-                sums[row.tenant] = (asked + row.asked, worth + row.worth, good + row.in_time)
+                sums[row.tenant] = (
+                    asked + row.responses,
+                    worth + row.requested_weight,
+                    good + row.on_time_weight,
+                )
     fallen = lower = ""
-    for tenant, usual in sorted(seen.usual.items()):
+    for tenant, usual in sorted(seen.baseline_on_time_ratio_by_tenant.items()):
         asked, worth, good = sums.get(tenant, (0, 0.0, 0.0))
         if asked < wishes.min_responses or worth <= 0:
             continue
@@ -36,6 +40,8 @@
             fallen = fallen or told
         if good / worth < usual * wishes.min_service_ratio_to_start:
             lower = lower or told
-    if not seen.usual and any(asked >= wishes.min_responses for asked, _, _ in sums.values()):
+    if not seen.baseline_on_time_ratio_by_tenant and any(
+        asked >= wishes.min_responses for asked, _, _ in sums.values()
+    ):
         lower = "the usual service is not known yet"
     return ServiceLevel(fallen, lower)
--- a/quincepier/net/fleet/leader.py
+++ b/quincepier/net/fleet/leader.py
@@ -88,14 +88,16 @@
         if ledger is None or voter is None:
             leader = self.seat.leader
             return NotLeader(report.ask.token, leader if leader != self.name else "")
-        if body.number > self.agreed.number:  # of a history that the voters have lost: no lease by it
-            self.ahead = max(self.ahead, body.number)
-            self.checks.event("a version the voters do not have", f"{body.front} decides by {body.number}")
+        if body.version_number > self.agreed.number:  # of a history that the voters have lost: no lease by it
+            self.ahead = max(self.ahead, body.version_number)
+            self.checks.event(
+                "a version the voters do not have", f"{body.front} decides by {body.version_number}"
+            )
             return None
         grant = ledger.heard(now, report.ask, voter.lease_until)
         if grant is None:
             return None
-        other = body.number != self.agreed.number or body.digest != self.agreed.digest
+        other = body.version_number != self.agreed.number or body.digest != self.agreed.digest
         return LeaseGranted(voter.term, grant, encode(self.agreed) if other else b"")
 
     def _lead(self, now: int) -> None:
@@ -129,10 +131,10 @@
             self.usual,
             self.silent(self.pace.gone),
         )
-        if seen.in_force != self.force:
-            self.force = seen.in_force
-            told = logger.bind(event="version in force", number=self.force, fronts=len(seen.reports))
-            told.info("version {} in force, {} fronts with a lease", self.force, len(seen.reports))
+        if seen.active_number != self.force:
+            self.force = seen.active_number
+            told = logger.bind(event="version in force", number=self.force, fronts=len(seen.report_by_front))
+            told.info("version {} in force, {} fronts with a lease", self.force, len(seen.report_by_front))
         self._learn_usual(now, seen)
         if not self.proposed:
             self.propose(now, seen)
@@ -162,7 +164,7 @@
             self.checks.event("version not proposed", error.line())
             return
         self.ahead, self.proposed, self.proposed_at = 0, version.number, now
-        told = "; ".join(c.why for c in changes)
+        told = "; ".join(c.reason for c in changes)
         self.why = {version.number: told or "the first, or numbers go on above the fronts'"}
         self.checks.count("versions proposed")
         self.proposal = raw
@@ -181,17 +183,17 @@
     def _learn_usual(self, now: int, seen: Observations) -> None:
         """Worth in time over worth by tenant, while nothing is out and nothing moves."""
         agreed = self.agreed
-        if now - self.usual_at < USUAL_EVERY or any(o.open for o in agreed.orders):
+        if now - self.usual_at < USUAL_EVERY or any(o.is_active for o in agreed.maintenance_tasks):
             return
-        if any(m.open for m in agreed.moves):
+        if any(m.is_active for m in agreed.migrations):
             return
         self.usual_at = now
         sums = dict[str, list[float]]()
-        for report in seen.reports.values():
-            for row in report.service:
+        for report in seen.report_by_front.values():
+            for row in report.service_statistics:
                 if not row.shard:
                     total = sums.setdefault(row.tenant, [0.0, 0.0, 0.0])
-                    for at, value in enumerate((row.asked, row.worth, row.in_time)):
+                    for at, value in enumerate((row.responses, row.requested_weight, row.on_time_weight)):
                         total[at] += value
         for tenant, (asked, worth, in_time) in sums.items():
             if asked >= USUAL_LEAST and worth > 0 and (tenant in self.usual or len(self.usual) < USUAL_MOST):
--- a/quincepier/net/fleet/report_counters.py
+++ b/quincepier/net/fleet/report_counters.py
@@ -115,10 +115,10 @@
         self.keyed = {k: at for k, at in self.keyed.items() if now - at < 3600 * clock.SECOND}
         return FrontReport(
             about.front,
-            about.start,
-            about.number,
+            about.incarnation,
+            about.version_number,
             about.digest,
-            about.cautious,
+            about.is_cautious,
             max((now - self.seconds[0].since) // clock.MS, 0),
             tuple((hosts[n], count) for n, count in open_at.items() if n in hosts),
             tuple((tenant, shard, count) for (tenant, shard), count in list(keyed.items())[:ROWS_MOST]),
@@ -126,7 +126,7 @@
             tuple(aside)[:ASIDE_MOST],
             tuple((hosts[n], count) for n, count in sent.items() if n in hosts),
             tuple(_service(key, row) for key, row in list(rows.items())[:ROWS_MOST]),
-            about.purge_place,
+            about.change_log_sequence,
         )
 
 
--- a/quincepier/net/fleet/version_diff.py
+++ b/quincepier/net/fleet/version_diff.py
@@ -21,22 +21,24 @@
         if n >= LINES_MOST:
             return
         step = entry.step.name.lower()
-        fields: dict[str, object] = {"wish": entry.wish, kind: name, "step": step, "why": entry.why}
+        fields: dict[str, object] = {"wish": entry.request_id, kind: name, "step": step, "why": entry.reason}
         if isinstance(entry, Migration):
-            fields["part"] = entry.part
+            fields["part"] = entry.moved_slots
         what = "order step" if kind == "machine" else "move step"
         line = logger.bind(event=what, number=after.number, **fields)
-        line.info("{}: {} {} {}{}{}", what, entry.wish, name, step, ": " if entry.why else "", entry.why)
+        line.info(
+            "{}: {} {} {}{}{}", what, entry.request_id, name, step, ": " if entry.reason else "", entry.reason
+        )
 
 
 def _differ(
     before: RuleVersion, after: RuleVersion
 ) -> Iterator[tuple[str, MaintenanceTask | Migration, str]]:
-    orders = {(o.wish, o.target): o.step for o in before.orders}
-    for order in after.orders:
-        if orders.get((order.wish, order.target)) != order.step:
+    orders = {(o.request_id, o.target): o.step for o in before.maintenance_tasks}
+    for order in after.maintenance_tasks:
+        if orders.get((order.request_id, order.target)) != order.step:
             yield "machine", order, order.target
-    moves = {m.wish: (m.step, m.part) for m in before.moves}
-    for move in after.moves:
-        if moves.get(move.wish) != (move.step, move.part):
+    moves = {m.request_id: (m.step, m.moved_slots) for m in before.migrations}
+    for move in after.migrations:
+        if moves.get(move.request_id) != (move.step, move.moved_slots):
             yield "tenant", move, move.tenant
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -177,7 +177,7 @@
             self.follower.digest_now(),
             self.cautious,
             0,
-            purge_place=self.seq,
+            change_log_sequence=self.seq,
         )
         return self.tally.report(now, about, list(module.requests.open.values()), aside, hosts)
 
--- a/quincepier/rules/lease_table.py
+++ b/quincepier/rules/lease_table.py
@@ -36,15 +36,20 @@
     """One line for all earlier starts of a front that may have something open."""
     if earlier is None:
         return last
-    open_at = dict(earlier.open_at)
-    for host, count in last.open_at:
+    open_at = dict(earlier.open_attempts)
+    for host, count in last.open_attempts:
         open_at[host] = max(count, open_at.get(host, 0))
-    keyed = {(tenant, shard): count for tenant, shard, count in (*earlier.open_keyed, *last.open_keyed)}
+    keyed = {
+        (tenant, shard): count
+        for tenant, shard, count in (*earlier.open_unsafe_requests, *last.open_unsafe_requests)
+    }
     return msgspec.structs.replace(
         last,
-        number=min(last.number, earlier.number),
-        open_at=tuple(sorted(open_at.items())),
-        open_keyed=tuple((tenant, shard, count) for (tenant, shard), count in sorted(keyed.items())),
+        version_number=min(last.version_number, earlier.version_number),
+        open_attempts=tuple(sorted(open_at.items())),
+        open_unsafe_requests=tuple(
+            (tenant, shard, count) for (tenant, shard), count in sorted(keyed.items())
+        ),
     )
 
 
@@ -95,27 +100,27 @@
                 return None  # what is not kept in the ledger must have no lease
             known = _Front(report, 0, 0, now, now + pace.longer(pace.attempt))
             self.fronts[report.front] = known
-        elif report.start < known.report.start:
+        elif report.incarnation < known.report.incarnation:
             return None
-        elif report.start > known.report.start:
+        elif report.incarnation > known.report.incarnation:
             # One start follows the other, but not where somebody started it elsewhere while it was cut off:
             # what the earlier one holds, and has open, counts until it has run out.
             earlier = known.before if now < known.before_ended else None
-            known.before = _both(msgspec.structs.replace(known.report, number=known.number), earlier)
+            known.before = _both(msgspec.structs.replace(known.report, version_number=known.number), earlier)
             known.before_until = max(known.before_until, known.until)
             known.before_ended = max(known.before_until, now) + pace.longer(pace.attempt)
             known.token, known.until = 0, now
         elif ask.token <= known.token:
             return None
-        same = report.number != self.newest or report.digest == self.digest
+        same = report.version_number != self.newest or report.digest == self.digest
         known.report, known.token = report, ask.token
-        known.number = report.number if same else max(report.number - 1, 0)
+        known.number = report.version_number if same else max(report.version_number - 1, 0)
         lease = 0
-        if same and report.number >= self.newest:
+        if same and report.version_number >= self.newest:
             lease = pace.lease // MS
             known.until = max(known.until, now + pace.longer(lease * MS))
         known.ended = max(known.ended, known.until + pace.longer(pace.attempt))
-        return LeaseGrant(report.start, ask.token, self.newest, lease)
+        return LeaseGrant(report.incarnation, ask.token, self.newest, lease)
 
     def dropped(self, names: Iterable[str]) -> None:
         """Operators say that these fronts are no more: they hold nothing up until they are heard again."""
@@ -130,7 +135,7 @@
             if known.until > now:
                 numbers.append(known.number)
             if known.before is not None and known.before_until > now:
-                numbers.append(known.before.number)
+                numbers.append(known.before.version_number)
         return min(numbers)
 
     def told(self, now: int, names: Iterable[str]) -> int:
@@ -142,7 +147,7 @@
         if any(name not in self.fronts and name not in self.no_more for name in names):
             return 0
         waited = [k for n, k in self.fronts.items() if k.until > now or n not in self.no_more]
-        befores = [k.before.number for k in waited if k.before is not None and k.before_until > now]
+        befores = [k.before.version_number for k in waited if k.before is not None and k.before_until > now]
         return min([self.newest, *befores, *(k.number for k in waited)])
 
     def lapsed(self, now: int) -> bool:
@@ -182,7 +187,7 @@
         reports = {name: known.report for name, known in self.fronts.items() if known.until > now}
         for name, known in self.fronts.items():
             if known.before is not None and now < known.before_ended:
-                reports[f"{name}@{known.before.start}"] = known.before
+                reports[f"{name}@{known.before.incarnation}"] = known.before
         return Observations(
             now,
             view,
--- a/quincepier/rules/reports.py
+++ b/quincepier/rules/reports.py
@@ -13,30 +13,34 @@
 
     tenant: str
     shard: str
-    asked: int = 0  # final answers given
-    worth: float = 0.0  # of what was asked
-    in_time: float = 0.0  # worth answered in time
-    refused: int = 0
+    responses: int = 0  # final answers given
+    requested_weight: float = 0.0  # of what was asked
+    on_time_weight: float = 0.0  # worth answered in time
+    rejected: int = 0
     hits: int = 0
-    fills: int = 0
+    origin_fetches: int = 0
 
 
 class FrontReport(msgspec.Struct, frozen=True, array_like=True):
     """What one front says of itself, every report period."""
 
     front: str
-    start: int  # its incarnation
-    number: int  # of the rule version by which it decides
+    incarnation: int  # its incarnation
+    version_number: int  # of the rule version by which it decides
     digest: str
-    cautious: bool
-    span_ms: Annotated[int, msgspec.Meta(ge=0)]  # that the counts are of
-    open_at: tuple[tuple[str, int], ...] = ()  # host id and attempts of this front that are open there
-    open_keyed: tuple[tuple[str, str, int], ...] = ()  # tenant, shard, open requests that may not be repeated
-    last_keyed: tuple[tuple[str, str, int], ...] = ()  # tenant, shard, ms since such a one was sent on
-    aside: tuple[str, ...] = ()  # machines that it set aside
-    sent: tuple[tuple[str, int], ...] = ()  # host id and commands sent there in the span: the load
-    service: tuple[ServiceStatistics, ...] = ()
-    purge_place: int = 0  # the number in the change log up to which it has heard
+    is_cautious: bool
+    window_ms: Annotated[int, msgspec.Meta(ge=0)]  # that the counts are of
+    open_attempts: tuple[tuple[str, int], ...] = ()  # host id and attempts of this front that are open there
+    open_unsafe_requests: tuple[
+        tuple[str, str, int], ...
+    ] = ()  # tenant, shard, open requests that may not be repeated
+    last_unsafe_request_ages: tuple[
+        tuple[str, str, int], ...
+    ] = ()  # tenant, shard, ms since such a one was sent on
+    ejected_hosts: tuple[str, ...] = ()  # machines that it set aside
+    sent_commands: tuple[tuple[str, int], ...] = ()  # host id and commands sent there in the span: the load
+    service_statistics: tuple[ServiceStatistics, ...] = ()
+    change_log_sequence: int = 0  # the number in the change log up to which it has heard
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,28 +50,36 @@
     host: str
     kind: str  # cache, parent, origin
     zone: str
-    ready: bool
-    up_ms: int  # since its last start, as listed
-    warm_ms: int  # that it takes to be warm after a start
+    is_ready: bool
+    uptime_ms: int  # since its last start, as listed
+    warm_up_ms: int  # that it takes to be warm after a start
 
 
 @dataclass(slots=True, frozen=True)
 class Observations:
     """All that a step may be decided by; the same value gives the same steps."""
 
-    now: int  # monotonic nanoseconds of the voter that leads
-    view: tuple[str, ...]  # fronts that are members
-    reports: dict[str, FrontReport]  # the last one of each front that has a lease
-    lapsed: bool  # every front without a report here has surely lost its lease and ended what it had open
-    in_force: int  # highest number that every front with a lease decides by (none holds an older one)
-    in_force_for: int  # nanoseconds since that number came into force
-    machines: dict[str, MachineObservation]
+    now_ns: int  # monotonic nanoseconds of the voter that leads
+    members: tuple[str, ...]  # fronts that are members
+    report_by_front: dict[str, FrontReport]  # the last one of each front that has a lease
+    unleased_fronts_idle: (
+        bool  # every front without a report here has surely lost its lease and ended what it had open
+    )
+    active_number: int  # highest number that every front with a lease decides by (none holds an older one)
+    active_for_ns: int  # nanoseconds since that number came into force
+    machine_by_host: dict[str, MachineObservation]
     voters: tuple[str, ...]
     leader: str
-    alike: bool | None = None  # whether all fronts were found to decide alike by `in_force`; None: not known
-    usual: dict[str, float] = field(default_factory=dict)  # tenant to worth in time over worth, before orders
+    is_consistent: bool | None = (
+        None  # whether all fronts were found to decide alike by `in_force`; None: not known
+    )
+    baseline_on_time_ratio_by_tenant: dict[str, float] = field(
+        default_factory=dict
+    )  # tenant to worth in time over worth, before orders
     # nanoseconds for which a number is surely in force, for such as `since` of moves; may lack any
-    ages: dict[int, int] = field(default_factory=dict)
-    agreed_for: int = 0  # ns since the newest version was agreed; if it was found agreed: since the election
+    active_ns_by_number: dict[int, int] = field(default_factory=dict)
+    committed_for_ns: int = (
+        0  # ns since the newest version was agreed; if it was found agreed: since the election
+    )
     # highest number that every front was told of, with a lease or without; None: taken to be `in_force`
-    told: int | None = None
+    acknowledged_number: int | None = None
--- a/quincepier/rules/version.py
+++ b/quincepier/rules/version.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from enum import IntEnum
-from typing import Annotated, Literal, TypeVar
+from typing import Annotated, Any, Literal, TypeVar
 
 import msgspec
 import xxhash
@@ -23,39 +23,39 @@
 
 
 class MaintenanceStep(IntEnum):
-    WAITING = 0  # wished, not begun: used as usual
+    PENDING = 0  # wished, not begun: used as usual
     DRAINING = 1  # nothing new may be sent to it
-    EMPTY = 2  # no front may send to it and nothing of any front is open there: work may begin
-    OUT = 3  # work was seen to have begun (it is off the list, down, or restarted)
-    BACK = 4  # it is up again and listed
+    DRAINED = 2  # no front may send to it and nothing of any front is open there: work may begin
+    IN_MAINTENANCE = 3  # work was seen to have begun (it is off the list, down, or restarted)
+    RESTORED = 4  # it is up again and listed
     WARMING = 5  # used again, within its cold budget
-    IN = 6  # done: used as usual
-    STOPPED = 7  # given up before EMPTY, or by the operator; `why` says it; used as usual
+    COMPLETED = 6  # done: used as usual
+    CANCELLED = 7  # given up before EMPTY, or by the operator; `why` says it; used as usual
 
 
 class MaintenanceTask(msgspec.Struct, frozen=True, array_like=True):
     """One machine or front that is taken out for work."""
 
-    wish: Name  # the id of the operators' wish
+    request_id: Name  # the id of the operators' wish
     target: Name  # host id of a machine, or name of a front
     kind: Literal["cache", "parent", "front"]
     zone: Annotated[str, msgspec.Meta(max_length=64)]
     step: MaintenanceStep
-    since: int  # number of the version in which it entered this step
-    why: Why = ""
+    since_version: int  # number of the version in which it entered this step
+    reason: Why = ""
 
     @property
-    def aside(self) -> bool:
+    def is_cordoned(self) -> bool:
         """Whether nothing new may be sent to it."""
-        return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.BACK
+        return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.RESTORED
 
     @property
-    def out(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether it counts as out against what is allowed, warming ones counted."""
         return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.WARMING
 
     @property
-    def open(self) -> bool:
+    def is_active(self) -> bool:
         return self.step <= MaintenanceStep.WARMING
 
 
@@ -63,8 +63,8 @@
     """How many of a kind may be out at once in any one zone, and over all zones."""
 
     kind: Literal["cache", "parent", "front"]
-    zone_most: int
-    most: int
+    max_per_zone: int
+    max_total: int
 
 
 class Shard(msgspec.Struct, frozen=True, array_like=True):
@@ -86,60 +86,66 @@
 
 class MigrationStep(IntEnum):
     PLANNED = 0
-    WARMING = 1  # `part` of the keys go to the new home, growing; what may not be repeated stays at the old
-    VERIFY = 2  # the part stays, both homes are compared
-    CLOSING = 3  # repeats of what may not simply be repeated are refused; firsts still go to the old home
+    RAMPING_UP = (
+        1  # `part` of the keys go to the new home, growing; what may not be repeated stays at the old
+    )
+    VERIFYING = 2  # the part stays, both homes are compared
+    PAUSING_WRITES = (
+        3  # repeats of what may not simply be repeated are refused; firsts still go to the old home
+    )
     CUT_OVER = 4  # all keys in steps, and what may not be repeated at once; repeats of that are refused still
     DRAINING = 5  # nothing goes to the old home, repeats to the new; what was open there ends
-    DONE = 6
-    RETURNING = 7  # a rollback on its way: all at the old home, repeats refused
-    BACK = 8  # rolled back: everything as before the move
+    COMPLETED = 6
+    ROLLING_BACK = 7  # a rollback on its way: all at the old home, repeats refused
+    ROLLED_BACK = 8  # rolled back: everything as before the move
 
 
 class Migration(msgspec.Struct, frozen=True, array_like=True):
     """A tenant on its way from one shard to another."""
 
-    wish: Name
+    request_id: Name
     tenant: Name
-    old: ShardName
-    new: ShardName
+    source_shard: ShardName
+    target_shard: ShardName
     step: MigrationStep
-    since: int  # number of the version in which it entered this step
-    part: Annotated[int, msgspec.Meta(ge=0, le=PARTS)] = 0  # of the keys that go to the new home, of PARTS
-    why: Why = ""
+    since_version: int  # number of the version in which it entered this step
+    moved_slots: Annotated[int, msgspec.Meta(ge=0, le=PARTS)] = (
+        0  # of the keys that go to the new home, of PARTS
+    )
+    reason: Why = ""
 
     @property
-    def open(self) -> bool:
-        return self.step not in (MigrationStep.DONE, MigrationStep.BACK)
+    def is_active(self) -> bool:
+        return self.step not in (MigrationStep.COMPLETED, MigrationStep.ROLLED_BACK)
 
 
 class RuleVersion(msgspec.Struct, frozen=True, array_like=True):
     number: int
     term: int  # of the leader that proposed it
-    orders: Annotated[tuple[MaintenanceTask, ...], msgspec.Meta(max_length=ORDERS_MOST)] = ()
-    allowances: Annotated[tuple[DisruptionLimit, ...], msgspec.Meta(max_length=3)] = ()
+    maintenance_tasks: Annotated[tuple[MaintenanceTask, ...], msgspec.Meta(max_length=ORDERS_MOST)] = ()
+    disruption_limits: Annotated[tuple[DisruptionLimit, ...], msgspec.Meta(max_length=3)] = ()
     shards: Annotated[tuple[Shard, ...], msgspec.Meta(max_length=SHARDS_MOST)] = ()
-    homes: Annotated[tuple[TenantPlacement, ...], msgspec.Meta(max_length=HOMES_MOST)] = ()
-    moves: Annotated[tuple[Migration, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
+    placements: Annotated[tuple[TenantPlacement, ...], msgspec.Meta(max_length=HOMES_MOST)] = ()
+    migrations: Annotated[tuple[Migration, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
 
     @property
     def digest(self) -> str:
         """32 hex digits; over number and term too."""
         return xxhash.xxh3_128_hexdigest(_encode(self))
 
-    def order_of(self, target: str) -> MaintenanceTask | None:
+    def task_for(self, target: str) -> MaintenanceTask | None:
         """The last order for that machine or front."""
-        return next((o for o in reversed(self.orders) if o.target == target), None)
+        return next((o for o in reversed(self.maintenance_tasks) if o.target == target), None)
 
-    def move_of(self, tenant: str) -> Migration | None:
+    def migration_of(self, tenant: str) -> Migration | None:
         """The last move of that tenant."""
-        return next((m for m in reversed(self.moves) if m.tenant == tenant), None)
+        return next((m for m in reversed(self.migrations) if m.tenant == tenant), None)
 
-    def home_of(self, tenant: str) -> str:
+    def home_shard_of(self, tenant: str) -> str:
         """The shard at which the tenant is at home, "" for the common one; moves are not looked at."""
-        return next((h.shard for h in self.homes if h.tenant == tenant), "")
+        return next((h.shard for h in self.placements if h.tenant == tenant), "")
 
-    def shard(self, name: str) -> Shard | None:
+    def find_shard(self, name: str) -> Shard | None:
         return next((s for s in self.shards if s.name == name), None)
 
 
@@ -148,12 +154,12 @@
     step gives one, and `apply` makes the next version of all of one turn.
     """
 
-    why: str  # told in the log
-    orders: tuple[MaintenanceTask, ...] | None = None
-    allowances: tuple[DisruptionLimit, ...] | None = None
+    reason: str  # told in the log
+    maintenance_tasks: tuple[MaintenanceTask, ...] | None = None
+    disruption_limits: tuple[DisruptionLimit, ...] | None = None
     shards: tuple[Shard, ...] | None = None
-    homes: tuple[TenantPlacement, ...] | None = None
-    moves: tuple[Migration, ...] | None = None
+    placements: tuple[TenantPlacement, ...] | None = None
+    migrations: tuple[Migration, ...] | None = None
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -171,19 +177,23 @@
     """
     number, given = version.number + 1, dict[str, object]()
     for change in changes:
-        for field in ("orders", "allowances", "shards", "homes", "moves"):
+        for field in ("maintenance_tasks", "disruption_limits", "shards", "placements", "migrations"):
             value = getattr(change, field)
             if value is None:
                 continue
             if field in given:
-                raise RulesError(f"two changes of {field} in one turn", change.why)
+                raise RulesError(f"two changes of {field} in one turn", change.reason)
             given[field] = value
-    if "orders" in given:
-        was = {(o.wish, o.target): o for o in version.orders}
-        given["orders"] = tuple(_since(o, was.get((o.wish, o.target)), number) for o in given["orders"])  # type: ignore[attr-defined]
-    if "moves" in given:
-        before = {m.wish: m for m in version.moves}
-        given["moves"] = tuple(_since(m, before.get(m.wish), number) for m in given["moves"])  # type: ignore[attr-defined]
+    if "maintenance_tasks" in given:
+        was = {(o.request_id, o.target): o for o in version.maintenance_tasks}
+        tasks: Any = given["maintenance_tasks"]
+        given["maintenance_tasks"] = tuple(
+            _since(t, was.get((t.request_id, t.target)), number) for t in tasks
+        )
+    if "migrations" in given:
+        before = {m.request_id: m for m in version.migrations}
+        moves: Any = given["migrations"]
+        given["migrations"] = tuple(_since(m, before.get(m.request_id), number) for m in moves)
     return msgspec.structs.replace(version, number=number, term=term, **given)
 
 
@@ -192,7 +202,9 @@
 
 def _since(entry: T, before: T | None, number: int) -> T:
     kept = before is not None and before.step == entry.step
-    return msgspec.structs.replace(entry, since=before.since if kept and before is not None else number)
+    return msgspec.structs.replace(
+        entry, since_version=before.since_version if kept and before is not None else number
+    )
 
 
 def encode(version: RuleVersion) -> bytes:
--- a/quincepier/tenancy/migration.py
+++ b/quincepier/tenancy/migration.py
@@ -33,34 +33,41 @@
 def advance(version: RuleVersion, wishes: MigrationPolicy, seen: Observations) -> VersionChange | None:
     """What tenants want changed by now, or None. Called by the leader, each turn, with its own file."""
     lines = {line.id: line for line in wishes.section.migrations}
-    homes, moves, why = list(version.homes), list[Migration](), list[str]()
+    homes, moves, why = list(version.placements), list[Migration](), list[str]()
     # Kept though the wish is gone: another leader's file may still have it, and it is not to begin again.
-    gone = [m.wish for m in version.moves if not m.open and m.wish not in lines][:-CLOSED_MOST]
-    for move in version.moves:
-        if not move.open:
-            if move.wish not in gone:
+    gone = [m.request_id for m in version.migrations if not m.is_active and m.request_id not in lines][
+        :-CLOSED_MOST
+    ]
+    for move in version.migrations:
+        if not move.is_active:
+            if move.request_id not in gone:
                 moves.append(move)
             continue
-        line = lines.get(move.wish)
+        line = lines.get(move.request_id)
         after = _next(version, move, line if line and line.matches(move) else None, wishes, seen)
         moves.append(after)
         if after != move:
-            why.append(f"{move.wish}: {move.tenant} {_told(after)}")
-        if after.step is Step.DONE:
-            homes = [h for h in homes if h.tenant != move.tenant] + [TenantPlacement(move.tenant, move.new)]
+            why.append(f"{move.request_id}: {move.tenant} {_told(after)}")
+        if after.step is Step.COMPLETED:
+            homes = [h for h in homes if h.tenant != move.tenant] + [
+                TenantPlacement(move.tenant, move.target_shard)
+            ]
     for line in wishes.section.migrations:
         if (begun := _begun(version, moves, homes, line)) is not None:
             moves.append(begun)
             why.append(
-                f"{line.id}: {line.tenant} planned from {begun.old or DEFAULT_SHARD_NAME} to {line.target}"
+                f"{line.id}: {line.tenant} planned "
+                f"from {begun.source_shard or DEFAULT_SHARD_NAME} to {line.target}"
             )
     shards = wishes.section.to_shards()
-    used = {h.shard for h in homes} | {s for m in moves if m.open for s in (m.old, m.new)}
+    used = {h.shard for h in homes} | {
+        s for m in moves if m.is_active for s in (m.source_shard, m.target_shard)
+    }
     names = {s.name for s in shards}
     shards += tuple(s for s in version.shards if s.name in used and s.name not in names)
     caches = [host for s in shards for host in s.caches]
     shared = len(caches) > len(set(caches))  # a shard was renamed while it is the home of tenants
-    if (shared or any(m.open for m in moves + list(version.moves))) and version.shards:
+    if (shared or any(m.is_active for m in moves + list(version.migrations))) and version.shards:
         shards = _grown_only(version, shards)  # machines of a home do not change under a move
     if shards != version.shards:
         why.append("shards as in the file")
@@ -71,13 +78,13 @@
             )
             why.append(f"{name} at home in {tenant.home_shard}")
     new_homes, new_moves = tuple(homes), tuple(moves)
-    if (shards, new_homes, new_moves) == (version.shards, version.homes, version.moves):
+    if (shards, new_homes, new_moves) == (version.shards, version.placements, version.migrations):
         return None
     return VersionChange(
         "; ".join(why) or "moves that nobody names any more are dropped",
         shards=None if shards == version.shards else shards,
-        homes=None if new_homes == version.homes else new_homes,
-        moves=None if new_moves == version.moves else new_moves,
+        placements=None if new_homes == version.placements else new_homes,
+        migrations=None if new_moves == version.migrations else new_moves,
     )
 
 
@@ -87,10 +94,10 @@
     """
     return frozenset(
         host
-        for m in version.moves
-        if m.open and m.step > Step.PLANNED
+        for m in version.migrations
+        if m.is_active and m.step > Step.PLANNED
         for s in version.shards
-        if s.name in (m.old, m.new)
+        if s.name in (m.source_shard, m.target_shard)
         for host in (*s.caches, *s.parents)
     )
 
@@ -107,23 +114,23 @@
 ) -> Migration | None:
     """A wish that begins: not known yet, its tenant under no other move, and not at home there already."""
     old = next((h.shard for h in homes if h.tenant == line.tenant), None)
-    known = any(m.wish == line.id or (m.open and m.tenant == line.tenant) for m in moves)
+    known = any(m.request_id == line.id or (m.is_active and m.tenant == line.tenant) for m in moves)
     if known or line.rollback or old is None or old == line.target_shard or len(moves) >= MOVES_MOST:
         return None
     if (
-        line.target_shard and version.shard(line.target_shard) is None
+        line.target_shard and version.find_shard(line.target_shard) is None
     ):  # its shard comes with this change: the next turn
         return None
     return Migration(line.id, line.tenant, old, line.target_shard, Step.PLANNED, 0)
 
 
 def _told(move: Migration) -> str:
-    part = f" {move.part}/{PARTS}" if move.step in (Step.WARMING, Step.CUT_OVER) else ""
-    return f"{move.step.name.lower()}{part}{' (' + move.why + ')' if move.why else ''}"
+    part = f" {move.moved_slots}/{PARTS}" if move.step in (Step.RAMPING_UP, Step.CUT_OVER) else ""
+    return f"{move.step.name.lower()}{part}{' (' + move.reason + ')' if move.reason else ''}"
 
 
 def _to(move: Migration, step: MigrationStep, why: str = "", part: int | None = None) -> Migration:
-    return replace(move, step=step, why=why[:200], part=move.part if part is None else part)
+    return replace(move, step=step, reason=why[:200], moved_slots=move.moved_slots if part is None else part)
 
 
 def _next(
@@ -135,92 +142,107 @@
 ) -> Migration:
     """The move after this turn. A wish that is gone, or says something else now, counts as a pause."""
     goes = line is not None and not line.pause and m.step < line.last_step
-    if m.step in (Step.PLANNED, Step.WARMING, Step.VERIFY, Step.CLOSING):
+    if m.step in (Step.PLANNED, Step.RAMPING_UP, Step.VERIFYING, Step.PAUSING_WRITES):
         if line is not None and line.rollback:
-            return _to(m, Step.BACK, "by wish", 0)
-        if m.step > Step.PLANNED and not ready_hosts(seen, version, m.new):
-            return _to(m, Step.BACK, "the new home has no machine left", 0)
+            return _to(m, Step.ROLLED_BACK, "by wish", 0)
+        if m.step > Step.PLANNED and not ready_hosts(seen, version, m.target_shard):
+            return _to(m, Step.ROLLED_BACK, "the new home has no machine left", 0)
     if m.step is Step.PLANNED:
         return _planned(version, m, wishes, seen) if goes else m
-    if m.step is Step.WARMING:
+    if m.step is Step.RAMPING_UP:
         return _warming(version, m, line, goes, seen)
-    if m.step is Step.VERIFY:
+    if m.step is Step.VERIFYING:
         return _verified(version, m, goes, seen)
-    if m.step is Step.CLOSING:
-        return _closing(m, line is None or line.pause or line.last_step <= Step.VERIFY, seen)
-    if m.step is Step.RETURNING:
+    if m.step is Step.PAUSING_WRITES:
+        return _closing(m, line is None or line.pause or line.last_step <= Step.VERIFYING, seen)
+    if m.step is Step.ROLLING_BACK:
         still = (line is not None and line.pause) or age(m, seen) < wishes.write_pause_ns
-        return m if still else _to(m, Step.BACK, m.why)
+        return m if still else _to(m, Step.ROLLED_BACK, m.reason)
     return _cut_over(version, m, line, goes, wishes, seen)
 
 
 def in_force(m: Migration, seen: Observations) -> bool:
     """Whether no front decides by a version before this step, and none will."""
-    return seen.in_force >= m.since and seen.lapsed
+    return seen.active_number >= m.since_version and seen.unleased_fronts_idle
 
 
 def age(m: Migration, seen: Observations) -> int:
     """Nanoseconds for which the step is surely in force."""
-    return seen.ages.get(m.since, seen.in_force_for) if in_force(m, seen) else 0
+    return seen.active_ns_by_number.get(m.since_version, seen.active_for_ns) if in_force(m, seen) else 0
 
 
 def all_here(version: RuleVersion, seen: Observations) -> bool:
     """Whether closing would be short: every member reports and decides by the newest version."""
-    whole = set(seen.view) <= set(seen.reports) and seen.alike is not False
-    return whole and seen.lapsed and seen.in_force >= version.number
+    whole = set(seen.members) <= set(seen.report_by_front) and seen.is_consistent is not False
+    return whole and seen.unleased_fronts_idle and seen.active_number >= version.number
 
 
 def _planned(version: RuleVersion, m: Migration, wishes: MigrationPolicy, seen: Observations) -> Migration:
     # A front without a lease may not know of the move. It takes what may not be repeated for the notice only.
     if age(m, seen) < wishes.grace_period_ns or not all_here(version, seen):
         return m
-    if not ready_hosts(seen, version, m.new) or cold_host(seen, version, m.new) or under_work(version, m.new):
+    if (
+        not ready_hosts(seen, version, m.target_shard)
+        or cold_host(seen, version, m.target_shard)
+        or under_work(version, m.target_shard)
+    ):
         return m
-    shared = {m.old, m.new}
-    if any(o.open and o.step > Step.PLANNED and shared & {o.old, o.new} for o in version.moves if o is not m):
+    shared = {m.source_shard, m.target_shard}
+    if any(
+        o.is_active and o.step > Step.PLANNED and shared & {o.source_shard, o.target_shard}
+        for o in version.migrations
+        if o is not m
+    ):
         return m  # one at a time at each home: fills are judged by their sum
     part, why = grown(seen, m, WARM_PART)
-    return _to(m, Step.WARMING, why, part) if part else m
+    return _to(m, Step.RAMPING_UP, why, part) if part else m
 
 
 def _warming(
     version: RuleVersion, m: Migration, line: MigrationRequest | None, goes: bool, seen: Observations
 ) -> Migration:
     if in_same_seconds(seen):
-        found = compare(seen, m.tenant, m.old, m.new, False)
+        found = compare(seen, m.tenant, m.source_shard, m.target_shard, False)
         if found.verdict is Verdict.FAIL:
-            return _to(m, Step.BACK, found.line, 0)
-        if (found := unharmed(seen, sorted({*seen.usual, ""} - {m.tenant}))).verdict is Verdict.FAIL:
-            return _to(m, Step.BACK, f"others: {found.line}", 0)
+            return _to(m, Step.ROLLED_BACK, found.line, 0)
+        if (
+            found := unharmed(seen, sorted({*seen.baseline_on_time_ratio_by_tenant, ""} - {m.tenant}))
+        ).verdict is Verdict.FAIL:
+            return _to(m, Step.ROLLED_BACK, f"others: {found.line}", 0)
     if line is None or line.pause or not all_here(version, seen):
         return m
-    if cold_host(seen, version, m.new) or under_work(version, m.new):
+    if cold_host(seen, version, m.target_shard) or under_work(version, m.target_shard):
         return m
-    if m.part >= WARM_PART:
-        return _to(m, Step.VERIFY) if goes else m
+    if m.moved_slots >= WARM_PART:
+        return _to(m, Step.VERIFYING) if goes else m
     part, why = grown(seen, m, WARM_PART)
-    return _to(m, Step.WARMING, why, part) if part != m.part else m
+    return _to(m, Step.RAMPING_UP, why, part) if part != m.moved_slots else m
 
 
 def _verified(version: RuleVersion, m: Migration, goes: bool, seen: Observations) -> Migration:
-    gone = not ready_hosts(seen, version, m.old)
-    found = judge(seen, m.tenant, m.old, m.new)
+    gone = not ready_hosts(seen, version, m.source_shard)
+    found = judge(seen, m.tenant, m.source_shard, m.target_shard)
     if found.verdict is Verdict.FAIL:
-        return _to(m, Step.BACK, found.line, 0)
-    if not goes or not all_here(version, seen) or age(m, seen) < VERIFY_LEAST or under_work(version, m.new):
+        return _to(m, Step.ROLLED_BACK, found.line, 0)
+    if (
+        not goes
+        or not all_here(version, seen)
+        or age(m, seen) < VERIFY_LEAST
+        or under_work(version, m.target_shard)
+    ):
         return m
     if gone:
-        return _to(m, Step.CLOSING, "the old home has no machine left to compare with")
-    return _to(m, Step.CLOSING, found.line) if found.verdict is Verdict.PASS else m
+        return _to(m, Step.PAUSING_WRITES, "the old home has no machine left to compare with")
+    return _to(m, Step.PAUSING_WRITES, found.line) if found.verdict is Verdict.PASS else m
 
 
 def _closing(m: Migration, pause: bool, seen: Observations) -> Migration:
-    if pause or seen.alike is False:
-        return _to(m, Step.VERIFY, "paused" if pause else "fronts do not all decide alike")
+    if pause or seen.is_consistent is False:
+        return _to(m, Step.VERIFYING, "paused" if pause else "fronts do not all decide alike")
     if in_force(m, seen):
         return _to(m, Step.CUT_OVER)
-    if seen.agreed_for >= CLOSING_MOST:  # a front or the leader is away: nobody is kept waiting for it
-        return _to(m, Step.VERIFY, "not all fronts followed in time: tried again later")
+    if seen.committed_for_ns >= CLOSING_MOST:  # a front or the leader is away: nobody is kept waiting for it
+        return _to(m, Step.VERIFYING, "not all fronts followed in time: tried again later")
     return m
 
 
@@ -233,27 +255,40 @@
     seen: Observations,
 ) -> Migration:
     """CUT_OVER and DRAINING. A `part` of 0 is a move on its way back: firsts still at the new home."""
-    if m.part == 0:
-        return _to(m, Step.RETURNING, m.why) if seen.in_force >= version.number and seen.lapsed else m
+    if m.moved_slots == 0:
+        return (
+            _to(m, Step.ROLLING_BACK, m.reason)
+            if seen.active_number >= version.number and seen.unleased_fronts_idle
+            else m
+        )
     if line is not None and line.rollback:
         return _to(m, Step.CUT_OVER, "by wish", 0)
-    if not ready_hosts(seen, version, m.new) and ready_hosts(seen, version, m.old):
+    if not ready_hosts(seen, version, m.target_shard) and ready_hosts(seen, version, m.source_shard):
         return _to(m, Step.CUT_OVER, "the new home has no machine left", 0)
-    if in_same_seconds(seen) and (found := unharmed(seen, sorted({*seen.usual, ""}))).verdict is Verdict.FAIL:
+    if (
+        in_same_seconds(seen)
+        and (found := unharmed(seen, sorted({*seen.baseline_on_time_ratio_by_tenant, ""}))).verdict
+        is Verdict.FAIL
+    ):
         return _to(m, Step.CUT_OVER, found.line, 0)
-    if m.step is Step.CUT_OVER and m.part < PARTS:
-        still = line is None or line.pause or cold_host(seen, version, m.new) or under_work(version, m.new)
+    if m.step is Step.CUT_OVER and m.moved_slots < PARTS:
+        still = (
+            line is None
+            or line.pause
+            or cold_host(seen, version, m.target_shard)
+            or under_work(version, m.target_shard)
+        )
         if still or not all_here(version, seen):
             return m
         part, why = grown(seen, m, PARTS)
-        return _to(m, Step.CUT_OVER, why, part) if part != m.part else m
+        return _to(m, Step.CUT_OVER, why, part) if part != m.moved_slots else m
     if not goes or not in_force(m, seen):
         return m
     if m.step is Step.CUT_OVER:
         return _to(m, Step.DRAINING) if age(m, seen) >= wishes.write_pause_ns else m
     left = any(
-        (tenant, shard) == (m.tenant, m.old or DEFAULT_SHARD_NAME) and open_
-        for r in seen.reports.values()
-        for tenant, shard, open_ in r.open_keyed
+        (tenant, shard) == (m.tenant, m.source_shard or DEFAULT_SHARD_NAME) and open_
+        for r in seen.report_by_front.values()
+        for tenant, shard, open_ in r.open_unsafe_requests
     )
-    return m if left else _to(m, Step.DONE)
+    return m if left else _to(m, Step.COMPLETED)
--- a/quincepier/tenancy/placement.py
+++ b/quincepier/tenancy/placement.py
@@ -25,18 +25,18 @@
     """
     step = move.step
     if not once:
-        early = (step <= MigrationStep.CLOSING and cautious) or step is MigrationStep.RETURNING
-        over = step is MigrationStep.DRAINING or (not early and part < move.part)
-        return (move.new if over else move.old), False
+        early = (step <= MigrationStep.PAUSING_WRITES and cautious) or step is MigrationStep.ROLLING_BACK
+        over = step is MigrationStep.DRAINING or (not early and part < move.moved_slots)
+        return (move.target_shard if over else move.source_shard), False
     # A first runs where the version says, and needs no gap: each of two neighbouring versions refuses its
     # repeats. A repeat may have run at the other home, so it waits until a cache could not tell it either.
     if step is MigrationStep.CUT_OVER:
-        return move.new, cautious or repeat
+        return move.target_shard, cautious or repeat
     if step is MigrationStep.DRAINING:
-        return move.new, cautious
-    if step is MigrationStep.RETURNING:
-        return move.old, cautious or repeat
-    return move.old, cautious or (step is MigrationStep.CLOSING and repeat)
+        return move.target_shard, cautious
+    if step is MigrationStep.ROLLING_BACK:
+        return move.source_shard, cautious or repeat
+    return move.source_shard, cautious or (step is MigrationStep.PAUSING_WRITES and repeat)
 
 
 class PlacementTable:
@@ -65,9 +65,9 @@
         caches = [host for shard in version.shards for host in shard.caches]
         if len(caches) > len(set(caches)):  # keys of two homes would meet there, and neither be compared
             raise TenancyError("a cache is in two shards", f"rule version {version.number}")
-        moves = {n: version.move_of(name) for n, name in enumerate(tenants.names) if n}
-        self._moves = {n: m for n, m in moves.items() if m is not None and m.open}
-        self._shards = [version.home_of(name) if n else "" for n, name in enumerate(tenants.names)]
+        moves = {n: version.migration_of(name) for n, name in enumerate(tenants.names) if n}
+        self._moves = {n: m for n, m in moves.items() if m is not None and m.is_active}
+        self._shards = [version.home_shard_of(name) if n else "" for n, name in enumerate(tenants.names)]
         self.renew()
 
     def renew(self) -> None:
--- a/quincepier/tenancy/ramp_up.py
+++ b/quincepier/tenancy/ramp_up.py
@@ -15,47 +15,53 @@
 
 def ready_hosts(seen: Observations, version: RuleVersion, shard: str) -> list[str]:
     """Caches of a home that are listed and ready; of the common one all outside of shards."""
-    line = version.shard(shard)
+    line = version.find_shard(shard)
     own = {host for s in version.shards for host in s.caches}
     return [
         host
-        for host, m in seen.machines.items()
-        if m.kind == "cache" and m.ready and (host in line.caches if line else not shard and host not in own)
+        for host, m in seen.machine_by_host.items()
+        if m.kind == "cache"
+        and m.is_ready
+        and (host in line.caches if line else not shard and host not in own)
     ]
 
 
 def cold_host(seen: Observations, version: RuleVersion, shard: str) -> str:
     """One of the home's machines that is not warm yet, "" for none."""
     for host in ready_hosts(seen, version, shard):
-        if seen.machines[host].up_ms < seen.machines[host].warm_ms:
+        if seen.machine_by_host[host].uptime_ms < seen.machine_by_host[host].warm_up_ms:
             return host
     return ""
 
 
 def under_work(version: RuleVersion, shard: str) -> str:
     """A machine of the home that an open order has begun with, "" for none."""
-    line = version.shard(shard)
+    line = version.find_shard(shard)
     own = {host for s in version.shards for host in (*s.caches, *s.parents)}
     mine = {*line.caches, *line.parents} if line else set[str]()
-    for o in version.orders:
-        if o.out and o.kind != "front" and (o.target in mine or (not line and o.target not in own)):
+    for o in version.maintenance_tasks:
+        if (
+            o.is_unavailable
+            and o.kind != "front"
+            and (o.target in mine or (not line and o.target not in own))
+        ):
             return o.target
     return ""
 
 
 def grown(seen: Observations, move: Migration, most: int) -> tuple[int, str]:
     """The next part, at most `most`, and why not more; the same part where it has to wait."""
-    part = move.part
+    part = move.moved_slots
     if not in_same_seconds(seen):
         return part, "counts are not all of this version yet"
-    here, there = total(seen, move.tenant, move.new), total(seen, move.tenant, move.old)
-    asked, every = here.asked + there.asked, total(seen, "").fills
+    here, there = total(seen, move.tenant, move.target_shard), total(seen, move.tenant, move.source_shard)
+    asked, every = here.responses + there.responses, total(seen, "").origin_fetches
     if not asked:
         return min(part + STEPS[0], most), "nobody asks"
-    if there.asked < TELLS and part < PARTS:
+    if there.responses < TELLS and part < PARTS:
         return min(part + STEPS[3], most), "too few answers to tell fills by: small steps"
-    rate = there.fills / there.asked if there.asked else 0.0
-    extra = max(here.fills - here.asked * rate, 0.0)
+    rate = there.origin_fetches / there.responses if there.responses else 0.0
+    extra = max(here.origin_fetches - here.responses * rate, 0.0)
     usual = max(every - extra, 1.0)
     if part and extra > SETTLED_PART * usual:
         return part, f"{extra:.0f} fills above {usual:.0f} usual ones"
--- a/quincepier/tenancy/section.py
+++ b/quincepier/tenancy/section.py
@@ -25,11 +25,11 @@
 Checkpoint = Literal["planned", "warming", "verify", "cut_over", "draining", "done"]
 STEP_BY_CHECKPOINT: dict[Checkpoint, MigrationStep] = {
     "planned": MigrationStep.PLANNED,
-    "warming": MigrationStep.WARMING,
-    "verify": MigrationStep.VERIFY,
+    "warming": MigrationStep.RAMPING_UP,
+    "verify": MigrationStep.VERIFYING,
     "cut_over": MigrationStep.CUT_OVER,
     "draining": MigrationStep.DRAINING,
-    "done": MigrationStep.DONE,
+    "done": MigrationStep.COMPLETED,
 }
 
 
@@ -95,7 +95,11 @@
 
     def matches(self, migration: Migration) -> bool:
         """Whether the migration is the one requested; an id with two meanings makes no progress."""
-        return (migration.wish, migration.tenant, migration.new) == (self.id, self.tenant, self.target_shard)
+        return (migration.request_id, migration.tenant, migration.target_shard) == (
+            self.id,
+            self.tenant,
+            self.target_shard,
+        )
 
 
 class TenantsSection(
--- a/quincepier/tenancy/verification.py
+++ b/quincepier/tenancy/verification.py
@@ -43,19 +43,26 @@
     is named by its word, as "" stands for all.
     """
     name = "" if shard is None else shard or DEFAULT_SHARD_NAME
-    rows = (s for r in seen.reports.values() for s in r.service)
+    rows = (s for r in seen.report_by_front.values() for s in r.service_statistics)
     return _sum(tenant, name, (s for s in rows if (s.tenant, s.shard) == (tenant, name)))
 
 
 def _sum(tenant: str, shard: str, rows: Iterable[ServiceStatistics]) -> ServiceStatistics:
     a = w = t = r = h = f = 0.0
     for s in rows:
-        a, w, t, r, h, f = a + s.asked, w + s.worth, t + s.in_time, r + s.refused, h + s.hits, f + s.fills
+        a, w, t, r, h, f = (
+            a + s.responses,
+            w + s.requested_weight,
+            t + s.on_time_weight,
+            r + s.rejected,
+            h + s.hits,
+            f + s.origin_fetches,
+        )
     return ServiceStatistics(tenant, shard, int(a), w, t, int(r), int(h), int(f))
 
 
 def late(s: ServiceStatistics) -> float:
-    return 1 - s.in_time / s.worth if s.worth > 0 else 0.0
+    return 1 - s.on_time_weight / s.requested_weight if s.requested_weight > 0 else 0.0
 
 
 def worse(bad: float, n: int, than: float, of: int, margin: float) -> Verdict:
@@ -76,25 +83,25 @@
 
 def in_same_seconds(seen: Observations) -> bool:
     """Whether all counts are of seconds in which the newest version was in force."""
-    return all(r.span_ms * MS <= seen.in_force_for for r in seen.reports.values())
+    return all(r.window_ms * MS <= seen.active_for_ns for r in seen.report_by_front.values())
 
 
 def compare(seen: Observations, tenant: str, old: str, new: str, warm: bool) -> Finding:
     """`warm`: hits and fills are compared too, which are worse while keys are still new there."""
     here, there = total(seen, tenant, new), total(seen, tenant, old)
-    if here.asked < LEAST or there.asked < LEAST:
-        few = f"{here.asked} and {there.asked} answers, {LEAST} at each home wanted"
+    if here.responses < LEAST or there.responses < LEAST:
+        few = f"{here.responses} and {there.responses} answers, {LEAST} at each home wanted"
         return Finding(Verdict.WAIT, (few,))
-    n, of = here.asked, there.asked
+    n, of = here.responses, there.responses
     tests = [
         ("in time", late(here), late(there), LATE_MORE),
-        ("refused", here.refused / n, there.refused / of, REFUSED_MORE),
+        ("refused", here.rejected / n, there.rejected / of, REFUSED_MORE),
     ]
     if warm:
-        rate = there.fills / of
+        rate = there.origin_fetches / of
         tests += [
             ("not held", 1 - here.hits / n, 1 - there.hits / of, MISSED_MORE),
-            ("fills", min(here.fills / n, 1.0), min(rate, 1.0), max(FILLS_MORE * rate, FILLS_LEAST)),
+            ("fills", min(here.origin_fetches / n, 1.0), min(rate, 1.0), max(FILLS_MORE * rate, FILLS_LEAST)),
         ]
     return _worst([(what, worse(a, n, b, of, m), a, b) for what, a, b, m in tests])
 
@@ -103,9 +110,9 @@
     """Worth in time of tenants ("" for all) against what is usual for each; not known is not judged."""
     found = []
     for name in names:
-        row, usual = total(seen, name), seen.usual.get(name)
-        if usual is not None and row.asked >= LEAST:
-            told = worse(late(row), row.asked, 1 - usual, 0, LATE_MORE)
+        row, usual = total(seen, name), seen.baseline_on_time_ratio_by_tenant.get(name)
+        if usual is not None and row.responses >= LEAST:
+            told = worse(late(row), row.responses, 1 - usual, 0, LATE_MORE)
             found.append((f"{name or 'all'} late", told, late(row), 1 - usual))
     return _worst(found) if found else Finding(Verdict.PASS, ("nothing usual known of others",))
 
@@ -121,14 +128,14 @@
     """All of it, at VERIFY. A home that nobody asks can't be compared: after the span that is a pass."""
     if not in_same_seconds(seen):
         return Finding(Verdict.WAIT, ("counts are not all of this version yet",))
-    if seen.alike is False:
+    if seen.is_consistent is False:
         return Finding(Verdict.WAIT, ("fronts do not all decide alike",))
-    others = unharmed(seen, sorted({*seen.usual, ""} - {tenant}))
+    others = unharmed(seen, sorted({*seen.baseline_on_time_ratio_by_tenant, ""} - {tenant}))
     if others.verdict is not Verdict.PASS:
         return others
-    if seen.reports and not total(seen, tenant, old).asked + total(seen, tenant, new).asked:
+    if seen.report_by_front and not total(seen, tenant, old).responses + total(seen, tenant, new).responses:
         return Finding(Verdict.PASS, ("nobody asked for anything of it",))
     both = compare(seen, tenant, old, new, True)
-    if both.verdict is Verdict.PASS and seen.alike is None:
+    if both.verdict is Verdict.PASS and seen.is_consistent is None:
         return Finding(Verdict.PASS, (*both.reasons, "whether all decide alike is not known"))
     return both
--- a/tests/agreementrig.py
+++ b/tests/agreementrig.py
@@ -228,8 +228,8 @@
     """
     host = f"s-{cache}"
     told = [line for line in rig.said("order step", machine=host) if line.at >= since]
-    empty = next(line.at for line in told if line.fields["step"] == "empty") + MS
-    back = next(line.at for line in told if line.fields["step"] == "back")
+    empty = next(line.at for line in told if line.fields["step"] == "drained") + MS
+    back = next(line.at for line in told if line.fields["step"] == "restored")
     late = rig.commands(cache, empty, back)
     assert empty < back and not late, late[:3]
     return empty, back
--- a/tests/orderkit.py
+++ b/tests/orderkit.py
@@ -137,19 +137,24 @@
         known = tuple(
             (
                 name,
-                k.report.start,
+                k.report.incarnation,
                 k.number,
-                k.report.open_at,
+                k.report.open_attempts,
                 max(k.until - now, 0),
                 max(k.ended - now, 0),
-                (k.before.number, k.before.open_at, max(k.before_until - now, 0), k.before_ended - now)
+                (
+                    k.before.version_number,
+                    k.before.open_attempts,
+                    max(k.before_until - now, 0),
+                    k.before_ended - now,
+                )
                 if k.before and k.before_ended > now
                 else (),
             )
             for name, k in sorted(ledger.fronts.items())
         )
         wait = max(ledger.began + pace.longer(pace.lease) + pace.longer(pace.attempt) - now, 0)
-        orders = tuple((o.target, o.step, o.since) for o in self.version.orders)
+        orders = tuple((o.target, o.step, o.since_version) for o in self.version.maintenance_tasks)
         words = tuple(sorted(map(self.word_key, self.words, self.owners)))
         held = (self.rate, self.ledger.newest, wait)
         return fronts, known, held, orders, words, tuple(self.machines.values()), self.faults, self.leaders
@@ -158,9 +163,21 @@
         front = self.fronts[owner]
         if isinstance(word, LeaseRequest):
             known = self.ledger.fronts.get(word.report.front)
-            later = known is None or known.report.start != word.report.start or word.token > known.token
+            later = (
+                known is None
+                or known.report.incarnation != word.report.incarnation
+                or word.token > known.token
+            )
             age = front.clock - front.holder.asked.get(word.token, -(10**15))
-            return 0, owner, word.report.start, word.report.number, word.report.open_at, later, age
+            return (
+                0,
+                owner,
+                word.report.incarnation,
+                word.report.version_number,
+                word.report.open_attempts,
+                later,
+                age,
+            )
         age = front.clock - front.holder.asked.get(word.token, -(10**15))
         return 1, owner, word.start, word.number, (), word.lease_ms > 0, age
 
@@ -191,14 +208,14 @@
             if self.faults:
                 yield "word", at, True
         for host in HOSTS if self.orders else ():
-            order = self.version.order_of(host)
+            order = self.version.task_for(host)
             if order is not None and order.step in (
-                MaintenanceStep.EMPTY,
-                MaintenanceStep.OUT,
+                MaintenanceStep.DRAINED,
+                MaintenanceStep.IN_MAINTENANCE,
                 MaintenanceStep.WARMING,
             ):
                 up = self.machines[host]
-                if up < WARM or order.step is MaintenanceStep.EMPTY:
+                if up < WARM or order.step is MaintenanceStep.DRAINED:
                     yield "work", host
 
     def make(self, move: Move) -> None:
@@ -224,8 +241,8 @@
 
     def send(self, at: int, host: str) -> None:
         front = self.fronts[at]
-        order = self.version.order_of(host)
-        if order is not None and MaintenanceStep.EMPTY <= order.step <= MaintenanceStep.BACK:
+        order = self.version.task_for(host)
+        if order is not None and MaintenanceStep.DRAINED <= order.step <= MaintenanceStep.RESTORED:
             raise Breach(f"{front.name} sends to {host}, which is {order.step.name}")
         front.open[host] = 0
 
@@ -298,9 +315,11 @@
         before = self.version
         self.versions.append(apply(before, 1, (change,)))
         self.ledger.agreed(self.version)
-        for order in self.version.orders:
-            was = before.order_of(order.target)
-            if order.step is MaintenanceStep.EMPTY and (was is None or was.step is not MaintenanceStep.EMPTY):
+        for order in self.version.maintenance_tasks:
+            was = before.task_for(order.target)
+            if order.step is MaintenanceStep.DRAINED and (
+                was is None or was.step is not MaintenanceStep.DRAINED
+            ):
                 for front in self.fronts:
                     if order.target in front.open:
                         raise Breach(f"{order.target} is empty and {front.name} has something open there")
@@ -310,8 +329,10 @@
         for front in self.fronts:
             if not front.holder.cautious(front.clock) and front.holder.version.number < force:
                 raise Breach(f"{front.name} is sure of {front.holder.version.number}, in force is {force}")
-        if sum(order.out for order in self.version.orders) > 1:
-            raise Breach(f"out at once: {[o.target for o in self.version.orders if o.out]}")
+        if sum(order.is_unavailable for order in self.version.maintenance_tasks) > 1:
+            raise Breach(
+                f"out at once: {[o.target for o in self.version.maintenance_tasks if o.is_unavailable]}"
+            )
 
 
 def stages(parts: Parts, fronts: int, faults: int) -> list[World]:
@@ -392,7 +413,7 @@
             except Breach as breach:
                 raise Breach(f"{breach} after {way}") from None
             if move[0] == "plan":
-                came |= {order.step.name for order in world.version.orders}
+                came |= {order.step.name for order in world.version.maintenance_tasks}
         for name in came:
             reached[name] = reached.get(name, 0) + 1
     return reached
--- a/tests/tenancykit.py
+++ b/tests/tenancykit.py
@@ -92,7 +92,7 @@
     def version(self, place: tuple[int, int], number: int, since: int) -> RuleVersion:
         step, part = place
         moves = (Migration("m", "acme", "", "north", MigrationStep(step), since, part),) if step >= 0 else ()
-        home = "north" if step == MigrationStep.DONE else ""
+        home = "north" if step == MigrationStep.COMPLETED else ""
         return RuleVersion(
             number, 1, (), (), (Shard("north", ("s-1",)),), (TenantPlacement("acme", home),), moves
         )
@@ -149,8 +149,10 @@
             change = advance(
                 version, MigrationPolicy(section, self.rules.hold * TICK, self.rules.notice * TICK), seen
             )
-            after = change.moves[0] if change is not None and change.moves else version.moves[0]
-            self._turns[key] = (int(after.step), after.part)
+            after = (
+                change.migrations[0] if change is not None and change.migrations else version.migrations[0]
+            )
+            self._turns[key] = (int(after.step), after.moved_slots)
         return self._turns[key]
 
     def after(self, s: State) -> Iterator[tuple[str, State]]:
--- a/tests/test_agreement_processes.py
+++ b/tests/test_agreement_processes.py
@@ -18,14 +18,14 @@
   as_before: 0.3
   wishes: [{id: first, machines: [s-1]}]
 """
-WHOLE = ["waiting", "draining", "empty", "out", "back", "warming", "in"]
+WHOLE = ["pending", "draining", "drained", "in_maintenance", "restored", "warming", "completed"]
 
 
 async def worked_on(rig: Fronts) -> None:
     """Work begins once it is empty, and its order ends."""
-    await rig.line("order step", machine="s-1", step="empty")
+    await rig.line("order step", machine="s-1", step="drained")
     rig.work(1, 1.0)
-    await rig.line("order step", machine="s-1", step="in")
+    await rig.line("order step", machine="s-1", step="completed")
 
 
 def test_an_order_for_one_cache_goes_through_all_its_steps_and_no_command_reaches_it(tmp_path: Path) -> None:
@@ -59,18 +59,18 @@
     async def story(rig: Fronts) -> None:
         first = await rig.leader()
         rig.wish(WORK)
-        if step == "out":
-            await rig.line("order step", machine="s-1", step="empty")
+        if step == "in_maintenance":
+            await rig.line("order step", machine="s-1", step="drained")
             rig.work(1, 4.0)
         await rig.line("order step", machine="s-1", step=step)
         rig.kill(first)
         second = await rig.leader(rig.now)
         assert second != first
         if step == "draining":
-            await rig.line("order step", machine="s-1", step="empty")
+            await rig.line("order step", machine="s-1", step="drained")
             rig.work(1, 1.0)
         await rig.start(first)
-        await rig.line("order step", machine="s-1", step="in")
+        await rig.line("order step", machine="s-1", step="completed")
 
     good(Fronts(tmp_path, story))
 
@@ -92,12 +92,12 @@
         rig.between(some, others, "cut")
         await rig.until(lambda: all(rig.said("cautious entered", (n,)) for n in some), "both are cautious")
         await rig.leader(cut[0])
-        await rig.line("order step", machine="s-1", step="empty")
+        await rig.line("order step", machine="s-1", step="drained")
         rig.work(1, 1.0)
-        await rig.line("order step", machine="s-1", step="back")
+        await rig.line("order step", machine="s-1", step="restored")
         cut.append(rig.now)
         rig.between(some, others, "cut", heal=True)
-        await rig.line("order step", machine="s-1", step="in")
+        await rig.line("order step", machine="s-1", step="completed")
         await rig.until(lambda: all(_left(rig, n) for n in some), "both have a lease again")
 
     def _left(rig: Fronts, n: int) -> bool:
@@ -120,10 +120,10 @@
         began = rig.now
         pause = asyncio.create_task(rig.pause(first, 5.0))
         assert await rig.leader(began) != first
-        await rig.line("order step", machine="s-1", step="empty")
+        await rig.line("order step", machine="s-1", step="drained")
         rig.work(1, 1.0)
         await pause
-        await rig.line("order step", machine="s-1", step="in")
+        await rig.line("order step", machine="s-1", step="completed")
         await rig.until(lambda: rig.said("leads no more", (first,)), "it knows that it leads no more")
 
     good(Fronts(tmp_path, story))
@@ -137,7 +137,7 @@
     async def story(rig: Fronts) -> None:
         await rig.leader()
         rig.wish(WORK)
-        await rig.line("order step", machine="s-1", step="empty")
+        await rig.line("order step", machine="s-1", step="drained")
         rig.kill(*range(5))
         if lost:
             for place in rig.folder.glob("front-*/rules-*"):
@@ -146,9 +146,9 @@
         await rig.start(*range(5))
         await rig.leader(again[0])
         if lost:
-            await rig.line("order step", again[0], machine="s-1", step="empty")
+            await rig.line("order step", again[0], machine="s-1", step="drained")
         rig.work(1, 1.0)
-        await rig.line("order step", again[0], machine="s-1", step="in")
+        await rig.line("order step", again[0], machine="s-1", step="completed")
 
     rig = Fronts(tmp_path, story)
     run = told(rig)
@@ -209,7 +209,7 @@
         rig.between(some, tuple(n for n in range(5) if n not in some), "cut")
         await rig.until(lambda: all(rig.said("cautious entered", (n,)) for n in some), "both are cautious")
         rig.wish(SHARDS + "  moves: [{id: m1, tenant: acme, to: north, rollback: true}]\n")
-        await rig.line("move step", tenant="acme", step="back")
+        await rig.line("move step", tenant="acme", step="rolled_back")
         rig.between(some, tuple(n for n in range(5) if n not in some), "cut", heal=True)
         healed.append(rig.now)
         last = rig.said("version agreed")[-1].fields["number"]
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -60,9 +60,11 @@
     """One bit of an order in the version that it holds."""
 
     def spoil(inputs: DecisionInputs) -> DecisionInputs:
-        first = inputs.version.orders[0]
+        first = inputs.version.maintenance_tasks[0]
         other = msgspec.structs.replace(first, step=MaintenanceStep(first.step ^ 1))
-        version = msgspec.structs.replace(inputs.version, orders=(other, *inputs.version.orders[1:]))
+        version = msgspec.structs.replace(
+            inputs.version, maintenance_tasks=(other, *inputs.version.maintenance_tasks[1:])
+        )
         return replace(inputs, version=version)
 
     front.spoil = spoil
@@ -115,7 +117,7 @@
     "one setting": (setting, DivergenceKind.SETTINGS, "setting purge_settles", "purge_settles"),
 }
 ORDERED = RuleVersion(
-    7, 2, orders=(MaintenanceTask("w", "s-1-1", "cache", "z1", MaintenanceStep.DRAINING, 7),)
+    7, 2, maintenance_tasks=(MaintenanceTask("w", "s-1-1", "cache", "z1", MaintenanceStep.DRAINING, 7),)
 )
 
 
@@ -426,7 +428,7 @@
     elif name == "lists of any revision compared":
         monkeypatch.setattr(judging, "standard", lambda answers: 0)
     elif name == "away machines decided for":
-        monkeypatch.setattr(MaintenanceTask, "aside", False)
+        monkeypatch.setattr(MaintenanceTask, "is_cordoned", False)
 
 
 def test_late_fronts_that_differ_are_not_blamed_by_so_few() -> None:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -56,7 +56,7 @@
 
 
 def version(number: int, *orders: MaintenanceTask) -> RuleVersion:
-    return msgspec.structs.replace(initial_version(), number=number, term=1, orders=orders)
+    return msgspec.structs.replace(initial_version(), number=number, term=1, maintenance_tasks=orders)
 
 
 # The seat
@@ -229,7 +229,7 @@
 
 def test_one_proposal_at_a_time_and_numbers_above_all_that_fronts_decide_by() -> None:
     def planner(agreed: RuleVersion, seen: Any) -> VersionChange:
-        return VersionChange("again", orders=(*agreed.orders, DRAINS))
+        return VersionChange("again", maintenance_tasks=(*agreed.maintenance_tasks, DRAINS))
 
     chair, proposed, seat = chair_of(planner)
     chair.turn(0)
@@ -253,11 +253,11 @@
 def test_a_proposal_that_is_late_is_made_again_the_same_and_no_other_of_its_number() -> None:
     """Disks of the others that hang for seconds: the first is agreed after all, and the second besides."""
     chair, proposed, seat = chair_of(
-        lambda agreed, seen: VersionChange(f"at {seen.now}", orders=(DRAINS,) * seen.now)
+        lambda agreed, seen: VersionChange(f"at {seen.now_ns}", maintenance_tasks=(DRAINS,) * seen.now_ns)
     )
     chair.turn(1)
     chair.turn(2 * clock.SECOND)
-    chair.planners = lambda: [lambda agreed, seen: VersionChange("another", orders=())]
+    chair.planners = lambda: [lambda agreed, seen: VersionChange("another", maintenance_tasks=())]
     chair.turn(4 * clock.SECOND)
     assert len(proposed) == 2 and proposed[0] == proposed[1]
     chair.committed(decode(proposed[0]))
@@ -270,14 +270,16 @@
 
 def test_what_no_front_could_read_is_not_proposed() -> None:
     def planner(agreed: RuleVersion, seen: Any) -> VersionChange:
-        return VersionChange("a defect", orders=(msgspec.structs.replace(DRAINS, wish=""),))
+        return VersionChange("a defect", maintenance_tasks=(msgspec.structs.replace(DRAINS, request_id=""),))
 
     chair, proposed, _ = chair_of(planner)
     chair.turn(0)
     assert not proposed and chair.checks.counts["version not proposed"] == 1
     move = Migration("m", "acme", "", "north", MigrationStep.PLANNED, 1)
-    common = msgspec.structs.replace(initial_version(), homes=(TenantPlacement("acme", ""),), moves=(move,))
-    assert decode(encode(common)).home_of("acme") == ""
+    common = msgspec.structs.replace(
+        initial_version(), placements=(TenantPlacement("acme", ""),), migrations=(move,)
+    )
+    assert decode(encode(common)).home_shard_of("acme") == ""
 
 
 def test_a_planner_that_breaks_stops_nothing_else() -> None:
@@ -301,7 +303,7 @@
     for name in VOTERS:
         chair.asked(at, ReportMessage(LeaseRequest(1, report(name, 1, version(1, WAITS).digest))))
     chair.turn(at)
-    assert seen[-1].in_force == 1 and seen[-1].told == (1 if gone else 0)
+    assert seen[-1].active_number == 1 and seen[-1].acknowledged_number == (1 if gone else 0)
 
 
 # Effects
@@ -342,7 +344,7 @@
     follower.heard(clock.boot(), "a", LeaseGranted(1, LeaseGrant(1, follower.holder.token, number, lasts)))
 
 
-WAITS = msgspec.structs.replace(DRAINS, step=MaintenanceStep.WAITING)
+WAITS = msgspec.structs.replace(DRAINS, step=MaintenanceStep.PENDING)
 
 
 class Trusting(VersionEffects):
@@ -375,7 +377,7 @@
     kept.save(version(5, WAITS))
     effects, follower, told = front(kept.load())
     effects.apply()
-    assert told[-1].machines[0].state is CacheState.DRAINING and effects.report().number == 0
+    assert told[-1].machines[0].state is CacheState.DRAINING and effects.report().version_number == 0
     follower.heard(clock.boot(), "a", VersionCommitted(1, encode(version(6))))
     effects.apply()
     assert told[-1].machines == (machine(1, CacheState.READY),)
@@ -432,13 +434,13 @@
     follower.heard(clock.boot(), "a", VersionCommitted(1, encode(version(3, DRAINS))))
     effects.apply()
     effects.apply()
-    assert effects.cautious and effects.report().number == 2 and effects.report().cautious
+    assert effects.cautious and effects.report().version_number == 2 and effects.report().is_cautious
     assert told[-1].machines == (machine(1, CacheState.DRAINING),)
     assert made == [(2, False, False), (2, True, True)]  # what may not be repeated is refused
     follower.heard(clock.boot(), "a", VersionCommitted(1, encode(version(4, DRAINS))))
     lease(follower, 4)
     effects.apply()
-    assert not effects.cautious and effects.report().number == 4
+    assert not effects.cautious and effects.report().version_number == 4
 
 
 class Lenient(VersionEffects):
@@ -481,14 +483,18 @@
     tally.ended(request, Note.HIT, clock.SECOND // 2)
     about = report("f", 2)
     told = tally.report(clock.SECOND, about, [request], [], {1: "s-1", 2: "p-1"})
-    assert dict(told.open_at) == {"s-1": 1, "p-1": 1} and told.open_keyed == (("acme", "north", 1),)
+    assert dict(told.open_attempts) == {"s-1": 1, "p-1": 1} and told.open_unsafe_requests == (
+        ("acme", "north", 1),
+    )
     held: Any = SimpleNamespace(cls=0, tenant="acme", shard="north", came=0, attempts=[], over=False)
-    assert tally.report(clock.SECOND, about, [held], [], {}).open_keyed == told.open_keyed
-    assert dict(told.sent) == {"s-1": 1} and told.last_keyed == (("acme", "north", 1000),)
-    rows = {(s.tenant, s.shard): (s.asked, s.in_time, s.hits) for s in told.service}
+    assert tally.report(clock.SECOND, about, [held], [], {}).open_unsafe_requests == told.open_unsafe_requests
+    assert dict(told.sent_commands) == {"s-1": 1} and told.last_unsafe_request_ages == (
+        ("acme", "north", 1000),
+    )
+    rows = {(s.tenant, s.shard): (s.responses, s.on_time_weight, s.hits) for s in told.service_statistics}
     assert rows == dict.fromkeys((("", ""), ("acme", ""), ("acme", "north")), (1, 2.0, 1))
     tally.begin(2 * clock.SECOND)  # another version
-    assert tally.report(2 * clock.SECOND, about, [], [], {}).service[0].asked == 0
+    assert tally.report(2 * clock.SECOND, about, [], [], {}).service_statistics[0].responses == 0
 
 
 def test_nothing_of_it_is_imported_without_its_sections() -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -89,10 +89,13 @@
     leader.agreed(TWO)
     leader.heard(3 * MS, ask(LeaseHolder(8, 2 * MS, PACE, TWO), "a", 2 * MS), FAR)
     assert leader.in_force(1050 * MS) == 1 and leader.in_force(1052 * MS) == 2
-    numbers = {name: r.number for name, r in leader.seen(1010 * MS, ("a",), {}, (), "a").reports.items()}
+    numbers = {
+        name: r.version_number
+        for name, r in leader.seen(1010 * MS, ("a",), {}, (), "a").report_by_front.items()
+    }
     assert numbers == {"a": 2, "a@7": 1}  # what the cut off one has open counts for the longest attempt
-    assert "a@7" in leader.seen(3150 * MS, ("a",), {}, (), "a").reports
-    assert "a@7" not in leader.seen(3153 * MS, ("a",), {}, (), "a").reports
+    assert "a@7" in leader.seen(3150 * MS, ("a",), {}, (), "a").report_by_front
+    assert "a@7" not in leader.seen(3153 * MS, ("a",), {}, (), "a").report_by_front
 
 
 def test_who_fell_silent_before_it_was_told_is_remembered_and_in_the_end_forgotten() -> None:
@@ -100,10 +103,15 @@
     leader.heard(1 * MS, ask(LeaseHolder(7, 0, PACE, ONE), "a", 0), FAR)
     leader.agreed(TWO)
     late = leader.seen(60_000 * MS, ("b",), {}, (), "b", silent=("a",))
-    assert late.in_force == 2 and late.told == 0 and late.lapsed and not late.reports  # b was not heard
+    assert (
+        late.active_number == 2
+        and late.acknowledged_number == 0
+        and late.unleased_fronts_idle
+        and not late.report_by_front
+    )  # b was not heard
     leader.heard(60_001 * MS, ask(LeaseHolder(1, 0, PACE, TWO), "b", 60_000 * MS), FAR)
-    assert leader.seen(60_002 * MS, ("b",), {}, (), "b").told == 1
-    assert leader.seen(121_100 * MS, ("b",), {}, (), "b").told == 2
+    assert leader.seen(60_002 * MS, ("b",), {}, (), "b").acknowledged_number == 1
+    assert leader.seen(121_100 * MS, ("b",), {}, (), "b").acknowledged_number == 2
 
 
 def test_another_version_under_one_number_is_no_version() -> None:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -45,9 +45,9 @@
 
 
 def cache(
-    host: str, zone: str = "a", up: int = 10 * WARM, ready: bool = True, kind: str = "cache"
+    host: str, zone: str = "a", up: int = 10 * WARM, is_ready: bool = True, kind: str = "cache"
 ) -> MachineObservation:
-    return MachineObservation(host, kind, zone, ready, up, WARM)
+    return MachineObservation(host, kind, zone, is_ready, up, WARM)
 
 
 def report(name: str, number: int, **more: object) -> FrontReport:
@@ -89,7 +89,7 @@
         raise AssertionError("it never rests")
 
     def at(self, target: str, step: MaintenanceStep) -> bool:
-        order = self.version.order_of(target)
+        order = self.version.task_for(target)
         return order is not None and order.step is step
 
     def until(self, target: str, step: MaintenanceStep) -> None:
@@ -97,7 +97,7 @@
             if self.at(target, step):
                 return
             self.turn()
-        raise AssertionError(f"{target} never came to {step}: {self.version.orders}")
+        raise AssertionError(f"{target} never came to {step}: {self.version.maintenance_tasks}")
 
     def set(self, host: str, **more: object) -> None:
         self.machines[host] = replace(self.machines[host], **more)  # type: ignore[arg-type]
@@ -107,23 +107,26 @@
     machines = (cache("c0"), cache("c1"), cache("d0", "b"))
     fleet = Fleet(MaintenanceRequest("disks", kind="cache", zone="a"), machines=machines)
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.EMPTY) and fleet.version.order_of("c1") is None
-    fleet.set("c0", ready=False)
+    assert fleet.at("c0", MaintenanceStep.DRAINED) and fleet.version.task_for("c1") is None
+    fleet.set("c0", is_ready=False)
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.OUT)
-    fleet.set("c0", ready=True, up_ms=10)
+    assert fleet.at("c0", MaintenanceStep.IN_MAINTENANCE)
+    fleet.set("c0", is_ready=True, uptime_ms=10)
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.WARMING) and fleet.version.order_of("c1") is None
-    fleet.set("c0", up_ms=WARM)
+    assert fleet.at("c0", MaintenanceStep.WARMING) and fleet.version.task_for("c1") is None
+    fleet.set("c0", uptime_ms=WARM)
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.IN) and fleet.at("c1", MaintenanceStep.EMPTY)
+    assert fleet.at("c0", MaintenanceStep.COMPLETED) and fleet.at("c1", MaintenanceStep.DRAINED)
     del fleet.machines["c1"]
     fleet.turns()
     fleet.machines["c1"] = cache("c1", up=10)
     fleet.turns()
-    fleet.set("c1", up_ms=WARM)
+    fleet.set("c1", uptime_ms=WARM)
     fleet.turns()
-    assert [o.step for o in fleet.version.orders] == [MaintenanceStep.IN, MaintenanceStep.IN]
+    assert [o.step for o in fleet.version.maintenance_tasks] == [
+        MaintenanceStep.COMPLETED,
+        MaintenanceStep.COMPLETED,
+    ]
     assert fleet.turn() == ()
 
 
@@ -132,28 +135,33 @@
     fleet.until("c0", MaintenanceStep.DRAINING)
     number = fleet.version.number
     holds: tuple[dict[str, object], ...] = (
-        {"in_force": number - 1},
-        {"lapsed": False},
-        {"reports": {"f0": report("f0", number), "f1": report("f1", number, open_at=(("c0", 1),))}},
-        {"reports": {"f0": report("f0", number), "f1@7": report("f1", number - 1)}},
-        {"reports": {}},
+        {"active_number": number - 1},
+        {"unleased_fronts_idle": False},
+        {
+            "report_by_front": {
+                "f0": report("f0", number),
+                "f1": report("f1", number, open_attempts=(("c0", 1),)),
+            }
+        },
+        {"report_by_front": {"f0": report("f0", number), "f1@7": report("f1", number - 1)}},
+        {"report_by_front": {}},
     )
     for held in holds:
         fleet.more = held
         assert fleet.turn() and fleet.at("c0", MaintenanceStep.DRAINING), held
-    fleet.more = {"reports": {"f1": report("f1", number, open_at=(("c1", 1),))}}
+    fleet.more = {"report_by_front": {"f1": report("f1", number, open_attempts=(("c1", 1),))}}
     fleet.turn()
-    assert fleet.at("c0", MaintenanceStep.EMPTY)
+    assert fleet.at("c0", MaintenanceStep.DRAINED)
 
 
 def test_it_drains_only_once_every_front_was_told_with_a_lease_or_without() -> None:
     fleet = Fleet(MaintenanceRequest("w", ("c0",)))
-    fleet.until("c0", MaintenanceStep.WAITING)
-    fleet.more = {"told": fleet.version.number - 1}
-    assert "not told" in fleet.turn()[0] and fleet.at("c0", MaintenanceStep.WAITING)
+    fleet.until("c0", MaintenanceStep.PENDING)
+    fleet.more = {"acknowledged_number": fleet.version.number - 1}
+    assert "not told" in fleet.turn()[0] and fleet.at("c0", MaintenanceStep.PENDING)
     assert cordoned_hosts(fleet.version, False, "f0") == frozenset()
     assert cordoned_hosts(fleet.version, True, "f0") == {"c0"}
-    fleet.more = {"told": fleet.version.number}
+    fleet.more = {"acknowledged_number": fleet.version.number}
     fleet.turn()
     assert cordoned_hosts(fleet.version, False, "f0") == {"c0"}
     wished = requested_hosts(fleet.wishes)
@@ -163,25 +171,25 @@
 
 @pytest.mark.parametrize(
     "broken",
-    [cache("c3", ready=False), cache("c3", up=WARM - 1)],
+    [cache("c3", is_ready=False), cache("c3", up=WARM - 1)],
 )
 def test_one_that_broke_by_itself_counts_as_out(broken: MachineObservation) -> None:
     fleet = Fleet(MaintenanceRequest("w", ("c0",)))
     fleet.machines["c3"] = broken
-    assert "c0, c3" in fleet.turn()[0] and not fleet.version.orders
+    assert "c0, c3" in fleet.turn()[0] and not fleet.version.maintenance_tasks
     fleet.machines["c3"] = cache("c3")
-    fleet.reports = {name: report(name, 1, aside=("c3",)) for name in ("f0", "f1")}
+    fleet.reports = {name: report(name, 1, ejected_hosts=("c3",)) for name in ("f0", "f1")}
     fleet.turn()
-    assert not fleet.version.orders
+    assert not fleet.version.maintenance_tasks
     del fleet.reports["f0"]
     fleet.turn()
-    assert fleet.at("c0", MaintenanceStep.WAITING)
+    assert fleet.at("c0", MaintenanceStep.PENDING)
 
 
 def test_one_that_breaks_during_a_drain_holds_up_empty() -> None:
     fleet = Fleet(MaintenanceRequest("w", ("c0",)))
     fleet.until("c0", MaintenanceStep.DRAINING)
-    fleet.set("c1", ready=False)
+    fleet.set("c1", is_ready=False)
     fleet.turns()
     assert fleet.at("c0", MaintenanceStep.DRAINING)
 
@@ -194,14 +202,14 @@
         unavailable_limits=UnavailableByKind(UnavailableLimits(1, 2)),
     )
     fleet.turns()
-    assert {o.target for o in fleet.version.orders} == {"a0", "b0"}
+    assert {o.target for o in fleet.version.maintenance_tasks} == {"a0", "b0"}
     fleet = Fleet(
         MaintenanceRequest("w", kind="cache"),
         machines=machines,
         unavailable_limits=UnavailableByKind(UnavailableLimits(2, 9, min_available_per_zone=2)),
     )
     fleet.turns()
-    assert {o.target for o in fleet.version.orders} == {"a0", "b0", "c0"}
+    assert {o.target for o in fleet.version.maintenance_tasks} == {"a0", "b0", "c0"}
 
 
 def test_a_parent_and_its_caches_are_never_out_together() -> None:
@@ -210,27 +218,33 @@
     fleet = Fleet(*wishes, machines=machines, unavailable_limits=UnavailableByKind(UnavailableLimits(2, 9)))
     fleet.version = RuleVersion(1, 1, shards=(Shard("s", ("d0",), ("p0",)),))
     fleet.turns()
-    assert {o.target for o in fleet.version.orders} == {"p0", "e0"}
+    assert {o.target for o in fleet.version.maintenance_tasks} == {"p0", "e0"}
 
 
 def test_what_costs_least_goes_first_and_says_why() -> None:
-    machines = (cache("a0"), cache("a1"), cache("b0", "b"), cache("b1", "b"), cache("c0", "c", ready=False))
+    machines = (
+        cache("a0"),
+        cache("a1"),
+        cache("b0", "b"),
+        cache("b1", "b"),
+        cache("c0", "c", is_ready=False),
+    )
     fleet = Fleet(MaintenanceRequest("w", kind="cache"), machines=machines)
-    fleet.reports = {"f0": report("f0", 1, sent=(("a0", 50), ("a1", 40), ("b0", 9), ("b1", 30)))}
+    fleet.reports = {"f0": report("f0", 1, sent_commands=(("a0", 50), ("a1", 40), ("b0", 9), ("b1", 30)))}
     seen = fleet.seen()
     room = DisruptionBudget(fleet.version, [], fleet.wishes.unavailable_limits, seen)
     found = ranked_candidates(fleet.wishes.requests[0], room)
     assert [c.target for c in found] == ["c0", "b0", "b1", "a1", "a0"]
     assert found[0].why == "set aside already" and "zone b of least load, 39.0/s," in found[1].why
-    room.orders.append(MaintenanceTask("w", "a0", "cache", "a", MaintenanceStep.IN, 1))
+    room.orders.append(MaintenanceTask("w", "a0", "cache", "a", MaintenanceStep.COMPLETED, 1))
     assert (
         ranked_candidates(fleet.wishes.requests[0], room)[1].target == "a1"
     )  # the zone that was begun comes before
 
 
 def served(number: int, part: float) -> dict[str, FrontReport]:
-    row = ServiceStatistics("", "", asked=500, worth=500.0, in_time=500.0 * part)
-    return {f"f{n}": report(f"f{n}", number, service=(row,)) for n in range(3)}
+    row = ServiceStatistics("", "", responses=500, requested_weight=500.0, on_time_weight=500.0 * part)
+    return {f"f{n}": report(f"f{n}", number, service_statistics=(row,)) for n in range(3)}
 
 
 def test_service_that_falls_stops_an_order_and_its_wish_but_not_what_is_empty() -> None:
@@ -238,22 +252,22 @@
         MaintenanceRequest("w", ("c0", "c1", "c2")),
         unavailable_limits=UnavailableByKind(UnavailableLimits(2, 2)),
     )
-    fleet.more = {"usual": {"": 0.9}}
+    fleet.more = {"baseline_on_time_ratio_by_tenant": {"": 0.9}}
     fleet.reports = served(1, 0.87)  # under 0.98 of 0.9
-    assert "usually" in fleet.turn()[0] and not fleet.version.orders
+    assert "usually" in fleet.turn()[0] and not fleet.version.maintenance_tasks
     fleet.more = {}
-    assert "not known" in fleet.turn()[0] and not fleet.version.orders
-    fleet.more, fleet.reports = {"usual": {"": 0.9}}, {}
+    assert "not known" in fleet.turn()[0] and not fleet.version.maintenance_tasks
+    fleet.more, fleet.reports = {"baseline_on_time_ratio_by_tenant": {"": 0.9}}, {}
     fleet.until("c0", MaintenanceStep.DRAINING)
-    first, second = fleet.version.orders
-    first = msgspec.structs.replace(first, step=MaintenanceStep.EMPTY)
-    fleet.version = msgspec.structs.replace(fleet.version, orders=(first, second))
+    first, second = fleet.version.maintenance_tasks
+    first = msgspec.structs.replace(first, step=MaintenanceStep.DRAINED)
+    fleet.version = msgspec.structs.replace(fleet.version, maintenance_tasks=(first, second))
     fleet.reports = served(fleet.version.number, 0.7)
     fleet.turn()
-    assert fleet.at("c0", MaintenanceStep.EMPTY) and fleet.at("c1", MaintenanceStep.STOPPED)
-    assert "0.700, usually 0.900" in fleet.version.orders[1].why
+    assert fleet.at("c0", MaintenanceStep.DRAINED) and fleet.at("c1", MaintenanceStep.CANCELLED)
+    assert "0.700, usually 0.900" in fleet.version.maintenance_tasks[1].reason
     fleet.reports = {}
-    assert "under another id" in fleet.turn()[-1] and fleet.version.order_of("c2") is None
+    assert "under another id" in fleet.turn()[-1] and fleet.version.task_for("c2") is None
 
 
 def test_pause_stop_and_a_wish_that_went_from_the_file() -> None:
@@ -266,51 +280,51 @@
     for after in ((MaintenanceRequest("w", ("c0",), stop=True),), ()):
         fleet.version, fleet.wishes = going, MaintenanceSection(after)
         fleet.turns()
-        assert fleet.at("c0", MaintenanceStep.STOPPED) and not cordoned_hosts(fleet.version, True, "f0")
+        assert fleet.at("c0", MaintenanceStep.CANCELLED) and not cordoned_hosts(fleet.version, True, "f0")
     fleet.version, fleet.wishes = going, MaintenanceSection((MaintenanceRequest("w", ("c0",)),))
-    fleet.until("c0", MaintenanceStep.EMPTY)
+    fleet.until("c0", MaintenanceStep.DRAINED)
     fleet.wishes = MaintenanceSection((MaintenanceRequest("w", ("c0",), stop=True),))
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.EMPTY)  # somebody may be at work there
+    assert fleet.at("c0", MaintenanceStep.DRAINED)  # somebody may be at work there
     fleet.wishes = MaintenanceSection(
         (MaintenanceRequest("w", ("c0",), stop=True, finished_targets=("c0",)),)
     )
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.IN)
+    assert fleet.at("c0", MaintenanceStep.COMPLETED)
 
 
 def test_a_list_read_anew_is_no_start_and_a_start_before_empty_is_not_the_work() -> None:
     fleet = Fleet(MaintenanceRequest("w", ("c0",)))
     fleet.until("c0", MaintenanceStep.DRAINING)
-    fleet.set("c0", up_ms=20)
+    fleet.set("c0", uptime_ms=20)
     fleet.turns()
     assert fleet.at("c0", MaintenanceStep.DRAINING)
-    fleet.set("c0", up_ms=WARM)
+    fleet.set("c0", uptime_ms=WARM)
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.EMPTY)
+    assert fleet.at("c0", MaintenanceStep.DRAINED)
     line = fleet.machines.pop("c0")
     fleet.turns()
     fleet.machines["c0"] = line
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.OUT) and "finished" in fleet.turn()[0]
+    assert fleet.at("c0", MaintenanceStep.IN_MAINTENANCE) and "finished" in fleet.turn()[0]
 
 
 def test_it_comes_back_under_another_id_or_is_not_known_at_all() -> None:
     fleet = Fleet(MaintenanceRequest("w", ("c0", "x9")))
     assert any("x9: it is not known" in told for told in fleet.turn())
-    fleet.until("c0", MaintenanceStep.EMPTY)
+    fleet.until("c0", MaintenanceStep.DRAINED)
     del fleet.machines["c0"]
     fleet.machines["n0"] = cache("n0", up=5)
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.OUT) and "replaced" in fleet.turn()[0]
+    assert fleet.at("c0", MaintenanceStep.IN_MAINTENANCE) and "replaced" in fleet.turn()[0]
     fleet.wishes = MaintenanceSection(
         (MaintenanceRequest("w", ("c0", "x9"), replacement_by_host={"c0": "n0"}),)
     )
     fleet.turns()
-    assert fleet.at("c0", MaintenanceStep.IN) and fleet.at("n0", MaintenanceStep.WARMING)
-    fleet.set("n0", up_ms=WARM)
+    assert fleet.at("c0", MaintenanceStep.COMPLETED) and fleet.at("n0", MaintenanceStep.WARMING)
+    fleet.set("n0", uptime_ms=WARM)
     fleet.turns()
-    assert fleet.at("n0", MaintenanceStep.IN)
+    assert fleet.at("n0", MaintenanceStep.COMPLETED)
 
 
 def test_fronts_go_one_voter_at_a_time_and_the_leader_last() -> None:
@@ -319,31 +333,33 @@
         unavailable_limits=UnavailableByKind(front=UnavailableLimits(3, 3)),
     )
     fleet.turns()
-    assert {o.target for o in fleet.version.orders} == {"f1"} and fleet.at("f1", MaintenanceStep.EMPTY)
+    assert {o.target for o in fleet.version.maintenance_tasks} == {"f1"} and fleet.at(
+        "f1", MaintenanceStep.DRAINED
+    )
     assert (
         cordoned_hosts(fleet.version, False, "f1") == {"f1"}
         and cordoned_hosts(fleet.version, True, "f2") == frozenset()
     )
-    fleet.more = {"reports": {n: report(n, fleet.version.number) for n in ("f0", "f2")}}
+    fleet.more = {"report_by_front": {n: report(n, fleet.version.number) for n in ("f0", "f2")}}
     fleet.turns()
-    assert fleet.at("f1", MaintenanceStep.OUT) and fleet.version.order_of("f2") is None
+    assert fleet.at("f1", MaintenanceStep.IN_MAINTENANCE) and fleet.version.task_for("f2") is None
     fleet.more = {}
     fleet.turns()
-    assert fleet.at("f1", MaintenanceStep.IN) and fleet.at("f2", MaintenanceStep.EMPTY)
-    assert fleet.version.order_of("f0") is None
+    assert fleet.at("f1", MaintenanceStep.COMPLETED) and fleet.at("f2", MaintenanceStep.DRAINED)
+    assert fleet.version.task_for("f0") is None
 
 
 def test_nothing_begins_under_a_new_leader_or_without_a_list() -> None:
     lacking: tuple[dict[str, object], ...] = (
-        {"in_force": 0},
-        {"reports": {}},
-        {"machines": {}},
-        {"lapsed": False},
+        {"active_number": 0},
+        {"report_by_front": {}},
+        {"machine_by_host": {}},
+        {"unleased_fronts_idle": False},
     )
     for lacks in lacking:
         fleet = Fleet(MaintenanceRequest("w", ("c0",)))
         fleet.more = lacks
-        assert fleet.turn() and not fleet.version.orders
+        assert fleet.turn() and not fleet.version.maintenance_tasks
     assert advance(fleet.version, MaintenanceSection(), fleet.seen()) is None
 
 
@@ -388,25 +404,30 @@
         {"return all(k.until > now or now >= k.ended": "return all(True"},
         "cut",
     ),
-    "drains before all were told": ("steps", {"elif self.told < order.since:": "elif False:"}, "cut"),
+    "drains before all were told": ("steps", {"elif self.told < order.since_version:": "elif False:"}, "cut"),
     "empty before the drain is in force": (
         "steps",
-        {"if seen.in_force < order.since:": ALWAYS, "if report.number < order.since:": ALWAYS},
+        {
+            "if seen.active_number < order.since_version:": ALWAYS,
+            "if report.version_number < order.since_version:": ALWAYS,
+        },
         "pass",
     ),
     "empty whatever is open": ("steps", {"any(host == order.target and n": "any(False and n"}, "pass"),
-    "empty whatever lapsed has open": ("steps", {"if not seen.lapsed:": ALWAYS}, "cut"),
+    "empty whatever lapsed has open": ("steps", {"if not seen.unleased_fronts_idle:": ALWAYS}, "cut"),
     "warming ones do not count": (
         "room",
         {
-            "order.out or (waiting and order.open)": "order.aside or (waiting and order.aside)",
-            "m.up_ms < m.warm_ms": "False",
+            "order.is_unavailable or (waiting and order.is_active)": (
+                "order.is_cordoned or (waiting and order.is_cordoned)"
+            ),
+            "m.uptime_ms < m.warm_up_ms": "False",
         },
         "pass",
     ),
     "without a lease only drained ones are kept from": (
         "leaving",
-        {"or (cautious and order.open": "or (cautious and order.aside"},
+        {"or (cautious and order.is_active": "or (cautious and order.is_cordoned"},
         "cut",
     ),
     "one that started serves at once": ("leases", {"return not self.answered": "return False"}, "pass"),
@@ -455,7 +476,8 @@
         assert tried(orderkit.Parts(), what) > 1000
     reached = orderkit.walk(orderkit.Parts(), 2, 60, 150, 1)
     assert (
-        min(reached.get(step.name, 0) for step in MaintenanceStep if step is not MaintenanceStep.STOPPED) > 0
+        min(reached.get(step.name, 0) for step in MaintenanceStep if step is not MaintenanceStep.CANCELLED)
+        > 0
     )
 
 
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -82,10 +82,13 @@
     machines = {
         h: MachineObservation(h, "cache", "a", True, 10**6, 1000) for h in ("s-1", "s-2", "s-8", "s-9")
     }
-    reports = {n: FrontReport(n, 1, 9, "", False, 1000, service=rows if n == "a" else ()) for n in "ab"}
+    reports = {
+        n: FrontReport(n, 1, 9, "", False, 1000, service_statistics=rows if n == "a" else ()) for n in "ab"
+    }
     values: dict[str, Any] = dict(
-        now=0, view=("a", "b"), reports=reports, lapsed=True, in_force=9, in_force_for=60 * SECOND,
-        machines=machines, voters=("a",), leader="a", alike=True,
+        now_ns=0, members=("a", "b"), report_by_front=reports, unleased_fronts_idle=True,
+        active_number=9, active_for_ns=60 * SECOND,
+        machine_by_host=machines, voters=("a",), leader="a", is_consistent=True,
     )  # fmt: skip
     return Observations(**values | but)
 
@@ -99,13 +102,13 @@
 
 def after(v: RuleVersion, wishes: MigrationPolicy, s: Observations) -> Migration:
     change = advance(v, wishes, s)
-    return v.moves[0] if change is None or change.moves is None else change.moves[0]
+    return v.migrations[0] if change is None or change.migrations is None else change.migrations[0]
 
 
 def test_a_shard_renamed_while_tenants_are_at_home_there_puts_no_cache_into_two() -> None:
     """The old one stays while it is a home, so the new one waits."""
     north = RuleVersion(
-        1, 1, shards=(Shard("north", ("s-1", "s-2")),), homes=(TenantPlacement("acme", "north"),)
+        1, 1, shards=(Shard("north", ("s-1", "s-2")),), placements=(TenantPlacement("acme", "north"),)
     )
     text = "tenants: {shards: {polar: {caches: [s-2, s-3]}}, tenants: {acme: {items: ['00']}}}"
     section = read(text, "f").get(TenantsSection)
@@ -178,11 +181,11 @@
     assert asked(one, key, 0).caches in ({1, 2}, {8, 9}) and not asked(one, key, 0).closed
     assert asked(one, key, 0, tenant=0).caches == {8, 9}
     careful = homes_of(v, cautious)
-    if cautious and step <= MigrationStep.CLOSING:
+    if cautious and step <= MigrationStep.PAUSING_WRITES:
         assert asked(careful, key, 0).caches == {8, 9}
-    if cautious and v.moves[0].open:
+    if cautious and v.migrations[0].is_active:
         assert asked(careful, key, 1).closed
-    if step in (MigrationStep.PLANNED, MigrationStep.WARMING, MigrationStep.VERIFY):
+    if step in (MigrationStep.PLANNED, MigrationStep.RAMPING_UP, MigrationStep.VERIFYING):
         assert asked(one, key, 1).caches == {8, 9}  # what may not be repeated stays whole at the old home
 
 
@@ -191,7 +194,7 @@
     keys = [chance.getrandbits(64) for _ in range(2000)]
     before: set[int] = set()
     for part in (0, 4, 64, 128, 256):
-        v = homes_of(version(MigrationStep.WARMING, part))
+        v = homes_of(version(MigrationStep.RAMPING_UP, part))
         there = {key for key in keys if asked(v, key, 0).caches == {1, 2}}
         assert before <= there and abs(len(there) - len(keys) * part / 256) < 100
         before = there
@@ -216,28 +219,34 @@
 def test_a_move_goes_through_its_steps_and_stops_where_the_wish_says() -> None:
     busy = seen(row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), row("", "", 40_000))
     assert after(version(MigrationStep.PLANNED), wish(until="planned"), busy).step is MigrationStep.PLANNED
-    assert after(version(MigrationStep.PLANNED), WISHES, busy).step is MigrationStep.WARMING
+    assert after(version(MigrationStep.PLANNED), WISHES, busy).step is MigrationStep.RAMPING_UP
+    assert (
+        after(version(MigrationStep.RAMPING_UP, 128), wish(until="warming"), busy).step
+        is MigrationStep.RAMPING_UP
+    )
+    assert after(version(MigrationStep.RAMPING_UP, 128), WISHES, busy).step is MigrationStep.VERIFYING
+    assert (
+        after(version(MigrationStep.VERIFYING, 128), wish(pause=True), busy).step is MigrationStep.VERIFYING
+    )
+    assert after(version(MigrationStep.VERIFYING, 128), WISHES, busy).step is MigrationStep.PAUSING_WRITES
     assert (
-        after(version(MigrationStep.WARMING, 128), wish(until="warming"), busy).step is MigrationStep.WARMING
+        after(version(MigrationStep.PAUSING_WRITES, 128), wish(pause=True), busy).step
+        is MigrationStep.VERIFYING
     )
-    assert after(version(MigrationStep.WARMING, 128), WISHES, busy).step is MigrationStep.VERIFY
-    assert after(version(MigrationStep.VERIFY, 128), wish(pause=True), busy).step is MigrationStep.VERIFY
-    assert after(version(MigrationStep.VERIFY, 128), WISHES, busy).step is MigrationStep.CLOSING
-    assert after(version(MigrationStep.CLOSING, 128), wish(pause=True), busy).step is MigrationStep.VERIFY
-    assert after(version(MigrationStep.CLOSING, 128), WISHES, busy).step is MigrationStep.CUT_OVER
+    assert after(version(MigrationStep.PAUSING_WRITES, 128), WISHES, busy).step is MigrationStep.CUT_OVER
     assert WISHES.write_pause_ns == write_pause_ns((SAFE, KEYED)) == 39 * SECOND
     assert (
-        after(version(MigrationStep.CUT_OVER, 256), WISHES, seen(in_force_for=38 * SECOND)).step
+        after(version(MigrationStep.CUT_OVER, 256), WISHES, seen(active_for_ns=38 * SECOND)).step
         is MigrationStep.CUT_OVER
     )
     assert (
-        after(version(MigrationStep.CUT_OVER, 256), WISHES, seen(in_force_for=39 * SECOND)).step
+        after(version(MigrationStep.CUT_OVER, 256), WISHES, seen(active_for_ns=39 * SECOND)).step
         is MigrationStep.DRAINING
     )
     change = advance(version(MigrationStep.DRAINING, 256), WISHES, seen())
-    assert change is not None and change.homes == (TenantPlacement("acme", "north"),)
-    assert after(version(MigrationStep.DRAINING, 256), WISHES, seen()).step is MigrationStep.DONE
-    assert advance(version(MigrationStep.DONE, 256), wish(rollback=True), seen()) is None
+    assert change is not None and change.placements == (TenantPlacement("acme", "north"),)
+    assert after(version(MigrationStep.DRAINING, 256), WISHES, seen()).step is MigrationStep.COMPLETED
+    assert advance(version(MigrationStep.COMPLETED, 256), wish(rollback=True), seen()) is None
 
 
 def test_a_wish_that_is_gone_or_reads_otherwise_stops_its_move_and_one_waits_for_another() -> None:
@@ -246,31 +255,44 @@
         section = read(text, "f").get(TenantsSection)
         assert section is not None
         change = advance(
-            version(MigrationStep.VERIFY, 128), MigrationPolicy.from_section(section, (KEYED,)), seen()
+            version(MigrationStep.VERIFYING, 128), MigrationPolicy.from_section(section, (KEYED,)), seen()
         )
         assert change is None, "it stays, and no second move of the tenant begins"
 
 
 def test_rollback_from_each_step_up_to_done() -> None:
     back = wish(rollback=True)
-    for step in (MigrationStep.PLANNED, MigrationStep.WARMING, MigrationStep.VERIFY, MigrationStep.CLOSING):
-        assert after(version(step, 64), back, seen(lapsed=False, in_force=1)).step is MigrationStep.BACK
+    for step in (
+        MigrationStep.PLANNED,
+        MigrationStep.RAMPING_UP,
+        MigrationStep.VERIFYING,
+        MigrationStep.PAUSING_WRITES,
+    ):
+        assert (
+            after(version(step, 64), back, seen(unleased_fronts_idle=False, active_number=1)).step
+            is MigrationStep.ROLLED_BACK
+        )
     for step in (MigrationStep.CUT_OVER, MigrationStep.DRAINING):
-        first = after(version(step, 256), back, seen(lapsed=False, in_force=1))
-        assert (first.step, first.part) == (MigrationStep.CUT_OVER, 0)  # at once: what is harmless goes back
-    assert after(version(MigrationStep.CUT_OVER, 0), back, seen(in_force=8)).step is MigrationStep.CUT_OVER
-    assert after(version(MigrationStep.CUT_OVER, 0), back, seen()).step is MigrationStep.RETURNING
-    early = seen(in_force_for=WISHES.write_pause_ns - 1)
-    assert after(version(MigrationStep.RETURNING, 0), back, early).step is MigrationStep.RETURNING
-    assert after(version(MigrationStep.RETURNING, 0), back, seen()).step is MigrationStep.BACK
+        first = after(version(step, 256), back, seen(unleased_fronts_idle=False, active_number=1))
+        assert (first.step, first.moved_slots) == (
+            MigrationStep.CUT_OVER,
+            0,
+        )  # at once: what is harmless goes back
+    assert (
+        after(version(MigrationStep.CUT_OVER, 0), back, seen(active_number=8)).step is MigrationStep.CUT_OVER
+    )
+    assert after(version(MigrationStep.CUT_OVER, 0), back, seen()).step is MigrationStep.ROLLING_BACK
+    early = seen(active_for_ns=WISHES.write_pause_ns - 1)
+    assert after(version(MigrationStep.ROLLING_BACK, 0), back, early).step is MigrationStep.ROLLING_BACK
+    assert after(version(MigrationStep.ROLLING_BACK, 0), back, seen()).step is MigrationStep.ROLLED_BACK
 
 
 def test_nobody_waits_for_a_front_or_leader_that_is_away_in_the_gap() -> None:
-    away = seen(lapsed=False, in_force=4, agreed_for=migration.CLOSING_MOST)
-    assert after(version(MigrationStep.CLOSING, 128), WISHES, away).step is MigrationStep.VERIFY
+    away = seen(unleased_fronts_idle=False, active_number=4, committed_for_ns=migration.CLOSING_MOST)
+    assert after(version(MigrationStep.PAUSING_WRITES, 128), WISHES, away).step is MigrationStep.VERIFYING
     rows = (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), row("", "", 40_000))
-    missed = seen(*rows, view=("a", "b", "c"))
-    assert after(version(MigrationStep.VERIFY, 128), WISHES, missed).step is MigrationStep.VERIFY
+    missed = seen(*rows, members=("a", "b", "c"))
+    assert after(version(MigrationStep.VERIFYING, 128), WISHES, missed).step is MigrationStep.VERIFYING
 
 
 @pytest.mark.parametrize(
@@ -289,16 +311,22 @@
     s = seen(old, new, row("", "", 40_000))
     assert judge(s, "acme", "", "north").verdict is verdict
     step = {
-        Verdict.PASS: MigrationStep.CLOSING,
-        Verdict.WAIT: MigrationStep.VERIFY,
-        Verdict.FAIL: MigrationStep.BACK,
+        Verdict.PASS: MigrationStep.PAUSING_WRITES,
+        Verdict.WAIT: MigrationStep.VERIFYING,
+        Verdict.FAIL: MigrationStep.ROLLED_BACK,
     }[verdict]
-    move = after(version(MigrationStep.VERIFY, 128), WISHES, s)
-    assert move.step is step and (verdict is not Verdict.FAIL or "fails" in move.why)
-    harmed = seen(old, new, row("other", "", 5000, late=0.2), row("", "", 40_000), usual={"other": 0.99})
-    assert after(version(MigrationStep.VERIFY, 128), WISHES, harmed).step is MigrationStep.BACK
-    unlike = seen(old, new, row("", "", 40_000), alike=False)
-    assert after(version(MigrationStep.VERIFY, 128), WISHES, unlike).step is MigrationStep.VERIFY
+    move = after(version(MigrationStep.VERIFYING, 128), WISHES, s)
+    assert move.step is step and (verdict is not Verdict.FAIL or "fails" in move.reason)
+    harmed = seen(
+        old,
+        new,
+        row("other", "", 5000, late=0.2),
+        row("", "", 40_000),
+        baseline_on_time_ratio_by_tenant={"other": 0.99},
+    )
+    assert after(version(MigrationStep.VERIFYING, 128), WISHES, harmed).step is MigrationStep.ROLLED_BACK
+    unlike = seen(old, new, row("", "", 40_000), is_consistent=False)
+    assert after(version(MigrationStep.VERIFYING, 128), WISHES, unlike).step is MigrationStep.VERIFYING
 
 
 def test_equal_homes_pass_and_are_not_told_apart_by_chance() -> None:
@@ -313,35 +341,45 @@
 def test_keys_go_only_as_fast_as_fills_and_cold_machines_allow() -> None:
     big = (row("acme", DEFAULT_SHARD_NAME, 9000), row("acme", "north", 1000))
     assert (
-        ramp_up.grown(seen(*big, row("", "", 10_000)), version(MigrationStep.WARMING, 32).moves[0], 128)[0]
+        ramp_up.grown(
+            seen(*big, row("", "", 10_000)), version(MigrationStep.RAMPING_UP, 32).migrations[0], 128
+        )[0]
         == 36
     )
     assert (
-        ramp_up.grown(seen(*big, row("", "", 90_000)), version(MigrationStep.WARMING, 32).moves[0], 128)[0]
+        ramp_up.grown(
+            seen(*big, row("", "", 90_000)), version(MigrationStep.RAMPING_UP, 32).migrations[0], 128
+        )[0]
         == 64
     )
     hot = (row("acme", DEFAULT_SHARD_NAME, 9000), row("acme", "north", 1000, held=0.1))
     assert (
-        ramp_up.grown(seen(*hot, row("", "", 10_000)), version(MigrationStep.WARMING, 32).moves[0], 128)[0]
+        ramp_up.grown(
+            seen(*hot, row("", "", 10_000)), version(MigrationStep.RAMPING_UP, 32).migrations[0], 128
+        )[0]
         == 32
     )
     s = seen(*big, row("", "", 10_000))
-    s.machines["s-1"] = MachineObservation("s-1", "cache", "a", True, 10, 1000)
-    assert after(version(MigrationStep.WARMING, 32), WISHES, s).part == 32
+    s.machine_by_host["s-1"] = MachineObservation("s-1", "cache", "a", True, 10, 1000)
+    assert after(version(MigrationStep.RAMPING_UP, 32), WISHES, s).moved_slots == 32
 
 
 def test_a_move_and_the_work_on_machines_of_its_home() -> None:
     s = seen(row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), row("", "", 40_000))
     order = (MaintenanceTask("w", "s-1", "cache", "a", MaintenanceStep.DRAINING, 3),)
-    for step, part in ((MigrationStep.PLANNED, 0), (MigrationStep.WARMING, 32), (MigrationStep.VERIFY, 128)):
+    for step, part in (
+        (MigrationStep.PLANNED, 0),
+        (MigrationStep.RAMPING_UP, 32),
+        (MigrationStep.VERIFYING, 128),
+    ):
         assert after(version(step, part, order), WISHES, s).step is step
     assert held_back(version(MigrationStep.PLANNED)) == frozenset()
-    assert held_back(version(MigrationStep.WARMING)) == {"s-1", "s-2"}
+    assert held_back(version(MigrationStep.RAMPING_UP)) == {"s-1", "s-2"}
     for host in ("s-1", "s-2"):  # the shard loses its last machine
-        s.machines[host] = MachineObservation(host, "cache", "a", False, 10, 1000)
-    assert after(version(MigrationStep.WARMING, 32), WISHES, s).step is MigrationStep.BACK
+        s.machine_by_host[host] = MachineObservation(host, "cache", "a", False, 10, 1000)
+    assert after(version(MigrationStep.RAMPING_UP, 32), WISHES, s).step is MigrationStep.ROLLED_BACK
     gone = after(version(MigrationStep.DRAINING, 256), WISHES, s)
-    assert (gone.step, gone.part) == (MigrationStep.CUT_OVER, 0)
+    assert (gone.step, gone.moved_slots) == (MigrationStep.CUT_OVER, 0)
 
 
 MUTANTS: dict[str, tuple[Rules, Callable[[pytest.MonkeyPatch], None]]] = {
@@ -367,14 +405,14 @@
 
 
 def _open(move: Migration, part: int, once: bool, repeat: bool, cautious: bool) -> tuple[str, bool]:
-    if move.step is MigrationStep.CLOSING:
-        return move.old, cautious
+    if move.step is MigrationStep.PAUSING_WRITES:
+        return move.source_shard, cautious
     return place(move, part, once, repeat, cautious)
 
 
 def _back(move: Migration, part: int, once: bool, repeat: bool, cautious: bool) -> tuple[str, bool]:
-    if move.step is MigrationStep.RETURNING:
-        return move.old, cautious
+    if move.step is MigrationStep.ROLLING_BACK:
+        return move.source_shard, cautious
     return place(move, part, once, repeat, cautious)
 
 
@@ -386,7 +424,7 @@
 def test_no_keyed_request_runs_at_both_homes_in_any_order_of_events(whole_steps: None) -> None:
     found = Exploration(Rules(faults=frozenset())).explore()
     assert found.breach == [] and found.states > 10_000
-    assert found.reached == set(range(MigrationStep.DONE + 1))
+    assert found.reached == set(range(MigrationStep.COMPLETED + 1))
 
 
 @pytest.mark.parametrize("name", MUTANTS)
@@ -399,4 +437,4 @@
 
 def test_in_the_model_a_move_begins_refuses_no_first_and_the_same_seed_gives_the_same_run() -> None:
     one, two = (Fleet(5, 3, "steps").run(rate=100, warm=90, lasts=40) for _ in range(2))
-    assert one == two and one.step in ("WARMING", "VERIFY") and one.gaps == []
+    assert one == two and one.step in ("RAMPING_UP", "VERIFYING") and one.gaps == []
