--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from quincepier import interface as io
-from quincepier.consistency.decision import STANDARD_ARITHMETIC, Arithmetic
-from quincepier.interface import CacheState
+from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
+from quincepier.interface import EndpointState
 
 # As in the design; the module has its own, so that one that was changed there alone shows as breaches
 HOT_SHARE, HOT_OF = 0.25, 32  # widening
@@ -47,7 +47,7 @@
 class Node(Protocol):
     """What is read of a machine as the module has it."""
 
-    machine: io.Machine
+    machine: io.Endpoint
     suspect: bool
     trial_at: int
     wait: int
@@ -94,13 +94,13 @@
     scored = []
     for n in listed:
         part = (n.machine.size if weigh else 1.0) / (2 ** (n.step / 2) if paced else 1.0)
-        scored.append((how.score(how.mix(key, n.machine.cache), part), n.machine.cache))
+        scored.append((how.score(how.hash(key, n.machine.cache), part), n.machine.cache))
     return [number for _, number in sorted(scored)]
 
 
 def why_not(router: Router, node: Node, avoided: Collection[int]) -> Reason | None:
     """Why the module may not use a machine now; None where it may."""
-    if node.machine.state is not CacheState.READY:
+    if node.machine.state is not EndpointState.READY:
         return Reason.OFF
     if node.machine.cache in avoided:
         return Reason.AVOIDED
@@ -125,8 +125,8 @@
 
 
 def explain(
-    router: Router, event: io.RequestCame, node: int, source: int, before: Before | None = None,
-    home: io.Home | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
+    router: Router, event: io.RequestReceived, node: int, source: int, before: Before | None = None,
+    home: io.HomeShard | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
 ) -> Reason:  # fmt: skip
     """Of an attempt at machine `node` with `source` (-1: none), as it is made, before or after it is booked.
 
@@ -137,8 +137,8 @@
 
 
 def decision_record(
-    router: Router, event: io.RequestCame, node: int, source: int, before: Before | None = None,
-    home: io.Home | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
+    router: Router, event: io.RequestReceived, node: int, source: int, before: Before | None = None,
+    home: io.HomeShard | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
 ) -> DecisionRecord:  # fmt: skip
     """The same with what the rule has."""
     req, nodes = router.requests.get(event.request), router.nodes
@@ -161,12 +161,12 @@
     """One request before the rules, by the module's state now."""
 
     def __init__(
-        self, router: Router, req: Any, event: io.RequestCame, home: io.Home | None, how: Arithmetic
+        self, router: Router, req: Any, event: io.RequestReceived, home: io.HomeShard | None, how: Arithmetic
     ) -> None:
         self.router, self.req, self.event = router, req, event
         self.booked, self.work = frozenset[int](), 0.0
         self.avoided = frozenset(n.machine.cache for n in req.avoid)
-        s, mixed = router.s, how.mix
+        s, mixed = router.s, how.hash
         self.origins: list[int] = [n.machine.cache for n in router.origins]
         key, obj, sized = mixed(event.object, event.part), mixed(event.object), s.sizes_compare
         caches = [order(router.edges, key, sized, paced, how) for paced in (False, True)]
--- a/quincepier/tenancy/write_pause.py
+++ b/quincepier/tenancy/write_pause.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from quincepier.interface import Effect, RequestClass
+from quincepier.interface import Idempotency, RequestClass
 from quincepier.tenancy.section import SECOND, TenantsSection
 
 MAX_WAIT_DEADLINES = 2  # a client waits at most so many of its class's deadlines (translate.py)
@@ -22,7 +22,7 @@
     pauses = [
         c.window + MAX_WAIT_DEADLINES * c.deadline + MAX_DELIVERY_DELAY_NS
         for c in classes
-        if c.effect is not Effect.SAFE
+        if c.effect is not Idempotency.SAFE
     ]
     return max(pauses, default=0)
 
