--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -17,13 +17,13 @@
 from quincepier import interface as io
 from quincepier import simwire
 from quincepier.consensus import messages as consensus
-from quincepier.consistency import decision, snapshot
+from quincepier.consistency import decision, leaf_fields
 from quincepier.consistency import messages as consistency
 from quincepier.consistency.merkle_tree import MerkleTree as MerkleTree
 from quincepier.membership import messages as membership
 from quincepier.net.fleet import messages as fleet
 from quincepier.net.fleet import version_store as adopted
-from quincepier.net.peers import frames, peer_network
+from quincepier.net.peers import frames, state_sync
 from quincepier.rules import lease_holder
 from quincepier.rules import version as rules
 from quincepier.state import (
@@ -54,27 +54,27 @@
 
 
 def _view(raw: bytes) -> tuple[int, Any]:
-    return (peer_network.ASKS, peer_network.ANSWERS).index(raw[:1]), membership.decode_full_state(
+    return (state_sync.REQUEST, state_sync.RESPONSE).index(raw[:1]), membership.decode_full_state(
         raw[1:], FLEET
     )
 
 
 def _view_bytes(view: tuple[int, Any]) -> bytes:
-    return (peer_network.ASKS, peer_network.ANSWERS)[view[0]] + membership.encode(view[1])
+    return (state_sync.REQUEST, state_sync.RESPONSE)[view[0]] + membership.encode(view[1])
 
 
-def _frames(raw: bytes) -> list[tuple[Any, bytes]]:
-    splitter = frames.Splitter(FLEET)
-    found = splitter.feed(raw)
-    assert splitter.head is None and not splitter.held
+def _frames(raw: bytes) -> list[frames.Frame]:
+    decoder = frames.FrameDecoder(FLEET)
+    found = decoder.feed(raw)
+    assert not decoder.has_partial_frame
     return found
 
 
-def _frames_bytes(found: list[tuple[Any, bytes]]) -> bytes:
+def _frames_bytes(found: list[frames.Frame]) -> bytes:
     return b"".join(
-        frames.frame(head.fleet, head.name, head.channel, data)
-        for head, data in found
-        if head.version == frames.VERSION and head.size == len(data)
+        frames.encode_frame(frame.header.fleet, frame.header.sender, frame.header.channel, frame.data)
+        for frame in found
+        if frame.header.version == frames.VERSION and frame.header.size == len(frame.data)
     )
 
 
@@ -102,9 +102,9 @@
     "rules.grant": Codec(
         lease_holder.LeaseGrant, lease_holder.decode_lease_grant, lease_holder.encode_message
     ),
-    "consistency.line": _plain_codec(decision.ListedEndpoint, snapshot._encode),
-    "consistency.key": _plain_codec(decision.DecisionKey, snapshot._encode),
-    "consistency.decision": _plain_codec(decision.RuleDecision, snapshot._encode),
+    "consistency.line": _plain_codec(decision.ListedEndpoint, leaf_fields.encode_leaf),
+    "consistency.key": _plain_codec(decision.DecisionKey, leaf_fields.encode_leaf),
+    "consistency.decision": _plain_codec(decision.RuleDecision, leaf_fields.encode_leaf),
     "voter.record": _plain_codec(voter_records.Record, voter_store._encode),
     "voter.saved": Codec(voter_records.VoterState, voter_store._decode, voter_store._encode),
     "state.content": Codec(
@@ -143,10 +143,10 @@
 def rewrite_voter(source: Path, target: Path) -> None:
     read, written = (voter_store.VoterStore(snapshot_store.FileSystem(folder)) for folder in (source, target))
     saved = read.load()
-    assert saved is not None and saved.base is not None
+    assert saved is not None and saved.snapshot is not None
     written.open()
     written.load()
-    written.save((saved.mark, saved.base, *saved.lines))
+    written.save((saved.hard_state, saved.snapshot, *saved.entries))
     written.close()
 
 
@@ -164,25 +164,25 @@
 
 # Typed values without a name of their own on the wire, by the name that their plain form has.
 NAMES: dict[str, type] = {
-    "ask": io.Ask,
-    "fetch": io.Fetch,
-    "cancel": io.Cancel,
-    "refuse": io.Refuse,
-    "fail": io.Fail,
+    "ask": io.ForwardRequest,
+    "fetch": io.FetchThrough,
+    "cancel": io.CancelAttempt,
+    "refuse": io.RejectRequest,
+    "fail": io.FailRequest,
     "timer": io.SetTimer,
-    "probe": io.Probe,
-    "follow": io.Follow,
-    "log": io.Log,
-    "list": io.ListNews,
-    "machine": io.Machine,
-    "request": io.RequestCame,
-    "timer due": io.TimerDue,
-    "stream began": io.StreamBegan,
-    "attempt ended": io.AttemptEnded,
-    "client left": io.ClientLeft,
-    "probe ended": io.ProbeEnded,
-    "peer said": io.PeerSaid,
-    "purged": io.Purged,
+    "probe": io.SendHealthCheck,
+    "follow": io.WatchEndpoints,
+    "log": io.WriteLog,
+    "list": io.EndpointUpdate,
+    "machine": io.Endpoint,
+    "request": io.RequestReceived,
+    "timer due": io.TimerFired,
+    "stream began": io.ResponseStarted,
+    "attempt ended": io.AttemptCompleted,
+    "client left": io.ClientDisconnected,
+    "probe ended": io.HealthCheckCompleted,
+    "peer said": io.PeerMessage,
+    "purged": io.ObjectPurged,
     "started": simwire.Started,
     "crashed": simwire.Crashed,
     "settings": io.Settings,
@@ -238,20 +238,17 @@
 def _settings_fields(raw: bytes) -> Any:
     """What fronts compare of their settings: label and text of each, and the digest over all."""
     inputs = decision.DecisionInputs(rules.initial_version(), simwire.decode_settings(raw), (), 0, "")
-    found = snapshot.fields_of_settings(inputs)
-    return [plain(found), MerkleTree({name: snapshot.leaf(one) for name, one in found.items()}).root.hex()]
+    found = leaf_fields.settings_leaves(inputs)
+    digests = {name: leaf_fields.leaf_digest(one) for name, one in found.items()}
+    return [plain(msgspec.to_builtins(found)), MerkleTree(digests).root.hex()]
 
 
 def _version_fields(raw: bytes) -> Any:
     """What fronts compare of their rule versions."""
     version = msgspec.msgpack.decode(raw, type=rules.RuleVersion)
-    return plain(
-        snapshot.fields_of_version(
-            decision.DecisionInputs(
-                version, simwire.decode_settings(Path(FOLDER, "sim.settings.bin").read_bytes()), (), 0, ""
-            )
-        )
-    )
+    settings = simwire.decode_settings(Path(FOLDER, "sim.settings.bin").read_bytes())
+    inputs = decision.DecisionInputs(version, settings, (), 0, "")
+    return plain(msgspec.to_builtins(leaf_fields.version_leaves(inputs)))
 
 
 READERS: dict[str, Callable[[bytes], Any]] = {
