--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -115,7 +115,7 @@
             self._take_inputs(version)
 
     def _take_inputs(self, version: RuleVersion) -> None:
-        entries = sorted(self._module.directory.entries.values(), key=lambda entry: entry.record.host)
+        entries = sorted(self._module.directory.entry_by_host.values(), key=lambda entry: entry.record.host)
         self._endpoints = tuple(_listed_endpoint(entry.record.host, entry.machine) for entry in entries)
         settings = self._module.config.settings
         self.checker.on_inputs_changed(
