--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -186,9 +186,11 @@
         "HTTP_X_ITEM": "7f3a9c21e0b4d655", "HTTP_X_N": "0", "HTTP_X_SHARD": "17", "HTTP_X_ALLOW_MS": "900",
     }  # fmt: skip
     taken = open_request(Call(1, params, b"", True), class_table(config), Inbox(), 0)
-    assert taken.cls == 1
+    assert taken.class_index == 1
     return serve(
-        taken.job, serve_fields(io.ForwardRequest(1, 1, SECOND), taken, MachineDirectory((), ()), SECOND), b""
+        taken.job_id,
+        serve_fields(io.ForwardRequest(1, 1, SECOND), taken, MachineDirectory((), ()), SECOND),
+        b"",
     )
 
 
