--- a/quincepier/__main__.py
+++ b/quincepier/__main__.py
@@ -106,7 +106,7 @@
         config = load_front(path=chosen["--config"], judge=operators.judge if operators else None)
     except SettingsError as error:
         signals.ignore()  # it ends with the code that tells why
-        print(f"quincepier: {error}; {error.do}", file=sys.stderr)
+        print(f"quincepier: {error}; {error.advice}", file=sys.stderr)
         return 2
     if chosen["check-config"]:
         print(summary(config) + (f"\n{operators.summary}" if operators else ""))
--- a/quincepier/addresses/grammar.py
+++ b/quincepier/addresses/grammar.py
@@ -31,7 +31,7 @@
         self.text, self.column, self.wanted = text, column, wanted
 
 
-class _At(Exception):
+class _ParseError(Exception):
     """Raised inside the grammar where a word has the right letters and still is none."""
 
     def __init__(self, index: int, wanted: str) -> None:
@@ -51,7 +51,7 @@
         at = yield index
         part = yield _octet
         if int(part) > 255:
-            raise _At(at, "a number from 0 to 255")
+            raise _ParseError(at, "a number from 0 to 255")
         parts.append(part)
     return Family.IP4, ".".join(parts)
 
@@ -64,7 +64,7 @@
     try:
         address = netaddr.IPAddress(text, version=6)
     except (netaddr.AddrFormatError, ValueError):
-        raise _At(at, "an IPv6 address") from None
+        raise _ParseError(at, "an IPv6 address") from None
     yield string("]").desc("']' after the IPv6 address (zones such as %eth0 are not taken)")
     if address.is_ipv4_mapped():  # IPv4 in other clothes would pass by what forbids IPv4
         return Family.IP4, str(address.ipv4())
@@ -79,7 +79,7 @@
     at = yield index
     port = int((yield regex(r"[0-9]{1,5}").desc("a port")))
     if not 0 < port <= PORT_MOST:
-        raise _At(at, f"a port from 1 to {PORT_MOST}")
+        raise _ParseError(at, f"a port from 1 to {PORT_MOST}")
     return Address(family, host, port)
 
 
@@ -91,9 +91,9 @@
     try:
         size = len(path.encode()) + (not path.startswith("@"))
     except UnicodeEncodeError:
-        raise _At(at, "a path that can be written as UTF-8") from None
+        raise _ParseError(at, "a path that can be written as UTF-8") from None
     if size > SUN_PATH:
-        raise _At(at, f"a path that fits into {SUN_PATH} bytes (this one has {size})")
+        raise _ParseError(at, f"a path that fits into {SUN_PATH} bytes (this one has {size})")
     return Address(Family.UNIX, path=path)
 
 
@@ -107,7 +107,7 @@
     try:
         return netaddr.IPNetwork(text)
     except (netaddr.AddrFormatError, ValueError):
-        raise _At(at, "a network such as 10.0.0.0/8 or fd00::/8") from None
+        raise _ParseError(at, "a network such as 10.0.0.0/8 or fd00::/8") from None
 
 
 _families = [string(family.value).desc(f"'{family.value}'").result(family) for family in Family]
@@ -124,7 +124,7 @@
     except ParseError as error:
         wanted = " or ".join(sorted(error.expected))
         raise AddressError(text, error.index + 1, f"{wanted} is wanted") from None
-    except _At as error:
+    except _ParseError as error:
         raise AddressError(text, error.index + 1, error.wanted + " is wanted") from None
 
 
--- a/quincepier/consensus/messages.py
+++ b/quincepier/consensus/messages.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from quincepier.consensus.errors import ConsensusError
-from quincepier.errors import Inflicted
+from quincepier.errors import PeerInputError
 from quincepier.state.voter_records import (
     Configuration,
     LogEntry,
@@ -30,7 +30,7 @@
 MAX_MESSAGE_BYTES = (1 << 21) + 4096
 
 
-class InvalidMessageError(Inflicted, ConsensusError, ValueError):
+class InvalidMessageError(PeerInputError, ConsensusError, ValueError):
     """Bytes that are not a message of this version by their sender; they are dropped and counted."""
 
 
--- a/quincepier/lab/agreement.py
+++ b/quincepier/lab/agreement.py
@@ -24,7 +24,7 @@
 SECOND = 1000 * MS
 
 
-class Breach(AssertionError):
+class RuleBrokenError(AssertionError):
     """A rule of the agreement that did not hold."""
 
 
@@ -144,11 +144,11 @@
         self.now = until
 
     def until(self, what: Callable[[], bool], most: int = 60 * SECOND) -> int:
-        """Runs until that holds; how long it took. Breach where it never does."""
+        """Runs until that holds; how long it took. RuleBrokenError where it never does."""
         begun = self.now
         while not what():
             if self.now - begun > most:
-                raise Breach(f"not within {most // SECOND} s")
+                raise RuleBrokenError(f"not within {most // SECOND} s")
             self.run(10 * MS)
         return self.now - begun
 
@@ -177,15 +177,17 @@
 
     def roles(self, seat: Seat, role: LeaderChanged) -> None:
         if role.leader == seat.name and self.leaders.setdefault(role.term, seat.name) != seat.name:
-            raise Breach(f"two leaders of term {role.term}: {self.leaders[role.term]} and {seat.name}")
+            raise RuleBrokenError(
+                f"two leaders of term {role.term}: {self.leaders[role.term]} and {seat.name}"
+            )
 
     def leases(self, seat: Seat) -> None:
         if seat.voter.lease_until_ns <= self.now:
             return
         for other in self.seats.values():
             if other is not seat and other.alive and other.voter.lease_until_ns > self.now:
-                raise Breach(f"{seat.name} and {other.name} have a lease at once")
+                raise RuleBrokenError(f"{seat.name} and {other.name} have a lease at once")
 
     def committed(self, seat: Seat, entry: EntryCommitted) -> None:
         if self.agreed.setdefault(entry.index, (entry.term, entry.data)) != (entry.term, entry.data):
-            raise Breach(f"{seat.name} has another entry {entry.index} than was agreed")
+            raise RuleBrokenError(f"{seat.name} has another entry {entry.index} than was agreed")
--- a/quincepier/lab/explored.py
+++ b/quincepier/lab/explored.py
@@ -27,7 +27,7 @@
 )
 from quincepier.consensus.messages import Message
 from quincepier.consensus.raft_state import RaftState
-from quincepier.lab.agreement import Breach
+from quincepier.lab.agreement import RuleBrokenError
 from quincepier.state.voter_records import (
     EntryKind,
     HardState,
@@ -284,17 +284,17 @@
         found = {entry.index: (entry.term, entry.data) for entry in log.entries}
         if state.is_leader and (state.term, state.identity) not in leaders:
             if any(term == state.term for term, _ in leaders):
-                raise Breach(f"two leaders of term {state.term}")
+                raise RuleBrokenError(f"two leaders of term {state.term}")
             leaders = tuple(sorted((*leaders, (state.term, state.identity))))
             for index, (term, data, by) in enumerate(agreed, 1):
                 if index > log.snapshot_index and state.term > by and found.get(index) != (term, data):
-                    raise Breach(f"who leads term {state.term} has not the agreed entry {index}")
+                    raise RuleBrokenError(f"who leads term {state.term} has not the agreed entry {index}")
         for index in range(log.snapshot_index + 1, state.commit_index + 1):
             if index not in found:
-                raise Breach(f"entry {index} is called agreed where it is not")
+                raise RuleBrokenError(f"entry {index} is called agreed where it is not")
             if index <= len(agreed):
                 if agreed[index - 1][:2] != found[index]:
-                    raise Breach(f"entry {index} was agreed as another")
+                    raise RuleBrokenError(f"entry {index} was agreed as another")
                 continue
             agreed = (*agreed, (*found[index], state.term))
             members = {m.identity for m in state.configuration}
@@ -305,7 +305,7 @@
                 mine = disk.hard_state.identity in members
                 have += self.nodes[n].lost > 0 or (mine and on_disk(disk, index, term))
             if have < len(members) // 2 + 1:
-                raise Breach(f"entry {index} is agreed with {have} disks")
+                raise RuleBrokenError(f"entry {index} is agreed with {have} disks")
         return leaders, agreed
 
     def steps(self, world: World) -> Iterator[World]:
@@ -358,7 +358,7 @@
                 world = chance.choice(free if free and chance.random() < patience else nexts)
 
     def explore(self, most: int = 1 << 30) -> Explored:
-        """All worlds that can come of the first, each once; Breach where a rule does not hold."""
+        """All worlds that can come of the first, each once; RuleBrokenError where a rule does not hold."""
         seen, told = {hash(self.begin)}, Explored()
         stack = [self.steps(self.begin)]
         while stack:
--- a/quincepier/lab/powercut.py
+++ b/quincepier/lab/powercut.py
@@ -10,7 +10,7 @@
 from quincepier.state import FileSystem
 
 
-class Cut(Exception):
+class PowerCutError(Exception):
     """The power is gone."""
 
 
@@ -31,7 +31,7 @@
         if self.left is not None:
             self.left -= 1
             if self.left < 0:
-                raise Cut
+                raise PowerCutError
 
     def take_lock(self) -> None:
         return
--- a/quincepier/lab/world.py
+++ b/quincepier/lab/world.py
@@ -41,7 +41,7 @@
 LEAST_PART = 0.8  # of `start_s`: starts are spread from there to 1.2 times
 
 
-class CannotPlay(QuincepierError, ValueError):
+class UnplayableExperimentError(QuincepierError, ValueError):
     """An experiment that needs processes and sockets."""
 
     code = "QP-LAB"
@@ -51,7 +51,9 @@
 class World:
     def __init__(self, experiment: Experiment, variant: Variant, seed: int) -> None:
         if paths := sorted({f.kind.value for f in experiment.faults if f.kind in ON_PATHS}):
-            raise CannotPlay(f"faults on paths ({', '.join(paths)}) are for processes: lab fleet")
+            raise UnplayableExperimentError(
+                f"faults on paths ({', '.join(paths)}) are for processes: lab fleet"
+            )
         self.experiment, self.variant, self.seed = experiment, variant, seed
         self.random = random.Random(f"{seed} {experiment.name}")
         self.now, self.order, self.events_run = START, 0, 0
--- a/quincepier/membership/messages.py
+++ b/quincepier/membership/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from quincepier.errors import Inflicted
+from quincepier.errors import PeerInputError
 
 VERSION = 1
 MAX_DATAGRAM_BYTES = 1400  # one Ethernet frame, less the headers around it
@@ -27,7 +27,7 @@
 Address = tuple[Host, Port]
 
 
-class InvalidMessageError(Inflicted, ValueError):
+class InvalidMessageError(PeerInputError, ValueError):
     """A datagram or full state that can't be used; it is dropped and counted."""
 
     code = "QP-MEMBERS"
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -11,7 +11,7 @@
 from quincepier.interface import AttemptOutcome
 from quincepier.memory.buffer_pool import PooledBody
 from quincepier.memory.open_requests import OpenAttempt
-from quincepier.net.sockets import NO_BUFFER_PAUSE, Unreached, connect
+from quincepier.net.sockets import NO_BUFFER_PAUSE, ConnectFailedError, connect
 from quincepier.wire import lines
 from quincepier.wire.errors import ProtocolError
 
@@ -163,7 +163,7 @@
         except ProtocolError as error:
             self.against("an answer that can't be read")
             self.shared.checks.event("cache_protocol_error", f"{self.actor.host}: {error}")
-        except Unreached as error:
+        except ConnectFailedError as error:
             self.absent = error.absent
             self.shared.checks.count("cache_connections_failed_all_addresses")
         except TimeoutError:
--- a/quincepier/net/dialer.py
+++ b/quincepier/net/dialer.py
@@ -33,7 +33,7 @@
 from quincepier.addresses.section import AddressesSection
 from quincepier.interface import AttemptOutcome
 from quincepier.net.means import Means
-from quincepier.net.sockets import Unreached, connect_within
+from quincepier.net.sockets import ConnectFailedError, connect_within
 
 CAUSES = {
     errno.ECONNREFUSED: Cause.REFUSED,
@@ -112,7 +112,7 @@
         self.extras = 0
 
     async def connect(self) -> tuple[socket.socket, Address]:
-        """A connected socket and its address; raises Unreached where every address has failed."""
+        """A connected socket and its address; raises ConnectFailedError where every address has failed."""
         number, actions = self.races.start(clock.now())
         won: asyncio.Future[tuple[socket.socket, Address]] = asyncio.get_running_loop().create_future()
         self.waiting[number] = won
@@ -145,7 +145,7 @@
                 case Lost(race, absent, why):
                     future = self.waiting.pop(race, None)
                     if future is not None and not future.done():
-                        future.set_exception(Unreached(absent, why))
+                        future.set_exception(ConnectFailedError(absent, why))
                 case Wake(at):
                     if self.alarm is not None:
                         self.alarm.cancel()
--- a/quincepier/net/reading.py
+++ b/quincepier/net/reading.py
@@ -9,7 +9,7 @@
 from quincepier.net.messages import Came, Left
 from quincepier.net.session import Session, cgi_head
 from quincepier.net.writing import Writing
-from quincepier.translate import PING, BadRequest, open_request
+from quincepier.translate import PING, BadRequestError, open_request
 from quincepier.wire import fastcgi
 
 WHOLE_WITHIN = 2.0  # seconds that one message may take
@@ -118,7 +118,7 @@
             return
         try:
             request = open_request(call, manager.classes, self, at)
-        except BadRequest as error:
+        except BadRequestError as error:
             self.faults += 1
             self.read_closed = self.read_closed or bool(call.fault)
             manager.checks.event("bad_request", str(error))
--- a/quincepier/net/sockets.py
+++ b/quincepier/net/sockets.py
@@ -93,7 +93,7 @@
     sock.close()
 
 
-class Unreached(OSError):
+class ConnectFailedError(OSError):
     """No address of a machine came up; `absent` where each of them said that nobody is there."""
 
     def __init__(self, absent: bool, why: str) -> None:
--- a/quincepier/operator/reading.py
+++ b/quincepier/operator/reading.py
@@ -53,7 +53,7 @@
         return [name for name in SECTIONS if self.named(name) is not None]
 
 
-class _Unusable(Exception):
+class _UnusableValueError(Exception):
     """No further faults can be looked for."""
 
 
@@ -73,14 +73,14 @@
                 count += 1
                 if any(getattr(event, word, None) for word in ("anchor", "tag")):
                     self.fault(line, "", "anchors, aliases and tags are not taken")
-                    raise _Unusable
+                    raise _UnusableValueError
                 if isinstance(event, yaml.CollectionStartEvent):
                     depth += 1
                 elif isinstance(event, yaml.CollectionEndEvent):
                     depth -= 1
                 if depth > DEPTH_MOST or count > NODES_MOST:
                     self.fault(line, "", f"nested over {DEPTH_MOST} deep, or over {NODES_MOST} parts")
-                    raise _Unusable
+                    raise _UnusableValueError
             self.loader = yaml.CSafeLoader(text)
             return self.loader.get_single_node()
         except yaml.MarkedYAMLError as error:
@@ -88,7 +88,7 @@
             self.fault(mark.line + 1 if mark else 1, "", f"not YAML: {error.problem or error.context}")
         except yaml.YAMLError as error:
             self.fault(1, "", f"not YAML: {str(error).splitlines()[0]}")
-        raise _Unusable
+        raise _UnusableValueError
 
     def mapping(self, node: yaml.Node, key: str) -> dict[str, yaml.Node] | None:
         """The parts of a mapping, nothing at all being an empty one; None where it is none."""
@@ -204,7 +204,7 @@
             found = reader.struct(node, kind, key, getattr(kind, "MADE", {}))
             if found is not None:
                 sections[kind] = found
-    except _Unusable:
+    except _UnusableValueError:
         pass
     if reader.faults:
         raise OperatorError(reader.faults)
@@ -220,7 +220,7 @@
             reader.fault(1, "", "the file is empty")
         else:
             found = reader.struct(root, kind, "", getattr(kind, "MADE", {}))
-    except _Unusable:
+    except _UnusableValueError:
         pass
     if found is None or reader.faults:
         raise OperatorError(reader.faults)
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -9,7 +9,7 @@
 from quincepier import clock
 from quincepier import interface as io
 from quincepier.config import REPORT_WORDS, FrontConfig
-from quincepier.errors import Inflicted
+from quincepier.errors import PeerInputError
 from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.memory.open_requests import OpenAttempt, OpenRequest, ResponseReceiver
@@ -45,7 +45,7 @@
 }
 
 
-class BadRequest(Inflicted):
+class BadRequestError(PeerInputError):
     """A request that can't be used: the status of its answer, and why."""
 
     code = "QP-REQUEST"
@@ -70,38 +70,40 @@
 USUAL = re.compile("\n".join(pattern for _, pattern in FIELDS))
 
 
-def _at_fault(params: Mapping[str, str]) -> BadRequest:
+def _at_fault(params: Mapping[str, str]) -> BadRequestError:
     """Which field is not of the stated form."""
     for name, pattern in FIELDS:
         if not re.fullmatch(pattern, params.get(name, "")):
-            return BadRequest(400, f"{name} is {'not of the stated form' if name in params else 'missing'}")
-    return BadRequest(400, "a field holds a line break")
+            return BadRequestError(
+                400, f"{name} is {'not of the stated form' if name in params else 'missing'}"
+            )
+    return BadRequestError(400, "a field holds a line break")
 
 
 def _whole(name: str, text: str, least: int, most: int) -> int:
     value = int(text)
     if not least <= value <= most:
-        raise BadRequest(400, f"{name} is not between {least} and {most}")
+        raise BadRequestError(400, f"{name} is not between {least} and {most}")
     return value
 
 
 def open_request(
     call: Call, classes: Mapping[str, tuple[int, int]], owner: ResponseReceiver, came: int
 ) -> OpenRequest:
-    """A call as taken; raises BadRequest where it is not of the stated form."""
+    """A call as taken; raises BadRequestError where it is not of the stated form."""
     if call.fault:
-        raise BadRequest(413 if "body" in call.fault else 400, call.fault)
+        raise BadRequestError(413 if "body" in call.fault else 400, call.fault)
     params, get = call.params, call.params.get
     path = get("SCRIPT_NAME", "") + get("PATH_INFO", "")
     name = path.removeprefix(PATH)
     if not name.isascii():  # parameters are read byte by byte; names of classes are texts
         name = name.encode("latin-1", "replace").decode("utf-8", "replace")
     if not path.startswith(PATH) or name not in classes:
-        raise BadRequest(404, "the path names no class")
+        raise BadRequestError(404, "the path names no class")
     number, deadline = classes[name]
     length = get("CONTENT_LENGTH") or str(len(call.body))
     if not WHOLE.fullmatch(length) or int(length) != len(call.body):
-        raise BadRequest(400, "CONTENT_LENGTH is not the length of the body")
+        raise BadRequestError(400, "CONTENT_LENGTH is not the length of the body")
     values = [get(field, "") for field, _ in FIELDS]
     if not USUAL.fullmatch("\n".join(values)):
         raise _at_fault(params)
--- a/quincepier/wire/errors.py
+++ b/quincepier/wire/errors.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from quincepier.errors import Inflicted
+from quincepier.errors import PeerInputError
 
 
-class ProtocolError(Inflicted):
+class ProtocolError(PeerInputError):
     """What a peer sent can't be read; the text says what was wrong."""
 
     code = "QP-WIRE"
--- a/tests/orderkit.py
+++ b/tests/orderkit.py
@@ -75,7 +75,7 @@
 Move = tuple[Any, ...]  # the name of a method of World, and what it is given
 
 
-class Breach(AssertionError):
+class RuleBrokenError(AssertionError):
     pass
 
 
@@ -226,7 +226,7 @@
         front = self.fronts[at]
         order = self.version.order_of(host)
         if order is not None and MaintenanceStep.EMPTY <= order.step <= MaintenanceStep.BACK:
-            raise Breach(f"{front.name} sends to {host}, which is {order.step.name}")
+            raise RuleBrokenError(f"{front.name} sends to {host}, which is {order.step.name}")
         front.open[host] = 0
 
     def tick(self) -> None:
@@ -303,15 +303,19 @@
             if order.step is MaintenanceStep.EMPTY and (was is None or was.step is not MaintenanceStep.EMPTY):
                 for front in self.fronts:
                     if order.target in front.open:
-                        raise Breach(f"{order.target} is empty and {front.name} has something open there")
+                        raise RuleBrokenError(
+                            f"{order.target} is empty and {front.name} has something open there"
+                        )
 
     def check(self) -> None:
         force = self.ledger.in_force(self.clock)
         for front in self.fronts:
             if not front.holder.cautious(front.clock) and front.holder.version.number < force:
-                raise Breach(f"{front.name} is sure of {front.holder.version.number}, in force is {force}")
+                raise RuleBrokenError(
+                    f"{front.name} is sure of {front.holder.version.number}, in force is {force}"
+                )
         if sum(order.out for order in self.version.orders) > 1:
-            raise Breach(f"out at once: {[o.target for o in self.version.orders if o.out]}")
+            raise RuleBrokenError(f"out at once: {[o.target for o in self.version.orders if o.out]}")
 
 
 def stages(parts: Parts, fronts: int, faults: int) -> list[World]:
@@ -348,7 +352,7 @@
 
 
 def explore(parts: Parts, fronts: int, depth: int, faults: int = 1, orders: bool = True) -> int:
-    """How many states there are within so many moves; Breach with the way to one that breaks a rule.
+    """How many states there are within so many moves; RuleBrokenError with the way to one that breaks a rule.
 
     With orders: from each stage of a pass, and from each moment of a cut that begins at such a stage.
     """
@@ -364,8 +368,8 @@
                 new = world.copied()
                 try:
                     new.make(move)
-                except Breach as breach:
-                    raise Breach(f"{breach} after {(*way, move)}") from None
+                except RuleBrokenError as breach:
+                    raise RuleBrokenError(f"{breach} after {(*way, move)}") from None
                 key = new.key()
                 if key not in seen:
                     seen.add(key)
@@ -389,8 +393,8 @@
             way.append(move)
             try:
                 world.make(move)
-            except Breach as breach:
-                raise Breach(f"{breach} after {way}") from None
+            except RuleBrokenError as breach:
+                raise RuleBrokenError(f"{breach} after {way}") from None
             if move[0] == "plan":
                 came |= {order.step.name for order in world.version.orders}
         for name in came:
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -72,7 +72,7 @@
         return load_front({}, str(path))
     except SettingsError as error:
         line = error.line()
-        assert str(path) in line and error.do in line and len(line.splitlines()) == 1 and len(line) < 600
+        assert str(path) in line and error.advice in line and len(line.splitlines()) == 1 and len(line) < 600
         return None
 
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -18,7 +18,7 @@
     replication,
 )
 from quincepier.consensus.raft_state import DropReason, RaftState
-from quincepier.lab.agreement import MS, SECOND, Breach, Seat, VoterNet
+from quincepier.lab.agreement import MS, SECOND, RuleBrokenError, Seat, VoterNet
 from quincepier.state.voter_records import LogEntry
 
 
@@ -321,7 +321,7 @@
         unchanged(state, message, request)
 
     monkeypatch.setattr(election, "on_request_vote", on_request_vote)
-    with pytest.raises(Breach, match="lease at once"):
+    with pytest.raises(RuleBrokenError, match="lease at once"):
         cut_off_leader()
 
 
@@ -353,5 +353,5 @@
     assert net.leader is None
     monkeypatch.setattr(cluster_configuration, "accept_start", lambda state, message: True)
     monkeypatch.setattr(replication, "on_append_entries_response", lambda state, message, response: None)
-    with pytest.raises(Breach):
+    with pytest.raises(RuleBrokenError):
         run_rolled_back_copy()
--- a/tests/test_consensus_disk.py
+++ b/tests/test_consensus_disk.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from quincepier.lab.powercut import Cut, PowerDisk
+from quincepier.lab.powercut import PowerCutError, PowerDisk
 from quincepier.state import FileSystem, RecordFault, StateError
 from quincepier.state.voter_records import (
     EntryKind,
@@ -63,7 +63,7 @@
                 store.save(records)
             before = store.saved
             disk.left = fails_at
-            with contextlib.suppress(Cut):
+            with contextlib.suppress(PowerCutError):
                 store.save(WRITES[number])
                 done = True
             for again in disk.afterwards(rng):
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -11,7 +11,7 @@
 
 import quincepier
 from quincepier.consensus import messages as consensus_messages
-from quincepier.errors import Inflicted, QuincepierError
+from quincepier.errors import PeerInputError, QuincepierError
 from quincepier.membership import messages as membership_messages
 from quincepier.wire.errors import ProtocolError
 
@@ -30,7 +30,7 @@
         if found.name != "quincepier.__main__":
             importlib.import_module(found.name)
     ours = {kind for kind in below(QuincepierError) if kind.__module__.startswith("quincepier.")}
-    return sorted(ours - {Inflicted}, key=lambda kind: (kind.__module__, kind.__name__))
+    return sorted(ours - {PeerInputError}, key=lambda kind: (kind.__module__, kind.__name__))
 
 
 def package(kind: Kind) -> str:
@@ -88,11 +88,11 @@
 
 
 def test_what_where_and_what_to_do_stand_in_one_line() -> None:
-    class Planted(QuincepierError):
+    class PlantedError(QuincepierError):
         code, remedy = "QP-PLANTED", "look there"
 
-    assert Planted("gone", "key.a").line() == "QP-PLANTED key.a: gone; look there"
-    assert Planted("gone", remedy="put it back").line() == "QP-PLANTED gone; put it back"
+    assert PlantedError("gone", "key.a").line() == "QP-PLANTED key.a: gone; look there"
+    assert PlantedError("gone", remedy="put it back").line() == "QP-PLANTED gone; put it back"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -446,7 +446,7 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_exploring_small_cases_finds_a_rule_that_was_taken_out(name: str) -> None:
-    with pytest.raises(orderkit.Breach):
+    with pytest.raises(orderkit.RuleBrokenError):
         tried(mutant(name), MUTANTS[name][2])
 
 
--- a/tests/test_peer_network.py
+++ b/tests/test_peer_network.py
@@ -107,7 +107,7 @@
     try:
         assert splitter.feed(raw) == []
     except PeersError as error:
-        assert error.code == "QP-PEERS" and error.do
+        assert error.code == "QP-PEERS" and error.advice
     assert splitter.buffered_bytes <= len(raw)
     for wrong in (encode_frame("g", "n1", 7, b""), b"\xff\xff", b"\0\0"):
         with pytest.raises(PeersError):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -26,7 +26,7 @@
 
 from quincepier import interface as io
 from quincepier.checks import Checks
-from quincepier.lab.powercut import Cut, PowerDisk
+from quincepier.lab.powercut import PowerCutError, PowerDisk
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.net.state_persistence import StatePersistence, stamp
 from quincepier.state import (
@@ -181,7 +181,7 @@
         for bound in (1, 2, 3):  # both generations are there, and the older one again
             one.save(encode(kept(bound)))
         disk.left = fails_at
-        with contextlib.suppress(Cut):
+        with contextlib.suppress(PowerCutError):
             one.save(encode(kept(4)))
             done = True
         for again in disk.afterwards(chance):
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -20,7 +20,7 @@
 from quincepier.translate import (
     ENDINGS,
     NOTES,
-    BadRequest,
+    BadRequestError,
     attempt_ended,
     class_table,
     note_of,
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("key", ["a b", "a,b=c", "k" * 65, "a\r\nb", "ä"])
 def test_idempotency_key_that_would_be_more_than_one_field_is_refused(key: str) -> None:
-    with pytest.raises(BadRequest, match="HTTP_X_UNIQUE|line break"):
+    with pytest.raises(BadRequestError, match="HTTP_X_UNIQUE|line break"):
         open_request(call(b"xy", "bid", HTTP_X_UNIQUE=key), CLASSES, Inbox(), 50)
 
 
@@ -111,7 +111,7 @@
     ],
 )
 def test_requests_of_another_form_are_failed(changes: dict[str, Any], status: int, named: str) -> None:
-    with pytest.raises(BadRequest, match=named) as error:
+    with pytest.raises(BadRequestError, match=named) as error:
         open_request(call(**changes), CLASSES, Inbox(), 0)
     assert error.value.status == status
 
