--- a/quincepier/consistency/__init__.py
+++ b/quincepier/consistency/__init__.py
@@ -17,25 +17,26 @@
     RuleDecision,
     decide,
 )
-from quincepier.consistency.decision_recorder import DecisionRecorder, router_ranking_cache, stale_rankings
+from quincepier.consistency.decision_recorder import DecisionRecorder
 from quincepier.consistency.errors import ConsistencyError
-from quincepier.consistency.explain import BREACH, Reason, explain
-from quincepier.consistency.findings import CAUTIOUS_KINDS, FAULT_KINDS, DivergenceKind, Finding
+from quincepier.consistency.explain import AttemptTarget, DecisionRecord, Reason, explain_attempt
+from quincepier.consistency.findings import DivergenceKind, Finding
 from quincepier.consistency.key_sample import sample_keys
+from quincepier.consistency.router_rankings import RouterRankingCache, count_stale_rankings
+from quincepier.consistency.router_view import RouterView
 from quincepier.consistency.section import ConsistencySection
 
 __all__ = [
-    "BREACH",
-    "CAUTIOUS_KINDS",
-    "FAULT_KINDS",
     "STANDARD_ARITHMETIC",
     "Arithmetic",
+    "AttemptTarget",
     "CheckerAction",
     "ConsistencyChecker",
     "ConsistencyError",
     "ConsistencySection",
     "DecisionInputs",
     "DecisionKey",
+    "DecisionRecord",
     "DecisionRecorder",
     "DecisionRules",
     "DivergenceKind",
@@ -44,11 +45,12 @@
     "ListedEndpoint",
     "RankingCache",
     "Reason",
+    "RouterRankingCache",
+    "RouterView",
     "RuleDecision",
     "SendMessage",
+    "count_stale_rankings",
     "decide",
-    "explain",
-    "router_ranking_cache",
+    "explain_attempt",
     "sample_keys",
-    "stale_rankings",
 ]
--- a/quincepier/consistency/decision_recorder.py
+++ b/quincepier/consistency/decision_recorder.py
@@ -1,96 +1,76 @@
-"""Real decisions witnessed: of a share of the requests each attempt, the rule's choice and the reason.
+"""Records real decisions: of a share of the requests each attempt, explained by the rules.
 
-What is kept is bounded: reasons by kind, the last records, the last breaches. It changes nothing of the
-module.
+It changes nothing of the router, and what it holds is bounded.
 """
 
 from __future__ import annotations
 
 from collections import Counter, OrderedDict, deque
-from collections.abc import Callable, Iterable, Sequence
-from typing import Any
+from collections.abc import Callable
 
 import xxhash
 
 from quincepier import interface as io
 from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
-from quincepier.consistency.decision import ListedEndpoint, RankingCache
-from quincepier.consistency.explain import Before, DecisionRecord, Reason, Router, decision_record, order
+from quincepier.consistency.explain import AttemptTarget, DecisionRecord, Reason, explain_attempt
+from quincepier.consistency.router_view import RouterNode, RouterView, node_number
 
-RECORDS_KEPT, BREACHES_KEPT, REQUESTS_KEPT = 256, 64, 4096
+MAX_RECORDS = 256
+MAX_UNEXPLAINED = 64
+MAX_REQUESTS = 4096
 
 
 class DecisionRecorder:
-    """Set as `Router.witness`. `tell` hears of each breach, once."""
+    """A callable for `Router.witness`, which the router calls for each attempt that it is about to make."""
 
     def __init__(
         self,
-        router: Router,
+        router: RouterView,
         share: float,
         seed: int,
-        tell: Callable[[DecisionRecord], None] | None = None,
-        how: Arithmetic = STANDARD_ARITHMETIC,
+        on_unexplained: Callable[[DecisionRecord], None] | None = None,
+        arithmetic: Arithmetic = STANDARD_ARITHMETIC,
     ) -> None:
-        self.router, self.tell, self.how = router, tell, how
-        self.below, self.seed = int(share * 2**64), seed
-        self.counts = Counter[Reason]()
-        self.records: deque[DecisionRecord] = deque(maxlen=RECORDS_KEPT)
-        self.breaches: deque[DecisionRecord] = deque(maxlen=BREACHES_KEPT)
-        self.before: OrderedDict[int, Before] = OrderedDict()
-
-    def __call__(self, e: io.RequestReceived, node: Any, source: Any) -> None:
-        """An attempt that is about to be made; machines as the module's nodes, or by number."""
-        if xxhash.xxh3_64_intdigest(e.request.to_bytes(8, "little"), self.seed) >= self.below:
+        """Record the attempts of a share of the requests.
+
+        Args:
+            router: The router that makes the attempts.
+            share: Of the requests, from 0 to 1.
+            seed: Which requests are recorded.
+            on_unexplained: Called once for each attempt without a reason.
+            arithmetic: What the rules are computed with.
+        """
+        self.count_by_reason = Counter[Reason]()
+        self.records: deque[DecisionRecord] = deque(maxlen=MAX_RECORDS)
+        self.unexplained: deque[DecisionRecord] = deque(maxlen=MAX_UNEXPLAINED)
+        self._router = router
+        self._hash_limit = int(share * 2**64)
+        self._seed = seed
+        self._on_unexplained = on_unexplained
+        self._arithmetic = arithmetic
+        self._last_target_by_request: OrderedDict[int, AttemptTarget] = OrderedDict()
+
+    def __call__(self, event: io.RequestReceived, node: RouterNode, source: RouterNode | None) -> None:
+        """Explain an attempt at `node`, with `source` to fetch from, if its request is in the share."""
+        if not self._is_recorded(event.request):
             return
-        at = node if isinstance(node, int) else node.machine.cache
-        by = -1 if source is None else source if isinstance(source, int) else source.machine.cache
-        # under the version that it came by, though there may be a newer one by now
-        home = getattr(self.router.requests.get(e.request), "home", None)
-        seen = decision_record(self.router, e, at, by, self.before.get(e.request), home, self.how)
-        self.before[e.request] = at, by
-        self.before.move_to_end(e.request)
-        if len(self.before) > REQUESTS_KEPT:
-            self.before.popitem(last=False)
-        self.counts[seen.reason] += 1
-        self.records.append(seen)
-        if seen.reason is Reason.BREACH:
-            self.breaches.append(seen)
-            if self.tell is not None:
-                self.tell(seen)
-
-
-def stale_rankings(router: Router, most: int = 64, how: Arithmetic = STANDARD_ARITHMETIC) -> int:
-    """Of the last `most` rankings in the module's memory, how many are not what its list gives now."""
-    kept = list(router.ranks.items())[-most:]
-    stale = 0
-    for at, ranked in kept:
-        key, whole = (at, True) if isinstance(at, int) else (at[0], False)  # the others are of one home
-        numbers = [n.machine.cache for n in ranked]
-        sized = router.s.sizes_compare
-        groups = (order(group, key, sized, True, how) for group in (router.edges, router.parents))
-        stale += all([n for n in group if whole or n in numbers] != numbers for group in groups)
-    return stale
-
-
-def router_ranking_cache(router: Router, lines: Callable[[], Sequence[ListedEndpoint]]) -> RankingCache:
-    """What the module itself ranks, for the digests: of its own zone and the parents, while no machine has a
-    step of pace and its list is the one that the round goes by; else None, and the rule is computed alone.
-    """
-
-    def memory(zone: int, key: int) -> Sequence[int] | None:
-        group = router.parents if zone < 0 else router.edges if zone == router.s.zone else None
-        if not group or any(n.step for n in group):
-            return None
-        upper = (router.s.parent_kind, router.s.origin_kind)
-        wanted = _of(lines(), zone, upper)
-        if {(n.machine.cache, n.machine.size) for n in group} != wanted:
-            return None
-        return [n.machine.cache for n in router.rank(group, key)]
-
-    return memory
-
-
-def _of(lines: Iterable[ListedEndpoint], zone: int, upper: tuple[int, int]) -> set[tuple[int, float]]:
-    if zone < 0:
-        return {(line.number, line.size) for line in lines if line.kind == upper[0]}
-    return {(line.number, line.size) for line in lines if line.zone == zone and line.kind not in upper}
+        target = AttemptTarget(node_number(node), None if source is None else node_number(source))
+        previous = self._last_target_by_request.get(event.request)
+        record = explain_attempt(self._router, event, target, previous, self._arithmetic)
+        self._remember_target(event.request, target)
+        self.count_by_reason[record.reason] += 1
+        self.records.append(record)
+        if record.reason is Reason.UNEXPLAINED:
+            self.unexplained.append(record)
+            if self._on_unexplained is not None:
+                self._on_unexplained(record)
+
+    def _is_recorded(self, request_id: int) -> bool:
+        request_hash = xxhash.xxh3_64_intdigest(request_id.to_bytes(8, "little"), self._seed)
+        return request_hash < self._hash_limit
+
+    def _remember_target(self, request_id: int, target: AttemptTarget) -> None:
+        self._last_target_by_request[request_id] = target
+        self._last_target_by_request.move_to_end(request_id)
+        if len(self._last_target_by_request) > MAX_REQUESTS:
+            self._last_target_by_request.popitem(last=False)
--- a/quincepier/consistency/digest_collector.py
+++ b/quincepier/consistency/digest_collector.py
@@ -269,16 +269,16 @@
         match divergence.kind:
             case DivergenceKind.BUILD:
                 return DivergentValue("build", "", own.build, reference.build if reference else "")
-            case DivergenceKind.BREACH:
+            case DivergenceKind.UNEXPLAINED_DECISION:
                 return DivergentValue("decisions", "", str(own.unexplained_decisions), "0")
-            case DivergenceKind.MEMORY:
+            case DivergenceKind.STALE_RANKINGS:
                 return DivergentValue("rankings", "", str(own.stale_rankings), "0")
-            case DivergenceKind.LIST_TOO_LATE:
+            case DivergenceKind.OUTDATED_LIST:
                 revision = reference_list_revision(self._responses)
                 return DivergentValue("list", "revision", str(own.list_revision), str(revision))
-            case DivergenceKind.HASH:
+            case DivergenceKind.HASH_FUNCTION:
                 return _describe_canary(own.hash_canary, (reference or own).hash_canary)
-            case DivergenceKind.FLOATS:
+            case DivergenceKind.FLOAT_ARITHMETIC:
                 return _describe_canary(own.float_canary, (reference or own).float_canary)
             case _:
                 return DivergentValue()
--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -1,263 +1,308 @@
-"""Why a real decision went where it went: by the rule, or by the front's own reason; else a breach.
+"""Why a real attempt went where it went: by the rules, or by a reason of the front's own; else unexplained.
 
-It reads the module's state as it is when an attempt is made and changes nothing of it. Each machine that the
-rule has before the chosen one needs a reason of its own. Pure.
+The router's state is read as it is when an attempt is made. Each endpoint that the rules have before the
+chosen one needs a reason of its own. Pure.
 """
 
 from __future__ import annotations
 
-import math
 from collections.abc import Collection, Iterable, Sequence
+from dataclasses import dataclass
 from enum import Enum
-from typing import Any, Protocol
-
-import msgspec
 
 from quincepier import interface as io
 from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
-from quincepier.interface import EndpointState
+from quincepier.consistency.router_view import EndpointView, RequestView, RouterView
 
-# As in the design; the module has its own, so that one that was changed there alone shows as breaches
-HOT_SHARE, HOT_OF = 0.25, 32  # widening
-GATE, SPARE = 0.85, 0.5  # parts of the bound: from which the lowest tier is shed, that a second copy needs
-LOWEST = 2  # tier
+# The design's constants; the policy has its own, so that one that is changed there alone shows up here.
+HOT_OBJECT_SHARE = 0.25  # of an endpoint's recent requests
+RECENT_REQUESTS = 32
+LOAD_SHEDDING_SHARE = 0.85  # of the fetch limit, from which the lowest tier is shed
+SECOND_COPY_SHARE = 0.5  # of the fetch limit, below which a second copy may be fetched
+LOWEST_TIER = 2
+CANDIDATES = 2  # endpoints among which a hot object is spread, and that are tried when one is overloaded
 
 
 class Reason(Enum):
-    """Why an attempt is not where the rule alone would have it; of several the first met."""
+    """Why an attempt is not where the rules alone have it; of several reasons the first met."""
 
-    RULE = "as the rule has it"
-    OFF = "leaving"  # listed as draining, by the list or by an order
-    LEAVING = "leaving, as an earlier start heard"
+    RULE = "first by the rules"
+    DRAINING = "draining"  # by the endpoint list or by a maintenance task
+    SHUTTING_DOWN = "shutting down"  # as an earlier start of this front heard
     AVOIDED = "avoided"  # it failed this request before
-    ASIDE = "set aside"
-    COLD = "cold"
-    WIDENED = "widened"  # of the first two for a hot object the idler
-    PACE = "pace"  # slower than its like, so it has a smaller part of the keys
-    CROWDED = "crowded"
-    BOUND = "bound"  # no fill now: asked for what it holds
-    HELD = "held"  # a fill that its source could not give as a copy, asked for again at the same machines
-    NONE_USABLE = "no cache usable"  # straight to the source
-    BREACH = "a breach"
-
-
-BREACH = Reason.BREACH
-
-
-class Node(Protocol):
-    """What is read of a machine as the module has it."""
-
-    machine: io.Endpoint
-    suspect: bool
-    trial_at: int
-    wait: int
-    leaving: int
-    credit: float
-    paid: int
-    step: int
-    recent: Any
-    out: Any
+    EJECTED = "ejected"
+    WARM_UP_BUDGET = "warm-up budget spent"
+    HOT_OBJECT = "hot object"  # the less loaded of the first two
+    LATENCY_WEIGHT = "latency weight"  # slower than its like, so it has a smaller share of the keys
+    OVERLOADED = "overloaded"
+    FETCH_LIMIT = "fetch limit"  # asked only for what it holds
+    FETCH_REPEATED = "fetch repeated"  # at the same endpoints, as the source could not give a copy
+    NO_CACHE_USABLE = "no cache usable"  # straight to the source
+    UNEXPLAINED = "unexplained"
 
 
-class Router(Protocol):
-    """What is read of the module."""
+@dataclass(slots=True, frozen=True)
+class AttemptTarget:
+    """Where an attempt goes: an endpoint, and the source that it is to fetch from."""
 
-    s: io.Settings
-    now: int
-    nodes: Any
-    edges: Any
-    parents: Any
-    origins: Any
-    requests: Any
-    ranks: Any
-    fills: int
-    bound: int
+    endpoint: int
+    source: int | None
 
-    def cold(self, node: Any) -> tuple[float, float]: ...
 
-    def crowded(self, node: Any, req: Any) -> bool: ...
+@dataclass(slots=True, frozen=True)
+class DecisionRecord:
+    """An explained attempt, with the endpoint and source that the rules alone have first."""
 
-    def full(self, req: Any) -> bool: ...
-
-    def rank(self, nodes: Any, key: int) -> Any: ...
+    reason: Reason
+    request: int
+    target: AttemptTarget
+    first_by_rules: AttemptTarget | None = None
+
+
+def explain_attempt(
+    router: RouterView,
+    event: io.RequestReceived,
+    target: AttemptTarget,
+    previous: AttemptTarget | None = None,
+    arithmetic: Arithmetic = STANDARD_ARITHMETIC,
+) -> DecisionRecord:
+    """Explain an attempt as it is made, before or after the router has registered it.
+
+    Args:
+        router: The router that made the decision.
+        event: The request.
+        target: Where the attempt goes.
+        previous: Where the same request's attempt before this one went.
+        arithmetic: What the rules are computed with.
+
+    Returns:
+        The record; its reason is `UNEXPLAINED` where neither the rules nor a reason lead to the target.
+    """
+    request = router.find_request(event.request)
+    if request is None or not _is_listed(router, target):
+        return DecisionRecord(Reason.UNEXPLAINED, event.request, target)
+    replay = DecisionReplay(router, request, event, arithmetic)
+    reason = replay.explain(target, previous)
+    return DecisionRecord(reason, event.request, target, replay.first_by_rules)
 
 
-Before = tuple[int, int]  # machine and source (-1: none) of the request's attempt before
+def _is_listed(router: RouterView, target: AttemptTarget) -> bool:
+    has_source = target.source is None or router.has_endpoint(target.source)
+    return router.has_endpoint(target.endpoint) and has_source
 
 
-def order(
-    nodes: Iterable[Node], key: int, by_size: bool, paced: bool, how: Arithmetic = STANDARD_ARITHMETIC
+def rank_views(
+    endpoints: Iterable[EndpointView],
+    key_hash: int,
+    by_size: bool,
+    by_latency: bool,
+    arithmetic: Arithmetic = STANDARD_ARITHMETIC,
 ) -> list[int]:
-    """Machines by the rule's hash; with `paced` a slow one has a smaller part, as the module gives it."""
-    listed = list(nodes)
-    weigh = by_size and all(n.machine.size > 0 for n in listed)
+    """Order endpoint numbers by rendezvous hash; with `by_latency` weighted as the router weights them."""
+    listed = list(endpoints)
+    is_weighted = by_size and all(endpoint.size > 0 for endpoint in listed)
     scored = []
-    for n in listed:
-        part = (n.machine.size if weigh else 1.0) / (2 ** (n.step / 2) if paced else 1.0)
-        scored.append((how.score(how.hash(key, n.machine.cache), part), n.machine.cache))
+    for endpoint in listed:
+        weight = endpoint.size if is_weighted else 1.0
+        if by_latency:
+            weight /= endpoint.latency_divisor
+        number = endpoint.number
+        scored.append((arithmetic.score(arithmetic.hash(key_hash, number), weight), number))
     return [number for _, number in sorted(scored)]
 
 
-def why_not(router: Router, node: Node, avoided: Collection[int]) -> Reason | None:
-    """Why the module may not use a machine now; None where it may."""
-    if node.machine.state is not EndpointState.READY:
-        return Reason.OFF
-    if node.machine.cache in avoided:
-        return Reason.AVOIDED
-    if router.now < node.leaving:
-        return Reason.LEAVING
-    if node.suspect and router.now < node.trial_at:
-        return Reason.ASIDE
-    if router.cold(node)[1] < math.inf and node.paid == router.now and node.credit < 0:
-        return Reason.COLD  # its credit was looked at in this turn; here it is not touched
-    return None
-
+@dataclass(slots=True, frozen=True)
+class Rankings:
+    """Endpoints in order: by the rules alone, and as the router weights them by latency."""
 
-class DecisionRecord(msgspec.Struct, frozen=True):
-    """Of one attempt: where the rule alone has the key (-1: nowhere), where it went, and why."""
-
-    reason: Reason
-    request: int
-    node: int
-    source: int
-    rule: int = -1
-    rule_source: int = -1
+    by_rules: Sequence[int]
+    by_router: Sequence[int]
 
 
-def explain(
-    router: Router, event: io.RequestReceived, node: int, source: int, before: Before | None = None,
-    home: io.HomeShard | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
-) -> Reason:  # fmt: skip
-    """Of an attempt at machine `node` with `source` (-1: none), as it is made, before or after it is booked.
-
-    `before`: the same request's attempt before this one. `home`: what `Router.homes` gives for the event.
-    BREACH where neither the rule nor a reason of this front's own leads there.
-    """
-    return decision_record(router, event, node, source, before, home, how).reason
-
-
-def decision_record(
-    router: Router, event: io.RequestReceived, node: int, source: int, before: Before | None = None,
-    home: io.HomeShard | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
-) -> DecisionRecord:  # fmt: skip
-    """The same with what the rule has."""
-    req, nodes = router.requests.get(event.request), router.nodes
-    if req is None or node not in nodes or (source >= 0 and source not in nodes):
-        return DecisionRecord(BREACH, event.request, node, source)  # nobody asked, or at what is not listed
-    trial = DecisionReplay(router, req, event, home, how)
-    source = trial.book(node, source)
-    if trial.never_kept:
-        here = trial.straight(node, source)
-    elif before == (node, source) and source >= 0 and trial.usable(node, source):
-        here = trial.where(node, source)
-        here = Reason.HELD if here is BREACH else here
-    else:
-        here = trial.where(node, source) if trial.usable(node, source) else BREACH
-    rule, by = next(iter(trial.caches[0]), -1), next(iter(trial.sources[0]), -1)
-    return DecisionRecord(here, event.request, node, source, rule, by)
+def _rank(
+    endpoints: Sequence[EndpointView],
+    key_hash: int,
+    by_size: bool,
+    arithmetic: Arithmetic,
+    allowed: Collection[int] | None,
+) -> Rankings:
+    """Rank all endpoints, then keep those of a home shard: each keeps the hash that it always has."""
+    orders = (
+        rank_views(endpoints, key_hash, by_size, by_latency, arithmetic) for by_latency in (False, True)
+    )
+    kept = [[n for n in order if allowed is None or n in allowed] for order in orders]
+    return Rankings(*kept)
 
 
 class DecisionReplay:
-    """One request before the rules, by the module's state now."""
+    """One request replayed by the rules against the router's state now."""
 
     def __init__(
-        self, router: Router, req: Any, event: io.RequestReceived, home: io.HomeShard | None, how: Arithmetic
+        self,
+        router: RouterView,
+        request: RequestView,
+        event: io.RequestReceived,
+        arithmetic: Arithmetic,
     ) -> None:
-        self.router, self.req, self.event = router, req, event
-        self.booked, self.work = frozenset[int](), 0.0
-        self.avoided = frozenset(n.machine.cache for n in req.avoid)
-        s, mixed = router.s, how.hash
-        self.origins: list[int] = [n.machine.cache for n in router.origins]
-        key, obj, sized = mixed(event.object, event.part), mixed(event.object), s.sizes_compare
-        caches = [order(router.edges, key, sized, paced, how) for paced in (False, True)]
-        parents = [order(router.parents, obj, sized, paced, how) for paced in (False, True)]
-        if home is not None:  # of all listed the home's, each by the draw that it always has
-            caches = [[n for n in ranked if n in home.caches] for ranked in caches]
-            parents = [[n for n in ranked if n in home.parents] for ranked in parents]
-        self.caches, self.sources = caches, [ranked + self.origins for ranked in parents]
-        straight = s.classes[event.cls].never_kept and s.direct
-        self.never_kept = straight and any(self.why_not(n) is None for n in self.origins)
-
-    def book(self, node: int, source: int) -> int:
-        """The attempt may be booked already: then its own marks at its machines are no reason against them.
-        The source as it was: what is told without one is asked of the machine itself.
-        """
-        made = self.router.nodes[node].out.get((self.event.request, self.req.sent - 1))
-        if made is not None and made.at == self.router.now:
-            self.booked, self.work = frozenset((node, source)) - {-1}, made.work
-        return node if source < 0 and not self.never_kept else source
-
-    def why_not(self, number: int) -> Reason | None:
-        node, now = self.router.nodes[number], self.router.now
-        reason = why_not(self.router, node, self.avoided)
-        if number in self.booked and reason is Reason.ASIDE and node.trial_at == now + node.wait:
-            reason = None  # this is its trial
-        if number in self.booked and reason is Reason.COLD and node.credit + self.work >= 0:
-            reason = None  # it had the budget
+        self._router = router
+        self._request = request
+        self._event = event
+        self._registered = frozenset[int]()  # endpoints of the attempt, where the router has registered it
+        self._registered_work = 0.0
+        self._origins = [endpoint.number for endpoint in router.origins]
+        self._caches, self._sources = self._rank_endpoints(arithmetic)
+        settings = router.settings
+        bypasses = settings.classes[event.cls].never_kept and settings.direct
+        self._bypasses_caches = bypasses and any(self._exclusion(n) is None for n in self._origins)
+
+    @property
+    def first_by_rules(self) -> AttemptTarget | None:
+        """The first cache and source by the rules alone; None without any cache."""
+        endpoint = next(iter(self._caches.by_rules), None)
+        source = next(iter(self._sources.by_rules), None)
+        return None if endpoint is None else AttemptTarget(endpoint, source)
+
+    def explain(self, target: AttemptTarget, previous: AttemptTarget | None) -> Reason:
+        """The reason for an attempt's target; `previous` is that of the request's attempt before."""
+        self._note_registered(target)
+        if self._bypasses_caches:
+            return self._explain_bypass(target)
+        endpoint = target.endpoint
+        source = endpoint if target.source is None else target.source  # a cache is its own source
+        if not (self._is_usable(endpoint) and self._is_usable(source)):
+            return Reason.UNEXPLAINED
+        reason = self._explain_placement(endpoint, source)
+        if reason is Reason.UNEXPLAINED and previous == AttemptTarget(endpoint, source):
+            return Reason.FETCH_REPEATED
         return reason
 
-    def usable(self, *numbers: int) -> bool:
-        """Of machines that were chosen; a cold one's budget must have been looked at in this very turn."""
-        return not any(self.why_not(n) or self._unlooked(n) for n in numbers if n >= 0)
-
-    def _unlooked(self, number: int) -> bool:
-        node = self.router.nodes[number]
-        return self.router.cold(node)[1] < math.inf and node.paid != self.router.now
+    def _rank_endpoints(self, arithmetic: Arithmetic) -> tuple[Rankings, Rankings]:
+        """Caches and sources in order."""
+        event, home = self._event, self._request.home
+        by_size = self._router.settings.sizes_compare
+        key_hash, object_hash = arithmetic.hash(event.object, event.part), arithmetic.hash(event.object)
+        home_caches = None if home is None else home.caches
+        home_parents = None if home is None else home.parents
+        caches = _rank(self._router.caches, key_hash, by_size, arithmetic, home_caches)
+        parents = _rank(self._router.parents, object_hash, by_size, arithmetic, home_parents)
+        sources = Rankings(
+            [*parents.by_rules, *self._origins],
+            [*parents.by_router, *self._origins],
+        )
+        return caches, sources
 
-    def straight(self, node: int, source: int) -> Reason:
-        first = next(n for n in self.origins if self.why_not(n) is None)
-        return Reason.RULE if node == first and source < 0 else BREACH
+    def _note_registered(self, target: AttemptTarget) -> None:
+        """See whether the router has registered the attempt.
 
-    def where(self, node: int, source: int) -> Reason:
-        if node not in self.caches[0]:
-            left = [self.why_not(n) for n in self.caches[0]]
-            at = Reason.NONE_USABLE if all(left) and self.router.s.direct and node == source else BREACH
+        Then its own traces at its endpoints are no reason against them.
+        """
+        work = self._router.endpoint(target.endpoint).work_of_new_attempt(self._request)
+        if work is not None:
+            self._registered = frozenset(
+                number for number in (target.endpoint, target.source) if number is not None
+            )
+            self._registered_work = work
+
+    def _exclusion(self, number: int) -> Reason | None:
+        """Why the router may not use an endpoint now; None where it may."""
+        endpoint = self._router.endpoint(number)
+        if not endpoint.is_ready:
+            return Reason.DRAINING
+        if number in self._request.avoided:
+            return Reason.AVOIDED
+        if endpoint.is_shutting_down:
+            return Reason.SHUTTING_DOWN
+        if endpoint.is_ejected:
+            is_own_trial = number in self._registered and endpoint.is_on_trial
+            return None if is_own_trial else Reason.EJECTED
+        if self._is_budget_spent(endpoint):
+            return Reason.WARM_UP_BUDGET
+        return None
+
+    def _is_budget_spent(self, endpoint: EndpointView) -> bool:
+        """Whether the router found the warm-up budget spent in this turn; it is not touched here."""
+        if not (endpoint.is_warming_up and endpoint.is_budget_checked and endpoint.budget < 0):
+            return False
+        own_work = self._registered_work if endpoint.number in self._registered else None
+        return own_work is None or endpoint.budget + own_work < 0
+
+    def _is_usable(self, number: int) -> bool:
+        """Of a chosen endpoint; the budget of one that warms up must have been checked in this turn."""
+        endpoint = self._router.endpoint(number)
+        is_unchecked = endpoint.is_warming_up and not endpoint.is_budget_checked
+        return self._exclusion(number) is None and not is_unchecked
+
+    def _first_usable(self, numbers: Sequence[int]) -> int | None:
+        return next((number for number in numbers if self._exclusion(number) is None), None)
+
+    def _explain_bypass(self, target: AttemptTarget) -> Reason:
+        is_first = target.endpoint == self._first_usable(self._origins)
+        return Reason.RULE if is_first and target.source is None else Reason.UNEXPLAINED
+
+    def _explain_placement(self, endpoint: int, source: int) -> Reason:
+        """The reason for the endpoint, or for the source where the endpoint is the rules' own."""
+        is_cache = endpoint in self._caches.by_rules
+        placed = self._explain_cache(endpoint) if is_cache else self._explain_without_cache(endpoint, source)
+        if placed is Reason.UNEXPLAINED:
+            return Reason.UNEXPLAINED
+        if is_cache and source == endpoint:
+            fetched = self._explain_no_fetch()
         else:
-            at = self._placed(node)
-        if at is BREACH:
-            return BREACH
-        by = (
-            self._look(node)
-            if source == node and node in self.caches[0]
-            else self._walk(self.sources, source)
-        )
-        return by if by is BREACH or at is Reason.RULE else at
-
-    def _walk(self, orders: Sequence[list[int]], chosen: int) -> Reason:
-        """It must be the first usable by the module's own order; what the rule has first needs a reason."""
-        plain, paced = orders
-        if chosen != next((n for n in paced if self.why_not(n) is None), None):
-            return BREACH
-        first = plain[0]
+            fetched = self._explain_order(self._sources, source)
+        return fetched if fetched is Reason.UNEXPLAINED or placed is Reason.RULE else placed
+
+    def _explain_without_cache(self, endpoint: int, source: int) -> Reason:
+        """An attempt straight at a source: no cache may be usable."""
+        has_usable = self._first_usable(self._caches.by_rules) is not None
+        is_allowed = not has_usable and self._router.settings.direct and endpoint == source
+        return Reason.NO_CACHE_USABLE if is_allowed else Reason.UNEXPLAINED
+
+    def _explain_order(self, rankings: Rankings, chosen: int) -> Reason:
+        """The chosen must be the first usable in the router's order; the rules' first needs a reason."""
+        if chosen != self._first_usable(rankings.by_router):
+            return Reason.UNEXPLAINED
+        first = rankings.by_rules[0]
         if first == chosen:
             return Reason.RULE
-        return self.why_not(first) or Reason.PACE  # usable, and yet later by the module's order: its step
-
-    def _placed(self, chosen: int) -> Reason:
-        walked = self._walk(self.caches, chosen)
-        if walked is not BREACH:
-            return walked
-        nodes, paced = self.router.nodes, self.caches[1]
-        good = [n for n in paced if self.why_not(n) is None][:2]
-        if chosen in good[1:]:
-            first = nodes[good[0]]
-            hot = list(first.recent).count(self.event.object) > HOT_SHARE * HOT_OF
-            if hot and len(nodes[chosen].out) - (chosen in self.booked) < len(first.out):
-                return Reason.WIDENED
-        if chosen in paced[1:2] and self.router.crowded(nodes[paced[0]], self.req):
-            return Reason.CROWDED  # after a hold the second by hash
-        return BREACH
-
-    def _look(self, node: int) -> Reason:
-        """A cache as its own source: no source may be asked, or no fill may begin now."""
-        router = self.router
-        left = [self.why_not(n) for n in self.sources[0]]
-        if all(left):
-            return left[0] or Reason.RULE
-        gated = self.req.tier == LOWEST and router.fills >= GATE * router.bound
-        if gated or router.fills >= SPARE * router.bound or router.full(self.req):
-            return Reason.BOUND
-        two = [n for n in self.caches[1][:2] if self.why_not(n) is None]
-        if all(router.crowded(router.nodes[n], self.req) for n in two):
-            return Reason.CROWDED
-        return BREACH
+        return self._exclusion(first) or Reason.LATENCY_WEIGHT
+
+    def _explain_cache(self, chosen: int) -> Reason:
+        in_order = self._explain_order(self._caches, chosen)
+        if in_order is not Reason.UNEXPLAINED:
+            return in_order
+        if self._is_spread_for_hot_object(chosen):
+            return Reason.HOT_OBJECT
+        ranked = self._caches.by_router
+        is_second = chosen in ranked[1:CANDIDATES]
+        if is_second and self._router.endpoint(ranked[0]).is_overloaded(self._request):
+            return Reason.OVERLOADED
+        return Reason.UNEXPLAINED
+
+    def _is_spread_for_hot_object(self, chosen: int) -> bool:
+        """Whether the chosen is the second usable for a hot object, and less loaded than the first."""
+        usable = [n for n in self._caches.by_router if self._exclusion(n) is None][:CANDIDATES]
+        if chosen not in usable[1:]:
+            return False
+        first = self._router.endpoint(usable[0])
+        is_hot = first.count_recent(self._event.object) > HOT_OBJECT_SHARE * RECENT_REQUESTS
+        own = 1 if chosen in self._registered else 0
+        return is_hot and self._router.endpoint(chosen).requests_in_flight - own < first.requests_in_flight
+
+    def _explain_no_fetch(self) -> Reason:
+        """A cache asked only for what it holds: no source may be asked, or no fetch may begin now."""
+        exclusions = [self._exclusion(number) for number in self._sources.by_rules]
+        if all(exclusions):
+            return next(filter(None, exclusions), Reason.RULE)
+        if self._is_fetch_withheld():
+            return Reason.FETCH_LIMIT
+        candidates = [n for n in self._caches.by_router[:CANDIDATES] if self._exclusion(n) is None]
+        if all(self._router.endpoint(n).is_overloaded(self._request) for n in candidates):
+            return Reason.OVERLOADED
+        return Reason.UNEXPLAINED
+
+    def _is_fetch_withheld(self) -> bool:
+        fetches, limit = self._router.fetches_in_flight, self._router.fetch_limit
+        is_shed = self._request.tier == LOWEST_TIER and fetches >= LOAD_SHEDDING_SHARE * limit
+        return (
+            is_shed or fetches >= SECOND_COPY_SHARE * limit or self._router.is_at_fetch_limit(self._request)
+        )
--- a/quincepier/consistency/findings.py
+++ b/quincepier/consistency/findings.py
@@ -11,33 +11,33 @@
 class DivergenceKind(Enum):
     """In what a front diverges; the values are sent to it in `ConsistencyVerdict.reason`."""
 
-    LATE_VERSION = "an older rule version"
-    LATE_LIST = "an older list"
-    LIST_TOO_LATE = "an older list for too long"
+    LAGGING_VERSION = "an older rule version"
+    LAGGING_LIST = "an older list"
+    OUTDATED_LIST = "an older list for too long"
     BUILD = "another build"
-    VERSION = "another content of the same rule version"
-    LIST = "another list of the same revision"
+    VERSION_CONTENT = "another content of the same rule version"
+    LIST_CONTENT = "another list of the same revision"
     SETTINGS = "other settings"
-    HASH = "another hash"
-    FLOATS = "another order of floats"
+    HASH_FUNCTION = "another hash"
+    FLOAT_ARITHMETIC = "another order of floats"
     DECISION = "the same inputs and another decision"
-    MEMORY = "a stale memory of ranks"
-    BREACH = "a real decision without a reason"
+    STALE_RANKINGS = "a stale memory of ranks"
+    UNEXPLAINED_DECISION = "a real decision without a reason"
 
 
 # A version or list on its way to a front is no fault; another build is one only where its decisions differ.
-LAGGING_KINDS = frozenset({DivergenceKind.LATE_VERSION, DivergenceKind.LATE_LIST})
+LAGGING_KINDS = frozenset({DivergenceKind.LAGGING_VERSION, DivergenceKind.LAGGING_LIST})
 FAULT_KINDS = frozenset(DivergenceKind) - LAGGING_KINDS - {DivergenceKind.BUILD}
 # Kinds for which a front goes to its cautious set: its decisions by the rules are wrong, not late.
-CAUTIOUS_KINDS = FAULT_KINDS - {DivergenceKind.LIST_TOO_LATE, DivergenceKind.BREACH}
+CAUTIOUS_KINDS = FAULT_KINDS - {DivergenceKind.OUTDATED_LIST, DivergenceKind.UNEXPLAINED_DECISION}
 
 TREE_BY_KIND: dict[DivergenceKind, TreeKind] = {
-    DivergenceKind.VERSION: TreeKind.RULE_VERSION,
-    DivergenceKind.LIST: TreeKind.ENDPOINTS,
+    DivergenceKind.VERSION_CONTENT: TreeKind.RULE_VERSION,
+    DivergenceKind.LIST_CONTENT: TreeKind.ENDPOINTS,
     DivergenceKind.SETTINGS: TreeKind.SETTINGS,
     DivergenceKind.DECISION: TreeKind.DECISIONS,
-    DivergenceKind.HASH: TreeKind.DECISIONS,
-    DivergenceKind.FLOATS: TreeKind.DECISIONS,
+    DivergenceKind.HASH_FUNCTION: TreeKind.DECISIONS,
+    DivergenceKind.FLOAT_ARITHMETIC: TreeKind.DECISIONS,
     DivergenceKind.BUILD: TreeKind.DECISIONS,
 }
 
--- a/quincepier/consistency/majority.py
+++ b/quincepier/consistency/majority.py
@@ -89,9 +89,13 @@
         *lists,
         *_find_late_lists(responses, list_lag_ns, max_list_lag_ns),
         *_find_decision_divergences(responses, {divergence.front for divergence in inputs}),
-        *(Divergence(DivergenceKind.MEMORY, f) for f in sorted(responses) if responses[f].stale_rankings),
         *(
-            Divergence(DivergenceKind.BREACH, f)
+            Divergence(DivergenceKind.STALE_RANKINGS, f)
+            for f in sorted(responses)
+            if responses[f].stale_rankings
+        ),
+        *(
+            Divergence(DivergenceKind.UNEXPLAINED_DECISION, f)
             for f in sorted(responses)
             if responses[f].unexplained_decisions
         ),
@@ -111,9 +115,9 @@
 
 def _find_arithmetic_divergences(responses: Responses) -> list[Divergence]:
     """Hash first: scores of another hash differ too."""
-    hashes = _compare(DivergenceKind.HASH, responses, responses, lambda r: r.hash_canary)
+    hashes = _compare(DivergenceKind.HASH_FUNCTION, responses, responses, lambda r: r.hash_canary)
     others = responses.keys() - {divergence.front for divergence in hashes}
-    return [*hashes, *_compare(DivergenceKind.FLOATS, responses, others, lambda r: r.float_canary)]
+    return [*hashes, *_compare(DivergenceKind.FLOAT_ARITHMETIC, responses, others, lambda r: r.float_canary)]
 
 
 def _find_version_divergences(responses: Responses) -> list[Divergence]:
@@ -121,14 +125,14 @@
     found = list[Divergence]()
     for number in sorted({response.rule_version for response in responses.values()}):
         holders = [front for front, response in responses.items() if response.rule_version == number]
-        found += _compare(DivergenceKind.VERSION, responses, holders, lambda r: r.rule_version_digest)
+        found += _compare(DivergenceKind.VERSION_CONTENT, responses, holders, lambda r: r.rule_version_digest)
     return found
 
 
 def _find_late_versions(responses: Responses) -> list[Divergence]:
     newest = max((response.rule_version for response in responses.values()), default=0)
     late = [front for front in sorted(responses) if responses[front].rule_version < newest]
-    return [Divergence(DivergenceKind.LATE_VERSION, front) for front in late]
+    return [Divergence(DivergenceKind.LAGGING_VERSION, front) for front in late]
 
 
 def _find_list_divergences(responses: Responses) -> list[Divergence]:
@@ -136,7 +140,7 @@
     found = list[Divergence]()
     for revision in sorted({response.list_revision for response in responses.values()}):
         holders = [front for front, response in responses.items() if response.list_revision == revision]
-        found += _compare(DivergenceKind.LIST, responses, holders, lambda r: r.endpoints_digest)
+        found += _compare(DivergenceKind.LIST_CONTENT, responses, holders, lambda r: r.endpoints_digest)
     return found
 
 
@@ -150,7 +154,7 @@
     for front, response in sorted(responses.items()):
         if response.list_revision < reference and response.endpoints_digest not in current:
             is_too_late = list_lag_ns(response.list_revision) > max_list_lag_ns
-            kind = DivergenceKind.LIST_TOO_LATE if is_too_late else DivergenceKind.LATE_LIST
+            kind = DivergenceKind.OUTDATED_LIST if is_too_late else DivergenceKind.LAGGING_LIST
             found.append(Divergence(kind, front))
     return found
 
--- a/quincepier/consistency/merkle_descent.py
+++ b/quincepier/consistency/merkle_descent.py
@@ -141,7 +141,7 @@
         value = DivergentValue(item, field, ours.get(field, ""), theirs.get(field, ""))
         kind = self._divergence.kind
         if kind is DivergenceKind.DECISION and self._is_stale(diverging):
-            kind = DivergenceKind.MEMORY
+            kind = DivergenceKind.STALE_RANKINGS
         self.finish(value, kind)
 
     def _is_stale(self, diverging: LeafResponse) -> bool:
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -15,9 +15,11 @@
 from quincepier import interface as io
 from quincepier.consistency.checker import CheckerAction, ConsistencyChecker, SendMessage
 from quincepier.consistency.decision import DecisionInputs, HomeShardLookup, ListedEndpoint
-from quincepier.consistency.decision_recorder import DecisionRecorder, router_ranking_cache, stale_rankings
+from quincepier.consistency.decision_recorder import DecisionRecorder
 from quincepier.consistency.explain import DecisionRecord
 from quincepier.consistency.findings import Finding
+from quincepier.consistency.router_rankings import RouterRankingCache, count_stale_rankings
+from quincepier.consistency.router_view import RouterView
 from quincepier.consistency.section import ConsistencySection
 from quincepier.interface import EndpointState
 from quincepier.net.fleet.active_rules import ActiveRules
@@ -73,12 +75,13 @@
         self._inputs_identity: _InputsIdentity | None = None
         self._view: tuple[object, ...] = ()
         seed = module.config.seed
-        ranking_cache = router_ranking_cache(module.router, lambda: self._endpoints)
+        self._router = RouterView(module.router)
+        ranking_cache = RouterRankingCache(self._router, lambda: self._endpoints)
         self.checker = ConsistencyChecker(
             module.config.name, seed, section, clock.boot(), ranking_cache=ranking_cache
         )
         module.router.witness = DecisionRecorder(
-            module.router, section.recorded_share, seed, self._on_unexplained_decision
+            self._router, section.recorded_share, seed, self._on_unexplained_decision
         )
         peers.channel(ALIKE, self.on_message)
 
@@ -87,7 +90,7 @@
         self._update_view()
         self._update_inputs()
         if now_ns >= self.checker.next_tick_ns:
-            if stale := stale_rankings(self._module.router):
+            if stale := count_stale_rankings(self._router):
                 self.checker.add_router_faults(stale_rankings=stale)
             self._perform(self.checker.on_tick(now_ns))
 
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -28,12 +28,13 @@
     DivergenceKind,
     ListedEndpoint,
     Reason,
+    RouterRankingCache,
+    RouterView,
     SendMessage,
+    count_stale_rankings,
     decide,
     majority,
-    router_ranking_cache,
     sample_keys,
-    stale_rankings,
 )
 from quincepier.consistency.decision import rank_endpoints
 from quincepier.consistency.merkle_tree import MerkleTree
@@ -134,12 +135,12 @@
 
 FAULTS = {
     "a flipped bit in a version": PlantedFault(
-        flip_bit_in_version, DivergenceKind.VERSION, "entry orders w:s-1-1:cache", "step"
+        flip_bit_in_version, DivergenceKind.VERSION_CONTENT, "entry orders w:s-1-1:cache", "step"
     ),
-    "one endpoint missing": PlantedFault(remove_endpoint, DivergenceKind.LIST, "endpoint s-1-3"),
-    "another hash seed": PlantedFault(change_hash_seed, DivergenceKind.HASH, "object", "caches"),
-    "another order of floats": PlantedFault(change_float_order, DivergenceKind.FLOATS, "canary"),
-    "stale rankings": PlantedFault(keep_stale_rankings, DivergenceKind.MEMORY, "object", "caches"),
+    "one endpoint missing": PlantedFault(remove_endpoint, DivergenceKind.LIST_CONTENT, "endpoint s-1-3"),
+    "another hash seed": PlantedFault(change_hash_seed, DivergenceKind.HASH_FUNCTION, "object", "caches"),
+    "another order of floats": PlantedFault(change_float_order, DivergenceKind.FLOAT_ARITHMETIC, "canary"),
+    "stale rankings": PlantedFault(keep_stale_rankings, DivergenceKind.STALE_RANKINGS, "object", "caches"),
     "one build changed": PlantedFault(change_build, DivergenceKind.BUILD, "build"),
     "one build changed that decides otherwise": PlantedFault(
         change_build_and_decisions, DivergenceKind.BUILD, "object", "caches"
@@ -201,11 +202,11 @@
     fleet.publish_list(MS, make_endpoint_list(2, 6, 2))
     fleet.run(4 * SECOND)
     kinds = {reported.finding.kind for reported in fleet.findings}
-    assert not fleet.divergence_findings() and kinds <= {DivergenceKind.LATE_LIST}
+    assert not fleet.divergence_findings() and kinds <= {DivergenceKind.LAGGING_LIST}
     assert collector.checker.is_consistent(1) is None  # not known while one has another list
     fleet.run(6 * SECOND)
     found = {(finding.front, finding.kind) for finding in fleet.divergence_findings()}
-    assert found == {("f4", DivergenceKind.LIST_TOO_LATE)}
+    assert found == {("f4", DivergenceKind.OUTDATED_LIST)}
     assert not late.checker.is_cautious  # behind, not wrong
 
 
@@ -215,7 +216,7 @@
     change_hash_seed(fleet.front_by_name["f5"])
     fleet.start()
     fleet.run(4 * SECOND)
-    reported = [r for r in fleet.findings if r.finding.kind is DivergenceKind.HASH]
+    reported = [r for r in fleet.findings if r.finding.kind is DivergenceKind.HASH_FUNCTION]
     assert len({r.collector for r in reported}) == 3 and fleet.front_by_name["f5"].checker.is_cautious
 
 
@@ -285,16 +286,16 @@
         ListedEndpoint(f"h{m.cache}", m.cache, m.kind, m.zone, 0, m.size, True) for m in machines
     )
     inputs = make_inputs(endpoints=endpoints, settings=bench.settings, rule_version=RuleVersion(0, 0))
-    ranking_cache = router_ranking_cache(bench.router, lambda: endpoints)
+    ranking_cache = RouterRankingCache(RouterView(bench.router), lambda: endpoints)
     for key in sample_keys(0, 5, 32, inputs):
         ranked = bench.router.rank(bench.router.edges, mix(key.object, key.part))
         decision = decide(inputs, key)
         assert decision.caches == tuple(node.machine.cache for node in ranked)
         assert decision == DecisionRules(inputs, ranking_cache=ranking_cache).decide(key)
-    assert ranking_cache(9, 1) is None and stale_rankings(bench.router) == 0
+    assert ranking_cache(9, 1) is None and count_stale_rankings(RouterView(bench.router)) == 0
     cached = next(iter(bench.router.ranks))
     bench.router.ranks[cached] = bench.router.ranks[cached][::-1]
-    assert stale_rankings(bench.router) == 1
+    assert count_stale_rankings(RouterView(bench.router)) == 1
 
 
 def test_work_comes_in_slices_and_a_round_is_the_same_however_it_is_cut() -> None:
@@ -350,23 +351,9 @@
 # Real decisions
 
 
-def attach(router: Router, recorder: DecisionRecorder) -> None:
-    """The router tells the recorder of each attempt; one that can't yet is made to."""
-    if hasattr(router, "witness"):
-        router.witness = recorder
-        return
-    plain = router.send
-
-    def send(req: Any, node: Any, source: Any, anew: bool = False) -> None:
-        recorder(req.e, node, source)
-        plain(req, node, source, anew)
-
-    router.send = send  # type: ignore[method-assign]
-
-
 def play(world: World, recorder: DecisionRecorder, seed: int, steps: int) -> None:
     """A random run in which each attempt is held against the rule."""
-    attach(world.router, recorder)
+    world.router.witness = recorder
     draw = random.Random(seed)
     for _ in range(steps):
         world.step(draw.randrange(12), draw.randrange(10**6), draw.randrange(200))
@@ -374,7 +361,7 @@
 
 def record_random_run(site: str, seed: int, steps: int = 90) -> DecisionRecorder:
     world = World(SITES[site])
-    recorder = DecisionRecorder(world.router, 1.0, seed)
+    recorder = DecisionRecorder(RouterView(world.router), 1.0, seed)
     play(world, recorder, seed, steps)
     return recorder
 
@@ -384,26 +371,26 @@
     counts = Counter[Reason]()
     for seed in range(8):
         recorder = record_random_run(site, seed)
-        assert list(recorder.breaches) == []
-        counts += recorder.counts
+        assert list(recorder.unexplained) == []
+        counts += recorder.count_by_reason
     assert counts.total() > 200 and counts[Reason.RULE] > counts.total() // 4
-    assert {Reason.OFF, Reason.COLD, Reason.ASIDE, Reason.BOUND} <= counts.keys()
+    assert {Reason.DRAINING, Reason.WARM_UP_BUDGET, Reason.EJECTED, Reason.FETCH_LIMIT} <= counts.keys()
 
 
-def test_a_bad_day_in_the_laboratory_has_no_breach(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_bad_day_in_the_laboratory_is_explained(monkeypatch: pytest.MonkeyPatch) -> None:
     """Machines die and come back, fronts are killed: wherever requests then go has a reason."""
     day = load("experiments/bad-day.yaml")
     start, recorders = WorldFront.start, list[DecisionRecorder]()
 
     def start_recorded(self: WorldFront) -> None:
         start(self)
-        recorders.append(DecisionRecorder(self.router, 0.2, 1))
-        attach(self.router, recorders[-1])
+        recorders.append(DecisionRecorder(RouterView(self.router), 0.2, 1))
+        self.router.witness = recorders[-1]
 
     monkeypatch.setattr(WorldFront, "start", start_recorded)
     LabWorld(day, day.variants[0], day.seeds[0]).play()
-    counts = sum((recorder.counts for recorder in recorders), Counter[Reason]())
-    assert counts.total() > 500 and Reason.ASIDE in counts and Reason.BREACH not in counts
+    counts = sum((recorder.count_by_reason for recorder in recorders), Counter[Reason]())
+    assert counts.total() > 500 and Reason.EJECTED in counts and Reason.UNEXPLAINED not in counts
 
 
 def test_within_home_shards_the_rule_is_the_shards_own() -> None:
@@ -411,11 +398,11 @@
     world = World(SITES["mixed"])
     shards = [HomeShard(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
     world.router.homes = lambda request: shards[request.object % 2]
-    recorder = DecisionRecorder(world.router, 1.0, 1)
+    recorder = DecisionRecorder(RouterView(world.router), 1.0, 1)
     play(world, recorder, seed=3, steps=150)
-    assert recorder.counts[Reason.RULE] > 50 and not recorder.breaches
+    assert recorder.count_by_reason[Reason.RULE] > 50 and not recorder.unexplained
     world.router.homes = lambda request: shards[0]
-    assert stale_rankings(world.router) == 0
+    assert count_stale_rankings(RouterView(world.router)) == 0
 
 
 def wrong_hash(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
@@ -455,13 +442,13 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_mutant_of_placement_is_a_breach(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_mutant_of_placement_is_unexplained(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     FIRST_RANKINGS.clear()
     monkeypatch.setattr(Router, *MUTANTS[name])
     found = 0
     for seed in range(8):
         try:
-            found = record_random_run("mixed", seed).counts[Reason.BREACH]
+            found = record_random_run("mixed", seed).count_by_reason[Reason.UNEXPLAINED]
         except AssertionError:  # it breaks another rule too, which the world itself notices
             continue
         if found:
@@ -516,15 +503,18 @@
                 test()
 
 
-def test_a_drained_endpoint_is_no_breach_and_a_request_nobody_made_is() -> None:
+def test_a_drained_endpoint_is_explained_and_a_request_nobody_made_is_not() -> None:
     bench = Bench()
-    recorder = DecisionRecorder(bench.router, 1.0, 1)
+    recorder = DecisionRecorder(RouterView(bench.router), 1.0, 1)
     [first] = attempts(bench.ask(1))
-    recorder(replace(bench.router.requests[1].e, request=9), 101, 201)
-    assert recorder.counts[Reason.BREACH] == 1 and len(recorder.breaches) == 1
+    nodes = bench.router.nodes
+    recorder(replace(bench.router.requests[1].e, request=9), nodes[101], nodes[201])
+    assert recorder.count_by_reason[Reason.UNEXPLAINED] == 1 and len(recorder.unexplained) == 1
     drained = machine(first.cache, state=EndpointState.DRAINING)
     bench.give(EndpointUpdate(UpdateScope.CHANGES, (drained,)))
-    attach(bench.router, recorder)
+    bench.router.witness = recorder
     bench.ask(2)
-    assert [record.reason for record in recorder.records] == [Reason.BREACH, Reason.OFF]
-    assert recorder.records[-1].rule == first.cache != recorder.records[-1].node
+    assert [record.reason for record in recorder.records] == [Reason.UNEXPLAINED, Reason.DRAINING]
+    record = recorder.records[-1]
+    assert record.first_by_rules is not None
+    assert record.first_by_rules.endpoint == first.cache != record.target.endpoint
