--- a/quincepier/consensus/election.py
+++ b/quincepier/consensus/election.py
@@ -24,7 +24,7 @@
         return
     if state.now_ns >= state.election_deadline_ns:
         start_election(state)
-    if state.is_standing and state.now_ns >= state.retry_deadline_ns:
+    if state.is_campaigning and state.now_ns >= state.retry_deadline_ns:
         send_vote_requests(state)
 
 
--- a/quincepier/consensus/raft.py
+++ b/quincepier/consensus/raft.py
@@ -103,7 +103,7 @@
             return state.now_ns
         if state.leader_state is not None:
             return state.leader_state.heartbeat_deadline_ns
-        if state.is_standing or cluster_configuration.needs_announcement(state):
+        if state.is_campaigning or cluster_configuration.needs_announcement(state):
             return min(state.election_deadline_ns, state.retry_deadline_ns)
         return state.election_deadline_ns
 
@@ -162,8 +162,8 @@
 
 def _drop_reason(state: RaftState, message: Message) -> DropReason | None:
     """Why a valid message is not for this voter now; None: it is."""
-    known_names = {*state.config.voters, *(member.name for member in state.configuration)}
-    if message.sender_name not in known_names:
+    voter_names = {*state.config.voters, *(member.name for member in state.configuration)}
+    if message.sender_name not in voter_names:
         return DropReason.UNKNOWN_SENDER
     if len(state.persistence.pending) >= state.config.limits.max_pending_writes:
         return DropReason.DISK_BEHIND
--- a/quincepier/consensus/raft_state.py
+++ b/quincepier/consensus/raft_state.py
@@ -187,7 +187,7 @@
         return self.leader_state is not None
 
     @property
-    def is_standing(self) -> bool:
+    def is_campaigning(self) -> bool:
         """Whether it asks for votes or pre-votes."""
         return self.role in (RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE)
 
--- a/quincepier/net/fleet/raft_node.py
+++ b/quincepier/net/fleet/raft_node.py
@@ -28,7 +28,7 @@
 WRITE_RETRY_INTERVAL_S = 1.0
 MAX_HELD_MESSAGES = 4096  # the oldest are dropped: voters repeat themselves
 MAX_PENDING_WRITES = 64
-VOTER_SILENT = "voter_silent"
+STORAGE_FAILED = "voter_storage_failed"
 
 
 class VoterStorage(Protocol):
@@ -105,7 +105,7 @@
         self._held_messages.clear()
         self._pending_writes.clear()
         line = getattr(error, "line", None)
-        self._checks.event(VOTER_SILENT, line() if callable(line) else f"{type(error).__name__}: {error}")
+        self._checks.event(STORAGE_FAILED, line() if callable(line) else f"{type(error).__name__}: {error}")
 
     @property
     def next_tick_ns(self) -> int:
@@ -177,7 +177,7 @@
         if self.raft is None:
             return
         if isinstance(outcome, Exception):
-            self._checks.event(VOTER_SILENT, f"{type(outcome).__name__}: {outcome}")
+            self._checks.event(STORAGE_FAILED, f"{type(outcome).__name__}: {outcome}")
             self._thread.loop.call_later(WRITE_RETRY_INTERVAL_S, self._write_next)
             return
         self._pending_writes.popleft()
