--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -101,7 +101,7 @@
         self.others: list[Callable[[int], None]] = []  # told at each look: what else is due
         for voter, address in section.voters.items():
             host, _, port = address.rpartition(":")
-            peers.know(voter, (host.strip("[]"), int(port)))
+            peers.add_address(voter, (host.strip("[]"), int(port)))
 
     # Life
 
@@ -119,7 +119,7 @@
         elif kept is not None:
             self.checks.event("kept version not used", f"{type(kept).__name__}: {kept}")
         self.effects.apply()
-        self.peers.channel(RULES, self._heard)
+        self.peers.register_channel(RULES, self._heard)
         if name in self.voters:
             log = VoterStore(FileSystem(self.kept.folder))
             seed = time.time_ns() ^ module.config.seed
@@ -143,10 +143,10 @@
                 self._machines,
                 lambda: self.peers.view,
                 self.checks,
-                silent=self.peers.silent,
+                silent=self.peers.recently_dead,
                 gone=lambda: self.rules.gone,
             )
-            self.peers.channel(AGREEMENT, self.seat.on_message)
+            self.peers.register_channel(AGREEMENT, self.seat.on_message)
             self.seat.start()
         if self.compared is not None:
             self._compare(self.compared)
@@ -299,7 +299,7 @@
 
     def _machines(self) -> dict[str, MachineObservation]:
         s, now, out = self.module.config.settings, clock.now(), dict[str, MachineObservation]()
-        for host, entry in self.module.directory.entries.items():
+        for host, entry in self.module.directory.entry_by_host.items():
             m = entry.machine
             kind = "parent" if m.kind == s.parent_kind else "origin" if m.kind == s.origin_kind else "cache"
             warm = (s.parent_cold_time if kind == "parent" else s.cold_time) + s.cold_window
