--- a/tests/orderkit.py
+++ b/tests/orderkit.py
@@ -75,7 +75,7 @@
 Move = tuple[Any, ...]  # the name of a method of World, and what it is given
 
 
-class Breach(AssertionError):
+class RuleBrokenError(AssertionError):
     pass
 
 
@@ -241,9 +241,9 @@
 
     def send(self, at: int, host: str) -> None:
         front = self.fronts[at]
-        order = self.version.task_for(host)
-        if order is not None and MaintenanceStep.DRAINED <= order.step <= MaintenanceStep.RESTORED:
-            raise Breach(f"{front.name} sends to {host}, which is {order.step.name}")
+        order = self.version.order_of(host)
+        if order is not None and MaintenanceStep.EMPTY <= order.step <= MaintenanceStep.BACK:
+            raise RuleBrokenError(f"{front.name} sends to {host}, which is {order.step.name}")
         front.open[host] = 0
 
     def tick(self) -> None:
@@ -322,17 +322,19 @@
             ):
                 for front in self.fronts:
                     if order.target in front.open:
-                        raise Breach(f"{order.target} is empty and {front.name} has something open there")
+                        raise RuleBrokenError(
+                            f"{order.target} is empty and {front.name} has something open there"
+                        )
 
     def check(self) -> None:
         force = self.ledger.in_force(self.clock)
         for front in self.fronts:
             if not front.holder.cautious(front.clock) and front.holder.version.number < force:
-                raise Breach(f"{front.name} is sure of {front.holder.version.number}, in force is {force}")
-        if sum(order.is_unavailable for order in self.version.maintenance_tasks) > 1:
-            raise Breach(
-                f"out at once: {[o.target for o in self.version.maintenance_tasks if o.is_unavailable]}"
-            )
+                raise RuleBrokenError(
+                    f"{front.name} is sure of {front.holder.version.number}, in force is {force}"
+                )
+        if sum(order.out for order in self.version.orders) > 1:
+            raise RuleBrokenError(f"out at once: {[o.target for o in self.version.orders if o.out]}")
 
 
 def stages(parts: Parts, fronts: int, faults: int) -> list[World]:
@@ -369,7 +371,7 @@
 
 
 def explore(parts: Parts, fronts: int, depth: int, faults: int = 1, orders: bool = True) -> int:
-    """How many states there are within so many moves; Breach with the way to one that breaks a rule.
+    """How many states there are within so many moves; RuleBrokenError with the way to one that breaks a rule.
 
     With orders: from each stage of a pass, and from each moment of a cut that begins at such a stage.
     """
@@ -385,8 +387,8 @@
                 new = world.copied()
                 try:
                     new.make(move)
-                except Breach as breach:
-                    raise Breach(f"{breach} after {(*way, move)}") from None
+                except RuleBrokenError as breach:
+                    raise RuleBrokenError(f"{breach} after {(*way, move)}") from None
                 key = new.key()
                 if key not in seen:
                     seen.add(key)
@@ -410,8 +412,8 @@
             way.append(move)
             try:
                 world.make(move)
-            except Breach as breach:
-                raise Breach(f"{breach} after {way}") from None
+            except RuleBrokenError as breach:
+                raise RuleBrokenError(f"{breach} after {way}") from None
             if move[0] == "plan":
                 came |= {order.step.name for order in world.version.maintenance_tasks}
         for name in came:
