--- a/tests/orderkit.py
+++ b/tests/orderkit.py
@@ -241,8 +241,8 @@
 
     def send(self, at: int, host: str) -> None:
         front = self.fronts[at]
-        order = self.version.order_of(host)
-        if order is not None and MaintenanceStep.EMPTY <= order.step <= MaintenanceStep.BACK:
+        order = self.version.task_for(host)
+        if order is not None and MaintenanceStep.DRAINED <= order.step <= MaintenanceStep.RESTORED:
             raise RuleBrokenError(f"{front.name} sends to {host}, which is {order.step.name}")
         front.open[host] = 0
 
@@ -333,8 +333,10 @@
                 raise RuleBrokenError(
                     f"{front.name} is sure of {front.holder.version.number}, in force is {force}"
                 )
-        if sum(order.out for order in self.version.orders) > 1:
-            raise RuleBrokenError(f"out at once: {[o.target for o in self.version.orders if o.out]}")
+        if sum(order.is_unavailable for order in self.version.maintenance_tasks) > 1:
+            raise RuleBrokenError(
+                f"out at once: {[o.target for o in self.version.maintenance_tasks if o.is_unavailable]}"
+            )
 
 
 def stages(parts: Parts, fronts: int, faults: int) -> list[World]:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -366,7 +366,7 @@
     assert dict(told.sent_commands) == {"s-1": 1} and told.last_unsafe_request_ages == (
         ("acme", "north", 1000),
     )
-    rows = {(s.tenant, s.shard): (s.asked, s.in_time, s.hits) for s in told.service_statistics}
+    rows = {(s.tenant, s.shard): (s.responses, s.on_time_weight, s.hits) for s in told.service_statistics}
     assert rows == dict.fromkeys((("", ""), ("acme", ""), ("acme", "north")), (1, 2.0, 1))
     tally.begin(2 * clock.SECOND)  # another version
     assert tally.report(2 * clock.SECOND, about, [], [], {}).service_statistics[0].responses == 0
