--- a/quincepier/consensus/raft.py
+++ b/quincepier/consensus/raft.py
@@ -118,8 +118,8 @@
         return self._state.term
 
     @property
-    def is_leader(self) -> bool:
-        """Whether it leads and an entry of its term is committed; reads need the lease besides."""
+    def has_committed_in_term(self) -> bool:
+        """Whether it leads and an entry of its term is committed, so that it knows all committed before."""
         leader_state = self._state.leader_state
         return leader_state is not None and self._state.commit_index >= leader_state.first_index
 
--- a/quincepier/net/fleet/raft_node.py
+++ b/quincepier/net/fleet/raft_node.py
@@ -113,10 +113,10 @@
         return self.raft.next_tick_ns if self.raft is not None else clock.boot() + clock.SECOND
 
     @property
-    def is_leader(self) -> bool:
-        """Whether it leads by a lease that still runs, and knows all that was agreed before."""
+    def has_leader_lease(self) -> bool:
+        """Whether it leads by a lease that still runs, and knows all that was committed before."""
         raft = self.raft
-        return raft is not None and raft.is_leader and clock.boot() < raft.lease_until_ns
+        return raft is not None and raft.has_committed_in_term and clock.boot() < raft.lease_until_ns
 
     @property
     def leader(self) -> str:
