--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -1,10 +1,10 @@
-"""Membership by processes: fronts on loopback, all pairs through the relay, struck one fault after another.
+"""Membership by processes: fronts on loopback, all pairs through the relay, one fault after another.
 
     .venv/bin/python bench/membership_fleet.py [MEMBERS ...]
 
-Told of each fault: members wrongly put out (sums over all views), how long until a death is known (median,
-worst), changes of the view at a front that was not struck (median, most), and how long after the fault all
-see all again. CPU is of the fronts themselves, at rest.
+Printed of each fault: members wrongly removed (sums over all views), how long until a faulty one is removed
+(median, worst), changes of the view at a front that was not struck (median, most), and how long after the
+fault all see all again. CPU is of the idle fronts themselves.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from bench.measure import cpu_of
-from tests.membershipkit import Fleet, middle
+from tests.membershipkit import Fleet, median
 
-REST = 10.0  # seconds
+IDLE_S = 10.0
 
 
-async def rest(fleet: Fleet) -> float:
+async def idle_cpu(fleet: Fleet) -> float:
     """CPU of a front that serves nothing, in ms a second."""
     pids = [f.process.pid for f in fleet.fronts if f.process is not None]
     before, began = [cpu_of(pid) for pid in pids], time.monotonic()
-    await asyncio.sleep(REST)
+    await asyncio.sleep(IDLE_S)
     spent = [cpu_of(pid) - b for pid, b in zip(pids, before, strict=True)]
-    return middle(spent) / (time.monotonic() - began) * 1000
+    return median(spent) / (time.monotonic() - began) * 1000
 
 
 async def run(count: int) -> None:
@@ -42,34 +42,40 @@
         began = time.monotonic()
         async with Fleet(Path(folder), count) as fleet:
             print(f"{count} processes, all serve after {time.monotonic() - began:.1f} s", flush=True)
-            print(f"one view {await fleet.see(count, 120):.1f} s later", flush=True)
-            print(f"at rest: CPU {await rest(fleet):.1f} ms a second of each", flush=True)
+            print(f"one view {await fleet.wait_for_views(count, 120):.1f} s later", flush=True)
+            print(f"idle: CPU {await idle_cpu(fleet):.1f} ms a second of each", flush=True)
             some = list(tenth)
             faults: list[tuple[str, Sequence[int], Callable[[], Any]]] = [
                 ("pause of 0.5 s, a tenth", (), lambda: fleet.pause(some, 0.5)),
                 ("pause of 2 s, a tenth", (), lambda: fleet.pause(some, 2)),
                 ("pause of 5 s, a tenth", some, lambda: fleet.pause(some, 5)),
                 ("pause of 10 s, a tenth", some, lambda: fleet.pause(some, 10)),
-                ("5% lost, 15 s", (), lambda: fleet.path_for("loss", everyone, 15, size=0.05)),
-                ("20% lost, 15 s", (), lambda: fleet.path_for("loss", everyone, 15, size=0.2)),
-                ("40% lost, 15 s", (), lambda: fleet.path_for("loss", everyone, 15, size=0.4)),
+                ("5% lost, 15 s", (), lambda: fleet.strike_paths("loss", everyone, 15, size=0.05)),
+                ("20% lost, 15 s", (), lambda: fleet.strike_paths("loss", everyone, 15, size=0.2)),
+                ("40% lost, 15 s", (), lambda: fleet.strike_paths("loss", everyone, 15, size=0.4)),
                 ("what a tenth say to half, cut 10 s", (),
-                 lambda: fleet.path_for("silent", some, 10, way="out", apart=list(other))),
+                 lambda: fleet.strike_paths("silent", some, 10, way="out", apart=list(other))),
                 ("one killed for 8 s", [count - 1], lambda: fleet.kill([count - 1], 8)),
                 ("seven in ten killed for 12 s", list(seven), lambda: fleet.kill(list(seven), 12)),
-                ("halves cut 10 s", everyone, lambda: fleet.path_for("cut", half, 10, apart=list(other))),
+                ("halves cut 10 s", everyone, lambda: fleet.strike_paths("cut", half, 10, apart=list(other))),
             ]  # fmt: skip
-            for name, ill, work in faults:
+            for name, faulty, inject in faults:
                 try:
-                    got = await fleet.struck(ill, work, within=90)
+                    effect = await fleet.effect_of(inject, faulty, timeout_s=90)
                 except TimeoutError as error:
                     print(f"{name}: NOT one view again: {error}", flush=True)
                     continue
-                known = (
-                    f"known {middle(got.known):.1f}, {max(got.known):.1f} s" if got.known else "none known"
+                removed = (
+                    f"removed after {median(effect.detection_s):.1f}, {max(effect.detection_s):.1f} s"
+                    if effect.detection_s
+                    else "none removed"
+                )
+                changes = f"{median(effect.changes):.0f}, {max(effect.changes, default=0)} changes"
+                print(
+                    f"{name}: {effect.wrong_removals} wrong; {removed}; {changes}; "
+                    f"recovered after {effect.recovery_s:.1f} s",
+                    flush=True,
                 )
-                turns = f"{middle(got.changes):.0f}, {max(got.changes, default=0)} changes"
-                print(f"{name}: {got.wrong} wrong; {known}; {turns}; again {got.again:.1f} s", flush=True)
 
 
 if __name__ == "__main__":
--- a/quincepier/membership/broadcast_queue.py
+++ b/quincepier/membership/broadcast_queue.py
@@ -61,21 +61,21 @@
             max_bytes: The space that is left in the datagram.
         """
         transmit_limit = math.ceil(self._retransmit_multiplier * math.log2(member_count + 2))
-        taken = []
-        for key, queued in self._least_sent():
+        selected = []
+        for key, queued in self._by_transmit_count():
             update = queued.to_update(now_ns)
             size = encoded_size(update)
             if size > max_bytes:
                 break
-            taken.append(update)
+            selected.append(update)
             max_bytes -= size
             if queued.transmit_count + 1 >= transmit_limit:
                 del self._queued[key]
             else:
                 self._queued[key] = replace(queued, transmit_count=queued.transmit_count + 1)
-        return taken
+        return selected
 
-    def _least_sent(self) -> list[tuple[tuple[str, str], QueuedUpdate]]:
+    def _by_transmit_count(self) -> list[tuple[tuple[str, str], QueuedUpdate]]:
         items = self._queued.items()
         return heapq.nsmallest(MAX_PIGGYBACKED_UPDATES, items, key=lambda item: item[1].transmit_count)
 
--- a/quincepier/membership/failure_detector.py
+++ b/quincepier/membership/failure_detector.py
@@ -39,7 +39,20 @@
 
 
 class FailureDetector:
-    """Composes the parts of the protocol; each `on_…` method returns the actions to perform, in order."""
+    """Composes the parts of the protocol; each `on_…` method returns the actions to perform, in order.
+
+    It starts with a view of this front alone.
+
+    Args:
+        fleet: The fleet's name; messages of others are rejected.
+        name: This front's name.
+        address: Where others reach it.
+        incarnation: Greater at each start as a rule, such as Unix time with random last bits.
+        now_ns: The current time in nanoseconds.
+        seed: Of the source of chance.
+        seeds: Addresses of members to find the fleet by.
+        intervals: Timeouts and limits, if not the usual ones.
+    """
 
     def __init__(
         self,
@@ -52,18 +65,6 @@
         seeds: Iterable[Address] = (),
         intervals: ProbeIntervals | None = None,
     ) -> None:
-        """Starts with a view of this front alone.
-
-        Args:
-            fleet: The fleet's name; messages of others are rejected.
-            name: This front's name.
-            address: Where others reach it.
-            incarnation: Greater at each start as a rule, such as Unix time with random last bits.
-            now_ns: The current time in nanoseconds.
-            seed: Of the source of chance.
-            seeds: Addresses of members to find the fleet by.
-            intervals: Timeouts and limits, if not the usual ones.
-        """
         self._intervals = intervals or ProbeIntervals()
         self._rng = random.Random(seed)
         self._local = LocalMember(fleet, name, address, incarnation, self._intervals.isolation_timeout_ns)
@@ -252,9 +253,9 @@
         return is_current and update.state != MemberState.ALIVE and not self._has_left
 
     def _apply(self, now_ns: int, update: MembershipUpdate) -> None:
-        news = self._table.apply(now_ns, update)
-        if news is not None:
-            self._broadcasts.add(now_ns, news)
+        accepted = self._table.apply(now_ns, update)
+        if accepted is not None:
+            self._broadcasts.add(now_ns, accepted)
 
     def _refute(self, now_ns: int, incarnation: int) -> None:
         """Refutes a suspicion by a higher incarnation; whoever is suspected may be slow itself."""
--- a/quincepier/membership/member_table.py
+++ b/quincepier/membership/member_table.py
@@ -13,7 +13,7 @@
 from quincepier.membership.messages import Address, MembershipUpdate
 from quincepier.membership.probe_intervals import MS, ProbeIntervals
 
-KEPT_SUSPICIONS = 2  # times the required ones: members remembered as suspecting one
+SUSPICIONS_PER_REQUIRED = 2  # members remembered as suspecting one, for each that is required
 
 
 class MemberState(IntEnum):
@@ -173,7 +173,7 @@
         record.since_ns = min(record.since_ns, max(self._since_ns(now_ns, update), earliest_ns))
         if not update.suspected_by or update.suspected_by in record.suspected_by:
             return None
-        if len(record.suspected_by) >= KEPT_SUSPICIONS * self._intervals.required_suspicions:
+        if len(record.suspected_by) >= SUSPICIONS_PER_REQUIRED * self._intervals.required_suspicions:
             return None
         record.suspected_by.add(update.suspected_by)
         return record.to_update(now_ns, update.suspected_by)
--- a/quincepier/membership/view.py
+++ b/quincepier/membership/view.py
@@ -22,7 +22,7 @@
         self._intervals = intervals
         self._table = table
         self._suspicion = suspicion
-        self._seen_live_set: int | None = None  # the version of the live set at the last update
+        self._last_live_set_version: int | None = None  # the version of the live set at the last update
         self._is_isolated = False
         self._pending_since_ns = 0
         self._pending_until_ns: int | None = None
@@ -37,7 +37,7 @@
         """Another member was heard: what the table says of the others counts."""
         if self._is_isolated:
             self._is_isolated = False
-            self._seen_live_set = None
+            self._last_live_set_version = None
 
     def isolate(self) -> ViewChanged | None:
         """Reduces the view to this front alone, at once, until another member is heard again."""
@@ -49,10 +49,10 @@
 
     def update(self, now_ns: int) -> ViewChanged | None:
         """Returns the change of the view that is due now, if there is one."""
-        is_unchanged = self._table.live_set_version == self._seen_live_set
+        is_unchanged = self._table.live_set_version == self._last_live_set_version
         if is_unchanged and self._pending_until_ns is None:
             return None
-        self._seen_live_set = self._table.live_set_version
+        self._last_live_set_version = self._table.live_set_version
         live = self._live_members()
         if live == self.members:
             self._pending_until_ns = None
--- a/quincepier/net/peers/address_book.py
+++ b/quincepier/net/peers/address_book.py
@@ -15,10 +15,10 @@
 
 Address = tuple[str, int]
 
-MAX_KNOWN_ADDRESSES = 4096
+MAX_ADDRESSES = 4096
 
 
-@lru_cache(MAX_KNOWN_ADDRESSES)
+@lru_cache(MAX_ADDRESSES)
 def is_ip_address(host: str) -> bool:
     """Whether a text is an IP address; a host name would be resolved, which blocks the event loop."""
     try:
@@ -56,7 +56,7 @@
     def add(self, name: str, address: Address) -> None:
         """Adds a front that need not be in the view; one that is known keeps its address."""
         is_new = name != self._own_name and name not in self._address_by_name
-        if is_new and len(self._address_by_name) < MAX_KNOWN_ADDRESSES:
+        if is_new and len(self._address_by_name) < MAX_ADDRESSES:
             self._address_by_name[name] = address
             self._name_by_address[address] = name
 
--- a/quincepier/net/peers/peer_network.py
+++ b/quincepier/net/peers/peer_network.py
@@ -41,7 +41,19 @@
 
 
 class PeerNetwork:
-    """The other fronts as this one sees and reaches them.
+    """The other fronts as this one sees and reaches them; no socket is open before `start`.
+
+    Args:
+        fleet: The fleet's name.
+        name: This front's name.
+        listen_address: Where it listens.
+        checks: Counters and log events.
+        descriptors: The account of sockets.
+        seed: Of the source of chance.
+        announced_address: Where others reach this front, if not at `listen_address`.
+        addresses: Where this front reaches others, by name.
+        seeds: More addresses to find the fleet by.
+        intervals: Of the failure detector, if not the usual ones.
 
     Attributes:
         name: This front's name.
@@ -66,20 +78,6 @@
         seeds: Sequence[Address] = (),
         intervals: ProbeIntervals | None = None,
     ) -> None:
-        """Makes the network without opening a socket.
-
-        Args:
-            fleet: The fleet's name.
-            name: This front's name.
-            listen_address: Where it listens.
-            checks: Counters and log events.
-            descriptors: The account of sockets.
-            seed: Of the source of chance.
-            announced_address: Where others reach this front, if not at `listen_address`.
-            addresses: Where this front reaches others, by name.
-            seeds: More addresses to find the fleet by.
-            intervals: Of the failure detector, if not the usual ones.
-        """
         self.name = name
         self.listen_address = listen_address
         self.intervals = intervals or ProbeIntervals()
--- a/quincepier/net/peers/peer_stream.py
+++ b/quincepier/net/peers/peer_stream.py
@@ -34,12 +34,8 @@
     """A connection to another front.
 
     Attributes:
-        name: The peer's name, empty until its first frame on an accepted stream.
         is_dialled: Whether this front opened it.
         opened_at_ns: When it was created.
-        last_used_ns: When data was last sent or received, or the close began.
-        stalled_since_ns: Since when the peer reads nothing more, 0 while it reads.
-        is_closing: Whether nothing more is to be sent.
     """
 
     def __init__(
@@ -48,12 +44,32 @@
         self._listener = listener
         self._decoder = FrameDecoder(fleet)
         self._transport: asyncio.Transport | None = None
-        self.name = name
+        self._name = name
         self.is_dialled = is_dialled
         self.opened_at_ns = clock.now()
-        self.last_used_ns = self.opened_at_ns
-        self.stalled_since_ns = 0
-        self.is_closing = False
+        self._last_used_ns = self.opened_at_ns
+        self._stalled_since_ns = 0
+        self._is_closing = False
+
+    @property
+    def name(self) -> str:
+        """The peer's name, empty until the first frame of a stream that the peer dialled."""
+        return self._name
+
+    @property
+    def last_used_ns(self) -> int:
+        """When data was last sent or received, or the close began."""
+        return self._last_used_ns
+
+    @property
+    def stalled_since_ns(self) -> int:
+        """Since when the peer reads nothing more, 0 while it reads."""
+        return self._stalled_since_ns
+
+    @property
+    def is_closing(self) -> bool:
+        """Whether nothing more is to be sent."""
+        return self._is_closing
 
     @property
     def is_connected(self) -> bool:
@@ -63,7 +79,7 @@
     @property
     def is_stalled(self) -> bool:
         """Whether the peer reads nothing more at the moment."""
-        return self.stalled_since_ns != 0
+        return self._stalled_since_ns != 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         """Takes the transport."""
@@ -73,7 +89,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Hands complete frames to the listener; aborts where the peer breaks the protocol."""
-        self.last_used_ns = clock.now()
+        self._last_used_ns = clock.now()
         try:
             for frame in self._decoder.feed(data):
                 self._listener.on_frame(self, frame)
@@ -85,41 +101,45 @@
 
     def pause_writing(self) -> None:
         """The write buffer is full: the peer does not read."""
-        self.stalled_since_ns = clock.now()
+        self._stalled_since_ns = clock.now()
 
     def resume_writing(self) -> None:
         """The write buffer has drained."""
-        self.stalled_since_ns = 0
+        self._stalled_since_ns = 0
         self._listener.on_writable(self)
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's interface
         """Tells the listener, once."""
         if self._transport is not None:
             self._transport = None
-            self.is_closing = True
+            self._is_closing = True
             self._listener.on_closed(self)
 
+    def identify(self, name: str) -> None:
+        """Takes the peer's name from its first frame."""
+        self._name = name
+
     def write(self, data: bytes) -> None:
         """Sends bytes, if the connection is up."""
         if self._transport is not None:
-            self.last_used_ns = clock.now()
+            self._last_used_ns = clock.now()
             self._transport.write(data)
 
     def restart_timeouts(self, now_ns: int) -> None:
         """Counts idle time and a stall from now on: this process was paused."""
-        self.last_used_ns = now_ns
+        self._last_used_ns = now_ns
         if self.is_stalled:
-            self.stalled_since_ns = now_ns
+            self._stalled_since_ns = now_ns
 
     def close(self) -> None:
         """Closes it once what was written is sent."""
-        if self._transport is not None and not self.is_closing:
-            self.is_closing = True
-            self.last_used_ns = clock.now()
+        if self._transport is not None and not self._is_closing:
+            self._is_closing = True
+            self._last_used_ns = clock.now()
             self._transport.close()
 
     def abort(self) -> None:
         """Closes it at once and drops what was not sent."""
         if self._transport is not None:
-            self.is_closing = True
+            self._is_closing = True
             self._transport.abort()
--- a/quincepier/net/peers/peer_stream_queue.py
+++ b/quincepier/net/peers/peer_stream_queue.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import random
 from collections import deque
 
@@ -42,31 +41,39 @@
 
     Attributes:
         name: The peer's name.
-        stream: The stream that is used, None while there is none.
-        dial_task: The dial under way.
     """
 
     __slots__ = (
         "_failed_dials",
         "_frames",
+        "_is_dialling",
         "_queued_bytes",
         "_retry_at_ns",
+        "_stream",
         "_total_queued_bytes",
-        "dial_task",
         "name",
-        "stream",
     )
 
     def __init__(self, name: str, total_queued_bytes: QueuedBytes) -> None:
         self.name = name
-        self.stream: PeerStream | None = None
-        self.dial_task: asyncio.Task[None] | None = None
+        self._stream: PeerStream | None = None
+        self._is_dialling = False
         self._frames = deque[bytes]()
         self._queued_bytes = 0
         self._total_queued_bytes = total_queued_bytes
         self._failed_dials = 0  # in a row
         self._retry_at_ns = 0
 
+    @property
+    def stream(self) -> PeerStream | None:
+        """The stream that frames are written to, None while there is none."""
+        return self._stream
+
+    @property
+    def is_dialling(self) -> bool:
+        """Whether a dial is under way."""
+        return self._is_dialling
+
     @property
     def is_empty(self) -> bool:
         """Whether no frame waits."""
@@ -78,7 +85,7 @@
 
     def is_unused(self, now_ns: int) -> bool:
         """Whether nothing is lost when it is dropped."""
-        has_work = self.stream is not None or self.dial_task is not None or bool(self._frames)
+        has_work = self._stream is not None or self._is_dialling or bool(self._frames)
         return not has_work and now_ns > self._retry_at_ns
 
     def has_space_for(self, data: bytes) -> bool:
@@ -87,6 +94,23 @@
             return False
         return self._total_queued_bytes.has_space_for(data)
 
+    def attach(self, stream: PeerStream) -> None:
+        """Writes to this stream from now on, first what waits."""
+        self._stream = stream
+        self.flush()
+
+    def detach(self) -> None:
+        """The stream has ended."""
+        self._stream = None
+
+    def begin_dial(self) -> None:
+        """A dial is under way from now on."""
+        self._is_dialling = True
+
+    def end_dial(self) -> None:
+        """The dial has ended."""
+        self._is_dialling = False
+
     def append(self, data: bytes) -> None:
         """Queues an encoded frame."""
         self._frames.append(data)
@@ -94,7 +118,7 @@
 
     def flush(self) -> None:
         """Writes queued frames to the stream while its peer reads."""
-        stream = self.stream
+        stream = self._stream
         while self._frames and stream is not None and stream.is_connected and not stream.is_stalled:
             data = self._frames.popleft()
             self._count_bytes(-len(data))
--- a/quincepier/net/peers/stream_pool.py
+++ b/quincepier/net/peers/stream_pool.py
@@ -94,10 +94,10 @@
         if queue.stream is not None and not queue.stream.is_stalled and queue.is_empty:
             queue.stream.write(frame)
             return True
-        if queue.stream is None and queue.dial_task is None:
+        if queue.stream is None and not queue.is_dialling:
             if queue.is_backing_off(clock.now()) or self._find_address(name) is None:
                 return self._drop("peer_unreachable")
-            queue.dial_task = self._dials.start(self._dial(queue))
+            self._start_dial(queue)
         if not queue.has_space_for(frame):
             return self._drop("queue_full")
         queue.append(frame)
@@ -141,7 +141,7 @@
         self._streams.add(stream)
         self._descriptors.cache(1)
         is_over_limit = not stream.is_dialled and len(self._streams) > self._max_streams
-        if self._is_closed or (is_over_limit and not self._make_room()):
+        if self._is_closed or (is_over_limit and not self._ensure_capacity()):
             stream.abort()
 
     def on_frame(self, stream: PeerStream, frame: Frame) -> None:
@@ -178,13 +178,13 @@
         queue = self._queues.get(stream.name)
         if queue is None or queue.stream is not stream:
             return
-        queue.stream = None
+        queue.detach()
         if self._is_closed:
             self._drop_queued(queue)
         elif stream.is_dialled and clock.now() - stream.opened_at_ns < FAILED_DIAL_AGE_NS:
             self._on_dial_failed(queue)
-        elif not queue.is_empty and queue.dial_task is None:
-            queue.dial_task = self._dials.start(self._dial(queue))
+        elif not queue.is_empty and not queue.is_dialling:
+            self._start_dial(queue)
 
     def _queue_for(self, name: str) -> PeerStreamQueue | None:
         queue = self._queues.get(name)
@@ -197,6 +197,10 @@
             stream = await self._connect(address)
             stream.write(frame)
 
+    def _start_dial(self, queue: PeerStreamQueue) -> None:
+        queue.begin_dial()
+        self._dials.start(self._dial(queue))
+
     async def _dial(self, queue: PeerStreamQueue) -> None:
         address = self._find_address(queue.name)
         try:
@@ -204,20 +208,21 @@
         except OSError:  # refused, or not up in time
             stream = None
         finally:
-            queue.dial_task = None
+            queue.end_dial()
         if stream is None:
             if queue.stream is None:
                 self._on_dial_failed(queue)
         elif queue.stream is None or queue.stream.is_closing or self._own_name < queue.name:
             if stream.is_connected:
-                queue.stream = stream
-            queue.flush()
+                queue.attach(stream)
+            else:
+                queue.flush()
         else:  # the peer's own dial came first, and stays
             stream.close()
 
     async def _connect(self, address: Address, name: str = "") -> PeerStream:
-        if not self._make_room():
-            raise OSError("no room for a stream")
+        if not self._ensure_capacity():
+            raise OSError("too many streams")
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(DIAL_TIMEOUT_S):
             _, stream = await loop.create_connection(
@@ -232,7 +237,7 @@
 
     def _on_identified(self, stream: PeerStream, name: str) -> None:
         """Decides, alike at both ends, which of two streams with a peer stays."""
-        stream.name = name
+        stream.identify(name)
         queue = self._queue_for(name)
         if queue is None or stream.is_closing:
             return
@@ -241,10 +246,9 @@
             if stream.is_dialled or (old.is_dialled and self._own_name < name):
                 return  # the old one stays; this one is read until it is idle
             old.close()
-        queue.stream = stream
-        queue.flush()
+        queue.attach(stream)
 
-    def _make_room(self) -> bool:
+    def _ensure_capacity(self) -> bool:
         """Whether one more stream may be opened, if need be in place of the least recently used one."""
         if len(self._streams) < self._max_streams:
             return True
@@ -258,9 +262,9 @@
 
     def _check_timeouts(self, now_ns: int, stream: PeerStream) -> None:
         is_stalled = stream.is_stalled and now_ns - stream.stalled_since_ns > STALL_TIMEOUT_NS
-        is_silent = not stream.name and now_ns - stream.opened_at_ns > FIRST_FRAME_TIMEOUT_NS
+        is_unidentified = not stream.name and now_ns - stream.opened_at_ns > FIRST_FRAME_TIMEOUT_NS
         unused_ns = now_ns - stream.last_used_ns
-        if is_stalled or is_silent:
+        if is_stalled or is_unidentified:
             self._checks.count("peer_streams_aborted")
             stream.abort()
         elif stream.is_closing and unused_ns > STALL_TIMEOUT_NS:
--- a/tests/membershipkit.py
+++ b/tests/membershipkit.py
@@ -1,4 +1,4 @@
-"""A fleet of processes that know each other, struck one fault after the other; views read from their logs."""
+"""A fleet of processes with membership, for fault injection; their views are read from their logs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from quincepier.lab.experiment import Variant, load
+from quincepier.lab.experiment import load
 from quincepier.lab.fleet import relay
 from quincepier.lab.fleet.places import front_address, pair_address
 from quincepier.lab.fleet.rig import Rig
@@ -38,33 +38,35 @@
     removed: tuple[str, ...]
 
 
-class Struck(NamedTuple):
-    """What one fault did: `wrong` is who was put out though nothing ailed it, over all views."""
+class FaultEffect(NamedTuple):
+    """What one fault did to the views of the fronts that it did not strike."""
 
-    wrong: int
-    known: tuple[float, ...]  # seconds until each other front had put out whom it should
-    changes: tuple[int, ...]  # of the view, of each front that was not struck
-    again: float  # seconds from the fault's end until all see all
+    wrong_removals: int  # of members that were well, over all views
+    detection_s: tuple[float, ...]  # from the fault until each front had removed each faulty one
+    changes: tuple[int, ...]  # of the view, of each front
+    recovery_s: float  # from the end of the fault until all see all
 
 
-def file_of(front: int, rig: Rig) -> str:
-    """Its operators' file: the others by its own paths through the relay."""
+def operators_file(front: int, rig: Rig) -> str:
+    """The operators' file of a front: it reaches the others by paths of its own through the relay."""
     count = rig.experiment.fleet.fronts
-    mine = f"n{front}: '{front_address(front)}:{rig.peer_port}'"
+    own = f"n{front}: '{front_address(front)}:{rig.peer_port}'"
     others = [f"n{n}: '{pair_address(front, n)}:{rig.ports['peers']}'" for n in range(count) if n != front]
-    book = ", ".join([mine, *others])
-    return f"log: {{format: json}}\nmembers: {{fleet: rig, fronts: {{{book}}}}}\n"
+    fronts = ", ".join([own, *others])
+    return f"log: {{format: json}}\nmembers: {{fleet: rig, fronts: {{{fronts}}}}}\n"
 
 
 class Fleet(Rig):
-    """Started whole, then struck by the one who holds it."""
+    """Started whole; the test that holds it injects the faults."""
 
-    def __init__(self, folder: Path, count: int, operators: Callable[[int, Rig], str] = file_of) -> None:
+    def __init__(
+        self, folder: Path, count: int, operators: Callable[[int, Rig], str] = operators_file
+    ) -> None:
         path = folder / "members.yaml"
         path.write_text(TEXT.format(fronts=count))
         experiment = load(str(path))
         super().__init__(str(path), experiment, experiment.variants[0], 1, operators=operators)
-        self.count, self.broken = count, asyncio.Event()
+        self.count = count
 
     async def __aenter__(self) -> Fleet:
         self._room()
@@ -79,7 +81,7 @@
     async def __aexit__(self, *about: object) -> None:
         await self._end()
 
-    def logged(self, event: str) -> list[tuple[float, int, dict[str, Any]]]:
+    def log_records(self, event: str) -> list[tuple[float, int, dict[str, Any]]]:
         found = []
         for front in self.fronts:
             for line in (front.folder / "log").read_text(errors="replace").splitlines():
@@ -87,7 +89,7 @@
                     record = json.loads(line)
                     at = datetime.datetime.fromisoformat(record["time"]).timestamp()
                     found.append((at, front.number, record["fields"]))
-        return sorted(found, key=lambda one: one[:2])
+        return sorted(found, key=lambda record: record[:2])
 
     def changes(self, since: float = 0.0) -> list[Change]:
         def names(text: str) -> tuple[str, ...]:
@@ -95,71 +97,73 @@
 
         return [
             Change(at, front, f["members"], names(f["joined"]), names(f["removed"]))
-            for at, front, f in self.logged("view_changed")
+            for at, front, f in self.log_records("view_changed")
             if at >= since
         ]
 
-    def views(self) -> list[int]:
-        """How many each front that runs sees."""
+    def member_counts(self) -> list[int]:
+        """How many members each front that runs sees."""
         seen = dict.fromkeys(range(self.count), 1)
-        told = self.logged("view_changed") + self.logged(
-            "member_listening"
-        )  # a start sees itself alone at first
-        for _, front, fields in sorted(told, key=lambda one: one[0]):
+        starts = self.log_records("member_listening")  # a front sees itself alone at first
+        records = self.log_records("view_changed") + starts
+        for _, front, fields in sorted(records, key=lambda record: record[0]):
             seen[front] = fields.get("members", 1)
         return [seen[front.number] for front in self.fronts if front.alive]
 
-    async def see(self, count: int, within: float, of: Sequence[int] | None = None) -> float:
-        """Seconds until all (or those) see so many; TimeoutError with the views."""
+    async def wait_for_views(
+        self, count: int, timeout_s: float, observers: Sequence[int] | None = None
+    ) -> float:
+        """Seconds until all observers see so many members; TimeoutError with what they see."""
         began = time.monotonic()
         while True:
-            seen = self.views()
-            if all(n == count for n in ([seen[i] for i in of] if of is not None else seen)):
+            seen = self.member_counts()
+            if all(n == count for n in ([seen[i] for i in observers] if observers is not None else seen)):
                 return time.monotonic() - began
-            if time.monotonic() - began > within:
+            if time.monotonic() - began > timeout_s:
                 raise TimeoutError(f"{count} wanted, seen: {seen}")
             await asyncio.sleep(0.1)
 
-    def fault(self, kind: str, fronts: Sequence[int], heal: bool = False, **more: Any) -> None:
-        words: dict[str, Any] = {"kind": kind, "path": relay.PEERS, "way": "both", "size": 0.0}
-        self.relays[relay.PEERS].say(**{**words, **more}, fronts=list(fronts), heal=heal)
+    def set_fault(self, kind: str, fronts: Sequence[int], heal: bool = False, **more: Any) -> None:
+        """Has the relay strike, or heal, the paths between the fronts."""
+        fault: dict[str, Any] = {"kind": kind, "path": relay.PEERS, "way": "both", "size": 0.0}
+        self.relays[relay.PEERS].say(**{**fault, **more}, fronts=list(fronts), heal=heal)
 
-    async def struck(
-        self, ill: Sequence[int], work: Callable[[], Any], within: float = 60.0, ended: bool = False
-    ) -> Struck:
-        """`work` strikes and heals; `ill`: whom it is right to put out; `ended`: only those changes count."""
+    async def effect_of(
+        self, inject: Callable[[], Any], faulty: Sequence[int] = (), timeout_s: float = 60.0
+    ) -> FaultEffect:
+        """Injects a fault that ends and waits for the views to recover; `faulty`: rightly removed."""
         since = time.time()
-        await work()
-        again = await self.see(self.count, within)
-        await asyncio.sleep(3.0)  # accusations made now would come to their end
-        bad, changes = {f"n{n}" for n in ill}, self.changes(since)
-        healthy = [c for c in changes if c.front not in ill]
-        wrong = sum(len(set(c.removed) - bad) for c in healthy)
-        known = tuple(c.at - since for c in healthy for name in c.removed if name in bad)
-        counts = [sum(c.front == n for c in healthy) for n in range(self.count) if n not in ill]
-        return Struck(wrong, known, tuple(counts), again)
-
-    async def pause(self, fronts: Sequence[int], lasts: float) -> None:
+        await inject()
+        recovery_s = await self.wait_for_views(self.count, timeout_s)
+        await asyncio.sleep(3.0)  # suspicions raised now would time out
+        faulty_names = {f"n{n}" for n in faulty}
+        observed = [change for change in self.changes(since) if change.front not in faulty]
+        wrong_removals = sum(len(set(change.removed) - faulty_names) for change in observed)
+        detection_s = tuple(
+            change.at - since for change in observed for name in change.removed if name in faulty_names
+        )
+        counts = [sum(c.front == n for c in observed) for n in range(self.count) if n not in faulty]
+        return FaultEffect(wrong_removals, detection_s, tuple(counts), recovery_s)
+
+    async def pause(self, fronts: Sequence[int], duration_s: float) -> None:
         for n in fronts:
             self.fronts[n].signal(signal.SIGSTOP)
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration_s)
         for n in fronts:
             self.fronts[n].signal(signal.SIGCONT)
 
-    async def kill(self, fronts: Sequence[int], down: float) -> None:
+    async def kill(self, fronts: Sequence[int], down_s: float) -> None:
         for n in fronts:
             self.fronts[n].kill()
-        await asyncio.sleep(down)
+        await asyncio.sleep(down_s)
         await asyncio.gather(*(self.fronts[n].start() for n in fronts))
 
-    async def path_for(self, kind: str, fronts: Sequence[int], lasts: float, **more: Any) -> None:
-        self.fault(kind, fronts, **more)
-        await asyncio.sleep(lasts)
-        self.fault(kind, fronts, heal=True, **more)
+    async def strike_paths(self, kind: str, fronts: Sequence[int], duration_s: float, **more: Any) -> None:
+        self.set_fault(kind, fronts, **more)
+        await asyncio.sleep(duration_s)
+        self.set_fault(kind, fronts, heal=True, **more)
 
 
-def middle(values: Sequence[float]) -> float:
+def median(values: Sequence[float]) -> float:
+    """The median, 0 where there is none."""
     return statistics.median(values) if values else 0.0
-
-
-__all__ = ["Change", "Fleet", "Struck", "Variant", "file_of", "middle"]
--- a/tests/test_peer_network.py
+++ b/tests/test_peer_network.py
@@ -1,4 +1,4 @@
-"""A front among the fronts, in one process on loopback: the section, datagrams, streams, frames."""
+"""The network between the fronts, in network process on loopback: section, datagrams, streams, quotas."""
 
 from __future__ import annotations
 
@@ -29,47 +29,49 @@
 from tests.standins import until
 
 
-def section(text: str) -> MembersSection:
-    found = read(f"members: {text}", "op.yaml").get(MembersSection)
-    assert found is not None
-    return found
+def read_section(text: str) -> MembersSection:
+    section = read(f"members: {text}", "op.yaml").get(MembersSection)
+    assert section is not None
+    return section
 
 
-def fleet(count: int) -> list[PeerNetwork]:
-    book = {f"n{n}": own_address() for n in range(count)}
+def make_networks(count: int) -> list[PeerNetwork]:
+    addresses = {f"n{n}": own_address() for n in range(count)}
     return [
-        PeerNetwork("f", name, place, Checks(), Descriptors(1024), n, addresses=book)
-        for n, (name, place) in enumerate(book.items())
+        PeerNetwork("f", name, address, Checks(), Descriptors(1024), n, addresses=addresses)
+        for n, (name, address) in enumerate(addresses.items())
     ]
 
 
-def played(peers: list[PeerNetwork], story: Callable[[], Awaitable[None]]) -> None:
-    async def whole() -> None:
+def run_scenario(networks: list[PeerNetwork], scenario: Callable[[], Awaitable[None]]) -> None:
+    async def run() -> None:
         try:
             async with asyncio.timeout(30):
-                for one in peers:
-                    await one.start()
-                await story()
+                for network in networks:
+                    await network.start()
+                await scenario()
         finally:
-            for one in peers:
-                await one.leave()
+            for network in networks:
+                await network.leave()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-def test_one_book_serves_all_fronts() -> None:
-    book = section("{fleet: web, fronts: {a: '10.0.0.1:7400', b: '[fd00::2]:7400'}}")
-    assert book.listen_endpoint("a") == book.announced_endpoint("a") and book.listen_endpoint("c") is None
-    assert book.fronts["b"].address == ("fd00::2", 7400)
-    beside = section("{fleet: web, listen: '0.0.0.0:7400', fronts: {a: '10.0.0.1:7400'}}")
+def test_one_list_of_fronts_serves_all() -> None:
+    listed = read_section("{fleet: web, fronts: {a: '10.0.0.1:7400', b: '[fd00::2]:7400'}}")
     assert (
-        beside.listen_endpoint("a") != beside.announced_endpoint("a") == book.fronts["a"]
-        and beside.announced_endpoint("c") is None
+        listed.listen_endpoint("a") == listed.announced_endpoint("a") and listed.listen_endpoint("c") is None
+    )
+    assert listed.fronts["b"].address == ("fd00::2", 7400)
+    overridden = read_section("{fleet: web, listen: '0.0.0.0:7400', fronts: {a: '10.0.0.1:7400'}}")
+    assert (
+        overridden.listen_endpoint("a") != overridden.announced_endpoint("a") == listed.fronts["a"]
+        and overridden.announced_endpoint("c") is None
     )
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("{}", "members.fleet"),
         ("{fleet: web}", "give `listen`"),
@@ -82,140 +84,143 @@
         ("{fleet: web, port: 1, fronts: {a: '10.0.0.1:7400'}}", "no such key"),
     ],
 )
-def test_a_section_that_can_not_serve_says_what_to_write(text: str, says: str) -> None:
-    with pytest.raises(OperatorError, match=says):
-        section(text)
+def test_an_unusable_section_says_what_to_write(text: str, message: str) -> None:
+    with pytest.raises(OperatorError, match=message):
+        read_section(text)
 
 
 @given(st.lists(st.binary(max_size=60), max_size=6), st.lists(st.integers(1, 40), max_size=30))
-def test_frames_come_out_whole_however_the_bytes_come(datas: list[bytes], cuts: list[int]) -> None:
-    raw, splitter, got, at = (
-        b"".join(encode_frame("f", "n1", 7, d) for d in datas),
-        FrameDecoder("f"),
-        list[bytes](),
-        0,
-    )
-    for size in (*cuts, len(raw)):
-        got += [frame.data for frame in splitter.feed(raw[at : at + size])]
-        at += size
-    assert got == datas and not splitter.has_partial_frame
+def test_frames_are_decoded_however_the_bytes_are_split(payloads: list[bytes], sizes: list[int]) -> None:
+    raw = b"".join(encode_frame("f", "n1", 7, payload) for payload in payloads)
+    decoder, decoded, offset = FrameDecoder("f"), list[bytes](), 0
+    for size in (*sizes, len(raw)):
+        decoded += [frame.data for frame in decoder.feed(raw[offset : offset + size])]
+        offset += size
+    assert decoded == payloads and not decoder.has_partial_frame
 
 
 @given(st.binary(min_size=3, max_size=80))
-def test_bytes_that_are_no_frame_end_the_stream(raw: bytes) -> None:
-    splitter = FrameDecoder("f")
+def test_invalid_bytes_are_rejected(raw: bytes) -> None:
+    decoder = FrameDecoder("f")
     try:
-        assert splitter.feed(raw) == []
+        assert decoder.feed(raw) == []
     except PeersError as error:
         assert error.code == "QP-PEERS" and error.do
-    assert splitter.buffered_bytes <= len(raw)
+    assert decoder.buffered_bytes <= len(raw)
     for wrong in (encode_frame("g", "n1", 7, b""), b"\xff\xff", b"\0\0"):
         with pytest.raises(PeersError):
             FrameDecoder("f").feed(wrong)
 
 
-def test_all_find_each_other_and_frames_keep_their_order_on_one_stream_a_pair() -> None:
-    peers, got = fleet(4), dict[tuple[str, str], list[bytes]]()
+def test_all_join_and_frames_keep_their_order_on_one_stream_a_pair() -> None:
+    networks, got = make_networks(4), dict[tuple[str, str], list[bytes]]()
 
     def receive(receiver: str, sender: str, data: bytes) -> None:
         got.setdefault((receiver, sender), []).append(data)
 
-    async def story() -> None:
-        for one in peers:
-            one.register_channel(5, partial(receive, one.name))
-        await until(lambda: all(len(one.view) == 4 for one in peers), "all see all")
+    async def scenario() -> None:
+        for network in networks:
+            network.register_channel(5, partial(receive, network.name))
+        await until(lambda: all(len(network.view) == 4 for network in networks), "all views are complete")
         for n in range(200):
-            for one in peers:
-                for other in peers:
-                    assert one is other or one.send(other.name, 5, b"%d" % n)
+            for network in networks:
+                for other in networks:
+                    assert network is other or network.send(other.name, 5, b"%d" % n)
         await until(lambda: sum(map(len, got.values())) == 12 * 200, "all frames are there")
         assert len(got) == 12 and all(data == [b"%d" % n for n in range(200)] for data in got.values())
-        await until(lambda: all(one.streams.stream_count == 3 for one in peers), "one stream a pair is left")
-        assert peers[0].send("n1", 5, bytes(MAX_FRAME_BYTES))
+        await until(
+            lambda: all(network.streams.stream_count == 3 for network in networks),
+            "one stream a pair is left",
+        )
+        assert networks[0].send("n1", 5, bytes(MAX_FRAME_BYTES))
         await until(lambda: len(got["n1", "n0"][-1]) == MAX_FRAME_BYTES, "the greatest frame is there")
-        assert not peers[0].send("n1", 5, bytes(MAX_FRAME_BYTES + 1)) and not peers[0].send("n0", 5, b"")
-        await peers[3].leave()
-        assert not peers[3].send("n0", 5, b"late")
-        await until(lambda: all(one.view == ("n0", "n1", "n2") for one in peers[:3]), "who left is out")
+        assert not networks[0].send("n1", 5, bytes(MAX_FRAME_BYTES + 1))
+        assert not networks[0].send("n0", 5, b"")
+        await networks[3].leave()
+        assert not networks[3].send("n0", 5, b"late")
+        await until(
+            lambda: all(network.view == ("n0", "n1", "n2") for network in networks[:3]),
+            "the network that left is removed",
+        )
 
-    played(peers, story)
+    run_scenario(networks, scenario)
 
 
-def test_who_can_not_be_reached_or_does_not_read_costs_frames_and_never_more() -> None:
-    one = fleet(2)[0]
+def test_an_unreachable_or_stalled_peer_costs_frames_and_bounded_memory() -> None:
+    network = make_networks(2)[0]
     silent = socket.socket()
 
-    async def story() -> None:
+    async def scenario() -> None:
         silent.bind(("127.0.0.1", 0))
-        assert not one.send("nobody", 5, b"x")
-        assert one.send("n1", 5, b"x")  # it waits for the dial
+        assert not network.send("nobody", 5, b"x")
+        assert network.send("n1", 5, b"x")  # queued until the dial ends
         refused = "peer_frames_dropped_peer_unreachable"
-        await until(lambda: one.checks.counts[refused] >= 2, "the dial is refused")
+        await until(lambda: network.checks.counts[refused] >= 2, "the dial is refused")
         silent.listen(1)
-        one.add_address("silent", silent.getsockname())
-        sent = sum(one.send("silent", 5, bytes(MAX_FRAME_BYTES)) for _ in range(50))
-        assert 0 < sent < 4 and one.checks.counts["peer_frames_dropped_queue_full"] == 50 - sent
-        assert one.streams.queued_bytes <= 4 << 20
+        network.add_address("silent", silent.getsockname())
+        sent = sum(network.send("silent", 5, bytes(MAX_FRAME_BYTES)) for _ in range(50))
+        assert 0 < sent < 4 and network.checks.counts["peer_frames_dropped_queue_full"] == 50 - sent
+        assert network.streams.queued_bytes <= 4 << 20
 
-    played([one], story)
+    run_scenario([network], scenario)
     silent.close()
 
 
-def test_a_call_that_raises_and_hostile_bytes_end_nothing() -> None:
-    peers, heard = fleet(2), list[str]()
+def test_handlers_that_raise_and_hostile_bytes_end_nothing() -> None:
+    networks, received = make_networks(2), list[str]()
 
-    def hear(sender: str, data: bytes) -> None:
-        heard.append(sender)
+    def on_frame(sender: str, data: bytes) -> None:
+        received.append(sender)
         raise RuntimeError("planted")
 
-    async def story() -> None:
-        peers[1].register_channel(9, hear)
-        peers[1].add_view_listener(lambda viewed: hear("view", b""))
-        await until(lambda: len(peers[1].view) == 2, "they see each other")
+    async def scenario() -> None:
+        networks[1].register_channel(9, on_frame)
+        networks[1].add_view_listener(lambda change: on_frame("view", b""))
+        await until(lambda: len(networks[1].view) == 2, "they see each other")
         with pytest.raises(PeersError):
-            peers[1].register_channel(9, hear)
-        reader, writer = await asyncio.open_connection(*peers[1].listen_address)
+            networks[1].register_channel(9, on_frame)
+        reader, writer = await asyncio.open_connection(*networks[1].listen_address)
         writer.write(b"GET / HTTP/1.1\r\n\r\n")
         assert await reader.read() == b""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(b"\xc1" * 50, peers[1].listen_address)
+            stranger.sendto(b"\xc1" * 50, networks[1].listen_address)
         for _ in range(2):
-            assert peers[0].send("n1", 9, b"x")
-        await until(lambda: heard.count("n0") == 2, "frames still come")
-        counts = peers[1].checks.counts
+            assert networks[0].send("n1", 9, b"x")
+        await until(lambda: received.count("n0") == 2, "frames still come")
+        counts = networks[1].checks.counts
         await until(lambda: counts["peer_datagrams_rejected"] == 1, "the datagram is dropped")
-        assert counts["peer_network_exception"] == len(heard) and counts["peer_stream_rejected"] == 1
+        assert counts["peer_network_exception"] == len(received) and counts["peer_stream_rejected"] == 1
 
-    played(peers, story)
+    run_scenario(networks, scenario)
 
 
-def test_more_fronts_than_the_settings_say_divide_by_those_they_see_and_fewer_by_the_settings() -> None:
-    peers, plain = fleet(4), read_front(raw_config(), {}).settings
-    told = replace(plain, fronts=2, fronts_by_zone=(0, 2))
+def test_the_quota_divides_by_the_view_where_it_exceeds_the_settings() -> None:
+    networks, base = make_networks(4), read_front(raw_config(), {}).settings
+    configured = replace(base, fronts=2, fronts_by_zone=(0, 2))
 
-    def module(settings: Any) -> Any:
+    def make_module(settings: Any) -> Any:
         return SimpleNamespace(router=SimpleNamespace(s=settings), checks=Checks())
 
-    few, enough = module(told), module(replace(told, fronts=6, fronts_by_zone=(1, 5)))
-    QuotaAllocator(few, peers[0])
-    agreeing = QuotaAllocator(enough, peers[1])
+    few, enough = make_module(configured), make_module(replace(configured, fronts=6, fronts_by_zone=(1, 5)))
+    QuotaAllocator(few, networks[0])
+    allocator = QuotaAllocator(enough, networks[1])
 
-    async def story() -> None:
-        await until(lambda: few.router.s.fronts == 4, "four are seen where two were told")
+    async def scenario() -> None:
+        await until(lambda: few.router.s.fronts == 4, "four are seen where two are configured")
         assert few.router.s.fronts_by_zone == (0, 4)
-        await until(lambda: len(peers[1].view) == 4, "four are seen where six were told")
+        await until(lambda: len(networks[1].view) == 4, "four are seen where six are configured")
         assert enough.router.s.fronts == 6
-        await peers[3].leave()
-        await until(lambda: few.router.s.fronts == 3, "who said that it leaves gave its claim up")
+        await networks[3].leave()
+        await until(lambda: few.router.s.fronts == 3, "the one that announced its leave counts no longer")
         holder = QuotaHolder(6, 10 * clock.SECOND, 0)
-        agreeing.use_leases(holder)
-        assert enough.router.s.fronts == 24, "without a lease a quarter of a part"
+        allocator.use_leases(holder)
+        assert enough.router.s.fronts == 24, "without a lease a quarter of a fraction"
         holder.on_grant(clock.now(), clock.now(), QuotaGrant(GrantNumber(1, 1), 2))
-        agreeing.update()
+        allocator.update()
         assert enough.router.s.fronts == 3  # two share 5 in 6 of the whole
 
-    played(peers, story)
+    run_scenario(networks, scenario)
     assert (
-        scale_settings(told, 3).fronts_by_zone == (0, 3)
-        and scale_settings(replace(told, fronts=3), 4).fronts_by_zone[1] == 3
+        scale_settings(configured, 3).fronts_by_zone == (0, 3)
+        and scale_settings(replace(configured, fronts=3), 4).fronts_by_zone[1] == 3
     )
