--- a/quincepier/membership/broadcast_queue.py
+++ b/quincepier/membership/broadcast_queue.py
@@ -5,6 +5,7 @@
 import heapq
 import math
 from dataclasses import dataclass, replace
+from typing import NamedTuple
 
 import msgspec
 
@@ -16,6 +17,13 @@
 MAX_PIGGYBACKED_UPDATES = 40  # in one datagram
 
 
+class UpdateKey(NamedTuple):
+    """Whom an update is about and, of a suspicion, who suspects; a newer update replaces one of its key."""
+
+    member: str
+    suspected_by: str = ""
+
+
 @dataclass(slots=True, frozen=True)
 class QueuedUpdate:
     """An update, how often it was sent, and when it was queued."""
@@ -38,19 +46,19 @@
 
     def __init__(self, retransmit_multiplier: float) -> None:
         self._retransmit_multiplier = retransmit_multiplier
-        self._queued: dict[tuple[str, str], QueuedUpdate] = {}  # by member and, of suspicions, who suspects
+        self._queued_by_key: dict[UpdateKey, QueuedUpdate] = {}
 
     def __len__(self) -> int:
-        return len(self._queued)
+        return len(self._queued_by_key)
 
     def add(self, now_ns: int, update: MembershipUpdate) -> None:
         """Queues an update; one that ends a suspicion replaces all about that member."""
         is_suspicion = update.state == MemberState.SUSPECT
         if not is_suspicion:
             self._discard(update.name)
-        if len(self._queued) < MAX_QUEUED_UPDATES:
-            key = (update.name, update.suspected_by if is_suspicion else "")
-            self._queued[key] = QueuedUpdate(update, now_ns)
+        if len(self._queued_by_key) < MAX_QUEUED_UPDATES:
+            key = UpdateKey(update.name, update.suspected_by if is_suspicion else "")
+            self._queued_by_key[key] = QueuedUpdate(update, now_ns)
 
     def take(self, now_ns: int, member_count: int, max_bytes: int) -> list[MembershipUpdate]:
         """Returns updates for one datagram and counts them as sent.
@@ -70,15 +78,15 @@
             selected.append(update)
             max_bytes -= size
             if queued.transmit_count + 1 >= transmit_limit:
-                del self._queued[key]
+                del self._queued_by_key[key]
             else:
-                self._queued[key] = replace(queued, transmit_count=queued.transmit_count + 1)
+                self._queued_by_key[key] = replace(queued, transmit_count=queued.transmit_count + 1)
         return selected
 
-    def _by_transmit_count(self) -> list[tuple[tuple[str, str], QueuedUpdate]]:
-        items = self._queued.items()
+    def _by_transmit_count(self) -> list[tuple[UpdateKey, QueuedUpdate]]:
+        items = self._queued_by_key.items()
         return heapq.nsmallest(MAX_PIGGYBACKED_UPDATES, items, key=lambda item: item[1].transmit_count)
 
     def _discard(self, name: str) -> None:
-        for key in [key for key in self._queued if key[0] == name]:
-            del self._queued[key]
+        for key in [key for key in self._queued_by_key if key.member == name]:
+            del self._queued_by_key[key]
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -26,7 +26,7 @@
 
 LEASE, MAX_ATTEMPT = 4, 2  # steps
 MAX_IN_FLIGHT = 3  # requests, and as many responses
-WHOLE_ATTEMPTS = 40  # seeds that a mutant is tried with
+MUTANT_SEEDS = 40  # seeds that a mutant is tried with
 
 
 class Request(NamedTuple):
@@ -249,7 +249,7 @@
     owner = getattr(quotas, mutant.method.__qualname__.split(".")[0])
     monkeypatch.setattr(owner, mutant.method.__name__, made[mutant.method.__name__])
     assert any(
-        random_run(seed, 1500, front_count) > 1 for seed in range(WHOLE_ATTEMPTS) for front_count in (2, 3)
+        random_run(seed, 1500, front_count) > 1 for seed in range(MUTANT_SEEDS) for front_count in (2, 3)
     )
 
 
