--- a/quincepier/net/fleet/raft_node.py
+++ b/quincepier/net/fleet/raft_node.py
@@ -28,7 +28,7 @@
 WRITE_RETRY_INTERVAL_S = 1.0
 MAX_HELD_MESSAGES = 4096  # the oldest are dropped: voters repeat themselves
 MAX_PENDING_WRITES = 64
-VOTER_SILENT = "voter_silent"
+STORAGE_FAILED = "voter_storage_failed"
 
 
 class VoterStorage(Protocol):
@@ -105,7 +105,7 @@
         self._held_messages.clear()
         self._pending_writes.clear()
         line = getattr(error, "line", None)
-        self._checks.event(VOTER_SILENT, line() if callable(line) else f"{type(error).__name__}: {error}")
+        self._checks.event(STORAGE_FAILED, line() if callable(line) else f"{type(error).__name__}: {error}")
 
     @property
     def next_tick_ns(self) -> int:
@@ -113,10 +113,10 @@
         return self.raft.next_tick_ns if self.raft is not None else clock.boot() + clock.SECOND
 
     @property
-    def is_leader(self) -> bool:
-        """Whether it leads by a lease that still runs, and knows all that was agreed before."""
+    def has_leader_lease(self) -> bool:
+        """Whether it leads by a lease that still runs, and knows all that was committed before."""
         raft = self.raft
-        return raft is not None and raft.is_leader and clock.boot() < raft.lease_until_ns
+        return raft is not None and raft.has_committed_in_term and clock.boot() < raft.lease_until_ns
 
     @property
     def leader(self) -> str:
@@ -177,7 +177,7 @@
         if self.raft is None:
             return
         if isinstance(outcome, Exception):
-            self._checks.event(VOTER_SILENT, f"{type(outcome).__name__}: {outcome}")
+            self._checks.event(STORAGE_FAILED, f"{type(outcome).__name__}: {outcome}")
             self._thread.loop.call_later(WRITE_RETRY_INTERVAL_S, self._write_next)
             return
         self._pending_writes.popleft()
--- a/quincepier/net/writing.py
+++ b/quincepier/net/writing.py
@@ -107,13 +107,15 @@
 
     def _take(self, session: Session, answer: Answer) -> None:
         request = answer.request
-        if session.open.get(request.stream) is not request:  # it was aborted as the answer was made
+        if session.open.get(request.stream_id) is not request:  # it was aborted as the answer was made
             if answer.body is not None:
                 answer.body.release()
             return
-        del session.open[request.stream]
+        del session.open[request.stream_id]
         self._forget(request)
-        self._say(session, request.stream, cgi_head(answer.status, answer.still, answer.wait_ms), answer.body)
+        self._say(
+            session, request.stream_id, cgi_head(answer.status, answer.still, answer.wait_ms), answer.body
+        )
 
     def _flush(self) -> None:
         """Write as much as the socket takes and a turn allows; what goes wrong ends this connection alone."""
@@ -126,11 +128,11 @@
     def _break_off(self, error: Exception) -> None:
         """What goes wrong ends this connection alone: by its client, the network, or a fault of ours."""
         if isinstance(error, ProtocolError):
-            self.manager.checks.event("client breaks FastCGI", str(error))
+            self.manager.checks.event("client_protocol_error", str(error))
         elif isinstance(error, OSError):
-            self.manager.checks.count("client connections broken off")
+            self.manager.checks.count("client_connections_reset")
         else:
-            self.manager.checks.event("exception in the client actor", f"{type(error).__name__}: {error}")
+            self.manager.checks.event("exception_in_client_actor", f"{type(error).__name__}: {error}")
         self.close()
 
     def _put_out(self) -> None:
@@ -165,7 +167,7 @@
             await asyncio.get_running_loop().sock_sendall(self.sock, data)
             self.moved = clock.now()
         except OSError:
-            self.manager.checks.count("client connections broken off")
+            self.manager.checks.count("client_connections_reset")
             broken = True
         finally:
             self.writer = None
--- a/tests/test_peer_network.py
+++ b/tests/test_peer_network.py
@@ -105,7 +105,7 @@
     try:
         assert decoder.feed(raw) == []
     except PeersError as error:
-        assert error.code == "QP-PEERS" and error.do
+        assert error.code == "QP-PEERS" and error.advice
     assert decoder.buffered_bytes <= len(raw)
     for wrong in (encode_frame("g", "n1", 7, b""), b"\xff\xff", b"\0\0"):
         with pytest.raises(PeersError):
