--- a/quincepier/lab/agreement.py
+++ b/quincepier/lab/agreement.py
@@ -171,7 +171,12 @@
         """One that is up, leads and has its lease."""
         for seat in self.seats.values():
             voter = seat.voter
-            if seat.alive and not seat.stopped and voter.has_committed_in_term and voter.lease_until_ns > self.now:
+            if (
+                seat.alive
+                and not seat.stopped
+                and voter.has_committed_in_term
+                and voter.lease_until_ns > self.now
+            ):
                 return seat
         return None
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -122,7 +122,9 @@
         other.kill()
     first.propose(b"alone")
     net.run(20 * SECOND)
-    assert first.newest is not None and first.newest.data == b"before" and not first.voter.has_committed_in_term
+    assert (
+        first.newest is not None and first.newest.data == b"before" and not first.voter.has_committed_in_term
+    )
     others(net, first)[0].start()
     net.until(lambda: net.leader is not None)
     commit(net, b"after", [s for s in net.seats.values() if s.alive])
