--- a/bench/agree.py
+++ b/bench/agree.py
@@ -1,7 +1,7 @@
-"""By hand: how many worlds of three voters there are within a budget, and how far seeds get with all faults.
+"""By hand: how many states three voters have within a budget, and how long elections and commits take.
 
 python bench/agree.py whole [MOST [NUMBER...]]    # budgets explored, at most so many states each
-python bench/agree.py times           # elections, agreement, cost, with and without faults
+python bench/agree.py times           # elections, commits, idle traffic, in virtual time
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 import sys
 import time
 
-from quincepier.lab.agreement import MS, SECOND, VoterNet
 from quincepier.lab.explored import Budget, Explorer
+from quincepier.lab.raft_simulation import MS, SECOND, SimulatedCluster
 
 BUDGETS = [
     (Budget(1, 0, 0, 0, 0, 1), None),
@@ -35,32 +35,48 @@
 
 def times() -> None:
     for voters in (3, 5, 7):
-        for way in ((MS // 2, MS), (500 * MS, 500 * MS)):
-            runs = [timed(voters, seed, way) for seed in range(20)]
+        for delay_range_ns in ((MS // 2, MS), (500 * MS, 500 * MS)):
+            runs = [timed(voters, seed, delay_range_ns) for seed in range(20)]
             first, killed = spread([r[0] for r in runs]), spread([r[1] for r in runs])
-            agree = spread([time for r in runs for time in r[2]])
-            words, size = statistics.mean(r[3] for r in runs), statistics.mean(r[4] for r in runs)
-            print(voters, "voters", way[0] / MS, "ms one way; first", first, "s, after a kill", killed, "s")
-            print(f"   agreed by all {agree} ms; at rest {words:.0f} words, {size:.0f} bytes/s", flush=True)
+            commits = spread([time for r in runs for time in r[2]])
+            messages, size = statistics.mean(r[3] for r in runs), statistics.mean(r[4] for r in runs)
+            print(
+                voters,
+                "voters",
+                delay_range_ns[0] / MS,
+                "ms one way; first",
+                first,
+                "s, after a kill",
+                killed,
+                "s",
+            )
+            print(
+                f"   committed by all {commits} ms; idle {messages:.0f} messages, {size:.0f} bytes/s",
+                flush=True,
+            )
 
 
-def timed(voters: int, seed: int, way: tuple[int, int]) -> tuple[float, float, list[float], float, float]:
-    net, agree = VoterNet(voters, seed), list[float]()
-    net.way = way
-    net.start()
-    first = net.until(lambda: net.leader is not None) / SECOND
-    net.run(3 * SECOND)
-    old, seats = net.leader, list(net.seats.values())
+def timed(
+    size: int, seed: int, delay_range_ns: tuple[int, int]
+) -> tuple[float, float, list[float], float, float]:
+    """Seconds to a first leader and to another one, ms of each commit, idle messages and bytes a second."""
+    cluster, commits = SimulatedCluster(size, seed), list[float]()
+    cluster.delay_range_ns = delay_range_ns
+    cluster.start()
+    first = cluster.run_until(lambda: cluster.leader is not None) / SECOND
+    cluster.run(3 * SECOND)
+    old, voters = cluster.leader, list(cluster.voters.values())
     assert old is not None
-    for wanted in (b"1", b"2", b"3", b"4", b"5"):
-        old.propose(wanted)
-        agree.append(net.until(lambda w=wanted: all(s.newest and s.newest.data == w for s in seats)) / MS)
-    sent, size = net.sent, net.bytes
-    net.run(10 * SECOND)
-    sent, size = net.sent - sent, net.bytes - size
+    for data in (b"1", b"2", b"3", b"4", b"5"):
+        old.propose(data)
+        took = cluster.run_until(lambda data=data: all(voter.has_committed(data) for voter in voters))
+        commits.append(took / MS)
+    messages, size_before = cluster.sent_messages, cluster.sent_bytes
+    cluster.run(10 * SECOND)
+    messages, idle_bytes = cluster.sent_messages - messages, cluster.sent_bytes - size_before
     old.kill()
-    killed = net.until(lambda: net.leader is not None and net.leader is not old) / SECOND
-    return first, killed, agree, sent / 10, size / 10
+    killed = cluster.run_until(lambda: cluster.leader is not None and cluster.leader is not old) / SECOND
+    return first, killed, commits, messages / 10, idle_bytes / 10
 
 
 def spread(values: list[float]) -> str:
--- a/quincepier/lab/explored.py
+++ b/quincepier/lab/explored.py
@@ -27,7 +27,7 @@
 )
 from quincepier.consensus.messages import Message
 from quincepier.consensus.raft_state import RaftState
-from quincepier.lab.agreement import RuleBrokenError
+from quincepier.lab.raft_simulation import SafetyViolationError
 from quincepier.state.voter_records import (
     EntryKind,
     HardState,
@@ -284,17 +284,19 @@
         found = {entry.index: (entry.term, entry.data) for entry in log.entries}
         if state.is_leader and (state.term, state.identity) not in leaders:
             if any(term == state.term for term, _ in leaders):
-                raise RuleBrokenError(f"two leaders of term {state.term}")
+                raise SafetyViolationError(f"two leaders of term {state.term}")
             leaders = tuple(sorted((*leaders, (state.term, state.identity))))
             for index, (term, data, by) in enumerate(agreed, 1):
                 if index > log.snapshot_index and state.term > by and found.get(index) != (term, data):
-                    raise RuleBrokenError(f"who leads term {state.term} has not the agreed entry {index}")
+                    raise SafetyViolationError(
+                        f"who leads term {state.term} has not the agreed entry {index}"
+                    )
         for index in range(log.snapshot_index + 1, state.commit_index + 1):
             if index not in found:
-                raise RuleBrokenError(f"entry {index} is called agreed where it is not")
+                raise SafetyViolationError(f"entry {index} is called agreed where it is not")
             if index <= len(agreed):
                 if agreed[index - 1][:2] != found[index]:
-                    raise RuleBrokenError(f"entry {index} was agreed as another")
+                    raise SafetyViolationError(f"entry {index} was agreed as another")
                 continue
             agreed = (*agreed, (*found[index], state.term))
             members = {m.identity for m in state.configuration}
@@ -305,7 +307,7 @@
                 mine = disk.hard_state.identity in members
                 have += self.nodes[n].lost > 0 or (mine and on_disk(disk, index, term))
             if have < len(members) // 2 + 1:
-                raise RuleBrokenError(f"entry {index} is agreed with {have} disks")
+                raise SafetyViolationError(f"entry {index} is agreed with {have} disks")
         return leaders, agreed
 
     def steps(self, world: World) -> Iterator[World]:
@@ -358,7 +360,7 @@
                 world = chance.choice(free if free and chance.random() < patience else nexts)
 
     def explore(self, most: int = 1 << 30) -> Explored:
-        """All worlds that can come of the first, each once; RuleBrokenError where a rule does not hold."""
+        """All worlds that can come of the first, each once; SafetyViolationError where one breaks a rule."""
         seen, told = {hash(self.begin)}, Explored()
         stack = [self.steps(self.begin)]
         while stack:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -18,37 +18,36 @@
     replication,
 )
 from quincepier.consensus.raft_state import DropReason, RaftState
-from quincepier.lab.agreement import MS, SECOND, RuleBrokenError, Seat, VoterNet
+from quincepier.lab.raft_simulation import (
+    MS,
+    SECOND,
+    SafetyViolationError,
+    SimulatedCluster,
+    SimulatedVoter,
+)
 from quincepier.state.voter_records import LogEntry
 
 
-def elected(count: int = 3, seed: int = 1) -> tuple[VoterNet, Seat]:
-    net = VoterNet(count, seed)
-    net.start()
-    net.until(lambda: net.leader is not None)
-    return net, leader(net)
-
+def start_and_elect(count: int = 3, seed: int = 1) -> tuple[SimulatedCluster, SimulatedVoter]:
+    cluster = SimulatedCluster(count, seed)
+    cluster.start()
+    cluster.run_until(lambda: cluster.leader is not None)
+    return cluster, leader(cluster)
 
-def leader(net: VoterNet) -> Seat:
-    assert net.leader is not None
-    return net.leader
 
+def leader(cluster: SimulatedCluster) -> SimulatedVoter:
+    assert cluster.leader is not None
+    return cluster.leader
 
-def others(net: VoterNet, seat: Seat) -> list[Seat]:
-    return [s for s in net.seats.values() if s is not seat]
 
-
-def commit(net: VoterNet, data: bytes, seats: list[Seat] | None = None) -> None:
-    net.until(lambda: net.leader is not None)
-    leader(net).propose(data)
-    net.until(
-        lambda: all(s.newest is not None and s.newest.data == data for s in seats or net.seats.values())
-    )
+def others(cluster: SimulatedCluster, voter: SimulatedVoter) -> list[SimulatedVoter]:
+    return [other for other in cluster.voters.values() if other is not voter]
 
 
-def isolate(net: VoterNet, seat: Seat) -> None:
-    for other in others(net, seat):
-        net.cuts |= {(seat.name, other.name), (other.name, seat.name)}
+def commit(cluster: SimulatedCluster, data: bytes, voters: list[SimulatedVoter] | None = None) -> None:
+    cluster.run_until(lambda: cluster.leader is not None)
+    leader(cluster).propose(data)
+    cluster.run_until(lambda: all(voter.has_committed(data) for voter in voters or cluster.voters.values()))
 
 
 # Elections
@@ -56,195 +55,202 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_killed_leader_is_replaced_and_committed_entries_stay(seed: int) -> None:
-    net, first = elected(seed=seed)
-    commit(net, b"one")
+    cluster, first = start_and_elect(seed=seed)
+    commit(cluster, b"one")
     first.kill()
-    assert net.until(lambda: net.leader is not None and net.leader is not first) < 4 * SECOND
-    commit(net, b"two", others(net, first))
+    assert cluster.run_until(lambda: cluster.leader is not None and cluster.leader is not first) < 4 * SECOND
+    commit(cluster, b"two", others(cluster, first))
     first.start()
-    net.until(lambda: first.newest is not None and first.newest.data == b"two")
+    cluster.run_until(lambda: first.has_committed(b"two"))
 
 
 def test_a_delay_of_half_a_second_deposes_no_leader() -> None:
-    net, first = elected()
-    net.way = (500 * MS, 500 * MS)
-    net.run(5 * SECOND)
-    term = first.voter.term
-    net.run(30 * SECOND)
-    assert net.leader is first and first.voter.term == term
-    commit(net, b"slowly")
+    cluster, first = start_and_elect()
+    cluster.delay_range_ns = (500 * MS, 500 * MS)
+    cluster.run(5 * SECOND)
+    term = first.raft.term
+    cluster.run(30 * SECOND)
+    assert cluster.leader is first and first.raft.term == term
+    commit(cluster, b"slowly")
 
 
 def test_a_voter_that_receives_nothing_deposes_no_leader() -> None:
-    net, first = elected()
-    cut_off_voter = others(net, first)[0]
-    net.cuts = {(s.name, cut_off_voter.name) for s in others(net, cut_off_voter)}
-    term = first.voter.term
-    net.run(20 * SECOND)
-    assert net.leader is first and first.voter.term == term
-    net.cuts = set()
-    net.run(5 * SECOND)
-    assert net.leader is first and first.voter.term == term
+    cluster, first = start_and_elect()
+    cut_off_voter = others(cluster, first)[0]
+    cluster.blocked_links = {(voter.name, cut_off_voter.name) for voter in others(cluster, cut_off_voter)}
+    term = first.raft.term
+    cluster.run(20 * SECOND)
+    assert cluster.leader is first and first.raft.term == term
+    cluster.blocked_links = set()
+    cluster.run(5 * SECOND)
+    assert cluster.leader is first and first.raft.term == term
 
 
 def test_a_leader_that_receives_nothing_steps_down_before_another_leads() -> None:
-    net, first = elected()
-    net.cuts = {(s.name, first.name) for s in others(net, first)}
-    net.until(lambda: net.leader is not None and net.leader is not first)
-    assert not first.voter.has_committed_in_term or first.voter.lease_until_ns < net.now
-    commit(net, b"on", others(net, first))
+    cluster, first = start_and_elect()
+    cluster.blocked_links = {(voter.name, first.name) for voter in others(cluster, first)}
+    cluster.run_until(lambda: cluster.leader is not None and cluster.leader is not first)
+    assert not first.raft.has_committed_in_term or first.raft.lease_until_ns < cluster.now_ns
+    commit(cluster, b"on", others(cluster, first))
 
 
 def test_a_leader_paused_for_five_seconds_commits_nothing_afterwards() -> None:
-    net, first = elected()
+    cluster, first = start_and_elect()
     first.pause(5 * SECOND)
-    net.until(lambda: net.leader is not None and net.leader is not first)
-    commit(net, b"without it", others(net, first))
-    net.run(6 * SECOND)
-    newest = first.newest
-    assert newest is not None and newest.data == b"without it" and not first.voter.has_committed_in_term
+    cluster.run_until(lambda: cluster.leader is not None and cluster.leader is not first)
+    commit(cluster, b"without it", others(cluster, first))
+    cluster.run(6 * SECOND)
+    newest = first.newest_committed
+    assert newest is not None and newest.data == b"without it" and not first.raft.has_committed_in_term
 
 
 def test_a_leader_appends_nothing_after_a_pause_before_a_quorum_answers() -> None:
-    net, first = elected()
-    later = net.now + 5 * SECOND
-    actions = first.voter.propose(later, b"late")
+    cluster, first = start_and_elect()
+    later = cluster.now_ns + 5 * SECOND
+    actions = first.raft.propose(later, b"late")
     assert not any(
-        isinstance(a, PersistRecords) and any(isinstance(r, LogEntry) for r in a.records) for a in actions
+        isinstance(action, PersistRecords) and any(isinstance(one, LogEntry) for one in action.records)
+        for action in actions
     )
-    assert not first.voter.has_committed_in_term
+    assert not first.raft.has_committed_in_term
 
 
 def test_nothing_is_committed_without_a_quorum() -> None:
-    net, first = elected()
-    commit(net, b"before")
-    for other in others(net, first):
+    cluster, first = start_and_elect()
+    commit(cluster, b"before")
+    for other in others(cluster, first):
         other.kill()
     first.propose(b"alone")
-    net.run(20 * SECOND)
-    assert first.newest is not None and first.newest.data == b"before" and not first.voter.has_committed_in_term
-    others(net, first)[0].start()
-    net.until(lambda: net.leader is not None)
-    commit(net, b"after", [s for s in net.seats.values() if s.alive])
+    cluster.run(20 * SECOND)
+    assert first.has_committed(b"before") and not first.raft.has_committed_in_term
+    others(cluster, first)[0].start()
+    cluster.run_until(lambda: cluster.leader is not None)
+    commit(cluster, b"after", [voter for voter in cluster.voters.values() if voter.is_alive])
 
 
 def test_a_leader_whose_disk_hangs_steps_down_and_its_disk_is_not_counted() -> None:
-    net, first = elected()
-    first.hangs = True
+    cluster, first = start_and_elect()
+    first.is_disk_stalled = True
     first.propose(b"two disks")
-    net.until(lambda: all(s.newest and s.newest.data == b"two disks" for s in others(net, first)))
-    net.until(lambda: net.leader is not None and net.leader is not first)
+    cluster.run_until(lambda: all(voter.has_committed(b"two disks") for voter in others(cluster, first)))
+    cluster.run_until(lambda: cluster.leader is not None and cluster.leader is not first)
 
 
 # Storage and configuration
 
 
 def test_a_voter_that_lost_its_storage_does_not_vote_until_it_is_added_again() -> None:
-    net, first = elected()
-    commit(net, b"kept by two")
-    lost, third = others(net, first)
+    cluster, first = start_and_elect()
+    commit(cluster, b"kept by two")
+    lost, third = others(cluster, first)
     lost.kill()
     lost.disk = None
     first.kill()  # the third and the one without memory could be a quorum, and must not
     lost.start()
-    net.run(20 * SECOND)
-    assert net.leader is None and not lost.voter.is_member
+    cluster.run(20 * SECOND)
+    assert cluster.leader is None and not lost.raft.is_member
     first.start()
-    net.until(lambda: lost.voter.is_member)
-    commit(net, b"by three")
+    cluster.run_until(lambda: lost.raft.is_member)
+    commit(cluster, b"by three")
     third.kill()
-    net.until(lambda: net.leader is not None and net.leader is not third)
-    commit(net, b"by the two", [first, lost])
+    cluster.run_until(lambda: cluster.leader is not None and cluster.leader is not third)
+    commit(cluster, b"by the two", [first, lost])
 
 
 def test_a_rolled_back_storage_is_detected_and_its_voter_added_under_another_identity() -> None:
-    net, first = elected()
-    old = others(net, first)[0]
-    copy, identity = old.disk, old.voter.identity
+    cluster, first = start_and_elect()
+    old = others(cluster, first)[0]
+    copy, identity = old.disk, old.raft.identity
     old.kill()
-    net.run(SECOND)
+    cluster.run(SECOND)
     old.start()
-    commit(net, b"one")
+    commit(cluster, b"one")
     old.kill()
     old.disk = copy
     old.start()
-    net.until(lambda: old.voter.storage_rollbacks == 1 and old.voter.is_member)
-    assert old.voter.identity != identity
-    commit(net, b"two")
+    cluster.run_until(lambda: old.raft.storage_rollbacks == 1 and old.raft.is_member)
+    assert old.raft.identity != identity
+    commit(cluster, b"two")
 
 
 def test_voters_all_killed_at_once_recover_from_their_storage() -> None:
-    net, _ = elected()
-    commit(net, b"kept")
-    for seat in net.seats.values():
-        seat.kill()
-        seat.newest = None
-    for seat in net.seats.values():
-        seat.start()
-    net.until(lambda: all(s.newest is not None and s.newest.data == b"kept" for s in net.seats.values()))
+    cluster, _ = start_and_elect()
+    commit(cluster, b"kept")
+    for voter in cluster.voters.values():
+        voter.kill()
+        voter.newest_committed = None
+    for voter in cluster.voters.values():
+        voter.start()
+    cluster.run_until(lambda: all(voter.has_committed(b"kept") for voter in cluster.voters.values()))
 
 
 def test_voters_are_added_and_removed_one_at_a_time() -> None:
-    net, _ = elected()
-    commit(net, b"one")
-    net.names = ("v0", "v1", "v3")
-    net.seats["v3"] = Seat(net, "v3")
-    for name in net.names:  # each is started again with the new file
-        net.seats[name].kill()
-        net.seats[name].start()
-        net.until(lambda: net.leader is not None)
-    net.seats["v2"].kill()  # it still has the old file, and would keep to it where it leads
-    now = [net.seats[name] for name in net.names]
-    net.until(lambda: all(tuple(m.name for m in s.voter.configuration) == net.names for s in now))
-    commit(net, b"two", now)
-    net.seats["v0"].kill()
-    net.until(lambda: net.leader is not None and net.leader.alive)
-    commit(net, b"three", now[1:])
+    cluster, _ = start_and_elect()
+    commit(cluster, b"one")
+    cluster.names = ("v0", "v1", "v3")
+    cluster.voters["v3"] = SimulatedVoter(cluster, "v3")
+    for name in cluster.names:  # each is started again with the new file
+        cluster.voters[name].kill()
+        cluster.voters[name].start()
+        cluster.run_until(lambda: cluster.leader is not None)
+    cluster.voters["v2"].kill()  # it still has the old file, and would keep to it where it leads
+    named = [cluster.voters[name] for name in cluster.names]
+    cluster.run_until(
+        lambda: all(tuple(m.name for m in voter.raft.configuration) == cluster.names for voter in named)
+    )
+    commit(cluster, b"two", named)
+    cluster.voters["v0"].kill()
+    cluster.run_until(lambda: cluster.leader is not None and cluster.leader.is_alive)
+    commit(cluster, b"three", named[1:])
 
 
 def test_bootstrap_waits_for_every_named_voter() -> None:
-    net = VoterNet(3, 1)
-    for name in net.names[:2]:
-        net.seats[name].start()
-    net.run(20 * SECOND)
-    assert net.leader is None and not any(s.voter.is_member for s in net.seats.values() if s.alive)
-    net.seats[net.names[2]].start()
-    net.until(lambda: net.leader is not None)
+    cluster = SimulatedCluster(3, 1)
+    for name in cluster.names[:2]:
+        cluster.voters[name].start()
+    cluster.run(20 * SECOND)
+    assert cluster.leader is None and not any(
+        voter.raft.is_member for voter in cluster.voters.values() if voter.is_alive
+    )
+    cluster.voters[cluster.names[2]].start()
+    cluster.run_until(lambda: cluster.leader is not None)
 
 
 def test_a_long_log_is_compacted_and_a_late_voter_gets_the_snapshot() -> None:
-    net, first = elected()
-    late = others(net, first)[0]
+    cluster, first = start_and_elect()
+    late = others(cluster, first)[0]
     late.kill()
     for n in range(60):
-        leader(net).propose(b"%d" % n)
-        net.run(20 * MS)
+        leader(cluster).propose(b"%d" % n)
+        cluster.run(20 * MS)
     late.start()
-    net.until(lambda: late.newest is not None and late.newest.data == b"59")
-    most = 2 * RaftLimits().max_committed_entries
-    assert all(s.disk is not None and len(s.disk.entries) <= most for s in net.seats.values())
+    cluster.run_until(lambda: late.has_committed(b"59"))
+    max_entries = 2 * RaftLimits().max_committed_entries
+    assert all(
+        voter.disk is not None and len(voter.disk.entries) <= max_entries for voter in cluster.voters.values()
+    )
 
 
 # Messages
 
 
 def test_an_invalid_message_or_one_of_an_unknown_sender_is_dropped_and_counted() -> None:
-    net, first = elected()
-    rng, seat = random.Random(3), others(net, first)[0]
+    cluster, first = start_and_elect()
+    rng, voter = random.Random(3), others(cluster, first)[0]
     raw = next(
-        a.data
-        for a in first.voter.tick(net.now + SECOND // 2)
-        if isinstance(a, SendMessage) and a.to == seat.name
+        action.data
+        for action in first.raft.tick(cluster.now_ns + SECOND // 2)
+        if isinstance(action, SendMessage) and action.to == voter.name
     )
-    before = seat.voter.term, seat.voter.commit_index
+    before = voter.raft.term, voter.raft.commit_index
     for _ in range(300):
         corrupted = bytearray(raw[: rng.randrange(len(raw) + 1)])
         if corrupted:
             corrupted[rng.randrange(len(corrupted))] ^= 1 << rng.randrange(8)
-        seat.voter.step(net.now, others(net, first)[1].name, bytes(corrupted))
-    seat.voter.step(net.now, "stranger", raw)
-    assert seat.voter.dropped[DropReason.INVALID] >= 300
-    assert (seat.voter.term, seat.voter.commit_index) == before
+        voter.raft.step(cluster.now_ns, others(cluster, first)[1].name, bytes(corrupted))
+    voter.raft.step(cluster.now_ns, "stranger", raw)
+    assert voter.raft.dropped[DropReason.INVALID] >= 300
+    assert (voter.raft.term, voter.raft.commit_index) == before
 
 
 def test_invalid_voter_names_are_rejected() -> None:
@@ -257,61 +263,63 @@
 # All faults at once
 
 
-def run_with_random_faults(seed: int, spans: int = 30) -> VoterNet:
-    """Loss, repeats, delays, one-sided cuts, pauses, crashes, a lost and an older folder at a time."""
-    net, rng = VoterNet((3, 3, 5)[seed % 3], seed), random.Random(seed)
-    net.start()
-    net.run(3 * SECOND)
+def run_with_random_faults(seed: int, spans: int = 30) -> SimulatedCluster:
+    """Loss, duplicates, delays, one-way partitions, pauses, crashes, and one lost storage at a time."""
+    cluster, rng = SimulatedCluster((3, 3, 5)[seed % 3], seed), random.Random(seed)
+    cluster.start()
+    cluster.run(3 * SECOND)
     for n in range(spans):
-        net.loss, net.repeat = rng.choice((0.0, 0.0, 0.2, 0.4)), rng.choice((0.0, 0.3))
-        net.way = rng.choice(((MS // 2, MS), (0, 300 * MS)))
-        net.cuts = {tuple(rng.sample(net.names, 2)) for _ in range(rng.choice((0, 0, 1, 2)))}  # type: ignore[misc]
-        seat = net.seats[rng.choice(net.names)]
-        up = [s for s in net.seats.values() if s.alive]
+        cluster.loss_rate, cluster.duplicate_rate = rng.choice((0.0, 0.0, 0.2, 0.4)), rng.choice((0.0, 0.3))
+        cluster.delay_range_ns = rng.choice(((MS // 2, MS), (0, 300 * MS)))
+        cluster.blocked_links = {tuple(rng.sample(cluster.names, 2)) for _ in range(rng.choice((0, 0, 1, 2)))}  # type: ignore[misc]
+        target = cluster.voters[rng.choice(cluster.names)]
+        up = [voter for voter in cluster.voters.values() if voter.is_alive]
         match rng.randrange(5):
-            case 0 if seat.alive:
-                seat.kill()
-            case 1 if seat.alive:
-                seat.pause(rng.randrange(6 * SECOND))
-            case 2 if seat.alive and len(up) == len(net.names) and all(s.voter.is_member for s in up):
-                seat.kill()
-                seat.disk = None
-        for s in up:
-            s.propose(b"%d.%s" % (n, s.name.encode()))
-        net.run(rng.randrange(2 * SECOND))
-        for s in net.seats.values():
-            if not s.alive and rng.random() < 0.6:
-                s.start()
-    net.loss, net.repeat, net.cuts, net.way = 0, 0, set(), (MS // 2, MS)
-    for s in net.seats.values():
-        if not s.alive:
-            s.start()
-    net.run(15 * SECOND)
-    commit(net, b"the end")
-    assert all(s.voter.is_member for s in net.seats.values())
-    return net
+            case 0 if target.is_alive:
+                target.kill()
+            case 1 if target.is_alive:
+                target.pause(rng.randrange(6 * SECOND))
+            case 2 if target.is_alive and len(up) == len(cluster.names) and all(
+                voter.raft.is_member for voter in up
+            ):
+                target.kill()
+                target.disk = None
+        for voter in up:
+            voter.propose(b"%d.%s" % (n, voter.name.encode()))
+        cluster.run(rng.randrange(2 * SECOND))
+        for voter in cluster.voters.values():
+            if not voter.is_alive and rng.random() < 0.6:
+                voter.start()
+    cluster.heal_network()
+    for voter in cluster.voters.values():
+        if not voter.is_alive:
+            voter.start()
+    cluster.run(15 * SECOND)
+    commit(cluster, b"the end")
+    assert all(voter.raft.is_member for voter in cluster.voters.values())
+    return cluster
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_voters_agree_under_all_faults_at_once_and_recover(seed: int) -> None:
-    net = run_with_random_faults(seed)
-    assert len(net.agreed) > 3
+    cluster = run_with_random_faults(seed)
+    assert len(cluster.committed_by_index) > 3
 
 
 def test_voting_while_a_leader_is_in_contact_leads_to_two_leases(monkeypatch: pytest.MonkeyPatch) -> None:
     """One voter hears the leader no more, the third hears both, and just then the leader hears nobody."""
 
-    def cut_off_leader() -> VoterNet:
-        net, first = elected()
-        cut_off_voter = others(net, first)[0]
-        net.way, net.cuts = (50 * MS, 50 * MS), {(first.name, cut_off_voter.name)}
-        net.run(SECOND)
+    def cut_off_leader() -> SimulatedCluster:
+        cluster, first = start_and_elect()
+        cut_off_voter = others(cluster, first)[0]
+        cluster.delay_range_ns, cluster.blocked_links = (50 * MS, 50 * MS), {(first.name, cut_off_voter.name)}
+        cluster.run(SECOND)
         for _ in range(1000):
-            net.run(10 * MS)
-            if cut_off_voter.voter.term > first.voter.term:
-                net.cuts |= {(s.name, first.name) for s in others(net, first)}
-        assert net.leader is first
-        return net
+            cluster.run(10 * MS)
+            if cut_off_voter.raft.term > first.raft.term:
+                cluster.blocked_links |= {(voter.name, first.name) for voter in others(cluster, first)}
+        assert cluster.leader is first
+        return cluster
 
     cut_off_leader()
     unchanged = election.on_request_vote
@@ -321,7 +329,7 @@
         unchanged(state, message, request)
 
     monkeypatch.setattr(election, "on_request_vote", on_request_vote)
-    with pytest.raises(RuleBrokenError, match="lease at once"):
+    with pytest.raises(SafetyViolationError, match="lease at once"):
         cut_off_leader()
 
 
@@ -330,28 +338,28 @@
 ) -> None:
     """With process starts compared the copy is detected; without that a committed entry is lost."""
 
-    def run_rolled_back_copy() -> VoterNet:
-        net, first = elected(seed=2)
-        old, third = others(net, first)
+    def run_rolled_back_copy() -> SimulatedCluster:
+        cluster, first = start_and_elect(seed=2)
+        old, third = others(cluster, first)
         copy = old.disk
-        net.cuts = {(s.name, third.name) for s in others(net, third)}
-        commit(net, b"by two", [first, old])
+        cluster.blocked_links = {(voter.name, third.name) for voter in others(cluster, third)}
+        commit(cluster, b"by two", [first, old])
         old.kill()
         old.disk = copy
-        net.run(100 * MS)
+        cluster.run(100 * MS)
         old.start()
-        net.run(SECOND // 2)
+        cluster.run(SECOND // 2)
         first.kill()
-        net.cuts = set()
-        net.run(10 * SECOND)
-        if (now := net.leader) is not None:
-            now.propose(b"another")
-        net.run(SECOND)
-        return net
-
-    net = run_rolled_back_copy()
-    assert net.leader is None
+        cluster.blocked_links = set()
+        cluster.run(10 * SECOND)
+        if (new_leader := cluster.leader) is not None:
+            new_leader.propose(b"another")
+        cluster.run(SECOND)
+        return cluster
+
+    cluster = run_rolled_back_copy()
+    assert cluster.leader is None
     monkeypatch.setattr(cluster_configuration, "accept_start", lambda state, message: True)
     monkeypatch.setattr(replication, "on_append_entries_response", lambda state, message, response: None)
-    with pytest.raises(RuleBrokenError):
+    with pytest.raises(SafetyViolationError):
         run_rolled_back_copy()
--- a/tests/test_consensus_explored.py
+++ b/tests/test_consensus_explored.py
@@ -10,8 +10,8 @@
 
 from quincepier.consensus import SendMessage, election, replication
 from quincepier.consensus.raft_state import RaftRole, RaftState
-from quincepier.lab.agreement import RuleBrokenError
 from quincepier.lab.explored import Budget, Explorer
+from quincepier.lab.raft_simulation import SafetyViolationError
 from quincepier.state.voter_records import HardState
 
 Patch = pytest.MonkeyPatch
@@ -122,7 +122,7 @@
 ) -> None:
     Explorer(left, logs, 3 if logs else 0).walk(1, 100)
     mutant(monkeypatch)
-    with pytest.raises(RuleBrokenError):
+    with pytest.raises(SafetyViolationError):
         Explorer(left, logs, 3 if logs else 0).walk(1, 4000)
 
 
