--- a/quincepier/consistency/decision.py
+++ b/quincepier/consistency/decision.py
@@ -149,7 +149,7 @@
         for endpoint in by_number:
             if endpoint.kind not in (settings.parent_kind, settings.origin_kind):
                 self._caches_by_zone.setdefault(endpoint.zone, []).append(endpoint)
-        cordoned = {order.target for order in inputs.rule_version.orders if order.aside}
+        cordoned = {order.target for order in inputs.rule_version.maintenance_tasks if order.is_cordoned}
         self._unavailable = {e.number for e in inputs.endpoints if not e.ready or e.host in cordoned}
 
     def decide(self, key: DecisionKey) -> RuleDecision:
--- a/quincepier/consistency/leaf_fields.py
+++ b/quincepier/consistency/leaf_fields.py
@@ -19,8 +19,24 @@
 
 LeafFields = tuple[LeafField, ...]
 
-VERSION_ENTRIES = ("orders", "allowances", "shards", "homes", "moves")
-ENTRY_NAME_FIELDS = ("wish", "target", "tenant", "kind", "name")
+VERSION_LABELS = {
+    "maintenance_tasks": "orders",
+    "disruption_limits": "allowances",
+    "shards": "shards",
+    "placements": "homes",
+    "migrations": "moves",
+}
+ENTRY_LABELS = {
+    "request_id": "wish",
+    "since_version": "since",
+    "reason": "why",
+    "max_per_zone": "zone_most",
+    "max_total": "most",
+    "source_shard": "old",
+    "target_shard": "new",
+    "moved_slots": "part",
+}
+ENTRY_NAME_FIELDS = ("request_id", "target", "tenant", "kind", "name")
 DECISION_LABELS = {
     "tier": "tier",
     "bypasses_caches": "direct",
@@ -47,10 +63,13 @@
     version = inputs.rule_version
     number, term = LeafField("number", str(version.number)), LeafField("term", str(version.term))
     leaves: dict[str, LeafFields] = {"version": (number, term)}
-    for kind in VERSION_ENTRIES:
-        for place, entry in enumerate(getattr(version, kind)):
+    for field_name, kind in VERSION_LABELS.items():
+        for place, entry in enumerate(getattr(version, field_name)):
             label = f"{kind} {_entry_name(entry)}"[:MAX_LABEL_LENGTH]
-            fields = [LeafField(name, str(getattr(entry, name))) for name in entry.__struct_fields__]
+            fields = [
+                LeafField(ENTRY_LABELS.get(name, name), str(getattr(entry, name)))
+                for name in entry.__struct_fields__
+            ]
             leaves[label] = (LeafField("place", str(place)), *fields)
     return leaves
 
