--- a/quincepier/net/fleet/leader.py
+++ b/quincepier/net/fleet/leader.py
@@ -100,7 +100,7 @@
 
     def _lead(self, now: int) -> None:
         """Begin to lead, or end."""
-        voter, leads = self.seat.raft, self.seat.is_leader
+        voter, leads = self.seat.raft, self.seat.has_leader_lease
         if voter is None or not leads:
             if self.ledger is not None:
                 logger.bind(event="leads no more", front=self.name, term=self.term).info("leads no more")
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -93,7 +93,7 @@
 def chair_of(planner: Any, leads: bool = True) -> tuple[Leader, list[bytes], Any]:
     proposed: list[bytes] = []
     raft = SimpleNamespace(term=1, lease_until_ns=1 << 60)
-    seat: Any = SimpleNamespace(raft=raft, is_leader=leads, leader="b", propose=proposed.append)
+    seat: Any = SimpleNamespace(raft=raft, has_leader_lease=leads, leader="b", propose=proposed.append)
     chair = Leader("a", VOTERS, seat, PACE, lambda: [planner], dict, lambda: VOTERS, Checks())
     return chair, proposed, seat
 
@@ -114,7 +114,7 @@
     assert decode(proposed[-1]).number == 41
     answer = chair.asked(2 * clock.SECOND, ReportMessage(LeaseRequest(2, report("g", 0))))
     assert isinstance(answer, LeaseGranted) and answer.grant.lease_ms == 0 and answer.raw == proposed[0]
-    seat.is_leader = False
+    seat.has_leader_lease = False
     chair.turn(3 * clock.SECOND)
     assert len(proposed) == 2 and chair.ledger is None
     turned = chair.asked(3 * clock.SECOND, ReportMessage(LeaseRequest(3, report("g", 0))))
