--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -45,7 +45,7 @@
 ENDPOINTS = make_endpoint_list(2, 5, 2)
 DRAINED_HOST = "s-1-1"
 VERSION_WITH_TASK = RuleVersion(
-    7, 2, orders=(MaintenanceTask("w", DRAINED_HOST, "cache", "z1", MaintenanceStep.DRAINING, 7),)
+    7, 2, maintenance_tasks=(MaintenanceTask("w", DRAINED_HOST, "cache", "z1", MaintenanceStep.DRAINING, 7),)
 )
 
 
@@ -64,9 +64,9 @@
     """One bit of a maintenance task in the version that it holds."""
 
     def corrupt(inputs: DecisionInputs) -> DecisionInputs:
-        first, *others = inputs.rule_version.orders
+        first, *others = inputs.rule_version.maintenance_tasks
         flipped = msgspec.structs.replace(first, step=MaintenanceStep(first.step ^ 1))
-        version = msgspec.structs.replace(inputs.rule_version, orders=(flipped, *others))
+        version = msgspec.structs.replace(inputs.rule_version, maintenance_tasks=(flipped, *others))
         return replace(inputs, rule_version=version)
 
     front.corrupt = corrupt
@@ -324,7 +324,7 @@
     elif name == "lists of any revision compared":
         monkeypatch.setattr(majority, "reference_list_revision", lambda responses: 0)
     elif name == "cordoned endpoints decided for":
-        monkeypatch.setattr(MaintenanceTask, "aside", False)
+        monkeypatch.setattr(MaintenanceTask, "is_cordoned", False)
 
 
 def test_late_fronts_that_differ_are_not_blamed_by_so_few() -> None:
