--- a/quincepier/consistency/errors.py
+++ b/quincepier/consistency/errors.py
@@ -9,4 +9,4 @@
     """An invalid message between fronts, or a request for what a front does not hold."""
 
     code = "QP-ALIKE"
-    remedy = "check that the fronts run builds whose words agree; compare the named input at the named front"
+    remedy = "put the same build on all fronts; compare the named input at the named front"
--- a/quincepier/consistency/leaf_fields.py
+++ b/quincepier/consistency/leaf_fields.py
@@ -61,19 +61,22 @@
 def version_leaves(inputs: DecisionInputs) -> dict[str, LeafFields]:
     """Fields of each entry of the rule version, by a label that names the entry."""
     version = inputs.rule_version
-    number, term = LeafField("number", str(version.number)), LeafField("term", str(version.term))
-    leaves: dict[str, LeafFields] = {"version": (number, term)}
+    leaves: dict[str, LeafFields] = {
+        "version": (LeafField("number", str(version.number)), LeafField("term", str(version.term)))
+    }
     for field_name, kind in VERSION_LABELS.items():
         for place, entry in enumerate(getattr(version, field_name)):
             label = f"{kind} {_entry_name(entry)}"[:MAX_LABEL_LENGTH]
-            fields = [
-                LeafField(ENTRY_LABELS.get(name, name), str(getattr(entry, name)))
-                for name in entry.__struct_fields__
-            ]
-            leaves[label] = (LeafField("place", str(place)), *fields)
+            leaves[label] = (LeafField("place", str(place)), *_entry_fields(entry))
     return leaves
 
 
+def _entry_fields(entry: Any) -> LeafFields:
+    return tuple(
+        LeafField(ENTRY_LABELS.get(name, name), str(getattr(entry, name))) for name in entry.__struct_fields__
+    )
+
+
 def _entry_name(entry: Any) -> str:
     return ":".join(str(getattr(entry, name)) for name in ENTRY_NAME_FIELDS if hasattr(entry, name))
 
