--- a/quincepier/policy/attempts.py
+++ b/quincepier/policy/attempts.py
@@ -76,7 +76,7 @@
     def close(self, req: Request, served: bool = False) -> None:  # what is still out for it is called off
         del self.requests[req.e.request]
         in_time = served and self.now - req.came <= self.aim(req)
-        self.out += map(io.WriteLog, self.back.over(self.now, req.cls.worth, in_time))
+        self.out += map(io.WriteLog, self.back.on_request_finished(self.now, req.cls.worth, in_time))
         self.unhold(req)
         self.call_off(req.open.values())
 
--- a/quincepier/policy/fills.py
+++ b/quincepier/policy/fills.py
@@ -98,5 +98,5 @@
             elif any(self.depth) and self.fills >= GATE * self.bound - 1:  # it holds them; one just left
                 self.bound = min(self.bound * 2, BOUND_MOST)
             else:
-                self.out += map(io.WriteLog, self.back.kept(self.now))
+                self.out += map(io.WriteLog, self.back.on_limit_held(self.now))
             self.good = self.bad = 0
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -40,7 +40,7 @@
             self.parents = [n for n in nodes if n.machine.kind == s.parent_kind]
             self.origins = [n for n in nodes if n.machine.kind == s.origin_kind]
             self.edges = [n for n in nodes if n.machine.kind not in upper]
-        self.out += map(io.WriteLog, self.back.listed(self.now))
+        self.out += map(io.WriteLog, self.back.on_list_received(self.now))
 
     def rank(self, nodes: list[Node], key: int, home: io.HomeShard | None = None) -> list[Node]:
         at = key if home is None else (key, home.name)
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -48,7 +48,7 @@
         behind = e.waited > max(TURN_PART * cls.on_time / (1 + tier), RELEASE_EVERY) and not cls.never_kept
         if behind or e.time_left <= self.s.step:  # refused while that costs little, the lowest tier first
             self.out.append(io.RejectRequest(e.request, self.advice()))
-            self.out += map(io.WriteLog, self.back.over(self.now, cls.worth, False))
+            self.out += map(io.WriteLog, self.back.on_request_finished(self.now, cls.worth, False))
             return
         home = self.homes(e) if self.homes is not None else None
         req = self.requests[e.request] = Request(e, self.s, tier, self.now, home)
@@ -70,7 +70,7 @@
             self.heard[req.e.cls] += 1
             if (count := self.heard.total()) >= ANSWERS and self.asked <= self.heard.keys():
                 self.met = True
-                self.out += map(io.WriteLog, self.back.answered(self.now, count))
+                self.out += map(io.WriteLog, self.back.on_first_responses(self.now, count))
         if e.ending not in RAN_NOT and (req.first_ran is None or attempt.at < req.first_ran[0]):
             req.first_ran = (attempt.at, attempt.node.machine)
         if self.requests.get(e.request) is req:
@@ -132,9 +132,9 @@
         if gap >= STOOD and self.met:  # what we knew of the others is from before
             self.asked, self.heard, self.met = set(), Counter(), False
             self.bound = min(self.bound, BOUND_START)
-            self.out += map(io.WriteLog, self.back.stood_still(self.now, gap))
+            self.out += map(io.WriteLog, self.back.on_process_pause(self.now, gap))
         if not any(self.depth):
-            self.out += map(io.WriteLog, self.back.unpressed(self.now))
+            self.out += map(io.WriteLog, self.back.on_limit_idle(self.now))
         self.weigh()
         self.reweigh()
         if gap <= WATCH_EVERY:  # else answers are still to come, as we stood still ourselves
--- a/quincepier/recovery/__init__.py
+++ b/quincepier/recovery/__init__.py
@@ -1,9 +1,8 @@
-"""How a front that starts anew finds its way back: what it allows itself at first, and when service is full.
+"""Recovery of a front after a start: its phases, its initial limits, and the validity of older facts.
 
-It tells where a return stands (`stages.py`), decides the first dials and the step of the calls (`begin.py`),
-and how much of what was learned before a start still counts (`memory.py`, which shells call with the module).
-It never chooses a server, reads a clock, does I/O or imports the module. Read `stages.py` first, then
-docs/recovery.md.
+`phases` tracks the recovery until service is full, the initial limits bound the first dials and polls, and
+`learned_facts` decides how much of what was learned before a start still counts. Nothing here chooses a
+server, reads a clock or does I/O. See docs/recovery.md.
 """
 
 from quincepier.recovery.begin import Ramp, first_poll, fronts_that_ask
--- a/quincepier/recovery/phases.py
+++ b/quincepier/recovery/phases.py
@@ -1,121 +1,182 @@
-"""Where a front is on its way back, by what came back so far. No clock: each call is told the time.
+"""Tracks the recovery of a front after its start, phase by phase, until service is full.
 
-Each stage is left when its condition holds, never by time alone. A standstill of the front's own leads back
-to LISTED: what it knew of the others is from before. `full service` is told once a start.
+A phase ends when its condition holds, never by time alone. A pause of the process leads back to
+LIST_RECEIVED, as what was known of other machines is out of date. There is no clock: callers give the time.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 from enum import IntEnum
+from itertools import pairwise
 
-MS = 1_000_000
-SECOND = 1000 * MS
-FULL = 0.97  # share of the worth asked for that is served in time: full service
-HOLDS, MOST = 2, 10  # whole seconds that show it, at least and at most
-LEAST = 50  # requests in them; of fewer, one that is late by chance would say too much
+NS_PER_MS = 1_000_000
+NS_PER_S = 1000 * NS_PER_MS
+FULL_SERVICE_FRACTION = 0.97  # of the weight asked for that is served in time
+MIN_EVIDENCE_S = 2  # whole seconds that show full service
+MAX_EVIDENCE_S = 10
+MIN_EVIDENCE_REQUESTS = 50  # with fewer, one that is late by chance would decide
+MIN_LIMIT_NS = NS_PER_S // 2  # after the first responses, before the limit can be confirmed
 
 
 class RecoveryPhase(IntEnum):
-    """Each is entered when that has come back."""
+    """The phases in their order; each is entered when what it names has been reached."""
 
     STARTED = 0
-    LISTED = 1  # the list of machines
-    ANSWERED = 2  # first answers, of each class that was asked for
-    FOUND = 3  # how many fills are borne: the bound was kept over as many fills, or is not pressed
-    USUAL = 4  # service is full
+    LIST_RECEIVED = 1  # the endpoint list
+    FIRST_RESPONSES = 2  # of each request class that was asked for
+    LIMIT_CONFIRMED = 3  # the concurrency limit held over as many fetches, or nothing waits for it
+    FULL_SERVICE = 4
 
 
-WORDS = ("started", "list", "first answers", "bound", "as usual")
+PHASE_LABELS = ("started", "list", "first answers", "bound", "as usual")
+"""By phase, as the log has them; the recorded streams of the tests hold these texts."""
+
+
+@dataclass(slots=True)
+class SecondTotals:
+    """Requests that were finished within one second.
+
+    Attributes:
+        due_weight: Sum of their priority weights.
+        served_weight: Sum of the weights of those served in time.
+        request_count: Their number.
+    """
+
+    due_weight: float = 0.0
+    served_weight: float = 0.0
+    request_count: int = 0
 
 
 class RecoveryTracker:
-    """One start of a front. Its calls give log lines: a stage entered and why, and full service."""
+    """The recovery of one start of a front.
+
+    Its handlers return log messages: each phase that is entered and why, and once a start full service. All
+    times are nanoseconds of one monotonic clock.
+
+    Args:
+        now: The time of the start.
+
+    Attributes:
+        phase: The present phase.
+    """
 
     def __init__(self, now: int) -> None:
-        self.began, self.entered = now, {RecoveryPhase.STARTED: now}
-        self.stage, self.told = RecoveryPhase.STARTED, False
-        self.second, self.due, self.done, self.count = now // SECOND, 0.0, 0.0, 0  # of the second that runs
-        self.seconds: deque[tuple[float, float, int]] = deque(maxlen=MOST)  # worth due, served, requests
-
-    def _enter(self, stage: RecoveryPhase, now: int, why: str) -> list[str]:
-        took = (now - self.entered[self.stage]) // MS
-        line = f"stage {WORDS[stage]}: {why}; {WORDS[self.stage]} held for {took} ms"
-        self.stage, self.entered[stage] = stage, now
-        return [line]
-
-    def listed(self, now: int) -> list[str]:
-        """A list of machines is there."""
-        return (
-            self._enter(RecoveryPhase.LISTED, now, "a list is there")
-            if self.stage is RecoveryPhase.STARTED
-            else []
-        )
-
-    def answered(self, now: int, answers: int) -> list[str]:
-        """Machines gave so many answers, of each class that was asked for one."""
-        why = f"{answers} answers, each class asked for among them"
-        return self._enter(RecoveryPhase.ANSWERED, now, why) if self.stage is RecoveryPhase.LISTED else []
-
-    def kept(self, now: int) -> list[str]:
-        """A bound's worth of fills is over, and neither went badly nor pressed for more."""
-        return self._found(now, "the bound was kept")
-
-    def unpressed(self, now: int) -> list[str]:
-        """Nothing waits for the bound."""
-        return self._found(now, "nothing waits for the bound")
-
-    def _found(self, now: int, why: str) -> list[str]:
-        settled = now - self.entered.get(RecoveryPhase.ANSWERED, now) >= SECOND // 2
-        return (
-            self._enter(RecoveryPhase.FOUND, now, why)
-            if self.stage is RecoveryPhase.ANSWERED and settled
-            else []
-        )
-
-    def over(self, now: int, worth: float, served: bool) -> list[str]:
-        """A request has its final answer; whether it was served in time."""
-        lines = self._turn(now)
-        self.due, self.done, self.count = self.due + worth, self.done + worth * served, self.count + 1
-        return lines
-
-    def _turn(self, now: int) -> list[str]:
-        """Close the second that ran, and those after it that nothing came in."""
-        if now // SECOND == self.second:
+        self.phase = RecoveryPhase.STARTED
+        self._started_at = now
+        self._entered_at_by_phase = {RecoveryPhase.STARTED: now}
+        self._has_reported_full_service = False
+        self._current_second = now // NS_PER_S
+        self._current = SecondTotals()
+        self._past_seconds: deque[SecondTotals] = deque(maxlen=MAX_EVIDENCE_S)
+
+    def on_list_received(self, now: int) -> list[str]:
+        """The front has an endpoint list."""
+        if self.phase is not RecoveryPhase.STARTED:
+            return []
+        return self._enter(RecoveryPhase.LIST_RECEIVED, now, "a list is there")
+
+    def on_first_responses(self, now: int, response_count: int) -> list[str]:
+        """Machines gave this many responses, at least one of each class that was asked for."""
+        if self.phase is not RecoveryPhase.LIST_RECEIVED:
             return []
-        self.seconds.append((self.due, self.done, self.count))
-        self.seconds.extend([(0.0, 0.0, 0)] * min(now // SECOND - self.second - 1, MOST))
-        self.second, self.due, self.done, self.count = now // SECOND, 0.0, 0.0, 0
-        if self.stage is not RecoveryPhase.FOUND or not (span := self._full()):
+        reason = f"{response_count} answers, each class asked for among them"
+        return self._enter(RecoveryPhase.FIRST_RESPONSES, now, reason)
+
+    def on_limit_held(self, now: int) -> list[str]:
+        """As many fetches as the concurrency limit allows have completed well, without demand for more."""
+        return self._confirm_limit(now, "the bound was kept")
+
+    def on_limit_idle(self, now: int) -> list[str]:
+        """Nothing waits for the concurrency limit."""
+        return self._confirm_limit(now, "nothing waits for the bound")
+
+    def on_request_finished(self, now: int, weight: float, is_in_time: bool) -> list[str]:
+        """A request has its final response.
+
+        Args:
+            now: The time.
+            weight: Its priority weight.
+            is_in_time: Whether it was served in time.
+        """
+        messages = self._advance_second(now)
+        self._current.due_weight += weight
+        self._current.served_weight += weight * is_in_time
+        self._current.request_count += 1
+        return messages
+
+    def on_process_pause(self, now: int, pause: int) -> list[str]:
+        """The process did not run for `pause` nanoseconds: all but the list is out of date."""
+        if self.phase <= RecoveryPhase.LIST_RECEIVED:
             return []
-        lines = self._enter(RecoveryPhase.USUAL, now, f"{FULL:.2f} of the worth in time over {span} s")
-        if self.told:
-            return lines
-        self.told = True
-        return [*lines, self._claim(now, span)]
-
-    def _full(self) -> int:
-        """Seconds, back from now, in which service was full; 0 where it was not or too little came."""
-        due, done, count = 0.0, 0.0, 0
-        for span, (asked, served, requests) in enumerate(reversed(self.seconds), 1):
-            due, done, count = due + asked, done + served, count + requests
-            if span >= HOLDS and count >= LEAST:  # one request may be late by chance
-                return span if done + due / count >= FULL * due else 0
-        return 0
+        self._past_seconds.clear()
+        reason = f"the front stood still for {pause // NS_PER_MS} ms"
+        return self._enter(RecoveryPhase.LIST_RECEIVED, now, reason)
+
+    def _enter(self, phase: RecoveryPhase, now: int, reason: str) -> list[str]:
+        elapsed_ms = (now - self._entered_at_by_phase[self.phase]) // NS_PER_MS
+        previous = PHASE_LABELS[self.phase]
+        self.phase = phase
+        self._entered_at_by_phase[phase] = now
+        return [f"stage {PHASE_LABELS[phase]}: {reason}; {previous} held for {elapsed_ms} ms"]
+
+    def _confirm_limit(self, now: int, reason: str) -> list[str]:
+        if self.phase is not RecoveryPhase.FIRST_RESPONSES:
+            return []
+        if now - self._entered_at_by_phase[RecoveryPhase.FIRST_RESPONSES] < MIN_LIMIT_NS:
+            return []
+        return self._enter(RecoveryPhase.LIMIT_CONFIRMED, now, reason)
 
-    def _claim(self, now: int, span: int) -> str:
-        """The seconds that showed it were full already, so service is counted full from their begin."""
-        at = max(now - span * SECOND, self.entered.get(RecoveryPhase.FOUND, now), self.began)
-        marks = [
-            self.entered.get(stage, at) for stage in RecoveryPhase if stage is not RecoveryPhase.USUAL
-        ] + [at]
-        took = (max(b - a, 0) // MS for a, b in zip(marks, marks[1:], strict=False))
-        parts = ", ".join(f"{word} {ms}" for word, ms in zip(WORDS[1:], took, strict=False))
-        return f"full service after {(at - self.began) // MS} ms ({parts})"
-
-    def stood_still(self, now: int, gap: int) -> list[str]:
-        """The front itself did not run for `gap` ns, and all but the list is to be found anew."""
-        if self.stage <= RecoveryPhase.LISTED:
+    def _advance_second(self, now: int) -> list[str]:
+        """Close the current second, and those after it in which nothing was finished."""
+        second = now // NS_PER_S
+        if second == self._current_second:
             return []
-        self.seconds.clear()
-        return self._enter(RecoveryPhase.LISTED, now, f"the front stood still for {gap // MS} ms")
+        self._past_seconds.append(self._current)
+        empty_seconds = min(second - self._current_second - 1, MAX_EVIDENCE_S)
+        self._past_seconds.extend(SecondTotals() for _ in range(empty_seconds))
+        self._current_second = second
+        self._current = SecondTotals()
+        return self._check_full_service(now)
+
+    def _check_full_service(self, now: int) -> list[str]:
+        if self.phase is not RecoveryPhase.LIMIT_CONFIRMED:
+            return []
+        evidence_s = self._full_service_seconds()
+        if not evidence_s:
+            return []
+        reason = f"{FULL_SERVICE_FRACTION:.2f} of the worth in time over {evidence_s} s"
+        messages = self._enter(RecoveryPhase.FULL_SERVICE, now, reason)
+        if not self._has_reported_full_service:
+            self._has_reported_full_service = True
+            messages.append(self._describe_full_service(now, evidence_s))
+        return messages
+
+    def _full_service_seconds(self) -> int:
+        """Return the seconds, back from now, that show full service; 0 if they don't or are too few."""
+        total = SecondTotals()
+        for evidence_s, second in enumerate(reversed(self._past_seconds), 1):
+            total.due_weight += second.due_weight
+            total.served_weight += second.served_weight
+            total.request_count += second.request_count
+            if evidence_s >= MIN_EVIDENCE_S and total.request_count >= MIN_EVIDENCE_REQUESTS:
+                return evidence_s if self._is_full_service(total) else 0
+        return 0
+
+    @staticmethod
+    def _is_full_service(total: SecondTotals) -> bool:
+        """Whether enough weight was served, one request being late by chance."""
+        mean_weight = total.due_weight / total.request_count
+        return total.served_weight + mean_weight >= FULL_SERVICE_FRACTION * total.due_weight
+
+    def _describe_full_service(self, now: int, evidence_s: int) -> str:
+        """Service counts as full from the beginning of the seconds that showed it."""
+        entered_at = self._entered_at_by_phase
+        limit_confirmed_at = entered_at.get(RecoveryPhase.LIMIT_CONFIRMED, now)
+        full_at = max(now - evidence_s * NS_PER_S, limit_confirmed_at, self._started_at)
+        earlier_phases = [phase for phase in RecoveryPhase if phase is not RecoveryPhase.FULL_SERVICE]
+        moments = [*(entered_at.get(phase, full_at) for phase in earlier_phases), full_at]
+        elapsed_ms = [max(end - start, 0) // NS_PER_MS for start, end in pairwise(moments)]
+        parts = ", ".join(f"{label} {ms}" for label, ms in zip(PHASE_LABELS[1:], elapsed_ms, strict=True))
+        return f"full service after {(full_at - self._started_at) // NS_PER_MS} ms ({parts})"
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Coming back: stages of a return, what a front begins with, and what old knowledge may still decide."""
+"""Recovery after a start: its phases, the initial limits, and what restored facts may still decide."""
 
 from __future__ import annotations
 
@@ -37,69 +37,79 @@
     make_settings,
 )
 
-# Stages
+# Phases
 
 
-def served(back: RecoveryTracker, since: int, seconds: int, share: float, each: int = 40) -> list[str]:
-    """So many requests a second, that share of them in time."""
-    lines = []
-    for n in range(seconds * each):
-        lines += back.over(since + n * SECOND // each, 1.0, n * 37 % 100 < share * 100)
-    return lines
+def finish_requests(
+    tracker: RecoveryTracker, since: int, seconds: int, share: float, per_second: int = 40
+) -> list[str]:
+    """Finish requests, that share of them in time; returns the log messages."""
+    messages = []
+    for n in range(seconds * per_second):
+        now = since + n * SECOND // per_second
+        messages += tracker.on_request_finished(now, 1.0, n * 37 % 100 < share * 100)
+    return messages
 
 
-def to_the_bound(back: RecoveryTracker, now: int) -> None:
-    back.listed(now)
-    back.answered(now, 8)
-    back.kept(now + SECOND)
+def confirm_limit(tracker: RecoveryTracker, now: int) -> None:
+    tracker.on_list_received(now)
+    tracker.on_first_responses(now, 8)
+    tracker.on_limit_held(now + SECOND)
 
 
-def test_a_return_goes_through_its_stages_and_claims_full_service_once() -> None:
-    back = RecoveryTracker(0)
-    assert back.answered(1, 8) == [] and back.kept(1) == [] and not back.stage
-    assert back.listed(10 * MS)[0].startswith("stage list: ") and back.listed(20 * MS) == []
-    assert back.answered(60 * MS, 21)[0].startswith("stage first answers: 21 answers, ")
-    assert back.unpressed(100 * MS) == []  # too early to know
-    assert back.unpressed(700 * MS)[0].startswith("stage bound: ")
-    lines = served(back, SECOND, 4, 0.9)
-    assert (back.stage, lines) == (RecoveryPhase.FOUND, [])  # a tenth is not served in time
-    lines = served(back, 5 * SECOND, 12, 1.0)
-    assert back.stage is RecoveryPhase.USUAL
+def test_recovery_passes_all_phases_and_reports_full_service_once() -> None:
+    tracker = RecoveryTracker(0)
+    assert tracker.on_first_responses(1, 8) == [] and tracker.on_limit_held(1) == [] and not tracker.phase
+    assert (
+        tracker.on_list_received(10 * MS)[0].startswith("stage list: ")
+        and tracker.on_list_received(20 * MS) == []
+    )
+    assert tracker.on_first_responses(60 * MS, 21)[0].startswith("stage first answers: 21 answers, ")
+    assert tracker.on_limit_idle(100 * MS) == []  # too early to know
+    assert tracker.on_limit_idle(700 * MS)[0].startswith("stage bound: ")
+    lines = finish_requests(tracker, SECOND, 4, 0.9)
+    assert (tracker.phase, lines) == (RecoveryPhase.LIMIT_CONFIRMED, [])  # a tenth is not served in time
+    lines = finish_requests(tracker, 5 * SECOND, 12, 1.0)
+    assert tracker.phase is RecoveryPhase.FULL_SERVICE
     claims = [line for line in lines if line.startswith("full service after ")]
     assert len(claims) == 1 and "list 10, first answers 50, bound 640" in claims[0]
-    back.stood_still(20 * SECOND, 5 * SECOND)
-    to_the_bound(back, 21 * SECOND)
-    assert not any("full service" in line for line in served(back, 23 * SECOND, 10, 1.0))
-    assert back.stage is RecoveryPhase.USUAL  # back, and not told again
+    tracker.on_process_pause(20 * SECOND, 5 * SECOND)
+    confirm_limit(tracker, 21 * SECOND)
+    assert not any("full service" in line for line in finish_requests(tracker, 23 * SECOND, 10, 1.0))
+    assert tracker.phase is RecoveryPhase.FULL_SERVICE  # reached again, and not reported again
 
 
-@pytest.mark.parametrize("each", [3, 8, 30])
-def test_thin_traffic_is_told_full_over_more_seconds_and_never_by_a_handful(each: int) -> None:
-    back = RecoveryTracker(0)
-    to_the_bound(back, 0)
-    lines = served(back, 2 * SECOND, 9, 1.0, each)
-    assert (back.stage is RecoveryPhase.USUAL) == (9 * each >= 60) and len(lines) in (0, 2)
+@pytest.mark.parametrize("per_second", [3, 8, 30])
+def test_sparse_traffic_shows_full_service_over_more_seconds_and_never_by_a_few_requests(
+    per_second: int,
+) -> None:
+    tracker = RecoveryTracker(0)
+    confirm_limit(tracker, 0)
+    lines = finish_requests(tracker, 2 * SECOND, 9, 1.0, per_second)
+    assert (tracker.phase is RecoveryPhase.FULL_SERVICE) == (9 * per_second >= 60) and len(lines) in (0, 2)
 
 
 def test_one_late_request_in_fifty_is_chance_and_three_are_not() -> None:
     for late, full in ((1, True), (2, True), (4, False)):
-        back = RecoveryTracker(0)
-        to_the_bound(back, 0)
+        tracker = RecoveryTracker(0)
+        confirm_limit(tracker, 0)
         for n in range(51):
-            back.over(2 * SECOND + n * 2 * SECOND // 50, 1.0, n >= late)
-        assert (back.stage is RecoveryPhase.USUAL) == full, late
+            tracker.on_request_finished(2 * SECOND + n * 2 * SECOND // 50, 1.0, n >= late)
+        assert (tracker.phase is RecoveryPhase.FULL_SERVICE) == full, late
 
 
-def test_a_standstill_of_the_front_leads_back_to_the_list() -> None:
-    back = RecoveryTracker(0)
-    assert back.stood_still(0, 60 * SECOND) == []  # nothing was known that could be old
-    to_the_bound(back, 0)
-    assert back.stood_still(12 * SECOND, 10 * SECOND)[0].startswith("stage list: the front stood still")
-    assert back.stage is RecoveryPhase.LISTED
+def test_a_process_pause_leads_back_to_the_list_phase() -> None:
+    tracker = RecoveryTracker(0)
+    assert tracker.on_process_pause(0, 60 * SECOND) == []  # nothing was known that could be old
+    confirm_limit(tracker, 0)
+    assert tracker.on_process_pause(12 * SECOND, 10 * SECOND)[0].startswith(
+        "stage list: the front stood still"
+    )
+    assert tracker.phase is RecoveryPhase.LIST_RECEIVED
 
 
 @pytest.mark.parametrize(("classes", "gap", "cut"), [(2, 3, True), (2, 1, False), (1, 3, False)])
-def test_a_bound_outlives_a_short_standstill_alone(classes: int, gap: int, cut: bool) -> None:
+def test_the_fetch_limit_survives_short_process_pauses_only(classes: int, gap: int, cut: bool) -> None:
     """After a long one all is found anew; where a class was never answered, nothing had been found."""
     bench = Bench()
     bench.ask(999, cls=1)
@@ -112,7 +122,7 @@
     assert bench.router.bound == (BOUND_START if cut else 200)
 
 
-# What a front begins with
+# Initial limits
 
 
 def test_calls_of_fronts_that_start_together_go_on_out_of_step() -> None:
@@ -155,7 +165,7 @@
     assert asked.count(CACHES[1]) < asked.count(CACHES[2])  # a cold one is asked for less
 
 
-# What is recalled
+# Restored facts
 
 
 def lived(bench: Bench) -> list[io.Learned]:
