--- a/quincepier/lab/consistency_trial.py
+++ b/quincepier/lab/consistency_trial.py
@@ -25,6 +25,7 @@
     DecisionInputs,
     Finding,
     ListedEndpoint,
+    RankingCache,
     SendMessage,
 )
 from quincepier.consistency.findings import LAGGING_KINDS
@@ -80,6 +81,7 @@
         self.build = "build-1"
         self.settings = fleet.settings
         self.corrupt: Callable[[DecisionInputs], DecisionInputs] = lambda inputs: inputs
+        self.ranking_cache: RankingCache = lambda zone, key_hash: None
         self.list_delay_ns = 0  # beyond the usual, until a list is adopted
         self._fleet = fleet
         self._starts = 0
@@ -106,10 +108,6 @@
         self.update_view()
         self._tick(self._starts)
 
-    def ranking_cache(self, zone: int, key_hash: int) -> Any:
-        """No cached ranking; tests replace this."""
-        return None
-
     def adopt(self, inputs: DecisionInputs) -> None:
         """Decide by these inputs from now on, as far as no fault corrupts them."""
         self.inputs = inputs
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -91,7 +91,7 @@
         before = [endpoint for endpoint in ENDPOINTS if endpoint.zone == zone and endpoint.kind == 0][:-1]
         return rank_endpoints(before, key_hash, True) if zone > 0 else None
 
-    front.ranking_cache = ranking_cache  # type: ignore[method-assign]
+    front.ranking_cache = ranking_cache
 
 
 def change_build(front: SimulatedFront) -> None:
