--- a/quincepier/__main__.py
+++ b/quincepier/__main__.py
@@ -93,10 +93,10 @@
 
         return command.run(chosen)
     if chosen["state"]:
-        from quincepier.net.state_persistence import stamp
         from quincepier.state import command as state_command
+        from quincepier.state import current_timestamp
 
-        return state_command.run(chosen, stamp())
+        return state_command.run(chosen, current_timestamp())
     place, operators = chosen["--operator"] or os.environ.get("ROUTER_OPERATOR"), None
     try:
         if place:
@@ -106,7 +106,7 @@
         config = load_front(path=chosen["--config"], judge=operators.judge if operators else None)
     except SettingsError as error:
         signals.ignore()  # it ends with the code that tells why
-        print(f"quincepier: {error}; {error.do}", file=sys.stderr)
+        print(f"quincepier: {error}; {error.advice}", file=sys.stderr)
         return 2
     if chosen["check-config"]:
         print(summary(config) + (f"\n{operators.summary}" if operators else ""))
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -11,7 +11,7 @@
 from quincepier.interface import AttemptOutcome
 from quincepier.memory.buffer_pool import PooledBody
 from quincepier.memory.open_requests import OpenAttempt
-from quincepier.net.sockets import NO_BUFFER_PAUSE, Unreached, connect
+from quincepier.net.sockets import NO_BUFFER_PAUSE, ConnectFailedError, connect
 from quincepier.wire import lines
 from quincepier.wire.errors import ProtocolError
 
@@ -83,7 +83,10 @@
         self.past(id)
         self.write(None, lines.cancel(id))
         # Nothing heard since it went out: the peer may have lost this connection. New ones try it.
-        silent = self.heard < attempt.at and clock.now() - attempt.at > self.shared.config.dial_timeout
+        silent = (
+            self.heard < attempt.started_at_ns
+            and clock.now() - attempt.started_at_ns > self.shared.config.dial_timeout
+        )
         self.doubtful = self.doubtful or silent
         if silent:
             self.against("silent", owed=True)
@@ -159,18 +162,18 @@
             self.against("ended")
         except ProtocolError as error:
             self.against("an answer that can't be read")
-            self.shared.checks.event("bad answer of a cache", f"{self.actor.host}: {error}")
-        except Unreached as error:
+            self.shared.checks.event("cache_protocol_error", f"{self.actor.host}: {error}")
+        except ConnectFailedError as error:
             self.absent = error.absent
-            self.shared.checks.count("cache connections not up over any address")
+            self.shared.checks.count("cache_connections_failed_all_addresses")
         except TimeoutError:
             self.absent = True
-            self.shared.checks.count("cache connections not up in time")
+            self.shared.checks.count("cache_connect_timeouts")
         except ConnectionRefusedError:
             self.absent = True
-            self.shared.checks.count("cache connections refused")
+            self.shared.checks.count("cache_connections_refused")
         except OSError:  # told to the module by how its attempts end
-            self.shared.checks.count("cache connections reset")
+            self.shared.checks.count("cache_connections_reset")
             self.against("reset")
         finally:
             for task in work:
@@ -224,11 +227,11 @@
             what, command = self.outgoing[0]
             stale = self.shared.stale
             if isinstance(what, OpenAttempt) and (
-                what.barred(clock.now()) or (stale is not None and stale())
+                what.is_barred(clock.now()) or (stale is not None and stale())
             ):
                 # looked at right before its first byte: a front that stood still may have lost its lease
                 self.outgoing.popleft()
-                self.open.pop(what.request.job, None)
+                self.open.pop(what.request.job_id, None)
                 self.actor.ended(what, AttemptOutcome.NOT_PROCESSED, clock.now())
                 continue
             try:
@@ -261,7 +264,7 @@
         await self._readable(loop, sock)
         try:
             while True:
-                while (buffers := pool.take()) is None:
+                while (buffers := pool.acquire()) is None:
                     await asyncio.sleep(NO_BUFFER_PAUSE)
                 try:
                     view = memoryview(buffers[0])
@@ -273,7 +276,7 @@
                 except (BlockingIOError, InterruptedError):
                     row = 0
                 finally:
-                    pool.give(buffers)
+                    pool.release(buffers)
                 if not row:
                     await self._readable(loop, sock)
                 elif row % READS == 0:  # others get their turn
@@ -326,7 +329,7 @@
         self.surplus = False
         if isinstance(what, Probe) != (head.word in PROBE_WORDS):
             raise ProtocolError(f"the answer {head.word} to another command")
-        if isinstance(what, OpenAttempt) and head.word == "unchanged" and not what.request.known:
+        if isinstance(what, OpenAttempt) and head.word == "unchanged" and not what.request.known_version:
             raise ProtocolError("unchanged, though no copy was named")
         if isinstance(what, OpenAttempt) and head.word == "data":
             self.body = await self.shared.room(head.length)
@@ -340,7 +343,7 @@
         what = None if self.surplus else self.open.pop(head.id, None)
         if what is None:  # or given up before its answer was whole
             known = head.id in self.ghosts
-            self.shared.checks.count("late or second answers dropped" if known else "unasked answers dropped")
+            self.shared.checks.count("late_responses_dropped" if known else "unsolicited_responses_dropped")
             if body is not None:
                 body.release()
         else:
--- a/quincepier/net/fleet/active_rules.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -82,7 +82,7 @@
             return None
         from quincepier.tenancy import PlacementTable
 
-        settings, number = self.module.config.settings, self.module.directory.numbers.get
+        settings, number = self.module.config.settings, self.module.directory.number_by_host.get
         return PlacementTable(version, cautious, number, self.tenants, settings.classes, self.listed, unsure)
 
     def listed(self) -> tuple[frozenset[int], frozenset[int]]:
@@ -90,7 +90,7 @@
         s = self.module.config.settings
         ready = [
             e.machine
-            for e in self.module.directory.entries.values()
+            for e in self.module.directory.entry_by_host.values()
             if e.machine.state is EndpointState.READY
         ]
         upper = (s.parent_kind, s.origin_kind)
--- a/tests/agreementrig.py
+++ b/tests/agreementrig.py
@@ -214,7 +214,7 @@
     run = asyncio.run(asyncio.wait_for(rig.play(), 110))
     if rig.failed is not None:
         raise rig.failed
-    breaks = ("fronts differ", "decision without a reason", "exception in the fleet",
+    breaks = ("front_diverged", "unexplained_decision", "exception in the fleet",
               "exception in a planner")  # fmt: skip
     assert not [line for event in breaks for line in rig.said(event)][:3]
     assert not run.void, run.void
@@ -228,8 +228,8 @@
     """
     host = f"s-{cache}"
     told = [line for line in rig.said("order step", machine=host) if line.at >= since]
-    empty = next(line.at for line in told if line.fields["step"] == "empty") + MS
-    back = next(line.at for line in told if line.fields["step"] == "back")
+    empty = next(line.at for line in told if line.fields["step"] == "drained") + MS
+    back = next(line.at for line in told if line.fields["step"] == "restored")
     late = rig.commands(cache, empty, back)
     assert empty < back and not late, late[:3]
     return empty, back
--- /dev/null
+++ b/tests/membershipkit.py
@@ -0,0 +1,169 @@
+"""A fleet of processes with membership, for fault injection; their views are read from their logs."""
+
+from __future__ import annotations
+
+import asyncio
+import datetime
+import json
+import signal
+import statistics
+import time
+from collections.abc import Callable, Sequence
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from quincepier.lab.experiment import load
+from quincepier.lab.fleet import relay
+from quincepier.lab.fleet.places import front_address, pair_address
+from quincepier.lab.fleet.rig import Rig
+
+TEXT = """
+name: members
+seconds: 5
+seeds: [1]
+fleet: {{zones: 1, fronts: {fronts}, caches: 1, parents: 1}}
+load: {{rate: 1}}
+classes:
+  - {{name: video, share: 1, send_ms: 40, wanted_ms: 600, deadline_ms: 2000}}
+"""
+
+
+class Change(NamedTuple):
+    """A change of one front's view; `at` in seconds of Unix time."""
+
+    at: float
+    front: int
+    members: int
+    joined: tuple[str, ...]
+    removed: tuple[str, ...]
+
+
+class FaultEffect(NamedTuple):
+    """What one fault did to the views of the fronts that it did not strike."""
+
+    wrong_removals: int  # of members that were well, over all views
+    detection_s: tuple[float, ...]  # from the fault until each front had removed each faulty one
+    changes: tuple[int, ...]  # of the view, of each front
+    recovery_s: float  # from the end of the fault until all see all
+
+
+def operators_file(front: int, rig: Rig) -> str:
+    """The operators' file of a front: it reaches the others by paths of its own through the relay."""
+    count = rig.experiment.fleet.fronts
+    own = f"n{front}: '{front_address(front)}:{rig.peer_port}'"
+    others = [f"n{n}: '{pair_address(front, n)}:{rig.ports['peers']}'" for n in range(count) if n != front]
+    fronts = ", ".join([own, *others])
+    return f"log: {{format: json}}\nmembers: {{fleet: rig, fronts: {{{fronts}}}}}\n"
+
+
+class Fleet(Rig):
+    """Started whole; the test that holds it injects the faults."""
+
+    def __init__(
+        self, folder: Path, count: int, operators: Callable[[int, Rig], str] = operators_file
+    ) -> None:
+        path = folder / "members.yaml"
+        path.write_text(TEXT.format(fronts=count))
+        experiment = load(str(path))
+        super().__init__(str(path), experiment, experiment.variants[0], 1, operators=operators)
+        self.count = count
+
+    async def __aenter__(self) -> Fleet:
+        self._room()
+        self.folder = self._folder()
+        try:
+            await self._start()
+        except BaseException:
+            await self._end()
+            raise
+        return self
+
+    async def __aexit__(self, *about: object) -> None:
+        await self._end()
+
+    def log_records(self, event: str) -> list[tuple[float, int, dict[str, Any]]]:
+        found = []
+        for front in self.fronts:
+            for line in (front.folder / "log").read_text(errors="replace").splitlines():
+                if f'"{event}"' in line and line.startswith("{") and line.endswith("}"):
+                    record = json.loads(line)
+                    at = datetime.datetime.fromisoformat(record["time"]).timestamp()
+                    found.append((at, front.number, record["fields"]))
+        return sorted(found, key=lambda record: record[:2])
+
+    def changes(self, since: float = 0.0) -> list[Change]:
+        def names(text: str) -> tuple[str, ...]:
+            return () if text == "nobody" else tuple(text.split(", "))
+
+        return [
+            Change(at, front, f["members"], names(f["joined"]), names(f["removed"]))
+            for at, front, f in self.log_records("view_changed")
+            if at >= since
+        ]
+
+    def member_counts(self) -> list[int]:
+        """How many members each front that runs sees."""
+        seen = dict.fromkeys(range(self.count), 1)
+        starts = self.log_records("member_listening")  # a front sees itself alone at first
+        records = self.log_records("view_changed") + starts
+        for _, front, fields in sorted(records, key=lambda record: record[0]):
+            seen[front] = fields.get("members", 1)
+        return [seen[front.number] for front in self.fronts if front.alive]
+
+    async def wait_for_views(
+        self, count: int, timeout_s: float, observers: Sequence[int] | None = None
+    ) -> float:
+        """Seconds until all observers see so many members; TimeoutError with what they see."""
+        began = time.monotonic()
+        while True:
+            seen = self.member_counts()
+            if all(n == count for n in ([seen[i] for i in observers] if observers is not None else seen)):
+                return time.monotonic() - began
+            if time.monotonic() - began > timeout_s:
+                raise TimeoutError(f"{count} wanted, seen: {seen}")
+            await asyncio.sleep(0.1)
+
+    def set_fault(self, kind: str, fronts: Sequence[int], heal: bool = False, **more: Any) -> None:
+        """Has the relay strike, or heal, the paths between the fronts."""
+        fault: dict[str, Any] = {"kind": kind, "path": relay.PEERS, "way": "both", "size": 0.0}
+        self.relays[relay.PEERS].say(**{**fault, **more}, fronts=list(fronts), heal=heal)
+
+    async def effect_of(
+        self, inject: Callable[[], Any], faulty: Sequence[int] = (), timeout_s: float = 60.0
+    ) -> FaultEffect:
+        """Injects a fault that ends and waits for the views to recover; `faulty`: rightly removed."""
+        since = time.time()
+        await inject()
+        recovery_s = await self.wait_for_views(self.count, timeout_s)
+        await asyncio.sleep(3.0)  # suspicions raised now would time out
+        faulty_names = {f"n{n}" for n in faulty}
+        observed = [change for change in self.changes(since) if change.front not in faulty]
+        wrong_removals = sum(len(set(change.removed) - faulty_names) for change in observed)
+        detection_s = tuple(
+            change.at - since for change in observed for name in change.removed if name in faulty_names
+        )
+        counts = [sum(c.front == n for c in observed) for n in range(self.count) if n not in faulty]
+        return FaultEffect(wrong_removals, detection_s, tuple(counts), recovery_s)
+
+    async def pause(self, fronts: Sequence[int], duration_s: float) -> None:
+        for n in fronts:
+            self.fronts[n].signal(signal.SIGSTOP)
+        await asyncio.sleep(duration_s)
+        for n in fronts:
+            self.fronts[n].signal(signal.SIGCONT)
+
+    async def kill(self, fronts: Sequence[int], down_s: float) -> None:
+        for n in fronts:
+            self.fronts[n].kill()
+        await asyncio.sleep(down_s)
+        await asyncio.gather(*(self.fronts[n].start() for n in fronts))
+
+    async def strike_paths(self, kind: str, fronts: Sequence[int], duration_s: float, **more: Any) -> None:
+        self.set_fault(kind, fronts, **more)
+        await asyncio.sleep(duration_s)
+        self.set_fault(kind, fronts, heal=True, **more)
+
+
+def median(values: Sequence[float]) -> float:
+    """The median, 0 where there is none."""
+    return statistics.median(values) if values else 0.0
--- a/tests/test_consensus_explored.py
+++ b/tests/test_consensus_explored.py
@@ -10,8 +10,8 @@
 
 from quincepier.consensus import SendMessage, election, replication
 from quincepier.consensus.raft_state import RaftRole, RaftState
-from quincepier.lab.agreement import Breach
 from quincepier.lab.explored import Budget, Explorer
+from quincepier.lab.raft_simulation import SafetyViolationError
 from quincepier.state.voter_records import HardState
 
 Patch = pytest.MonkeyPatch
@@ -76,8 +76,9 @@
 
 def entries_of_earlier_terms_are_committed_by_count(patch: Patch) -> None:
     def advance_commit_index(state: RaftState) -> None:
-        if state.role is RaftRole.LEADER:
-            matches = [progress.match_index for progress in state.progress_by_identity.values()]
+        if state.leader_state is not None:
+            progress_by_identity = state.leader_state.progress_by_identity
+            matches = [progress.match_index for progress in progress_by_identity.values()]
             matches = sorted([state.persistence.durable_index, *matches], reverse=True)
             index = max(state.commit_index, matches[state.quorum_size - 1])
             replication.commit_up_to(state, index)
@@ -121,7 +122,7 @@
 ) -> None:
     Explorer(left, logs, 3 if logs else 0).walk(1, 100)
     mutant(monkeypatch)
-    with pytest.raises(Breach):
+    with pytest.raises(SafetyViolationError):
         Explorer(left, logs, 3 if logs else 0).walk(1, 4000)
 
 
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -20,7 +20,7 @@
 from quincepier.translate import (
     ENDINGS,
     NOTES,
-    BadRequest,
+    BadRequestError,
     attempt_ended,
     class_table,
     note_of,
@@ -51,29 +51,31 @@
     """Caches know the repeats of a keyed write by it; without it they take the request for another one."""
     taken, known = open_request(call(b"xy", "bid", HTTP_X_UNIQUE=key), CLASSES, Inbox(), 50), directory()
     for sent in range(2):  # each attempt
-        fields = serve_fields(io.ForwardRequest(1, known.number("s-1"), sent), taken, known, clock.SECOND)
+        fields = serve_fields(
+            io.ForwardRequest(1, known.assign_number("s-1"), sent), taken, known, clock.SECOND
+        )
         assert [value for name, value in fields if name == "once"] == [key]
     plain = open_request(call(b"xy", "bid"), CLASSES, Inbox(), 50)
-    ask = io.ForwardRequest(1, known.number("s-1"), 0)
+    ask = io.ForwardRequest(1, known.assign_number("s-1"), 0)
     assert "once" not in dict(serve_fields(ask, plain, known, clock.SECOND))
 
 
 @pytest.mark.parametrize("key", ["a b", "a,b=c", "k" * 65, "a\r\nb", "ä"])
 def test_idempotency_key_that_would_be_more_than_one_field_is_refused(key: str) -> None:
-    with pytest.raises(BadRequest, match="HTTP_X_UNIQUE|line break"):
+    with pytest.raises(BadRequestError, match="HTTP_X_UNIQUE|line break"):
         open_request(call(b"xy", "bid", HTTP_X_UNIQUE=key), CLASSES, Inbox(), 50)
 
 
 def test_request_in_the_stated_form() -> None:
     taken = open_request(call(b"xy", HTTP_X_AGAIN="1", HTTP_X_MINE="4be0c1927d55a6f3"), CLASSES, Inbox(), 50)
-    assert (taken.stream, taken.job, taken.cls, taken.class_name) == (4, JOB, 1, "lot-image")
-    assert (taken.item, taken.object, taken.part, taken.group) == (
+    assert (taken.stream_id, taken.job_id, taken.class_index, taken.class_name) == (4, JOB, 1, "lot-image")
+    assert (taken.object_key, taken.object_id, taken.part, taken.group) == (
         "7f3a9c21e0b4d655",
         0x7F3A9C21E0B4D655,
         0,
         17,
     )
-    assert (taken.repeat, taken.known, taken.allow, taken.body) == (
+    assert (taken.is_repeat, taken.known_version, taken.allowed_ns, taken.body) == (
         True,
         "4be0c1927d55a6f3",
         3000 * clock.MS,
@@ -109,13 +111,13 @@
     ],
 )
 def test_requests_of_another_form_are_failed(changes: dict[str, Any], status: int, named: str) -> None:
-    with pytest.raises(BadRequest, match=named) as error:
+    with pytest.raises(BadRequestError, match=named) as error:
         open_request(call(**changes), CLASSES, Inbox(), 0)
     assert error.value.status == status
 
 
 def test_time_left_counts_from_when_the_request_was_there() -> None:
-    taken = frontkit.open_request(Inbox(), allow=3000 * clock.MS, came=100)
+    taken = frontkit.open_request(Inbox(), allowed_ns=3000 * clock.MS, received_at_ns=100)
     taken.number = 8
     assert request_came(taken, 100).time_left == 3000 * clock.MS
     assert request_came(taken, 100 + 200 * clock.MS).time_left == 2800 * clock.MS
@@ -147,7 +149,7 @@
 
     assert attempt_ended(attempt, Ended(attempt, AttemptOutcome.OK, 1500, CacheStatus.HIT, 7)).elapsed == 500
     assert last(AttemptOutcome.OK) and not last(AttemptOutcome.TIMEOUT) and not last(AttemptOutcome.CANCELLED)
-    taken.over = True
+    taken.is_finished = True
     assert last(AttemptOutcome.TIMEOUT)
 
 
@@ -160,8 +162,8 @@
 
 
 def test_fields_of_a_command() -> None:
-    known, taken = directory(), frontkit.open_request(Inbox(), known="4be0c1927d55a6f3", part=3)
-    edge, parent = known.number("s-1"), known.number("p-1")
+    known, taken = directory(), frontkit.open_request(Inbox(), known_version="4be0c1927d55a6f3", part=3)
+    edge, parent = known.assign_number("s-1"), known.assign_number("p-1")
     ask = serve_fields(io.ForwardRequest(1, edge, 0), taken, known, 1500 * clock.MS)
     plain = [("class", "lot-image"), ("key", "7f3a9c21e0b4d655"), ("part", "3"), ("wait", "1500")]
     assert ask == [*plain, ("known", "4be0c1927d55a6f3")]
@@ -171,16 +173,18 @@
         ("tier", "2"),
         ("fresh", "1"),
         ("opts", "join+held+renew"),
-        ("known", taken.known),
+        ("known", taken.known_version),
     ]
     assert serve_fields(fetch, taken, known, 1500 * clock.MS) == [*plain, *more]
     own = io.FetchThrough(1, edge, 0, edge, 0, 0, False, False, False)
-    assert serve_fields(own, taken, known, 0) == [*plain[:3], ("wait", "1"), ("known", taken.known)]
+    assert serve_fields(own, taken, known, 0) == [*plain[:3], ("wait", "1"), ("known", taken.known_version)]
 
 
 def test_an_age_under_a_millisecond_is_not_sent_as_no_limit() -> None:
     known, taken = directory(), frontkit.open_request(Inbox())
-    fetch = io.FetchThrough(1, known.number("s-1"), 0, known.number("p-1"), 1, 900_000, False, False, False)
+    fetch = io.FetchThrough(
+        1, known.assign_number("s-1"), 0, known.assign_number("p-1"), 1, 900_000, False, False, False
+    )
     assert ("fresh", "1") in serve_fields(fetch, taken, known, clock.SECOND)
 
 
@@ -189,14 +193,15 @@
     config, known, seed, now = make_config(), directory(), 9, 10**9
     conf = "\n".join(f"{key}={value}" for key, value in lay_out(frontkit.SETTINGS)).encode()
     entries = [
-        struct.pack("<HfIQBHB", m.cell, m.size, m.cache, 0, m.kind, m.zone, 0) for m in known.whole().machines
+        struct.pack("<HfIQBHB", m.cell, m.size, m.cache, 0, m.kind, m.zone, 0)
+        for m in known.full_list().machines
     ]
     host = Host()
     start = wirekit.record(1000, struct.pack("<IQI", 3, seed, len(conf)) + conf)
     view = wirekit.record(1010, struct.pack("<IBII", 3, 3, 1, len(entries)) + b"".join(entries))
     host.reply(wirekit.frame(start, view, now=now))
     router, requests = Router(config.settings, seed, now), OpenRequestTable(100)
-    news = known.whole()
+    news = known.full_list()
     router.handle(now, io.EndpointUpdate(io.UpdateScope.RESTORED, news.machines))
 
     def same(event: io.Event, code: int, fields: bytes) -> list[io.Action]:
@@ -216,17 +221,17 @@
         )
         requests.add(taken)
         event = request_came(taken, now)
-        packed = (3, taken.number, cls, 0.0, 0, 17.0, n % 7 + 1, float(part), 0, taken.allow)
+        packed = (3, taken.number, cls, 0.0, 0, 17.0, n % 7 + 1, float(part), 0, taken.allowed_ns)
         actions = same(event, 1020, struct.pack("<IIBfHfQfBQ", *packed))
         for action in actions:
             if isinstance(action, io.ForwardRequest | io.FetchThrough):
                 asked += 1
-                attempt = requests.attempt(taken, action.cache, now)
+                attempt = requests.start_attempt(taken, action.cache, now)
                 endings = (AttemptOutcome.OK, 0), (AttemptOutcome.OVERLOADED, 11), (AttemptOutcome.RESET, 104)
                 ending, number = endings[0 if n % 5 else n // 5 % 3]
                 now += 20 * clock.MS
                 ended = attempt_ended(attempt, Ended(attempt, ending, now, CacheStatus.FILLED, 5))
-                taken.over = ending is AttemptOutcome.OK
+                taken.is_finished = ending is AttemptOutcome.OK
                 outcome = (3, taken.number, 0, action.cache, number, 20 * clock.MS, ended.last, 2, 5, 0)
                 same(ended, 1040, struct.pack("<IIHIBQBBQB", *outcome))
     assert asked >= 40
