--- a/tests/test_agreement_processes.py
+++ b/tests/test_agreement_processes.py
@@ -28,6 +28,7 @@
     await rig.line("order step", machine="s-1", step="completed")
 
 
+@pytest.mark.fleet(14)
 def test_an_order_for_one_cache_goes_through_all_its_steps_and_no_command_reaches_it(tmp_path: Path) -> None:
     async def story(rig: Fronts) -> None:
         await rig.leader()
@@ -52,6 +53,7 @@
     assert steps_of(rig, 1) == WHOLE
 
 
+@pytest.mark.fleet(21)
 @pytest.mark.parametrize("step", ["draining", "out"])
 def test_a_leader_killed_in_the_middle_of_an_order_is_followed_by_one_that_goes_on(
     tmp_path: Path, step: str
@@ -75,6 +77,7 @@
     good(Fronts(tmp_path, story))
 
 
+@pytest.mark.fleet(22)
 def test_halves_cut_in_the_middle_the_one_without_a_quorum_agrees_on_nothing_and_serves_on(
     tmp_path: Path,
 ) -> None:
@@ -112,6 +115,7 @@
     assert len(sent) > 5  # they served on
 
 
+@pytest.mark.fleet(22)
 def test_a_leader_that_stands_still_for_five_seconds_does_no_harm_as_it_goes_on(tmp_path: Path) -> None:
     async def story(rig: Fronts) -> None:
         first = await rig.leader()
@@ -129,6 +133,7 @@
     good(Fronts(tmp_path, story))
 
 
+@pytest.mark.fleet(23)
 @pytest.mark.parametrize("lost", [False, True])
 def test_all_fronts_killed_at_once_in_the_middle_of_an_order(tmp_path: Path, lost: bool) -> None:
     """With their folders the order goes on where it was; without, it is settled anew and begins anew."""
@@ -158,6 +163,7 @@
     assert steps == (WHOLE if lost else WHOLE[3:])
 
 
+@pytest.mark.fleet(31)
 def test_an_order_goes_through_with_half_a_second_of_delay_between_all_fronts(tmp_path: Path) -> None:
     async def story(rig: Fronts) -> None:
         await rig.leader()
@@ -189,6 +195,7 @@
     return [n for n in rig.notes if n[1] == "sent" and n[2] in jobs and n[4] in caches and n[0] > since]
 
 
+@pytest.mark.fleet(15)
 def test_a_move_is_rolled_back_during_a_cut_and_what_may_not_be_repeated_never_ran_at_the_new_home(
     tmp_path: Path,
 ) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -172,6 +172,7 @@
 # Processes
 
 
+@pytest.mark.fleet(14)
 def test_six_fronts_with_faults_of_every_kind_between_them(tmp_path: Path) -> None:
     """Four are killed at the fifth fill after a moment, others stopped, ended, cut off; no rule breaks."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -192,6 +193,7 @@
     ).replace("https://matplotlib.org", "").replace("http://creativecommons.org", "")
 
 
+@pytest.mark.fleet(16)
 def test_the_judge_finds_each_wrong_front_by_its_rule_and_accuses_no_other(tmp_path: Path) -> None:
     wrong = {1: "answer twice", 2: "bid repeated", 3: "past the grace", 4: "purged copy", 5: "never answers",
              6: "claims at once"}  # fmt: skip
@@ -219,6 +221,7 @@
     assert run.accused.keys() == {"answer", "effect", "drain", "purge", "claim"}
 
 
+@pytest.mark.fleet(10)
 @pytest.mark.parametrize("right", [True, False])
 def test_a_fleet_that_pushes_cold_caches_over_is_caught(tmp_path: Path, right: bool) -> None:
     text = f"""
@@ -373,6 +376,7 @@
         await super()._run()
 
 
+@pytest.mark.fleet(6)
 @pytest.mark.parametrize(
     ("whose", "number", "says"),
     [("standins", signal.SIGKILL, "ended by itself"), ("load-0", signal.SIGSTOP, "can't keep its pace")],
@@ -391,6 +395,7 @@
         played(tmp_path, QUICK, lambda front: SERVE if front == 0 else (sys.executable, "-c", says))
 
 
+@pytest.mark.fleet(2)
 def test_what_can_not_be_set_up_is_told_before_anything_is_started(tmp_path: Path) -> None:
     good = written(tmp_path, QUICK)
     large = tmp_path / "large.yaml"
@@ -417,6 +422,7 @@
         play(Experiment("x", load(good).classes, faults=(Fault(1, Kind.CUT),)), "as it is", 1)
 
 
+@pytest.mark.fleet(2)
 def test_a_rig_that_is_killed_leaves_no_process_and_no_folder(tmp_path: Path) -> None:
     path = written(tmp_path, QUICK.replace("seconds: 4", "seconds: 60"))
     place = tmp_path / "tmp"
@@ -468,6 +474,7 @@
     return found
 
 
+@pytest.mark.fleet(15)
 def test_processes_and_virtual_time_agree(tmp_path: Path) -> None:
     """The same small experiment: worth within 0.05, the greatest half second of dials within 1.5 times.
 
@@ -523,6 +530,7 @@
     assert figures.seconds[-1] == 1.0 and min(figures.seconds[2:5]) < 0.95
 
 
+@pytest.mark.fleet(9)
 def test_a_kept_run_as_json_names_its_figures(tmp_path: Path) -> None:
     path = written(tmp_path, QUICK)
     out = tmp_path / "runs.json"
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -9,6 +9,8 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
+import pytest
+
 from quincepier.membership import ProbeIntervals
 from quincepier.membership.probe_intervals import SECOND
 from tests.membershipkit import Fleet, median, operators_file
@@ -28,6 +30,7 @@
     asyncio.run(run())
 
 
+@pytest.mark.fleet(27)
 def test_no_healthy_front_is_removed_by_loss_a_pause_or_a_one_way_partition(tmp_path: Path) -> None:
     """A fifth of all datagrams lost; one stopped for 0.5 and for 2 s; what one sends to half is lost."""
 
@@ -44,6 +47,7 @@
     run_scenario(tmp_path, scenario)
 
 
+@pytest.mark.fleet(12)
 def test_a_death_is_one_change_of_each_view_and_so_is_the_return(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         effect = await fleet.effect_of(lambda: fleet.kill([7], 6), faulty=[7])
@@ -57,6 +61,7 @@
     run_scenario(tmp_path, scenario)
 
 
+@pytest.mark.fleet(13)
 def test_halves_of_a_partition_see_themselves_and_merge_again(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.set_fault("cut", NEAR, apart=FAR)
@@ -73,6 +78,7 @@
     run_scenario(tmp_path, scenario)
 
 
+@pytest.mark.fleet(33)
 def test_most_are_killed_and_return_and_a_paused_one_is_alone_until_it_hears_others(tmp_path: Path) -> None:
     """Five of eight killed; then one stopped for 10 s: it is removed, and sees itself alone till it hears."""
 
@@ -89,6 +95,7 @@
     run_scenario(tmp_path, scenario)
 
 
+@pytest.mark.fleet(3)
 def test_a_leave_removes_at_once_and_a_front_without_an_endpoint_says_what_to_write(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         file = fleet.fronts[0].told
--- a/tests/test_return_fleet.py
+++ b/tests/test_return_fleet.py
@@ -5,6 +5,8 @@
 import asyncio
 from pathlib import Path
 
+import pytest
+
 from quincepier.lab.experiment import load
 from quincepier.lab.fleet.evidence import FleetRun
 from quincepier.lab.fleet.rig import Rig
@@ -40,6 +42,7 @@
     return [line for line in said.splitlines() if text in line]
 
 
+@pytest.mark.fleet(18)
 def test_all_are_killed_as_a_purge_and_a_drain_are_told_and_again_in_the_middle_half_with_state(
     tmp_path: Path,
 ) -> None:
@@ -68,6 +71,7 @@
     assert all(run.figures.rules.get(rule, 0) > 0 for rule in ("answer", "drain", "purge"))
 
 
+@pytest.mark.fleet(14)
 def test_states_cut_spoilt_and_lost_with_all_fronts_are_told_and_cost_no_rule(tmp_path: Path) -> None:
     run, said = played(
         tmp_path,
@@ -86,6 +90,7 @@
         assert not lines(text, "state_read: ") and "exception" not in text
 
 
+@pytest.mark.fleet(14)
 def test_a_state_put_back_to_an_older_copy_and_a_front_that_dies_every_two_seconds(tmp_path: Path) -> None:
     """One of six is killed four times, each time with the folder as it was when the run began."""
     faults = "\n".join(
