--- a/quincepier/consensus/cluster_configuration.py
+++ b/quincepier/consensus/cluster_configuration.py
@@ -53,9 +53,7 @@
 
 def bind_to_configuration(state: RaftState, configuration: tuple[Member, ...]) -> None:
     """Begin the log with this configuration."""
-    snapshot = Snapshot(0, 0, configuration)
-    state.log.install(snapshot)
-    state.records.append(snapshot)
+    state.install_snapshot(Snapshot(0, 0, configuration))
 
 
 def on_hello(state: RaftState, message: Message, hello: Hello) -> None:
--- a/quincepier/consensus/election.py
+++ b/quincepier/consensus/election.py
@@ -14,7 +14,8 @@
 
 from quincepier.consensus.leader_state import LeaderState
 from quincepier.consensus.messages import Message, RequestVote, VoteResponse
-from quincepier.consensus.raft_state import RaftRole, RaftState
+from quincepier.consensus.raft_role import RaftRole
+from quincepier.consensus.raft_state import RaftState
 
 
 def on_tick(state: RaftState) -> None:
--- a/quincepier/consensus/raft_state.py
+++ b/quincepier/consensus/raft_state.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
-from enum import Enum, StrEnum
+from enum import StrEnum
 
 from quincepier.consensus.actions import (
     Action,
@@ -27,6 +27,7 @@
 from quincepier.consensus.persistence import PersistenceProgress
 from quincepier.consensus.process_starts import ProcessStartRegistry
 from quincepier.consensus.raft_log import RaftLog
+from quincepier.consensus.raft_role import ROLE_TRANSITIONS, RaftRole
 from quincepier.state.voter_records import (
     EntryKind,
     HardState,
@@ -38,29 +39,6 @@
 )
 
 
-class RaftRole(Enum):
-    """Role of a voter in its term (Raft 5.1; pre-candidate: thesis 9.6)."""
-
-    FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre_candidate"
-    CANDIDATE = "candidate"
-    LEADER = "leader"
-
-
-# Without pre-vote a follower becomes candidate at once; a timeout restarts an election (Raft, figure 4).
-ROLE_TRANSITIONS = {
-    RaftRole.FOLLOWER: {RaftRole.FOLLOWER, RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE},
-    RaftRole.PRE_CANDIDATE: {RaftRole.FOLLOWER, RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE},
-    RaftRole.CANDIDATE: {
-        RaftRole.FOLLOWER,
-        RaftRole.PRE_CANDIDATE,
-        RaftRole.CANDIDATE,
-        RaftRole.LEADER,
-    },
-    RaftRole.LEADER: {RaftRole.FOLLOWER},
-}
-
-
 class DropReason(StrEnum):
     """Why a message or a proposal was not accepted; the key of its counter."""
 
@@ -238,6 +216,22 @@
         self.log.append(entry)
         self.records.append(entry)
 
+    def install_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the log up to the snapshot, and all of it if it is of another history."""
+        if self.log.term_at(snapshot.index) != snapshot.term:
+            self.persistence.reset()
+        self.log.install(snapshot)
+        self.records.append(snapshot)
+
+    def compact_log(self) -> None:
+        """Replace the committed entries by a snapshot."""
+        self.records.append(self.log.compact(self.commit_index))
+
+    def report_committed_entry(self, entry: LogEntry) -> None:
+        """Hand on a committed entry, if it holds data."""
+        if entry.kind is EntryKind.DATA:
+            self.committed.append(EntryCommitted(entry.index, entry.term, entry.data))
+
     def report_committed_snapshot(self, snapshot: Snapshot) -> None:
         """Hand on the newest committed data of a snapshot, if it holds any."""
         if snapshot.data_index:
--- a/quincepier/consensus/replication.py
+++ b/quincepier/consensus/replication.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from quincepier.consensus.actions import EntryCommitted
 from quincepier.consensus.follower_progress import FollowerProgress, ResponseId
 from quincepier.consensus.leader_state import LeaderState
 from quincepier.consensus.messages import (
@@ -18,8 +17,9 @@
     Message,
     StorageRollback,
 )
-from quincepier.consensus.raft_state import DropReason, RaftRole, RaftState
-from quincepier.state.voter_records import EntryKind, LogEntry, Member, Snapshot
+from quincepier.consensus.raft_role import RaftRole
+from quincepier.consensus.raft_state import DropReason, RaftState
+from quincepier.state.voter_records import EntryKind, LogEntry, Member
 
 
 def send_due_heartbeats(state: RaftState) -> None:
@@ -153,19 +153,12 @@
     _on_leader_contact(state, message)
     snapshot = request.snapshot
     if snapshot.index > state.commit_index or state.log.snapshot is None:
-        _install_snapshot(state, snapshot)
+        state.install_snapshot(snapshot)
+        state.commit_index = max(state.commit_index, snapshot.index)
+        state.report_committed_snapshot(snapshot)
     send_append_response(state, message, request.sent_at_ns, True, snapshot.index)
 
 
-def _install_snapshot(state: RaftState, snapshot: Snapshot) -> None:
-    if state.log.term_at(snapshot.index) != snapshot.term:
-        state.persistence.reset()
-    state.log.install(snapshot)
-    state.records.append(snapshot)
-    state.commit_index = max(state.commit_index, snapshot.index)
-    state.report_committed_snapshot(snapshot)
-
-
 def on_append_entries_response(state: RaftState, message: Message, response: AppendEntriesResponse) -> None:
     """As leader, follow the progress of the sender; one whose log became shorter lost its storage."""
     if state.leader_state is None:
@@ -222,11 +215,10 @@
     if index <= state.commit_index:
         return
     for entry in state.log.entries_between(state.commit_index, index):
-        if entry.kind is EntryKind.DATA:
-            state.committed.append(EntryCommitted(entry.index, entry.term, entry.data))
+        state.report_committed_entry(entry)
     state.commit_index = index
     if state.log.snapshot is not None and _should_compact(state):
-        state.records.append(state.log.compact(index))
+        state.compact_log()
 
 
 def _should_compact(state: RaftState) -> bool:
--- a/tests/test_consensus_explored.py
+++ b/tests/test_consensus_explored.py
@@ -9,7 +9,8 @@
 import pytest
 
 from quincepier.consensus import SendMessage, election, replication
-from quincepier.consensus.raft_state import RaftRole, RaftState
+from quincepier.consensus.raft_role import RaftRole
+from quincepier.consensus.raft_state import RaftState
 from quincepier.lab.explored import Budget, Explorer
 from quincepier.lab.raft_simulation import SafetyViolationError
 from quincepier.state.voter_records import HardState
