--- a/bench/agree.py
+++ b/bench/agree.py
@@ -1,6 +1,6 @@
 """By hand: how many states three voters have within a budget, and how long elections and commits take.
 
-python bench/agree.py whole [MOST [NUMBER...]]    # budgets explored, at most so many states each
+python bench/agree.py whole [MOST [NUMBER...]]    # explore budgets, MOST states each
 python bench/agree.py times           # elections, commits, idle traffic, in virtual time
 """
 
@@ -10,27 +10,28 @@
 import sys
 import time
 
-from quincepier.lab.explored import Budget, Explorer
+from quincepier.lab.model_events import Budget
+from quincepier.lab.raft_model_checker import ModelChecker
 from quincepier.lab.raft_simulation import MS, SECOND, SimulatedCluster
 
 BUDGETS = [
-    (Budget(1, 0, 0, 0, 0, 1), None),
-    (Budget(1, 0, 1, 0), None),
-    (Budget(1, 0, 0, 1), None),
-    (Budget(1, 0, 0, 0, 1), None),
-    (Budget(2, 0, 0, 0), None),
-    (Budget(2, 0, 0, 0), {"a": (2,), "b": (3,), "c": ()}),
-    (Budget(1, 0, 1, 1), None),
-    (Budget(2, 0, 0, 1), None),
+    (Budget(timeouts=1, heartbeats=0, proposals=0, crashes=0, storage_losses=0, duplicates=1), None),
+    (Budget(timeouts=1, heartbeats=0, proposals=1, crashes=0), None),
+    (Budget(timeouts=1, heartbeats=0, proposals=0, crashes=1), None),
+    (Budget(timeouts=1, heartbeats=0, proposals=0, crashes=0, storage_losses=1), None),
+    (Budget(timeouts=2, heartbeats=0, proposals=0, crashes=0), None),
+    (Budget(timeouts=2, heartbeats=0, proposals=0, crashes=0), {"a": (2,), "b": (3,), "c": ()}),
+    (Budget(timeouts=1, heartbeats=0, proposals=1, crashes=1), None),
+    (Budget(timeouts=2, heartbeats=0, proposals=0, crashes=1), None),
 ]
 
 
 def whole(most: int, numbers: list[int]) -> None:
-    for left, logs in [BUDGETS[n] for n in numbers]:
-        begun = time.process_time()
-        told = Explorer(left, logs, 3 if logs else 0).explore(most)
-        spent = time.process_time() - begun
-        print(left, logs or "", told, f"{spent:.0f} s of CPU", flush=True)
+    for budget, terms_by_name in [BUDGETS[n] for n in numbers]:
+        begin = time.process_time()
+        result = ModelChecker(budget, terms_by_name, 3 if terms_by_name else 0).explore(most)
+        spent = time.process_time() - begin
+        print(budget, terms_by_name or "", result, f"{spent:.0f} s of CPU", flush=True)
 
 
 def times() -> None:
--- a/tests/test_consensus_explored.py
+++ b/tests/test_consensus_model_checking.py
@@ -11,9 +11,11 @@
 from quincepier.consensus import SendMessage, election, replication
 from quincepier.consensus.raft_role import RaftRole
 from quincepier.consensus.raft_state import RaftState
-from quincepier.lab.explored import Budget, Explorer
+from quincepier.lab import raft_model_checker, voter_process
+from quincepier.lab.model_events import Budget
+from quincepier.lab.raft_model_checker import ModelChecker
 from quincepier.lab.raft_simulation import SafetyViolationError
-from quincepier.state.voter_records import HardState
+from quincepier.state.voter_records import HardState, Member, Snapshot, VoterState
 
 Patch = pytest.MonkeyPatch
 FIGURE_8 = {"a": (2,), "b": (3,), "c": ()}  # terms in the logs, as in figure 8 of Raft
@@ -90,48 +92,64 @@
 
 def voter_without_storage_keeps_its_identity(patch: Patch) -> None:
     """A voter that lost its storage counts as the one of before, and votes."""
-    from quincepier.lab import explored
-    from quincepier.state.voter_records import Member, Snapshot, VoterState
+    unchanged = voter_process.start_process
 
-    unchanged = explored.begun
-
-    def begun(name: str, disk: Any, lost: int) -> Any:
-        configuration = tuple(Member(n, n + "0") for n in explored.NAMES)
+    def start_process(name: str, disk: Any, storage_losses: int) -> Any:
+        configuration = tuple(Member(n, n + "0") for n in voter_process.NAMES)
         initial = VoterState(HardState(name + "0", 9, 0), Snapshot(0, 0, configuration))
-        node = unchanged(name, disk or initial, 0)
-        return dataclasses.replace(node, lost=lost)
+        process = unchanged(name, disk or initial, 0)
+        return dataclasses.replace(process, storage_losses=storage_losses)
 
-    patch.setattr(explored, "begun", begun)
+    patch.setattr(raft_model_checker, "start_process", start_process)
 
 
 MUTANTS: list[tuple[Callable[[Patch], None], Budget, Any]] = [
-    (vote_is_not_persisted, Budget(2, 0, 0, 1), None),
-    (messages_do_not_wait_for_writes, Budget(2, 0, 0, 1), None),
-    (own_entries_count_before_they_are_durable, Budget(1, 0, 0, 0), None),
-    (candidate_with_outdated_log_gets_votes, Budget(2, 0, 0, 0), None),
-    (two_votes_in_a_term, Budget(2, 0, 0, 0), None),
-    (one_voter_is_a_quorum, Budget(1, 0, 0, 0), None),
-    (previous_term_is_not_compared, Budget(1, 0, 0, 0), FIGURE_8),
-    (entries_of_earlier_terms_are_committed_by_count, Budget(2, 0, 0, 0), FIGURE_8),
-    (voter_without_storage_keeps_its_identity, Budget(2, 0, 0, 0, 1), None),
+    (vote_is_not_persisted, Budget(timeouts=2, heartbeats=0, proposals=0, crashes=1), None),
+    (messages_do_not_wait_for_writes, Budget(timeouts=2, heartbeats=0, proposals=0, crashes=1), None),
+    (
+        own_entries_count_before_they_are_durable,
+        Budget(timeouts=1, heartbeats=0, proposals=0, crashes=0),
+        None,
+    ),
+    (candidate_with_outdated_log_gets_votes, Budget(timeouts=2, heartbeats=0, proposals=0, crashes=0), None),
+    (two_votes_in_a_term, Budget(timeouts=2, heartbeats=0, proposals=0, crashes=0), None),
+    (one_voter_is_a_quorum, Budget(timeouts=1, heartbeats=0, proposals=0, crashes=0), None),
+    (previous_term_is_not_compared, Budget(timeouts=1, heartbeats=0, proposals=0, crashes=0), FIGURE_8),
+    (
+        entries_of_earlier_terms_are_committed_by_count,
+        Budget(timeouts=2, heartbeats=0, proposals=0, crashes=0),
+        FIGURE_8,
+    ),
+    (
+        voter_without_storage_keeps_its_identity,
+        Budget(timeouts=2, heartbeats=0, proposals=0, crashes=0, storage_losses=1),
+        None,
+    ),
 ]
 
 
-@pytest.mark.parametrize(("mutant", "left", "logs"), MUTANTS, ids=lambda v: getattr(v, "__name__", ""))
+@pytest.mark.parametrize(
+    ("mutant", "budget", "terms_by_name"), MUTANTS, ids=lambda v: getattr(v, "__name__", "")
+)
 def test_exploration_finds_a_violation_with_one_rule_removed(
-    mutant: Callable[[Patch], None], left: Budget, logs: Any, monkeypatch: Patch
+    mutant: Callable[[Patch], None], budget: Budget, terms_by_name: Any, monkeypatch: Patch
 ) -> None:
-    Explorer(left, logs, 3 if logs else 0).walk(1, 100)
+    ModelChecker(budget, terms_by_name, 3 if terms_by_name else 0).walk_randomly(1, 100)
     mutant(monkeypatch)
     with pytest.raises(SafetyViolationError):
-        Explorer(left, logs, 3 if logs else 0).walk(1, 4000)
+        ModelChecker(budget, terms_by_name, 3 if terms_by_name else 0).walk_randomly(1, 4000)
 
 
 def test_all_states_of_one_timeout_and_one_duplicate_message_are_safe() -> None:
-    explored = Explorer(Budget(1, 0, 0, 0, 0, 1)).explore()
-    assert explored.whole and explored.states > 10_000
+    result = ModelChecker(
+        Budget(timeouts=1, heartbeats=0, proposals=0, crashes=0, storage_losses=0, duplicates=1)
+    ).explore()
+    assert result.is_complete and result.states > 10_000
 
 
 def test_first_states_of_two_timeouts_are_safe() -> None:
-    for logs in (None, FIGURE_8):
-        assert Explorer(Budget(2, 0, 0, 1), logs, 3 if logs else 0).explore(20_000).states == 20_000
+    for terms_by_name in (None, FIGURE_8):
+        checker = ModelChecker(
+            Budget(timeouts=2, heartbeats=0, proposals=0, crashes=1), terms_by_name, 3 if terms_by_name else 0
+        )
+        assert checker.explore(20_000).states == 20_000
