--- a/tests/test_agreement_processes.py
+++ b/tests/test_agreement_processes.py
@@ -52,7 +52,7 @@
     assert steps_of(rig, 1) == WHOLE
 
 
-@pytest.mark.parametrize("step", ["draining", "out"])
+@pytest.mark.parametrize("step", ["draining", "in_maintenance"])
 def test_a_leader_killed_in_the_middle_of_an_order_is_followed_by_one_that_goes_on(
     tmp_path: Path, step: str
 ) -> None:
