--- a/quincepier/lab/moves.py
+++ b/quincepier/lab/moves.py
@@ -25,7 +25,7 @@
     ServiceStatistics,
     Shard,
     TenantPlacement,
-    apply,
+    apply_changes,
 )
 from quincepier.tenancy import DEFAULT_SHARD_NAME, MigrationPolicy, TenantsSection, advance, part_of, place
 from quincepier.tenancy.section import MigrationRequest, ShardSettings, TenantSettings
@@ -185,7 +185,7 @@
         if change is None:
             return
         before = self.version.migrations[-1].step if self.version.migrations else None
-        self.agree(apply(self.version, 1, (change,)))
+        self.agree(apply_changes(self.version, 1, (change,)))
         step = self.version.migrations[-1].step
         if step is MigrationStep.COMPLETED:
             self.done_at = self.now
--- a/quincepier/lab/orders.py
+++ b/quincepier/lab/orders.py
@@ -30,7 +30,7 @@
     MachineObservation,
     MaintenanceStep,
     RuleVersion,
-    apply,
+    apply_changes,
     encode_message,
 )
 
@@ -102,7 +102,7 @@
         self.now, self.random, self.agreed, self.rate = 0, random.Random(seed), agreed, rate
         self.faults, self.turns = faults or Faults(), list[tuple[int, int, Callable[[], None]]]()
         self.count = 0
-        self.pace = LeaseTimings(attempt=2 * SECOND)
+        self.pace = LeaseTimings(max_attempt_ns=2 * SECOND)
         self.wishes = MaintenanceSection(
             (MaintenanceRequest("all", kind="cache"),),
             unavailable_limits=UnavailableByKind(
@@ -174,7 +174,7 @@
         return int(self.now * front.rate)
 
     def crash(self, front: Front) -> None:
-        start = front.holder.start + 1
+        start = front.holder.incarnation + 1
         front.holder, front.open, front.alive = LeaseHolder(start, self.clock(front), self.pace), [], True
         front.keeps_from = frozenset()
         self.after(100 * MS, self.asks, front, start)
@@ -182,7 +182,7 @@
 
     def here(self, front: Front, start: int, call: Callable[[Front, int], None]) -> bool:
         """Whether it can act; one that stands still does so afterwards."""
-        if not front.alive or front.holder.start != start:
+        if not front.alive or front.holder.incarnation != start:
             return False
         if front.still > self.now:
             self.after(front.still - self.now, call, front, start)
@@ -200,11 +200,11 @@
             start,
             holder.version.number,
             holder.version.digest,
-            holder.cautious(clock),
+            holder.is_cautious(clock),
             250,
             tuple((host, sum(h == host for h, _ in front.open)) for host in sorted(hosts)),
         )
-        self.carry(front, self.heard, front, LeaseRequest(holder.ask(clock), report))
+        self.carry(front, self.heard, front, LeaseRequest(holder.begin_request(clock), report))
         self.after(250 * MS, self.asks, front, start)
 
     def carry(self, front: Front, call: Callable[..., None], *given: object) -> None:
@@ -218,9 +218,13 @@
         if leader is None or ledger is None:
             return
         self.word_bytes += len(encode_message(ask))
-        grant = ledger.heard(self.clock(leader), ask, 1 << 62)
+        grant = ledger.on_request(self.clock(leader), ask, 1 << 62)
         if grant is not None:
-            version = self.versions[grant.number] if grant.number > ask.report.version_number else None
+            version = (
+                self.versions[grant.version_number]
+                if grant.version_number > ask.report.version_number
+                else None
+            )
             self.carry(front, self.granted, front, grant, version)
 
     def granted(self, front: Front, grant: object, version: RuleVersion | None) -> None:
@@ -228,7 +232,7 @@
             self.after(front.still - self.now, self.granted, front, grant, version)
         elif front.alive:
             front.keeps_from = self.batch
-            if front.holder.granted(self.clock(front), grant, version):  # type: ignore[arg-type]
+            if front.holder.on_grant(self.clock(front), grant, version):  # type: ignore[arg-type]
                 self.again(front)
 
     def again(self, front: Front) -> None:
@@ -238,14 +242,14 @@
         version = holder.version
         report = FrontReport(
             front.name,
-            holder.start,
+            holder.incarnation,
             version.number,
             version.digest,
-            holder.cautious(clock),
+            holder.is_cautious(clock),
             250,
             tuple((host, 1) for host in hosts),
         )
-        self.carry(front, self.heard, front, LeaseRequest(holder.ask(clock), report))
+        self.carry(front, self.heard, front, LeaseRequest(holder.begin_request(clock), report))
 
     def sends(self, front: Front, start: int) -> None:
         if not self.here(front, start, self.sends):
@@ -253,15 +257,15 @@
         self.after(int(self.random.expovariate(self.rate) * SECOND), self.sends, front, start)
         holder = front.holder
         if self.agreed:
-            if holder.blank():
+            if holder.is_awaiting_first_answer():
                 return
-            kept = cordoned_hosts(holder.version, holder.cautious(self.clock(front)), front.name)
+            kept = cordoned_hosts(holder.version, holder.is_cautious(self.clock(front)), front.name)
         else:
             kept = front.keeps_from
         host = self.random.choice([host for host in self.machines if host not in kept])
         lasts = self.random.choice((10, 15, 20, 30)) * MS
         if self.random.random() < 0.02:
-            lasts = self.random.randrange(self.pace.attempt)
+            lasts = self.random.randrange(self.pace.max_attempt_ns)
         front.open.append((host, self.now + WAY + lasts))
         self.sent += 1
         self.came.append((self.now + self.random.randrange(WAY), host))
@@ -278,7 +282,7 @@
         if leader is None or ledger is None or self.agreeing:
             return
         view = tuple(f.name for f in self.fronts if f.alive)
-        seen = ledger.seen(
+        seen = ledger.observe(
             self.clock(leader),
             view,
             {
@@ -295,7 +299,7 @@
         found = plan(version, self.wishes, seen).change
         if found is not None:
             self.agreeing = True
-            self.after(AGREE, self.commit, leader, apply(version, 1, (found,)))
+            self.after(AGREE, self.commit, leader, apply_changes(version, 1, (found,)))
 
     def commit(self, leader: Front, version: RuleVersion) -> None:
         if self.leader is not leader or self.ledger is None:
@@ -303,7 +307,7 @@
         was = self.versions[-1]
         self.agreeing = False
         self.versions.append(version)
-        self.ledger.agreed(version)
+        self.ledger.on_version_committed(version)
         for order in version.maintenance_tasks:
             before = was.task_for(order.target)
             if before is not None and before.step == order.step:
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -94,7 +94,7 @@
         await self.manager.close_all()
         signals.ignore()
         if self.fleet is not None:
-            self.fleet.end()
+            self.fleet.close()
         if self.keeper is not None and keeping is not None:
             keeping.cancel()
             await self.keeper.end()
--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -136,7 +136,7 @@
 
     def wishes(self, fleet: AgreementNode) -> None:
         """The file as it holds now, read again."""
-        fleet.rules.take(self.file)
+        fleet.active_rules.load(self.file)
         fleet.effects.apply()
 
     @property
--- a/quincepier/maintenance/planner.py
+++ b/quincepier/maintenance/planner.py
@@ -28,7 +28,7 @@
 from quincepier.maintenance.service_level import ServiceLevel, service_level
 from quincepier.rules.reports import Observations
 from quincepier.rules.version import (
-    ORDERS_MOST,
+    MAX_MAINTENANCE_TASKS,
     DisruptionLimit,
     MaintenanceStep,
     MaintenanceTask,
@@ -83,7 +83,7 @@
         if not changed:
             return Plan(None, tuple(self.tells[:TELLS_MOST]))
         orders = self.orders
-        if len(orders) > ORDERS_MOST // 2:  # those of wishes that stand in the file no more
+        if len(orders) > MAX_MAINTENANCE_TASKS // 2:  # those of wishes that stand in the file no more
             orders = [o for o in orders if o.is_active or self.wishes.find_request(o.request_id) is not None]
         new = allowances if allowances != self.version.disruption_limits else None
         change = VersionChange(
@@ -244,7 +244,7 @@
         why = "stopped" if wish.stop else "paused" if wish.pause else self.unready()
         if stopped is not None:
             why = f"{stopped.target} was stopped ({stopped.reason}); wish it anew under another id"
-        if len(self.orders) >= ORDERS_MOST:
+        if len(self.orders) >= MAX_MAINTENANCE_TASKS:
             why = "too many orders are kept; take old wishes out of the file"
         if why:
             self.tells.append(f"wish {wish.id} begins nothing: {why}")
@@ -253,7 +253,7 @@
             if not meant[target][0]:
                 self.tells.append(f"wish {wish.id} waits for {target}: it is not known")
         for choice in ranked_candidates(wish, self.room):
-            if choice.target in done or len(self.orders) >= ORDERS_MOST:
+            if choice.target in done or len(self.orders) >= MAX_MAINTENANCE_TASKS:
                 continue
             why = self.barred(choice.target, left) or self.room.hindrance(
                 choice.target, choice.kind, choice.zone, waiting=True
--- a/quincepier/net/fleet/active_rules.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -27,39 +27,39 @@
 class ActiveRules:
     def __init__(self, module: ModuleActor, file: OperatorFile) -> None:
         self.module, self.name = module, module.config.name
-        self.once = [c.effect is not Idempotency.SAFE for c in module.config.settings.classes]
-        self.notice = NOTICE
-        self.plans: list[Planner] = []
-        self.named, self.gone = frozenset[str](), frozenset[str]()
-        self.waits: tuple[str, ...] = ()
+        self.is_unsafe_class = [c.effect is not Idempotency.SAFE for c in module.config.settings.classes]
+        self.notice_ns = NOTICE
+        self._planners: list[Planner] = []
+        self.requested_hosts, self.decommissioned_fronts = frozenset[str](), frozenset[str]()
+        self.waiting_reasons: tuple[str, ...] = ()
         self.tenants: TenantLookup | None = None
-        self.taken = 0  # files
-        self.take(file)
+        self.file_count = 0  # files
+        self.load(file)
 
-    def take(self, file: OperatorFile) -> None:
+    def load(self, file: OperatorFile) -> None:
         """What the file wishes now."""
         wished = MaintenanceSection()
         if file.named("maintenance") is not None:
             wished = file.get(MaintenanceSection) or wished
-        self.named, self.waits = requested_hosts(wished), ()
-        self.gone = frozenset(wished.decommissioned_fronts)
+        self.requested_hosts, self.waiting_reasons = requested_hosts(wished), ()
+        self.decommissioned_fronts = frozenset(wished.decommissioned_fronts)
         # an order that nobody wishes any more is ended by the same plan: there is one without a section
-        self.plans = [lambda version, seen: self._orders(wished, version, seen)]
-        self.tenants, self.notice, self.taken = None, NOTICE, self.taken + 1
+        self._planners = [lambda version, seen: self._plan_maintenance(wished, version, seen)]
+        self.tenants, self.notice_ns, self.file_count = None, NOTICE, self.file_count + 1
         if file.named("tenants") is not None:
-            self._tenants(file)
+            self._load_tenants(file)
 
-    def _orders(
+    def _plan_maintenance(
         self, wished: MaintenanceSection, version: RuleVersion, seen: Observations
     ) -> VersionChange | None:
         found = plan(version, wished, seen)
-        if found.tells != self.waits:
-            self.waits = found.tells
+        if found.tells != self.waiting_reasons:
+            self.waiting_reasons = found.tells
             detail = "; ".join(found.tells)
             logger.bind(event="orders wait", detail=detail).info("orders wait: {}", detail or "none")
         return found.change
 
-    def _tenants(self, file: OperatorFile) -> None:
+    def _load_tenants(self, file: OperatorFile) -> None:
         from quincepier.tenancy import MigrationPolicy, TenantLookup, TenantsSection, advance
 
         section = file.get(TenantsSection)
@@ -67,25 +67,27 @@
             return
         self.tenants = TenantLookup(section)
         wishes = MigrationPolicy.from_section(section, self.module.config.settings.classes)
-        self.notice = wishes.grace_period_ns
-        self.plans.append(lambda version, seen: advance(version, wishes, seen))
+        self.notice_ns = wishes.grace_period_ns
+        self._planners.append(lambda version, seen: advance(version, wishes, seen))
 
     def planners(self) -> list[Planner]:
-        return self.plans
+        return self._planners
 
-    def leaving(self, version: RuleVersion, cautious: bool) -> frozenset[str]:
-        return cordoned_hosts(version, cautious, self.name, self.named)
+    def cordoned_hosts(self, version: RuleVersion, cautious: bool) -> frozenset[str]:
+        return cordoned_hosts(version, cautious, self.name, self.requested_hosts)
 
-    def homes(self, version: RuleVersion, cautious: bool, unsure: bool) -> PlacementTable | None:
+    def placement_table(self, version: RuleVersion, cautious: bool, unsure: bool) -> PlacementTable | None:
         """What the Router asks; None where this front's file has no tenants."""
         if self.tenants is None:
             return None
         from quincepier.tenancy import PlacementTable
 
         settings, number = self.module.config.settings, self.module.directory.number_by_host.get
-        return PlacementTable(version, cautious, number, self.tenants, settings.classes, self.listed, unsure)
+        return PlacementTable(
+            version, cautious, number, self.tenants, settings.classes, self.ready_endpoints, unsure
+        )
 
-    def listed(self) -> tuple[frozenset[int], frozenset[int]]:
+    def ready_endpoints(self) -> tuple[frozenset[int], frozenset[int]]:
         """Numbers of the caches and of the parents that the log lists as ready."""
         s = self.module.config.settings
         ready = [
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -23,7 +23,7 @@
 from quincepier.consistency.section import ConsistencySection
 from quincepier.interface import EndpointState
 from quincepier.net.fleet.active_rules import ActiveRules
-from quincepier.net.fleet.messages import ALIKE
+from quincepier.net.fleet.messages import CONSISTENCY_CHANNEL
 from quincepier.net.fleet.version_effects import VersionEffects
 from quincepier.net.module import ModuleActor
 from quincepier.net.peers import PeerNetwork
@@ -83,7 +83,7 @@
         module.router.witness = DecisionRecorder(
             self._router, section.recorded_share, seed, self._on_unexplained_decision
         )
-        peers.register_channel(ALIKE, self.on_message)
+        peers.register_channel(CONSISTENCY_CHANNEL, self.on_message)
 
     def on_tick(self, now_ns: int) -> None:
         """Give the checker changed views and inputs, and do what is due."""
@@ -112,7 +112,9 @@
         # The digest is taken of the whole version, so it is computed once for each number.
         is_known = known is not None and known.rule_version == version.number
         digest = known.rule_version_digest if known is not None and is_known else version.digest
-        identity = _InputsIdentity(self._effects.revision, version.number, digest, self._rules.taken)
+        identity = _InputsIdentity(
+            self._effects.list_revision, version.number, digest, self._rules.file_count
+        )
         if identity != known:
             self._inputs_identity = identity
             self._take_inputs(version)
@@ -126,14 +128,14 @@
                 version,
                 settings,
                 self._endpoints,
-                self._effects.revision,
+                self._effects.list_revision,
                 __version__,
                 self._home_shard_lookup(version),
             )
         )
 
     def _home_shard_lookup(self, version: RuleVersion) -> HomeShardLookup | None:
-        tenants, placements = self._rules.tenants, self._rules.homes(version, False, False)
+        tenants, placements = self._rules.tenants, self._rules.placement_table(version, False, False)
         if tenants is None or placements is None:
             return None
         number_by_tenant = {name: number for number, name in enumerate(tenants.names)}
@@ -147,12 +149,12 @@
     def _perform(self, actions: list[CheckerAction]) -> None:
         for action in actions:
             if isinstance(action, SendMessage):
-                self._peers.send(action.to, ALIKE, action.data)
+                self._peers.send(action.to, CONSISTENCY_CHANNEL, action.data)
             else:
                 self._log_finding(action)
         doubt = DIVERGED_REASON if self.checker.is_cautious else ""
-        if doubt != self._effects.doubt:
-            self._effects.doubt = doubt
+        if doubt != self._effects.divergence_reason:
+            self._effects.divergence_reason = doubt
             self._effects.apply(CONSISTENT_REASON)
 
     def _log_finding(self, finding: Finding) -> None:
--- a/quincepier/net/fleet/endpoint_overlay.py
+++ b/quincepier/net/fleet/endpoint_overlay.py
@@ -17,27 +17,30 @@
     """`hosts`: host ids by the module's numbers, as the directory keeps them."""
 
     def __init__(self, hosts: Mapping[int, str]) -> None:
-        self.hosts = hosts
-        self.leaving: frozenset[str] = frozenset()
-
-    def _told(self, machine: Endpoint) -> Endpoint:
-        under = machine.state is EndpointState.READY and self.hosts.get(machine.cache, "") in self.leaving
+        self.host_by_number = hosts
+        self.cordoned: frozenset[str] = frozenset()
+
+    def _overlaid(self, machine: Endpoint) -> Endpoint:
+        under = (
+            machine.state is EndpointState.READY
+            and self.host_by_number.get(machine.cache, "") in self.cordoned
+        )
         return replace(machine, state=EndpointState.DRAINING) if under else machine
 
-    def over(self, news: EndpointUpdate) -> EndpointUpdate:
+    def overlay(self, news: EndpointUpdate) -> EndpointUpdate:
         """News of the list on its way to the module."""
-        if not self.leaving:
+        if not self.cordoned:
             return news
-        return EndpointUpdate(news.scope, tuple(map(self._told, news.machines)))
+        return EndpointUpdate(news.scope, tuple(map(self._overlaid, news.machines)))
 
-    def change(self, leaving: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
+    def set_cordoned(self, leaving: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
         """Other machines are under orders from now on: what the module is to hear at once, None for nothing.
 
         `listed` are all machines as the log told them last; those given back are told so.
         """
-        differ = self.leaving ^ leaving
-        self.leaving = leaving
+        differ = self.cordoned ^ leaving
+        self.cordoned = leaving
         if not differ:
             return None
-        touched = tuple(self._told(m) for m in listed if self.hosts.get(m.cache, "") in differ)
+        touched = tuple(self._overlaid(m) for m in listed if self.host_by_number.get(m.cache, "") in differ)
         return EndpointUpdate(UpdateScope.CHANGES, touched) if touched else None
--- a/quincepier/net/fleet/follower.py
+++ b/quincepier/net/fleet/follower.py
@@ -16,98 +16,98 @@
     LeaseTimings,
     RulesError,
     RuleVersion,
-    decode,
+    decode_version,
 )
 
 MS = 1_000_000
-UNHEARD_MOST = 2  # reports in a row without an answer; then another voter is asked
-TURNED_REST = 40 * MS  # between a voter's word of where to ask and asking there
-SOON = 20 * MS  # after adopting, until that is reported
+MAX_UNANSWERED_REPORTS = 2  # reports in a row without an answer; then another voter is asked
+REDIRECT_DELAY_NS = 40 * MS  # between a voter's word of where to ask and asking there
+REPORT_AFTER_ADOPTION_NS = 20 * MS  # after adopting, until that is reported
 
 
 class Follower:
     def __init__(
         self, name: str, voters: tuple[str, ...], start: int, now: int, pace: LeaseTimings, seed: int
     ) -> None:
-        self.name, self.voters, self.start, self.pace = name, voters, start, pace
+        self.name, self.voters, self.incarnation, self.timings = name, voters, start, pace
         self.random = random.Random(f"{seed} follower")
-        self.holder = LeaseHolder(start, now, pace)
-        self.asks = self.random.choice(voters)  # whom it asks
-        self.unheard, self.turned, self.rested = 0, 0, now
-        self.granted_once = False  # a lease was had since the start
+        self.lease = LeaseHolder(start, now, pace)
+        self.target = self.random.choice(voters)  # whom it asks
+        self.unanswered_reports, self.turned, self.next_redirect_ns = 0, 0, now
+        self.has_held_lease = False  # a lease was had since the start
         self.digest, self.digest_of = "", -1
-        self.told_leader = ""  # who answered with a grant last
+        self.known_leader = ""  # who answered with a grant last
 
     @property
     def version(self) -> RuleVersion:
-        return self.holder.version
+        return self.lease.version
 
-    def digest_now(self) -> str:
+    def version_digest(self) -> str:
         """Of the version held, worked out once."""
         if self.digest_of != self.version.number:
             self.digest, self.digest_of = self.version.digest, self.version.number
         return self.digest
 
     @property
-    def wake(self) -> int:
-        return self.holder.next
+    def next_report_ns(self) -> int:
+        return self.lease.next_request_ns
 
-    def cautious(self, now: int) -> bool:
-        return self.holder.cautious(now)
+    def is_cautious(self, now: int) -> bool:
+        return self.lease.is_cautious(now)
 
-    def due(self, now: int, report: Callable[[], FrontReport]) -> tuple[str, ReportMessage] | None:
+    def on_tick(self, now: int, report: Callable[[], FrontReport]) -> tuple[str, ReportMessage] | None:
         """Whom to tell what, if it is time. `now` is read before."""
-        if now < self.holder.next:
+        if now < self.lease.next_request_ns:
             return None
-        if self.unheard >= UNHEARD_MOST:
-            self.turn_to(self._other())
-        self.unheard += 1
-        token = self.holder.ask(now)
-        return self.asks, ReportMessage(LeaseRequest(token, report()))
+        if self.unanswered_reports >= MAX_UNANSWERED_REPORTS:
+            self.switch_target(self._other())
+        self.unanswered_reports += 1
+        token = self.lease.begin_request(now)
+        return self.target, ReportMessage(LeaseRequest(token, report()))
 
     def _other(self) -> str:
-        others = [name for name in self.voters if name != self.asks]
-        return self.random.choice(others) if others else self.asks
+        others = [name for name in self.voters if name != self.target]
+        return self.random.choice(others) if others else self.target
 
-    def turn_to(self, voter: str) -> None:
-        if voter != self.asks:
-            self.asks, self.unheard = voter, 0
+    def switch_target(self, voter: str) -> None:
+        if voter != self.target:
+            self.target, self.unanswered_reports = voter, 0
 
-    def heard(self, now: int, sender: str, word: LeaseGranted | NotLeader | VersionCommitted) -> bool:
+    def on_message(self, now: int, sender: str, word: LeaseGranted | NotLeader | VersionCommitted) -> bool:
         """Whether a newer version was adopted. RulesError for a spoilt one, or two of one number."""
         match word:
             case VersionCommitted(_, raw):
-                if sender in self.voters and self.holder.adopt(decode(raw)):
-                    self.soon(now)
+                if sender in self.voters and self.lease.adopt(decode_version(raw)):
+                    self.report_soon(now)
                     return True
             case LeaseGranted(_, grant, raw) if sender in self.voters:
-                version = decode(raw) if raw else None
-                if version is not None and version.number != grant.number:
+                version = decode_version(raw) if raw else None
+                if version is not None and version.number != grant.version_number:
                     raise RulesError("a grant comes with another version than it names")
-                adopted = self.holder.granted(now, grant, version)
-                if grant.start == self.start:
-                    self.unheard, self.told_leader = 0, sender
-                    self.turn_to(sender)
-                    self.granted_once = self.granted_once or not self.holder.cautious(now)
+                adopted = self.lease.on_grant(now, grant, version)
+                if grant.incarnation == self.incarnation:
+                    self.unanswered_reports, self.known_leader = 0, sender
+                    self.switch_target(sender)
+                    self.has_held_lease = self.has_held_lease or not self.lease.is_cautious(now)
                 if adopted:
-                    self.soon(now)
+                    self.report_soon(now)
                 return adopted
             case NotLeader(_, leader):
-                self._turned(now, sender, leader)
+                self._on_not_leader(now, sender, leader)
         return False
 
-    def soon(self, now: int) -> None:
+    def report_soon(self, now: int) -> None:
         """What was adopted is reported at once, so that it comes into force."""
-        self.holder.next = min(self.holder.next, now + SOON)
+        self.lease.next_request_ns = min(self.lease.next_request_ns, now + REPORT_AFTER_ADOPTION_NS)
 
-    def _turned(self, now: int, sender: str, leader: str) -> None:
-        if sender != self.asks:
+    def _on_not_leader(self, now: int, sender: str, leader: str) -> None:
+        if sender != self.target:
             return
-        self.unheard = 0
+        self.unanswered_reports = 0
         if leader in self.voters and leader != sender:
-            self.turn_to(leader)
-            if now >= self.rested:  # two voters that name each other make no storm
-                self.rested = now + 4 * TURNED_REST
-                self.holder.next = min(self.holder.next, now + TURNED_REST)
+            self.switch_target(leader)
+            if now >= self.next_redirect_ns:  # two voters that name each other make no storm
+                self.next_redirect_ns = now + 4 * REDIRECT_DELAY_NS
+                self.lease.next_request_ns = min(self.lease.next_request_ns, now + REDIRECT_DELAY_NS)
         else:
-            self.turn_to(self._other())
+            self.switch_target(self._other())
--- a/quincepier/net/fleet/messages.py
+++ b/quincepier/net/fleet/messages.py
@@ -11,22 +11,26 @@
 import msgspec
 
 from quincepier.rules import LeaseGrant, LeaseRequest
-from quincepier.rules.version import VERSION_MOST
-
-AGREEMENT, RULES, ALIKE = 1, 2, 3  # channels: voters among themselves, these words, digests
-WORD_MOST = VERSION_MOST + 4096
+from quincepier.rules.version import MAX_VERSION_BYTES
+
+CONSENSUS_CHANNEL, RULES_CHANNEL, CONSISTENCY_CHANNEL = (
+    1,
+    2,
+    3,
+)  # channels: voters among themselves, these words, digests
+MAX_MESSAGE_BYTES = MAX_VERSION_BYTES + 4096
 Number = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
 Name = Annotated[str, msgspec.Meta(max_length=64)]
 
 
 class ReportMessage(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    ask: LeaseRequest
+    request: LeaseRequest
 
 
 class LeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag=2):
     term: Number
     grant: LeaseGrant
-    raw: bytes = b""  # the version that the grant names, where the report was of another
+    version_bytes: bytes = b""  # the version that the grant names, where the report was of another
 
 
 class NotLeader(msgspec.Struct, frozen=True, array_like=True, tag=3):
@@ -38,7 +42,7 @@
 
 class VersionCommitted(msgspec.Struct, frozen=True, array_like=True, tag=4):
     term: Number
-    raw: bytes
+    version_bytes: bytes
 
 
 Message = ReportMessage | LeaseGranted | NotLeader | VersionCommitted
@@ -47,7 +51,7 @@
 
 
 def decode(raw: bytes) -> Message | None:
-    if len(raw) > WORD_MOST:
+    if len(raw) > MAX_MESSAGE_BYTES:
         return None
     try:
         return _decoder.decode(raw)
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -21,8 +21,8 @@
 from quincepier.net.fleet.follower import Follower
 from quincepier.net.fleet.leader import Leader
 from quincepier.net.fleet.messages import (
-    AGREEMENT,
-    RULES,
+    CONSENSUS_CHANNEL,
+    RULES_CHANNEL,
     LeaseGranted,
     Message,
     NotLeader,
@@ -39,8 +39,8 @@
 from quincepier.net.module import ModuleActor
 from quincepier.net.peers import PeerNetwork
 from quincepier.rules import LeaseTimings, MachineObservation, RulesError, RuleVersion
-from quincepier.rules import decode as decode_version
-from quincepier.rules import encode as encode_version
+from quincepier.rules import decode_version as decode_version
+from quincepier.rules import encode_version as encode_version
 from quincepier.state.snapshot_store import FileSystem
 from quincepier.state.voter_store import VoterStore
 
@@ -83,22 +83,22 @@
         self.voters = tuple(sorted(section.voters))
         longest = max((c.deadline for c in config.settings.classes), default=clock.SECOND)
         lease, every = section.lease_ms * clock.MS, section.report_ms * clock.MS
-        self.pace = LeaseTimings(lease, every, attempt=ALLOW_TIMES * longest + DELIVERY)
+        self.timings = LeaseTimings(lease, every, max_attempt_ns=ALLOW_TIMES * longest + DELIVERY)
         start = time.time_ns() // clock.MS
-        self.follower = Follower(self.name, self.voters, start, clock.boot(), self.pace, config.seed)
+        self.follower = Follower(self.name, self.voters, start, clock.boot(), self.timings, config.seed)
         self.effects = VersionEffects(module, self.follower, rules, section.span_s)
-        self.rules, self.compared = rules, compared
-        self.effects.applied = self._applied
+        self.active_rules, self.consistency_section = rules, compared
+        self.effects.on_applied = self._on_applied
         module.settled = self.effects  # from the first line of the list on, which it counts
-        folder = section.place(self.name)
-        self.kept, self.keeping, self.to_keep = VersionStore(folder), False, -1
-        self.disk: WorkerThread | None = None
-        self.seat: RaftNode | None = None
-        self.chair: Leader | None = None
-        self.turned, self.role = 0, ("", -1)
-        self.first = asyncio.Event()  # an answer was had since the start
-        self.running: asyncio.Task[None] | None = None
-        self.others: list[Callable[[int], None]] = []  # told at each look: what else is due
+        folder = section.folder_of(self.name)
+        self.version_store, self.is_saving, self.number_to_save = VersionStore(folder), False, -1
+        self.storage_thread: WorkerThread | None = None
+        self.raft_node: RaftNode | None = None
+        self.leader: Leader | None = None
+        self.leader_ticked_at_ns, self.known_role = 0, ("", -1)
+        self.has_first_answer = asyncio.Event()  # an answer was had since the start
+        self.task: asyncio.Task[None] | None = None
+        self.tick_listeners: list[Callable[[int], None]] = []  # told at each look: what else is due
         for voter, address in section.voters.items():
             host, _, port = address.rpartition(":")
             peers.add_address(voter, (host.strip("[]"), int(port)))
@@ -109,149 +109,160 @@
         """Take part, and wait a little for what the fleet has agreed: it may say what not to send to."""
         module, name = self.module, self.name
         module.shared.stale = self.effects.stale
-        self.disk = WorkerThread("rules kept")
+        self.storage_thread = WorkerThread("rules kept")
         try:
-            kept = await asyncio.wait_for(self.disk.run(self.kept.load), KEPT_WITHIN)
+            kept = await asyncio.wait_for(self.storage_thread.run(self.version_store.load), KEPT_WITHIN)
         except TimeoutError:
             kept = TimeoutError("it can't be read in time")
         if isinstance(kept, RuleVersion):
-            self.effects.kept = kept
+            self.effects.stored_version = kept
         elif kept is not None:
             self.checks.event("kept version not used", f"{type(kept).__name__}: {kept}")
         self.effects.apply()
-        self.peers.register_channel(RULES, self._heard)
+        self.peers.register_channel(RULES_CHANNEL, self._on_frame)
         if name in self.voters:
-            log = VoterStore(FileSystem(self.kept.folder))
+            log = VoterStore(FileSystem(self.version_store.folder))
             seed = time.time_ns() ^ module.config.seed
-            self.seat = RaftNode(
+            self.raft_node = RaftNode(
                 name,
                 self.voters,
                 log,
                 WorkerThread("voter"),
                 seed,
-                lambda to, raw: self.peers.send(to, AGREEMENT, raw),
-                self._agreed,
+                lambda to, raw: self.peers.send(to, CONSENSUS_CHANNEL, raw),
+                self._on_raft_event,
                 self.checks,
                 election_timeouts_for(self.section.lease_ms),
             )
-            self.chair = Leader(
+            self.leader = Leader(
                 name,
                 self.voters,
-                self.seat,
-                self.pace,
-                self.rules.planners,
-                self._machines,
+                self.raft_node,
+                self.timings,
+                self.active_rules.planners,
+                self._observe_machines,
                 lambda: self.peers.view,
                 self.checks,
-                silent=self.peers.recently_dead,
-                gone=lambda: self.rules.gone,
+                recently_dead=self.peers.recently_dead,
+                decommissioned_fronts=lambda: self.active_rules.decommissioned_fronts,
             )
-            self.peers.register_channel(AGREEMENT, self.seat.on_message)
-            self.seat.start()
-        if self.compared is not None:
-            self._compare(self.compared)
-        self.running = asyncio.get_running_loop().create_task(self._run())
+            self.peers.register_channel(CONSENSUS_CHANNEL, self.raft_node.on_message)
+            self.raft_node.start()
+        if self.consistency_section is not None:
+            self._start_consistency_checks(self.consistency_section)
+        self.task = asyncio.get_running_loop().create_task(self._run())
         try:
-            await asyncio.wait_for(self.first.wait(), self.section.first_ms / 1000)
+            await asyncio.wait_for(self.has_first_answer.wait(), self.section.first_ms / 1000)
         except TimeoutError:
             self.checks.event("no version at the start", "serves by its cautious set until one is heard")
 
-    def _compare(self, section: ConsistencySection) -> None:
+    def _start_consistency_checks(self, section: ConsistencySection) -> None:
         """With all others, whether they decide alike."""
         from quincepier.net.fleet.consistency_service import ConsistencyService
 
         def leader() -> str:
-            return self.name if self.chair is not None and self.chair.ledger else self.follower.told_leader
+            return (
+                self.name
+                if self.leader is not None and self.leader.lease_table
+                else self.follower.known_leader
+            )
 
-        service = ConsistencyService(self.module, self.peers, self.effects, self.rules, section, leader)
-        self.others.append(service.on_tick)
-        if self.chair is not None:
-            self.chair.alike = service.checker.is_consistent
+        service = ConsistencyService(
+            self.module, self.peers, self.effects, self.active_rules, section, leader
+        )
+        self.tick_listeners.append(service.on_tick)
+        if self.leader is not None:
+            self.leader.is_consistent = service.checker.is_consistent
 
-    def end(self) -> None:
-        if self.running is not None:
-            self.running.cancel()
+    def close(self) -> None:
+        if self.task is not None:
+            self.task.cancel()
 
     async def _run(self) -> None:
         while True:
             try:
-                wait = self._due()
+                wait = self._tick()
             except Exception as error:  # a defect: the next turn comes all the same
                 self.checks.event("exception in the fleet", f"{type(error).__name__}: {error}")
                 wait = WAIT_MOST
             await asyncio.sleep(wait)
 
-    def _due(self) -> float:
+    def _tick(self) -> float:
         """All that is due now; the seconds until something is again."""
         now = clock.boot()
-        seat, chair = self.seat, self.chair
+        seat, chair = self.raft_node, self.leader
         if seat is not None and now >= seat.next_tick_ns:
             seat.tick()
-        if chair is not None and now - self.turned >= TURN_EVERY:
-            self.turned = now
-            chair.turn(now)
+        if chair is not None and now - self.leader_ticked_at_ns >= TURN_EVERY:
+            self.leader_ticked_at_ns = now
+            chair.on_tick(now)
         self.effects.apply()  # a lease that ran out with nothing asked since
-        said = self.follower.due(clock.boot(), self.effects.report)
+        said = self.follower.on_tick(clock.boot(), self.effects.report)
         if said is not None:
-            self._say(*said)
-        for other in self.others:
+            self._send(*said)
+        for other in self.tick_listeners:
             other(now)
-        wake = min(self.follower.wake, seat.next_tick_ns if seat is not None else self.follower.wake)
+        wake = min(
+            self.follower.next_report_ns,
+            seat.next_tick_ns if seat is not None else self.follower.next_report_ns,
+        )
         return min(max((wake - clock.boot()) / clock.SECOND, WAIT_LEAST), WAIT_MOST)
 
     # Words
 
-    def _say(self, to: str, word: Message) -> None:
+    def _send(self, to: str, word: Message) -> None:
         if to == self.name:
-            asyncio.get_running_loop().call_soon(self._hear, to, word)
+            asyncio.get_running_loop().call_soon(self._on_message, to, word)
         else:
-            self.peers.send(to, RULES, encode(word))
+            self.peers.send(to, RULES_CHANNEL, encode(word))
 
-    def _heard(self, sender: str, raw: bytes) -> None:
+    def _on_frame(self, sender: str, raw: bytes) -> None:
         word = decode(raw)
         if word is None:
             self.checks.count("words about rules not taken")
         else:
-            self._hear(sender, word)
+            self._on_message(sender, word)
 
-    def _hear(self, sender: str, word: Message) -> None:
+    def _on_message(self, sender: str, word: Message) -> None:
         now = clock.boot()
         match word:
             case ReportMessage(ask):
                 if ask.report.front != sender:
                     self.checks.count("words about rules not taken")
                     return
-                turn = NotLeader(ask.token, self.follower.told_leader)
-                answer = self.chair.asked(now, word) if self.chair is not None else turn
+                turn = NotLeader(ask.token, self.follower.known_leader)
+                answer = self.leader.on_report(now, word) if self.leader is not None else turn
                 if answer is not None:
-                    self._say(sender, answer)
+                    self._send(sender, answer)
             case LeaseGranted() | NotLeader() | VersionCommitted():
                 try:
-                    self.follower.heard(now, sender, word)
+                    self.follower.on_message(now, sender, word)
                 except RulesError as error:
                     self.checks.event("rule version not taken", f"from {sender}: {error.line()}")
-                self._followed(sender)
+                self._on_followed(sender)
 
-    def _followed(self, sender: str) -> None:
-        before = self.effects.number
+    def _on_followed(self, sender: str) -> None:
+        before = self.effects.applied_number
         self.effects.apply(f"a lease by {sender}")
-        number = self.effects.number
+        number = self.effects.applied_number
         if number != before:
             told = logger.bind(event="version adopted", number=number, by=sender)
             told.info("version {} adopted", number)
             self.checks.count("versions adopted")
-        if not self.follower.holder.blank():  # what came by the way, as from its own log, may be old
-            self.first.set()
+        if (
+            not self.follower.lease.is_awaiting_first_answer()
+        ):  # what came by the way, as from its own log, may be old
+            self.has_first_answer.set()
 
-    def _agreed(self, what: EntryCommitted | LeaderChanged) -> None:
+    def _on_raft_event(self, what: EntryCommitted | LeaderChanged) -> None:
         """As the voter of this front says."""
-        chair = self.chair
+        chair = self.leader
         if chair is None:
             return
         if isinstance(what, LeaderChanged):
             role = (what.leader or "", what.term)
-            if role != self.role:
-                self.role = role
+            if role != self.known_role:
+                self.known_role = role
                 told = logger.bind(event="leader", leader=role[0], term=role[1])
                 told.info("leader {} in term {}", role[0] or "unknown", role[1])
             return
@@ -262,42 +273,44 @@
         except RulesError as error:
             self.checks.event("agreed entry not taken", error.line())
             return
-        before = chair.agreed
-        if not chair.committed(version):
+        before = chair.committed_version
+        if not chair.on_committed(version):
             return
         self.checks.count("versions agreed")
         word = VersionCommitted(what.term, encode_version(version))
-        if chair.ledger is not None:  # one that leads tells all
-            took = (clock.boot() - chair.proposed_at) / clock.MS
-            version_diff.log_version_change(before, version, chair.why.pop(version.number, ""), took)
+        if chair.lease_table is not None:  # one that leads tells all
+            took = (clock.boot() - chair.proposed_at_ns) / clock.MS
+            version_diff.log_version_change(
+                before, version, chair.reason_by_number.pop(version.number, ""), took
+            )
             for front in self.peers.view:
                 if front != self.name:
-                    self._say(front, word)
-        self._hear(self.name, word)
+                    self._send(front, word)
+        self._on_message(self.name, word)
 
     # What is kept, and what is seen
 
-    def _applied(self) -> None:
+    def _on_applied(self) -> None:
         version = self.follower.version
-        if version.number > self.to_keep and version.number:
-            self.to_keep = version.number
-            self._keep()
+        if version.number > self.number_to_save and version.number:
+            self.number_to_save = version.number
+            self._save_version()
 
-    def _keep(self) -> None:
-        if self.keeping or self.disk is None:
+    def _save_version(self) -> None:
+        if self.is_saving or self.storage_thread is None:
             return
         version = self.follower.version
 
         def kept(outcome: object) -> None:
-            self.keeping = False
+            self.is_saving = False
             if isinstance(outcome, Exception):
                 self.checks.event("version not kept", str(outcome))
-            elif self.to_keep > version.number:
-                self._keep()
+            elif self.number_to_save > version.number:
+                self._save_version()
 
-        self.keeping = self.disk.submit(lambda: self.kept.save(version), kept)
+        self.is_saving = self.storage_thread.submit(lambda: self.version_store.save(version), kept)
 
-    def _machines(self) -> dict[str, MachineObservation]:
+    def _observe_machines(self) -> dict[str, MachineObservation]:
         s, now, out = self.module.config.settings, clock.now(), dict[str, MachineObservation]()
         for host, entry in self.module.directory.entry_by_host.items():
             m = entry.machine
--- a/quincepier/net/fleet/report_counters.py
+++ b/quincepier/net/fleet/report_counters.py
@@ -34,32 +34,34 @@
 
     def __init__(self, classes: tuple[RequestClass, ...], now: int, span: int) -> None:
         """`span`: seconds that a report's counts are of at most."""
-        self.classes, self.span = classes, span
+        self.classes, self.window_s = classes, span
         self.seconds: deque[Second] = deque([Second(now)], span + 1)
-        self.keyed: dict[Key, int] = {}  # when a request that may not be repeated was last sent on
+        self.last_unsafe_at_ns: dict[
+            Key, int
+        ] = {}  # when a request that may not be repeated was last sent on
 
-    def begin(self, now: int) -> None:
+    def reset(self, now: int) -> None:
         """Another version is decided by."""
         self.seconds.clear()
         self.seconds.append(Second(now))
 
-    def _second(self, now: int) -> Second:
+    def _bucket_at(self, now: int) -> Second:
         last = self.seconds[-1]
         if now - last.since >= clock.SECOND:
             last = Second(now)
             self.seconds.append(last)
         return last
 
-    def sent(self, attempt: OpenAttempt, now: int) -> None:
-        second, r = self._second(now), attempt.request
+    def on_sent(self, attempt: OpenAttempt, now: int) -> None:
+        second, r = self._bucket_at(now), attempt.request
         if attempt.cache in second.sent or len(second.sent) < HOSTS_MOST:
             second.sent[attempt.cache] += 1
         if r.tenant and self.classes[r.class_index].effect is not Idempotency.SAFE:
             key = (r.tenant, r.shard or COMMON)
-            if key in self.keyed or len(self.keyed) < ROWS_MOST:
-                self.keyed[key] = now
+            if key in self.last_unsafe_at_ns or len(self.last_unsafe_at_ns) < ROWS_MOST:
+                self.last_unsafe_at_ns[key] = now
 
-    def _rows(self, second: Second, r: OpenRequest) -> Iterable[list[float]]:
+    def _rows_of(self, second: Second, r: OpenRequest) -> Iterable[list[float]]:
         yield second.rows["", ""]
         if r.tenant or r.shard:
             shard = r.shard or COMMON
@@ -70,18 +72,18 @@
                 if row is not None:
                     yield row
 
-    def answered(self, r: OpenRequest, status: int, now: int) -> None:
+    def on_answered(self, r: OpenRequest, status: int, now: int) -> None:
         cls = self.classes[r.class_index]
         in_time = status == 200 and now - r.received_at_ns <= cls.on_time
-        for row in self._rows(self._second(now), r):
+        for row in self._rows_of(self._bucket_at(now), r):
             row[0] += 1
             row[1] += cls.worth
             row[2] += cls.worth if in_time else 0.0
             row[3] += status == 503
 
-    def ended(self, r: OpenRequest, note: CacheStatus, now: int) -> None:
+    def on_attempt_completed(self, r: OpenRequest, note: CacheStatus, now: int) -> None:
         if note is CacheStatus.HIT or note in FILLS:
-            for row in self._rows(self._second(now), r):
+            for row in self._rows_of(self._bucket_at(now), r):
                 row[4 if note is CacheStatus.HIT else 5] += 1
 
     def report(
@@ -93,7 +95,7 @@
         hosts: dict[int, str],
     ) -> FrontReport:
         """`about` with all that was counted, and what is open now."""
-        while len(self.seconds) > 1 and now - self.seconds[0].since > self.span * clock.SECOND:
+        while len(self.seconds) > 1 and now - self.seconds[0].since > self.window_s * clock.SECOND:
             self.seconds.popleft()
         sent, rows = Counter[int](), dict[Key, list[float]]()
         for second in self.seconds:
@@ -116,7 +118,9 @@
                 and self.classes[r.class_index].effect is not Idempotency.SAFE
             ):
                 keyed[r.tenant, r.shard or COMMON] += 1
-        self.keyed = {k: at for k, at in self.keyed.items() if now - at < 3600 * clock.SECOND}
+        self.last_unsafe_at_ns = {
+            k: at for k, at in self.last_unsafe_at_ns.items() if now - at < 3600 * clock.SECOND
+        }
         return FrontReport(
             about.front,
             about.incarnation,
@@ -126,7 +130,7 @@
             max((now - self.seconds[0].since) // clock.MS, 0),
             tuple((hosts[n], count) for n, count in open_at.items() if n in hosts),
             tuple((tenant, shard, count) for (tenant, shard), count in list(keyed.items())[:ROWS_MOST]),
-            tuple((t, s, (now - at) // clock.MS) for (t, s), at in self.keyed.items()),
+            tuple((t, s, (now - at) // clock.MS) for (t, s), at in self.last_unsafe_at_ns.items()),
             tuple(aside)[:ASIDE_MOST],
             tuple((hosts[n], count) for n, count in sent.items() if n in hosts),
             tuple(_service(key, row) for key, row in list(rows.items())[:ROWS_MOST]),
--- a/quincepier/net/fleet/section.py
+++ b/quincepier/net/fleet/section.py
@@ -37,6 +37,6 @@
         if self.lease_ms < LEASE_OF_REPORTS * self.report_ms:
             raise ValueError(f"lease_ms is under {LEASE_OF_REPORTS} times report_ms: a lost report ends it")
 
-    def place(self, name: str) -> str:
+    def folder_of(self, name: str) -> str:
         """The folder of the front of that name."""
         return self.folder.replace("{name}", name)
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -30,94 +30,111 @@
     """Is the module actor's `settled`."""
 
     def __init__(self, module: ModuleActor, follower: Follower, bearing: ActiveRules, span: int) -> None:
-        self.module, self.follower, self.bearing = module, follower, bearing
+        self.module, self.follower, self.active_rules = module, follower, bearing
         self.checks = module.checks
         self.overlay = EndpointOverlay(module.directory.host_by_number)
-        self.tally = ReportCounters(module.config.settings.classes, clock.now(), span)
-        self.homes: PlacementTable | None = None
-        self.kept: RuleVersion | None = None  # of an earlier start
-        self.cautious, self.since = True, clock.boot()
-        self.unsure = False
-        self.number, self.seq, self.revision, self.doubt = -1, 0, 0, ""
-        self.taken = -1
-        self.applied: Callable[[], None] = lambda: None  # told after each change
-        self.busy = False
-        self.in_part = -1  # the number of a version of which the homes can't be used
-        self.usable = initial_version()  # the last version of which they could
+        self.counters = ReportCounters(module.config.settings.classes, clock.now(), span)
+        self.placements: PlacementTable | None = None
+        self.stored_version: RuleVersion | None = None  # of an earlier start
+        self.is_cautious, self.cautious_since_ns = True, clock.boot()
+        self.is_uncertain = False
+        self.applied_number, self.change_log_sequence, self.list_revision, self.divergence_reason = (
+            -1,
+            0,
+            0,
+            "",
+        )
+        self.applied_file_count = -1
+        self.on_applied: Callable[[], None] = lambda: None  # told after each change
+        self.is_updating_list = False
+        self.unusable_number = -1  # the number of a version of which the homes can't be used
+        self.last_usable_version = initial_version()  # the last version of which they could
 
     @property
     def version(self) -> RuleVersion:
         """By which this front decides, or, before its first answer, keeps to its cautious set: what a voter
         reads from its own log at the start may be older than what its earlier start was told.
         """
-        known, kept = self.follower.version, self.kept
-        if kept is not None and self.follower.holder.blank() and kept.number > known.number:
+        known, kept = self.follower.version, self.stored_version
+        if kept is not None and self.follower.lease.is_awaiting_first_answer() and kept.number > known.number:
             return kept
         return known
 
-    def wants_caution(self, now: int) -> str:
+    def caution_reason(self, now: int) -> str:
         """Why this front is to be cautious; empty where it is not."""
-        if self.in_part == self.version.number:
+        if self.unusable_number == self.version.number:
             return "a version that can't be used"
-        if self.follower.cautious(now):
-            return "no lease yet" if not self.follower.granted_once else "its lease has run out"
-        return self.doubt
+        if self.follower.is_cautious(now):
+            return "no lease yet" if not self.follower.has_held_lease else "its lease has run out"
+        return self.divergence_reason
 
     def apply(self, why: str = "") -> None:
         """Put the version, and whether this front is cautious, in force at the module. Cheap where nothing
         has changed.
         """
         now, version = clock.boot(), self.version
-        reason = self.wants_caution(now)
+        reason = self.caution_reason(now)
         cautious = bool(reason)
-        if cautious != self.cautious:
-            self.since = now
+        if cautious != self.is_cautious:
+            self.cautious_since_ns = now
         # a move may have begun since that this front can't know of
-        spoilt = version.number == self.in_part
-        unsure = spoilt or (cautious and (not version.number or now - self.since > self.bearing.notice))
-        as_before = (version.number, cautious, unsure) == (self.number, self.cautious, self.unsure)
-        if as_before and self.taken == self.bearing.taken:
+        spoilt = version.number == self.unusable_number
+        unsure = spoilt or (
+            cautious and (not version.number or now - self.cautious_since_ns > self.active_rules.notice_ns)
+        )
+        as_before = (version.number, cautious, unsure) == (
+            self.applied_number,
+            self.is_cautious,
+            self.is_uncertain,
+        )
+        if as_before and self.applied_file_count == self.active_rules.file_count:
             return
-        self.taken = self.bearing.taken  # another file tells tenants apart in another way
+        self.applied_file_count = (
+            self.active_rules.file_count
+        )  # another file tells tenants apart in another way
         try:
-            homes = self.bearing.homes(self.usable if spoilt else version, cautious, unsure)
+            homes = self.active_rules.placement_table(
+                self.last_usable_version if spoilt else version, cautious, unsure
+            )
         except QuincepierError as error:  # its orders hold all the same, and no lease is had by it
             self.checks.event("rule version not taken", error.line())
             if not spoilt:
-                self.in_part = version.number
+                self.unusable_number = version.number
                 self.apply(why)
             return
         if not spoilt:
-            self.usable = version
-        if version.number != self.number:
-            self.tally.begin(clock.now())
-        changed = cautious != self.cautious
-        self.number, self.cautious, self.unsure = version.number, cautious, unsure
-        self.homes = homes
+            self.last_usable_version = version
+        if version.number != self.applied_number:
+            self.counters.reset(clock.now())
+        changed = cautious != self.is_cautious
+        self.applied_number, self.is_cautious, self.is_uncertain = version.number, cautious, unsure
+        self.placements = homes
         if changed and cautious:
-            self._take_back()
-        self.module.router.homes = self.homes
-        leaving = self.bearing.leaving(version, cautious)
-        news = self.overlay.change(leaving, [e.machine for e in self.module.directory.entry_by_host.values()])
+            self._take_back_unsafe_attempts()
+        self.module.router.homes = self.placements
+        leaving = self.active_rules.cordoned_hosts(version, cautious)
+        news = self.overlay.set_cordoned(
+            leaving, [e.machine for e in self.module.directory.entry_by_host.values()]
+        )
         if changed:
             self.checks.count("cautious set entered" if cautious else "cautious set left")
             what = "cautious entered" if cautious else "cautious left"
             told = logger.bind(event=what, why=reason or why, number=version.number, machines=len(leaving))
             told.info("{}: {}; version {}", what, reason or why or "a lease is held", version.number)
         if news is not None:
-            self.busy = True
+            self.is_updating_list = True
             try:
                 self.module.told_of_list(news)
             finally:
-                self.busy = False
-        self.applied()
+                self.is_updating_list = False
+        self.on_applied()
 
-    def _take_back(self) -> None:
+    def _take_back_unsafe_attempts(self) -> None:
         """What may not be repeated and is not written goes back to the module: after a standstill its time is
         over, and the tenant may be served at another home. Machines are seen to by their list lines.
         """
         for request in list(self.module.requests.request_by_number.values()):
-            if request.tenant and self.bearing.once[request.class_index]:
+            if request.tenant and self.active_rules.is_unsafe_class[request.class_index]:
                 for attempt in request.attempts:
                     self.module.take_back(attempt)
 
@@ -125,40 +142,40 @@
 
     def stale(self) -> bool:
         """Whether a command decided before may not hold any more: looked at right before its first byte."""
-        return not self.cautious and self.follower.cautious(clock.boot())
+        return not self.is_cautious and self.follower.is_cautious(clock.boot())
 
     def before(self, now: int) -> None:
-        if not self.cautious and not self.busy and self.follower.cautious(clock.boot()):
+        if not self.is_cautious and not self.is_updating_list and self.follower.is_cautious(clock.boot()):
             try:
                 self.apply()
             except Exception as error:  # a defect: the request that is decided next is not to fail for it
                 self.checks.event("exception in the fleet", f"{type(error).__name__}: {error}")
 
     def listed(self, news: EndpointUpdate) -> EndpointUpdate:
-        if self.homes is not None:
-            self.homes.renew()
-        return self.overlay.over(news)
+        if self.placements is not None:
+            self.placements.renew()
+        return self.overlay.overlay(news)
 
     def heard(self, seq: int, of_list: bool) -> None:
-        self.seq = max(self.seq, seq)
+        self.change_log_sequence = max(self.change_log_sequence, seq)
         if of_list:
-            self.revision = self.seq
+            self.list_revision = self.change_log_sequence
 
     def came(self, event: RequestReceived, request: OpenRequest) -> None:
-        event.tenant, request.tenant = self.bearing.tenant_of(request.object_key)
-        if self.homes is not None:
-            once = self.bearing.once[request.class_index]
-            request.shard = self.homes.decide(event.tenant, event.object, once, event.repeat)[0]
+        event.tenant, request.tenant = self.active_rules.tenant_of(request.object_key)
+        if self.placements is not None:
+            once = self.active_rules.is_unsafe_class[request.class_index]
+            request.shard = self.placements.decide(event.tenant, event.object, once, event.repeat)[0]
 
     def sent(self, attempt: OpenAttempt, now: int) -> None:
-        self.tally.sent(attempt, now)
+        self.counters.on_sent(attempt, now)
 
     def ended(self, attempt: OpenAttempt, note: CacheStatus) -> None:
         if note is not CacheStatus.NONE:
-            self.tally.ended(attempt.request, note, clock.now())
+            self.counters.on_attempt_completed(attempt.request, note, clock.now())
 
     def answered(self, request: OpenRequest, status: int) -> None:
-        self.tally.answered(request, status, clock.now())
+        self.counters.on_answered(request, status, clock.now())
 
     # What is reported
 
@@ -168,19 +185,21 @@
         aside = [
             entry.record.host
             for entry in module.directory.entry_by_host.values()
-            if entry.machine.state is EndpointState.READY and self._set_aside(entry.machine.cache)
+            if entry.machine.state is EndpointState.READY and self._is_ejected(entry.machine.cache)
         ]
         about = FrontReport(
             self.follower.name,
-            self.follower.start,
-            max(number - 1, 0) if number == self.in_part else number,
-            self.follower.digest_now(),
-            self.cautious,
+            self.follower.incarnation,
+            max(number - 1, 0) if number == self.unusable_number else number,
+            self.follower.version_digest(),
+            self.is_cautious,
             0,
-            change_log_sequence=self.seq,
+            change_log_sequence=self.change_log_sequence,
+        )
+        return self.counters.report(
+            now, about, list(module.requests.request_by_number.values()), aside, hosts
         )
-        return self.tally.report(now, about, list(module.requests.request_by_number.values()), aside, hosts)
 
-    def _set_aside(self, number: int) -> bool:
+    def _is_ejected(self, number: int) -> bool:
         node = self.module.router.nodes.get(number)
         return node is not None and bool(node.suspect)
--- a/quincepier/net/fleet/version_store.py
+++ b/quincepier/net/fleet/version_store.py
@@ -9,8 +9,8 @@
 import os
 from pathlib import Path
 
-from quincepier.rules import RuleVersion, decode, encode
-from quincepier.rules.version import VERSION_MOST
+from quincepier.rules import RuleVersion, decode_version, encode_version
+from quincepier.rules.version import MAX_VERSION_BYTES
 
 NAME, NEW = "adopted", "adopted.new"
 
@@ -25,7 +25,7 @@
         """None where there is none; OSError, or RulesError for one that is spoilt."""
         try:
             with (self.folder / NAME).open("rb") as file:
-                return decode(file.read(VERSION_MOST + 1))
+                return decode_version(file.read(MAX_VERSION_BYTES + 1))
         except FileNotFoundError:
             return None
 
@@ -34,7 +34,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         fd = os.open(self.folder / NEW, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         with os.fdopen(fd, "wb") as file:
-            file.write(encode(version))
+            file.write(encode_version(version))
             file.flush()
             os.fsync(file.fileno())
         os.replace(self.folder / NEW, self.folder / NAME)
--- a/quincepier/rules/__init__.py
+++ b/quincepier/rules/__init__.py
@@ -27,9 +27,9 @@
     Shard,
     TenantPlacement,
     VersionChange,
-    apply,
-    decode,
-    encode,
+    apply_changes,
+    decode_version,
+    encode_version,
     initial_version,
 )
 
@@ -53,11 +53,11 @@
     "Shard",
     "TenantPlacement",
     "VersionChange",
-    "apply",
-    "decode",
+    "apply_changes",
     "decode_lease_grant",
     "decode_lease_request",
-    "encode",
+    "decode_version",
     "encode_message",
+    "encode_version",
     "initial_version",
 ]
--- a/quincepier/rules/lease_holder.py
+++ b/quincepier/rules/lease_holder.py
@@ -22,10 +22,10 @@
 from quincepier.rules.version import RuleVersion, initial_version
 
 MS = 1_000_000
-ASKS_MOST = 16  # of one front that wait for an answer
-FRONTS_MOST = 4096
-ASK_MOST = 1 << 20  # bytes of an ask, its report included
-GRANT_MOST = 256
+MAX_OPEN_REQUESTS = 16  # of one front that wait for an answer
+MAX_FRONTS = 4096
+MAX_REQUEST_BYTES = 1 << 20  # bytes of an ask, its report included
+MAX_GRANT_BYTES = 256
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
 
 
@@ -35,18 +35,24 @@
     tenant moves; the asks are four to a lease, so that three in a row may be lost.
     """
 
-    lease: int = 1000 * MS
-    every: int = 250 * MS  # between asks
-    margin: float = 0.05  # by which the leader counts longer: two clocks each wrong by 2 in 100
-    attempt: int = 10_000 * MS  # the longest an attempt can be open; the shell gives that of its settings
-    gone: int = 120_000 * MS  # after which a front that fell silent is held to be no more
+    lease_ns: int = 1000 * MS
+    request_interval_ns: int = 250 * MS  # between asks
+    clock_drift_margin: float = 0.05  # by which the leader counts longer: two clocks each wrong by 2 in 100
+    max_attempt_ns: int = (
+        10_000 * MS
+    )  # the longest an attempt can be open; the shell gives that of its settings
+    silent_front_timeout_ns: int = 120_000 * MS  # after which a front that fell silent is held to be no more
 
     def __post_init__(self) -> None:
-        if min(self.lease, self.every, self.attempt, self.gone) <= 0 or not 0 < self.margin < 1:
+        if (
+            min(self.lease_ns, self.request_interval_ns, self.max_attempt_ns, self.silent_front_timeout_ns)
+            <= 0
+            or not 0 < self.clock_drift_margin < 1
+        ):
             raise RulesError("times of leases are above 0, the margin between 0 and 1", "pace")
 
-    def longer(self, span: int) -> int:
-        return span + int(span * self.margin) + 1
+    def with_drift_margin(self, span: int) -> int:
+        return span + int(span * self.clock_drift_margin) + 1
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True):
@@ -59,9 +65,9 @@
 class LeaseGrant(msgspec.Struct, frozen=True, array_like=True):
     """The newest agreed version by number; a lease of 0: adopt that first, then ask again."""
 
-    start: Number  # incarnation of the front that asked
+    incarnation: Number  # incarnation of the front that asked
     token: Number
-    number: Number
+    version_number: Number
     lease_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)]
 
 
@@ -75,7 +81,7 @@
 
 def decode_lease_request(raw: bytes) -> LeaseRequest:
     """RulesError for anything that is none."""
-    if len(raw) > ASK_MOST:
+    if len(raw) > MAX_REQUEST_BYTES:
         raise RulesError("an ask is too long")
     try:
         return _ask.decode(raw)
@@ -85,7 +91,7 @@
 
 def decode_lease_grant(raw: bytes) -> LeaseGrant:
     """RulesError for anything that is none."""
-    if len(raw) > GRANT_MOST:
+    if len(raw) > MAX_GRANT_BYTES:
         raise RulesError("a grant is too long")
     try:
         return _grant.decode(raw)
@@ -99,61 +105,73 @@
     It starts without a lease, whatever an earlier start of it held.
     """
 
-    __slots__ = ("answered", "asked", "doubted", "next", "pace", "start", "token", "until", "version")
+    __slots__ = (
+        "conflicting_number",
+        "has_first_answer",
+        "incarnation",
+        "last_token",
+        "lease_until_ns",
+        "next_request_ns",
+        "request_time_by_token",
+        "timings",
+        "version",
+    )
 
     def __init__(self, start: int, now: int, pace: LeaseTimings, version: RuleVersion | None = None) -> None:
-        self.pace, self.start = pace, start
+        self.timings, self.incarnation = pace, start
         self.version = version or initial_version()  # one kept over a start counts for the cautious set alone
-        self.until = now  # its own clock; a lease ends as this is reached
-        self.token, self.asked = 0, dict[int, int]()  # when each open ask was made
-        self.next = now  # when to ask again
-        self.answered = False  # whether this start ever had the version that an answer named
-        self.doubted = -1  # the number by which it was found to decide otherwise than most
+        self.lease_until_ns = now  # its own clock; a lease ends as this is reached
+        self.last_token, self.request_time_by_token = 0, dict[int, int]()  # when each open ask was made
+        self.next_request_ns = now  # when to ask again
+        self.has_first_answer = False  # whether this start ever had the version that an answer named
+        self.conflicting_number = -1  # the number by which it was found to decide otherwise than most
 
-    def cautious(self, now: int) -> bool:
+    def is_cautious(self, now: int) -> bool:
         """To be asked at each decision, with a clock read then."""
-        return now >= self.until or self.doubted == self.version.number
+        return now >= self.lease_until_ns or self.conflicting_number == self.version.number
 
-    def blank(self) -> bool:
+    def is_awaiting_first_answer(self) -> bool:
         """Whether it started and does not know yet what was agreed: what it kept, or heard by the way, may be
         older than what its earlier start was told. It waits a little for an answer before it serves.
         """
-        return not self.answered
+        return not self.has_first_answer
 
-    def ask(self, now: int) -> int:
+    def begin_request(self, now: int) -> int:
         """The token of a new ask. `now` is read before the ask is handed to the transport."""
-        self.token += 1
-        self.asked[self.token] = now
-        if len(self.asked) > ASKS_MOST:
-            del self.asked[next(iter(self.asked))]
-        self.next = now + self.pace.every
-        return self.token
+        self.last_token += 1
+        self.request_time_by_token[self.last_token] = now
+        if len(self.request_time_by_token) > MAX_OPEN_REQUESTS:
+            del self.request_time_by_token[next(iter(self.request_time_by_token))]
+        self.next_request_ns = now + self.timings.request_interval_ns
+        return self.last_token
 
     def adopt(self, version: RuleVersion) -> bool:
         """Whether it is newer. RulesError where two versions have one number: then it is in doubt of it."""
         mine = self.version
         if version.number == mine.number and version.number and version.digest != mine.digest:
-            self.doubted = mine.number
+            self.conflicting_number = mine.number
             raise RulesError(f"two versions of number {mine.number}", f"digest {version.digest}")
         if version.number <= mine.number:
             return False
         self.version = version
         return True
 
-    def granted(self, now: int, grant: LeaseGrant, version: RuleVersion | None = None) -> bool:
+    def on_grant(self, now: int, grant: LeaseGrant, version: RuleVersion | None = None) -> bool:
         """An answer came, with the version it names where that came along. Whether a newer one was adopted:
         then it asks again at once, since only that ask is answered with a lease.
         """
-        if grant.start != self.start:
+        if grant.incarnation != self.incarnation:
             return False  # meant for an earlier start of this front
         adopted = version is not None and self.adopt(version)
-        asked = self.asked.pop(grant.token, None)
-        for token in [t for t in self.asked if t < grant.token]:
-            del self.asked[token]
-        current = asked is not None and grant.number <= self.version.number
-        self.answered = self.answered or current
+        asked = self.request_time_by_token.pop(grant.token, None)
+        for token in [t for t in self.request_time_by_token if t < grant.token]:
+            del self.request_time_by_token[token]
+        current = asked is not None and grant.version_number <= self.version.number
+        self.has_first_answer = self.has_first_answer or current
         if asked is not None and current and grant.lease_ms:
-            self.until = max(self.until, asked + min(grant.lease_ms * MS, self.pace.lease))
+            self.lease_until_ns = max(
+                self.lease_until_ns, asked + min(grant.lease_ms * MS, self.timings.lease_ns)
+            )
         if adopted:
-            self.next = now
+            self.next_request_ns = now
         return adopted
--- a/quincepier/rules/version.py
+++ b/quincepier/rules/version.py
@@ -16,10 +16,10 @@
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 ShardName = Annotated[str, msgspec.Meta(max_length=64)]  # name of a shard, "" for the common home
-Why = Annotated[str, msgspec.Meta(max_length=200)]
-ORDERS_MOST, MOVES_MOST, SHARDS_MOST, HOMES_MOST = 4096, 64, 64, 4096
-VERSION_MOST = 1 << 20  # bytes of an encoded version
-PARTS = 256  # a tenant's keys are moved in so many parts, by hash
+Reason = Annotated[str, msgspec.Meta(max_length=200)]
+MAX_MAINTENANCE_TASKS, MAX_MIGRATIONS, MAX_SHARDS, MAX_PLACEMENTS = 4096, 64, 64, 4096
+MAX_VERSION_BYTES = 1 << 20  # bytes of an encoded version
+HASH_SLOTS = 256  # a tenant's keys are moved in so many parts, by hash
 
 
 class MaintenanceStep(IntEnum):
@@ -42,7 +42,7 @@
     zone: Annotated[str, msgspec.Meta(max_length=64)]
     step: MaintenanceStep
     since_version: int  # number of the version in which it entered this step
-    reason: Why = ""
+    reason: Reason = ""
 
     @property
     def is_cordoned(self) -> bool:
@@ -109,10 +109,10 @@
     target_shard: ShardName
     step: MigrationStep
     since_version: int  # number of the version in which it entered this step
-    moved_slots: Annotated[int, msgspec.Meta(ge=0, le=PARTS)] = (
+    moved_slots: Annotated[int, msgspec.Meta(ge=0, le=HASH_SLOTS)] = (
         0  # of the keys that go to the new home, of PARTS
     )
-    reason: Why = ""
+    reason: Reason = ""
 
     @property
     def is_active(self) -> bool:
@@ -122,11 +122,13 @@
 class RuleVersion(msgspec.Struct, frozen=True, array_like=True):
     number: int
     term: int  # of the leader that proposed it
-    maintenance_tasks: Annotated[tuple[MaintenanceTask, ...], msgspec.Meta(max_length=ORDERS_MOST)] = ()
+    maintenance_tasks: Annotated[
+        tuple[MaintenanceTask, ...], msgspec.Meta(max_length=MAX_MAINTENANCE_TASKS)
+    ] = ()
     disruption_limits: Annotated[tuple[DisruptionLimit, ...], msgspec.Meta(max_length=3)] = ()
-    shards: Annotated[tuple[Shard, ...], msgspec.Meta(max_length=SHARDS_MOST)] = ()
-    placements: Annotated[tuple[TenantPlacement, ...], msgspec.Meta(max_length=HOMES_MOST)] = ()
-    migrations: Annotated[tuple[Migration, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
+    shards: Annotated[tuple[Shard, ...], msgspec.Meta(max_length=MAX_SHARDS)] = ()
+    placements: Annotated[tuple[TenantPlacement, ...], msgspec.Meta(max_length=MAX_PLACEMENTS)] = ()
+    migrations: Annotated[tuple[Migration, ...], msgspec.Meta(max_length=MAX_MIGRATIONS)] = ()
 
     @property
     def digest(self) -> str:
@@ -171,7 +173,7 @@
     return RuleVersion(0, 0)
 
 
-def apply(version: RuleVersion, term: int, changes: tuple[VersionChange, ...]) -> RuleVersion:
+def apply_changes(version: RuleVersion, term: int, changes: tuple[VersionChange, ...]) -> RuleVersion:
     """The next version. `since` of entries that are new or entered another step is set to its number here,
     so whoever proposes need not know it. RulesError where two changes set the same field.
     """
@@ -207,14 +209,14 @@
     )
 
 
-def encode(version: RuleVersion) -> bytes:
+def encode_version(version: RuleVersion) -> bytes:
     """Digest first, so that what was spoilt on its way or on a disk is refused."""
     body = _encode(version)
     return xxhash.xxh3_128_digest(body) + body
 
 
-def decode(raw: bytes) -> RuleVersion:
-    if len(raw) > VERSION_MOST or xxhash.xxh3_128_digest(raw[16:]) != raw[:16]:
+def decode_version(raw: bytes) -> RuleVersion:
+    if len(raw) > MAX_VERSION_BYTES or xxhash.xxh3_128_digest(raw[16:]) != raw[:16]:
         raise RulesError("a rule version is spoilt or too long")
     try:
         return _decode(raw[16:])
--- a/quincepier/tenancy/migration.py
+++ b/quincepier/tenancy/migration.py
@@ -18,7 +18,7 @@
     TenantPlacement,
     VersionChange,
 )
-from quincepier.rules.version import MOVES_MOST, PARTS
+from quincepier.rules.version import HASH_SLOTS, MAX_MIGRATIONS
 from quincepier.tenancy.ramp_up import WARM_PART, cold_host, grown, ready_hosts, under_work
 from quincepier.tenancy.section import DEFAULT_SHARD_NAME, SECOND, MigrationRequest
 from quincepier.tenancy.verification import Verdict, compare, in_same_seconds, judge, unharmed
@@ -115,7 +115,7 @@
     """A wish that begins: not known yet, its tenant under no other move, and not at home there already."""
     old = next((h.shard for h in homes if h.tenant == line.tenant), None)
     known = any(m.request_id == line.id or (m.is_active and m.tenant == line.tenant) for m in moves)
-    if known or line.rollback or old is None or old == line.target_shard or len(moves) >= MOVES_MOST:
+    if known or line.rollback or old is None or old == line.target_shard or len(moves) >= MAX_MIGRATIONS:
         return None
     if (
         line.target_shard and version.find_shard(line.target_shard) is None
@@ -125,7 +125,7 @@
 
 
 def _told(move: Migration) -> str:
-    part = f" {move.moved_slots}/{PARTS}" if move.step in (Step.RAMPING_UP, Step.CUT_OVER) else ""
+    part = f" {move.moved_slots}/{HASH_SLOTS}" if move.step in (Step.RAMPING_UP, Step.CUT_OVER) else ""
     return f"{move.step.name.lower()}{part}{' (' + move.reason + ')' if move.reason else ''}"
 
 
@@ -271,7 +271,7 @@
         is Verdict.FAIL
     ):
         return _to(m, Step.CUT_OVER, found.line, 0)
-    if m.step is Step.CUT_OVER and m.moved_slots < PARTS:
+    if m.step is Step.CUT_OVER and m.moved_slots < HASH_SLOTS:
         still = (
             line is None
             or line.pause
@@ -280,7 +280,7 @@
         )
         if still or not all_here(version, seen):
             return m
-        part, why = grown(seen, m, PARTS)
+        part, why = grown(seen, m, HASH_SLOTS)
         return _to(m, Step.CUT_OVER, why, part) if part != m.moved_slots else m
     if not goes or not in_force(m, seen):
         return m
--- a/quincepier/tenancy/placement.py
+++ b/quincepier/tenancy/placement.py
@@ -9,14 +9,14 @@
 from quincepier import interface as io
 from quincepier.interface import Idempotency
 from quincepier.rules import Migration, MigrationStep, RuleVersion
-from quincepier.rules.version import PARTS
+from quincepier.rules.version import HASH_SLOTS
 from quincepier.tenancy.errors import TenancyError
 from quincepier.tenancy.tenant_lookup import TenantLookup
 
 
 def part_of(key: int) -> int:
     """The part of a tenant's keys, of PARTS, that an object (64 bits) is in: the same at every front."""
-    return xxhash.xxh3_64_intdigest((key & (1 << 64) - 1).to_bytes(8, "little")) % PARTS
+    return xxhash.xxh3_64_intdigest((key & (1 << 64) - 1).to_bytes(8, "little")) % HASH_SLOTS
 
 
 def place(move: Migration, part: int, once: bool, repeat: bool, cautious: bool) -> tuple[str, bool]:
--- a/quincepier/tenancy/ramp_up.py
+++ b/quincepier/tenancy/ramp_up.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from quincepier.rules import Migration, Observations, RuleVersion
-from quincepier.rules.version import PARTS
+from quincepier.rules.version import HASH_SLOTS
 from quincepier.tenancy.verification import in_same_seconds, total
 
 STEPS = (32, 16, 8, 4, 2, 1)  # parts, of 256, that go at once: the largest that fills allow
-WARM_PART = PARTS // 2  # both homes are compared at halves, where the difference is told best
+WARM_PART = HASH_SLOTS // 2  # both homes are compared at halves, where the difference is told best
 FILLS_PART = 0.2  # of all usual fills: what one step may add at first; they are to stay under 1.3 of usual
 SETTLED_PART = 0.1  # of all usual fills: what may be left of the last step's before the next
 TELLS = 50  # answers at the old home, to know its rate of fills
@@ -58,7 +58,7 @@
     asked, every = here.responses + there.responses, total(seen, "").origin_fetches
     if not asked:
         return min(part + STEPS[0], most), "nobody asks"
-    if there.responses < TELLS and part < PARTS:
+    if there.responses < TELLS and part < HASH_SLOTS:
         return min(part + STEPS[3], most), "too few answers to tell fills by: small steps"
     rate = there.origin_fetches / there.responses if there.responses else 0.0
     extra = max(here.origin_fetches - here.responses * rate, 0.0)
@@ -66,6 +66,6 @@
     if part and extra > SETTLED_PART * usual:
         return part, f"{extra:.0f} fills above {usual:.0f} usual ones"
     # At first as if nothing of it were asked twice; later an eighth more than what was borne before.
-    room = max(FILLS_PART * usual * PARTS / (asked * max(1 - rate, 0.01)), part / 8)
+    room = max(FILLS_PART * usual * HASH_SLOTS / (asked * max(1 - rate, 0.01)), part / 8)
     step = next((s for s in STEPS if s <= room), STEPS[-1])
     return min(part + step, most), f"room for {room:.1f} parts"
--- a/quincepier/tenancy/section.py
+++ b/quincepier/tenancy/section.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from quincepier.rules import Migration, MigrationStep, Shard
-from quincepier.rules.version import HOMES_MOST, MOVES_MOST, SHARDS_MOST
+from quincepier.rules.version import MAX_MIGRATIONS, MAX_PLACEMENTS, MAX_SHARDS
 
 MS = 1_000_000  # nanoseconds
 SECOND = 1000 * MS
@@ -119,9 +119,9 @@
     for so long. A migration stays planned for the same time, so that every front knows of it by then.
     """
 
-    shard_by_name: Annotated[dict[Name, ShardSettings], msgspec.Meta(max_length=SHARDS_MOST)] = {}
-    tenant_by_name: Annotated[dict[Name, TenantSettings], msgspec.Meta(max_length=HOMES_MOST)] = {}
-    migrations: Annotated[tuple[MigrationRequest, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
+    shard_by_name: Annotated[dict[Name, ShardSettings], msgspec.Meta(max_length=MAX_SHARDS)] = {}
+    tenant_by_name: Annotated[dict[Name, TenantSettings], msgspec.Meta(max_length=MAX_PLACEMENTS)] = {}
+    migrations: Annotated[tuple[MigrationRequest, ...], msgspec.Meta(max_length=MAX_MIGRATIONS)] = ()
     grace_period_s: Annotated[float, msgspec.Meta(ge=5, le=86_400)] = 60
 
     def __post_init__(self) -> None:
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -113,7 +113,7 @@
         learned_state.encode,
     ),
     # Of several parts: their generic values are those of the parts, above.
-    "rules.version": Codec(None, rules.decode, rules.encode),
+    "rules.version": Codec(None, rules.decode_version, rules.encode_version),
     "peers.view": Codec(None, _view, _view_bytes),
     "peers.frames": Codec(None, _frames, _frames_bytes),
     "state.record": Codec(
--- a/tests/orderkit.py
+++ b/tests/orderkit.py
@@ -32,13 +32,15 @@
     MachineObservation,
     MaintenanceStep,
     RuleVersion,
-    apply,
+    apply_changes,
 )
 from quincepier.rules import LeaseHolder as PlainHolder
 from quincepier.rules import LeaseTable as PlainLedger
 from quincepier.rules.lease_holder import MS, LeaseTimings
 
-PACE = LeaseTimings(lease=400 * MS, every=100 * MS, attempt=200 * MS, gone=10**15)
+PACE = LeaseTimings(
+    lease_ns=400 * MS, request_interval_ns=100 * MS, max_attempt_ns=200 * MS, silent_front_timeout_ns=10**15
+)
 ATTEMPT_TICKS, FAR, WARM = 2, 1 << 60, 60_000
 HOSTS = ("m0", "m1")
 MADE = count()
@@ -116,9 +118,9 @@
         new.versions, new.machines = list(self.versions), dict(self.machines)
         new.fronts = [Front(f.name, copy.copy(f.holder), f.rate, f.clock, dict(f.open)) for f in self.fronts]
         for front in new.fronts:
-            front.holder.asked = dict(front.holder.asked)
+            front.holder.request_time_by_token = dict(front.holder.request_time_by_token)
         new.ledger = copy.copy(self.ledger)
-        new.ledger.fronts = {name: copy.copy(known) for name, known in self.ledger.fronts.items()}
+        new.ledger.lease_by_front = {name: copy.copy(k) for name, k in self.ledger.lease_by_front.items()}
         return new
 
     def key(self) -> tuple[Any, ...]:
@@ -126,10 +128,10 @@
         ledger, now, pace = self.ledger, self.clock, self.parts.pace
         fronts = tuple(
             (
-                f.holder.start,
+                f.holder.incarnation,
                 f.holder.version.number,
-                f.holder.answered,
-                max(f.holder.until - f.clock, 0),
+                f.holder.has_first_answer,
+                max(f.holder.lease_until_ns - f.clock, 0),
                 tuple(sorted(f.open.items())),
             )
             for f in self.fronts
@@ -138,37 +140,43 @@
             (
                 name,
                 k.report.incarnation,
-                k.number,
+                k.version_number,
                 k.report.open_attempts,
-                max(k.until - now, 0),
-                max(k.ended - now, 0),
+                max(k.lease_until_ns - now, 0),
+                max(k.idle_at_ns - now, 0),
                 (
-                    k.before.version_number,
-                    k.before.open_attempts,
-                    max(k.before_until - now, 0),
-                    k.before_ended - now,
+                    k.earlier_report.version_number,
+                    k.earlier_report.open_attempts,
+                    max(k.earlier_lease_until_ns - now, 0),
+                    k.earlier_idle_at_ns - now,
                 )
-                if k.before and k.before_ended > now
+                if k.earlier_report and k.earlier_idle_at_ns > now
                 else (),
             )
-            for name, k in sorted(ledger.fronts.items())
+            for name, k in sorted(ledger.lease_by_front.items())
+        )
+        wait = max(
+            ledger.elected_at_ns
+            + pace.with_drift_margin(pace.lease_ns)
+            + pace.with_drift_margin(pace.max_attempt_ns)
+            - now,
+            0,
         )
-        wait = max(ledger.began + pace.longer(pace.lease) + pace.longer(pace.attempt) - now, 0)
         orders = tuple((o.target, o.step, o.since_version) for o in self.version.maintenance_tasks)
         words = tuple(sorted(map(self.word_key, self.words, self.owners)))
-        held = (self.rate, self.ledger.newest, wait)
+        held = (self.rate, self.ledger.newest_number, wait)
         return fronts, known, held, orders, words, tuple(self.machines.values()), self.faults, self.leaders
 
     def word_key(self, word: LeaseRequest | LeaseGrant, owner: int) -> tuple[Any, ...]:
         front = self.fronts[owner]
         if isinstance(word, LeaseRequest):
-            known = self.ledger.fronts.get(word.report.front)
+            known = self.ledger.lease_by_front.get(word.report.front)
             later = (
                 known is None
                 or known.report.incarnation != word.report.incarnation
-                or word.token > known.token
+                or word.token > known.last_token
             )
-            age = front.clock - front.holder.asked.get(word.token, -(10**15))
+            age = front.clock - front.holder.request_time_by_token.get(word.token, -(10**15))
             return (
                 0,
                 owner,
@@ -178,8 +186,8 @@
                 later,
                 age,
             )
-        age = front.clock - front.holder.asked.get(word.token, -(10**15))
-        return 1, owner, word.start, word.number, (), word.lease_ms > 0, age
+        age = front.clock - front.holder.request_time_by_token.get(word.token, -(10**15))
+        return 1, owner, word.incarnation, word.version_number, (), word.lease_ms > 0, age
 
     # what may happen next
 
@@ -235,9 +243,9 @@
 
     def sends(self, front: Front, host: str) -> bool:
         holder, parts = front.holder, self.parts
-        if parts.blank_waits and holder.blank():
+        if parts.blank_waits and holder.is_awaiting_first_answer():
             return False
-        return host not in parts.leaving(holder.version, holder.cautious(front.clock), front.name)
+        return host not in parts.leaving(holder.version, holder.is_cautious(front.clock), front.name)
 
     def send(self, at: int, host: str) -> None:
         front = self.fronts[at]
@@ -254,21 +262,23 @@
 
     def report(self, front: Front) -> FrontReport:
         holder = front.holder
-        version, cautious = holder.version, holder.cautious(front.clock)
+        version, cautious = holder.version, holder.is_cautious(front.clock)
         opened = tuple((host, 1) for host in sorted(front.open))
-        return FrontReport(front.name, holder.start, version.number, version.digest, cautious, 100, opened)
+        return FrontReport(
+            front.name, holder.incarnation, version.number, version.digest, cautious, 100, opened
+        )
 
     def exchange(self, at: int) -> None:
         front = self.fronts[at]
-        ask = LeaseRequest(front.holder.ask(front.clock), self.report(front))
-        grant = self.ledger.heard(self.clock, ask, FAR)
+        ask = LeaseRequest(front.holder.begin_request(front.clock), self.report(front))
+        grant = self.ledger.on_request(self.clock, ask, FAR)
         if grant is not None:
-            front.holder.granted(front.clock, grant, self.versions[grant.number])
+            front.holder.on_grant(front.clock, grant, self.versions[grant.version_number])
 
     def ask(self, at: int) -> None:
         front = self.fronts[at]
         self.faults -= 1
-        self.words += (LeaseRequest(front.holder.ask(front.clock), self.report(front)),)
+        self.words += (LeaseRequest(front.holder.begin_request(front.clock), self.report(front)),)
         self.owners += (at,)
 
     def word(self, at: int, again: bool) -> None:
@@ -280,16 +290,16 @@
             self.words = self.words[:at] + self.words[at + 1 :]
             self.owners = self.owners[:at] + self.owners[at + 1 :]
         if isinstance(word, LeaseRequest):
-            grant = self.ledger.heard(self.clock, word, FAR)
+            grant = self.ledger.on_request(self.clock, word, FAR)
             if grant is not None:
                 self.words, self.owners = (*self.words, grant), (*self.owners, owner)
         else:
-            front.holder.granted(front.clock, word, self.versions[word.number])
+            front.holder.on_grant(front.clock, word, self.versions[word.version_number])
 
     def restart(self, at: int) -> None:
         self.faults -= 1
         front = self.fronts[at]
-        start = front.holder.start + 1
+        start = front.holder.incarnation + 1
         front.holder = self.parts.Holder(start, front.clock, self.parts.pace, self.versions[1])
         front.open.clear()
 
@@ -299,8 +309,8 @@
         self.ledger = self.parts.Ledger(self.clock, self.parts.pace, self.version)
 
     def agree(self) -> None:
-        self.versions.append(apply(self.version, 1, ()))
-        self.ledger.agreed(self.version)
+        self.versions.append(apply_changes(self.version, 1, ()))
+        self.ledger.on_version_committed(self.version)
 
     def plan(self) -> None:
         machines = {
@@ -308,13 +318,13 @@
             for host, up in self.machines.items()
             if up >= 0
         }
-        seen = self.ledger.seen(self.clock, tuple(f.name for f in self.fronts), machines, (), "f0")
+        seen = self.ledger.observe(self.clock, tuple(f.name for f in self.fronts), machines, (), "f0")
         change = self.parts.plan(self.version, self.wishes, seen).change
         if change is None:
             return
         before = self.version
-        self.versions.append(apply(before, 1, (change,)))
-        self.ledger.agreed(self.version)
+        self.versions.append(apply_changes(before, 1, (change,)))
+        self.ledger.on_version_committed(self.version)
         for order in self.version.maintenance_tasks:
             was = before.task_for(order.target)
             if order.step is MaintenanceStep.DRAINED and (
@@ -327,9 +337,9 @@
                         )
 
     def check(self) -> None:
-        force = self.ledger.in_force(self.clock)
+        force = self.ledger.active_number(self.clock)
         for front in self.fronts:
-            if not front.holder.cautious(front.clock) and front.holder.version.number < force:
+            if not front.holder.is_cautious(front.clock) and front.holder.version.number < force:
                 raise RuleBrokenError(
                     f"{front.name} is sure of {front.holder.version.number}, in force is {force}"
                 )
--- a/tests/test_fleet_shell.py
+++ b/tests/test_fleet_shell.py
@@ -36,15 +36,15 @@
 class Blind(EndpointOverlay):
     """Mutant: a line of the log lifts an order."""
 
-    def over(self, news: EndpointUpdate) -> EndpointUpdate:
+    def overlay(self, news: EndpointUpdate) -> EndpointUpdate:
         return news
 
 
 class Forgetful(EndpointOverlay):
     """Mutant: what is given back is told to nobody."""
 
-    def change(self, leaving: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
-        return super().change(self.leaving | leaving, listed)
+    def set_cordoned(self, leaving: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
+        return super().set_cordoned(self.cordoned | leaving, listed)
 
 
 def played(overlay: EndpointOverlay, steps: Sequence[tuple[str, Any]]) -> bool:
@@ -61,14 +61,14 @@
         if what == "order":
             leaving = about
             told(
-                overlay.change(
+                overlay.set_cordoned(
                     leaving, [machine(n, s) for n, s in log.items() if s is not EndpointState.GONE]
                 )
             )
         else:
             number, state = about
             log[number] = state
-            told(overlay.over(EndpointUpdate(UpdateScope.CHANGES, (machine(number, state),))))
+            told(overlay.overlay(EndpointUpdate(UpdateScope.CHANGES, (machine(number, state),))))
         for n, state in log.items():
             drains = HOSTS[n] in leaving and state is EndpointState.READY
             if module[n] is not (EndpointState.DRAINING if drains else state):
@@ -123,7 +123,7 @@
         b"\xc1",
         messages.encode([9, 1]),
         messages.encode(report)[:-2],
-        bytes(messages.WORD_MOST + 1),
+        bytes(messages.MAX_MESSAGE_BYTES + 1),
     ):
         assert messages.decode(raw) is None
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -35,7 +35,7 @@
     RuleVersion,
     ServiceStatistics,
     Shard,
-    apply,
+    apply_changes,
     lease_holder,
     lease_table,
 )
@@ -77,7 +77,7 @@
     def turn(self) -> tuple[str, ...]:
         found = plan(self.version, self.wishes, self.seen())
         if found.change is not None:
-            self.version = apply(self.version, 1, (found.change,))
+            self.version = apply_changes(self.version, 1, (found.change,))
         return found.tells
 
     def turns(self, most: int = 50) -> None:
@@ -388,20 +388,24 @@
 ALWAYS = "if False:"
 MUTANTS: dict[str, tuple[str, dict[str, str], str]] = {
     "the lease counts from the answer": ("leases", {"asked + min(": "now + min("}, "leases"),
-    "a standstill is not seen": ("leases", {"return now >= self.until or": "return False or"}, "leases"),
+    "a standstill is not seen": (
+        "leases",
+        {"return now >= self.lease_until_ns or": "return False or"},
+        "leases",
+    ),
     "the leader counts as long as the front": (
         "leases",
-        {"return span + int(span * self.margin) + 1": "return span"},
+        {"return span + int(span * self.clock_drift_margin) + 1": "return span"},
         "leases",
     ),
     "a new leader does not wait": (
         "ledger",
-        {"self.began = pace, now": "self.began = pace, -(10**12)"},
+        {"self.elected_at_ns = pace, now": "self.elected_at_ns = pace, -(10**12)"},
         "leases",
     ),
     "attempts are not waited for": (
         "ledger",
-        {"return all(k.until > now or now >= k.ended": "return all(True"},
+        {"return all(k.lease_until_ns > now or now >= k.idle_at_ns": "return all(True"},
         "cut",
     ),
     "drains before all were told": ("steps", {"elif self.told < order.since_version:": "elif False:"}, "cut"),
@@ -430,7 +434,11 @@
         {"or (cautious and order.is_active": "or (cautious and order.is_cordoned"},
         "cut",
     ),
-    "one that started serves at once": ("leases", {"return not self.answered": "return False"}, "pass"),
+    "one that started serves at once": (
+        "leases",
+        {"return not self.has_first_answer": "return False"},
+        "pass",
+    ),
 }
 
 
