--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -38,10 +38,15 @@
 from quincepier.net.fleet.worker_thread import WorkerThread
 from quincepier.net.module import ModuleActor
 from quincepier.net.peers import PeerNetwork
-from quincepier.rules import LeaseTimings, MachineObservation, RulesError, RuleVersion
-from quincepier.rules import decode_version as decode_version
-from quincepier.rules import encode_version as encode_version
-from quincepier.state.snapshot_store import FileSystem
+from quincepier.rules import (
+    LeaseTimings,
+    MachineObservation,
+    RulesError,
+    RuleVersion,
+    decode_version,
+    encode_version,
+)
+from quincepier.state.file_system import FileSystem
 from quincepier.state.voter_store import VoterStore
 
 if TYPE_CHECKING:
--- a/tests/test_raft_node.py
+++ b/tests/test_raft_node.py
@@ -16,7 +16,7 @@
 from quincepier.consensus import EntryCommitted, LeaderChanged, PersistRecords, SendMessage
 from quincepier.net.fleet.raft_node import STORAGE_FAILED, RaftNode
 from quincepier.net.fleet.worker_thread import WorkerThread
-from quincepier.state.snapshot_store import FileSystem
+from quincepier.state.file_system import FileSystem
 from quincepier.state.voter_store import VoterStore
 
 VOTERS = ("a", "b", "c")
