--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""Buffers, open requests and the directory of machines."""
+"""Buffer pool, open request table, machine directory, and the clock at its edge."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from quincepier.interface import EndpointState, UpdateScope
 from quincepier.memory.buffer_pool import BUFFER_SIZE, BufferPool, PooledBody
 from quincepier.memory.machine_directory import MachineDirectory
-from quincepier.memory.open_requests import OpenRequest, OpenRequestTable
+from quincepier.memory.open_requests import OpenRequestTable
 from quincepier.wire.changelog import FleetChange, HostRecord
 from quincepier.wire.errors import ProtocolError
 from tests.frontkit import Inbox, open_request
 
 
 @given(st.lists(st.binary(max_size=40_000), max_size=6))
-def test_body_keeps_bytes_over_buffers(parts: list[bytes]) -> None:
+def test_a_body_holds_its_bytes_over_several_buffers(parts: list[bytes]) -> None:
     pool = BufferPool(100)
     data = b"".join(parts)
     body = PooledBody.allocate(pool, len(data))
@@ -32,23 +32,23 @@
     assert pool.used == 0
 
 
-def test_pool_has_a_hard_cap_and_uses_buffers_again() -> None:
+def test_the_pool_has_a_hard_limit_and_reuses_buffers() -> None:
     pool = BufferPool(3)
-    freed: list[int] = []
-    pool.on_release = lambda: freed.append(pool.used)
+    used_after_release: list[int] = []
+    pool.on_release = lambda: used_after_release.append(pool.used)
     first = PooledBody.allocate(pool, 2 * BUFFER_SIZE)
     assert (
         first is not None and pool.acquire(2) is None and PooledBody.allocate(pool, 2 * BUFFER_SIZE) is None
     )
     ids = {id(buffer) for buffer in first.buffers}
     first.release()
-    first.release()  # a second time gives nothing back
-    assert freed == [0]
+    first.release()  # a second time has no effect
+    assert used_after_release == [0]
     again = pool.acquire(2)
     assert again is not None and {id(buffer) for buffer in again} == ids and pool.allocated == 2
 
 
-def test_request_stays_until_its_attempts_have_ended() -> None:
+def test_a_request_stays_in_the_table_until_its_attempts_have_ended() -> None:
     requests = OpenRequestTable(10)
     request = open_request(Inbox())
     requests.add(request)
@@ -61,17 +61,17 @@
     assert requests.request_by_number == {}
 
 
-def test_number_is_not_used_again_while_it_matters() -> None:
+def test_a_request_number_is_not_reused_while_its_request_is_open() -> None:
     requests = OpenRequestTable(10)
-    kept = open_request(Inbox())
-    requests.add(kept)
-    requests.next_number = kept.number  # as after a full turn of the numbers
-    other: OpenRequest = open_request(Inbox())
+    first = open_request(Inbox())
+    requests.add(first)
+    requests.next_number = first.number  # as after all numbers have been used once
+    other = open_request(Inbox())
     requests.add(other)
-    assert other.number != kept.number and len(requests.request_by_number) == 2
+    assert other.number != first.number and len(requests.request_by_number) == 2
 
 
-def record(host: str, state: EndpointState = EndpointState.READY, **changes: object) -> HostRecord:
+def host_record(host: str, state: EndpointState = EndpointState.READY, **changes: object) -> HostRecord:
     values: dict[str, object] = {
         "host": host, "address": ("127.0.0.9", 5050), "site": "east", "kind": "std", "cell": 2,
         "state": state, "size": 4.0, "born_ms": 0,
@@ -79,68 +79,70 @@
     return HostRecord(**(values | changes))  # type: ignore[arg-type]
 
 
-def make_directory() -> MachineDirectory:
+def new_directory() -> MachineDirectory:
     directory = MachineDirectory(("west", "east"), ("std", "parent"))
-    directory.apply(FleetChange(1, True, (record("s-1"), record("s-2"))), UpdateScope.RESTORED)
+    directory.apply(FleetChange(1, True, (host_record("s-1"), host_record("s-2"))), UpdateScope.RESTORED)
     return directory
 
 
-def test_numbers_follow_from_the_host_alone() -> None:
-    one, other = make_directory(), MachineDirectory(("west", "east"), ("std", "parent"))
-    other.apply(FleetChange(1, True, (record("s-2"), record("s-1"))))
+def test_machine_numbers_follow_from_the_host_id_alone() -> None:
+    one, other = new_directory(), MachineDirectory(("west", "east"), ("std", "parent"))
+    other.apply(FleetChange(1, True, (host_record("s-2"), host_record("s-1"))))
     assert one.assign_number("s-1") == other.assign_number("s-1") != one.assign_number("s-2")
     assert one.host_by_number[one.assign_number("s-1")] == "s-1"
 
 
-def test_new_id_on_an_old_address_is_another_machine() -> None:
-    directory = make_directory()
-    news = directory.apply(FleetChange(2, False, (record("s-1", EndpointState.GONE), record("s-3"))))
-    assert [m.state for m in news.machines] == [EndpointState.GONE, EndpointState.READY]
-    assert len({m.cache for m in news.machines}) == 2
+def test_a_new_host_id_at_an_old_address_is_another_machine() -> None:
+    directory = new_directory()
+    update = directory.apply(
+        FleetChange(2, False, (host_record("s-1", EndpointState.GONE), host_record("s-3")))
+    )
+    assert [m.state for m in update.machines] == [EndpointState.GONE, EndpointState.READY]
+    assert len({m.cache for m in update.machines}) == 2
     assert {r.host for _, r in directory.listed_hosts()} == {"s-2", "s-3"}
     assert directory.find_entry(directory.assign_number("s-1")) is None
 
 
-def test_whole_list_replaces_and_changes_add() -> None:
-    directory = make_directory()
-    news = directory.apply(
-        FleetChange(2, True, (record("s-9", site="west", kind="parent"),)), UpdateScope.FULL
+def test_a_full_list_replaces_all_machines_and_a_change_adds() -> None:
+    directory = new_directory()
+    update = directory.apply(
+        FleetChange(2, True, (host_record("s-9", site="west", kind="parent"),)), UpdateScope.FULL
     )
-    (machine,) = news.machines
-    assert (news.scope, machine.zone, machine.kind) == (UpdateScope.FULL, 0, 1)
+    (machine,) = update.machines
+    assert (update.scope, machine.zone, machine.kind) == (UpdateScope.FULL, 0, 1)
     assert [r.host for _, r in directory.listed_hosts()] == ["s-9"]
-    assert directory.full_list().machines == news.machines
+    assert directory.full_list().machines == update.machines
 
 
-def test_unusable_change_leaves_the_last_good_list() -> None:
-    directory = make_directory()
+def test_an_invalid_change_is_not_applied_at_all() -> None:
+    directory = new_directory()
     before = list(directory.listed_hosts())
     with pytest.raises(ProtocolError, match="s-4"):
-        directory.apply(FleetChange(2, True, (record("s-3"), record("s-4", site="nowhere"))))
+        directory.apply(FleetChange(2, True, (host_record("s-3"), host_record("s-4", site="nowhere"))))
     assert list(directory.listed_hosts()) == before
 
 
-def test_late_start_keeps_its_time_when_told_again() -> None:
-    directory = make_directory()
+def test_the_start_time_of_a_machine_stays_when_it_is_listed_again() -> None:
+    directory = new_directory()
     born = time.time_ns() // clock.MS - 5000
-    first = directory.apply(FleetChange(2, False, (record("s-1", born_ms=born),))).machines[0]
-    second = directory.apply(FleetChange(3, False, (record("s-1", born_ms=born, size=9.0),))).machines[0]
+    first = directory.apply(FleetChange(2, False, (host_record("s-1", born_ms=born),))).machines[0]
+    second = directory.apply(FleetChange(3, False, (host_record("s-1", born_ms=born, size=9.0),))).machines[0]
     assert first.up_since == second.up_since > 0
     assert clock.now() - first.up_since >= 5000 * clock.MS
-    later = directory.apply(FleetChange(4, False, (record("s-1", born_ms=born + 1000),))).machines[0]
+    later = directory.apply(FleetChange(4, False, (host_record("s-1", born_ms=born + 1000),))).machines[0]
     assert later.up_since > second.up_since
 
 
-def test_unix_times_at_the_edge() -> None:
+def test_unix_times_are_converted_on_the_safe_side() -> None:
     now_ms = time.time_ns() // clock.MS
     assert clock.since(0) == 0 and clock.since(1) == 1
     assert clock.ago(now_ms + 60_000) == 0
     assert clock.ago(now_ms - 1000) >= 998 * clock.MS
-    # never older than it was: the millisecond named may have been cut
+    # never more than the true age: the millisecond may have been truncated
     assert clock.ago(now_ms - 1000) <= time.time_ns() - (now_ms - 999) * clock.MS
 
 
-def test_objects_leave_the_reserve_to_connections_that_read() -> None:
+def test_bodies_leave_the_reserved_buffers_to_connections() -> None:
     pool = BufferPool(8, reserved=3)
     body = PooledBody.allocate(pool, 5 * BUFFER_SIZE)
     assert body is not None and PooledBody.allocate(pool, 1) is None
