--- a/quincepier/lab/consistency_trial.py
+++ b/quincepier/lab/consistency_trial.py
@@ -25,6 +25,7 @@
     DecisionInputs,
     Finding,
     ListedEndpoint,
+    RankingCache,
     SendMessage,
 )
 from quincepier.consistency.findings import LAGGING_KINDS
@@ -80,6 +81,7 @@
         self.build = "build-1"
         self.settings = fleet.settings
         self.corrupt: Callable[[DecisionInputs], DecisionInputs] = lambda inputs: inputs
+        self.ranking_cache: RankingCache = lambda zone, key_hash: None
         self.list_delay_ns = 0  # beyond the usual, until a list is adopted
         self._fleet = fleet
         self._starts = 0
@@ -106,10 +108,6 @@
         self.update_view()
         self._tick(self._starts)
 
-    def ranking_cache(self, zone: int, key_hash: int) -> Any:
-        """No cached ranking; tests replace this."""
-        return None
-
     def adopt(self, inputs: DecisionInputs) -> None:
         """Decide by these inputs from now on, as far as no fault corrupts them."""
         self.inputs = inputs
@@ -173,7 +171,8 @@
         self.measures_cpu = measures_cpu
         endpoints = endpoints or make_endpoint_list(2, 6, 2)
         self.published = PublishedState(rule_version or RuleVersion(1, 1), endpoints, 10)
-        self.bytes_sent, self.cpu_ns = Counter[str](), Counter[str]()
+        self.bytes_sent = Counter[str]()
+        self.cpu_ns = Counter[str]()
         self.findings: list[ReportedFinding] = []
         self.fronts = [SimulatedFront(self, f"f{n}") for n in range(count)]
         self.front_by_name = {front.name: front for front in self.fronts}
