--- a/quincepier/lab/powercut.py
+++ b/quincepier/lab/powercut.py
@@ -115,15 +115,15 @@
         self.unsynced_changes = []
 
     def states_after_cut(self, chance: random.Random) -> Iterator[PowerCutDisk]:
-        """Yield the disks that may be found: any set of the unsynced changes, each fate of the writes."""
+        """Yield the disks that may be found: any set of the unsynced changes, each outcome of the writes."""
         for count in range(len(self.unsynced_changes) + 1):
             for changes in itertools.combinations(self.unsynced_changes, count):
                 names = self._names_with(changes)
-                for fate in UnsyncedWrites:
+                for outcome in UnsyncedWrites:
                     found = PowerCutDisk(self.folder)
                     for name, inode in names.items():
                         found.inode_by_name[name] = inode
-                        found.synced_content[inode] = self._content_after_cut(inode, fate, chance)
+                        found.synced_content[inode] = self._content_after_cut(inode, outcome, chance)
                     yield found
 
     def _names_with(self, changes: tuple[NameChange, ...]) -> dict[str, int]:
@@ -133,14 +133,14 @@
             names[change.new_name] = change.inode
         return names
 
-    def _content_after_cut(self, inode: int, fate: UnsyncedWrites, chance: random.Random) -> bytes:
+    def _content_after_cut(self, inode: int, outcome: UnsyncedWrites, chance: random.Random) -> bytes:
         writes = self.unsynced_writes[inode]
-        if fate is UnsyncedWrites.LOST:
+        if outcome is UnsyncedWrites.LOST:
             writes = []
-        elif fate is UnsyncedWrites.TORN and writes:
+        elif outcome is UnsyncedWrites.TORN and writes:
             cut = chance.randrange(len(writes))
             writes = [*writes[:cut], writes[cut][: chance.randrange(len(writes[cut]) + 1)]]
-        elif fate is UnsyncedWrites.HOLE and writes:
+        elif outcome is UnsyncedWrites.HOLE and writes:
             hole = chance.randrange(len(writes))
             writes = [bytes(len(data)) if index == hole else data for index, data in enumerate(writes)]
         return self.synced_content[inode] + b"".join(writes)
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -108,7 +108,7 @@
         logger.bind(
             event="state_read", facts=restored, total=len(facts), age_ms=age_ms, size_bytes=size_bytes
         ).info(
-            "state_read: {} of {} facts count, {} ms old, {} bytes", restored, len(facts), age_ms, size_bytes
+            "state read: {} of {} facts count, {} ms old, {} bytes", restored, len(facts), age_ms, size_bytes
         )
 
     def _restore_address_backoffs(self, state: LearnedState, age_ns: int) -> None:
--- a/quincepier/state/record_format.py
+++ b/quincepier/state/record_format.py
@@ -59,7 +59,7 @@
         self.offset = offset
 
 
-class Record(NamedTuple):
+class UnpackedRecord(NamedTuple):
     """A record as read.
 
     Attributes:
@@ -90,7 +90,7 @@
     return header + xxhash.xxh3_128_digest(header + stored) + stored
 
 
-def unpack_record(raw: bytes) -> Record:
+def unpack_record(raw: bytes) -> UnpackedRecord:
     """Read the bytes of one whole record.
 
     Raises:
@@ -107,7 +107,7 @@
     content = _decompress(stored, content_length) if flags & FLAG_ZSTD else stored
     if len(content) != content_length:
         raise StateError(RecordFault.DAMAGED, f"{len(content)} bytes in place of {content_length}")
-    return Record(version, sequence, content)
+    return UnpackedRecord(version, sequence, content)
 
 
 def _checked_body(raw: bytes, stored_length: int, content_length: int) -> bytes:
--- a/tests/test_return_fleet.py
+++ b/tests/test_return_fleet.py
@@ -63,7 +63,7 @@
     for number, text in said.items():
         starts = len(lines(text, " serves on "))
         assert len(lines(text, "stage list: a list is there")) == starts >= 2
-        assert len(lines(text, "state_read: ")) == (starts - 1 if number < 3 else 0)
+        assert len(lines(text, "state read: ")) == (starts - 1 if number < 3 else 0)
         assert "exception" not in text and "invariant_violated" not in text
     assert all(run.figures.rules.get(rule, 0) > 0 for rule in ("answer", "drain", "purge"))
 
@@ -83,7 +83,7 @@
     assert len(run.downs) == 12
     for text in said.values():
         assert 2 <= len(lines(text, "state_not_used: ")) <= 4  # of each generation, after the first two kills
-        assert not lines(text, "state_read: ") and "exception" not in text
+        assert not lines(text, "state read: ") and "exception" not in text
 
 
 def test_a_state_put_back_to_an_older_copy_and_a_front_that_dies_every_two_seconds(tmp_path: Path) -> None:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -502,7 +502,7 @@
         before = await learned(folder)
         assert before.service_times and before.fetch_limit is not None
         await again(front)
-        assert front.logged("state_read: ")
+        assert front.logged("state read: ")
         client = await front.client()
         client.ask(1)
         assert (await client.ended(1)).status == 200
