--- a/quincepier/consensus/raft_log.py
+++ b/quincepier/consensus/raft_log.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from msgspec.structs import replace
+
 from quincepier.state.voter_records import EntryKind, LogEntry, Member, Snapshot, VoterState
 
 
@@ -82,17 +84,15 @@
         """Replace everything up to the committed index `to` by a snapshot, and return that."""
         assert self.snapshot is not None
         assert self.snapshot_index < to <= self.last_index
-        previous = self.snapshot
-        term = self.term_at(to) or 0
-        configuration = previous.configuration
-        data_index, data_term, data = previous.data_index, previous.data_term, previous.data
-        for entry in self.entries_between(previous.index, to):
+        first_index = self.snapshot.index
+        snapshot = replace(self.snapshot, index=to, term=self.term_at(to) or 0)
+        for entry in self.entries_between(first_index, to):
             if entry.kind is EntryKind.CONFIGURATION:
-                configuration = entry.configuration
+                snapshot = replace(snapshot, configuration=entry.configuration)
             elif entry.kind is EntryKind.DATA:
-                data_index, data_term, data = entry.index, entry.term, entry.data
-        del self.entries[: to - previous.index]
-        self.snapshot = Snapshot(to, term, configuration, data_index, data_term, data)
+                snapshot = replace(snapshot, data_index=entry.index, data_term=entry.term, data=entry.data)
+        del self.entries[: to - first_index]
+        self.snapshot = snapshot
         return self.snapshot
 
     def install(self, snapshot: Snapshot) -> None:
