--- a/quincepier/lab/orders.py
+++ b/quincepier/lab/orders.py
@@ -23,6 +23,7 @@
 )
 from quincepier.rules import (
     FrontReport,
+    HostCount,
     LeaseHolder,
     LeaseRequest,
     LeaseTable,
@@ -202,7 +203,7 @@
             holder.version.digest,
             holder.is_cautious(clock),
             250,
-            tuple((host, sum(h == host for h, _ in front.open)) for host in sorted(hosts)),
+            tuple(HostCount(host, sum(h == host for h, _ in front.open)) for host in sorted(hosts)),
         )
         self.carry(front, self.heard, front, LeaseRequest(holder.begin_request(clock), report))
         self.after(250 * MS, self.asks, front, start)
@@ -247,7 +248,7 @@
             version.digest,
             holder.is_cautious(clock),
             250,
-            tuple((host, 1) for host in hosts),
+            tuple(HostCount(host, 1) for host in hosts),
         )
         self.carry(front, self.heard, front, LeaseRequest(holder.begin_request(clock), report))
 
@@ -294,7 +295,7 @@
             },
             ("f0", "f1", "f2"),
             leader.name,
-            silent=[f.name for f in self.fronts if not f.alive],
+            recently_dead=[f.name for f in self.fronts if not f.alive],
         )
         found = plan(version, self.wishes, seen).change
         if found is not None:
--- a/quincepier/net/fleet/leader.py
+++ b/quincepier/net/fleet/leader.py
@@ -151,7 +151,7 @@
             self.name,
             self.is_consistent(self.committed_version.number),
             self.baseline_by_tenant,
-            self.recently_dead(self.timings.silent_front_timeout_ns),
+            self.recently_dead(self.timings.unreachable_front_timeout_ns),
         )
         if seen.active_number != self.active_number:
             self.active_number = seen.active_number
--- a/quincepier/net/fleet/report_counters.py
+++ b/quincepier/net/fleet/report_counters.py
@@ -12,7 +12,7 @@
 from quincepier import clock
 from quincepier.interface import CacheStatus, Idempotency, RequestClass
 from quincepier.memory.open_requests import OpenAttempt, OpenRequest
-from quincepier.rules import FrontReport, ServiceStatistics
+from quincepier.rules import FrontReport, HostCount, ServiceStatistics, TenantAge, TenantCount
 
 ROWS_MOST, HOSTS_MOST, ASIDE_MOST = 256, 4096, 512
 COMMON = "common"  # in reports the word for the home of all who have no other, as "" stands for all
@@ -128,11 +128,14 @@
             about.digest,
             about.is_cautious,
             max((now - self.seconds[0].since) // clock.MS, 0),
-            tuple((hosts[n], count) for n, count in open_at.items() if n in hosts),
-            tuple((tenant, shard, count) for (tenant, shard), count in list(keyed.items())[:ROWS_MOST]),
-            tuple((t, s, (now - at) // clock.MS) for (t, s), at in self.last_unsafe_at_ns.items()),
+            tuple(HostCount(hosts[n], count) for n, count in open_at.items() if n in hosts),
+            tuple(
+                TenantCount(tenant, shard, count)
+                for (tenant, shard), count in list(keyed.items())[:ROWS_MOST]
+            ),
+            tuple(TenantAge(t, s, (now - at) // clock.MS) for (t, s), at in self.last_unsafe_at_ns.items()),
             tuple(aside)[:ASIDE_MOST],
-            tuple((hosts[n], count) for n, count in sent.items() if n in hosts),
+            tuple(HostCount(hosts[n], count) for n, count in sent.items() if n in hosts),
             tuple(_service(key, row) for key, row in list(rows.items())[:ROWS_MOST]),
             about.change_log_sequence,
         )
--- a/quincepier/rules/__init__.py
+++ b/quincepier/rules/__init__.py
@@ -1,22 +1,31 @@
-"""The rule version that all fronts decide by: machines out for work, shards, homes of tenants, moves.
+"""The rule version that all fronts decide by, and the leases that say who decides by which one.
 
-It says what a version is, how it is told apart and changed, and what fronts report to whoever proposes the
-next. It never decides a step (maintenance, tenancy do), never sends or stores anything. Read `version.py`
-first; docs/agreement.md.
+A version holds machines under maintenance, shards, placements of tenants and their migrations. The package
+says what a version is and how it changes, who may decide by it and until when, and what fronts report to the
+leader, which proposes the next. It plans nothing (`maintenance` and `tenancy` do), and neither sends nor
+stores anything. Read `version.py` first, then `lease_holder.py`; docs/agreement.md.
 """
 
 from quincepier.rules.errors import RulesError
-from quincepier.rules.lease_holder import (
+from quincepier.rules.lease_holder import LeaseHolder
+from quincepier.rules.lease_messages import (
     LeaseGrant,
-    LeaseHolder,
     LeaseRequest,
-    LeaseTimings,
     decode_lease_grant,
     decode_lease_request,
     encode_message,
 )
 from quincepier.rules.lease_table import LeaseTable
-from quincepier.rules.reports import FrontReport, MachineObservation, Observations, ServiceStatistics
+from quincepier.rules.lease_timings import LeaseTimings
+from quincepier.rules.reports import (
+    FrontReport,
+    HostCount,
+    MachineObservation,
+    Observations,
+    ServiceStatistics,
+    TenantAge,
+    TenantCount,
+)
 from quincepier.rules.version import (
     DisruptionLimit,
     MaintenanceStep,
@@ -36,6 +45,7 @@
 __all__ = [
     "DisruptionLimit",
     "FrontReport",
+    "HostCount",
     "LeaseGrant",
     "LeaseHolder",
     "LeaseRequest",
@@ -51,6 +61,8 @@
     "RulesError",
     "ServiceStatistics",
     "Shard",
+    "TenantAge",
+    "TenantCount",
     "TenantPlacement",
     "VersionChange",
     "apply_changes",
--- a/quincepier/rules/errors.py
+++ b/quincepier/rules/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a rule version or with a change of one."""
+"""Errors of rule versions and leases."""
 
 from __future__ import annotations
 
@@ -6,5 +6,7 @@
 
 
 class RulesError(QuincepierError):
+    """A rule version, a change of one, or a lease message is not valid."""
+
     code = "QP-RULES"
     remedy = "check that all fronts run the same build; put back the voters' folders only as a whole"
--- a/quincepier/rules/lease_table.py
+++ b/quincepier/rules/lease_table.py
@@ -1,9 +1,9 @@
-"""The leader's side of leases: what each front last said, until when it may still decide by it.
+"""The leader's side of leases: the last report of each front, and until when it may decide by its version.
 
-A new leader knows of no grant of the one before. It waits a whole lease, counted from when it was elected,
+A new leader knows of no lease that the one before granted. It waits a whole lease, counted from its election,
 before it takes any front that it has not heard to be without one, and the longest attempt besides before it
 takes what such a front had open to have ended. It grants only while no other voter can have been elected
-(`sure_until`, the voter's own lease), or the wait of the next leader would not cover what it grants.
+(its own lease as a leader), or the wait of the next leader would not cover what it grants.
 """
 
 from __future__ import annotations
@@ -13,48 +13,80 @@
 
 import msgspec
 
-from quincepier.rules.lease_holder import MAX_FRONTS, MS, LeaseGrant, LeaseRequest, LeaseTimings
-from quincepier.rules.reports import FrontReport, MachineObservation, Observations
+from quincepier.rules.lease_messages import LeaseGrant, LeaseRequest
+from quincepier.rules.lease_timings import NS_PER_MS, LeaseTimings
+from quincepier.rules.reports import FrontReport, HostCount, MachineObservation, Observations, TenantCount
 from quincepier.rules.version import RuleVersion
 
-MAX_ACTIVE_TIMES = 1024  # numbers of which is kept since when they are in force
+MAX_FRONTS = 4096
+MAX_ACTIVE_TIMES = 1024  # numbers of which it is kept since when they are active
 
 
 @dataclass(slots=True)
 class _FrontLease:
+    """What the leader knows of one front; times are nanoseconds of the leader's clock.
+
+    An earlier incarnation under the same name counts until its lease has run out and its attempts have ended:
+    one start follows the other, unless somebody started the front elsewhere while it was cut off.
+    """
+
     report: FrontReport
     last_token: int
     version_number: int  # by which it decides, or did when it was last heard
-    lease_until_ns: int  # our clock: from then on it has no lease for certain
-    idle_at_ns: int  # from then on nothing that it opened before is open, unless it is heard again
-    earlier_report: FrontReport | None = None  # the last word of an earlier start under its name,
-    earlier_lease_until_ns: int = 0  # which may still decide until then
-    earlier_idle_at_ns: int = 0  # and have attempts open until then
+    lease_until_ns: int  # from then on it surely has no lease
+    idle_at_ns: int  # from then on nothing that it opened is open, unless it is heard again
+    earlier_report: FrontReport | None = None
+    earlier_lease_until_ns: int = 0
+    earlier_idle_at_ns: int = 0
+
+    def begin_incarnation(self, now_ns: int, max_attempt_ns: int) -> None:
+        """Keep what the incarnation heard so far may still do; a newer one follows it."""
+        earlier = self.earlier_report if now_ns < self.earlier_idle_at_ns else None
+        last = msgspec.structs.replace(self.report, version_number=self.version_number)
+        self.earlier_report = _merge_reports(last, earlier)
+        self.earlier_lease_until_ns = max(self.earlier_lease_until_ns, self.lease_until_ns)
+        self.earlier_idle_at_ns = max(self.earlier_lease_until_ns, now_ns) + max_attempt_ns
+        self.last_token = 0
+        self.lease_until_ns = now_ns
 
 
 def _merge_reports(last: FrontReport, earlier: FrontReport | None) -> FrontReport:
-    """One line for all earlier starts of a front that may have something open."""
+    """One report for all earlier incarnations of a front that may have something open."""
     if earlier is None:
         return last
-    open_at = dict(earlier.open_attempts)
+    attempts_by_host = dict(earlier.open_attempts)
     for host, count in last.open_attempts:
-        open_at[host] = max(count, open_at.get(host, 0))
-    keyed = {
+        attempts_by_host[host] = max(count, attempts_by_host.get(host, 0))
+    unsafe_by_tenant = {
         (tenant, shard): count
         for tenant, shard, count in (*earlier.open_unsafe_requests, *last.open_unsafe_requests)
     }
     return msgspec.structs.replace(
         last,
         version_number=min(last.version_number, earlier.version_number),
-        open_attempts=tuple(sorted(open_at.items())),
+        open_attempts=tuple(HostCount(host, count) for host, count in sorted(attempts_by_host.items())),
         open_unsafe_requests=tuple(
-            (tenant, shard, count) for (tenant, shard), count in sorted(keyed.items())
+            TenantCount(tenant, shard, count) for (tenant, shard), count in sorted(unsafe_by_tenant.items())
         ),
     )
 
 
 class LeaseTable:
-    """Made anew by each front that comes to lead, with the moment of its election."""
+    """Leases that one leader has granted; made anew at each election.
+
+    Attributes:
+        timings: Timing.
+        elected_at_ns: When this front was elected.
+        newest_number: Of the newest committed version; leases are granted for it alone.
+        newest_digest: Of that version.
+        lease_by_front: By name.
+        active_since_number: The number that was active at the last look.
+        active_since_ns: When that number became active.
+        active_since_ns_by_number: When each number was first surely active.
+        decommissioned: Fronts that exist no more, as operators say.
+        committed_at_ns: When the newest version was committed, or found committed.
+        rejected_requests: Requests of fronts beyond `MAX_FRONTS`.
+    """
 
     __slots__ = (
         "active_since_ns",
@@ -68,161 +100,213 @@
         "newest_number",
         "rejected_requests",
         "timings",
-    )  # fmt: skip
+    )
 
-    def __init__(self, now: int, pace: LeaseTimings, newest: RuleVersion) -> None:
-        self.timings, self.elected_at_ns = pace, now
-        self.newest_number, self.newest_digest = newest.number, newest.digest
+    def __init__(self, elected_at_ns: int, timings: LeaseTimings, newest: RuleVersion) -> None:
+        self.timings = timings
+        self.elected_at_ns = elected_at_ns
+        self.newest_number = newest.number
+        self.newest_digest = newest.digest
         self.lease_by_front = dict[str, _FrontLease]()
-        self.active_since_number, self.active_since_ns = 0, now
+        self.active_since_number = 0
+        self.active_since_ns = elected_at_ns
+        self.active_since_ns_by_number = dict[int, int]()
         self.decommissioned = frozenset[str]()
-        self.active_since_ns_by_number = dict[int, int]()  # when a number was first surely in force
-        self.committed_at_ns = now  # when the newest was agreed, or found agreed
-        self.rejected_requests = 0  # asks of fronts beyond the most that are kept
+        self.committed_at_ns = elected_at_ns
+        self.rejected_requests = 0
 
-    def on_version_committed(self, version: RuleVersion, now: int = 0) -> None:
-        """A newer version was committed: leases are granted to who decides by it alone."""
+    def on_version_committed(self, version: RuleVersion, now_ns: int = 0) -> None:
+        """From now on leases are granted to fronts that decide by this version, if it is newer."""
         if version.number > self.newest_number:
-            self.newest_number, self.newest_digest = version.number, version.digest
-            self.committed_at_ns = now
+            self.newest_number = version.number
+            self.newest_digest = version.digest
+            self.committed_at_ns = now_ns
+
+    def on_request(self, now_ns: int, request: LeaseRequest, leader_until_ns: int) -> LeaseGrant | None:
+        """Answer a request for a lease.
 
-    def on_request(self, now: int, ask: LeaseRequest, sure_until: int) -> LeaseGrant | None:
-        """The answer to an ask; None to one that is late or repeated, and where another may lead by now: then
-        nobody is told what is newest either. `now` is read after the ask came in.
+        Args:
+            now_ns: Read after the request was received.
+            request: The request.
+            leader_until_ns: Until when no other voter can be elected. After it no front is told which version
+                is the newest either.
+
+        Returns:
+            The grant; None for a request that is late or repeated, or where another front may lead by now.
         """
-        pace, report = self.timings, ask.report
-        if now >= sure_until:
+        if now_ns >= leader_until_ns:
             return None
-        known = self.lease_by_front.get(report.front)
-        if known is None:
-            if len(self.lease_by_front) >= MAX_FRONTS:
-                self.rejected_requests += 1
-                return None  # what is not kept in the ledger must have no lease
-            known = _FrontLease(report, 0, 0, now, now + pace.with_drift_margin(pace.max_attempt_ns))
-            self.lease_by_front[report.front] = known
-        elif report.incarnation < known.report.incarnation:
+        lease = self._find_lease(now_ns, request)
+        if lease is None:
             return None
-        elif report.incarnation > known.report.incarnation:
-            # One start follows the other, but not where somebody started it elsewhere while it was cut off:
-            # what the earlier one holds, and has open, counts until it has run out.
-            earlier = known.earlier_report if now < known.earlier_idle_at_ns else None
-            known.earlier_report = _merge_reports(
-                msgspec.structs.replace(known.report, version_number=known.version_number), earlier
-            )
-            known.earlier_lease_until_ns = max(known.earlier_lease_until_ns, known.lease_until_ns)
-            known.earlier_idle_at_ns = max(known.earlier_lease_until_ns, now) + pace.with_drift_margin(
-                pace.max_attempt_ns
-            )
-            known.last_token, known.lease_until_ns = 0, now
-        elif ask.token <= known.last_token:
+        report = request.report
+        is_same_version = report.version_number != self.newest_number or report.digest == self.newest_digest
+        lease.report = report
+        lease.last_token = request.token
+        lease.version_number = report.version_number if is_same_version else max(report.version_number - 1, 0)
+        lease_ms = 0
+        if is_same_version and report.version_number >= self.newest_number:
+            lease_ms = self.timings.lease_ns // NS_PER_MS
+            ends_at_ns = now_ns + self.timings.with_drift_margin(lease_ms * NS_PER_MS)
+            lease.lease_until_ns = max(lease.lease_until_ns, ends_at_ns)
+        lease.idle_at_ns = max(lease.idle_at_ns, lease.lease_until_ns + self._max_attempt_ns)
+        return LeaseGrant(report.incarnation, request.token, self.newest_number, lease_ms)
+
+    def _find_lease(self, now_ns: int, request: LeaseRequest) -> _FrontLease | None:
+        """The front's entry, made anew where there is none; None if the request is not to be answered."""
+        report = request.report
+        lease = self.lease_by_front.get(report.front)
+        if lease is None:
+            return self._add_front(now_ns, report)
+        if report.incarnation < lease.report.incarnation:
             return None
-        same = report.version_number != self.newest_number or report.digest == self.newest_digest
-        known.report, known.last_token = report, ask.token
-        known.version_number = report.version_number if same else max(report.version_number - 1, 0)
-        lease = 0
-        if same and report.version_number >= self.newest_number:
-            lease = pace.lease_ns // MS
-            known.lease_until_ns = max(known.lease_until_ns, now + pace.with_drift_margin(lease * MS))
-        known.idle_at_ns = max(
-            known.idle_at_ns, known.lease_until_ns + pace.with_drift_margin(pace.max_attempt_ns)
-        )
-        return LeaseGrant(report.incarnation, ask.token, self.newest_number, lease)
+        if report.incarnation > lease.report.incarnation:
+            lease.begin_incarnation(now_ns, self._max_attempt_ns)
+        elif request.token <= lease.last_token:
+            return None
+        return lease
+
+    def _add_front(self, now_ns: int, report: FrontReport) -> _FrontLease | None:
+        if len(self.lease_by_front) >= MAX_FRONTS:
+            self.rejected_requests += 1
+            return None  # what is not in the table must have no lease
+        lease = _FrontLease(report, 0, 0, now_ns, now_ns + self._max_attempt_ns)
+        self.lease_by_front[report.front] = lease
+        return lease
+
+    @property
+    def _max_attempt_ns(self) -> int:
+        return self.timings.with_drift_margin(self.timings.max_attempt_ns)
+
+    @property
+    def _earlier_leases_until_ns(self) -> int:
+        """When the leases of an earlier leader have run out."""
+        return self.elected_at_ns + self.timings.with_drift_margin(self.timings.lease_ns)
 
     def set_decommissioned(self, names: Iterable[str]) -> None:
-        """Operators say that these fronts are no more: they hold nothing up until they are heard again."""
+        """Fronts that exist no more, as operators say: nothing waits for them until they are heard again."""
         self.decommissioned = frozenset(names)
 
-    def active_number(self, now: int) -> int:
-        """The highest number that no front with a lease is below; 0 while an earlier leader's may run."""
-        if now < self.elected_at_ns + self.timings.with_drift_margin(self.timings.lease_ns):
+    def active_number(self, now_ns: int) -> int:
+        """Highest number that no front with a lease is below; 0 while an earlier leader's leases may run."""
+        if now_ns < self._earlier_leases_until_ns:
             return 0
         numbers = [self.newest_number]
-        for known in self.lease_by_front.values():
-            if known.lease_until_ns > now:
-                numbers.append(known.version_number)
-            if known.earlier_report is not None and known.earlier_lease_until_ns > now:
-                numbers.append(known.earlier_report.version_number)
+        for lease in self.lease_by_front.values():
+            if lease.lease_until_ns > now_ns:
+                numbers.append(lease.version_number)
+            if lease.earlier_report is not None and lease.earlier_lease_until_ns > now_ns:
+                numbers.append(lease.earlier_report.version_number)
         return min(numbers)
 
-    def acknowledged_number(self, now: int, names: Iterable[str]) -> int:
-        """The highest number that every front was told of, those without a lease too: a front that missed the
-        version in which an order is first named does not know what it has to keep from.
+    def acknowledged_number(self, now_ns: int, names: Iterable[str]) -> int:
+        """Highest number that every front was told of, those without a lease too.
+
+        A front that missed the version in which a task first appears does not know what to avoid.
+
+        Args:
+            now_ns: The time.
+            names: Fronts that must have been heard.
         """
-        if now < self.elected_at_ns + self.timings.with_drift_margin(self.timings.lease_ns):
+        if now_ns < self._earlier_leases_until_ns:
             return 0
         if any(name not in self.lease_by_front and name not in self.decommissioned for name in names):
             return 0
-        waited = [
-            k
-            for n, k in self.lease_by_front.items()
-            if k.lease_until_ns > now or n not in self.decommissioned
-        ]
-        befores = [
-            k.earlier_report.version_number
-            for k in waited
-            if k.earlier_report is not None and k.earlier_lease_until_ns > now
-        ]
-        return min([self.newest_number, *befores, *(k.version_number for k in waited)])
-
-    def are_unleased_fronts_idle(self, now: int) -> bool:
-        """Whether every front without a lease has lost it for certain and ended what it had open."""
-        pace = self.timings
-        if now < self.elected_at_ns + pace.with_drift_margin(pace.lease_ns) + pace.with_drift_margin(
-            pace.max_attempt_ns
-        ):
+        numbers = [self.newest_number]
+        for name, lease in self.lease_by_front.items():
+            if lease.lease_until_ns <= now_ns and name in self.decommissioned:
+                continue
+            numbers.append(lease.version_number)
+            if lease.earlier_report is not None and lease.earlier_lease_until_ns > now_ns:
+                numbers.append(lease.earlier_report.version_number)
+        return min(numbers)
+
+    def are_unleased_fronts_idle(self, now_ns: int) -> bool:
+        """Whether every front without a lease has surely lost it and ended what it had open."""
+        if now_ns < self._earlier_leases_until_ns + self._max_attempt_ns:
             return False
-        return all(k.lease_until_ns > now or now >= k.idle_at_ns for k in self.lease_by_front.values())
+        leases = self.lease_by_front.values()
+        return all(lease.lease_until_ns > now_ns or now_ns >= lease.idle_at_ns for lease in leases)
 
     def observe(
         self,
-        now: int,
-        view: tuple[str, ...],
-        machines: Mapping[str, MachineObservation],
+        now_ns: int,
+        members: tuple[str, ...],
+        machine_by_host: Mapping[str, MachineObservation],
         voters: tuple[str, ...],
         leader: str,
-        alike: bool | None = None,
-        usual: Mapping[str, float] | None = None,
-        silent: Iterable[str] = (),
+        is_consistent: bool | None = None,
+        baseline_by_tenant: Mapping[str, float] | None = None,
+        recently_dead: Iterable[str] = (),
     ) -> Observations:
-        """All that a step is decided by. `view`: the members; `silent`: those that membership remembers
-        though it put them out. A front that is in neither, and lapsed for `Pace.gone`, is forgotten.
+        """Return all that planners decide by.
 
-        The reports hold a second line, `NAME@START`, of a front that started anew, for as long as its earlier
-        start may have something open.
+        Args:
+            now_ns: The time.
+            members: Fronts in the membership view.
+            machine_by_host: Machines of the endpoint list.
+            voters: Names of the voters.
+            leader: Name of this front.
+            is_consistent: Whether all fronts were found to decide alike; None: not known.
+            baseline_by_tenant: On-time ratio of each tenant before any disruption.
+            recently_dead: Fronts that membership remembers though it has removed them. A front that is
+                neither a member nor one of them is forgotten after `unreachable_front_timeout_ns`.
         """
-        names = {*view, *silent}
-        for name in [
-            n
-            for n, k in self.lease_by_front.items()
-            if n not in names and now >= k.lease_until_ns + self.timings.silent_front_timeout_ns
-        ]:
+        names = {*members, *recently_dead}
+        self._forget_unreachable_fronts(now_ns, names)
+        active = self.active_number(now_ns)
+        self._note_active(now_ns, active)
+        return Observations(
+            now_ns=now_ns,
+            members=members,
+            report_by_front=self._reports(now_ns),
+            unleased_fronts_idle=self.are_unleased_fronts_idle(now_ns),
+            active_number=active,
+            active_for_ns=now_ns - self.active_since_ns,
+            machine_by_host=dict(machine_by_host),
+            voters=voters,
+            leader=leader,
+            is_consistent=is_consistent,
+            baseline_on_time_ratio_by_tenant=dict(baseline_by_tenant or {}),
+            active_ns_by_number=self._active_durations(now_ns, active),
+            committed_for_ns=now_ns - self.committed_at_ns,
+            acknowledged_number=self.acknowledged_number(now_ns, names),
+        )
+
+    def _active_durations(self, now_ns: int, active: int) -> dict[int, int]:
+        return {
+            number: now_ns - since_ns
+            for number, since_ns in self.active_since_ns_by_number.items()
+            if number <= active
+        }
+
+    def _forget_unreachable_fronts(self, now_ns: int, names: set[str]) -> None:
+        unreachable = [
+            name
+            for name, lease in self.lease_by_front.items()
+            if name not in names
+            and now_ns >= lease.lease_until_ns + self.timings.unreachable_front_timeout_ns
+        ]
+        for name in unreachable:
             del self.lease_by_front[name]
-        force = self.active_number(now)
-        if force != self.active_since_number:
-            for number in range(max(self.active_since_number, force - MAX_ACTIVE_TIMES) + 1, force + 1):
-                self.active_since_ns_by_number[number] = now
-            while len(self.active_since_ns_by_number) > MAX_ACTIVE_TIMES:
-                del self.active_since_ns_by_number[min(self.active_since_ns_by_number)]
-            self.active_since_number, self.active_since_ns = force, now
+
+    def _note_active(self, now_ns: int, active: int) -> None:
+        if active == self.active_since_number:
+            return
+        first = max(self.active_since_number, active - MAX_ACTIVE_TIMES) + 1
+        for number in range(first, active + 1):
+            self.active_since_ns_by_number[number] = now_ns
+        while len(self.active_since_ns_by_number) > MAX_ACTIVE_TIMES:
+            del self.active_since_ns_by_number[min(self.active_since_ns_by_number)]
+        self.active_since_number = active
+        self.active_since_ns = now_ns
+
+    def _reports(self, now_ns: int) -> dict[str, FrontReport]:
         reports = {
-            name: known.report for name, known in self.lease_by_front.items() if known.lease_until_ns > now
+            name: lease.report for name, lease in self.lease_by_front.items() if lease.lease_until_ns > now_ns
         }
-        for name, known in self.lease_by_front.items():
-            if known.earlier_report is not None and now < known.earlier_idle_at_ns:
-                reports[f"{name}@{known.earlier_report.incarnation}"] = known.earlier_report
-        return Observations(
-            now,
-            view,
-            reports,
-            self.are_unleased_fronts_idle(now),
-            force,
-            now - self.active_since_ns,
-            dict(machines),
-            voters,
-            leader,
-            alike,
-            dict(usual or {}),
-            {number: now - at for number, at in self.active_since_ns_by_number.items() if number <= force},
-            now - self.committed_at_ns,
-            self.acknowledged_number(now, names),
-        )
+        for name, lease in self.lease_by_front.items():
+            earlier = lease.earlier_report
+            if earlier is not None and now_ns < lease.earlier_idle_at_ns:
+                reports[f"{name}@{earlier.incarnation}"] = earlier
+        return reports
--- a/quincepier/rules/version.py
+++ b/quincepier/rules/version.py
@@ -1,11 +1,12 @@
-"""A rule version: an immutable, numbered whole. Numbers go up by one; a front decides by one at a time.
+"""A rule version: an immutable, numbered value. Numbers go up by one; a front decides by one at a time.
 
-The digest is xxh3-128 over the msgpack of all else, so two versions of one digest hold the same, and a
+The digest is xxh3-128 over the msgpack of all fields, so two versions of one digest hold the same, and a
 flipped bit shows. Machines are named by their host ids, fronts and tenants by their names.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from enum import IntEnum
 from typing import Annotated, Any, Literal, TypeVar
 
@@ -14,53 +15,74 @@
 
 from quincepier.rules.errors import RulesError
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-ShardName = Annotated[str, msgspec.Meta(max_length=64)]  # name of a shard, "" for the common home
-Reason = Annotated[str, msgspec.Meta(max_length=200)]
-MAX_MAINTENANCE_TASKS, MAX_MIGRATIONS, MAX_SHARDS, MAX_PLACEMENTS = 4096, 64, 64, 4096
-MAX_VERSION_BYTES = 1 << 20  # bytes of an encoded version
-HASH_SLOTS = 256  # a tenant's keys are moved in so many parts, by hash
+MAX_NAME_LENGTH = 64
+MAX_REASON_LENGTH = 200
+MAX_MAINTENANCE_TASKS = 4096
+MAX_MIGRATIONS = 64
+MAX_SHARDS = 64
+MAX_PLACEMENTS = 4096
+MAX_VERSION_BYTES = 1 << 20  # encoded
+MAX_ERROR_LENGTH = 100
+DIGEST_BYTES = 16
+HASH_SLOTS = 256  # slots that the keys of a tenant are divided into, by hash
+
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+ShardName = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]  # "" for the default shard
+Reason = Annotated[str, msgspec.Meta(max_length=MAX_REASON_LENGTH)]
 
 
 class MaintenanceStep(IntEnum):
-    PENDING = 0  # wished, not begun: used as usual
+    """Steps of a maintenance task, in their order."""
+
+    PENDING = 0  # requested and not begun: used as usual
     DRAINING = 1  # nothing new may be sent to it
     DRAINED = 2  # no front may send to it and nothing of any front is open there: work may begin
-    IN_MAINTENANCE = 3  # work was seen to have begun (it is off the list, down, or restarted)
+    IN_MAINTENANCE = 3  # work was seen to have begun: it is off the list, down, or restarted
     RESTORED = 4  # it is up again and listed
-    WARMING = 5  # used again, within its cold budget
-    COMPLETED = 6  # done: used as usual
-    CANCELLED = 7  # given up before EMPTY, or by the operator; `why` says it; used as usual
+    WARMING = 5  # used again, within its slow-start budget
+    COMPLETED = 6  # used as usual
+    CANCELLED = 7  # given up before DRAINED, or by the operator; used as usual
 
 
 class MaintenanceTask(msgspec.Struct, frozen=True, array_like=True):
-    """One machine or front that is taken out for work."""
+    """One machine or front that is taken out of service for work.
+
+    Attributes:
+        request_id: Id of the operators' request.
+        target: Host id of a machine, or name of a front.
+        kind: What the target is.
+        zone: Zone of the target.
+        step: How far the task is.
+        since_version: Number of the version in which it came to that step.
+        reason: Why it did.
+    """
 
-    request_id: Name  # the id of the operators' wish
-    target: Name  # host id of a machine, or name of a front
+    request_id: Name
+    target: Name
     kind: Literal["cache", "parent", "front"]
-    zone: Annotated[str, msgspec.Meta(max_length=64)]
+    zone: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
     step: MaintenanceStep
-    since_version: int  # number of the version in which it entered this step
+    since_version: int
     reason: Reason = ""
 
     @property
     def is_cordoned(self) -> bool:
-        """Whether nothing new may be sent to it."""
+        """Whether nothing new may be sent to the target."""
         return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.RESTORED
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether it counts as out against what is allowed, warming ones counted."""
+        """Whether the target counts against the disruption limits; one that warms up does."""
         return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.WARMING
 
     @property
     def is_active(self) -> bool:
+        """Whether the task is neither completed nor cancelled."""
         return self.step <= MaintenanceStep.WARMING
 
 
 class DisruptionLimit(msgspec.Struct, frozen=True, array_like=True):
-    """How many of a kind may be out at once in any one zone, and over all zones."""
+    """How many of a kind may be unavailable at once, in any one zone and in all zones together."""
 
     kind: Literal["cache", "parent", "front"]
     max_per_zone: int
@@ -68,7 +90,7 @@
 
 
 class Shard(msgspec.Struct, frozen=True, array_like=True):
-    """A named part of the caches with the parents behind it; no parents named: all of them."""
+    """A named subset of the caches with the parents behind it; no parents: all of them."""
 
     name: Name
     caches: tuple[Name, ...]
@@ -76,8 +98,10 @@
 
 
 class TenantPlacement(msgspec.Struct, frozen=True, array_like=True):
-    """The home shard of a tenant; tenants without a line have the common one, all caches outside of shards
-    or, where no line names any, all caches.
+    """The home shard of a tenant.
+
+    A tenant without a placement is at the default shard: all caches outside of the named shards, or all
+    caches where no placement names a shard.
     """
 
     tenant: Name
@@ -85,43 +109,63 @@
 
 
 class MigrationStep(IntEnum):
+    """Steps of a migration; ROLLING_BACK may follow any step from RAMPING_UP to CUT_OVER."""
+
     PLANNED = 0
-    RAMPING_UP = (
-        1  # `part` of the keys go to the new home, growing; what may not be repeated stays at the old
-    )
-    VERIFYING = 2  # the part stays, both homes are compared
-    PAUSING_WRITES = (
-        3  # repeats of what may not simply be repeated are refused; firsts still go to the old home
-    )
-    CUT_OVER = 4  # all keys in steps, and what may not be repeated at once; repeats of that are refused still
-    DRAINING = 5  # nothing goes to the old home, repeats to the new; what was open there ends
+    RAMPING_UP = 1  # a growing part of the slots goes to the target shard; unsafe requests stay
+    VERIFYING = 2  # the part stays, both shards are compared
+    PAUSING_WRITES = 3  # repeats of unsafe requests are refused; first tries still go to the source shard
+    CUT_OVER = 4  # all slots in steps, and unsafe requests at once; repeats of those are still refused
+    DRAINING = 5  # nothing goes to the source shard, repeats to the target; what was open there ends
     COMPLETED = 6
-    ROLLING_BACK = 7  # a rollback on its way: all at the old home, repeats refused
-    ROLLED_BACK = 8  # rolled back: everything as before the move
+    ROLLING_BACK = 7  # all at the source shard, repeats refused
+    ROLLED_BACK = 8  # everything as before the migration
 
 
 class Migration(msgspec.Struct, frozen=True, array_like=True):
-    """A tenant on its way from one shard to another."""
+    """A tenant on its way from one shard to another.
+
+    Attributes:
+        request_id: Id of the operators' request.
+        tenant: Name of the tenant.
+        source_shard: Where it was at home.
+        target_shard: Where it is going.
+        step: How far the migration is.
+        since_version: Number of the version in which it came to that step.
+        moved_slots: Of `HASH_SLOTS`, those whose keys go to the target shard.
+        reason: Why it came to that step.
+    """
 
     request_id: Name
     tenant: Name
     source_shard: ShardName
     target_shard: ShardName
     step: MigrationStep
-    since_version: int  # number of the version in which it entered this step
-    moved_slots: Annotated[int, msgspec.Meta(ge=0, le=HASH_SLOTS)] = (
-        0  # of the keys that go to the new home, of PARTS
-    )
+    since_version: int
+    moved_slots: Annotated[int, msgspec.Meta(ge=0, le=HASH_SLOTS)] = 0
     reason: Reason = ""
 
     @property
     def is_active(self) -> bool:
+        """Whether the migration is neither completed nor rolled back."""
         return self.step not in (MigrationStep.COMPLETED, MigrationStep.ROLLED_BACK)
 
 
 class RuleVersion(msgspec.Struct, frozen=True, array_like=True):
+    """What all fronts decide by.
+
+    Attributes:
+        number: Goes up by one; 0 is what holds before anything was committed.
+        term: Of the leader that proposed it.
+        maintenance_tasks: Machines and fronts under maintenance, with those that are done.
+        disruption_limits: How many may be unavailable at once, by kind.
+        shards: Named shards.
+        placements: Home shards of tenants.
+        migrations: Tenants on their way, with those that are done.
+    """
+
     number: int
-    term: int  # of the leader that proposed it
+    term: int
     maintenance_tasks: Annotated[
         tuple[MaintenanceTask, ...], msgspec.Meta(max_length=MAX_MAINTENANCE_TASKS)
     ] = ()
@@ -132,31 +176,30 @@
 
     @property
     def digest(self) -> str:
-        """32 hex digits; over number and term too."""
+        """Digest of all fields, the number and the term too, as 32 hex digits."""
         return xxhash.xxh3_128_hexdigest(_encode(self))
 
     def task_for(self, target: str) -> MaintenanceTask | None:
-        """The last order for that machine or front."""
-        return next((o for o in reversed(self.maintenance_tasks) if o.target == target), None)
+        """Return the last task for a machine or front."""
+        return next((task for task in reversed(self.maintenance_tasks) if task.target == target), None)
 
     def migration_of(self, tenant: str) -> Migration | None:
-        """The last move of that tenant."""
-        return next((m for m in reversed(self.migrations) if m.tenant == tenant), None)
+        """Return the last migration of a tenant."""
+        return next((one for one in reversed(self.migrations) if one.tenant == tenant), None)
 
     def home_shard_of(self, tenant: str) -> str:
-        """The shard at which the tenant is at home, "" for the common one; moves are not looked at."""
-        return next((h.shard for h in self.placements if h.tenant == tenant), "")
+        """Return the home shard of a tenant, "" for the default one; migrations are not looked at."""
+        return next((one.shard for one in self.placements if one.tenant == tenant), "")
 
     def find_shard(self, name: str) -> Shard | None:
-        return next((s for s in self.shards if s.name == name), None)
+        """Return the shard of that name."""
+        return next((shard for shard in self.shards if shard.name == name), None)
 
 
 class VersionChange(msgspec.Struct, frozen=True):
-    """What a part wants changed, as wholes of its own fields; None leaves a field as it is. Whoever decides a
-    step gives one, and `apply` makes the next version of all of one turn.
-    """
+    """What a planner wants changed: whole new values of fields; None leaves a field as it is."""
 
-    reason: str  # told in the log
+    reason: str  # for the log
     maintenance_tasks: tuple[MaintenanceTask, ...] | None = None
     disruption_limits: tuple[DisruptionLimit, ...] | None = None
     shards: tuple[Shard, ...] | None = None
@@ -164,61 +207,90 @@
     migrations: tuple[Migration, ...] | None = None
 
 
+CHANGEABLE_FIELDS = ("maintenance_tasks", "disruption_limits", "shards", "placements", "migrations")
+
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(RuleVersion).decode
 
 
 def initial_version() -> RuleVersion:
-    """What holds before anything was agreed: nothing out, no shards."""
+    """Return what holds before anything was committed: nothing unavailable, no shards."""
     return RuleVersion(0, 0)
 
 
 def apply_changes(version: RuleVersion, term: int, changes: tuple[VersionChange, ...]) -> RuleVersion:
-    """The next version. `since` of entries that are new or entered another step is set to its number here,
-    so whoever proposes need not know it. RulesError where two changes set the same field.
+    """Return the next version.
+
+    Args:
+        version: The newest version.
+        term: Of the leader that proposes the next one.
+        changes: Of all planners. `since_version` of tasks and migrations that are new, or came to another
+            step, is set to the next number here, so planners need not know it.
+
+    Raises:
+        RulesError: Two changes set the same field.
     """
-    number, given = version.number + 1, dict[str, object]()
+    number = version.number + 1
+    values = _merge_changes(changes)
+    if "maintenance_tasks" in values:
+        values["maintenance_tasks"] = _stamp_steps(
+            values["maintenance_tasks"],
+            version.maintenance_tasks,
+            number,
+            lambda task: (task.request_id, task.target),
+        )
+    if "migrations" in values:
+        values["migrations"] = _stamp_steps(
+            values["migrations"], version.migrations, number, lambda migration: migration.request_id
+        )
+    return msgspec.structs.replace(version, number=number, term=term, **values)
+
+
+def _merge_changes(changes: tuple[VersionChange, ...]) -> dict[str, Any]:
+    values = dict[str, Any]()
     for change in changes:
-        for field in ("maintenance_tasks", "disruption_limits", "shards", "placements", "migrations"):
+        for field in CHANGEABLE_FIELDS:
             value = getattr(change, field)
             if value is None:
                 continue
-            if field in given:
-                raise RulesError(f"two changes of {field} in one turn", change.reason)
-            given[field] = value
-    if "maintenance_tasks" in given:
-        was = {(o.request_id, o.target): o for o in version.maintenance_tasks}
-        tasks: Any = given["maintenance_tasks"]
-        given["maintenance_tasks"] = tuple(
-            _since(t, was.get((t.request_id, t.target)), number) for t in tasks
-        )
-    if "migrations" in given:
-        before = {m.request_id: m for m in version.migrations}
-        moves: Any = given["migrations"]
-        given["migrations"] = tuple(_since(m, before.get(m.request_id), number) for m in moves)
-    return msgspec.structs.replace(version, number=number, term=term, **given)
+            if field in values:
+                raise RulesError(f"two changes of {field} in one version", change.reason)
+            values[field] = value
+    return values
 
 
-T = TypeVar("T", MaintenanceTask, Migration)
+Entry = TypeVar("Entry", MaintenanceTask, Migration)
 
 
-def _since(entry: T, before: T | None, number: int) -> T:
-    kept = before is not None and before.step == entry.step
-    return msgspec.structs.replace(
-        entry, since_version=before.since_version if kept and before is not None else number
-    )
+def _stamp_steps(
+    entries: tuple[Entry, ...], before: tuple[Entry, ...], number: int, key_of: Callable[[Entry], object]
+) -> tuple[Entry, ...]:
+    """Set `since_version`: kept where the step is the same as before, else the new version's number."""
+    entry_by_key = {key_of(entry): entry for entry in before}
+    stamped = []
+    for entry in entries:
+        last = entry_by_key.get(key_of(entry))
+        is_same_step = last is not None and last.step == entry.step
+        since = last.since_version if last is not None and is_same_step else number
+        stamped.append(msgspec.structs.replace(entry, since_version=since))
+    return tuple(stamped)
 
 
 def encode_version(version: RuleVersion) -> bytes:
-    """Digest first, so that what was spoilt on its way or on a disk is refused."""
+    """Encode a version: its digest first, so that one damaged in transit or on a disk is rejected."""
     body = _encode(version)
     return xxhash.xxh3_128_digest(body) + body
 
 
 def decode_version(raw: bytes) -> RuleVersion:
-    if len(raw) > MAX_VERSION_BYTES or xxhash.xxh3_128_digest(raw[16:]) != raw[:16]:
-        raise RulesError("a rule version is spoilt or too long")
+    """Decode a version.
+
+    Raises:
+        RulesError: It is damaged, too long, or not a rule version.
+    """
+    if len(raw) > MAX_VERSION_BYTES or xxhash.xxh3_128_digest(raw[DIGEST_BYTES:]) != raw[:DIGEST_BYTES]:
+        raise RulesError("a rule version is damaged or too long")
     try:
-        return _decode(raw[16:])
+        return _decode(raw[DIGEST_BYTES:])
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise RulesError(f"not a rule version: {str(error)[:100]}") from None
+        raise RulesError(f"not a rule version: {str(error)[:MAX_ERROR_LENGTH]}") from None
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -24,7 +24,7 @@
 from quincepier.net.fleet import messages as fleet
 from quincepier.net.fleet import version_store as adopted
 from quincepier.net.peers import frames, state_sync
-from quincepier.rules import lease_holder
+from quincepier.rules import lease_messages
 from quincepier.rules import version as rules
 from quincepier.state import (
     file_system,
@@ -98,10 +98,10 @@
     "consistency.message": Codec(consistency.Message, consistency.decode, consistency.encode),
     "fleet.message": Codec(fleet.Message, fleet.decode, fleet.encode),
     "rules.ask": Codec(
-        lease_holder.LeaseRequest, lease_holder.decode_lease_request, lease_holder.encode_message
+        lease_messages.LeaseRequest, lease_messages.decode_lease_request, lease_messages.encode_message
     ),
     "rules.grant": Codec(
-        lease_holder.LeaseGrant, lease_holder.decode_lease_grant, lease_holder.encode_message
+        lease_messages.LeaseGrant, lease_messages.decode_lease_grant, lease_messages.encode_message
     ),
     "consistency.line": _plain_codec(decision.ListedEndpoint, leaf_fields.encode_leaf),
     "consistency.key": _plain_codec(decision.DecisionKey, leaf_fields.encode_leaf),
--- a/tests/orderkit.py
+++ b/tests/orderkit.py
@@ -27,6 +27,7 @@
 from quincepier.maintenance import plan as plain_plan
 from quincepier.rules import (
     FrontReport,
+    HostCount,
     LeaseGrant,
     LeaseRequest,
     MachineObservation,
@@ -36,10 +37,14 @@
 )
 from quincepier.rules import LeaseHolder as PlainHolder
 from quincepier.rules import LeaseTable as PlainLedger
-from quincepier.rules.lease_holder import MS, LeaseTimings
+from quincepier.rules.lease_timings import NS_PER_MS as MS
+from quincepier.rules.lease_timings import LeaseTimings
 
 PACE = LeaseTimings(
-    lease_ns=400 * MS, request_interval_ns=100 * MS, max_attempt_ns=200 * MS, silent_front_timeout_ns=10**15
+    lease_ns=400 * MS,
+    request_interval_ns=100 * MS,
+    max_attempt_ns=200 * MS,
+    unreachable_front_timeout_ns=10**15,
 )
 ATTEMPT_TICKS, FAR, WARM = 2, 1 << 60, 60_000
 HOSTS = ("m0", "m1")
@@ -263,7 +268,7 @@
     def report(self, front: Front) -> FrontReport:
         holder = front.holder
         version, cautious = holder.version, holder.is_cautious(front.clock)
-        opened = tuple((host, 1) for host in sorted(front.open))
+        opened = tuple(HostCount(host, 1) for host in sorted(front.open))
         return FrontReport(
             front.name, holder.incarnation, version.number, version.digest, cautious, 100, opened
         )
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -180,7 +180,7 @@
     seen: list[Any] = []
     chair, _, _ = chair_of(lambda agreed, s: seen.append(s))
     chair.recently_dead, chair.decommissioned_fronts = (
-        lambda age: frozenset({"f"}) if age >= PACE.silent_front_timeout_ns else frozenset(),
+        lambda age: frozenset({"f"}) if age >= PACE.unreachable_front_timeout_ns else frozenset(),
         lambda: gone,
     )
     chair.on_tick(0)
--- a/tests/test_fleet_shell.py
+++ b/tests/test_fleet_shell.py
@@ -16,7 +16,7 @@
 from quincepier.net.fleet import messages
 from quincepier.net.fleet.endpoint_overlay import EndpointOverlay
 from quincepier.operator import OperatorError, read
-from quincepier.rules import FrontReport, LeaseGrant, LeaseRequest
+from quincepier.rules import FrontReport, HostCount, LeaseGrant, LeaseRequest
 
 HOSTS = {n: f"s-{n}" for n in range(1, 5)}
 STATES = st.sampled_from(list(EndpointState))
@@ -113,7 +113,7 @@
 
 def test_words_come_back_whole_and_others_are_dropped() -> None:
     report = messages.ReportMessage(
-        LeaseRequest(7, FrontReport("n1", 1, 3, "00", False, 250, open_attempts=(("s-1", 2),)))
+        LeaseRequest(7, FrontReport("n1", 1, 3, "00", False, 250, open_attempts=(HostCount("s-1", 2),)))
     )
     granted = messages.LeaseGranted(2, LeaseGrant(1, 7, 3, 900), b"x")
     for word in (report, granted, messages.NotLeader(7, "n0"), messages.VersionCommitted(2, b"y")):
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -17,7 +17,7 @@
     decode_lease_request,
     encode_message,
 )
-from quincepier.rules.lease_holder import MS
+from quincepier.rules.lease_timings import NS_PER_MS as MS
 
 PACE = LeaseTimings(lease_ns=1000 * MS, max_attempt_ns=2000 * MS)
 FAR = 1 << 60
@@ -68,8 +68,8 @@
 
 def test_who_may_have_been_followed_by_another_leader_grants_nothing() -> None:
     front, leader = LeaseHolder(7, 0, PACE, ONE), LeaseTable(0, PACE, ONE)
-    assert leader.on_request(5 * MS, ask(front, "a", 0), sure_until=5 * MS) is None
-    assert leader.on_request(5 * MS, ask(front, "a", 0), sure_until=6 * MS) is not None
+    assert leader.on_request(5 * MS, ask(front, "a", 0), leader_until_ns=5 * MS) is None
+    assert leader.on_request(5 * MS, ask(front, "a", 0), leader_until_ns=6 * MS) is not None
 
 
 def test_what_comes_late_twice_or_from_an_earlier_start_is_passed_over() -> None:
@@ -107,7 +107,7 @@
     leader = LeaseTable(-5000 * MS, PACE, ONE)
     leader.on_request(1 * MS, ask(LeaseHolder(7, 0, PACE, ONE), "a", 0), FAR)
     leader.on_version_committed(TWO)
-    late = leader.observe(60_000 * MS, ("b",), {}, (), "b", silent=("a",))
+    late = leader.observe(60_000 * MS, ("b",), {}, (), "b", recently_dead=("a",))
     assert (
         late.active_number == 2
         and late.acknowledged_number == 0
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -38,6 +38,7 @@
     apply_changes,
     lease_holder,
     lease_table,
+    lease_timings,
 )
 from tests import orderkit
 
@@ -387,25 +388,29 @@
 # One rule each taken out: its text and what stands there instead, and what is explored to find it.
 ALWAYS = "if False:"
 MUTANTS: dict[str, tuple[str, dict[str, str], str]] = {
-    "the lease counts from the answer": ("leases", {"asked + min(": "now + min("}, "leases"),
+    "the lease counts from the answer": (
+        "leases",
+        {"requested_at_ns + lease_ns": "now_ns + lease_ns"},
+        "leases",
+    ),
     "a standstill is not seen": (
         "leases",
-        {"return now >= self.lease_until_ns or": "return False or"},
+        {"return now_ns >= self.lease_until_ns or": "return False or"},
         "leases",
     ),
     "the leader counts as long as the front": (
-        "leases",
-        {"return span + int(span * self.clock_drift_margin) + 1": "return span"},
+        "timings",
+        {"return duration_ns + int(duration_ns * self.clock_drift_margin) + 1": "return duration_ns"},
         "leases",
     ),
     "a new leader does not wait": (
         "ledger",
-        {"self.elected_at_ns = pace, now": "self.elected_at_ns = pace, -(10**12)"},
+        {"self.elected_at_ns = elected_at_ns": "self.elected_at_ns = -(10**12)"},
         "leases",
     ),
     "attempts are not waited for": (
         "ledger",
-        {"return all(k.lease_until_ns > now or now >= k.idle_at_ns": "return all(True"},
+        {"return all(lease.lease_until_ns > now_ns or now_ns >= lease.idle_at_ns": "return all(True"},
         "cut",
     ),
     "drains before all were told": ("steps", {"elif self.told < order.since_version:": "elif False:"}, "cut"),
@@ -446,11 +451,13 @@
     module, pieces, _ = MUTANTS[name]
     match module:
         case "leases":
-            made = orderkit.changed(lease_holder, pieces)
+            return orderkit.Parts(Holder=orderkit.changed(lease_holder, pieces).LeaseHolder)
+        case "timings":
+            made = orderkit.changed(lease_timings, pieces)
             pace = made.LeaseTimings(
                 **{f.name: getattr(orderkit.PACE, f.name) for f in fields(orderkit.PACE)}
             )
-            return orderkit.Parts(Holder=made.LeaseHolder, pace=pace)
+            return orderkit.Parts(pace=pace)
         case "ledger":
             return orderkit.Parts(Ledger=orderkit.changed(lease_table, pieces).LeaseTable)
         case "leaving":
