--- a/quincepier/lab/moves.py
+++ b/quincepier/lab/moves.py
@@ -27,7 +27,14 @@
     TenantPlacement,
     apply_changes,
 )
-from quincepier.tenancy import DEFAULT_SHARD_NAME, MigrationPolicy, TenantsSection, advance, part_of, place
+from quincepier.tenancy import (
+    DEFAULT_SHARD_NAME,
+    MigrationPolicy,
+    TenantsSection,
+    advance,
+    place_request,
+    slot_of_key,
+)
 from quincepier.tenancy.section import MigrationRequest, ShardSettings, TenantSettings
 
 SECOND, MS = clock.SECOND, clock.MS
@@ -214,7 +221,9 @@
             False,
         )
         if moved and front.move is not None and front.move.is_active:
-            home, closed = place(front.move, part_of(key), once, repeat, self.now >= front.until)
+            home, closed = place_request(
+                front.move, slot_of_key(key), not once, repeat, self.now >= front.until
+            )
         in_time = hit = fill = False
         if closed:
             self.repeats += repeat
--- a/quincepier/maintenance/__init__.py
+++ b/quincepier/maintenance/__init__.py
@@ -1,8 +1,8 @@
-"""Machines and fronts out for work: which goes next, and when each step of an order may be taken.
+"""Maintenance of machines and fronts: cordon, drain and restore under a disruption budget.
 
-It decides from the version, the operators' wishes and what the leader sees, and gives a change of the orders,
-or none. It never sends, stores, reads a clock or touches a machine. Read `steps.py` first, and
-docs/maintenance.md.
+It decides from the version, the operators' requests and what the leader observes, and returns a change of
+the maintenance tasks, or none. It never sends, stores, reads a clock or touches a machine. Start with
+`task_progress.py`, then `planner.py`; docs/maintenance.md.
 """
 
 from quincepier.maintenance.candidates import Candidate, ranked_candidates
--- a/quincepier/maintenance/candidates.py
+++ b/quincepier/maintenance/candidates.py
@@ -1,79 +1,128 @@
-"""Which machine goes next: one pure order, with its reasons.
+"""Which target goes next: a total order over the candidates of a request, with reasons.
 
-What costs least goes first: who is already set aside; then zone after zone, the zone that was begun before
-any other and then the one with the least load; within a zone by load; then by name. Fronts go by load too,
-voters after the others, and the leader last of all.
+The least costly go first: machines that most fronts have ejected; then zone after zone, first the zone that
+was started before any other, then the one with the least load; within a zone by load; then by name. Fronts
+go by load too, voters after the others, and the leader last.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import IntEnum
 
-from quincepier.maintenance.disruption_budget import DisruptionBudget
-from quincepier.maintenance.section import MaintenanceRequest
+from quincepier.maintenance.disruption_budget import DisruptionBudget, TargetGroup, group_of_machine
+from quincepier.maintenance.section import MaintenanceRequest, TargetKind
 from quincepier.rules.reports import Observations
 
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
+    """A target that may get a maintenance task, and why it goes at its place."""
+
     target: str
-    kind: str
+    kind: TargetKind
     zone: str
-    why: str
+    reason: str
+
 
+class _ConsensusRole(IntEnum):
+    NONE = 0
+    VOTER = 1
+    LEADER = 2
 
-def targets(wish: MaintenanceRequest, seen: Observations) -> dict[str, tuple[str, str]]:
-    """What a wish means as the list is now: host id or name to kind and zone (kind "": not listed)."""
-    if wish.kind == "front":
-        return {name: ("front", "") for name in seen.members}
-    if wish.kind:
+
+def find_targets(request: MaintenanceRequest, observations: Observations) -> dict[str, TargetGroup | None]:
+    """Return the targets that a request means by now; None for those that are not listed."""
+    if request.kind == "front":
+        return {name: TargetGroup("front") for name in observations.members}
+    if request.kind is not None:
         return {
-            host: (m.kind, m.zone)
-            for host, m in seen.machine_by_host.items()
-            if m.kind == wish.kind and wish.zone in ("", m.zone)
+            host: TargetGroup(request.kind, machine.zone)
+            for host, machine in observations.machine_by_host.items()
+            if machine.kind == request.kind and request.zone in ("", machine.zone)
         }
-    found = {name: ("front" if name in seen.members else "", "") for name in wish.fronts}
-    for host in wish.machines:
-        machine = seen.machine_by_host.get(host)
-        known = machine is not None and machine.kind in ("cache", "parent")
-        found[host] = (machine.kind, machine.zone) if machine is not None and known else ("", "")
+    found: dict[str, TargetGroup | None] = {
+        name: TargetGroup("front") if name in observations.members else None for name in request.fronts
+    }
+    for host in request.machines:
+        machine = observations.machine_by_host.get(host)
+        found[host] = group_of_machine(machine) if machine is not None else None
     return found
 
 
-def loads(seen: Observations) -> dict[str, float]:
-    """Commands a second at each machine, and sent by each front."""
+def commands_per_second(observations: Observations) -> dict[str, float]:
+    """Return the load by target: commands sent to a machine, or by a front."""
     found = dict[str, float]()
-    for name, report in seen.report_by_front.items():
-        if name == report.front:
-            for host, count in report.sent_commands:
-                rate = count * 1000 / max(report.window_ms, 1)
-                found[host] = found.get(host, 0.0) + rate
-                found[name] = found.get(name, 0.0) + rate
+    for name, report in observations.report_by_front.items():
+        if name != report.front:  # an earlier start of the front
+            continue
+        for host, count in report.sent_commands:
+            rate = count * 1000 / max(report.window_ms, 1)
+            found[host] = found.get(host, 0.0) + rate
+            found[name] = found.get(name, 0.0) + rate
     return found
 
 
-def ranked_candidates(wish: MaintenanceRequest, room: DisruptionBudget) -> list[Candidate]:
-    """All known ones that a wish means, in the order in which they go."""
-    seen = room.seen
-    load, meant = loads(seen), targets(wish, seen)
-    begun = {(o.kind, o.zone) for o in room.orders if o.request_id == wish.id}
-    zones = dict[tuple[str, str], float]()
-    for target, place in meant.items():
-        zones[place] = zones.get(place, 0.0) + load.get(target, 0.0)
-    keyed = list[tuple[tuple[object, ...], Candidate]]()
-    for target, (kind, zone) in meant.items():
-        if not kind:
-            continue
-        aside, place, rate = target in room.broken, (kind, zone), load.get(target, 0.0)
-        late = (target == seen.leader) + (target in seen.voters) if kind == "front" else 0
-        if aside:
-            why = "set aside already"
-        elif late:
-            why = "the leader, last" if late == 2 else "a voter, after the others"
-        else:
-            first = "begun" if place in begun else f"of least load, {zones[place]:.1f}/s,"
-            why = f"{f'zone {zone} {first} and ' if zone else ''}least load of those left, {rate:.1f}/s"
-        of_zone = (place not in begun, round(zones[place], 1), zone, kind)
-        key = (late, not aside, *of_zone, round(rate, 1), target)
-        keyed.append((key, Candidate(target, kind, zone, why)))
-    return [choice for _, choice in sorted(keyed, key=lambda item: item[0])]
+def ranked_candidates(request: MaintenanceRequest, budget: DisruptionBudget) -> list[Candidate]:
+    """Return the listed targets of a request in the order in which they go."""
+    return _Ranking(request, budget).ranked()
+
+
+class _Ranking:
+    def __init__(self, request: MaintenanceRequest, budget: DisruptionBudget) -> None:
+        self.observations = budget.observations
+        self.failed_targets = budget.failed_group_by_target.keys()
+        self.load_by_target = commands_per_second(self.observations)
+        self.group_by_target = find_targets(request, self.observations)
+        self.started_groups = {
+            TargetGroup(task.kind, task.zone) for task in budget.tasks if task.request_id == request.id
+        }
+        self.load_by_group = dict[TargetGroup, float]()
+        for target, group in self.group_by_target.items():
+            if group is not None:
+                load = self.load_by_target.get(target, 0.0)
+                self.load_by_group[group] = self.load_by_group.get(group, 0.0) + load
+
+    def ranked(self) -> list[Candidate]:
+        """Return the candidates, the least costly first."""
+        keyed = [
+            (self._sort_key(target, group), self._candidate(target, group))
+            for target, group in self.group_by_target.items()
+            if group is not None
+        ]
+        return [candidate for _, candidate in sorted(keyed, key=lambda item: item[0])]
+
+    def _sort_key(self, target: str, group: TargetGroup) -> tuple[object, ...]:
+        return (
+            self._role(target, group),
+            target not in self.failed_targets,
+            group not in self.started_groups,
+            round(self.load_by_group[group], 1),
+            group.zone,
+            group.kind,
+            round(self.load_by_target.get(target, 0.0), 1),
+            target,
+        )
+
+    def _role(self, target: str, group: TargetGroup) -> _ConsensusRole:
+        if group.kind != "front":
+            return _ConsensusRole.NONE
+        return _ConsensusRole((target == self.observations.leader) + (target in self.observations.voters))
+
+    def _candidate(self, target: str, group: TargetGroup) -> Candidate:
+        return Candidate(target, group.kind, group.zone, self._reason(target, group))
+
+    def _reason(self, target: str, group: TargetGroup) -> str:
+        if target in self.failed_targets:
+            return "unavailable already"
+        match self._role(target, group):
+            case _ConsensusRole.LEADER:
+                return "the leader, last"
+            case _ConsensusRole.VOTER:
+                return "a voter, after the others"
+        reason = f"least load of those left, {self.load_by_target.get(target, 0.0):.1f}/s"
+        if not group.zone:
+            return reason
+        if group in self.started_groups:
+            return f"zone {group.zone} started and {reason}"
+        return f"zone {group.zone} of least load, {self.load_by_group[group]:.1f}/s, and {reason}"
--- a/quincepier/maintenance/draining.py
+++ b/quincepier/maintenance/draining.py
@@ -1,4 +1,4 @@
-"""What one front has to keep from under the version that it decides by."""
+"""Which hosts one front cordons under the version that it decides by."""
 
 from __future__ import annotations
 
@@ -7,24 +7,32 @@
 
 
 def cordoned_hosts(
-    version: RuleVersion, cautious: bool, me: str, wished: frozenset[str] = frozenset()
+    version: RuleVersion, is_cautious: bool, front: str, requested: frozenset[str] = frozenset()
 ) -> frozenset[str]:
-    """Host ids that this front treats as leaving; `me` is among them where it is itself to drain.
+    """Return the host ids that a front sends nothing new to; its own name is among them where it drains.
 
-    A front without a lease cannot know how far an order went on without it. It keeps from every machine with
-    an open order, waiting ones too: each order is first told to all as waiting, for this alone. One that
-    started and had no answer yet (`Holder.blank`) is given what its own file names, as `wished`.
+    A front without a lease can't know how far a task went on without it. It keeps away from every machine
+    with an active task, pending ones too: for its sake each task is made known as pending first.
+
+    Args:
+        version: The version that the front decides by.
+        is_cautious: Whether the front has no lease.
+        front: The front's own name.
+        requested: The hosts of the front's own file, for one that has started and had no version yet.
     """
-    found = {
-        order.target
-        for order in version.maintenance_tasks
-        if (order.is_cordoned and (order.kind != "front" or order.target == me))
-        or (cautious and order.is_active and order.kind != "front")
+    cordoned = {
+        task.target
+        for task in version.maintenance_tasks
+        if (task.is_cordoned and (task.kind != "front" or task.target == front))
+        or (is_cautious and task.is_active and task.kind != "front")
     }
-    return frozenset(found | wished) if cautious else frozenset(found)
+    return frozenset(cordoned | requested) if is_cautious else frozenset(cordoned)
 
 
 def requested_hosts(section: MaintenanceSection | None) -> frozenset[str]:
-    """Machines that a file wishes out by host id; those of a whole kind or zone are too many to keep from."""
-    wishes = section.requests if section is not None else ()
-    return frozenset(host for wish in wishes if not wish.stop for host in wish.machines)
+    """Return the host ids that a file requests maintenance for.
+
+    Requests for a whole kind or zone are left out: those machines are too many to keep away from.
+    """
+    requests = section.requests if section is not None else ()
+    return frozenset(host for request in requests if not request.stop for host in request.machines)
--- a/quincepier/maintenance/errors.py
+++ b/quincepier/maintenance/errors.py
@@ -13,3 +13,9 @@
 
     code = "QP-MAINTENANCE"
     remedy = "correct the section maintenance of the operators' file and send SIGHUP; the old one stays"
+
+
+class TransitionError(MaintenanceError):
+    """A task was to enter a step that can't follow its own: a defect of the planner."""
+
+    remedy = "report it with the log; the rule version stays as it was"
--- a/quincepier/maintenance/service_level.py
+++ b/quincepier/maintenance/service_level.py
@@ -1,4 +1,4 @@
-"""Whether the tenants are served as before: worth in time over worth asked for, against the usual."""
+"""Whether tenants are served as before: the share of priority weight served in time, against the baseline."""
 
 from __future__ import annotations
 
@@ -10,38 +10,55 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceLevel:
-    """Each is empty where it is well, else the reason."""
+    """Why maintenance has to hold back; each reason is empty where service is good enough."""
 
-    fallen: str  # below the floor
-    lower: str  # not as before
+    cancel_reason: str  # service is below the floor: tasks that are not drained yet are cancelled
+    wait_reason: str  # service is not as before: no task starts
 
 
-def service_level(wishes: MaintenanceSection, seen: Observations) -> ServiceLevel:
-    """A tenant of which too few answers are in, or whose usual is not known, is not judged; where anybody
-    asks and nothing usual is known at all, service is not known to be as before.
+@dataclass(slots=True)
+class _ServiceTotals:
+    """Sums over the reports of all fronts, for one tenant."""
+
+    responses: int = 0
+    requested_weight: float = 0.0
+    on_time_weight: float = 0.0
+
+
+def service_level(section: MaintenanceSection, observations: Observations) -> ServiceLevel:
+    """Compare the service of each tenant with its baseline.
+
+    A tenant with too few responses, or without a baseline, is not judged. Where there are requests and no
+    baseline at all, service is not known to be as before.
     """
-    sums = dict[str, tuple[int, float, float]]()
-    for name, report in seen.report_by_front.items():
-        for row in report.service_statistics if name == report.front else ():
-            if not row.shard:
-                asked, worth, good = sums.get(row.tenant, (0, 0.0, 0.0))
-                sums[row.tenant] = (
-                    asked + row.responses,
-                    worth + row.requested_weight,
-                    good + row.on_time_weight,
-                )
-    fallen = lower = ""
-    for tenant, usual in sorted(seen.baseline_on_time_ratio_by_tenant.items()):
-        asked, worth, good = sums.get(tenant, (0, 0.0, 0.0))
-        if asked < wishes.min_responses or worth <= 0:
+    totals_by_tenant = _sum_by_tenant(observations)
+    cancel_reason = wait_reason = ""
+    for tenant, baseline in sorted(observations.baseline_on_time_ratio_by_tenant.items()):
+        totals = totals_by_tenant.get(tenant, _ServiceTotals())
+        if totals.responses < section.min_responses or totals.requested_weight <= 0:
+            continue
+        ratio = totals.on_time_weight / totals.requested_weight
+        reason = f"service of {tenant or 'all'} is {ratio:.3f}, baseline {baseline:.3f}"
+        if ratio < baseline * section.min_service_ratio:
+            cancel_reason = cancel_reason or reason
+        if ratio < baseline * section.min_service_ratio_to_start:
+            wait_reason = wait_reason or reason
+    has_requests = any(totals.responses >= section.min_responses for totals in totals_by_tenant.values())
+    if not observations.baseline_on_time_ratio_by_tenant and has_requests:
+        wait_reason = "the baseline of service is not known yet"
+    return ServiceLevel(cancel_reason, wait_reason)
+
+
+def _sum_by_tenant(observations: Observations) -> dict[str, _ServiceTotals]:
+    totals_by_tenant = dict[str, _ServiceTotals]()
+    for name, report in observations.report_by_front.items():
+        if name != report.front:  # an earlier start of the front
             continue
-        told = f"service of {tenant or 'all'} is {good / worth:.3f}, usually {usual:.3f}"
-        if good / worth < usual * wishes.min_service_ratio:
-            fallen = fallen or told
-        if good / worth < usual * wishes.min_service_ratio_to_start:
-            lower = lower or told
-    if not seen.baseline_on_time_ratio_by_tenant and any(
-        asked >= wishes.min_responses for asked, _, _ in sums.values()
-    ):
-        lower = "the usual service is not known yet"
-    return ServiceLevel(fallen, lower)
+        for row in report.service_statistics:
+            if row.shard:  # a part of the tenant's row over all shards
+                continue
+            totals = totals_by_tenant.setdefault(row.tenant, _ServiceTotals())
+            totals.responses += row.responses
+            totals.requested_weight += row.requested_weight
+            totals.on_time_weight += row.on_time_weight
+    return totals_by_tenant
--- a/quincepier/net/fleet/active_rules.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -53,9 +53,9 @@
         self, wished: MaintenanceSection, version: RuleVersion, seen: Observations
     ) -> VersionChange | None:
         found = plan(version, wished, seen)
-        if found.tells != self.waiting_reasons:
-            self.waiting_reasons = found.tells
-            detail = "; ".join(found.tells)
+        if found.messages != self.waiting_reasons:
+            self.waiting_reasons = found.messages
+            detail = "; ".join(found.messages)
             logger.bind(event="orders wait", detail=detail).info("orders wait: {}", detail or "none")
         return found.change
 
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -164,8 +164,10 @@
     def came(self, event: RequestReceived, request: OpenRequest) -> None:
         event.tenant, request.tenant = self.active_rules.tenant_of(request.object_key)
         if self.placements is not None:
-            once = self.active_rules.is_unsafe_class[request.class_index]
-            request.shard = self.placements.decide(event.tenant, event.object, once, event.repeat)[0]
+            is_unsafe = self.active_rules.is_unsafe_class[request.class_index]
+            request.shard = self.placements.decide(
+                event.tenant, event.object, not is_unsafe, event.repeat
+            ).shard
 
     def sent(self, attempt: OpenAttempt, now: int) -> None:
         self.counters.on_sent(attempt, now)
--- a/quincepier/tenancy/migration.py
+++ b/quincepier/tenancy/migration.py
@@ -1,294 +1,318 @@
-"""The steps of moves: what the next version says, from the last one, the wishes and what is seen.
+"""The state machine of one migration: which step comes next, by what is requested and observed.
 
-Held here, each with a mutant in the tests: what may not be repeated goes to the other home only when a
-version that refuses its repeats is in force at all fronts; its repeats only when the longest hold has passed
-since; repeats are not refused for longer than `CLOSING_MOST` for a front or a leader that is away.
+Invariants, each held by a mutant in the tests:
+
+1. Unsafe requests go to the other shard only once a version that rejects their retries is active at
+   all fronts.
+2. Their retries are accepted again only once the write pause has passed since.
+3. Retries are not rejected for longer than `MAX_PAUSING_NS` because a front or the leader is away.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from msgspec.structs import replace
 
-from quincepier.rules import (
-    Migration,
-    MigrationStep,
-    Observations,
-    RuleVersion,
-    Shard,
-    TenantPlacement,
-    VersionChange,
+from quincepier.rules import Migration, MigrationStep, Observations, RuleVersion
+from quincepier.rules.version import HASH_SLOTS
+from quincepier.tenancy.errors import TransitionError
+from quincepier.tenancy.ramp_up import (
+    RAMP_UP_SLOTS,
+    is_slow_starting,
+    is_under_maintenance,
+    next_ramp_up_step,
+    ready_hosts,
 )
-from quincepier.rules.version import HASH_SLOTS, MAX_MIGRATIONS
-from quincepier.tenancy.ramp_up import WARM_PART, cold_host, grown, ready_hosts, under_work
 from quincepier.tenancy.section import DEFAULT_SHARD_NAME, SECOND, MigrationRequest
-from quincepier.tenancy.verification import Verdict, compare, in_same_seconds, judge, unharmed
+from quincepier.tenancy.verification import (
+    VerificationVerdict,
+    compare_shards,
+    compare_with_baseline,
+    counts_cover_active_version,
+    other_tenants,
+    verify_migration,
+)
 from quincepier.tenancy.write_pause import MigrationPolicy
 
-CLOSING_MOST = 10 * SECOND  # agreed for so long and not in force: repeats run at the old home again
-CLOSED_MOST = 32  # moves that are over and that no wish names, kept
-VERIFY_LEAST = 10 * SECOND  # also the rest between two tries of closing
-Step = MigrationStep
-
-
-def advance(version: RuleVersion, wishes: MigrationPolicy, seen: Observations) -> VersionChange | None:
-    """What tenants want changed by now, or None. Called by the leader, each turn, with its own file."""
-    lines = {line.id: line for line in wishes.section.migrations}
-    homes, moves, why = list(version.placements), list[Migration](), list[str]()
-    # Kept though the wish is gone: another leader's file may still have it, and it is not to begin again.
-    gone = [m.request_id for m in version.migrations if not m.is_active and m.request_id not in lines][
-        :-CLOSED_MOST
-    ]
-    for move in version.migrations:
-        if not move.is_active:
-            if move.request_id not in gone:
-                moves.append(move)
-            continue
-        line = lines.get(move.request_id)
-        after = _next(version, move, line if line and line.matches(move) else None, wishes, seen)
-        moves.append(after)
-        if after != move:
-            why.append(f"{move.request_id}: {move.tenant} {_told(after)}")
-        if after.step is Step.COMPLETED:
-            homes = [h for h in homes if h.tenant != move.tenant] + [
-                TenantPlacement(move.tenant, move.target_shard)
-            ]
-    for line in wishes.section.migrations:
-        if (begun := _begun(version, moves, homes, line)) is not None:
-            moves.append(begun)
-            why.append(
-                f"{line.id}: {line.tenant} planned "
-                f"from {begun.source_shard or DEFAULT_SHARD_NAME} to {line.target}"
-            )
-    shards = wishes.section.to_shards()
-    used = {h.shard for h in homes} | {
-        s for m in moves if m.is_active for s in (m.source_shard, m.target_shard)
-    }
-    names = {s.name for s in shards}
-    shards += tuple(s for s in version.shards if s.name in used and s.name not in names)
-    caches = [host for s in shards for host in s.caches]
-    shared = len(caches) > len(set(caches))  # a shard was renamed while it is the home of tenants
-    if (shared or any(m.is_active for m in moves + list(version.migrations))) and version.shards:
-        shards = _grown_only(version, shards)  # machines of a home do not change under a move
-    if shards != version.shards:
-        why.append("shards as in the file")
-    for name, tenant in sorted(wishes.section.tenant_by_name.items()):
-        if all(h.tenant != name for h in homes):
-            homes.append(
-                TenantPlacement(name, "" if tenant.home_shard == DEFAULT_SHARD_NAME else tenant.home_shard)
-            )
-            why.append(f"{name} at home in {tenant.home_shard}")
-    new_homes, new_moves = tuple(homes), tuple(moves)
-    if (shards, new_homes, new_moves) == (version.shards, version.placements, version.migrations):
-        return None
-    return VersionChange(
-        "; ".join(why) or "moves that nobody names any more are dropped",
-        shards=None if shards == version.shards else shards,
-        placements=None if new_homes == version.placements else new_homes,
-        migrations=None if new_moves == version.migrations else new_moves,
-    )
-
+MAX_PAUSING_NS = 10 * SECOND  # a pause committed for so long and not active everywhere is taken back
+MIN_VERIFYING_NS = 10 * SECOND  # also the time between two tries of a write pause
+MAX_REASON_CHARS = 200
 
-def held_back(version: RuleVersion) -> frozenset[str]:
-    """Host ids of machines that an order is not to begin with: of the shards of moves that have begun. The
-    common home is not in it: its machines are too many to be of one move.
-    """
-    return frozenset(
-        host
-        for m in version.migrations
-        if m.is_active and m.step > Step.PLANNED
-        for s in version.shards
-        if s.name in (m.source_shard, m.target_shard)
-        for host in (*s.caches, *s.parents)
-    )
-
-
-def _grown_only(version: RuleVersion, wanted: tuple[Shard, ...]) -> tuple[Shard, ...]:
-    kept = {s.name: s for s in version.shards}
-    taken = {host for s in version.shards for host in s.caches}
-    fresh = (s for s in wanted if s.name not in kept and not taken & set(s.caches))
-    return tuple(sorted((*kept.values(), *fresh), key=lambda s: s.name))
+STEPS_BEFORE_CUTOVER = frozenset(
+    {MigrationStep.PLANNED, MigrationStep.RAMPING_UP, MigrationStep.VERIFYING, MigrationStep.PAUSING_WRITES}
+)
 
+# A rollback after the cutover passes CUT_OVER with no moved slots, so that safe requests return first.
+TRANSITIONS: dict[MigrationStep, frozenset[MigrationStep]] = {
+    MigrationStep.PLANNED: frozenset({MigrationStep.RAMPING_UP, MigrationStep.ROLLED_BACK}),
+    MigrationStep.RAMPING_UP: frozenset({MigrationStep.VERIFYING, MigrationStep.ROLLED_BACK}),
+    MigrationStep.VERIFYING: frozenset({MigrationStep.PAUSING_WRITES, MigrationStep.ROLLED_BACK}),
+    MigrationStep.PAUSING_WRITES: frozenset(
+        {MigrationStep.VERIFYING, MigrationStep.CUT_OVER, MigrationStep.ROLLED_BACK}
+    ),
+    MigrationStep.CUT_OVER: frozenset({MigrationStep.DRAINING, MigrationStep.ROLLING_BACK}),
+    MigrationStep.DRAINING: frozenset({MigrationStep.COMPLETED, MigrationStep.CUT_OVER}),
+    MigrationStep.ROLLING_BACK: frozenset({MigrationStep.ROLLED_BACK}),
+    MigrationStep.COMPLETED: frozenset(),
+    MigrationStep.ROLLED_BACK: frozenset(),
+}
+
+
+def enter_step(
+    migration: Migration, step: MigrationStep, reason: str = "", moved_slots: int | None = None
+) -> Migration:
+    """Return the migration at `step`, which is its own or one that `TRANSITIONS` allows.
 
-def _begun(
-    version: RuleVersion, moves: list[Migration], homes: list[TenantPlacement], line: MigrationRequest
-) -> Migration | None:
-    """A wish that begins: not known yet, its tenant under no other move, and not at home there already."""
-    old = next((h.shard for h in homes if h.tenant == line.tenant), None)
-    known = any(m.request_id == line.id or (m.is_active and m.tenant == line.tenant) for m in moves)
-    if known or line.rollback or old is None or old == line.target_shard or len(moves) >= MAX_MIGRATIONS:
-        return None
-    if (
-        line.target_shard and version.find_shard(line.target_shard) is None
-    ):  # its shard comes with this change: the next turn
-        return None
-    return Migration(line.id, line.tenant, old, line.target_shard, Step.PLANNED, 0)
+    Raises:
+        TransitionError: The transition is not allowed.
+    """
+    if step is not migration.step and step not in TRANSITIONS[migration.step]:
+        raise TransitionError(
+            f"a migration can't go from {migration.step.name} to {step.name}",
+            f"migration {migration.request_id}",
+        )
+    slots = migration.moved_slots if moved_slots is None else moved_slots
+    return replace(migration, step=step, reason=reason[:MAX_REASON_CHARS], moved_slots=slots)
 
 
-def _told(move: Migration) -> str:
-    part = f" {move.moved_slots}/{HASH_SLOTS}" if move.step in (Step.RAMPING_UP, Step.CUT_OVER) else ""
-    return f"{move.step.name.lower()}{part}{' (' + move.reason + ')' if move.reason else ''}"
+@dataclass(slots=True, frozen=True)
+class MigrationContext:
+    """All that a migration's next step may depend on.
 
+    `request` is None where it was withdrawn or now says something else; that counts as a pause.
+    """
 
-def _to(move: Migration, step: MigrationStep, why: str = "", part: int | None = None) -> Migration:
-    return replace(move, step=step, reason=why[:200], moved_slots=move.moved_slots if part is None else part)
+    version: RuleVersion
+    request: MigrationRequest | None
+    policy: MigrationPolicy
+    observations: Observations
+
+    @property
+    def is_paused(self) -> bool:
+        """Whether the migration is to stay where it is."""
+        return self.request is None or self.request.pause
+
+    @property
+    def wants_rollback(self) -> bool:
+        """Whether operators request a rollback."""
+        return self.request is not None and self.request.rollback
+
+    def may_leave(self, step: MigrationStep) -> bool:
+        """Whether the request allows a step after this one."""
+        return self.request is not None and not self.request.pause and step < self.request.last_step
+
+    def has_ready_host(self, shard: str) -> bool:
+        """Whether a cache of the shard is listed and ready."""
+        return bool(ready_hosts(self.observations, self.version, shard))
+
+    def is_slow_starting(self, shard: str) -> bool:
+        """Whether a cache of the shard is still in its slow start."""
+        return is_slow_starting(self.observations, self.version, shard)
+
+    def is_shard_under_maintenance(self, shard: str) -> bool:
+        """Whether a machine of the shard is unavailable for maintenance."""
+        return is_under_maintenance(self.version, shard)
+
+    def is_newest_version_active(self) -> bool:
+        """Whether every front decides by the newest version, those without a lease by none."""
+        observed = self.observations
+        return observed.active_number >= self.version.number and observed.unleased_fronts_idle
+
+    def are_all_fronts_current(self) -> bool:
+        """Whether every member reports and decides alike by the newest version.
+
+        A write pause that starts then is short.
+        """
+        observed = self.observations
+        do_all_report = set(observed.members) <= set(observed.report_by_front)
+        return do_all_report and observed.is_consistent is not False and self.is_newest_version_active()
+
+
+def next_migration(migration: Migration, context: MigrationContext) -> Migration:
+    """Return the migration after this planning round; the same one where it has to wait."""
+    if migration.step in STEPS_BEFORE_CUTOVER:
+        if context.wants_rollback:
+            return enter_step(migration, MigrationStep.ROLLED_BACK, "rollback requested", 0)
+        has_started = migration.step is not MigrationStep.PLANNED
+        if has_started and not context.has_ready_host(migration.target_shard):
+            return enter_step(migration, MigrationStep.ROLLED_BACK, "the target shard has no ready cache", 0)
+    match migration.step:
+        case MigrationStep.PLANNED:
+            return _start_ramp_up(migration, context)
+        case MigrationStep.RAMPING_UP:
+            return _ramp_up(migration, context)
+        case MigrationStep.VERIFYING:
+            return _verify(migration, context)
+        case MigrationStep.PAUSING_WRITES:
+            return _cut_over(migration, context)
+        case MigrationStep.CUT_OVER | MigrationStep.DRAINING:
+            return _finish(migration, context)
+        case MigrationStep.ROLLING_BACK:
+            return _finish_rollback(migration, context)
+    return migration
+
+
+def is_in_force(migration: Migration, observations: Observations) -> bool:
+    """Whether no front decides by a version from before this step, and none will."""
+    return observations.active_number >= migration.since_version and observations.unleased_fronts_idle
+
+
+def time_in_force_ns(migration: Migration, observations: Observations) -> int:
+    """Return for how many nanoseconds the step is surely in force."""
+    if not is_in_force(migration, observations):
+        return 0
+    return observations.active_ns_by_number.get(migration.since_version, observations.active_for_ns)
+
+
+def _start_ramp_up(migration: Migration, context: MigrationContext) -> Migration:
+    if not context.may_leave(migration.step):
+        return migration
+    # A front without a lease may not know of the migration. It accepts unsafe requests for the grace
+    # period only.
+    if time_in_force_ns(migration, context.observations) < context.policy.grace_period_ns:
+        return migration
+    if not context.are_all_fronts_current() or not _is_target_ready(migration, context):
+        return migration
+    if _shares_shard_with_another(migration, context.version):
+        return migration
+    step = next_ramp_up_step(context.observations, migration, RAMP_UP_SLOTS)
+    if not step.moved_slots:
+        return migration
+    return enter_step(migration, MigrationStep.RAMPING_UP, step.reason, step.moved_slots)
+
+
+def _is_target_ready(migration: Migration, context: MigrationContext) -> bool:
+    shard = migration.target_shard
+    if not context.has_ready_host(shard):
+        return False
+    return not context.is_slow_starting(shard) and not context.is_shard_under_maintenance(shard)
+
+
+def _shares_shard_with_another(migration: Migration, version: RuleVersion) -> bool:
+    # One migration at a time at each shard: added origin fetches are judged by their sum.
+    shards = {migration.source_shard, migration.target_shard}
+    return any(
+        other is not migration
+        and other.is_active
+        and other.step > MigrationStep.PLANNED
+        and shards & {other.source_shard, other.target_shard}
+        for other in version.migrations
+    )
 
 
-def _next(
-    version: RuleVersion,
-    m: Migration,
-    line: MigrationRequest | None,
-    wishes: MigrationPolicy,
-    seen: Observations,
-) -> Migration:
-    """The move after this turn. A wish that is gone, or says something else now, counts as a pause."""
-    goes = line is not None and not line.pause and m.step < line.last_step
-    if m.step in (Step.PLANNED, Step.RAMPING_UP, Step.VERIFYING, Step.PAUSING_WRITES):
-        if line is not None and line.rollback:
-            return _to(m, Step.ROLLED_BACK, "by wish", 0)
-        if m.step > Step.PLANNED and not ready_hosts(seen, version, m.target_shard):
-            return _to(m, Step.ROLLED_BACK, "the new home has no machine left", 0)
-    if m.step is Step.PLANNED:
-        return _planned(version, m, wishes, seen) if goes else m
-    if m.step is Step.RAMPING_UP:
-        return _warming(version, m, line, goes, seen)
-    if m.step is Step.VERIFYING:
-        return _verified(version, m, goes, seen)
-    if m.step is Step.PAUSING_WRITES:
-        return _closing(m, line is None or line.pause or line.last_step <= Step.VERIFYING, seen)
-    if m.step is Step.ROLLING_BACK:
-        still = (line is not None and line.pause) or age(m, seen) < wishes.write_pause_ns
-        return m if still else _to(m, Step.ROLLED_BACK, m.reason)
-    return _cut_over(version, m, line, goes, wishes, seen)
-
-
-def in_force(m: Migration, seen: Observations) -> bool:
-    """Whether no front decides by a version before this step, and none will."""
-    return seen.active_number >= m.since_version and seen.unleased_fronts_idle
-
-
-def age(m: Migration, seen: Observations) -> int:
-    """Nanoseconds for which the step is surely in force."""
-    return seen.active_ns_by_number.get(m.since_version, seen.active_for_ns) if in_force(m, seen) else 0
-
-
-def all_here(version: RuleVersion, seen: Observations) -> bool:
-    """Whether closing would be short: every member reports and decides by the newest version."""
-    whole = set(seen.members) <= set(seen.report_by_front) and seen.is_consistent is not False
-    return whole and seen.unleased_fronts_idle and seen.active_number >= version.number
-
-
-def _planned(version: RuleVersion, m: Migration, wishes: MigrationPolicy, seen: Observations) -> Migration:
-    # A front without a lease may not know of the move. It takes what may not be repeated for the notice only.
-    if age(m, seen) < wishes.grace_period_ns or not all_here(version, seen):
-        return m
-    if (
-        not ready_hosts(seen, version, m.target_shard)
-        or cold_host(seen, version, m.target_shard)
-        or under_work(version, m.target_shard)
-    ):
-        return m
-    shared = {m.source_shard, m.target_shard}
-    if any(
-        o.is_active and o.step > Step.PLANNED and shared & {o.source_shard, o.target_shard}
-        for o in version.migrations
-        if o is not m
-    ):
-        return m  # one at a time at each home: fills are judged by their sum
-    part, why = grown(seen, m, WARM_PART)
-    return _to(m, Step.RAMPING_UP, why, part) if part else m
-
-
-def _warming(
-    version: RuleVersion, m: Migration, line: MigrationRequest | None, goes: bool, seen: Observations
-) -> Migration:
-    if in_same_seconds(seen):
-        found = compare(seen, m.tenant, m.source_shard, m.target_shard, False)
-        if found.verdict is Verdict.FAIL:
-            return _to(m, Step.ROLLED_BACK, found.line, 0)
-        if (
-            found := unharmed(seen, sorted({*seen.baseline_on_time_ratio_by_tenant, ""} - {m.tenant}))
-        ).verdict is Verdict.FAIL:
-            return _to(m, Step.ROLLED_BACK, f"others: {found.line}", 0)
-    if line is None or line.pause or not all_here(version, seen):
-        return m
-    if cold_host(seen, version, m.target_shard) or under_work(version, m.target_shard):
-        return m
-    if m.moved_slots >= WARM_PART:
-        return _to(m, Step.VERIFYING) if goes else m
-    part, why = grown(seen, m, WARM_PART)
-    return _to(m, Step.RAMPING_UP, why, part) if part != m.moved_slots else m
-
-
-def _verified(version: RuleVersion, m: Migration, goes: bool, seen: Observations) -> Migration:
-    gone = not ready_hosts(seen, version, m.source_shard)
-    found = judge(seen, m.tenant, m.source_shard, m.target_shard)
-    if found.verdict is Verdict.FAIL:
-        return _to(m, Step.ROLLED_BACK, found.line, 0)
-    if (
-        not goes
-        or not all_here(version, seen)
-        or age(m, seen) < VERIFY_LEAST
-        or under_work(version, m.target_shard)
-    ):
-        return m
-    if gone:
-        return _to(m, Step.PAUSING_WRITES, "the old home has no machine left to compare with")
-    return _to(m, Step.PAUSING_WRITES, found.line) if found.verdict is Verdict.PASS else m
-
-
-def _closing(m: Migration, pause: bool, seen: Observations) -> Migration:
-    if pause or seen.is_consistent is False:
-        return _to(m, Step.VERIFYING, "paused" if pause else "fronts do not all decide alike")
-    if in_force(m, seen):
-        return _to(m, Step.CUT_OVER)
-    if seen.committed_for_ns >= CLOSING_MOST:  # a front or the leader is away: nobody is kept waiting for it
-        return _to(m, Step.VERIFYING, "not all fronts followed in time: tried again later")
-    return m
-
-
-def _cut_over(
-    version: RuleVersion,
-    m: Migration,
-    line: MigrationRequest | None,
-    goes: bool,
-    wishes: MigrationPolicy,
-    seen: Observations,
-) -> Migration:
-    """CUT_OVER and DRAINING. A `part` of 0 is a move on its way back: firsts still at the new home."""
-    if m.moved_slots == 0:
+def _ramp_up(migration: Migration, context: MigrationContext) -> Migration:
+    observations = context.observations
+    if counts_cover_active_version(observations):
+        result = compare_shards(observations, migration, include_cache_hits=False)
+        if result.verdict is VerificationVerdict.FAIL:
+            return enter_step(migration, MigrationStep.ROLLED_BACK, result.summary, 0)
+        result = compare_with_baseline(observations, other_tenants(observations, migration))
+        if result.verdict is VerificationVerdict.FAIL:
+            return enter_step(migration, MigrationStep.ROLLED_BACK, f"others: {result.summary}", 0)
+    if not _may_move_slots(migration, context):
+        return migration
+    if migration.moved_slots < RAMP_UP_SLOTS:
+        return _move_slots(migration, context, RAMP_UP_SLOTS)
+    if context.may_leave(migration.step):
+        return enter_step(migration, MigrationStep.VERIFYING)
+    return migration
+
+
+def _may_move_slots(migration: Migration, context: MigrationContext) -> bool:
+    if context.is_paused or not context.are_all_fronts_current():
+        return False
+    shard = migration.target_shard
+    return not context.is_slow_starting(shard) and not context.is_shard_under_maintenance(shard)
+
+
+def _move_slots(migration: Migration, context: MigrationContext, max_slots: int) -> Migration:
+    step = next_ramp_up_step(context.observations, migration, max_slots)
+    if step.moved_slots == migration.moved_slots:
+        return migration
+    return enter_step(migration, migration.step, step.reason, step.moved_slots)
+
+
+def _verify(migration: Migration, context: MigrationContext) -> Migration:
+    result = verify_migration(context.observations, migration)
+    if result.verdict is VerificationVerdict.FAIL:
+        return enter_step(migration, MigrationStep.ROLLED_BACK, result.summary, 0)
+    if not context.may_leave(migration.step) or not context.are_all_fronts_current():
+        return migration
+    if time_in_force_ns(migration, context.observations) < MIN_VERIFYING_NS:
+        return migration
+    if context.is_shard_under_maintenance(migration.target_shard):
+        return migration
+    if not context.has_ready_host(migration.source_shard):
+        reason = "the source shard has no ready cache to compare with"
+        return enter_step(migration, MigrationStep.PAUSING_WRITES, reason)
+    if result.verdict is VerificationVerdict.PASS:
+        return enter_step(migration, MigrationStep.PAUSING_WRITES, result.summary)
+    return migration
+
+
+def _cut_over(migration: Migration, context: MigrationContext) -> Migration:
+    observations = context.observations
+    if not context.may_leave(MigrationStep.VERIFYING):
+        return enter_step(migration, MigrationStep.VERIFYING, "paused")
+    if observations.is_consistent is False:
+        return enter_step(migration, MigrationStep.VERIFYING, "fronts decide differently")
+    if is_in_force(migration, observations):
+        return enter_step(migration, MigrationStep.CUT_OVER)
+    if observations.committed_for_ns >= MAX_PAUSING_NS:  # nobody waits for a front or leader that is away
+        reason = "not all fronts followed in time: tried again later"
+        return enter_step(migration, MigrationStep.VERIFYING, reason)
+    return migration
+
+
+def _finish(migration: Migration, context: MigrationContext) -> Migration:
+    """Advance from CUT_OVER or DRAINING; with no moved slots a rollback is on its way."""
+    if migration.moved_slots == 0:
+        if context.is_newest_version_active():
+            return enter_step(migration, MigrationStep.ROLLING_BACK, migration.reason)
+        return migration
+    if reason := _rollback_reason(migration, context):
+        return enter_step(migration, MigrationStep.CUT_OVER, reason, 0)
+    if migration.step is MigrationStep.CUT_OVER and migration.moved_slots < HASH_SLOTS:
         return (
-            _to(m, Step.ROLLING_BACK, m.reason)
-            if seen.active_number >= version.number and seen.unleased_fronts_idle
-            else m
-        )
-    if line is not None and line.rollback:
-        return _to(m, Step.CUT_OVER, "by wish", 0)
-    if not ready_hosts(seen, version, m.target_shard) and ready_hosts(seen, version, m.source_shard):
-        return _to(m, Step.CUT_OVER, "the new home has no machine left", 0)
-    if (
-        in_same_seconds(seen)
-        and (found := unharmed(seen, sorted({*seen.baseline_on_time_ratio_by_tenant, ""}))).verdict
-        is Verdict.FAIL
-    ):
-        return _to(m, Step.CUT_OVER, found.line, 0)
-    if m.step is Step.CUT_OVER and m.moved_slots < HASH_SLOTS:
-        still = (
-            line is None
-            or line.pause
-            or cold_host(seen, version, m.target_shard)
-            or under_work(version, m.target_shard)
+            _move_slots(migration, context, HASH_SLOTS) if _may_move_slots(migration, context) else migration
         )
-        if still or not all_here(version, seen):
-            return m
-        part, why = grown(seen, m, HASH_SLOTS)
-        return _to(m, Step.CUT_OVER, why, part) if part != m.moved_slots else m
-    if not goes or not in_force(m, seen):
-        return m
-    if m.step is Step.CUT_OVER:
-        return _to(m, Step.DRAINING) if age(m, seen) >= wishes.write_pause_ns else m
-    left = any(
-        (tenant, shard) == (m.tenant, m.source_shard or DEFAULT_SHARD_NAME) and open_
-        for r in seen.report_by_front.values()
-        for tenant, shard, open_ in r.open_unsafe_requests
+    if not context.may_leave(migration.step) or not is_in_force(migration, context.observations):
+        return migration
+    if migration.step is MigrationStep.CUT_OVER:
+        if time_in_force_ns(migration, context.observations) < context.policy.write_pause_ns:
+            return migration
+        return enter_step(migration, MigrationStep.DRAINING)
+    if _has_open_requests_at_source(migration, context.observations):
+        return migration
+    return enter_step(migration, MigrationStep.COMPLETED)
+
+
+def _rollback_reason(migration: Migration, context: MigrationContext) -> str:
+    if context.wants_rollback:
+        return "rollback requested"
+    if not context.has_ready_host(migration.target_shard) and context.has_ready_host(migration.source_shard):
+        return "the target shard has no ready cache"
+    observations = context.observations
+    if not counts_cover_active_version(observations):
+        return ""
+    tenants = sorted({*observations.baseline_on_time_ratio_by_tenant, ""})
+    result = compare_with_baseline(observations, tenants)
+    return result.summary if result.verdict is VerificationVerdict.FAIL else ""
+
+
+def _has_open_requests_at_source(migration: Migration, observations: Observations) -> bool:
+    source = (migration.tenant, migration.source_shard or DEFAULT_SHARD_NAME)
+    return any(
+        (tenant, shard) == source and count
+        for report in observations.report_by_front.values()
+        for tenant, shard, count in report.open_unsafe_requests
     )
-    return m if left else _to(m, Step.COMPLETED)
+
+
+def _finish_rollback(migration: Migration, context: MigrationContext) -> Migration:
+    # Without a request the rollback goes on: only an explicit pause holds it up.
+    is_paused = context.request is not None and context.request.pause
+    if is_paused or time_in_force_ns(migration, context.observations) < context.policy.write_pause_ns:
+        return migration
+    return enter_step(migration, MigrationStep.ROLLED_BACK, migration.reason)
--- a/quincepier/tenancy/placement.py
+++ b/quincepier/tenancy/placement.py
@@ -1,8 +1,9 @@
-"""Where a request is at home under one rule version: a pure function of version, tenant and key."""
+"""Which shard serves a request under one rule version: a pure function of version, tenant and key."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Sequence
+from typing import NamedTuple
 
 import xxhash
 
@@ -11,107 +12,186 @@
 from quincepier.rules import Migration, MigrationStep, RuleVersion
 from quincepier.rules.version import HASH_SLOTS
 from quincepier.tenancy.errors import TenancyError
-from quincepier.tenancy.tenant_lookup import TenantLookup
+from quincepier.tenancy.tenant_lookup import NO_TENANT, TenantLookup
 
+DEFAULT_SHARD = ""  # as a rule version names it
+KEY_MASK = (1 << 64) - 1
 
-def part_of(key: int) -> int:
-    """The part of a tenant's keys, of PARTS, that an object (64 bits) is in: the same at every front."""
-    return xxhash.xxh3_64_intdigest((key & (1 << 64) - 1).to_bytes(8, "little")) % HASH_SLOTS
 
+class RequestPlacement(NamedTuple):
+    """The shard of a request, and whether the request is rejected for now."""
 
-def place(move: Migration, part: int, once: bool, repeat: bool, cautious: bool) -> tuple[str, bool]:
-    """Home, and whether it is refused, of a request of a tenant under an open move. `once`: its class may not
-    simply be repeated; `repeat`: its client says that it asked before.
+    shard: str
+    is_rejected: bool
+
+
+def slot_of_key(key: int) -> int:
+    """Return the slot, of `HASH_SLOTS`, of an object key (64 bits): the same at every front."""
+    return xxhash.xxh3_64_intdigest((key & KEY_MASK).to_bytes(8, "little")) % HASH_SLOTS
+
+
+def place_request(
+    migration: Migration, slot: int, is_safe: bool, is_retry: bool, is_cautious: bool
+) -> RequestPlacement:
+    """Place a request of a tenant under an active migration.
+
+    The first attempt of an unsafe request needs no pause: it runs at one shard only, and each of two
+    neighbouring versions rejects its retries. A retry may have run at the other shard, so it waits until no
+    cache could recognize it any more.
+
+    Args:
+        migration: The tenant's migration, as the front's version has it.
+        slot: The slot of the request's key.
+        is_safe: Whether the request's class may simply be repeated.
+        is_retry: Whether the client says that it sent the request before.
+        is_cautious: Whether the front has no lease, so that its version may be outdated.
     """
-    step = move.step
-    if not once:
-        early = (step <= MigrationStep.PAUSING_WRITES and cautious) or step is MigrationStep.ROLLING_BACK
-        over = step is MigrationStep.DRAINING or (not early and part < move.moved_slots)
-        return (move.target_shard if over else move.source_shard), False
-    # A first runs where the version says, and needs no gap: each of two neighbouring versions refuses its
-    # repeats. A repeat may have run at the other home, so it waits until a cache could not tell it either.
-    if step is MigrationStep.CUT_OVER:
-        return move.target_shard, cautious or repeat
-    if step is MigrationStep.DRAINING:
-        return move.target_shard, cautious
-    if step is MigrationStep.ROLLING_BACK:
-        return move.source_shard, cautious or repeat
-    return move.source_shard, cautious or (step is MigrationStep.PAUSING_WRITES and repeat)
+    if is_safe:
+        return _place_safe(migration, slot, is_cautious)
+    match migration.step:
+        case MigrationStep.CUT_OVER:
+            return RequestPlacement(migration.target_shard, is_cautious or is_retry)
+        case MigrationStep.DRAINING:
+            return RequestPlacement(migration.target_shard, is_cautious)
+        case MigrationStep.PAUSING_WRITES | MigrationStep.ROLLING_BACK:
+            return RequestPlacement(migration.source_shard, is_cautious or is_retry)
+    return RequestPlacement(migration.source_shard, is_cautious)
+
+
+def _place_safe(migration: Migration, slot: int, is_cautious: bool) -> RequestPlacement:
+    step = migration.step
+    is_before_cutover = step <= MigrationStep.PAUSING_WRITES
+    stays_at_source = step is MigrationStep.ROLLING_BACK or (is_before_cutover and is_cautious)
+    has_moved = step is MigrationStep.DRAINING or (not stays_at_source and slot < migration.moved_slots)
+    return RequestPlacement(migration.target_shard if has_moved else migration.source_shard, False)
 
 
 class PlacementTable:
-    """What the Router asks, for one version: made anew for each version and each change of `cautious` or
-    `unsure`, told of each new list by `renew`.
-
-    `number_of`: a host id's number, None for one that is not known. `listed`: numbers of the caches and of
-    the parents that are listed and ready. `unsure`: no version is known, or the lease ended over the notice
-    ago, so a move may have begun that this front does not know. Classes by number, as in the settings.
-    TenancyError where a version can't be used.
+    """Places requests by one rule version.
+
+    Made anew for each version and each change of `is_cautious` or `may_lack_migrations`; `renew` follows
+    each new list of machines.
+
+    Args:
+        version: The rule version.
+        is_cautious: Whether this front has no lease.
+        number_of: A host id's number, None for one that is not known.
+        tenants: How tenants are told apart.
+        classes: Request classes by number, as in the settings.
+        listed: Numbers of the caches and of the parents that are listed and ready.
+        may_lack_migrations: Whether no version is known, or the lease ended longer ago than the grace period,
+            so that a migration may have started that this front does not know of.
+
+    Raises:
+        TenancyError: The version can't be used.
     """
 
     def __init__(
         self,
         version: RuleVersion,
-        cautious: bool,
+        is_cautious: bool,
         number_of: Callable[[str], int | None],
         tenants: TenantLookup,
         classes: Sequence[io.RequestClass],
         listed: Callable[[], tuple[Collection[int], Collection[int]]],
-        unsure: bool = False,
+        may_lack_migrations: bool = False,
     ) -> None:
-        self.version, self.cautious, self.unsure = version, cautious, unsure
-        self._number_of, self._tenants, self._listed = number_of, tenants, listed
-        self._once = [c.effect is not Idempotency.SAFE for c in classes]
-        caches = [host for shard in version.shards for host in shard.caches]
-        if len(caches) > len(set(caches)):  # keys of two homes would meet there, and neither be compared
-            raise TenancyError("a cache is in two shards", f"rule version {version.number}")
-        moves = {n: version.migration_of(name) for n, name in enumerate(tenants.names) if n}
-        self._moves = {n: m for n, m in moves.items() if m is not None and m.is_active}
-        self._shards = [version.home_shard_of(name) if n else "" for n, name in enumerate(tenants.names)]
+        _check_caches_are_disjoint(version)
+        self.version = version
+        self.is_cautious = is_cautious
+        self.may_lack_migrations = may_lack_migrations
+        self._number_of = number_of
+        self._listed = listed
+        self._is_safe_by_class = [c.effect is Idempotency.SAFE for c in classes]
+        self._migration_by_tenant = _active_migrations(version, tenants)
+        self._shard_by_tenant = [
+            version.home_shard_of(name) if number != NO_TENANT else DEFAULT_SHARD
+            for number, name in enumerate(tenants.names)
+        ]
+        self._home_by_placement = dict[RequestPlacement, io.HomeShard]()
         self.renew()
 
     def renew(self) -> None:
-        """To be called after each new list, before the next request."""
-        (caches, parents), version = self._listed(), self.version
-        homes = {s.name: (self._numbers(s.caches), self._numbers(s.parents)) for s in version.shards}
-        own = frozenset[int]().union(*(c for c, _ in homes.values()))
-        behind = frozenset[int]().union(*(p for _, p in homes.values()))
-        every = frozenset(parents)
-        homes[""] = frozenset(caches) - own, every - behind or every
-        self._homes = dict[tuple[str, bool], io.HomeShard]()
-        for name, (mine, sources) in homes.items():
-            ready = mine & frozenset(caches)
-            for closed in (False, True):
-                self._homes[name, closed] = io.HomeShard(
-                    number_of_home(name), ready, sources & every or every, closed
-                )
+        """Follow a new list of machines; to be called before the next request is placed."""
+        caches, parents = self._listed()
+        listed_caches = frozenset(caches)
+        listed_parents = frozenset(parents)
+        caches_in_shards = frozenset[int]()
+        parents_in_shards = frozenset[int]()
+        self._home_by_placement.clear()
+        for shard in self.version.shards:
+            own_caches = self._numbers(shard.caches)
+            own_parents = self._numbers(shard.parents)
+            caches_in_shards |= own_caches
+            parents_in_shards |= own_parents
+            self._add_home(
+                shard.name, own_caches & listed_caches, own_parents & listed_parents or listed_parents
+            )
+        self._add_home(
+            DEFAULT_SHARD,
+            listed_caches - caches_in_shards,
+            listed_parents - parents_in_shards or listed_parents,
+        )
+
+    def _add_home(self, shard: str, caches: frozenset[int], parents: frozenset[int]) -> None:
+        for is_rejected in (False, True):
+            home = io.HomeShard(home_number(shard), caches, parents, is_rejected)
+            self._home_by_placement[RequestPlacement(shard, is_rejected)] = home
 
     def _numbers(self, hosts: Collection[str]) -> frozenset[int]:
-        return frozenset(n for n in map(self._number_of, hosts) if n is not None)
+        return frozenset(number for number in map(self._number_of, hosts) if number is not None)
 
-    def __call__(self, e: io.RequestReceived) -> io.HomeShard | None:
-        """None is the ordinary placement: there are no shards."""
-        if not self.version.shards and not self._moves and not (self.unsure and e.tenant):
+    def __call__(self, request: io.RequestReceived) -> io.HomeShard | None:
+        """Return the request's home, or None for the ordinary placement: there are no shards."""
+        has_unknown_migrations = self.may_lack_migrations and request.tenant
+        if not self.version.shards and not self._migration_by_tenant and not has_unknown_migrations:
             return None
-        shard, closed = self.decide(e.tenant, e.object, self._once[e.cls], e.repeat)
-        home = self._homes.get((shard, closed)) or self._homes["", True]
-        if not home.caches and shard and not self._once[e.cls]:
-            return self._homes["", False]  # a home that lost its last cache: what is harmless is served
-        if not home.caches and shard and not closed:
-            return self._homes[shard, True]
-        return home
-
-    def decide(self, tenant: int, key: int, once: bool, repeat: bool) -> tuple[str, bool]:
-        """The home's shard and whether the request is refused for now; looks at no list."""
-        tenant = tenant if 0 <= tenant < len(self._shards) else 0
-        move = self._moves.get(tenant)
-        if move is not None:
-            shard, closed = place(move, part_of(key), once, repeat, self.cautious)
+        is_safe = self._is_safe_by_class[request.cls]
+        placement = self.decide(request.tenant, request.object, is_safe, request.repeat)
+        home = self._home_by_placement.get(placement)
+        if home is None:
+            home = self._home_by_placement[RequestPlacement(DEFAULT_SHARD, True)]
+        if home.caches or not placement.shard:
+            return home
+        # The shard has lost its last cache: only safe requests may run elsewhere.
+        if is_safe:
+            return self._home_by_placement[RequestPlacement(DEFAULT_SHARD, False)]
+        return (
+            home
+            if placement.is_rejected
+            else self._home_by_placement[RequestPlacement(placement.shard, True)]
+        )
+
+    def decide(self, tenant: int, key: int, is_safe: bool, is_retry: bool) -> RequestPlacement:
+        """Return the request's shard and whether it is rejected, whatever machines are listed."""
+        if not 0 <= tenant < len(self._shard_by_tenant):
+            tenant = NO_TENANT
+        migration = self._migration_by_tenant.get(tenant)
+        if migration is None:
+            placement = RequestPlacement(self._shard_by_tenant[tenant], False)
         else:
-            shard, closed = self._shards[tenant], False
-        return shard, closed or (once and self.unsure and tenant > 0)
+            placement = place_request(migration, slot_of_key(key), is_safe, is_retry, self.is_cautious)
+        if self.may_lack_migrations and tenant != NO_TENANT and not is_safe:
+            return RequestPlacement(placement.shard, True)
+        return placement
+
+
+def _check_caches_are_disjoint(version: RuleVersion) -> None:
+    # Keys of two shards would meet in one cache, and neither shard could be compared with the other.
+    caches = [host for shard in version.shards for host in shard.caches]
+    if len(caches) > len(set(caches)):
+        raise TenancyError("a cache is in two shards", f"rule version {version.number}")
+
+
+def _active_migrations(version: RuleVersion, tenants: TenantLookup) -> dict[int, Migration]:
+    found = dict[int, Migration]()
+    for number, name in enumerate(tenants.names):
+        migration = version.migration_of(name) if number != NO_TENANT else None
+        if migration is not None and migration.is_active:
+            found[number] = migration
+    return found
 
 
-def number_of_home(shard: str) -> int:
-    """`Home.name`: 0 for the common one, for others a number that follows from the name."""
+def home_number(shard: str) -> int:
+    """Return `Home.name`: 0 for the default shard, for others a number that follows from the name."""
     return xxhash.xxh3_64_intdigest(shard.encode()) | 1 if shard else 0
--- a/quincepier/tenancy/ramp_up.py
+++ b/quincepier/tenancy/ramp_up.py
@@ -1,71 +1,94 @@
-"""How fast a tenant's keys may go to the new home: fills stay under the bound, machines there are warm."""
+"""How fast a tenant's keys move to the target shard: origin fetches stay bounded, its machines are warm."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from quincepier.rules import Migration, Observations, RuleVersion
 from quincepier.rules.version import HASH_SLOTS
-from quincepier.tenancy.verification import in_same_seconds, total
+from quincepier.tenancy.verification import counts_cover_active_version, sum_statistics
+
+STEP_SIZES = (32, 16, 8, 4, 2, 1)  # slots that move at once: the largest that origin fetches allow
+NO_TRAFFIC_STEP = 0  # index in STEP_SIZES
+FEW_RESPONSES_STEP = 3  # index in STEP_SIZES
+RAMP_UP_SLOTS = HASH_SLOTS // 2  # half of the keys at each shard are compared with the greatest power
+MAX_ADDED_FETCH_RATIO = 0.2  # of all baseline fetches, by the first step; they are to stay under 1.3 of them
+MAX_REMAINING_FETCH_RATIO = 0.1  # of all baseline fetches: what the last step may still add before the next
+MIN_SOURCE_RESPONSES = 50  # to know the source's origin fetches a response
+MIN_MISS_RATIO = 0.01
+STEP_DIVISOR = 8  # a later step adds up to an eighth of what has moved
+
 
-STEPS = (32, 16, 8, 4, 2, 1)  # parts, of 256, that go at once: the largest that fills allow
-WARM_PART = HASH_SLOTS // 2  # both homes are compared at halves, where the difference is told best
-FILLS_PART = 0.2  # of all usual fills: what one step may add at first; they are to stay under 1.3 of usual
-SETTLED_PART = 0.1  # of all usual fills: what may be left of the last step's before the next
-TELLS = 50  # answers at the old home, to know its rate of fills
+@dataclass(slots=True, frozen=True)
+class RampUpStep:
+    """How many slots are to be at the target, and why not more."""
 
+    moved_slots: int
+    reason: str
 
-def ready_hosts(seen: Observations, version: RuleVersion, shard: str) -> list[str]:
-    """Caches of a home that are listed and ready; of the common one all outside of shards."""
-    line = version.find_shard(shard)
-    own = {host for s in version.shards for host in s.caches}
-    return [
+
+def ready_hosts(observations: Observations, version: RuleVersion, shard_name: str) -> list[str]:
+    """Return the caches of a shard that are listed and ready; the default shard has all outside of shards."""
+    shard = version.find_shard(shard_name)
+    hosts_in_shards = {host for s in version.shards for host in s.caches}
+    ready_caches = (
         host
-        for host, m in seen.machine_by_host.items()
-        if m.kind == "cache"
-        and m.is_ready
-        and (host in line.caches if line else not shard and host not in own)
-    ]
-
-
-def cold_host(seen: Observations, version: RuleVersion, shard: str) -> str:
-    """One of the home's machines that is not warm yet, "" for none."""
-    for host in ready_hosts(seen, version, shard):
-        if seen.machine_by_host[host].uptime_ms < seen.machine_by_host[host].warm_up_ms:
-            return host
-    return ""
-
-
-def under_work(version: RuleVersion, shard: str) -> str:
-    """A machine of the home that an open order has begun with, "" for none."""
-    line = version.find_shard(shard)
-    own = {host for s in version.shards for host in (*s.caches, *s.parents)}
-    mine = {*line.caches, *line.parents} if line else set[str]()
-    for o in version.maintenance_tasks:
-        if (
-            o.is_unavailable
-            and o.kind != "front"
-            and (o.target in mine or (not line and o.target not in own))
-        ):
-            return o.target
-    return ""
-
-
-def grown(seen: Observations, move: Migration, most: int) -> tuple[int, str]:
-    """The next part, at most `most`, and why not more; the same part where it has to wait."""
-    part = move.moved_slots
-    if not in_same_seconds(seen):
-        return part, "counts are not all of this version yet"
-    here, there = total(seen, move.tenant, move.target_shard), total(seen, move.tenant, move.source_shard)
-    asked, every = here.responses + there.responses, total(seen, "").origin_fetches
-    if not asked:
-        return min(part + STEPS[0], most), "nobody asks"
-    if there.responses < TELLS and part < HASH_SLOTS:
-        return min(part + STEPS[3], most), "too few answers to tell fills by: small steps"
-    rate = there.origin_fetches / there.responses if there.responses else 0.0
-    extra = max(here.origin_fetches - here.responses * rate, 0.0)
-    usual = max(every - extra, 1.0)
-    if part and extra > SETTLED_PART * usual:
-        return part, f"{extra:.0f} fills above {usual:.0f} usual ones"
-    # At first as if nothing of it were asked twice; later an eighth more than what was borne before.
-    room = max(FILLS_PART * usual * HASH_SLOTS / (asked * max(1 - rate, 0.01)), part / 8)
-    step = next((s for s in STEPS if s <= room), STEPS[-1])
-    return min(part + step, most), f"room for {room:.1f} parts"
+        for host, machine in observations.machine_by_host.items()
+        if machine.kind == "cache" and machine.is_ready
+    )
+    if shard is not None:
+        return [host for host in ready_caches if host in shard.caches]
+    if shard_name:
+        return []
+    return [host for host in ready_caches if host not in hosts_in_shards]
+
+
+def is_slow_starting(observations: Observations, version: RuleVersion, shard_name: str) -> bool:
+    """Whether a ready cache of the shard is still in its slow start."""
+    machines = (observations.machine_by_host[host] for host in ready_hosts(observations, version, shard_name))
+    return any(machine.uptime_ms < machine.warm_up_ms for machine in machines)
+
+
+def is_under_maintenance(version: RuleVersion, shard_name: str) -> bool:
+    """Whether a maintenance task has made a machine of the shard unavailable."""
+    shard = version.find_shard(shard_name)
+    hosts_in_shards = {host for s in version.shards for host in (*s.caches, *s.parents)}
+    unavailable_hosts = {
+        task.target for task in version.maintenance_tasks if task.is_unavailable and task.kind != "front"
+    }
+    if shard is not None:
+        return bool(unavailable_hosts & {*shard.caches, *shard.parents})
+    return bool(unavailable_hosts - hosts_in_shards)
+
+
+def next_ramp_up_step(observations: Observations, migration: Migration, max_slots: int) -> RampUpStep:
+    """Return how many slots may be at the target next, at most `max_slots`.
+
+    The slots stay as they are while origin fetches of the last step are still above the baseline.
+    """
+    moved = migration.moved_slots
+    if not counts_cover_active_version(observations):
+        return RampUpStep(moved, "not all counts are of the active version yet")
+    target = sum_statistics(observations, migration.tenant, migration.target_shard)
+    source = sum_statistics(observations, migration.tenant, migration.source_shard)
+    responses = target.responses + source.responses
+    if not responses:
+        return RampUpStep(min(moved + STEP_SIZES[NO_TRAFFIC_STEP], max_slots), "the tenant has no requests")
+    if source.responses < MIN_SOURCE_RESPONSES and moved < HASH_SLOTS:
+        return RampUpStep(
+            min(moved + STEP_SIZES[FEW_RESPONSES_STEP], max_slots),
+            "too few responses to estimate origin fetches: small steps",
+        )
+    source_rate = source.origin_fetches / source.responses if source.responses else 0.0
+    added_fetches = max(target.origin_fetches - target.responses * source_rate, 0.0)
+    baseline_fetches = max(sum_statistics(observations, "").origin_fetches - added_fetches, 1.0)
+    if moved and added_fetches > MAX_REMAINING_FETCH_RATIO * baseline_fetches:
+        reason = f"{added_fetches:.0f} origin fetches above a baseline of {baseline_fetches:.0f}"
+        return RampUpStep(moved, reason)
+    # The first step counts as if no key were requested twice; a later one adds to what was borne before.
+    fetches_if_all_moved = responses * max(1 - source_rate, MIN_MISS_RATIO)
+    allowed_slots = max(
+        MAX_ADDED_FETCH_RATIO * baseline_fetches * HASH_SLOTS / fetches_if_all_moved, moved / STEP_DIVISOR
+    )
+    step_size = next((size for size in STEP_SIZES if size <= allowed_slots), STEP_SIZES[-1])
+    return RampUpStep(min(moved + step_size, max_slots), f"origin fetches allow {allowed_slots:.1f} slots")
--- a/quincepier/tenancy/section.py
+++ b/quincepier/tenancy/section.py
@@ -115,7 +115,7 @@
 ):
     """Shards, tenants and requested migrations.
 
-    `grace_period_s`: a front without a lease may go on accepting non-idempotent requests of a named tenant
+    `grace_period_s`: a front without a lease may go on accepting unsafe requests of a named tenant
     for so long. A migration stays planned for the same time, so that every front knows of it by then.
     """
 
@@ -129,7 +129,7 @@
         self._check_caches()
         self._check_prefixes()
         for name, tenant in self.tenant_by_name.items():
-            self._check_shard_is_known(f"tenants.{name}.home", tenant.home_shard)
+            self._check_shard_exists(f"tenants.{name}.home", tenant.home_shard)
         self._check_migrations()
 
     def to_shards(self) -> tuple[Shard, ...]:
@@ -176,9 +176,11 @@
             ids.add(migration.id)
             if migration.tenant not in self.tenant_by_name:
                 raise ValueError(f"{key}.tenant: no tenant {migration.tenant}: name it under tenants.tenants")
-            self._check_shard_is_known(f"{key}.to", migration.target)
+            self._check_shard_exists(f"{key}.to", migration.target)
 
-    def _check_shard_is_known(self, key: str, name: str) -> None:
+    def _check_shard_exists(self, key: str, name: str) -> None:
         if name != DEFAULT_SHARD_NAME and name not in self.shard_by_name:
-            known = ", ".join([DEFAULT_SHARD_NAME, *sorted(self.shard_by_name)])
-            raise ValueError(f"{key}: no shard {name}: name it under tenants.shards, or take one of {known}")
+            shard_names = ", ".join([DEFAULT_SHARD_NAME, *sorted(self.shard_by_name)])
+            raise ValueError(
+                f"{key}: no shard {name}: name it under tenants.shards, or take one of {shard_names}"
+            )
--- a/quincepier/tenancy/verification.py
+++ b/quincepier/tenancy/verification.py
@@ -1,8 +1,8 @@
-"""Both homes of a tenant compared in the same seconds: it passes, waits or fails, with reasons.
+"""Statistical comparison of a tenant's two shards during a migration, over the same seconds.
 
-Shares of a moved tenant at the new home against the old, as differences with an interval on each side
-(non-inferiority; Schuirmann 1987). Worth is taken as shares of equal requests and the variance twice, since
-requests of one second share their fate. A fail wants far more certainty than a pass: it is looked for often.
+Proportions at the target shard are held against those at the source by a one-sided two-proportion z-test of
+non-inferiority (Schuirmann 1987). Priority weight is treated as a proportion of equal requests. A failure
+needs far more certainty than a success, since it is tested for at every planning round.
 """
 
 from __future__ import annotations
@@ -12,130 +12,237 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from quincepier.rules import Observations, ServiceStatistics
+from quincepier.rules import Migration, Observations, ServiceStatistics
 from quincepier.tenancy.section import DEFAULT_SHARD_NAME, MS
 
-Z_PASS, Z_FAIL = 1.645, 4.0  # one-sided: 5 in 100 by chance, and one in 30,000
-LEAST = 200  # answers at each home
-LATE_MORE, REFUSED_MORE, MISSED_MORE = 0.02, 0.02, 0.10  # shares that may be worse at the new home
-FILLS_MORE, FILLS_LEAST = 0.3, 0.05  # of the old home's fills an answer, and at least of answers
-SPREAD = 2.0
+PASS_Z_SCORE = 1.645  # one-sided: a false pass in 20
+FAIL_Z_SCORE = 4.0  # a false failure in 30,000
+VARIANCE_INFLATION = 2.0  # requests of one second share their fate
+MIN_RESPONSES = 200  # at each shard
+# Margins of non-inferiority: by how much a proportion may be worse at the target.
+MAX_LATE_INCREASE = 0.02
+MAX_REJECTED_INCREASE = 0.02
+MAX_MISS_INCREASE = 0.10
+MAX_ORIGIN_FETCH_INCREASE = 0.3  # of the source's origin fetches a response
+MIN_ORIGIN_FETCH_MARGIN = 0.05  # of responses
+MAX_SUMMARY_CHARS = 200
 
 
-class Verdict(Enum):
+class VerificationVerdict(Enum):
+    """What the collected responses show."""
+
     PASS = "passes"
-    WAIT = "waits"
+    INCONCLUSIVE = "inconclusive"
     FAIL = "fails"
 
 
 @dataclass(slots=True, frozen=True)
-class Finding:
-    verdict: Verdict
+class VerificationResult:
+    """A verdict with the measures that it rests on."""
+
+    verdict: VerificationVerdict
     reasons: tuple[str, ...]
 
     @property
-    def line(self) -> str:
-        return f"{self.verdict.value}: {'; '.join(self.reasons)}"[:200]
+    def summary(self) -> str:
+        """One line for the log and for the migration's reason."""
+        return f"{self.verdict.value}: {'; '.join(self.reasons)}"[:MAX_SUMMARY_CHARS]
+
+
+@dataclass(slots=True, frozen=True)
+class Sample:
+    """A share of bad outcomes and the number of outcomes that it is of; 0: it is known exactly."""
+
+    proportion: float
+    count: int = 0
+
+
+@dataclass(slots=True, frozen=True)
+class _Comparison:
+    """One measure at the shard under test beside its reference."""
+
+    measure: str
+    verdict: VerificationVerdict
+    proportion: float
+    reference: float
+
+    @property
+    def summary(self) -> str:
+        """The measure with both proportions."""
+        return f"{self.measure} {self.proportion:.3f} against {self.reference:.3f}"
 
 
-def total(seen: Observations, tenant: str, shard: str | None = None) -> ServiceStatistics:
-    """The sum over all reports, of a tenant at a shard; of all shards with None. In reports the common home
-    is named by its word, as "" stands for all.
+def sum_statistics(observations: Observations, tenant: str, shard: str | None = None) -> ServiceStatistics:
+    """Sum a tenant's statistics over all reports.
+
+    Args:
+        observations: The reports of all fronts.
+        tenant: A tenant's name, or "" for all requests.
+        shard: A shard as rule versions name it, or None for all shards. Reports name the default shard by
+            its word, as "" stands for all shards there.
     """
-    name = "" if shard is None else shard or DEFAULT_SHARD_NAME
-    rows = (s for r in seen.report_by_front.values() for s in r.service_statistics)
-    return _sum(tenant, name, (s for s in rows if (s.tenant, s.shard) == (tenant, name)))
-
-
-def _sum(tenant: str, shard: str, rows: Iterable[ServiceStatistics]) -> ServiceStatistics:
-    a = w = t = r = h = f = 0.0
-    for s in rows:
-        a, w, t, r, h, f = (
-            a + s.responses,
-            w + s.requested_weight,
-            t + s.on_time_weight,
-            r + s.rejected,
-            h + s.hits,
-            f + s.origin_fetches,
-        )
-    return ServiceStatistics(tenant, shard, int(a), w, t, int(r), int(h), int(f))
+    shard_name = "" if shard is None else shard or DEFAULT_SHARD_NAME
+    responses = rejected = hits = origin_fetches = 0
+    requested_weight = on_time_weight = 0.0
+    for report in observations.report_by_front.values():
+        for row in report.service_statistics:
+            if (row.tenant, row.shard) != (tenant, shard_name):
+                continue
+            responses += row.responses
+            requested_weight += row.requested_weight
+            on_time_weight += row.on_time_weight
+            rejected += row.rejected
+            hits += row.hits
+            origin_fetches += row.origin_fetches
+    return ServiceStatistics(
+        tenant, shard_name, responses, requested_weight, on_time_weight, rejected, hits, origin_fetches
+    )
+
+
+def late_ratio(statistics: ServiceStatistics) -> float:
+    """Return the share of priority weight that was not served within its latency objective."""
+    if statistics.requested_weight <= 0:
+        return 0.0
+    return 1 - statistics.on_time_weight / statistics.requested_weight
+
+
+def compare_proportions(sample: Sample, reference: Sample, margin: float) -> VerificationVerdict:
+    """Test whether a share of bad outcomes is no worse than a reference by more than the margin."""
+    variance = VARIANCE_INFLATION * (_variance(sample) + _variance(reference))
+    standard_error = math.sqrt(variance)
+    increase = sample.proportion - reference.proportion
+    if increase - FAIL_Z_SCORE * standard_error > margin:
+        return VerificationVerdict.FAIL
+    if increase + PASS_Z_SCORE * standard_error <= margin:
+        return VerificationVerdict.PASS
+    return VerificationVerdict.INCONCLUSIVE
+
+
+def _variance(sample: Sample) -> float:
+    if not sample.count:
+        return 0.0
+    smoothed = (sample.proportion * sample.count + 1) / (
+        sample.count + 2
+    )  # none observed is not none (Laplace)
+    return smoothed * (1 - smoothed) / sample.count
+
+
+def counts_cover_active_version(observations: Observations) -> bool:
+    """Whether all counts are of seconds in which the newest version was active."""
+    return all(
+        report.window_ms * MS <= observations.active_for_ns
+        for report in observations.report_by_front.values()
+    )
+
+
+def compare_shards(
+    observations: Observations, migration: Migration, include_cache_hits: bool
+) -> VerificationResult:
+    """Compare the tenant's requests at the target shard with those at the source.
+
+    Args:
+        observations: The reports of all fronts.
+        migration: Names the tenant and both shards.
+        include_cache_hits: Compare hits and origin fetches too, which are worse while keys are new to the
+            target's caches.
+    """
+    target = sum_statistics(observations, migration.tenant, migration.target_shard)
+    source = sum_statistics(observations, migration.tenant, migration.source_shard)
+    if target.responses < MIN_RESPONSES or source.responses < MIN_RESPONSES:
+        missing = f"{target.responses} and {source.responses} responses, {MIN_RESPONSES} at each shard needed"
+        return VerificationResult(VerificationVerdict.INCONCLUSIVE, (missing,))
+    comparisons = [_compare_late(target, source), _compare_rejected(target, source)]
+    if include_cache_hits:
+        comparisons += [_compare_misses(target, source), _compare_origin_fetches(target, source)]
+    return _worst_result(comparisons)
+
+
+def _compare_late(target: ServiceStatistics, source: ServiceStatistics) -> _Comparison:
+    return _compare("late", _late_sample(target), _late_sample(source), MAX_LATE_INCREASE)
+
 
+def _compare_rejected(target: ServiceStatistics, source: ServiceStatistics) -> _Comparison:
+    sample = Sample(target.rejected / target.responses, target.responses)
+    reference = Sample(source.rejected / source.responses, source.responses)
+    return _compare("rejected", sample, reference, MAX_REJECTED_INCREASE)
 
-def late(s: ServiceStatistics) -> float:
-    return 1 - s.on_time_weight / s.requested_weight if s.requested_weight > 0 else 0.0
 
+def _compare_misses(target: ServiceStatistics, source: ServiceStatistics) -> _Comparison:
+    sample = Sample(1 - target.hits / target.responses, target.responses)
+    reference = Sample(1 - source.hits / source.responses, source.responses)
+    return _compare("cache misses", sample, reference, MAX_MISS_INCREASE)
 
-def worse(bad: float, n: int, than: float, of: int, margin: float) -> Verdict:
-    """Whether a share of `n` is surely no worse than another by more than the margin, surely worse, or
-    not to be told yet. `of` 0: the other is known exactly.
+
+def _compare_origin_fetches(target: ServiceStatistics, source: ServiceStatistics) -> _Comparison:
+    source_rate = source.origin_fetches / source.responses
+    margin = max(MAX_ORIGIN_FETCH_INCREASE * source_rate, MIN_ORIGIN_FETCH_MARGIN)
+    sample = Sample(min(target.origin_fetches / target.responses, 1.0), target.responses)
+    return _compare("origin fetches", sample, Sample(min(source_rate, 1.0), source.responses), margin)
+
+
+def _late_sample(statistics: ServiceStatistics) -> Sample:
+    return Sample(late_ratio(statistics), statistics.responses)
+
+
+def _compare(measure: str, sample: Sample, reference: Sample, margin: float) -> _Comparison:
+    verdict = compare_proportions(sample, reference, margin)
+    return _Comparison(measure, verdict, sample.proportion, reference.proportion)
+
+
+def compare_with_baseline(observations: Observations, tenants: Iterable[str]) -> VerificationResult:
+    """Compare the late share of each tenant ("" for all) with its baseline; those without one are skipped."""
+    comparisons = []
+    for tenant in tenants:
+        statistics = sum_statistics(observations, tenant)
+        baseline = observations.baseline_on_time_ratio_by_tenant.get(tenant)
+        if baseline is not None and statistics.responses >= MIN_RESPONSES:
+            reference = Sample(1 - baseline)
+            comparisons.append(
+                _compare(f"{tenant or 'all'} late", _late_sample(statistics), reference, MAX_LATE_INCREASE)
+            )
+    if not comparisons:
+        return VerificationResult(VerificationVerdict.PASS, ("no baseline of other tenants",))
+    return _worst_result(comparisons)
+
+
+def _worst_result(comparisons: list[_Comparison]) -> VerificationResult:
+    for verdict in (VerificationVerdict.FAIL, VerificationVerdict.INCONCLUSIVE):
+        if reasons := tuple(c.summary for c in comparisons if c.verdict is verdict):
+            return VerificationResult(verdict, reasons)
+    return VerificationResult(VerificationVerdict.PASS, tuple(c.summary for c in comparisons))
+
+
+def verify_migration(observations: Observations, migration: Migration) -> VerificationResult:
+    """Judge a migration at its verification step, by all measures.
+
+    A tenant without requests can't be compared: it passes.
     """
-    variance = SPREAD * (_variance(bad, n) + (_variance(than, of) if of else 0.0))
-    more, error = bad - than, math.sqrt(variance)
-    if more - Z_FAIL * error > margin:
-        return Verdict.FAIL
-    return Verdict.PASS if more + Z_PASS * error <= margin else Verdict.WAIT
-
-
-def _variance(share: float, n: int) -> float:
-    p = (share * n + 1) / (n + 2)  # none seen is not none
-    return p * (1 - p) / max(n, 1)
-
-
-def in_same_seconds(seen: Observations) -> bool:
-    """Whether all counts are of seconds in which the newest version was in force."""
-    return all(r.window_ms * MS <= seen.active_for_ns for r in seen.report_by_front.values())
-
-
-def compare(seen: Observations, tenant: str, old: str, new: str, warm: bool) -> Finding:
-    """`warm`: hits and fills are compared too, which are worse while keys are still new there."""
-    here, there = total(seen, tenant, new), total(seen, tenant, old)
-    if here.responses < LEAST or there.responses < LEAST:
-        few = f"{here.responses} and {there.responses} answers, {LEAST} at each home wanted"
-        return Finding(Verdict.WAIT, (few,))
-    n, of = here.responses, there.responses
-    tests = [
-        ("in time", late(here), late(there), LATE_MORE),
-        ("refused", here.rejected / n, there.rejected / of, REFUSED_MORE),
-    ]
-    if warm:
-        rate = there.origin_fetches / of
-        tests += [
-            ("not held", 1 - here.hits / n, 1 - there.hits / of, MISSED_MORE),
-            ("fills", min(here.origin_fetches / n, 1.0), min(rate, 1.0), max(FILLS_MORE * rate, FILLS_LEAST)),
-        ]
-    return _worst([(what, worse(a, n, b, of, m), a, b) for what, a, b, m in tests])
-
-
-def unharmed(seen: Observations, names: Iterable[str]) -> Finding:
-    """Worth in time of tenants ("" for all) against what is usual for each; not known is not judged."""
-    found = []
-    for name in names:
-        row, usual = total(seen, name), seen.baseline_on_time_ratio_by_tenant.get(name)
-        if usual is not None and row.responses >= LEAST:
-            told = worse(late(row), row.responses, 1 - usual, 0, LATE_MORE)
-            found.append((f"{name or 'all'} late", told, late(row), 1 - usual))
-    return _worst(found) if found else Finding(Verdict.PASS, ("nothing usual known of others",))
-
-
-def _worst(tests: list[tuple[str, Verdict, float, float]]) -> Finding:
-    for verdict in (Verdict.FAIL, Verdict.WAIT):
-        if bad := [f"{what} {a:.3f} against {b:.3f}" for what, v, a, b in tests if v is verdict]:
-            return Finding(verdict, tuple(bad))
-    return Finding(Verdict.PASS, tuple(f"{what} {a:.3f} against {b:.3f}" for what, _, a, b in tests))
-
-
-def judge(seen: Observations, tenant: str, old: str, new: str) -> Finding:
-    """All of it, at VERIFY. A home that nobody asks can't be compared: after the span that is a pass."""
-    if not in_same_seconds(seen):
-        return Finding(Verdict.WAIT, ("counts are not all of this version yet",))
-    if seen.is_consistent is False:
-        return Finding(Verdict.WAIT, ("fronts do not all decide alike",))
-    others = unharmed(seen, sorted({*seen.baseline_on_time_ratio_by_tenant, ""} - {tenant}))
-    if others.verdict is not Verdict.PASS:
+    if not counts_cover_active_version(observations):
+        return VerificationResult(
+            VerificationVerdict.INCONCLUSIVE, ("not all counts are of the active version yet",)
+        )
+    if observations.is_consistent is False:
+        return VerificationResult(VerificationVerdict.INCONCLUSIVE, ("fronts decide differently",))
+    others = compare_with_baseline(observations, other_tenants(observations, migration))
+    if others.verdict is not VerificationVerdict.PASS:
         return others
-    if seen.report_by_front and not total(seen, tenant, old).responses + total(seen, tenant, new).responses:
-        return Finding(Verdict.PASS, ("nobody asked for anything of it",))
-    both = compare(seen, tenant, old, new, True)
-    if both.verdict is Verdict.PASS and seen.is_consistent is None:
-        return Finding(Verdict.PASS, (*both.reasons, "whether all decide alike is not known"))
-    return both
+    if observations.report_by_front and not count_responses(observations, migration):
+        return VerificationResult(VerificationVerdict.PASS, ("the tenant has no requests",))
+    result = compare_shards(observations, migration, include_cache_hits=True)
+    if result.verdict is VerificationVerdict.PASS and observations.is_consistent is None:
+        return VerificationResult(
+            VerificationVerdict.PASS, (*result.reasons, "whether fronts decide alike is not known")
+        )
+    return result
+
+
+def other_tenants(observations: Observations, migration: Migration) -> list[str]:
+    """Return the names of all tenants with a baseline but the one that migrates, and "" for all requests."""
+    return sorted({*observations.baseline_on_time_ratio_by_tenant, ""} - {migration.tenant})
+
+
+def count_responses(observations: Observations, migration: Migration) -> int:
+    """Return the number of responses to the tenant from both shards."""
+    source = sum_statistics(observations, migration.tenant, migration.source_shard)
+    target = sum_statistics(observations, migration.tenant, migration.target_shard)
+    return source.responses + target.responses
--- a/quincepier/tenancy/write_pause.py
+++ b/quincepier/tenancy/write_pause.py
@@ -13,11 +13,11 @@
 
 
 def write_pause_ns(classes: Iterable[RequestClass]) -> int:
-    """Return for how long retries of non-idempotent requests are rejected, in nanoseconds.
+    """Return for how long retries of unsafe requests are rejected, in nanoseconds.
 
     A request accepted before the pause may still start after the longest wait of a client and the delivery
     delay, and its cache recognizes a retry for the deduplication window after that. Once the pause is over
-    no cache could have recognized the retry either. The longest over all non-idempotent classes holds.
+    no cache could have recognized the retry either. The longest over all unsafe classes holds.
     """
     pauses = [
         c.window + MAX_WAIT_DEADLINES * c.deadline + MAX_DELIVERY_DELAY_NS
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -22,6 +22,7 @@
     planner,
     ranked_candidates,
     requested_hosts,
+    task_progress,
 )
 from quincepier.maintenance import disruption_budget as rooms
 from quincepier.maintenance.disruption_budget import DisruptionBudget
@@ -78,7 +79,7 @@
         found = plan(self.version, self.wishes, self.seen())
         if found.change is not None:
             self.version = apply_changes(self.version, 1, (found.change,))
-        return found.tells
+        return found.messages
 
     def turns(self, most: int = 50) -> None:
         for _ in range(most):
@@ -158,7 +159,7 @@
     fleet = Fleet(MaintenanceRequest("w", ("c0",)))
     fleet.until("c0", MaintenanceStep.PENDING)
     fleet.more = {"acknowledged_number": fleet.version.number - 1}
-    assert "not told" in fleet.turn()[0] and fleet.at("c0", MaintenanceStep.PENDING)
+    assert "not acknowledged" in fleet.turn()[0] and fleet.at("c0", MaintenanceStep.PENDING)
     assert cordoned_hosts(fleet.version, False, "f0") == frozenset()
     assert cordoned_hosts(fleet.version, True, "f0") == {"c0"}
     fleet.more = {"acknowledged_number": fleet.version.number}
@@ -235,8 +236,8 @@
     room = DisruptionBudget(fleet.version, [], fleet.wishes.unavailable_limits, seen)
     found = ranked_candidates(fleet.wishes.requests[0], room)
     assert [c.target for c in found] == ["c0", "b0", "b1", "a1", "a0"]
-    assert found[0].why == "set aside already" and "zone b of least load, 39.0/s," in found[1].why
-    room.orders.append(MaintenanceTask("w", "a0", "cache", "a", MaintenanceStep.COMPLETED, 1))
+    assert found[0].reason == "unavailable already" and "zone b of least load, 39.0/s," in found[1].reason
+    room.tasks.append(MaintenanceTask("w", "a0", "cache", "a", MaintenanceStep.COMPLETED, 1))
     assert (
         ranked_candidates(fleet.wishes.requests[0], room)[1].target == "a1"
     )  # the zone that was begun comes before
@@ -254,7 +255,7 @@
     )
     fleet.more = {"baseline_on_time_ratio_by_tenant": {"": 0.9}}
     fleet.reports = served(1, 0.87)  # under 0.98 of 0.9
-    assert "usually" in fleet.turn()[0] and not fleet.version.maintenance_tasks
+    assert "baseline 0.900" in fleet.turn()[0] and not fleet.version.maintenance_tasks
     fleet.more = {}
     assert "not known" in fleet.turn()[0] and not fleet.version.maintenance_tasks
     fleet.more, fleet.reports = {"baseline_on_time_ratio_by_tenant": {"": 0.9}}, {}
@@ -265,7 +266,7 @@
     fleet.reports = served(fleet.version.number, 0.7)
     fleet.turn()
     assert fleet.at("c0", MaintenanceStep.DRAINED) and fleet.at("c1", MaintenanceStep.CANCELLED)
-    assert "0.700, usually 0.900" in fleet.version.maintenance_tasks[1].reason
+    assert "0.700, baseline 0.900" in fleet.version.maintenance_tasks[1].reason
     fleet.reports = {}
     assert "under another id" in fleet.turn()[-1] and fleet.version.task_for("c2") is None
 
@@ -408,30 +409,34 @@
         {"return all(k.lease_until_ns > now or now >= k.idle_at_ns": "return all(True"},
         "cut",
     ),
-    "drains before all were told": ("steps", {"elif self.told < order.since_version:": "elif False:"}, "cut"),
+    "drains before all were told": (
+        "steps",
+        {"if context.acknowledged_number < task.since_version:": ALWAYS},
+        "cut",
+    ),
     "empty before the drain is in force": (
         "steps",
         {
-            "if seen.active_number < order.since_version:": ALWAYS,
-            "if report.version_number < order.since_version:": ALWAYS,
+            "if context.observations.active_number < task.since_version:": ALWAYS,
+            "if report.version_number < task.since_version:": ALWAYS,
         },
         "pass",
     ),
-    "empty whatever is open": ("steps", {"any(host == order.target and n": "any(False and n"}, "pass"),
-    "empty whatever lapsed has open": ("steps", {"if not seen.unleased_fronts_idle:": ALWAYS}, "cut"),
+    "empty whatever is open": ("steps", {"any(host == task.target and count": "any(False and count"}, "pass"),
+    "empty whatever lapsed has open": ("steps", {"if not observations.unleased_fronts_idle:": ALWAYS}, "cut"),
     "warming ones do not count": (
         "room",
         {
-            "order.is_unavailable or (waiting and order.is_active)": (
-                "order.is_cordoned or (waiting and order.is_cordoned)"
+            "task.is_unavailable or (include_pending and task.is_active)": (
+                "task.is_cordoned or (include_pending and task.is_cordoned)"
             ),
-            "m.uptime_ms < m.warm_up_ms": "False",
+            "machine.uptime_ms < machine.warm_up_ms": "False",
         },
         "pass",
     ),
     "without a lease only drained ones are kept from": (
         "leaving",
-        {"or (cautious and order.is_active": "or (cautious and order.is_cordoned"},
+        {"or (is_cautious and task.is_active": "or (is_cautious and task.is_cordoned"},
         "cut",
     ),
     "one that started serves at once": (
@@ -461,7 +466,9 @@
             return orderkit.Parts(
                 plan=orderkit.changed(planner, {}, DisruptionBudget=made.DisruptionBudget).plan
             )
-    return orderkit.Parts(plan=orderkit.changed(planner, pieces).plan)
+    made = orderkit.changed(task_progress, pieces)
+    own = {name: getattr(made, name) for name in ("Enter", "TaskContext", "Wait", "next_progress")}
+    return orderkit.Parts(plan=orderkit.changed(planner, {}, **own).plan)
 
 
 def tried(parts: orderkit.Parts, what: str) -> int:
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -31,18 +31,19 @@
     DEFAULT_SHARD_NAME,
     MigrationPolicy,
     PlacementTable,
+    RequestPlacement,
     TenancyError,
     TenantLookup,
     TenantsSection,
     advance,
-    held_back,
+    hosts_under_migration,
     migration,
-    place,
+    place_request,
     placement,
     ramp_up,
     write_pause_ns,
 )
-from quincepier.tenancy.verification import Verdict, judge
+from quincepier.tenancy.verification import VerificationVerdict, verify_migration
 from tests import tenancykit as kit
 from tests.tenancykit import Exploration, Rules
 
@@ -65,6 +66,7 @@
 assert SECTION is not None
 WISHES = MigrationPolicy.from_section(SECTION, (SAFE, KEYED))
 NORTH = (Shard("north", ("s-1", "s-2")),)
+MIGRATION = Migration("m", "acme", "", "north", MigrationStep.VERIFYING, 5, 128)
 
 
 def version(
@@ -292,7 +294,7 @@
 
 
 def test_nobody_waits_for_a_front_or_leader_that_is_away_in_the_gap() -> None:
-    away = seen(unleased_fronts_idle=False, active_number=4, committed_for_ns=migration.CLOSING_MOST)
+    away = seen(unleased_fronts_idle=False, active_number=4, committed_for_ns=migration.MAX_PAUSING_NS)
     assert after(version(MigrationStep.PAUSING_WRITES, 128), WISHES, away).step is MigrationStep.VERIFYING
     rows = (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), row("", "", 40_000))
     missed = seen(*rows, members=("a", "b", "c"))
@@ -302,25 +304,33 @@
 @pytest.mark.parametrize(
     ("old", "new", "verdict"),
     [
-        (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), Verdict.PASS),
-        (row("acme", DEFAULT_SHARD_NAME, 150), row("acme", "north", 5000), Verdict.WAIT),
-        (row("acme", DEFAULT_SHARD_NAME, 250), row("acme", "north", 250), Verdict.WAIT),
-        (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000, late=0.2), Verdict.FAIL),
-        (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000, held=0.6), Verdict.FAIL),
+        (row("acme", DEFAULT_SHARD_NAME, 5000), row("acme", "north", 5000), VerificationVerdict.PASS),
+        (row("acme", DEFAULT_SHARD_NAME, 150), row("acme", "north", 5000), VerificationVerdict.INCONCLUSIVE),
+        (row("acme", DEFAULT_SHARD_NAME, 250), row("acme", "north", 250), VerificationVerdict.INCONCLUSIVE),
+        (
+            row("acme", DEFAULT_SHARD_NAME, 5000),
+            row("acme", "north", 5000, late=0.2),
+            VerificationVerdict.FAIL,
+        ),
+        (
+            row("acme", DEFAULT_SHARD_NAME, 5000),
+            row("acme", "north", 5000, held=0.6),
+            VerificationVerdict.FAIL,
+        ),
     ],
 )
 def test_both_homes_are_compared_and_a_fail_goes_back_by_itself(
-    old: ServiceStatistics, new: ServiceStatistics, verdict: Verdict
+    old: ServiceStatistics, new: ServiceStatistics, verdict: VerificationVerdict
 ) -> None:
     s = seen(old, new, row("", "", 40_000))
-    assert judge(s, "acme", "", "north").verdict is verdict
+    assert verify_migration(s, MIGRATION).verdict is verdict
     step = {
-        Verdict.PASS: MigrationStep.PAUSING_WRITES,
-        Verdict.WAIT: MigrationStep.VERIFYING,
-        Verdict.FAIL: MigrationStep.ROLLED_BACK,
+        VerificationVerdict.PASS: MigrationStep.PAUSING_WRITES,
+        VerificationVerdict.INCONCLUSIVE: MigrationStep.VERIFYING,
+        VerificationVerdict.FAIL: MigrationStep.ROLLED_BACK,
     }[verdict]
     move = after(version(MigrationStep.VERIFYING, 128), WISHES, s)
-    assert move.step is step and (verdict is not Verdict.FAIL or "fails" in move.reason)
+    assert move.step is step and (verdict is not VerificationVerdict.FAIL or "fails" in move.reason)
     harmed = seen(
         old,
         new,
@@ -334,33 +344,36 @@
 
 
 def test_equal_homes_pass_and_are_not_told_apart_by_chance() -> None:
-    chance, found = random.Random(7), {Verdict.PASS: 0, Verdict.WAIT: 0, Verdict.FAIL: 0}
+    chance, found = (
+        random.Random(7),
+        {VerificationVerdict.PASS: 0, VerificationVerdict.INCONCLUSIVE: 0, VerificationVerdict.FAIL: 0},
+    )
     for _ in range(40):
         late = [sum(chance.random() < 0.01 for _ in range(5000)) / 5000 for _ in range(2)]
         s = seen(row("acme", DEFAULT_SHARD_NAME, 5000, late[0]), row("acme", "north", 5000, late[1]))
-        found[judge(s, "acme", "", "north").verdict] += 1
-    assert found[Verdict.FAIL] == 0 and found[Verdict.PASS] > 20
+        found[verify_migration(s, MIGRATION).verdict] += 1
+    assert found[VerificationVerdict.FAIL] == 0 and found[VerificationVerdict.PASS] > 20
 
 
 def test_keys_go_only_as_fast_as_fills_and_cold_machines_allow() -> None:
     big = (row("acme", DEFAULT_SHARD_NAME, 9000), row("acme", "north", 1000))
     assert (
-        ramp_up.grown(
+        ramp_up.next_ramp_up_step(
             seen(*big, row("", "", 10_000)), version(MigrationStep.RAMPING_UP, 32).migrations[0], 128
-        )[0]
+        ).moved_slots
         == 36
     )
     assert (
-        ramp_up.grown(
+        ramp_up.next_ramp_up_step(
             seen(*big, row("", "", 90_000)), version(MigrationStep.RAMPING_UP, 32).migrations[0], 128
-        )[0]
+        ).moved_slots
         == 64
     )
     hot = (row("acme", DEFAULT_SHARD_NAME, 9000), row("acme", "north", 1000, held=0.1))
     assert (
-        ramp_up.grown(
+        ramp_up.next_ramp_up_step(
             seen(*hot, row("", "", 10_000)), version(MigrationStep.RAMPING_UP, 32).migrations[0], 128
-        )[0]
+        ).moved_slots
         == 32
     )
     s = seen(*big, row("", "", 10_000))
@@ -377,8 +390,8 @@
         (MigrationStep.VERIFYING, 128),
     ):
         assert after(version(step, part, order), WISHES, s).step is step
-    assert held_back(version(MigrationStep.PLANNED)) == frozenset()
-    assert held_back(version(MigrationStep.RAMPING_UP)) == {"s-1", "s-2"}
+    assert hosts_under_migration(version(MigrationStep.PLANNED)) == frozenset()
+    assert hosts_under_migration(version(MigrationStep.RAMPING_UP)) == {"s-1", "s-2"}
     for host in ("s-1", "s-2"):  # the shard loses its last machine
         s.machine_by_host[host] = MachineObservation(host, "cache", "a", False, 10, 1000)
     assert after(version(MigrationStep.RAMPING_UP, 32), WISHES, s).step is MigrationStep.ROLLED_BACK
@@ -389,40 +402,53 @@
 MUTANTS: dict[str, tuple[Rules, Callable[[pytest.MonkeyPatch], None]]] = {
     "cut over before closing is in force": (
         Rules(faults=frozenset()),
-        lambda m: m.setattr(migration, "in_force", lambda move, seen: True),
+        lambda m: m.setattr(migration, "is_in_force", lambda move, seen: True),
     ),
     "no hold for repeats": (Rules(hold=0, faults=frozenset()), lambda m: None),
     "hold without the latest run": (Rules(hold=kit.WINDOW, faults=frozenset()), lambda m: None),
     "repeats run as firsts do": (
         Rules(faults=frozenset()),
-        lambda m: m.setattr(placement, "place", lambda mv, p, once, rep, c: place(mv, p, once, False, c)),
+        lambda m: m.setattr(placement, "place_request", _accept_retries),
+    ),
+    "closing refuses no repeats": (
+        Rules(faults=frozenset()),
+        lambda m: m.setattr(placement, "place_request", _accept_retries_before_cutover),
     ),
-    "closing refuses no repeats": (Rules(faults=frozenset()), lambda m: m.setattr(placement, "place", _open)),
     "without a lease as before": (Rules(heeds_lease=False, faults=frozenset()), lambda m: None),
     "a move that some may not know": (Rules(notice=0, faults=frozenset()), lambda m: None),
     "no notice heeded without a lease": (Rules(heeds_notice=False, faults=frozenset()), lambda m: None),
     "back, and repeats at once": (
         Rules(faults=frozenset({"rollback"})),
-        lambda m: m.setattr(placement, "place", _back),
+        lambda m: m.setattr(placement, "place_request", _accept_retries_in_rollback),
     ),
 }
 
 
-def _open(move: Migration, part: int, once: bool, repeat: bool, cautious: bool) -> tuple[str, bool]:
-    if move.step is MigrationStep.PAUSING_WRITES:
-        return move.source_shard, cautious
-    return place(move, part, once, repeat, cautious)
+def _accept_retries(
+    migration: Migration, slot: int, is_safe: bool, is_retry: bool, is_cautious: bool
+) -> RequestPlacement:
+    return place_request(migration, slot, is_safe, False, is_cautious)
+
+
+def _accept_retries_before_cutover(
+    migration: Migration, slot: int, is_safe: bool, is_retry: bool, is_cautious: bool
+) -> RequestPlacement:
+    if migration.step is MigrationStep.PAUSING_WRITES:
+        return RequestPlacement(migration.source_shard, is_cautious)
+    return place_request(migration, slot, is_safe, is_retry, is_cautious)
 
 
-def _back(move: Migration, part: int, once: bool, repeat: bool, cautious: bool) -> tuple[str, bool]:
-    if move.step is MigrationStep.ROLLING_BACK:
-        return move.source_shard, cautious
-    return place(move, part, once, repeat, cautious)
+def _accept_retries_in_rollback(
+    migration: Migration, slot: int, is_safe: bool, is_retry: bool, is_cautious: bool
+) -> RequestPlacement:
+    if migration.step is MigrationStep.ROLLING_BACK:
+        return RequestPlacement(migration.source_shard, is_cautious)
+    return place_request(migration, slot, is_safe, is_retry, is_cautious)
 
 
 @pytest.fixture
 def whole_steps(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ramp_up, "STEPS", (128,) * 6)  # one step of growth: sizes do not matter here
+    monkeypatch.setattr(ramp_up, "STEP_SIZES", (128,) * 6)  # one step of growth: sizes do not matter here
 
 
 def test_no_keyed_request_runs_at_both_homes_in_any_order_of_events(whole_steps: None) -> None:
