--- a/quincepier/consistency/key_sample.py
+++ b/quincepier/consistency/key_sample.py
@@ -46,5 +46,7 @@
 
 def _named_tenants(inputs: DecisionInputs) -> Sequence[str]:
     version = inputs.rule_version
-    names = {migration.tenant for migration in version.moves} | {home.tenant for home in version.homes}
+    names = {migration.tenant for migration in version.migrations} | {
+        home.tenant for home in version.placements
+    }
     return sorted(names)[:MAX_SAMPLED_TENANTS]
--- a/tests/test_return_fleet.py
+++ b/tests/test_return_fleet.py
@@ -82,7 +82,7 @@
     )
     assert len(run.downs) == 12
     for text in said.values():
-        assert 2 <= len(lines(text, "state not used: ")) <= 4  # of each generation, after the first two kills
+        assert 2 <= len(lines(text, "state_not_used: ")) <= 4  # of each generation, after the first two kills
         assert not lines(text, "state read: ") and "exception" not in text
 
 
