--- a/tests/maintenancekit.py
+++ b/tests/maintenancekit.py
@@ -29,6 +29,7 @@
 )
 from quincepier.rules import (
     FrontReport,
+    HostCount,
     LeaseGrant,
     LeaseHolder,
     LeaseRequest,
@@ -38,10 +39,14 @@
     RuleVersion,
     apply_changes,
 )
-from quincepier.rules.lease_holder import MS, LeaseTimings
+from quincepier.rules.lease_timings import NS_PER_MS as MS
+from quincepier.rules.lease_timings import LeaseTimings
 
 TIMINGS = LeaseTimings(
-    lease_ns=400 * MS, request_interval_ns=100 * MS, max_attempt_ns=200 * MS, silent_front_timeout_ns=10**15
+    lease_ns=400 * MS,
+    request_interval_ns=100 * MS,
+    max_attempt_ns=200 * MS,
+    unreachable_front_timeout_ns=10**15,
 )
 ATTEMPT_TICKS = 2
 NO_OTHER_LEADER_NS = 1 << 60
@@ -316,7 +321,7 @@
             holder.version.digest,
             holder.is_cautious(front.clock_ns),
             100,
-            tuple((host, 1) for host in sorted(front.attempt_ticks)),
+            tuple(HostCount(host, 1) for host in sorted(front.attempt_ticks)),
         )
         return LeaseRequest(token, report)
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -42,6 +42,7 @@
     apply_changes,
     lease_holder,
     lease_table,
+    lease_timings,
 )
 from tests import maintenancekit as kit
 
@@ -419,9 +420,13 @@
 
 # How a component is made of the mutant's text.
 def mutate_lease_holder(replacements: dict[str, str]) -> kit.Components:
-    mutant = kit.load_mutant(lease_holder, replacements)
+    return kit.Components(lease_holder=kit.load_mutant(lease_holder, replacements).LeaseHolder)
+
+
+def mutate_lease_timings(replacements: dict[str, str]) -> kit.Components:
+    mutant = kit.load_mutant(lease_timings, replacements)
     timings = {field.name: getattr(kit.TIMINGS, field.name) for field in fields(kit.TIMINGS)}
-    return kit.Components(lease_holder=mutant.LeaseHolder, timings=mutant.LeaseTimings(**timings))
+    return kit.Components(timings=mutant.LeaseTimings(**timings))
 
 
 def mutate_lease_table(replacements: dict[str, str]) -> kit.Components:
@@ -460,24 +465,24 @@
 
 MUTANTS = {
     "the lease counts from the answer": Mutant(
-        mutate_lease_holder, {"asked + min(": "now + min("}, explore_leases
+        mutate_lease_holder, {"requested_at_ns + lease_ns": "now_ns + lease_ns"}, explore_leases
     ),
     "a process pause is not noticed": Mutant(
-        mutate_lease_holder, {"return now >= self.lease_until_ns or": "return False or"}, explore_leases
+        mutate_lease_holder, {"return now_ns >= self.lease_until_ns or": "return False or"}, explore_leases
     ),
     "the leader counts as long as the front": Mutant(
-        mutate_lease_holder,
-        {"return span + int(span * self.clock_drift_margin) + 1": "return span"},
+        mutate_lease_timings,
+        {"return duration_ns + int(duration_ns * self.clock_drift_margin) + 1": "return duration_ns"},
         explore_leases,
     ),
     "a new leader does not wait": Mutant(
         mutate_lease_table,
-        {"self.elected_at_ns = pace, now": "self.elected_at_ns = pace, -(10**12)"},
+        {"self.elected_at_ns = elected_at_ns": "self.elected_at_ns = -(10**12)"},
         explore_leases,
     ),
     "open attempts are not waited for": Mutant(
         mutate_lease_table,
-        {"return all(k.lease_until_ns > now or now >= k.idle_at_ns": "return all(True"},
+        {"return all(lease.lease_until_ns > now_ns or now_ns >= lease.idle_at_ns": "return all(True"},
         explore_partition,
     ),
     "a drain starts before all fronts know of it": Mutant(
