--- a/quincepier/lab/moves.py
+++ b/quincepier/lab/moves.py
@@ -25,9 +25,16 @@
     ServiceStatistics,
     Shard,
     TenantPlacement,
-    apply,
+    apply_changes,
+)
+from quincepier.tenancy import (
+    DEFAULT_SHARD_NAME,
+    MigrationPolicy,
+    TenantsSection,
+    advance,
+    place_request,
+    slot_of_key,
 )
-from quincepier.tenancy import DEFAULT_SHARD_NAME, MigrationPolicy, TenantsSection, advance, part_of, place
 from quincepier.tenancy.section import MigrationRequest, ShardSettings, TenantSettings
 
 SECOND, MS = clock.SECOND, clock.MS
@@ -185,7 +192,7 @@
         if change is None:
             return
         before = self.version.migrations[-1].step if self.version.migrations else None
-        self.agree(apply(self.version, 1, (change,)))
+        self.agree(apply_changes(self.version, 1, (change,)))
         step = self.version.migrations[-1].step
         if step is MigrationStep.COMPLETED:
             self.done_at = self.now
@@ -214,7 +221,9 @@
             False,
         )
         if moved and front.move is not None and front.move.is_active:
-            home, closed = place(front.move, part_of(key), once, repeat, self.now >= front.until)
+            home, closed = place_request(
+                front.move, slot_of_key(key), not once, repeat, self.now >= front.until
+            )
         in_time = hit = fill = False
         if closed:
             self.repeats += repeat
--- a/quincepier/rules/lease_table.py
+++ b/quincepier/rules/lease_table.py
@@ -1,9 +1,9 @@
-"""The leader's side of leases: what each front last said, until when it may still decide by it.
+"""The leader's side of leases: the last report of each front, and until when it may decide by its version.
 
-A new leader knows of no grant of the one before. It waits a whole lease, counted from when it was elected,
+A new leader knows of no lease that the one before granted. It waits a whole lease, counted from its election,
 before it takes any front that it has not heard to be without one, and the longest attempt besides before it
 takes what such a front had open to have ended. It grants only while no other voter can have been elected
-(`sure_until`, the voter's own lease), or the wait of the next leader would not cover what it grants.
+(its own lease as a leader), or the wait of the next leader would not cover what it grants.
 """
 
 from __future__ import annotations
@@ -13,194 +13,300 @@
 
 import msgspec
 
-from quincepier.rules.lease_holder import FRONTS_MOST, MS, LeaseGrant, LeaseRequest, LeaseTimings
-from quincepier.rules.reports import FrontReport, MachineObservation, Observations
+from quincepier.rules.lease_messages import LeaseGrant, LeaseRequest
+from quincepier.rules.lease_timings import NS_PER_MS, LeaseTimings
+from quincepier.rules.reports import FrontReport, HostCount, MachineObservation, Observations, TenantCount
 from quincepier.rules.version import RuleVersion
 
-REACHED_MOST = 1024  # numbers of which is kept since when they are in force
+MAX_FRONTS = 4096
+MAX_ACTIVE_TIMES = 1024  # numbers of which it is kept since when they are active
 
 
 @dataclass(slots=True)
-class _Front:
+class _FrontLease:
+    """What the leader knows of one front; times are nanoseconds of the leader's clock.
+
+    An earlier incarnation under the same name counts until its lease has run out and its attempts have ended:
+    one start follows the other, unless somebody started the front elsewhere while it was cut off.
+    """
+
     report: FrontReport
-    token: int
-    number: int  # by which it decides, or did when it was last heard
-    until: int  # our clock: from then on it has no lease for certain
-    ended: int  # from then on nothing that it opened before is open, unless it is heard again
-    before: FrontReport | None = None  # the last word of an earlier start under its name,
-    before_until: int = 0  # which may still decide until then
-    before_ended: int = 0  # and have attempts open until then
+    last_token: int
+    version_number: int  # by which it decides, or did when it was last heard
+    lease_until_ns: int  # from then on it surely has no lease
+    idle_at_ns: int  # from then on nothing that it opened is open, unless it is heard again
+    earlier_report: FrontReport | None = None
+    earlier_lease_until_ns: int = 0
+    earlier_idle_at_ns: int = 0
 
+    def begin_incarnation(self, now_ns: int, max_attempt_ns: int) -> None:
+        """Keep what the incarnation heard so far may still do; a newer one follows it."""
+        earlier = self.earlier_report if now_ns < self.earlier_idle_at_ns else None
+        last = msgspec.structs.replace(self.report, version_number=self.version_number)
+        self.earlier_report = _merge_reports(last, earlier)
+        self.earlier_lease_until_ns = max(self.earlier_lease_until_ns, self.lease_until_ns)
+        self.earlier_idle_at_ns = max(self.earlier_lease_until_ns, now_ns) + max_attempt_ns
+        self.last_token = 0
+        self.lease_until_ns = now_ns
 
-def _both(last: FrontReport, earlier: FrontReport | None) -> FrontReport:
-    """One line for all earlier starts of a front that may have something open."""
+
+def _merge_reports(last: FrontReport, earlier: FrontReport | None) -> FrontReport:
+    """One report for all earlier incarnations of a front that may have something open."""
     if earlier is None:
         return last
-    open_at = dict(earlier.open_attempts)
+    attempts_by_host = dict(earlier.open_attempts)
     for host, count in last.open_attempts:
-        open_at[host] = max(count, open_at.get(host, 0))
-    keyed = {
+        attempts_by_host[host] = max(count, attempts_by_host.get(host, 0))
+    unsafe_by_tenant = {
         (tenant, shard): count
         for tenant, shard, count in (*earlier.open_unsafe_requests, *last.open_unsafe_requests)
     }
     return msgspec.structs.replace(
         last,
         version_number=min(last.version_number, earlier.version_number),
-        open_attempts=tuple(sorted(open_at.items())),
+        open_attempts=tuple(HostCount(host, count) for host, count in sorted(attempts_by_host.items())),
         open_unsafe_requests=tuple(
-            (tenant, shard, count) for (tenant, shard), count in sorted(keyed.items())
+            TenantCount(tenant, shard, count) for (tenant, shard), count in sorted(unsafe_by_tenant.items())
         ),
     )
 
 
 class LeaseTable:
-    """Made anew by each front that comes to lead, with the moment of its election."""
+    """Leases that one leader has granted; made anew at each election.
+
+    Attributes:
+        timings: Timing.
+        elected_at_ns: When this front was elected.
+        newest_number: Of the newest committed version; leases are granted for it alone.
+        newest_digest: Of that version.
+        lease_by_front: By name.
+        active_since_number: The number that was active at the last look.
+        active_since_ns: When that number became active.
+        active_since_ns_by_number: When each number was first surely active.
+        decommissioned: Fronts that exist no more, as operators say.
+        committed_at_ns: When the newest version was committed, or found committed.
+        rejected_requests: Requests of fronts beyond `MAX_FRONTS`.
+    """
 
     __slots__ = (
-        "agreed_at",
-        "away",
-        "began",
-        "digest",
-        "force",
-        "force_since",
-        "fronts",
-        "newest",
-        "no_more",
-        "pace",
-        "reached",
-    )  # fmt: skip
-
-    def __init__(self, now: int, pace: LeaseTimings, newest: RuleVersion) -> None:
-        self.pace, self.began = pace, now
-        self.newest, self.digest = newest.number, newest.digest
-        self.fronts = dict[str, _Front]()
-        self.force, self.force_since = 0, now
-        self.no_more = frozenset[str]()
-        self.reached = dict[int, int]()  # when a number was first surely in force
-        self.agreed_at = now  # when the newest was agreed, or found agreed
-        self.away = 0  # asks of fronts beyond the most that are kept
-
-    def agreed(self, version: RuleVersion, now: int = 0) -> None:
-        """A newer version was committed: leases are granted to who decides by it alone."""
-        if version.number > self.newest:
-            self.newest, self.digest = version.number, version.digest
-            self.agreed_at = now
-
-    def heard(self, now: int, ask: LeaseRequest, sure_until: int) -> LeaseGrant | None:
-        """The answer to an ask; None to one that is late or repeated, and where another may lead by now: then
-        nobody is told what is newest either. `now` is read after the ask came in.
+        "active_since_ns",
+        "active_since_ns_by_number",
+        "active_since_number",
+        "committed_at_ns",
+        "decommissioned",
+        "elected_at_ns",
+        "lease_by_front",
+        "newest_digest",
+        "newest_number",
+        "rejected_requests",
+        "timings",
+    )
+
+    def __init__(self, elected_at_ns: int, timings: LeaseTimings, newest: RuleVersion) -> None:
+        self.timings = timings
+        self.elected_at_ns = elected_at_ns
+        self.newest_number = newest.number
+        self.newest_digest = newest.digest
+        self.lease_by_front = dict[str, _FrontLease]()
+        self.active_since_number = 0
+        self.active_since_ns = elected_at_ns
+        self.active_since_ns_by_number = dict[int, int]()
+        self.decommissioned = frozenset[str]()
+        self.committed_at_ns = elected_at_ns
+        self.rejected_requests = 0
+
+    def on_version_committed(self, version: RuleVersion, now_ns: int = 0) -> None:
+        """From now on leases are granted to fronts that decide by this version, if it is newer."""
+        if version.number > self.newest_number:
+            self.newest_number = version.number
+            self.newest_digest = version.digest
+            self.committed_at_ns = now_ns
+
+    def on_request(self, now_ns: int, request: LeaseRequest, leader_until_ns: int) -> LeaseGrant | None:
+        """Answer a request for a lease.
+
+        Args:
+            now_ns: Read after the request was received.
+            request: The request.
+            leader_until_ns: Until when no other voter can be elected. After it no front is told which version
+                is the newest either.
+
+        Returns:
+            The grant; None for a request that is late or repeated, or where another front may lead by now.
         """
-        pace, report = self.pace, ask.report
-        if now >= sure_until:
+        if now_ns >= leader_until_ns:
             return None
-        known = self.fronts.get(report.front)
-        if known is None:
-            if len(self.fronts) >= FRONTS_MOST:
-                self.away += 1
-                return None  # what is not kept in the ledger must have no lease
-            known = _Front(report, 0, 0, now, now + pace.longer(pace.attempt))
-            self.fronts[report.front] = known
-        elif report.incarnation < known.report.incarnation:
+        lease = self._find_lease(now_ns, request)
+        if lease is None:
             return None
-        elif report.incarnation > known.report.incarnation:
-            # One start follows the other, but not where somebody started it elsewhere while it was cut off:
-            # what the earlier one holds, and has open, counts until it has run out.
-            earlier = known.before if now < known.before_ended else None
-            known.before = _both(msgspec.structs.replace(known.report, version_number=known.number), earlier)
-            known.before_until = max(known.before_until, known.until)
-            known.before_ended = max(known.before_until, now) + pace.longer(pace.attempt)
-            known.token, known.until = 0, now
-        elif ask.token <= known.token:
+        report = request.report
+        is_same_version = report.version_number != self.newest_number or report.digest == self.newest_digest
+        lease.report = report
+        lease.last_token = request.token
+        lease.version_number = report.version_number if is_same_version else max(report.version_number - 1, 0)
+        lease_ms = 0
+        if is_same_version and report.version_number >= self.newest_number:
+            lease_ms = self.timings.lease_ns // NS_PER_MS
+            ends_at_ns = now_ns + self.timings.with_drift_margin(lease_ms * NS_PER_MS)
+            lease.lease_until_ns = max(lease.lease_until_ns, ends_at_ns)
+        lease.idle_at_ns = max(lease.idle_at_ns, lease.lease_until_ns + self._max_attempt_ns)
+        return LeaseGrant(report.incarnation, request.token, self.newest_number, lease_ms)
+
+    def _find_lease(self, now_ns: int, request: LeaseRequest) -> _FrontLease | None:
+        """The front's entry, made anew where there is none; None if the request is not to be answered."""
+        report = request.report
+        lease = self.lease_by_front.get(report.front)
+        if lease is None:
+            return self._add_front(now_ns, report)
+        if report.incarnation < lease.report.incarnation:
+            return None
+        if report.incarnation > lease.report.incarnation:
+            lease.begin_incarnation(now_ns, self._max_attempt_ns)
+        elif request.token <= lease.last_token:
             return None
-        same = report.version_number != self.newest or report.digest == self.digest
-        known.report, known.token = report, ask.token
-        known.number = report.version_number if same else max(report.version_number - 1, 0)
-        lease = 0
-        if same and report.version_number >= self.newest:
-            lease = pace.lease // MS
-            known.until = max(known.until, now + pace.longer(lease * MS))
-        known.ended = max(known.ended, known.until + pace.longer(pace.attempt))
-        return LeaseGrant(report.incarnation, ask.token, self.newest, lease)
-
-    def dropped(self, names: Iterable[str]) -> None:
-        """Operators say that these fronts are no more: they hold nothing up until they are heard again."""
-        self.no_more = frozenset(names)
-
-    def in_force(self, now: int) -> int:
-        """The highest number that no front with a lease is below; 0 while an earlier leader's may run."""
-        if now < self.began + self.pace.longer(self.pace.lease):
+        return lease
+
+    def _add_front(self, now_ns: int, report: FrontReport) -> _FrontLease | None:
+        if len(self.lease_by_front) >= MAX_FRONTS:
+            self.rejected_requests += 1
+            return None  # what is not in the table must have no lease
+        lease = _FrontLease(report, 0, 0, now_ns, now_ns + self._max_attempt_ns)
+        self.lease_by_front[report.front] = lease
+        return lease
+
+    @property
+    def _max_attempt_ns(self) -> int:
+        return self.timings.with_drift_margin(self.timings.max_attempt_ns)
+
+    @property
+    def _earlier_leases_until_ns(self) -> int:
+        """When the leases of an earlier leader have run out."""
+        return self.elected_at_ns + self.timings.with_drift_margin(self.timings.lease_ns)
+
+    def set_decommissioned(self, names: Iterable[str]) -> None:
+        """Fronts that exist no more, as operators say: nothing waits for them until they are heard again."""
+        self.decommissioned = frozenset(names)
+
+    def active_number(self, now_ns: int) -> int:
+        """Highest number that no front with a lease is below; 0 while an earlier leader's leases may run."""
+        if now_ns < self._earlier_leases_until_ns:
             return 0
-        numbers = [self.newest]
-        for known in self.fronts.values():
-            if known.until > now:
-                numbers.append(known.number)
-            if known.before is not None and known.before_until > now:
-                numbers.append(known.before.version_number)
+        numbers = [self.newest_number]
+        for lease in self.lease_by_front.values():
+            if lease.lease_until_ns > now_ns:
+                numbers.append(lease.version_number)
+            if lease.earlier_report is not None and lease.earlier_lease_until_ns > now_ns:
+                numbers.append(lease.earlier_report.version_number)
         return min(numbers)
 
-    def told(self, now: int, names: Iterable[str]) -> int:
-        """The highest number that every front was told of, those without a lease too: a front that missed the
-        version in which an order is first named does not know what it has to keep from.
+    def acknowledged_number(self, now_ns: int, names: Iterable[str]) -> int:
+        """Highest number that every front was told of, those without a lease too.
+
+        A front that missed the version in which a task first appears does not know what to avoid.
+
+        Args:
+            now_ns: The time.
+            names: Fronts that must have been heard.
         """
-        if now < self.began + self.pace.longer(self.pace.lease):
+        if now_ns < self._earlier_leases_until_ns:
             return 0
-        if any(name not in self.fronts and name not in self.no_more for name in names):
+        if any(name not in self.lease_by_front and name not in self.decommissioned for name in names):
             return 0
-        waited = [k for n, k in self.fronts.items() if k.until > now or n not in self.no_more]
-        befores = [k.before.version_number for k in waited if k.before is not None and k.before_until > now]
-        return min([self.newest, *befores, *(k.number for k in waited)])
-
-    def lapsed(self, now: int) -> bool:
-        """Whether every front without a lease has lost it for certain and ended what it had open."""
-        pace = self.pace
-        if now < self.began + pace.longer(pace.lease) + pace.longer(pace.attempt):
+        numbers = [self.newest_number]
+        for name, lease in self.lease_by_front.items():
+            if lease.lease_until_ns <= now_ns and name in self.decommissioned:
+                continue
+            numbers.append(lease.version_number)
+            if lease.earlier_report is not None and lease.earlier_lease_until_ns > now_ns:
+                numbers.append(lease.earlier_report.version_number)
+        return min(numbers)
+
+    def are_unleased_fronts_idle(self, now_ns: int) -> bool:
+        """Whether every front without a lease has surely lost it and ended what it had open."""
+        if now_ns < self._earlier_leases_until_ns + self._max_attempt_ns:
             return False
-        return all(k.until > now or now >= k.ended for k in self.fronts.values())
+        leases = self.lease_by_front.values()
+        return all(lease.lease_until_ns > now_ns or now_ns >= lease.idle_at_ns for lease in leases)
 
-    def seen(
+    def observe(
         self,
-        now: int,
-        view: tuple[str, ...],
-        machines: Mapping[str, MachineObservation],
+        now_ns: int,
+        members: tuple[str, ...],
+        machine_by_host: Mapping[str, MachineObservation],
         voters: tuple[str, ...],
         leader: str,
-        alike: bool | None = None,
-        usual: Mapping[str, float] | None = None,
-        silent: Iterable[str] = (),
+        is_consistent: bool | None = None,
+        baseline_by_tenant: Mapping[str, float] | None = None,
+        recently_dead: Iterable[str] = (),
     ) -> Observations:
-        """All that a step is decided by. `view`: the members; `silent`: those that membership remembers
-        though it put them out. A front that is in neither, and lapsed for `Pace.gone`, is forgotten.
+        """Return all that planners decide by.
 
-        The reports hold a second line, `NAME@START`, of a front that started anew, for as long as its earlier
-        start may have something open.
+        Args:
+            now_ns: The time.
+            members: Fronts in the membership view.
+            machine_by_host: Machines of the endpoint list.
+            voters: Names of the voters.
+            leader: Name of this front.
+            is_consistent: Whether all fronts were found to decide alike; None: not known.
+            baseline_by_tenant: On-time ratio of each tenant before any disruption.
+            recently_dead: Fronts that membership remembers though it has removed them. A front that is
+                neither a member nor one of them is forgotten after `unreachable_front_timeout_ns`.
         """
-        names = {*view, *silent}
-        for name in [n for n, k in self.fronts.items() if n not in names and now >= k.until + self.pace.gone]:
-            del self.fronts[name]
-        force = self.in_force(now)
-        if force != self.force:
-            for number in range(max(self.force, force - REACHED_MOST) + 1, force + 1):
-                self.reached[number] = now
-            while len(self.reached) > REACHED_MOST:
-                del self.reached[min(self.reached)]
-            self.force, self.force_since = force, now
-        reports = {name: known.report for name, known in self.fronts.items() if known.until > now}
-        for name, known in self.fronts.items():
-            if known.before is not None and now < known.before_ended:
-                reports[f"{name}@{known.before.incarnation}"] = known.before
+        names = {*members, *recently_dead}
+        self._forget_unreachable_fronts(now_ns, names)
+        active = self.active_number(now_ns)
+        self._note_active(now_ns, active)
         return Observations(
-            now,
-            view,
-            reports,
-            self.lapsed(now),
-            force,
-            now - self.force_since,
-            dict(machines),
-            voters,
-            leader,
-            alike,
-            dict(usual or {}),
-            {number: now - at for number, at in self.reached.items() if number <= force},
-            now - self.agreed_at,
-            self.told(now, names),
+            now_ns=now_ns,
+            members=members,
+            report_by_front=self._reports(now_ns),
+            unleased_fronts_idle=self.are_unleased_fronts_idle(now_ns),
+            active_number=active,
+            active_for_ns=now_ns - self.active_since_ns,
+            machine_by_host=dict(machine_by_host),
+            voters=voters,
+            leader=leader,
+            is_consistent=is_consistent,
+            baseline_on_time_ratio_by_tenant=dict(baseline_by_tenant or {}),
+            active_ns_by_number=self._active_durations(now_ns, active),
+            committed_for_ns=now_ns - self.committed_at_ns,
+            acknowledged_number=self.acknowledged_number(now_ns, names),
         )
+
+    def _active_durations(self, now_ns: int, active: int) -> dict[int, int]:
+        return {
+            number: now_ns - since_ns
+            for number, since_ns in self.active_since_ns_by_number.items()
+            if number <= active
+        }
+
+    def _forget_unreachable_fronts(self, now_ns: int, names: set[str]) -> None:
+        unreachable = [
+            name
+            for name, lease in self.lease_by_front.items()
+            if name not in names
+            and now_ns >= lease.lease_until_ns + self.timings.unreachable_front_timeout_ns
+        ]
+        for name in unreachable:
+            del self.lease_by_front[name]
+
+    def _note_active(self, now_ns: int, active: int) -> None:
+        if active == self.active_since_number:
+            return
+        first = max(self.active_since_number, active - MAX_ACTIVE_TIMES) + 1
+        for number in range(first, active + 1):
+            self.active_since_ns_by_number[number] = now_ns
+        while len(self.active_since_ns_by_number) > MAX_ACTIVE_TIMES:
+            del self.active_since_ns_by_number[min(self.active_since_ns_by_number)]
+        self.active_since_number = active
+        self.active_since_ns = now_ns
+
+    def _reports(self, now_ns: int) -> dict[str, FrontReport]:
+        reports = {
+            name: lease.report for name, lease in self.lease_by_front.items() if lease.lease_until_ns > now_ns
+        }
+        for name, lease in self.lease_by_front.items():
+            earlier = lease.earlier_report
+            if earlier is not None and now_ns < lease.earlier_idle_at_ns:
+                reports[f"{name}@{earlier.incarnation}"] = earlier
+        return reports
--- a/tests/test_fleet_shell.py
+++ b/tests/test_fleet_shell.py
@@ -16,7 +16,7 @@
 from quincepier.net.fleet import messages
 from quincepier.net.fleet.endpoint_overlay import EndpointOverlay
 from quincepier.operator import OperatorError, read
-from quincepier.rules import FrontReport, LeaseGrant, LeaseRequest
+from quincepier.rules import FrontReport, HostCount, LeaseGrant, LeaseRequest
 
 HOSTS = {n: f"s-{n}" for n in range(1, 5)}
 STATES = st.sampled_from(list(EndpointState))
@@ -36,15 +36,15 @@
 class Blind(EndpointOverlay):
     """Mutant: a line of the log lifts an order."""
 
-    def over(self, news: EndpointUpdate) -> EndpointUpdate:
+    def overlay(self, news: EndpointUpdate) -> EndpointUpdate:
         return news
 
 
 class Forgetful(EndpointOverlay):
     """Mutant: what is given back is told to nobody."""
 
-    def change(self, leaving: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
-        return super().change(self.leaving | leaving, listed)
+    def set_cordoned(self, leaving: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
+        return super().set_cordoned(self.cordoned | leaving, listed)
 
 
 def played(overlay: EndpointOverlay, steps: Sequence[tuple[str, Any]]) -> bool:
@@ -61,14 +61,14 @@
         if what == "order":
             leaving = about
             told(
-                overlay.change(
+                overlay.set_cordoned(
                     leaving, [machine(n, s) for n, s in log.items() if s is not EndpointState.GONE]
                 )
             )
         else:
             number, state = about
             log[number] = state
-            told(overlay.over(EndpointUpdate(UpdateScope.CHANGES, (machine(number, state),))))
+            told(overlay.overlay(EndpointUpdate(UpdateScope.CHANGES, (machine(number, state),))))
         for n, state in log.items():
             drains = HOSTS[n] in leaving and state is EndpointState.READY
             if module[n] is not (EndpointState.DRAINING if drains else state):
@@ -113,7 +113,7 @@
 
 def test_words_come_back_whole_and_others_are_dropped() -> None:
     report = messages.ReportMessage(
-        LeaseRequest(7, FrontReport("n1", 1, 3, "00", False, 250, open_attempts=(("s-1", 2),)))
+        LeaseRequest(7, FrontReport("n1", 1, 3, "00", False, 250, open_attempts=(HostCount("s-1", 2),)))
     )
     granted = messages.LeaseGranted(2, LeaseGrant(1, 7, 3, 900), b"x")
     for word in (report, granted, messages.NotLeader(7, "n0"), messages.VersionCommitted(2, b"y")):
@@ -123,7 +123,7 @@
         b"\xc1",
         messages.encode([9, 1]),
         messages.encode(report)[:-2],
-        bytes(messages.WORD_MOST + 1),
+        bytes(messages.MAX_MESSAGE_BYTES + 1),
     ):
         assert messages.decode(raw) is None
 
