--- a/tests/tenancykit.py
+++ b/tests/tenancykit.py
@@ -1,8 +1,8 @@
-"""Moves explored whole at small size: the real `advance` and `Homes`, two fronts and homes, a keyed request.
+"""Model checking of migrations at small size: the real `advance` and `PlacementTable`, one unsafe request.
 
-Time is in ticks of ten seconds. A lease, an adoption, a run at a cache, a repeat, a crash, a lost folder, a
-change of leader and a wish may come in any order and as often as they like; ages are capped where nothing
-depends on more, so the states are finite and all of them are looked at.
+There are two fronts and two shards. Time is in ticks of ten seconds. A lease, an adoption, a run at a cache,
+a retry, a crash, a lost folder, a change of leader and a request of operators may come in any order and any
+number of times; ages are capped where nothing depends on more, so the states are finite and all are visited.
 """
 
 from __future__ import annotations
@@ -26,216 +26,276 @@
 from quincepier.tenancy import MigrationPolicy, PlacementTable, TenantLookup, TenantsSection, advance
 from quincepier.tenancy.section import MigrationRequest, ShardSettings, TenantSettings
 
-TICK = 10 * clock.SECOND
-WINDOW, LATE, NOTICE = 1, 1, 2  # ticks: a cache's memory, until a taken request runs at last, the notice
-HOLD = WINDOW + LATE
-LONG = 1 << 62
+TICK_NS = 10 * clock.SECOND
+DEDUPLICATION_TICKS = 1  # for so long a cache recognizes a retry
+DELIVERY_DELAY_TICKS = 1  # an accepted request runs at last so long after
+GRACE_PERIOD_TICKS = 2
+WRITE_PAUSE_TICKS = DEDUPLICATION_TICKS + DELIVERY_DELAY_TICKS
+LONG_AGO = 9  # ticks, for what is too old to matter
+LONG_NS = 1 << 62
 SECTION = TenantsSection(
     {"north": ShardSettings(("s-1",))},
     {"acme": TenantSettings(("00",))},
     (MigrationRequest("m", "acme", "north"),),
 )
-MACHINES = {h: MachineObservation(h, "cache", "a", True, 10**6, 1) for h in ("s-1", "s-9")}
+NUMBER_BY_HOST = {"s-1": 1, "s-9": 9}
+MACHINES = {host: MachineObservation(host, "cache", "a", True, 10**6, 1) for host in NUMBER_BY_HOST}
 KEYED = io.RequestClass(
     io.Idempotency.KEYED, io.DeduplicationScope.CELL, 1, 1, 0.0, 1, 1.0, False, 0, 0, True
 )
-OLD, NEW = 0, 1
-ALL = frozenset({"leader", "rollback", "pause", "folder"})  # beside leases, ticks and repeats in any order
-UNKNOWN = (-1, 0)  # a version in which the tenant is under no move yet
+SOURCE, TARGET = 0, 1
+SHARD_NAMES = ("old", "new")
+ALL_FAULTS = frozenset({"leader", "rollback", "pause", "folder"})  # beside leases, ticks and retries
+
+
+class MigrationPoint(NamedTuple):
+    """Step and moved slots of the migration, as a version has them."""
+
+    step: int
+    moved_slots: int
+
+
+NO_MIGRATION = MigrationPoint(-1, 0)  # a version in which the tenant is under no migration yet
 
 
 class Front(NamedTuple):
-    place: tuple[int, int]  # step and part of the move, as its version has them
+    point: MigrationPoint  # in its version
     rank: int  # 2: the newest version, 1: one of the newest step, 0: an older one
-    lease: bool
-    known: bool  # its lease is known to the leader: it reported there
-    off: int  # ticks without a lease, capped
-    blank: bool = False  # its folder is lost: no version since
+    has_lease: bool
+    has_reported: bool  # its lease is known to the leader
+    ticks_without_lease: int  # capped
+    has_lost_folder: bool = False  # no version since
 
 
 class State(NamedTuple):
-    place: tuple[int, int]
-    whole: bool  # the newest version is the one in which the step began
+    point: MigrationPoint
+    is_step_newest: bool  # the newest version is the one in which the step started
     fronts: tuple[Front, ...]
-    ages: tuple[int, int]  # of the step and of the newest version in force, as the leader knows
+    ages: tuple[int, int]  # ticks for which the step and the newest version are active, as the leader knows
     rollback: bool = False
     pause: bool = False
-    came: bool = False
-    taken: tuple[tuple[int, int], ...] = ()  # home and ticks left in which it may run there, also again
-    ran: tuple[int, int] = (9, 9)  # ticks since it ran at the old and the new home, capped
+    is_retry: bool = False  # the client has sent the request before
+    accepted: tuple[tuple[int, int], ...] = ()  # shard, and ticks left in which it may run there, also again
+    ticks_since_run: tuple[int, int] = (LONG_AGO, LONG_AGO)  # at the source and at the target, capped
 
 
 @dataclass(slots=True)
-class Explored:
+class ExplorationResult:
     states: int
     depth: int
-    breach: list[str]  # the shortest way to a run at both homes within the window; empty: there is none
-    reached: set[int]  # steps
+    violation: list[str]  # the shortest path to a run at both shards within the window; empty: there is none
+    reached_steps: set[int]
 
 
 @dataclass(slots=True)
-class Rules:
-    """What a mutant turns off outside of the functions that it replaces."""
+class ExplorationSettings:
+    """What a mutant changes outside of the functions that it replaces."""
 
-    hold: int = HOLD
-    notice: int = NOTICE
-    heeds_lease: bool = True
-    heeds_notice: bool = True
-    faults: frozenset[str] = ALL
+    write_pause_ticks: int = WRITE_PAUSE_TICKS
+    grace_period_ticks: int = GRACE_PERIOD_TICKS
+    respects_lease: bool = True
+    respects_grace_period: bool = True
+    faults: frozenset[str] = ALL_FAULTS
 
 
 class Exploration:
-    def __init__(self, rules: Rules | None = None) -> None:
-        self.rules = rules or Rules()
+    def __init__(self, settings: ExplorationSettings | None = None) -> None:
+        self.settings = settings or ExplorationSettings()
         self.tenants = TenantLookup(SECTION)
-        self._turns = dict[tuple[object, ...], tuple[int, int]]()
-        self._homes = dict[tuple[object, ...], PlacementTable]()
-
-    def version(self, place: tuple[int, int], number: int, since: int) -> RuleVersion:
-        step, part = place
-        moves = (Migration("m", "acme", "", "north", MigrationStep(step), since, part),) if step >= 0 else ()
-        home = "north" if step == MigrationStep.COMPLETED else ""
-        return RuleVersion(
-            number, 1, (), (), (Shard("north", ("s-1",)),), (TenantPlacement("acme", home),), moves
-        )
+        self._planned = dict[tuple[object, ...], MigrationPoint]()
+        self._placement_tables = dict[tuple[object, ...], PlacementTable]()
 
-    def home(self, f: Front, repeat: bool) -> int | None:
-        cautious = not f.lease and self.rules.heeds_lease
-        unsure = not f.lease and (f.off >= NOTICE or f.blank) and self.rules.heeds_notice
-        key = (f.place, cautious, unsure)
-        if key not in self._homes:
-            version = self.version(f.place, 3, 3)
-            self._homes[key] = PlacementTable(
-                version,
-                cautious,
-                {"s-1": 1, "s-9": 9}.get,
+    def version(self, point: MigrationPoint, number: int, since_version: int) -> RuleVersion:
+        migrations: tuple[Migration, ...] = ()
+        if point != NO_MIGRATION:
+            step = MigrationStep(point.step)
+            migrations = (Migration("m", "acme", "", "north", step, since_version, point.moved_slots),)
+        home_shard = "north" if point.step == MigrationStep.COMPLETED else ""
+        shards = (Shard("north", ("s-1",)),)
+        return RuleVersion(number, 1, (), (), shards, (TenantPlacement("acme", home_shard),), migrations)
+
+    def place(self, front: Front, is_retry: bool) -> int | None:
+        """The shard at which a front would run the request; None where it rejects it."""
+        settings = self.settings
+        is_cautious = not front.has_lease and settings.respects_lease
+        is_grace_over = front.ticks_without_lease >= GRACE_PERIOD_TICKS or front.has_lost_folder
+        may_lack_migrations = not front.has_lease and is_grace_over and settings.respects_grace_period
+        key = (front.point, is_cautious, may_lack_migrations)
+        if key not in self._placement_tables:
+            self._placement_tables[key] = PlacementTable(
+                self.version(front.point, 3, 3),
+                is_cautious,
+                NUMBER_BY_HOST.get,
                 self.tenants,
                 (KEYED,),
-                lambda: ((1, 9), ()),
-                unsure,
+                lambda: (tuple(NUMBER_BY_HOST.values()), ()),
+                may_lack_migrations,
             )
-        home = self._homes[key](io.RequestReceived(1, 0, 0.0, 1, 0, 5, 0, repeat, 1))
+        home = self._placement_tables[key](io.RequestReceived(1, 0, 0.0, 1, 0, 5, 0, is_retry, 1))
         assert home is not None
-        return None if home.closed else NEW if home.caches == {1} else OLD
-
-    def turn(self, s: State, late: bool) -> tuple[int, int]:
-        leased = [f for f in s.fronts if f.lease]
-        lapsed = all(f.known for f in leased)
-        rank = min((f.rank for f in leased), default=2) if lapsed else 0
-        known = sum(f.known for f in s.fronts)
-        key = (s.place, s.whole, s.ages, s.rollback, s.pause, lapsed, rank, known, late)
-        if key not in self._turns:
-            since = 3 if s.whole else 2
-            version = self.version(s.place, 3, since)
-            force = (1, since, 3)[rank]
-            names = tuple("ab"[:known])
-            reports = {n: FrontReport(n, 1, force, "", False, 0) for n in names}
-            ages = {since: s.ages[0] * TICK}
-            seen = Observations(
+        if home.closed:
+            return None
+        return TARGET if home.caches == {NUMBER_BY_HOST["s-1"]} else SOURCE
+
+    def plan(self, state: State, is_late: bool) -> MigrationPoint:
+        """The migration after a planning round; `is_late`: the newest version was committed long ago."""
+        all_leases_known, rank = _known_leases(state)
+        reporting = sum(front.has_reported for front in state.fronts)
+        key = (
+            *state[:2],
+            state.ages,
+            state.rollback,
+            state.pause,
+            all_leases_known,
+            rank,
+            reporting,
+            is_late,
+        )
+        if key not in self._planned:
+            since_version = 3 if state.is_step_newest else 2
+            version = self.version(state.point, 3, since_version)
+            active_number = (1, since_version, 3)[rank]
+            names = tuple("ab"[:reporting])
+            observations = Observations(
                 0,
                 names,
-                reports,
-                lapsed,
-                force,
-                s.ages[1] * TICK,
+                {name: FrontReport(name, 1, active_number, "", False, 0) for name in names},
+                all_leases_known,
+                active_number,
+                state.ages[1] * TICK_NS,
                 MACHINES,
                 (),
                 "",
                 True,
                 {},
-                ages,
-                LONG * late,
+                {since_version: state.ages[0] * TICK_NS},
+                LONG_NS * is_late,
             )
-            line = MigrationRequest("m", "acme", "north", rollback=s.rollback, pause=s.pause)
-            section = TenantsSection(SECTION.shard_by_name, SECTION.tenant_by_name, (line,))
-            change = advance(
-                version, MigrationPolicy(section, self.rules.hold * TICK, self.rules.notice * TICK), seen
+            change = advance(version, self.policy(state), observations)
+            planned = change.migrations if change is not None else None
+            migration = (planned or version.migrations)[0]
+            self._planned[key] = MigrationPoint(int(migration.step), migration.moved_slots)
+        return self._planned[key]
+
+    def policy(self, state: State) -> MigrationPolicy:
+        request = MigrationRequest("m", "acme", "north", rollback=state.rollback, pause=state.pause)
+        section = TenantsSection(SECTION.shard_by_name, SECTION.tenant_by_name, (request,))
+        settings = self.settings
+        return MigrationPolicy(
+            section, settings.write_pause_ticks * TICK_NS, settings.grace_period_ticks * TICK_NS
+        )
+
+    def successors(self, state: State) -> Iterator[tuple[str, State]]:
+        """Each event that may come next, and the state after it."""
+        yield from self.after_planning(state)
+        for index, front in enumerate(state.fronts):
+            yield from self.after_front_event(state, index, front)
+        for shard, _ in set(state.accepted):
+            since = (0, state.ticks_since_run[1]) if shard == SOURCE else (state.ticks_since_run[0], 0)
+            yield f"runs at {SHARD_NAMES[shard]}", state._replace(ticks_since_run=since)
+        yield "tick", _tick(state)
+        faults = self.settings.faults
+        is_leader_informed = any(front.has_reported for front in state.fronts) or state.ages != (0, 0)
+        if "leader" in faults and is_leader_informed:
+            fronts = tuple(front._replace(has_reported=False) for front in state.fronts)
+            yield "another leader", state._replace(fronts=fronts, ages=(0, 0))
+        if "rollback" in faults and not state.rollback:
+            yield "operators request a rollback", state._replace(rollback=True)
+        if "pause" in faults:
+            yield "operators pause or go on", state._replace(pause=not state.pause)
+
+    def after_planning(self, state: State) -> Iterator[tuple[str, State]]:
+        for is_late in (False, True):
+            point = self.plan(state, is_late)
+            if point == state.point:
+                continue
+            is_same_step = point.step == state.point.step
+            fronts = tuple(
+                front._replace(rank=min(front.rank, 1) if is_same_step else 0) for front in state.fronts
             )
-            after = (
-                change.migrations[0] if change is not None and change.migrations else version.migrations[0]
+            ages = (state.ages[0] if is_same_step else 0, 0)
+            following = state._replace(point=point, is_step_newest=not is_same_step, fronts=fronts, ages=ages)
+            yield f"committed {MigrationStep(point.step).name} {point.moved_slots}", following
+
+    def after_front_event(self, state: State, index: int, front: Front) -> Iterator[tuple[str, State]]:
+        def with_front(**changes: object) -> State:
+            fronts = [*state.fronts]
+            fronts[index] = front._replace(**changes)  # type: ignore[arg-type]
+            return state._replace(fronts=tuple(sorted(fronts)))
+
+        if front.rank < 2:
+            yield f"{index} adopts", with_front(point=state.point, rank=2, has_lost_folder=False)
+        elif not (front.has_lease and front.has_reported):
+            granted = with_front(has_lease=True, has_reported=True, ticks_without_lease=0)
+            yield f"{index} is granted a lease", granted
+        if front.has_lease:
+            expired = with_front(has_lease=False, has_reported=False, ticks_without_lease=0)
+            yield f"{index}'s lease expires", expired
+        if "folder" in self.settings.faults and not front.has_lost_folder:
+            lost = with_front(
+                point=NO_MIGRATION, rank=0, has_lease=False, has_reported=False, has_lost_folder=True
             )
-            self._turns[key] = (int(after.step), after.moved_slots)
-        return self._turns[key]
-
-    def after(self, s: State) -> Iterator[tuple[str, State]]:
-        for late in (False, True):
-            if (place := self.turn(s, late)) != s.place:
-                same = place[0] == s.place[0]
-                ranks = [min(f.rank, 1) if same else 0 for f in s.fronts]
-                fronts = tuple(f._replace(rank=r) for f, r in zip(s.fronts, ranks, strict=True))
-                told = f"agreed {MigrationStep(place[0]).name} {place[1]}"
-                ages = (s.ages[0] if same else 0, 0)
-                yield told, s._replace(place=place, whole=not same, fronts=fronts, ages=ages)
-        for n, f in enumerate(s.fronts):
-            yield from self.of_front(s, n, f)
-        for home, _ in set(s.taken):
-            ran = (0, s.ran[1]) if home == OLD else (s.ran[0], 0)
-            yield f"runs at {'old new'.split()[home]}", s._replace(ran=ran)
-        yield "tick", self.tick(s)
-        may = self.rules.faults
-        if "leader" in may and (any(f.known for f in s.fronts) or s.ages != (0, 0)):
-            fronts = tuple(f._replace(known=False) for f in s.fronts)
-            yield "another leader", s._replace(fronts=fronts, ages=(0, 0))
-        if "rollback" in may and not s.rollback:
-            yield "wish: rollback", s._replace(rollback=True)
-        if "pause" in may:
-            yield "wish: pause", s._replace(pause=not s.pause)
-
-    def of_front(self, s: State, n: int, f: Front) -> Iterator[tuple[str, State]]:
-        def but(**what: object) -> State:
-            fronts = [*s.fronts]
-            fronts[n] = f._replace(**what)  # type: ignore[arg-type]
-            return s._replace(fronts=tuple(sorted(fronts)))
-
-        if f.rank < 2:
-            yield f"{n} adopts", but(place=s.place, rank=2, blank=False)
-        elif not (f.lease and f.known):
-            yield f"{n} is granted a lease", but(lease=True, known=True, off=0)
-        if f.lease:
-            yield f"{n} has no lease any more", but(lease=False, known=False, off=0)
-        if "folder" in self.rules.faults and not f.blank:
-            yield f"{n} loses its folder", but(place=UNKNOWN, rank=0, lease=False, known=False, blank=True)
-        home = self.home(f, s.came)
-        if home is not None:
-            taken = tuple(sorted({(h, left) for h, left in s.taken if h != home} | {(home, LATE)}))
-            yield f"{n} takes {'a repeat' if s.came else 'it'}", s._replace(came=True, taken=taken)
-
-    def tick(self, s: State) -> State:
-        leased = [f for f in s.fronts if f.lease]
-        lapsed = all(f.known for f in leased)
-        rank = min((f.rank for f in leased), default=2) if lapsed else 0
-        longest = max(HOLD, NOTICE)
-        ages = (min(s.ages[0] + 1, longest) * (rank > 0), min(s.ages[1] + 1, longest) * (rank > 1))
-        taken = tuple((home, left - 1) for home, left in s.taken if left)
-        fronts = tuple(sorted(f._replace(off=0 if f.lease else min(f.off + 1, NOTICE)) for f in s.fronts))
-        ran = (s.ran[0] + 1 if s.ran[0] < WINDOW else 9, s.ran[1] + 1 if s.ran[1] < WINDOW else 9)
-        return s._replace(ages=ages, taken=taken, fronts=fronts, ran=ran)
-
-    def explore(self, most: int = 10**8) -> Explored:
-        front = Front(UNKNOWN, 0, True, True, 0)
-        first = State((0, 0), True, (front, front), (0, 0))
-        came: dict[State, tuple[State, str] | None] = {first: None}
-        ring, depth, reached = [first], 0, {0}
-        while ring:
+            yield f"{index} loses its folder", lost
+        shard = self.place(front, state.is_retry)
+        if shard is not None:
+            others = {(other, left) for other, left in state.accepted if other != shard}
+            accepted = tuple(sorted(others | {(shard, DELIVERY_DELAY_TICKS)}))
+            what = "a retry" if state.is_retry else "the request"
+            yield f"{index} accepts {what}", state._replace(is_retry=True, accepted=accepted)
+
+    def explore(self, max_states: int = 10**8) -> ExplorationResult:
+        """Visit all states breadth first, up to a run at both shards within the window."""
+        front = Front(NO_MIGRATION, 0, True, True, 0)
+        first = State(MigrationPoint(0, 0), True, (front, front), (0, 0))
+        predecessors: dict[State, tuple[State, str] | None] = {first: None}
+        frontier, depth, reached_steps = [first], 0, {0}
+        while frontier:
             following = list[State]()
-            for s in ring:
-                for told, after in self.after(s):
-                    if after in came:
+            for state in frontier:
+                for event, successor in self.successors(state):
+                    if successor in predecessors:
                         continue
-                    came[after] = (s, told)
-                    reached.add(after.place[0])
-                    if max(after.ran) < WINDOW:
-                        return Explored(len(came), depth + 1, _way(came, after), reached)
-                    following.append(after)
-            if len(came) > most:
-                return Explored(len(came), depth, ["more states than wanted"], reached)
-            ring, depth = following, depth + bool(following)
-        return Explored(len(came), depth, [], reached)
-
-
-def _way(came: dict[State, tuple[State, str] | None], at: State) -> list[str]:
-    way = list[str]()
-    while (before := came[at]) is not None:
-        at, told = before[0], before[1]
-        way.append(told)
-    return way[::-1]
+                    predecessors[successor] = (state, event)
+                    reached_steps.add(successor.point.step)
+                    if max(successor.ticks_since_run) < DEDUPLICATION_TICKS:
+                        path = _path(predecessors, successor)
+                        return ExplorationResult(len(predecessors), depth + 1, path, reached_steps)
+                    following.append(successor)
+            if len(predecessors) > max_states:
+                return ExplorationResult(len(predecessors), depth, ["more states than wanted"], reached_steps)
+            frontier, depth = following, depth + bool(following)
+        return ExplorationResult(len(predecessors), depth, [], reached_steps)
+
+
+def _known_leases(state: State) -> tuple[bool, int]:
+    """Whether the leader knows of all leases, and the lowest rank under one; 0 where it does not."""
+    leased = [front for front in state.fronts if front.has_lease]
+    are_all_known = all(front.has_reported for front in leased)
+    rank = min((front.rank for front in leased), default=2) if are_all_known else 0
+    return are_all_known, rank
+
+
+def _tick(state: State) -> State:
+    _, rank = _known_leases(state)
+    longest = max(WRITE_PAUSE_TICKS, GRACE_PERIOD_TICKS)
+    ages = (
+        min(state.ages[0] + 1, longest) * (rank > 0),
+        min(state.ages[1] + 1, longest) * (rank > 1),
+    )
+    accepted = tuple((shard, left - 1) for shard, left in state.accepted if left)
+    fronts = tuple(sorted(map(_tick_front, state.fronts)))
+    source, target = (t + 1 if t < DEDUPLICATION_TICKS else LONG_AGO for t in state.ticks_since_run)
+    return state._replace(ages=ages, accepted=accepted, fronts=fronts, ticks_since_run=(source, target))
+
+
+def _tick_front(front: Front) -> Front:
+    ticks = 0 if front.has_lease else min(front.ticks_without_lease + 1, GRACE_PERIOD_TICKS)
+    return front._replace(ticks_without_lease=ticks)
+
+
+def _path(predecessors: dict[State, tuple[State, str] | None], state: State) -> list[str]:
+    path = list[str]()
+    while (before := predecessors[state]) is not None:
+        state, event = before
+        path.append(event)
+    return path[::-1]
