--- a/quincepier/net/fleet/__init__.py
+++ b/quincepier/net/fleet/__init__.py
@@ -1,6 +1,6 @@
-"""One front among those that settle things together: voter or follower, its reports, its leases, its effects.
+"""One front among those that agree on rule versions: its voter, its lease, its reports, what a version does.
 
-It carries what the pure parts say between fronts, disk and decision module, and gives the module its list
-and homes by the rule version in force. It never decides a step itself: the planners do, at the voter that
-leads. Read `fleet.py` first; docs/agreement.md.
+It carries what the pure packages say between fronts, disk and router, and gives the router its endpoint list
+and placements by the version that the front has adopted. It plans nothing itself: the planners do, at the
+voter that leads. Read `node.py` first; docs/agreement.md.
 """
--- a/quincepier/net/fleet/endpoint_overlay.py
+++ b/quincepier/net/fleet/endpoint_overlay.py
@@ -1,8 +1,8 @@
-"""What the module is told of the list: as the change log tells it, but machines under orders drain. Pure.
+"""The endpoint list as the router hears it: as the change log says, but cordoned machines drain. Pure.
 
-Rule: a machine under an order is READY to the module never, whatever the log says of it meanwhile, and is as
-the log says once the order has ended. The failure guarded against: a restarted machine is listed as ready
-before the fleet has called it back.
+A cordoned machine is never READY to the router, whatever the change log says of it meanwhile, and is as the
+log says once it is cordoned no more. This guards against a restarted machine that is listed as ready before
+its maintenance task has ended.
 """
 
 from __future__ import annotations
@@ -14,33 +14,45 @@
 
 
 class EndpointOverlay:
-    """`hosts`: host ids by the module's numbers, as the directory keeps them."""
+    """Puts the state of cordoned machines over the endpoint list.
 
-    def __init__(self, hosts: Mapping[int, str]) -> None:
-        self.host_by_number = hosts
-        self.cordoned: frozenset[str] = frozenset()
+    Args:
+        host_by_number: Host ids by the router's numbers, as the machine directory has them.
+    """
 
-    def _overlaid(self, machine: Endpoint) -> Endpoint:
-        under = (
-            machine.state is EndpointState.READY
-            and self.host_by_number.get(machine.cache, "") in self.cordoned
-        )
-        return replace(machine, state=EndpointState.DRAINING) if under else machine
+    def __init__(self, host_by_number: Mapping[int, str]) -> None:
+        self.host_by_number = host_by_number
+        self.cordoned: frozenset[str] = frozenset()
 
-    def overlay(self, news: EndpointUpdate) -> EndpointUpdate:
-        """News of the list on its way to the module."""
+    def overlay(self, update: EndpointUpdate) -> EndpointUpdate:
+        """Return an update of the change log as the router is to hear it."""
         if not self.cordoned:
-            return news
-        return EndpointUpdate(news.scope, tuple(map(self._overlaid, news.machines)))
+            return update
+        return EndpointUpdate(update.scope, tuple(map(self._overlaid, update.machines)))
 
-    def set_cordoned(self, leaving: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
-        """Other machines are under orders from now on: what the module is to hear at once, None for nothing.
+    def set_cordoned(self, cordoned: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
+        """Cordon other machines from now on.
 
-        `listed` are all machines as the log told them last; those given back are told so.
+        Args:
+            cordoned: Host ids.
+            listed: All machines, as the change log listed them last.
+
+        Returns:
+            What the router must hear at once, machines that are released among it; None for nothing.
         """
-        differ = self.cordoned ^ leaving
-        self.cordoned = leaving
-        if not differ:
+        changed = self.cordoned ^ cordoned
+        self.cordoned = cordoned
+        if not changed:
             return None
-        touched = tuple(self._overlaid(m) for m in listed if self.host_by_number.get(m.cache, "") in differ)
-        return EndpointUpdate(UpdateScope.CHANGES, touched) if touched else None
+        machines = tuple(
+            self._overlaid(machine)
+            for machine in listed
+            if self.host_by_number.get(machine.cache, "") in changed
+        )
+        return EndpointUpdate(UpdateScope.CHANGES, machines) if machines else None
+
+    def _overlaid(self, machine: Endpoint) -> Endpoint:
+        is_cordoned = self.host_by_number.get(machine.cache, "") in self.cordoned
+        if machine.state is EndpointState.READY and is_cordoned:
+            return replace(machine, state=EndpointState.DRAINING)
+        return machine
--- a/quincepier/net/fleet/follower.py
+++ b/quincepier/net/fleet/follower.py
@@ -1,12 +1,13 @@
-"""A front as a follower: it reports to whoever leads, finds that one, and holds what it is granted. Pure.
+"""A front as a follower: it reports to the leader, finds out who leads, and holds its lease. Pure.
 
-Times in nanoseconds of `clock.boot`, words in, words out.
+Times are nanoseconds of `clock.boot`.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from quincepier.net.fleet.messages import LeaseGranted, NotLeader, ReportMessage, VersionCommitted
 from quincepier.rules import (
@@ -19,95 +20,157 @@
     decode_version,
 )
 
-MS = 1_000_000
-MAX_UNANSWERED_REPORTS = 2  # reports in a row without an answer; then another voter is asked
-REDIRECT_DELAY_NS = 40 * MS  # between a voter's word of where to ask and asking there
-REPORT_AFTER_ADOPTION_NS = 20 * MS  # after adopting, until that is reported
+NS_PER_MS = 1_000_000
+MAX_UNANSWERED_REPORTS = 2  # in a row; then another voter is asked
+REDIRECT_DELAY_NS = 40 * NS_PER_MS  # between a voter's word of who leads and a report there
+MIN_REDIRECT_INTERVAL_NS = 4 * REDIRECT_DELAY_NS  # two voters that name each other cause no storm
+ADOPTION_REPORT_DELAY_NS = 20 * NS_PER_MS  # after adopting a version, until that is reported
+
+
+@dataclass(slots=True, frozen=True)
+class OutgoingReport:
+    """A report and the voter that it goes to."""
+
+    to: str
+    message: ReportMessage
 
 
 class Follower:
+    """Keeps the lease of one front up.
+
+    Args:
+        name: Of the front.
+        voters: Names of the voters.
+        incarnation: Of the front; higher at each start.
+        now_ns: The time.
+        timings: Timing of leases.
+        seed: Of the choice of a voter to ask.
+
+    Attributes:
+        lease: The lease.
+        target: The voter that it reports to.
+        has_held_lease: Whether it ever held a lease.
+        known_leader: Who answered last with a grant; "" for nobody.
+    """
+
     def __init__(
-        self, name: str, voters: tuple[str, ...], start: int, now: int, pace: LeaseTimings, seed: int
+        self,
+        name: str,
+        voters: tuple[str, ...],
+        incarnation: int,
+        now_ns: int,
+        timings: LeaseTimings,
+        seed: int,
     ) -> None:
-        self.name, self.voters, self.incarnation, self.timings = name, voters, start, pace
-        self.random = random.Random(f"{seed} follower")
-        self.lease = LeaseHolder(start, now, pace)
-        self.target = self.random.choice(voters)  # whom it asks
-        self.unanswered_reports, self.turned, self.next_redirect_ns = 0, 0, now
-        self.has_held_lease = False  # a lease was had since the start
-        self.digest, self.digest_of = "", -1
-        self.known_leader = ""  # who answered with a grant last
+        self.name = name
+        self.incarnation = incarnation
+        self.lease = LeaseHolder(incarnation, now_ns, timings)
+        self._voters = voters
+        self._random = random.Random(f"{seed} follower")
+        self.target = self._random.choice(voters)
+        self.has_held_lease = False
+        self.known_leader = ""
+        self._unanswered_reports = 0
+        self._next_redirect_ns = now_ns
+        self._digest = ""
+        self._digest_number = -1
 
     @property
     def version(self) -> RuleVersion:
+        """The version that this front has adopted."""
         return self.lease.version
 
     def version_digest(self) -> str:
-        """Of the version held, worked out once."""
-        if self.digest_of != self.version.number:
-            self.digest, self.digest_of = self.version.digest, self.version.number
-        return self.digest
+        """Return the digest of the adopted version, computed once for each number."""
+        if self._digest_number != self.version.number:
+            self._digest = self.version.digest
+            self._digest_number = self.version.number
+        return self._digest
 
     @property
     def next_report_ns(self) -> int:
+        """When the next report is due."""
         return self.lease.next_request_ns
 
-    def is_cautious(self, now: int) -> bool:
-        return self.lease.is_cautious(now)
+    def is_cautious(self, now_ns: int) -> bool:
+        """Whether it holds no lease."""
+        return self.lease.is_cautious(now_ns)
 
-    def on_tick(self, now: int, report: Callable[[], FrontReport]) -> tuple[str, ReportMessage] | None:
-        """Whom to tell what, if it is time. `now` is read before."""
-        if now < self.lease.next_request_ns:
+    def on_tick(self, now_ns: int, make_report: Callable[[], FrontReport]) -> OutgoingReport | None:
+        """Return the report that is due, if one is; `now_ns` is read before the report is made."""
+        if now_ns < self.lease.next_request_ns:
             return None
-        if self.unanswered_reports >= MAX_UNANSWERED_REPORTS:
-            self.switch_target(self._other())
-        self.unanswered_reports += 1
-        token = self.lease.begin_request(now)
-        return self.target, ReportMessage(LeaseRequest(token, report()))
-
-    def _other(self) -> str:
-        others = [name for name in self.voters if name != self.target]
-        return self.random.choice(others) if others else self.target
-
-    def switch_target(self, voter: str) -> None:
-        if voter != self.target:
-            self.target, self.unanswered_reports = voter, 0
-
-    def on_message(self, now: int, sender: str, word: LeaseGranted | NotLeader | VersionCommitted) -> bool:
-        """Whether a newer version was adopted. RulesError for a spoilt one, or two of one number."""
-        match word:
-            case VersionCommitted(_, raw):
-                if sender in self.voters and self.lease.adopt(decode_version(raw)):
-                    self.report_soon(now)
-                    return True
-            case LeaseGranted(_, grant, raw) if sender in self.voters:
-                version = decode_version(raw) if raw else None
-                if version is not None and version.number != grant.version_number:
-                    raise RulesError("a grant comes with another version than it names")
-                adopted = self.lease.on_grant(now, grant, version)
-                if grant.incarnation == self.incarnation:
-                    self.unanswered_reports, self.known_leader = 0, sender
-                    self.switch_target(sender)
-                    self.has_held_lease = self.has_held_lease or not self.lease.is_cautious(now)
-                if adopted:
-                    self.report_soon(now)
-                return adopted
+        if self._unanswered_reports >= MAX_UNANSWERED_REPORTS:
+            self._switch_target(self._choose_other_voter())
+        self._unanswered_reports += 1
+        token = self.lease.begin_request(now_ns)
+        return OutgoingReport(self.target, ReportMessage(LeaseRequest(token, make_report())))
+
+    def on_message(
+        self, now_ns: int, sender: str, message: LeaseGranted | NotLeader | VersionCommitted
+    ) -> bool:
+        """Take a message of another front.
+
+        Returns:
+            Whether a newer version was adopted.
+
+        Raises:
+            RulesError: The version in it is damaged, or another one under the same number.
+        """
+        match message:
+            case VersionCommitted(_, version_bytes):
+                return sender in self._voters and self._on_version(now_ns, decode_version(version_bytes))
+            case LeaseGranted() if sender in self._voters:
+                return self._on_grant(now_ns, sender, message)
             case NotLeader(_, leader):
-                self._on_not_leader(now, sender, leader)
+                self._on_not_leader(now_ns, sender, leader)
         return False
 
-    def report_soon(self, now: int) -> None:
-        """What was adopted is reported at once, so that it comes into force."""
-        self.lease.next_request_ns = min(self.lease.next_request_ns, now + REPORT_AFTER_ADOPTION_NS)
-
-    def _on_not_leader(self, now: int, sender: str, leader: str) -> None:
+    def _on_version(self, now_ns: int, version: RuleVersion) -> bool:
+        is_adopted = self.lease.adopt(version)
+        if is_adopted:
+            self._report_soon(now_ns)
+        return is_adopted
+
+    def _on_grant(self, now_ns: int, sender: str, message: LeaseGranted) -> bool:
+        grant = message.grant
+        version = decode_version(message.version_bytes) if message.version_bytes else None
+        if version is not None and version.number != grant.version_number:
+            raise RulesError("a grant comes with another version than it names")
+        is_adopted = self.lease.on_grant(now_ns, grant, version)
+        if grant.incarnation == self.incarnation:
+            self._unanswered_reports = 0
+            self.known_leader = sender
+            self._switch_target(sender)
+            self.has_held_lease = self.has_held_lease or not self.lease.is_cautious(now_ns)
+        if is_adopted:
+            self._report_soon(now_ns)
+        return is_adopted
+
+    def _on_not_leader(self, now_ns: int, sender: str, leader: str) -> None:
         if sender != self.target:
             return
-        self.unanswered_reports = 0
-        if leader in self.voters and leader != sender:
-            self.switch_target(leader)
-            if now >= self.next_redirect_ns:  # two voters that name each other make no storm
-                self.next_redirect_ns = now + 4 * REDIRECT_DELAY_NS
-                self.lease.next_request_ns = min(self.lease.next_request_ns, now + REDIRECT_DELAY_NS)
-        else:
-            self.switch_target(self._other())
+        self._unanswered_reports = 0
+        if leader not in self._voters or leader == sender:
+            self._switch_target(self._choose_other_voter())
+            return
+        self._switch_target(leader)
+        if now_ns >= self._next_redirect_ns:
+            self._next_redirect_ns = now_ns + MIN_REDIRECT_INTERVAL_NS
+            self._report_within(now_ns, REDIRECT_DELAY_NS)
+
+    def _report_soon(self, now_ns: int) -> None:
+        """What was adopted is reported at once, so that it becomes active."""
+        self._report_within(now_ns, ADOPTION_REPORT_DELAY_NS)
+
+    def _report_within(self, now_ns: int, delay_ns: int) -> None:
+        self.lease.next_request_ns = min(self.lease.next_request_ns, now_ns + delay_ns)
+
+    def _choose_other_voter(self) -> str:
+        others = [name for name in self._voters if name != self.target]
+        return self._random.choice(others) if others else self.target
+
+    def _switch_target(self, voter: str) -> None:
+        if voter != self.target:
+            self.target = voter
+            self._unanswered_reports = 0
--- a/quincepier/net/fleet/leader.py
+++ b/quincepier/net/fleet/leader.py
@@ -1,11 +1,12 @@
-"""What a front does while it leads: grants leases, asks the planners for the next version, proposes it.
+"""What a front does while it leads: it grants leases, asks the planners for the next version and proposes it.
 
-One proposal is on its way at a time. Nothing is planned before all that earlier leaders agreed is known.
+One proposal is under way at a time. Nothing is planned before all that earlier leaders committed is known.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass
 
 from loguru import logger
 from msgspec.structs import replace
@@ -14,6 +15,7 @@
 from quincepier.checks import Checks
 from quincepier.net.fleet.messages import LeaseGranted, NotLeader, ReportMessage
 from quincepier.net.fleet.raft_node import RaftNode
+from quincepier.net.fleet.service_baseline import ServiceBaseline
 from quincepier.rules import (
     LeaseTable,
     LeaseTimings,
@@ -29,203 +31,216 @@
 )
 
 Planner = Callable[[RuleVersion, Observations], VersionChange | None]
-LOST_AFTER = 3 * clock.SECOND  # a proposal not agreed in this time is made again, the same
-USUAL_LEAST, USUAL_PART = 50, 0.2  # answers in a span that tell of the usual; weight of a new reading
-USUAL_MOST = 4096
-USUAL_EVERY = clock.SECOND
+PROPOSAL_TIMEOUT_NS = 3 * clock.SECOND  # a proposal that is not committed then is made again, the same
+DEFAULT_REASON = "the first version, or numbers go on above those of the fronts"
+
+
+@dataclass(slots=True, frozen=True)
+class FleetSources:
+    """Where the leader reads what it plans by, as this front has it at the moment.
+
+    Attributes:
+        planners: What proposes changes.
+        observe_machines: Machines of the endpoint list.
+        list_members: Fronts in the membership view.
+        is_consistent: Whether all fronts decide alike by the version of a number; None: not known.
+        recently_dead: Fronts removed from the view no longer ago than a duration in nanoseconds; they may
+            serve on by an older version.
+        decommissioned_fronts: Fronts that exist no more, as operators say.
+    """
+
+    planners: Callable[[], Sequence[Planner]]
+    observe_machines: Callable[[], dict[str, MachineObservation]]
+    list_members: Callable[[], tuple[str, ...]]
+    is_consistent: Callable[[int], bool | None] = lambda number: None
+    recently_dead: Callable[[int], frozenset[str]] = lambda age_ns: frozenset()
+    decommissioned_fronts: Callable[[], frozenset[str]] = frozenset
+
+
+@dataclass(slots=True, frozen=True)
+class Proposal:
+    """A version that was proposed and is not committed yet."""
+
+    number: int
+    proposed_at_ns: int
+    version_bytes: bytes
 
 
 class Leader:
-    """`machines()` and `view()` as this front has them now; times of `clock.boot`."""
+    """The leading side of a voter; it does nothing while another voter leads. Times are of `clock.boot`.
+
+    Attributes:
+        committed_version: The newest committed version, as far as this voter knows.
+        lease_table: Leases that it granted; None while it does not lead.
+        proposal: What is under way; None where nothing is.
+        last_proposed_at_ns: When the last proposal was made.
+        reason_by_number: Why the last version was proposed.
+        sources: What it plans by.
+    """
 
     def __init__(
         self,
         name: str,
         voters: tuple[str, ...],
-        seat: RaftNode,
-        pace: LeaseTimings,
-        planners: Callable[[], Sequence[Planner]],
-        machines: Callable[[], dict[str, MachineObservation]],
-        view: Callable[[], tuple[str, ...]],
+        raft_node: RaftNode,
+        timings: LeaseTimings,
+        sources: FleetSources,
         checks: Checks,
-        alike: Callable[[int], bool | None] = lambda number: None,
-        recently_dead: Callable[[int], frozenset[str]] = lambda age: frozenset(),
-        decommissioned_fronts: Callable[[], frozenset[str]] = frozenset,
     ) -> None:
-        """`recently_dead(age)`: fronts put out of the view for no longer, which may serve on by an
-        older version; `decommissioned_fronts()`: those of which the operators say that they are no more.
-        """
-        self.name, self.voters, self.raft_node, self.timings = name, voters, seat, pace
-        self.planners, self.observe_machines, self.list_members, self.checks = (
-            planners,
-            machines,
-            view,
-            checks,
-        )
-        self.is_consistent, self.recently_dead, self.decommissioned_fronts = (
-            alike,
-            recently_dead,
-            decommissioned_fronts,
-        )
-        self.committed_version = (
-            initial_version()
-        )  # the newest version that is agreed, as far as this voter knows
+        self.checks = checks
+        self.sources = sources
+        self.committed_version = initial_version()
         self.lease_table: LeaseTable | None = None
-        self.term = -1
-        self.proposed_number, self.proposed_at_ns = 0, 0  # the number on its way, and since when
-        self.proposal_bytes = b""
+        self.proposal: Proposal | None = None
+        self.last_proposed_at_ns = 0
         self.reason_by_number: dict[int, str] = {}
-        self.active_number = -1
-        self.baseline_by_tenant = dict[str, float]()
-        self.baseline_at_ns = 0
-        self.unknown_number = 0  # a number that some front decides by and the voters do not have
+        self._name = name
+        self._voters = voters
+        self._raft_node = raft_node
+        self._timings = timings
+        self._term = -1
+        self._active_number = -1
+        self._baseline = ServiceBaseline()
+        self._unknown_number = 0  # that some front decides by and the voters do not have
 
     def on_committed(self, version: RuleVersion) -> bool:
-        """Whether it is newer than all before."""
+        """Take a committed version; return whether it is newer than all before."""
         if version.number <= self.committed_version.number:
-            self.checks.count("versions agreed that are not newer")
+            self.checks.count("stale_versions_committed")
             return False
         self.committed_version = version
         if self.lease_table is not None:
             self.lease_table.on_version_committed(version, clock.boot())
-        if self.proposed_number and version.number >= self.proposed_number:
-            self.proposed_number = 0
+        if self.proposal is not None and version.number >= self.proposal.number:
+            self.proposal = None
         return True
 
-    def on_report(self, now: int, report: ReportMessage) -> LeaseGranted | NotLeader | None:
-        """The answer to a report."""
-        self._update_leadership(now)
-        voter, ledger, body = self.raft_node.raft, self.lease_table, report.request.report
-        if ledger is None or voter is None:
-            leader = self.raft_node.leader
-            return NotLeader(report.request.token, leader if leader != self.name else "")
-        if (
-            body.version_number > self.committed_version.number
-        ):  # of a history that the voters have lost: no lease by it
-            self.unknown_number = max(self.unknown_number, body.version_number)
-            self.checks.event(
-                "a version the voters do not have", f"{body.front} decides by {body.version_number}"
-            )
+    def on_report(self, now_ns: int, message: ReportMessage) -> LeaseGranted | NotLeader | None:
+        """Return the answer to a report, if there is one."""
+        self._update_leadership(now_ns)
+        raft, lease_table = self._raft_node.raft, self.lease_table
+        request, report = message.request, message.request.report
+        if lease_table is None or raft is None:
+            leader = self._raft_node.leader
+            return NotLeader(request.token, leader if leader != self._name else "")
+        committed = self.committed_version
+        if report.version_number > committed.number:
+            # Of a history that the voters have lost: no lease by it.
+            self._unknown_number = max(self._unknown_number, report.version_number)
+            detail = f"{report.front} decides by {report.version_number}"
+            self.checks.event("unknown_version_reported", detail)
             return None
-        grant = ledger.on_request(now, report.request, voter.lease_until_ns)
+        grant = lease_table.on_request(now_ns, request, raft.lease_until_ns)
         if grant is None:
             return None
-        other = (
-            body.version_number != self.committed_version.number
-            or body.digest != self.committed_version.digest
-        )
-        return LeaseGranted(voter.term, grant, encode_version(self.committed_version) if other else b"")
+        has_newest = report.version_number == committed.number and report.digest == committed.digest
+        return LeaseGranted(raft.term, grant, b"" if has_newest else encode_version(committed))
 
-    def _update_leadership(self, now: int) -> None:
-        """Begin to lead, or end."""
-        voter, leads = self.raft_node.raft, self.raft_node.has_leader_lease
-        if voter is None or not leads:
-            if self.lease_table is not None:
-                logger.bind(event="leads no more", front=self.name, term=self.term).info("leads no more")
-            self.lease_table, self.proposed_number, self.active_number, self.unknown_number = None, 0, -1, 0
+    def on_tick(self, now_ns: int) -> None:
+        """Observe the fleet and propose what follows from it."""
+        self._update_leadership(now_ns)
+        if self.lease_table is None:
             return
-        if self.lease_table is None or self.term != voter.term:
-            self.lease_table, self.term, self.proposed_number = (
-                LeaseTable(now, self.timings, self.committed_version),
-                voter.term,
-                0,
-            )
-            told = logger.bind(
-                event="leads", front=self.name, term=self.term, number=self.committed_version.number
-            )
-            told.info("leads in term {} from version {}", self.term, self.committed_version.number)
-            self.checks.count("times this front came to lead")
-
-    def on_tick(self, now: int) -> None:
-        """Look at what is seen, and propose what follows."""
-        self._update_leadership(now)
-        ledger = self.lease_table
-        if ledger is None:
+        observations = self._observe(now_ns, self.lease_table)
+        self._log_active_number(observations)
+        self._baseline.update(now_ns, self.committed_version, observations.report_by_front.values())
+        if self.proposal is None:
+            self._plan(now_ns, observations)
+        elif now_ns - self.proposal.proposed_at_ns >= PROPOSAL_TIMEOUT_NS:
+            # Never another version of that number: where the first is committed late, both would be in the
+            # log, and a voter that starts from its newest entry would have the other.
+            self.last_proposed_at_ns = now_ns
+            self.proposal = Proposal(self.proposal.number, now_ns, self.proposal.version_bytes)
+            self._raft_node.propose(self.proposal.version_bytes)
+
+    def _update_leadership(self, now_ns: int) -> None:
+        raft = self._raft_node.raft
+        if raft is None or not self._raft_node.has_leader_lease:
+            if self.lease_table is not None:
+                self._end_leadership()
             return
-        ledger.set_decommissioned(self.decommissioned_fronts())
-        seen = ledger.observe(
-            now,
-            self.list_members(),
-            self.observe_machines(),
-            self.voters,
-            self.name,
-            self.is_consistent(self.committed_version.number),
-            self.baseline_by_tenant,
-            self.recently_dead(self.timings.unreachable_front_timeout_ns),
+        if self.lease_table is None or self._term != raft.term:
+            self._start_leadership(now_ns, raft.term)
+
+    def _start_leadership(self, now_ns: int, term: int) -> None:
+        number = self.committed_version.number
+        self.lease_table = LeaseTable(now_ns, self._timings, self.committed_version)
+        self.proposal = None
+        self._term = term
+        log = logger.bind(event="leadership_started", front=self._name, term=term, number=number)
+        log.info("this front leads in term {} from version {}", term, number)
+        self.checks.count("leadership_starts")
+
+    def _end_leadership(self) -> None:
+        self.lease_table = None
+        self.proposal = None
+        self._active_number = -1
+        self._unknown_number = 0
+        log = logger.bind(event="leadership_ended", front=self._name, term=self._term)
+        log.info("this front leads no more, since term {}", self._term)
+
+    def _observe(self, now_ns: int, lease_table: LeaseTable) -> Observations:
+        sources = self.sources
+        lease_table.set_decommissioned(sources.decommissioned_fronts())
+        return lease_table.observe(
+            now_ns,
+            sources.list_members(),
+            sources.observe_machines(),
+            self._voters,
+            self._name,
+            sources.is_consistent(self.committed_version.number),
+            self._baseline.ratio_by_tenant,
+            sources.recently_dead(self._timings.unreachable_front_timeout_ns),
         )
-        if seen.active_number != self.active_number:
-            self.active_number = seen.active_number
-            told = logger.bind(
-                event="version in force", number=self.active_number, fronts=len(seen.report_by_front)
-            )
-            told.info(
-                "version {} in force, {} fronts with a lease", self.active_number, len(seen.report_by_front)
-            )
-        self._learn_baseline(now, seen)
-        if not self.proposed_number:
-            self.propose(now, seen)
-        elif now - self.proposed_at_ns >= LOST_AFTER:
-            # never another of that number: where the first is agreed late, both would be in the log, and a
-            # voter that begins from its newest entry would have the other
-            self.proposed_at_ns = now
-            self.raft_node.propose(self.proposal_bytes)
-
-    def propose(self, now: int, seen: Observations) -> None:
-        changes = list(self._planned_changes(seen))
+
+    def _log_active_number(self, observations: Observations) -> None:
+        if observations.active_number == self._active_number:
+            return
+        self._active_number = observations.active_number
+        leased = len(observations.report_by_front)
+        log = logger.bind(event="version_active", number=self._active_number, fronts=leased)
+        log.info("version {} is active, {} fronts with a lease", self._active_number, leased)
+
+    def _plan(self, now_ns: int, observations: Observations) -> None:
+        changes = list(self._planned_changes(observations))
         base = self.committed_version
-        if self.unknown_number > base.number:  # numbers go on above all that any front ever decided by
-            base = replace(base, number=self.unknown_number)
-        elif not changes and base.number:  # 0 stands for nothing agreed: nothing is planned from there
+        if self._unknown_number > base.number:  # numbers go on above all that any front ever decided by
+            base = replace(base, number=self._unknown_number)
+        elif not changes and base.number:  # 0: nothing is committed, and nothing is planned from there
             return
         try:
-            version = apply_changes(base, self.term, tuple(changes))
-        except RulesError as error:  # a defect of a planner: the first part's change alone
-            self.checks.event("changes that exclude each other", error.line())
+            version = apply_changes(base, self._term, tuple(changes))
+        except RulesError as error:  # a defect of a planner: the first change alone
+            self.checks.event("conflicting_changes", error.line())
             changes = changes[:1]
-            version = apply_changes(base, self.term, tuple(changes))
-        raw = encode_version(version)
+            version = apply_changes(base, self._term, tuple(changes))
+        self._propose(now_ns, version, "; ".join(change.reason for change in changes))
+
+    def _propose(self, now_ns: int, version: RuleVersion, reason: str) -> None:
+        version_bytes = encode_version(version)
         try:
-            decode_version(raw)
-        except RulesError as error:  # a defect of a planner: what no front could read is not agreed
-            self.checks.event("version not proposed", error.line())
+            decode_version(version_bytes)
+        except RulesError as error:  # a defect of a planner: what no front could read is not proposed
+            self.checks.event("invalid_version_not_proposed", error.line())
             return
-        self.unknown_number, self.proposed_number, self.proposed_at_ns = 0, version.number, now
-        told = "; ".join(c.reason for c in changes)
-        self.reason_by_number = {version.number: told or "the first, or numbers go on above the fronts'"}
-        self.checks.count("versions proposed")
-        self.proposal_bytes = raw
-        self.raft_node.propose(raw)
-
-    def _planned_changes(self, seen: Observations) -> Iterable[VersionChange]:
-        for planner in self.planners():
+        self._unknown_number = 0
+        self.proposal = Proposal(version.number, now_ns, version_bytes)
+        self.last_proposed_at_ns = now_ns
+        self.reason_by_number = {version.number: reason or DEFAULT_REASON}
+        self.checks.count("versions_proposed")
+        self._raft_node.propose(version_bytes)
+
+    def _planned_changes(self, observations: Observations) -> Iterable[VersionChange]:
+        for planner in self.sources.planners():
             try:
-                change = planner(self.committed_version, seen)
-            except Exception as error:  # a defect: nothing of it is changed, the other parts go on
-                self.checks.event("exception in a planner", f"{type(error).__name__}: {error}")
+                change = planner(self.committed_version, observations)
+            except Exception as error:  # noqa: BLE001 - a defect of one planner must not stop the others
+                self._report_exception(error)
                 continue
             if change is not None:
                 yield change
 
-    def _learn_baseline(self, now: int, seen: Observations) -> None:
-        """Worth in time over worth by tenant, while nothing is out and nothing moves."""
-        agreed = self.committed_version
-        if now - self.baseline_at_ns < USUAL_EVERY or any(o.is_active for o in agreed.maintenance_tasks):
-            return
-        if any(m.is_active for m in agreed.migrations):
-            return
-        self.baseline_at_ns = now
-        sums = dict[str, list[float]]()
-        for report in seen.report_by_front.values():
-            for row in report.service_statistics:
-                if not row.shard:
-                    total = sums.setdefault(row.tenant, [0.0, 0.0, 0.0])
-                    for at, value in enumerate((row.responses, row.requested_weight, row.on_time_weight)):
-                        total[at] += value
-        for tenant, (asked, worth, in_time) in sums.items():
-            if (
-                asked >= USUAL_LEAST
-                and worth > 0
-                and (tenant in self.baseline_by_tenant or len(self.baseline_by_tenant) < USUAL_MOST)
-            ):
-                before = self.baseline_by_tenant.get(tenant, in_time / worth)
-                self.baseline_by_tenant[tenant] = before + USUAL_PART * (in_time / worth - before)
+    def _report_exception(self, error: Exception) -> None:
+        event = "exception_in_planner"
+        self.checks.event(event, f"{type(error).__name__}: {error}")
+        logger.opt(exception=error).bind(event=event).debug("{} with its traceback", event)
--- a/quincepier/net/fleet/messages.py
+++ b/quincepier/net/fleet/messages.py
@@ -1,7 +1,8 @@
-"""What fronts say to each other about rule versions, as msgpack; a word that can't be read is dropped.
+"""Messages between fronts about rule versions, as msgpack arrays; one that can't be decoded is dropped.
 
-A follower says `Report`; whoever leads answers `Granted`, with the newest version where the follower lacks
-it; any other voter answers `Turn`. `Told` goes to all as a version is agreed: adoption waits for no report.
+A follower sends `ReportMessage`; the leader answers `LeaseGranted`, with the newest version where the
+follower lacks it; any other voter answers `NotLeader`. `VersionCommitted` goes to all as a version is
+committed: adoption waits for no report.
 """
 
 from __future__ import annotations
@@ -11,36 +12,52 @@
 import msgspec
 
 from quincepier.rules import LeaseGrant, LeaseRequest
-from quincepier.rules.version import MAX_VERSION_BYTES
+from quincepier.rules.version import MAX_NAME_LENGTH, MAX_VERSION_BYTES
 
-CONSENSUS_CHANNEL, RULES_CHANNEL, CONSISTENCY_CHANNEL = (
-    1,
-    2,
-    3,
-)  # channels: voters among themselves, these words, digests
+# Channels of the peer network: between voters, the messages below, and digests of decisions.
+CONSENSUS_CHANNEL = 1
+RULES_CHANNEL = 2
+CONSISTENCY_CHANNEL = 3
 MAX_MESSAGE_BYTES = MAX_VERSION_BYTES + 4096
 Number = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
-Name = Annotated[str, msgspec.Meta(max_length=64)]
+OptionalName = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
 
 
 class ReportMessage(msgspec.Struct, frozen=True, array_like=True, tag=1):
+    """A follower's report and request for a lease."""
+
     request: LeaseRequest
 
 
 class LeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """The leader's answer to a report.
+
+    Attributes:
+        term: Of the leader.
+        grant: The lease.
+        version_bytes: The version that the grant names, where the report was of another; else empty.
+    """
+
     term: Number
     grant: LeaseGrant
-    version_bytes: bytes = b""  # the version that the grant names, where the report was of another
+    version_bytes: bytes = b""
 
 
 class NotLeader(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Not here: `leader` leads as far as known, "" for nobody."""
+    """The answer of a voter that does not lead.
+
+    Attributes:
+        token: Of the request.
+        leader: Who leads as far as it knows, "" for nobody.
+    """
 
     token: Number
-    leader: Name
+    leader: OptionalName
 
 
 class VersionCommitted(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """A version was committed in a term."""
+
     term: Number
     version_bytes: bytes
 
@@ -51,6 +68,7 @@
 
 
 def decode(raw: bytes) -> Message | None:
+    """Decode a message; None for bytes that are none."""
     if len(raw) > MAX_MESSAGE_BYTES:
         return None
     try:
--- a/quincepier/net/fleet/report_counters.py
+++ b/quincepier/net/fleet/report_counters.py
@@ -1,145 +1,245 @@
-"""What a front counts for its reports: commands by machine, answers by tenant and shard, over a sliding span.
+"""What a front counts for its reports in a sliding window: commands by machine, service by tenant and shard.
 
-The span begins anew with each version, so that counts are of one version alone. Bounded: `ROWS_MOST` pairs of
-tenant and shard and `HOSTS_MOST` machines a second; what is beyond counts for all tenants together only.
+The window starts anew with each version, so counts are of one version alone. It is bounded: a second counts
+`MAX_ROWS` pairs of tenant and shard and `MAX_HOSTS` machines; what is beyond counts only for all tenants
+together.
 """
 
 from __future__ import annotations
 
 from collections import Counter, deque
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from msgspec.structs import replace
 
 from quincepier import clock
 from quincepier.interface import CacheStatus, Idempotency, RequestClass
 from quincepier.memory.open_requests import OpenAttempt, OpenRequest
 from quincepier.rules import FrontReport, HostCount, ServiceStatistics, TenantAge, TenantCount
 
-ROWS_MOST, HOSTS_MOST, ASIDE_MOST = 256, 4096, 512
-COMMON = "common"  # in reports the word for the home of all who have no other, as "" stands for all
-FILLS = (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN)
-Key = tuple[str, str]
+MAX_ROWS = 256
+MAX_HOSTS = 4096
+MAX_EJECTED_HOSTS = 512
+DEFAULT_SHARD = "common"  # in reports the name of the default shard, as "" stands for all shards
+ORIGIN_FETCHES = (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN)
+UNSAFE_AGE_LIMIT_NS = 3600 * clock.SECOND  # after which it is forgotten when an unsafe request was sent
+HTTP_OK = 200
+HTTP_UNAVAILABLE = 503
+
+
+class RowKey(NamedTuple):
+    """A tenant at a shard; "" stands for all tenants, or all shards."""
+
+    tenant: str
+    shard: str
+
+
+ALL_REQUESTS = RowKey("", "")
+
+
+@dataclass(slots=True)
+class ServiceCounts:
+    """Counts of one row; the fields are those of `ServiceStatistics`."""
+
+    responses: int = 0
+    requested_weight: float = 0.0
+    on_time_weight: float = 0.0
+    rejected: int = 0
+    hits: int = 0
+    origin_fetches: int = 0
+
+    def add(self, other: ServiceCounts) -> None:
+        """Add the counts of another row."""
+        self.responses += other.responses
+        self.requested_weight += other.requested_weight
+        self.on_time_weight += other.on_time_weight
+        self.rejected += other.rejected
+        self.hits += other.hits
+        self.origin_fetches += other.origin_fetches
+
+    def to_statistics(self, key: RowKey) -> ServiceStatistics:
+        """Return the counts as a report has them."""
+        return ServiceStatistics(
+            tenant=key.tenant,
+            shard=key.shard,
+            responses=self.responses,
+            requested_weight=self.requested_weight,
+            on_time_weight=self.on_time_weight,
+            rejected=self.rejected,
+            hits=self.hits,
+            origin_fetches=self.origin_fetches,
+        )
 
 
-class Second:
-    __slots__ = ("rows", "sent", "since")
+@dataclass(slots=True)
+class _Second:
+    """Counts of one second."""
 
-    def __init__(self, since: int) -> None:
-        self.since = since
-        self.sent: Counter[int] = Counter()
-        self.rows: dict[Key, list[float]] = {("", ""): [0.0] * 6}
+    started_at_ns: int
+    commands_by_machine: Counter[int] = field(default_factory=Counter)
+    counts_by_row: dict[RowKey, ServiceCounts] = field(
+        default_factory=lambda: {ALL_REQUESTS: ServiceCounts()}
+    )
 
 
 class ReportCounters:
-    """Times by the module's clock."""
-
-    def __init__(self, classes: tuple[RequestClass, ...], now: int, span: int) -> None:
-        """`span`: seconds that a report's counts are of at most."""
-        self.classes, self.window_s = classes, span
-        self.seconds: deque[Second] = deque([Second(now)], span + 1)
-        self.last_unsafe_at_ns: dict[
-            Key, int
-        ] = {}  # when a request that may not be repeated was last sent on
-
-    def reset(self, now: int) -> None:
-        """Another version is decided by."""
-        self.seconds.clear()
-        self.seconds.append(Second(now))
-
-    def _bucket_at(self, now: int) -> Second:
-        last = self.seconds[-1]
-        if now - last.since >= clock.SECOND:
-            last = Second(now)
-            self.seconds.append(last)
-        return last
-
-    def on_sent(self, attempt: OpenAttempt, now: int) -> None:
-        second, r = self._bucket_at(now), attempt.request
-        if attempt.cache in second.sent or len(second.sent) < HOSTS_MOST:
-            second.sent[attempt.cache] += 1
-        if r.tenant and self.classes[r.class_index].effect is not Idempotency.SAFE:
-            key = (r.tenant, r.shard or COMMON)
-            if key in self.last_unsafe_at_ns or len(self.last_unsafe_at_ns) < ROWS_MOST:
-                self.last_unsafe_at_ns[key] = now
-
-    def _rows_of(self, second: Second, r: OpenRequest) -> Iterable[list[float]]:
-        yield second.rows["", ""]
-        if r.tenant or r.shard:
-            shard = r.shard or COMMON
-            for key in ((r.tenant, ""), (r.tenant, shard)) if r.tenant else (("", shard),):
-                row = second.rows.get(key)
-                if row is None and len(second.rows) < ROWS_MOST:
-                    row = second.rows[key] = [0.0] * 6
-                if row is not None:
-                    yield row
-
-    def on_answered(self, r: OpenRequest, status: int, now: int) -> None:
-        cls = self.classes[r.class_index]
-        in_time = status == 200 and now - r.received_at_ns <= cls.on_time
-        for row in self._rows_of(self._bucket_at(now), r):
-            row[0] += 1
-            row[1] += cls.worth
-            row[2] += cls.worth if in_time else 0.0
-            row[3] += status == 503
-
-    def on_attempt_completed(self, r: OpenRequest, note: CacheStatus, now: int) -> None:
-        if note is CacheStatus.HIT or note in FILLS:
-            for row in self._rows_of(self._bucket_at(now), r):
-                row[4 if note is CacheStatus.HIT else 5] += 1
+    """Counters of one front. Times are nanoseconds of `clock.now`.
+
+    Args:
+        classes: Request classes by number, as in the settings.
+        now_ns: The time.
+        window_s: The longest that the counts of a report cover.
+    """
+
+    def __init__(self, classes: tuple[RequestClass, ...], now_ns: int, window_s: int) -> None:
+        self._classes = classes
+        self._window_ns = window_s * clock.SECOND
+        self._seconds: deque[_Second] = deque([_Second(now_ns)], window_s + 1)
+        self._last_unsafe_at_ns: dict[RowKey, int] = {}
+
+    def reset(self, now_ns: int) -> None:
+        """Start the window anew: the front decides by another version."""
+        self._seconds.clear()
+        self._seconds.append(_Second(now_ns))
+
+    def on_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
+        """Count a command that is sent."""
+        commands = self._second_at(now_ns).commands_by_machine
+        if attempt.cache in commands or len(commands) < MAX_HOSTS:
+            commands[attempt.cache] += 1
+        request = attempt.request
+        if request.tenant and self._is_unsafe(request):
+            key = RowKey(request.tenant, request.shard or DEFAULT_SHARD)
+            if key in self._last_unsafe_at_ns or len(self._last_unsafe_at_ns) < MAX_ROWS:
+                self._last_unsafe_at_ns[key] = now_ns
+
+    def on_answered(self, request: OpenRequest, status: int, now_ns: int) -> None:
+        """Count the final response of a request by its HTTP status."""
+        request_class = self._classes[request.class_index]
+        is_on_time = status == HTTP_OK and now_ns - request.received_at_ns <= request_class.on_time
+        for counts in self._rows_of(request, now_ns):
+            counts.responses += 1
+            counts.requested_weight += request_class.worth
+            counts.on_time_weight += request_class.worth if is_on_time else 0.0
+            counts.rejected += status == HTTP_UNAVAILABLE
+
+    def on_attempt_completed(self, request: OpenRequest, cache_status: CacheStatus, now_ns: int) -> None:
+        """Count where an attempt's content came from."""
+        if cache_status is CacheStatus.HIT:
+            for counts in self._rows_of(request, now_ns):
+                counts.hits += 1
+        elif cache_status in ORIGIN_FETCHES:
+            for counts in self._rows_of(request, now_ns):
+                counts.origin_fetches += 1
 
     def report(
         self,
-        now: int,
-        about: FrontReport,
+        now_ns: int,
+        base: FrontReport,
         requests: Iterable[OpenRequest],
-        aside: Iterable[str],
-        hosts: dict[int, str],
+        ejected_hosts: Iterable[str],
+        host_by_number: dict[int, str],
     ) -> FrontReport:
-        """`about` with all that was counted, and what is open now."""
-        while len(self.seconds) > 1 and now - self.seconds[0].since > self.window_s * clock.SECOND:
-            self.seconds.popleft()
-        sent, rows = Counter[int](), dict[Key, list[float]]()
-        for second in self.seconds:
-            sent.update(second.sent)
-            for key, row in second.rows.items():
-                rows[key] = [a + b for a, b in zip(rows[key], row, strict=True)] if key in rows else list(row)
-        open_at, keyed = Counter[int](), Counter[Key]()
-        for r in requests:
-            out = 0
-            for attempt in r.attempts:
-                if not attempt.is_ended:
-                    out += 1
-                    open_at[attempt.cache] += 1
-                    if attempt.source >= 0 and attempt.source != attempt.cache:
-                        open_at[attempt.source] += 1
-            # one that is held counts too: it may be sent on under the version that it came by
-            if (
-                (out or not r.is_finished)
-                and r.tenant
-                and self.classes[r.class_index].effect is not Idempotency.SAFE
-            ):
-                keyed[r.tenant, r.shard or COMMON] += 1
-        self.last_unsafe_at_ns = {
-            k: at for k, at in self.last_unsafe_at_ns.items() if now - at < 3600 * clock.SECOND
-        }
-        return FrontReport(
-            about.front,
-            about.incarnation,
-            about.version_number,
-            about.digest,
-            about.is_cautious,
-            max((now - self.seconds[0].since) // clock.MS, 0),
-            tuple(HostCount(hosts[n], count) for n, count in open_at.items() if n in hosts),
-            tuple(
-                TenantCount(tenant, shard, count)
-                for (tenant, shard), count in list(keyed.items())[:ROWS_MOST]
+        """Return a report with all that was counted and what is open now.
+
+        Args:
+            now_ns: The time.
+            base: The report without counts.
+            requests: Open requests.
+            ejected_hosts: Machines that outlier detection has ejected.
+            host_by_number: Host ids by the router's numbers.
+        """
+        self._drop_old(now_ns)
+        commands, counts_by_row = self._sum_window()
+        attempts, unsafe_requests = self._count_open(requests)
+        return replace(
+            base,
+            window_ms=max((now_ns - self._seconds[0].started_at_ns) // clock.MS, 0),
+            open_attempts=_host_counts(attempts, host_by_number),
+            open_unsafe_requests=tuple(
+                TenantCount(*key, total) for key, total in list(unsafe_requests.items())[:MAX_ROWS]
+            ),
+            last_unsafe_request_ages=tuple(
+                TenantAge(*key, (now_ns - sent_at_ns) // clock.MS)
+                for key, sent_at_ns in self._last_unsafe_at_ns.items()
+            ),
+            ejected_hosts=tuple(ejected_hosts)[:MAX_EJECTED_HOSTS],
+            sent_commands=_host_counts(commands, host_by_number),
+            service_statistics=tuple(
+                counts.to_statistics(key) for key, counts in list(counts_by_row.items())[:MAX_ROWS]
             ),
-            tuple(TenantAge(t, s, (now - at) // clock.MS) for (t, s), at in self.last_unsafe_at_ns.items()),
-            tuple(aside)[:ASIDE_MOST],
-            tuple(HostCount(hosts[n], count) for n, count in sent.items() if n in hosts),
-            tuple(_service(key, row) for key, row in list(rows.items())[:ROWS_MOST]),
-            about.change_log_sequence,
         )
 
+    def _is_unsafe(self, request: OpenRequest) -> bool:
+        return self._classes[request.class_index].effect is not Idempotency.SAFE
+
+    def _second_at(self, now_ns: int) -> _Second:
+        last = self._seconds[-1]
+        if now_ns - last.started_at_ns >= clock.SECOND:
+            last = _Second(now_ns)
+            self._seconds.append(last)
+        return last
+
+    def _rows_of(self, request: OpenRequest, now_ns: int) -> Iterator[ServiceCounts]:
+        """Rows that a request counts for: all requests, its tenant, its tenant at its shard."""
+        counts_by_row = self._second_at(now_ns).counts_by_row
+        yield counts_by_row[ALL_REQUESTS]
+        for key in _row_keys(request):
+            counts = counts_by_row.get(key)
+            if counts is None and len(counts_by_row) < MAX_ROWS:
+                counts = counts_by_row[key] = ServiceCounts()
+            if counts is not None:
+                yield counts
+
+    def _drop_old(self, now_ns: int) -> None:
+        while len(self._seconds) > 1 and now_ns - self._seconds[0].started_at_ns > self._window_ns:
+            self._seconds.popleft()
+        self._last_unsafe_at_ns = {
+            key: sent_at_ns
+            for key, sent_at_ns in self._last_unsafe_at_ns.items()
+            if now_ns - sent_at_ns < UNSAFE_AGE_LIMIT_NS
+        }
 
-def _service(key: Key, row: list[float]) -> ServiceStatistics:
-    return ServiceStatistics(*key, int(row[0]), row[1], row[2], int(row[3]), int(row[4]), int(row[5]))
+    def _sum_window(self) -> tuple[Counter[int], dict[RowKey, ServiceCounts]]:
+        commands = Counter[int]()
+        sum_by_row = dict[RowKey, ServiceCounts]()
+        for second in self._seconds:
+            commands.update(second.commands_by_machine)
+            for key, counts in second.counts_by_row.items():
+                sum_by_row.setdefault(key, ServiceCounts()).add(counts)
+        return commands, sum_by_row
+
+    def _count_open(self, requests: Iterable[OpenRequest]) -> tuple[Counter[int], Counter[RowKey]]:
+        attempts = Counter[int]()
+        unsafe_requests = Counter[RowKey]()
+        for request in requests:
+            has_open_attempt = False
+            for attempt in request.attempts:
+                if attempt.is_ended:
+                    continue
+                has_open_attempt = True
+                attempts[attempt.cache] += 1
+                if attempt.source >= 0 and attempt.source != attempt.cache:
+                    attempts[attempt.source] += 1
+            # A queued request counts too: it may be sent under the version by which it was received.
+            is_open = has_open_attempt or not request.is_finished
+            if is_open and request.tenant and self._is_unsafe(request):
+                unsafe_requests[RowKey(request.tenant, request.shard or DEFAULT_SHARD)] += 1
+        return attempts, unsafe_requests
+
+
+def _row_keys(request: OpenRequest) -> tuple[RowKey, ...]:
+    if not request.tenant and not request.shard:
+        return ()
+    at_shard = RowKey(request.tenant, request.shard or DEFAULT_SHARD)
+    return (RowKey(request.tenant, ""), at_shard) if request.tenant else (at_shard,)
+
+
+def _host_counts(total_by_machine: Counter[int], host_by_number: dict[int, str]) -> tuple[HostCount, ...]:
+    return tuple(
+        HostCount(host_by_number[number], total)
+        for number, total in total_by_machine.items()
+        if number in host_by_number
+    )
--- a/quincepier/net/fleet/section.py
+++ b/quincepier/net/fleet/section.py
@@ -1,4 +1,4 @@
-"""The section `agreement` of the operators' file: who votes, where voters keep logs, how long leases are."""
+"""The section `agreement` of the operators' file: who votes, where logs are stored, lease durations."""
 
 from __future__ import annotations
 
@@ -6,37 +6,67 @@
 
 import msgspec
 
+MIN_VOTERS = 3
+MAX_VOTERS = 7
+MAX_NAME_LENGTH = 64
+MAX_PORT = 65_535
+MAX_QUOTED_LENGTH = 60  # characters of a wrong value that a message repeats
+MIN_REPORTS_PER_LEASE = 3  # so that a lost report does not end a lease
 Address = Annotated[str, msgspec.Meta(min_length=3, max_length=300)]
-VOTERS_LEAST, VOTERS_MOST = 3, 7
-LEASE_OF_REPORTS = 3  # reports that may be lost before a lease lapses
 
 
-class AgreementSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Needs the section `members`. `{name}` in `folder` stands for the front's own name."""
+class AgreementSection(
+    msgspec.Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={
+        "lease_duration_ms": "lease_ms",
+        "report_interval_ms": "report_ms",
+        "statistics_window_s": "span_s",
+        "startup_timeout_ms": "first_ms",
+    },
+):
+    """The section as it was read. It needs the section `members`.
 
-    voters: dict[str, Address]  # name of a front and where its words between fronts are taken
+    Attributes:
+        voters: Address of each voter by its name, for messages between fronts.
+        folder: Where the front stores its log and version; `{name}` stands for its own name.
+        lease_duration_ms: Duration of a lease.
+        report_interval_ms: Between two reports of a front.
+        statistics_window_s: The longest that the counts of a report cover.
+        startup_timeout_ms: For how long a start waits for a version.
+    """
+
+    voters: dict[str, Address]
     folder: Annotated[str, msgspec.Meta(min_length=1, max_length=4000)]
-    lease_ms: Annotated[int, msgspec.Meta(ge=300, le=60_000)] = 1500
-    report_ms: Annotated[int, msgspec.Meta(ge=50, le=20_000)] = 250
-    span_s: Annotated[int, msgspec.Meta(ge=1, le=60)] = 10  # that the counts of a report are of
-    first_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 3000  # a start waits so long for a version
+    lease_duration_ms: Annotated[int, msgspec.Meta(ge=300, le=60_000)] = 1500
+    report_interval_ms: Annotated[int, msgspec.Meta(ge=50, le=20_000)] = 250
+    statistics_window_s: Annotated[int, msgspec.Meta(ge=1, le=60)] = 10
+    startup_timeout_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)] = 3000
 
     def __post_init__(self) -> None:
-        if not VOTERS_LEAST <= len(self.voters) <= VOTERS_MOST or len(self.voters) % 2 == 0:
+        if not MIN_VOTERS <= len(self.voters) <= MAX_VOTERS or len(self.voters) % 2 == 0:
             raise ValueError(f"voters names {len(self.voters)} fronts: name 3, 5 or 7")
         for name, address in self.voters.items():
-            host, colon, port = address.rpartition(":")
-            if not 1 <= len(name) <= 64:
-                raise ValueError("voters holds a name of 0 or over 64 characters")
-            if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-                raise ValueError(f"voters.{name} holds {address[:60]!r}, not host:port")
+            _check_voter(name, address)
         if len(set(self.voters.values())) < len(self.voters):
             raise ValueError("voters holds one address twice: each voter has its own")
         if not self.folder.startswith("/"):
-            raise ValueError(f"folder is {self.folder[:60]!r}: an absolute path is wanted")
-        if self.lease_ms < LEASE_OF_REPORTS * self.report_ms:
-            raise ValueError(f"lease_ms is under {LEASE_OF_REPORTS} times report_ms: a lost report ends it")
+            raise ValueError(f"folder is {self.folder[:MAX_QUOTED_LENGTH]!r}: an absolute path is wanted")
+        if self.lease_duration_ms < MIN_REPORTS_PER_LEASE * self.report_interval_ms:
+            raise ValueError(
+                f"lease_ms is under {MIN_REPORTS_PER_LEASE} times report_ms: a lost report ends it"
+            )
 
     def folder_of(self, name: str) -> str:
-        """The folder of the front of that name."""
+        """Return the folder of the front of that name."""
         return self.folder.replace("{name}", name)
+
+
+def _check_voter(name: str, address: str) -> None:
+    host, colon, port = address.rpartition(":")
+    if not 1 <= len(name) <= MAX_NAME_LENGTH:
+        raise ValueError("voters holds a name of 0 or over 64 characters")
+    is_port = port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
+    if not (host and colon and is_port):
+        raise ValueError(f"voters.{name} holds {address[:MAX_QUOTED_LENGTH]!r}, not host:port")
--- a/quincepier/net/fleet/version_diff.py
+++ b/quincepier/net/fleet/version_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two versions, as log lines: each step of an order or a move with its reason."""
+"""Log lines of a new version: each step of a maintenance task or a migration with its reason."""
 
 from __future__ import annotations
 
@@ -8,37 +8,73 @@
 
 from quincepier.rules import MaintenanceTask, Migration, RuleVersion
 
-LINES_MOST = 50  # of one version
+MAX_LINES_PER_VERSION = 50
 
 
-def log_version_change(before: RuleVersion, after: RuleVersion, why: str, took_ms: float) -> None:
-    """By whoever leads, once for a version; `took_ms` since it was proposed."""
-    told = logger.bind(
-        event="version agreed", number=after.number, term=after.term, why=why, took_ms=round(took_ms, 1)
+def log_version_change(before: RuleVersion, after: RuleVersion, reason: str, took_ms: float) -> None:
+    """Log a committed version and what it changes; the leader does, once for a version.
+
+    Args:
+        before: The version before it.
+        after: The version.
+        reason: Why it was proposed.
+        took_ms: Since it was proposed.
+    """
+    log = logger.bind(
+        event="version_committed",
+        number=after.number,
+        term=after.term,
+        reason=reason,
+        took_ms=round(took_ms, 1),
     )
-    told.info("version {} agreed in term {}: {}", after.number, after.term, why or "nothing told")
-    for n, (kind, entry, name) in enumerate(_differ(before, after)):
-        if n >= LINES_MOST:
+    log.info("version {} committed in term {}: {}", after.number, after.term, reason or "no reason given")
+    for count, entry in enumerate(_changed_entries(before, after)):
+        if count >= MAX_LINES_PER_VERSION:
             return
-        step = entry.step.name.lower()
-        fields: dict[str, object] = {"wish": entry.request_id, kind: name, "step": step, "why": entry.reason}
-        if isinstance(entry, Migration):
-            fields["part"] = entry.moved_slots
-        what = "order step" if kind == "machine" else "move step"
-        line = logger.bind(event=what, number=after.number, **fields)
-        line.info(
-            "{}: {} {} {}{}{}", what, entry.request_id, name, step, ": " if entry.reason else "", entry.reason
-        )
-
-
-def _differ(
-    before: RuleVersion, after: RuleVersion
-) -> Iterator[tuple[str, MaintenanceTask | Migration, str]]:
-    orders = {(o.request_id, o.target): o.step for o in before.maintenance_tasks}
-    for order in after.maintenance_tasks:
-        if orders.get((order.request_id, order.target)) != order.step:
-            yield "machine", order, order.target
-    moves = {m.request_id: (m.step, m.moved_slots) for m in before.migrations}
-    for move in after.migrations:
-        if moves.get(move.request_id) != (move.step, move.moved_slots):
-            yield "tenant", move, move.tenant
+        if isinstance(entry, MaintenanceTask):
+            _log_maintenance_step(after.number, entry)
+        else:
+            _log_migration_step(after.number, entry)
+
+
+def _changed_entries(before: RuleVersion, after: RuleVersion) -> Iterator[MaintenanceTask | Migration]:
+    step_by_task = {(task.request_id, task.target): task.step for task in before.maintenance_tasks}
+    for task in after.maintenance_tasks:
+        if step_by_task.get((task.request_id, task.target)) != task.step:
+            yield task
+    progress_by_request = {one.request_id: (one.step, one.moved_slots) for one in before.migrations}
+    for migration in after.migrations:
+        if progress_by_request.get(migration.request_id) != (migration.step, migration.moved_slots):
+            yield migration
+
+
+def _log_maintenance_step(number: int, task: MaintenanceTask) -> None:
+    step = task.step.name.lower()
+    log = logger.bind(
+        event="maintenance_step",
+        number=number,
+        request_id=task.request_id,
+        machine=task.target,
+        step=step,
+        reason=task.reason,
+    )
+    log.info("maintenance {}: {} {}{}", task.request_id, task.target, step, _reason_suffix(task.reason))
+
+
+def _log_migration_step(number: int, migration: Migration) -> None:
+    step = migration.step.name.lower()
+    log = logger.bind(
+        event="migration_step",
+        number=number,
+        request_id=migration.request_id,
+        tenant=migration.tenant,
+        step=step,
+        moved_slots=migration.moved_slots,
+        reason=migration.reason,
+    )
+    suffix = _reason_suffix(migration.reason)
+    log.info("migration {}: {} {}{}", migration.request_id, migration.tenant, step, suffix)
+
+
+def _reason_suffix(reason: str) -> str:
+    return f": {reason}" if reason else ""
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -1,7 +1,8 @@
-"""What a rule version does to this front's module: machines that drain, homes, and the cautious set.
+"""What a rule version does to this front's router: machines that drain, placements, and cautious mode.
 
-The module hears of no order: machines under one are list lines that drain. What was decided by a lease that
-has run out is never written: asked before each event of the module and before each command's first byte.
+The router knows of no maintenance task: cordoned machines are listed as draining. A command that was decided
+by a lease which has ended is never written: the lease is looked at before each event of the router and before
+each command's first byte.
 """
 
 from __future__ import annotations
@@ -25,182 +26,238 @@
 if TYPE_CHECKING:
     from quincepier.tenancy import PlacementTable
 
+LEASE_HELD_REASON = "a lease is held"
+
 
 class VersionEffects:
-    """Is the module actor's `settled`."""
+    """Puts the adopted version in force at the router; the module's actor asks it before it acts.
+
+    Attributes:
+        stored_version: Adopted by an earlier incarnation of this front, if any.
+        is_cautious: Whether the front is in cautious mode.
+        applied_number: Of the version in force at the router.
+        list_revision: Number in the change log of the last change of the endpoint list.
+        divergence_reason: Why its decisions are not to be trusted; empty if they are.
+        on_applied: Called after each change.
+    """
 
-    def __init__(self, module: ModuleActor, follower: Follower, bearing: ActiveRules, span: int) -> None:
-        self.module, self.follower, self.active_rules = module, follower, bearing
+    def __init__(
+        self, module: ModuleActor, follower: Follower, active_rules: ActiveRules, window_s: int
+    ) -> None:
+        self.module = module
+        self.follower = follower
+        self.active_rules = active_rules
         self.checks = module.checks
-        self.overlay = EndpointOverlay(module.directory.host_by_number)
-        self.counters = ReportCounters(module.config.settings.classes, clock.now(), span)
-        self.placements: PlacementTable | None = None
-        self.stored_version: RuleVersion | None = None  # of an earlier start
-        self.is_cautious, self.cautious_since_ns = True, clock.boot()
-        self.is_uncertain = False
-        self.applied_number, self.change_log_sequence, self.list_revision, self.divergence_reason = (
-            -1,
-            0,
-            0,
-            "",
-        )
-        self.applied_file_count = -1
-        self.on_applied: Callable[[], None] = lambda: None  # told after each change
-        self.is_updating_list = False
-        self.unusable_number = -1  # the number of a version of which the homes can't be used
-        self.last_usable_version = initial_version()  # the last version of which they could
+        self.stored_version: RuleVersion | None = None
+        self.is_cautious = True
+        self.applied_number = -1
+        self.list_revision = 0
+        self.divergence_reason = ""
+        self.on_applied: Callable[[], None] = lambda: None
+        self._overlay = EndpointOverlay(module.directory.host_by_number)
+        self._counters = ReportCounters(module.config.settings.classes, clock.now(), window_s)
+        self._placements: PlacementTable | None = None
+        self._cautious_since_ns = clock.boot()
+        self._may_lack_migrations = False
+        self._change_log_sequence = 0
+        self._applied_file_count = -1
+        self._is_updating_list = False
+        self._unusable_number = -1  # of a version whose placements can't be used
+        self._last_usable_version = initial_version()
 
     @property
     def version(self) -> RuleVersion:
-        """By which this front decides, or, before its first answer, keeps to its cautious set: what a voter
-        reads from its own log at the start may be older than what its earlier start was told.
+        """The version by which this front decides.
+
+        Before the first answer of a leader it is the stored one, where that is newer: what a voter reads from
+        its own log at the start may be older than what its earlier incarnation was granted.
         """
-        known, kept = self.follower.version, self.stored_version
-        if kept is not None and self.follower.lease.is_awaiting_first_answer() and kept.number > known.number:
-            return kept
-        return known
-
-    def caution_reason(self, now: int) -> str:
-        """Why this front is to be cautious; empty where it is not."""
-        if self.unusable_number == self.version.number:
+        adopted, stored = self.follower.version, self.stored_version
+        is_waiting = self.follower.lease.is_awaiting_first_answer()
+        if stored is not None and is_waiting and stored.number > adopted.number:
+            return stored
+        return adopted
+
+    def caution_reason(self, now_ns: int) -> str:
+        """Return why this front must be in cautious mode; empty if it need not be."""
+        if self._unusable_number == self.version.number:
             return "a version that can't be used"
-        if self.follower.is_cautious(now):
-            return "no lease yet" if not self.follower.has_held_lease else "its lease has run out"
+        if self.follower.is_cautious(now_ns):
+            return "its lease has run out" if self.follower.has_held_lease else "no lease yet"
         return self.divergence_reason
 
-    def apply(self, why: str = "") -> None:
-        """Put the version, and whether this front is cautious, in force at the module. Cheap where nothing
-        has changed.
+    def apply(self, reason: str = "") -> None:
+        """Put the version and the mode in force at the router; cheap where nothing has changed.
+
+        Args:
+            reason: For the log, why cautious mode may have ended.
         """
-        now, version = clock.boot(), self.version
-        reason = self.caution_reason(now)
-        cautious = bool(reason)
-        if cautious != self.is_cautious:
-            self.cautious_since_ns = now
-        # a move may have begun since that this front can't know of
-        spoilt = version.number == self.unusable_number
-        unsure = spoilt or (
-            cautious and (not version.number or now - self.cautious_since_ns > self.active_rules.notice_ns)
-        )
-        as_before = (version.number, cautious, unsure) == (
-            self.applied_number,
-            self.is_cautious,
-            self.is_uncertain,
-        )
-        if as_before and self.applied_file_count == self.active_rules.file_count:
+        now_ns = clock.boot()
+        version = self.version
+        caution_reason = self.caution_reason(now_ns)
+        is_cautious = bool(caution_reason)
+        if is_cautious != self.is_cautious:
+            self._cautious_since_ns = now_ns
+        may_lack_migrations = self._may_lack_migrations_at(now_ns, version, is_cautious)
+        if not self._has_changed(version, is_cautious, may_lack_migrations):
             return
-        self.applied_file_count = (
-            self.active_rules.file_count
-        )  # another file tells tenants apart in another way
-        try:
-            homes = self.active_rules.placement_table(
-                self.last_usable_version if spoilt else version, cautious, unsure
-            )
-        except QuincepierError as error:  # its orders hold all the same, and no lease is had by it
-            self.checks.event("rule version not taken", error.line())
-            if not spoilt:
-                self.unusable_number = version.number
-                self.apply(why)
+        was_unusable = version.number == self._unusable_number
+        if not self._update_placements(version, is_cautious, may_lack_migrations):
+            if not was_unusable:
+                self.apply(reason)
             return
-        if not spoilt:
-            self.last_usable_version = version
         if version.number != self.applied_number:
-            self.counters.reset(clock.now())
-        changed = cautious != self.is_cautious
-        self.applied_number, self.is_cautious, self.is_uncertain = version.number, cautious, unsure
-        self.placements = homes
-        if changed and cautious:
+            self._counters.reset(clock.now())
+        is_mode_changed = is_cautious != self.is_cautious
+        self.applied_number = version.number
+        self.is_cautious = is_cautious
+        self._may_lack_migrations = may_lack_migrations
+        if is_mode_changed and is_cautious:
             self._take_back_unsafe_attempts()
-        self.module.router.homes = self.placements
-        leaving = self.active_rules.cordoned_hosts(version, cautious)
-        news = self.overlay.set_cordoned(
-            leaving, [e.machine for e in self.module.directory.entry_by_host.values()]
-        )
-        if changed:
-            self.checks.count("cautious set entered" if cautious else "cautious set left")
-            what = "cautious entered" if cautious else "cautious left"
-            told = logger.bind(event=what, why=reason or why, number=version.number, machines=len(leaving))
-            told.info("{}: {}; version {}", what, reason or why or "a lease is held", version.number)
-        if news is not None:
-            self.is_updating_list = True
-            try:
-                self.module.told_of_list(news)
-            finally:
-                self.is_updating_list = False
+        self.module.router.homes = self._placements
+        cordoned = self.active_rules.cordoned_hosts(version, is_cautious)
+        listed = [entry.machine for entry in self.module.directory.entry_by_host.values()]
+        update = self._overlay.set_cordoned(cordoned, listed)
+        if is_mode_changed:
+            self._log_mode(caution_reason or reason, version.number, len(cordoned))
+        if update is not None:
+            self._update_list(update)
         self.on_applied()
 
+    def _may_lack_migrations_at(self, now_ns: int, version: RuleVersion, is_cautious: bool) -> bool:
+        """Whether a migration may have started that this front does not know of."""
+        if version.number == self._unusable_number:
+            return True
+        cautious_for_ns = now_ns - self._cautious_since_ns
+        return is_cautious and (not version.number or cautious_for_ns > self.active_rules.grace_period_ns)
+
+    def _has_changed(self, version: RuleVersion, is_cautious: bool, may_lack_migrations: bool) -> bool:
+        # Another file tells tenants apart in another way.
+        return (
+            version.number != self.applied_number
+            or is_cautious != self.is_cautious
+            or may_lack_migrations != self._may_lack_migrations
+            or self._applied_file_count != self.active_rules.file_count
+        )
+
+    def _update_placements(self, version: RuleVersion, is_cautious: bool, may_lack_migrations: bool) -> bool:
+        """Place requests by the version, or by the last usable one; False where it can't be used."""
+        self._applied_file_count = self.active_rules.file_count
+        is_unusable = version.number == self._unusable_number
+        placed_version = self._last_usable_version if is_unusable else version
+        try:
+            placements = self.active_rules.placement_table(placed_version, is_cautious, may_lack_migrations)
+        except QuincepierError as error:
+            # Its maintenance tasks are in force all the same, and no lease is held by it.
+            self.checks.event("rule_version_rejected", error.line())
+            self._unusable_number = version.number
+            return False
+        if not is_unusable:
+            self._last_usable_version = version
+        self._placements = placements
+        return True
+
     def _take_back_unsafe_attempts(self) -> None:
-        """What may not be repeated and is not written goes back to the module: after a standstill its time is
-        over, and the tenant may be served at another home. Machines are seen to by their list lines.
+        """Return unsafe attempts that are not written to the router.
+
+        After a process pause their time is over, and the tenant may be served at another shard. Other
+        attempts are seen to by the endpoint list.
         """
         for request in list(self.module.requests.request_by_number.values()):
             if request.tenant and self.active_rules.is_unsafe_class[request.class_index]:
                 for attempt in request.attempts:
                     self.module.take_back(attempt)
 
-    # As the module's actor asks
+    def _log_mode(self, reason: str, number: int, cordoned: int) -> None:
+        self.checks.count("cautious_mode_entries" if self.is_cautious else "cautious_mode_exits")
+        event = "cautious_mode_entered" if self.is_cautious else "cautious_mode_left"
+        log = logger.bind(event=event, reason=reason, number=number, machines=cordoned)
+        verb = "entered" if self.is_cautious else "left"
+        log.info("cautious mode {}: {}; version {}", verb, reason or LEASE_HELD_REASON, number)
+
+    def _update_list(self, update: EndpointUpdate) -> None:
+        self._is_updating_list = True
+        try:
+            self.module.told_of_list(update)
+        finally:
+            self._is_updating_list = False
+
+    # What the module's actor asks and tells (net/settled.py).
 
     def stale(self) -> bool:
-        """Whether a command decided before may not hold any more: looked at right before its first byte."""
+        """Whether a command decided before may not hold any more; asked right before its first byte."""
         return not self.is_cautious and self.follower.is_cautious(clock.boot())
 
-    def before(self, now: int) -> None:
-        if not self.is_cautious and not self.is_updating_list and self.follower.is_cautious(clock.boot()):
-            try:
-                self.apply()
-            except Exception as error:  # a defect: the request that is decided next is not to fail for it
-                self.checks.event("exception in the fleet", f"{type(error).__name__}: {error}")
+    def before(self, now: int) -> None:  # noqa: ARG002 - the router's clock stops while a machine sleeps
+        """Enter cautious mode before the router's next event if the lease has ended."""
+        if self._is_updating_list or not self.stale():
+            return
+        try:
+            self.apply()
+        except Exception as error:  # noqa: BLE001 - a defect must not fail the request decided next
+            event = "exception_in_agreement_node"
+            self.checks.event(event, f"{type(error).__name__}: {error}")
+            logger.opt(exception=error).bind(event=event).debug("{} with its traceback", event)
 
     def listed(self, news: EndpointUpdate) -> EndpointUpdate:
-        if self.placements is not None:
-            self.placements.renew()
-        return self.overlay.overlay(news)
+        """Return an update of the endpoint list as the router is to hear it."""
+        if self._placements is not None:
+            self._placements.renew()
+        return self._overlay.overlay(news)
 
     def heard(self, seq: int, of_list: bool) -> None:
-        self.change_log_sequence = max(self.change_log_sequence, seq)
+        """The change log was read up to a number; `of_list`: that entry changes the endpoint list."""
+        self._change_log_sequence = max(self._change_log_sequence, seq)
         if of_list:
-            self.list_revision = self.change_log_sequence
+            self.list_revision = self._change_log_sequence
 
     def came(self, event: RequestReceived, request: OpenRequest) -> None:
-        event.tenant, request.tenant = self.active_rules.tenant_of(request.object_key)
-        if self.placements is not None:
+        """Set the tenant and the shard of a request that was received."""
+        tenant = self.active_rules.tenant_of(request.object_key)
+        event.tenant = tenant.number
+        request.tenant = tenant.name
+        if self._placements is not None:
             is_unsafe = self.active_rules.is_unsafe_class[request.class_index]
-            request.shard = self.placements.decide(
-                event.tenant, event.object, not is_unsafe, event.repeat
-            ).shard
+            placement = self._placements.decide(event.tenant, event.object, not is_unsafe, event.repeat)
+            request.shard = placement.shard
 
     def sent(self, attempt: OpenAttempt, now: int) -> None:
-        self.counters.on_sent(attempt, now)
+        """Count a command that is sent."""
+        self._counters.on_sent(attempt, now)
 
     def ended(self, attempt: OpenAttempt, note: CacheStatus) -> None:
+        """Count an attempt that was completed."""
         if note is not CacheStatus.NONE:
-            self.counters.on_attempt_completed(attempt.request, note, clock.now())
+            self._counters.on_attempt_completed(attempt.request, note, clock.now())
 
     def answered(self, request: OpenRequest, status: int) -> None:
-        self.counters.on_answered(request, status, clock.now())
+        """Count the final response of a request."""
+        self._counters.on_answered(request, status, clock.now())
 
-    # What is reported
+    # What is reported to the leader.
 
     def report(self) -> FrontReport:
-        module, now = self.module, clock.now()
-        hosts, number = module.directory.host_by_number, self.follower.version.number
-        aside = [
+        """Return this front's report."""
+        number = self.follower.version.number
+        base = FrontReport(
+            front=self.follower.name,
+            incarnation=self.follower.incarnation,
+            version_number=max(number - 1, 0) if number == self._unusable_number else number,
+            digest=self.follower.version_digest(),
+            is_cautious=self.is_cautious,
+            window_ms=0,
+            change_log_sequence=self._change_log_sequence,
+        )
+        requests = list(self.module.requests.request_by_number.values())
+        host_by_number = self.module.directory.host_by_number
+        return self._counters.report(clock.now(), base, requests, self._ejected_hosts(), host_by_number)
+
+    def _ejected_hosts(self) -> list[str]:
+        return [
             entry.record.host
-            for entry in module.directory.entry_by_host.values()
+            for entry in self.module.directory.entry_by_host.values()
             if entry.machine.state is EndpointState.READY and self._is_ejected(entry.machine.cache)
         ]
-        about = FrontReport(
-            self.follower.name,
-            self.follower.incarnation,
-            max(number - 1, 0) if number == self.unusable_number else number,
-            self.follower.version_digest(),
-            self.is_cautious,
-            0,
-            change_log_sequence=self.change_log_sequence,
-        )
-        return self.counters.report(
-            now, about, list(module.requests.request_by_number.values()), aside, hosts
-        )
 
     def _is_ejected(self, number: int) -> bool:
         node = self.module.router.nodes.get(number)
--- a/quincepier/net/fleet/version_store.py
+++ b/quincepier/net/fleet/version_store.py
@@ -1,40 +1,102 @@
-"""The version that this front adopted last, kept over its starts.
+"""The version that a front adopted last, stored over its restarts.
 
-A front that starts anew in the middle of an order would else send to a machine that is being worked on until
-it hears of the order. What is kept counts for the cautious set alone, never as a version to decide by.
+A front that restarts in the middle of a maintenance task would otherwise send to a machine that is being
+worked on until it hears of the task. What is stored counts for cautious mode alone, never as a version to
+decide by.
 """
 
 from __future__ import annotations
 
 import os
+from collections.abc import Callable
 from pathlib import Path
 
+from quincepier.checks import Checks
+from quincepier.net.fleet.worker_thread import WorkerThread
 from quincepier.rules import RuleVersion, decode_version, encode_version
 from quincepier.rules.version import MAX_VERSION_BYTES
 
-NAME, NEW = "adopted", "adopted.new"
+FILE_NAME = "adopted"
+NEW_FILE_NAME = "adopted.new"
 
 
 class VersionStore:
-    """In a folder of this front alone. Blocking: for a thread."""
+    """The file of one front, in a folder of its own. Its calls block: they are for a thread."""
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
 
     def load(self) -> RuleVersion | None:
-        """None where there is none; OSError, or RulesError for one that is spoilt."""
+        """Read the stored version; None where there is none.
+
+        Raises:
+            OSError: It can't be read.
+            RulesError: It is damaged.
+        """
         try:
-            with (self.folder / NAME).open("rb") as file:
+            with (self.folder / FILE_NAME).open("rb") as file:
                 return decode_version(file.read(MAX_VERSION_BYTES + 1))
         except FileNotFoundError:
             return None
 
     def save(self, version: RuleVersion) -> None:
-        """Whole or not at all; OSError."""
+        """Replace the stored version atomically.
+
+        Raises:
+            OSError: It can't be written.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
-        fd = os.open(self.folder / NEW, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        new_path = self.folder / NEW_FILE_NAME
+        fd = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         with os.fdopen(fd, "wb") as file:
             file.write(encode_version(version))
             file.flush()
             os.fsync(file.fileno())
-        os.replace(self.folder / NEW, self.folder / NAME)
+        os.replace(new_path, self.folder / FILE_NAME)
+
+
+class VersionWriter:
+    """Stores each newer version that the front adopts; one write is under way at a time.
+
+    Args:
+        store: Where to.
+        thread: Runs the writes.
+        current_version: The version that the front has adopted.
+        checks: Counters.
+    """
+
+    def __init__(
+        self,
+        store: VersionStore,
+        thread: WorkerThread,
+        current_version: Callable[[], RuleVersion],
+        checks: Checks,
+    ) -> None:
+        self._store = store
+        self._thread = thread
+        self._current_version = current_version
+        self._checks = checks
+        self._number_to_store = 0
+        self._is_writing = False
+
+    def on_version_applied(self) -> None:
+        """Store the version if it is newer than any that was stored."""
+        number = self._current_version().number
+        if number > self._number_to_store:
+            self._number_to_store = number
+            self._write()
+
+    def _write(self) -> None:
+        if self._is_writing:
+            return
+        version = self._current_version()
+        self._is_writing = self._thread.submit(
+            lambda: self._store.save(version), lambda outcome: self._on_written(version, outcome)
+        )
+
+    def _on_written(self, version: RuleVersion, outcome: object) -> None:
+        self._is_writing = False
+        if isinstance(outcome, Exception):
+            self._checks.event("version_not_stored", str(outcome))
+        elif self._number_to_store > version.number:
+            self._write()
--- a/quincepier/net/fleet/worker_thread.py
+++ b/quincepier/net/fleet/worker_thread.py
@@ -64,7 +64,7 @@
             job = self._jobs.get()
             try:
                 outcome = job.work()
-            except Exception as error:  # the owner of the job gets it as the outcome
+            except Exception as error:  # noqa: BLE001 - the owner of the job gets it as the outcome
                 outcome = error
             try:
                 self.loop.call_soon_threadsafe(job.on_done, outcome)
--- a/tests/agreementrig.py
+++ b/tests/agreementrig.py
@@ -135,8 +135,8 @@
 
     async def leader(self, since: int = 0) -> int:
         """Who says last that it leads, after a moment."""
-        await self.line("leads", since)
-        return [line for line in self.said("leads") if line.at >= since][-1].front
+        await self.line("leadership_started", since)
+        return [line for line in self.said("leadership_started") if line.at >= since][-1].front
 
     @property
     def now(self) -> int:
@@ -214,8 +214,8 @@
     run = asyncio.run(asyncio.wait_for(rig.play(), 110))
     if rig.failed is not None:
         raise rig.failed
-    breaks = ("front_diverged", "unexplained_decision", "exception in the fleet",
-              "exception in a planner")  # fmt: skip
+    breaks = ("front_diverged", "unexplained_decision", "exception_in_agreement_node",
+              "exception_in_planner")  # fmt: skip
     assert not [line for event in breaks for line in rig.said(event)][:3]
     assert not run.void, run.void
     return run
@@ -227,7 +227,7 @@
     Lines are of whole milliseconds and written as the version is agreed; none may send from then on.
     """
     host = f"s-{cache}"
-    told = [line for line in rig.said("order step", machine=host) if line.at >= since]
+    told = [line for line in rig.said("maintenance_step", machine=host) if line.at >= since]
     empty = next(line.at for line in told if line.fields["step"] == "drained") + MS
     back = next(line.at for line in told if line.fields["step"] == "restored")
     late = rig.commands(cache, empty, back)
@@ -238,7 +238,7 @@
 def steps_of(rig: Fronts, cache: int) -> list[str]:
     """Steps of its order as they were agreed, told once each though by two leaders."""
     found: list[str] = []
-    for line in rig.said("order step", machine=f"s-{cache}"):
+    for line in rig.said("maintenance_step", machine=f"s-{cache}"):
         if line.fields["step"] not in found:
             found.append(line.fields["step"])
     return found
--- /dev/null
+++ b/tests/test_agreement_node.py
@@ -0,0 +1,38 @@
+"""The agreement of one front as a whole: its start, and what is imported without its sections."""
+
+from __future__ import annotations
+
+import asyncio
+import subprocess
+import sys
+from types import SimpleNamespace
+from typing import Any
+
+from quincepier.checks import Checks
+from quincepier.net.fleet.node import AgreementNode
+from tests.fleetkit import make_version
+from tests.test_version_effects import grant_lease, hear_version, make_front
+
+
+def test_a_start_waits_for_an_answer_and_not_for_a_version_heard_in_passing() -> None:
+    effects, follower, _ = make_front()
+    node: Any = SimpleNamespace(
+        effects=effects, follower=follower, has_first_answer=asyncio.Event(), checks=Checks()
+    )
+    hear_version(follower, make_version(4))
+    AgreementNode._on_followed(node, "a")
+    assert not node.has_first_answer.is_set()
+    grant_lease(follower, 4, 0)
+    AgreementNode._on_followed(node, "a")
+    assert node.has_first_answer.is_set()
+
+
+def test_nothing_of_it_is_imported_without_its_sections() -> None:
+    code = (
+        "import sys, quincepier.lifecycle.front, quincepier.lifecycle.operators\n"
+        "wrong = [m for m in sys.modules if m.startswith('quincepier.') and m.split('.')[1] in\n"
+        "         ('consensus', 'consistency', 'maintenance', 'membership', 'rules', 'tenancy')\n"
+        "         or m.startswith(('quincepier.net.fleet', 'quincepier.net.peers'))]\n"
+        "assert not wrong, wrong"
+    )
+    subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
--- /dev/null
+++ b/tests/test_version_effects.py
@@ -0,0 +1,194 @@
+"""What a rule version does to the router, without a process: cordoned machines, placements, cautious mode."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+
+from quincepier import clock
+from quincepier.checks import Checks
+from quincepier.interface import EndpointState, EndpointUpdate, Idempotency, UpdateScope
+from quincepier.maintenance import cordoned_hosts
+from quincepier.net.fleet.follower import Follower
+from quincepier.net.fleet.messages import LeaseGranted, VersionCommitted
+from quincepier.net.fleet.version_effects import VersionEffects
+from quincepier.net.fleet.version_store import VersionStore
+from quincepier.rules import LeaseGrant, RulesError, RuleVersion, encode_version
+from quincepier.tenancy import TenancyError
+from tests.fleetkit import (
+    DRAINING_TASK,
+    HOST_BY_NUMBER,
+    PENDING_TASK,
+    TIMINGS,
+    VOTERS,
+    make_endpoint,
+    make_report,
+    make_version,
+)
+
+DRAINING = make_endpoint(1, EndpointState.DRAINING)
+READY = make_endpoint(1, EndpointState.READY)
+
+
+def make_front(
+    stored: RuleVersion | None = None, effects_type: Any = VersionEffects
+) -> tuple[Any, Follower, list[EndpointUpdate]]:
+    """Effects, the follower that they rest on, and the updates that the router is told."""
+    updates: list[EndpointUpdate] = []
+    classes = (SimpleNamespace(effect=Idempotency.SAFE, worth=1.0, on_time=clock.SECOND),)
+    entry_by_host = {
+        host: SimpleNamespace(
+            machine=make_endpoint(number, EndpointState.READY), record=SimpleNamespace(host=host)
+        )
+        for number, host in HOST_BY_NUMBER.items()
+    }
+    module: Any = SimpleNamespace(
+        checks=Checks(),
+        directory=SimpleNamespace(host_by_number=HOST_BY_NUMBER, entry_by_host=entry_by_host),
+        config=SimpleNamespace(settings=SimpleNamespace(classes=classes)),
+        router=SimpleNamespace(homes=None, nodes={}),
+        requests=SimpleNamespace(request_by_number={}),
+        told_of_list=updates.append,
+    )
+    active_rules: Any = SimpleNamespace(
+        cordoned_hosts=lambda version, is_cautious: cordoned_hosts(version, is_cautious, "f"),
+        placement_table=lambda *arguments: None,
+        grace_period_ns=1 << 60,
+        file_count=1,
+    )
+    follower = Follower("f", VOTERS, 1, clock.boot(), TIMINGS, 7)
+    effects = effects_type(module, follower, active_rules, 10)
+    effects.stored_version = stored
+    return effects, follower, updates
+
+
+def hear_version(follower: Follower, version: RuleVersion) -> None:
+    follower.on_message(clock.boot(), "a", VersionCommitted(1, encode_version(version)))
+
+
+def grant_lease(follower: Follower, number: int, lease_ms: int = 1000) -> None:
+    follower.on_tick(follower.next_report_ns, lambda: make_report("f", number))
+    token = follower.lease.last_token
+    follower.lease.request_time_by_token[token] = clock.boot()
+    follower.on_message(clock.boot(), "a", LeaseGranted(1, LeaseGrant(1, token, number, lease_ms)))
+
+
+class TrustingEffects(VersionEffects):
+    """Mutant: a lease that has ended is not looked at before a decision."""
+
+    def before(self, now: int) -> None: ...
+
+    def stale(self) -> bool:
+        return False
+
+
+@pytest.mark.parametrize("effects_type", [VersionEffects, TrustingEffects])
+def test_a_front_whose_lease_ended_avoids_machines_with_active_tasks_before_its_next_decision(
+    effects_type: Any,
+) -> None:
+    effects, follower, updates = make_front(effects_type=effects_type)
+    hear_version(follower, make_version(2, PENDING_TASK))
+    effects.apply()
+    grant_lease(follower, 2)
+    effects.apply()
+    assert not effects.is_cautious and not effects.stale()
+    assert not updates[-1].machines[0].state.value
+    follower.lease.lease_until_ns = clock.boot()  # as after a process pause
+    is_safe = effects.stale()
+    effects.before(clock.now())
+    is_safe = is_safe and updates[-1].machines == (DRAINING,)
+    assert is_safe is (effects_type is VersionEffects)
+
+
+def test_a_restart_in_the_middle_of_a_task_avoids_what_was_stored(tmp_path: Path) -> None:
+    store = VersionStore(str(tmp_path))
+    assert store.load() is None
+    store.save(make_version(5, PENDING_TASK))
+    effects, follower, updates = make_front(store.load())
+    effects.apply()
+    assert updates[-1].machines[0].state is EndpointState.DRAINING
+    assert effects.report().version_number == 0
+    hear_version(follower, make_version(6))
+    effects.apply()
+    assert updates[-1].machines == (READY,)
+    (tmp_path / "adopted").write_bytes(b"damaged")
+    with pytest.raises(RulesError):
+        store.load()
+
+
+def test_an_older_version_heard_at_a_start_does_not_replace_the_stored_one() -> None:
+    """A voter that was behind reads version 4 from its own log; its earlier incarnation was granted 5."""
+    effects, follower, updates = make_front(make_version(5, DRAINING_TASK))
+    effects.apply()
+    hear_version(follower, make_version(4))
+    effects.apply()
+    assert updates[-1].machines == (DRAINING,) and effects.applied_number == 5
+    grant_lease(follower, 4)  # the voters have lost it: what they answer holds
+    effects.apply()
+    assert updates[-1].machines == (READY,) and effects.applied_number == 4
+
+
+def test_an_entry_of_the_change_log_does_not_end_a_task() -> None:
+    effects, follower, _ = make_front()
+    hear_version(follower, make_version(2, DRAINING_TASK))
+    grant_lease(follower, 2)
+    effects.apply()
+    update = effects.listed(EndpointUpdate(UpdateScope.CHANGES, (READY,)))
+    assert update.machines[0].state is EndpointState.DRAINING
+
+
+def test_a_version_whose_placements_are_unusable_gives_no_lease_and_its_tasks_are_in_force() -> None:
+    effects, follower, updates = make_front()
+    placed: list[tuple[int, bool, bool]] = []
+
+    def placement_table(version: RuleVersion, is_cautious: bool, may_lack_migrations: bool) -> Any:
+        if version.number == 3:
+            raise TenancyError("a cache is in two shards", "rule version 3")
+        return placed.append((version.number, is_cautious, may_lack_migrations))
+
+    effects.active_rules.placement_table = placement_table
+    hear_version(follower, make_version(2))
+    grant_lease(follower, 2)
+    effects.apply()
+    hear_version(follower, make_version(3, DRAINING_TASK))
+    effects.apply()
+    effects.apply()
+    report = effects.report()
+    assert effects.is_cautious and report.version_number == 2 and report.is_cautious
+    assert updates[-1].machines == (DRAINING,)
+    assert placed == [(2, False, False), (2, True, True)]  # unsafe requests are refused
+    hear_version(follower, make_version(4, DRAINING_TASK))
+    grant_lease(follower, 4)
+    effects.apply()
+    assert not effects.is_cautious and effects.report().version_number == 4
+
+
+class LenientEffects(VersionEffects):
+    """Mutant: what was decided by the lease that has ended is written by and by."""
+
+    def _take_back_unsafe_attempts(self) -> None: ...
+
+
+@pytest.mark.parametrize("effects_type", [VersionEffects, LenientEffects])
+def test_an_unsafe_attempt_that_is_not_written_does_not_outlast_the_lease(effects_type: Any) -> None:
+    """After a process pause the node's own tick may come before the writer's, and its look at the lease."""
+    effects, follower, _ = make_front(effects_type=effects_type)
+    taken_back: list[str] = []
+    effects.active_rules.is_unsafe_class = [True, False]
+    effects.module.take_back = taken_back.append
+    for number, (tenant, class_index) in enumerate((("acme", 0), ("acme", 1), ("", 0))):
+        effects.module.requests.request_by_number[number] = SimpleNamespace(
+            tenant=tenant, class_index=class_index, attempts=[f"{tenant} {class_index}"]
+        )
+    hear_version(follower, make_version(2))
+    grant_lease(follower, 2)
+    effects.apply()
+    assert not effects.is_cautious and not taken_back
+    follower.lease.lease_until_ns = clock.boot()
+    effects.apply()
+    effects.apply()
+    assert not effects.stale()
+    assert (taken_back == ["acme 0"]) is (effects_type is VersionEffects)
