--- a/tests/test_agreement_processes.py
+++ b/tests/test_agreement_processes.py
@@ -93,7 +93,9 @@
         cut.append(rig.now)
         few.append(some)
         rig.between(some, others, "cut")
-        await rig.until(lambda: all(rig.said("cautious_mode_entered", (n,)) for n in some), "both are cautious")
+        await rig.until(
+            lambda: all(rig.said("cautious_mode_entered", (n,)) for n in some), "both are cautious"
+        )
         await rig.leader(cut[0])
         await rig.line("maintenance_step", machine="s-1", step="drained")
         rig.work(1, 1.0)
@@ -159,7 +161,9 @@
     run = told(rig)
     assert not run.accused and not run.figures.broken, (run.accused, run.figures.first_broken)
     kept_from(rig, 1, again[0] if lost else 0)
-    steps = [line.fields["step"] for line in rig.said("maintenance_step", machine="s-1") if line.at > again[0]]
+    steps = [
+        line.fields["step"] for line in rig.said("maintenance_step", machine="s-1") if line.at > again[0]
+    ]
     assert steps == (WHOLE if lost else WHOLE[3:])
 
 
@@ -214,7 +218,9 @@
         some = (first, 3)
         alone.extend(some)
         rig.between(some, tuple(n for n in range(5) if n not in some), "cut")
-        await rig.until(lambda: all(rig.said("cautious_mode_entered", (n,)) for n in some), "both are cautious")
+        await rig.until(
+            lambda: all(rig.said("cautious_mode_entered", (n,)) for n in some), "both are cautious"
+        )
         rig.wish(SHARDS + "  moves: [{id: m1, tenant: acme, to: north, rollback: true}]\n")
         await rig.line("migration_step", tenant="acme", step="rolled_back")
         rig.between(some, tuple(n for n in range(5) if n not in some), "cut", heal=True)
