--- a/quincepier/lab/moves.py
+++ b/quincepier/lab/moves.py
@@ -1,4 +1,4 @@
-"""A tenant's move in virtual time: the real `advance` and `place`, virtual fronts, two homes, a leader.
+"""A tenant's migration in virtual time: the real `advance` and `place_request`, two shards, a leader.
 
 Fronts are told versions, report and are granted leases; requests come by a heavy-tailed choice of objects, a
 copy lasts its time, and fills of all share one link that queues. Caches are one memory a home, agreement is a
@@ -70,20 +70,20 @@
 
 
 class Fleet:
-    """`way`: "none", "steps" (a wish to move), or "at once" (all keys with one version)."""
+    """`way`: "none", "steps" (a requested migration), or "at once" (all keys with one version)."""
 
     def __init__(self, fronts: int, seed: int, way: str, kill_at: MigrationStep | None = None) -> None:
         self.random, self.way, self.kill_at = random.Random(seed), way, kill_at
         self.fronts = [Front() for _ in range(fronts)]
         self.names = [f"f{n}" for n in range(fronts)]
-        line = MigrationRequest("m", "acme", "north")
+        request = MigrationRequest("m", "acme", "north")
         section = TenantsSection(
             {"north": ShardSettings(("n-1", "n-2"))},
             {"acme": TenantSettings(("00",))},
-            (line,),
+            (request,),
             grace_period_s=5,
         )
-        self.wishes = MigrationPolicy(section, 20 * SECOND, 5 * SECOND)
+        self.policy = MigrationPolicy(section, 20 * SECOND, 5 * SECOND)
         shards = (Shard("north", ("n-1", "n-2")),)
         self.version = RuleVersion(1, 1, (), (), shards, (TenantPlacement("acme", ""),))
         hosts = ("n-1", "n-2", "c-1", "c-2")
@@ -188,7 +188,7 @@
             self.machines, (), "", True, {}, ages,
             self.now - max(self.agreed_at, self.leads_from),
         )  # fmt: skip
-        change = advance(self.version, self.wishes, seen)
+        change = advance(self.version, self.policy, seen)
         if change is None:
             return
         before = self.version.migrations[-1].step if self.version.migrations else None
@@ -214,15 +214,15 @@
         chance, n = self.random, self.random.randrange(len(self.fronts))
         front, moved = self.fronts[n], self.random.random() < 0.25
         key = bisect(self.weights, chance.random() * self.weights[-1]) + 10_000 * moved
-        once = chance.random() < KEYED_PART
-        repeat = once and chance.random() < 0.05
+        is_unsafe = chance.random() < KEYED_PART
+        repeat = is_unsafe and chance.random() < 0.05
         home, closed = (
             "north" if moved and front.move and front.move.step is MigrationStep.COMPLETED else "",
             False,
         )
         if moved and front.move is not None and front.move.is_active:
             home, closed = place_request(
-                front.move, slot_of_key(key), not once, repeat, self.now >= front.until
+                front.move, slot_of_key(key), not is_unsafe, repeat, self.now >= front.until
             )
         in_time = hit = fill = False
         if closed:
@@ -230,10 +230,10 @@
             if not repeat and front.refused_from < 0:
                 front.refused_from = self.now
         else:
-            if moved and once and front.refused_from >= 0:
+            if moved and is_unsafe and front.refused_from >= 0:
                 self.gaps.append((self.now - front.refused_from) / MS)
                 front.refused_from = -1
-            hit = once or self.copies[home == "north"].get(key, 0) > self.now
+            hit = is_unsafe or self.copies[home == "north"].get(key, 0) > self.now
             fill = not hit
             in_time = hit or self.fill(home, key)
         self.sums["acme" if moved else "other"] += 1
--- a/quincepier/lab/orders.py
+++ b/quincepier/lab/orders.py
@@ -104,7 +104,7 @@
         self.faults, self.turns = faults or Faults(), list[tuple[int, int, Callable[[], None]]]()
         self.count = 0
         self.pace = LeaseTimings(max_attempt_ns=2 * SECOND)
-        self.wishes = MaintenanceSection(
+        self.section = MaintenanceSection(
             (MaintenanceRequest("all", kind="cache"),),
             unavailable_limits=UnavailableByKind(
                 unavailable_limits or UnavailableLimits(1, max(machines // 10, 1))
@@ -297,7 +297,7 @@
             leader.name,
             recently_dead=[f.name for f in self.fronts if not f.alive],
         )
-        found = plan(version, self.wishes, seen).change
+        found = plan(version, self.section, seen).change
         if found is not None:
             self.agreeing = True
             self.after(AGREE, self.commit, leader, apply_changes(version, 1, (found,)))
--- a/quincepier/tenancy/placement.py
+++ b/quincepier/tenancy/placement.py
@@ -12,9 +12,9 @@
 from quincepier.rules import Migration, MigrationStep, RuleVersion
 from quincepier.rules.version import HASH_SLOTS
 from quincepier.tenancy.errors import TenancyError
+from quincepier.tenancy.section import DEFAULT_SHARD
 from quincepier.tenancy.tenant_lookup import NO_TENANT, TenantLookup
 
-DEFAULT_SHARD = ""  # as a rule version names it
 KEY_MASK = (1 << 64) - 1
 
 
@@ -156,11 +156,9 @@
         # The shard has lost its last cache: only safe requests may run elsewhere.
         if is_safe:
             return self._home_by_placement[RequestPlacement(DEFAULT_SHARD, False)]
-        return (
-            home
-            if placement.is_rejected
-            else self._home_by_placement[RequestPlacement(placement.shard, True)]
-        )
+        if placement.is_rejected:
+            return home
+        return self._home_by_placement[RequestPlacement(placement.shard, True)]
 
     def decide(self, tenant: int, key: int, is_safe: bool, is_retry: bool) -> RequestPlacement:
         """Return the request's shard and whether it is rejected, whatever machines are listed."""
--- a/quincepier/tenancy/planner.py
+++ b/quincepier/tenancy/planner.py
@@ -13,7 +13,7 @@
 )
 from quincepier.rules.version import HASH_SLOTS, MAX_MIGRATIONS
 from quincepier.tenancy.migration import MigrationContext, next_migration
-from quincepier.tenancy.section import DEFAULT_SHARD_NAME, MigrationRequest
+from quincepier.tenancy.section import DEFAULT_SHARD_NAME, MigrationRequest, shard_of_name
 from quincepier.tenancy.write_pause import MigrationPolicy
 
 MAX_RETAINED_MIGRATIONS = 32  # of requests that are gone from the file
@@ -154,8 +154,7 @@
         for name, tenant in sorted(self.section.tenant_by_name.items()):
             if any(placement.tenant == name for placement in self.placements):
                 continue
-            shard = "" if tenant.home_shard == DEFAULT_SHARD_NAME else tenant.home_shard
-            self.placements.append(TenantPlacement(name, shard))
+            self.placements.append(TenantPlacement(name, shard_of_name(tenant.home_shard)))
             self.reasons.append(f"{name} placed at {tenant.home_shard}")
 
     def to_change(self) -> VersionChange | None:
--- a/quincepier/tenancy/section.py
+++ b/quincepier/tenancy/section.py
@@ -16,7 +16,8 @@
 
 MS = 1_000_000  # nanoseconds
 SECOND = 1000 * MS
-DEFAULT_SHARD_NAME = "common"  # in the file and in reports; a rule version has "" for it
+DEFAULT_SHARD_NAME = "common"  # in the file and in reports
+DEFAULT_SHARD = ""  # in a rule version
 MAX_PREFIXES = 64
 MAX_CACHES = 4096
 MAX_NAME_CHARS = 64
@@ -33,6 +34,11 @@
 }
 
 
+def shard_of_name(name: str) -> str:
+    """Return a shard as a rule version names it, from its name in the file."""
+    return DEFAULT_SHARD if name == DEFAULT_SHARD_NAME else name
+
+
 class ShardSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Host ids of a shard's caches and of the parents behind them; no parents named: all of them."""
 
@@ -85,8 +91,8 @@
 
     @property
     def target_shard(self) -> str:
-        """The target as a rule version names it: "" for the default shard."""
-        return "" if self.target == DEFAULT_SHARD_NAME else self.target
+        """The target as a rule version names it."""
+        return shard_of_name(self.target)
 
     @property
     def last_step(self) -> MigrationStep:
