--- a/Makefile
+++ b/Makefile
@@ -16,12 +16,13 @@
 demo: $(VENV)/made
 	$(PYTHON) -m quincepier lab fleet experiments/demo.yaml --report demo.html
 
-# PACKAGE=consensus runs one package's alone (tests/packages.py); WORKERS=8: so many side by side.
-WORKERS := 0
+# Side by side, a process for each core and ten at most; WORKERS=0: one after the other. PACKAGE=consensus runs one
+# package's tests alone (tests/packages.py); OPTIONS: more words for pytest, such as OPTIONS='-m "not fleet"'.
+WORKERS := auto
 SIDE_BY_SIDE := -n $(WORKERS) --maxprocesses 10 --dist loadgroup --no-loadscope-reorder
 
 test: $(VENV)/made
-	$(PYTHON) -m pytest -q -p no:cacheprovider $(SIDE_BY_SIDE) $(if $(PACKAGE),--package $(PACKAGE))
+	$(PYTHON) -m pytest -q -p no:cacheprovider $(SIDE_BY_SIDE) $(if $(PACKAGE),--package $(PACKAGE)) $(OPTIONS)
 
 # What the bench needs beside the deployments of our own: the words of its wire, its figures, its troubles.
 sites:
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 import socket
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -26,7 +27,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.wire.changelog import BadRecord, read_changes
 from tests.frontkit import Inbox, host, open_request, raw_config
-from tests.loopback import own_port
+from tests.loopback import EACH, own_port
 from tests.standins import until
 
 BUDGET = MemoryBudget(max_buffers=4000, max_body_bytes=1 << 24, max_open_requests=8192)
@@ -38,7 +39,15 @@
     """Its doors are shut and opened again, so their ports are its own."""
 
     def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
-        return super()._listen(kind, text or (None if kind == "unix" else f"{kind}:{own_port()}"), backlog)
+        left = EACH
+        if text or kind == "unix":
+            return super()._listen(kind, text, backlog)
+        while True:  # all of them are ours, yet one may still be held by a test that failed
+            try:
+                return super()._listen(kind, f"{kind}:{own_port()}", backlog)
+            except OSError as error:
+                if error.errno != errno.EADDRINUSE or not (left := left - 1):
+                    raise
 
 
 class Inside:
