--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -83,7 +83,9 @@
 
     async def request(self) -> float:
         self.part += 1
-        self.inside.module.router.extra = 40.0  # the budget of further attempts is not what is measured
+        self.inside.module.router.retry_budget.tokens = (
+            40.0  # the budget of further attempts is not what is measured
+        )
         came: asyncio.Future[tuple[float, Any]] = asyncio.get_running_loop().create_future()
         began = time.perf_counter()
         _, inbox, _ = self.inside.ask(SAFE, self.part % 60_000)
--- a/quincepier/consistency/decision_recorder.py
+++ b/quincepier/consistency/decision_recorder.py
@@ -42,8 +42,8 @@
         """An attempt that is about to be made; machines as the module's nodes, or by number."""
         if xxhash.xxh3_64_intdigest(e.request.to_bytes(8, "little"), self.seed) >= self.below:
             return
-        at = node if isinstance(node, int) else node.machine.cache
-        by = -1 if source is None else source if isinstance(source, int) else source.machine.cache
+        at = node if isinstance(node, int) else node.endpoint.cache
+        by = -1 if source is None else source if isinstance(source, int) else source.endpoint.cache
         # under the version that it came by, though there may be a newer one by now
         home = getattr(self.router.requests.get(e.request), "home", None)
         seen = decision_record(self.router, e, at, by, self.before.get(e.request), home, self.how)
@@ -61,13 +61,16 @@
 
 def stale_rankings(router: Router, most: int = 64, how: Arithmetic = STANDARD_ARITHMETIC) -> int:
     """Of the last `most` rankings in the module's memory, how many are not what its list gives now."""
-    kept = list(router.ranks.items())[-most:]
+    kept = list(router.placement.rankings.items())[-most:]
     stale = 0
     for at, ranked in kept:
         key, whole = (at, True) if isinstance(at, int) else (at[0], False)  # the others are of one home
-        numbers = [n.machine.cache for n in ranked]
-        sized = router.s.sizes_compare
-        groups = (order(group, key, sized, True, how) for group in (router.edges, router.parents))
+        numbers = [n.endpoint.cache for n in ranked]
+        sized = router.settings.sizes_compare
+        groups = (
+            order(group, key, sized, True, how)
+            for group in (router.placement.table.caches, router.placement.table.parents)
+        )
         stale += all([n for n in group if whole or n in numbers] != numbers for group in groups)
     return stale
 
@@ -78,14 +81,20 @@
     """
 
     def memory(zone: int, key: int) -> Sequence[int] | None:
-        group = router.parents if zone < 0 else router.edges if zone == router.s.zone else None
-        if not group or any(n.step for n in group):
+        group = (
+            router.placement.table.parents
+            if zone < 0
+            else router.placement.table.caches
+            if zone == router.settings.zone
+            else None
+        )
+        if not group or any(n.weight_step for n in group):
             return None
-        upper = (router.s.parent_kind, router.s.origin_kind)
+        upper = (router.settings.parent_kind, router.settings.origin_kind)
         wanted = _of(lines(), zone, upper)
-        if {(n.machine.cache, n.machine.size) for n in group} != wanted:
+        if {(n.endpoint.cache, n.endpoint.size) for n in group} != wanted:
             return None
-        return [n.machine.cache for n in router.rank(group, key)]
+        return [n.endpoint.cache for n in router.placement.rank(group, key)]
 
     return memory
 
--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -16,6 +16,7 @@
 from quincepier import interface as io
 from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
 from quincepier.interface import EndpointState
+from quincepier.records import Upstream
 
 # As in the design; the module has its own, so that one that was changed there alone shows as breaches
 HOT_SHARE, HOT_OF = 0.25, 32  # widening
@@ -44,71 +45,54 @@
 BREACH = Reason.BREACH
 
 
-class Node(Protocol):
-    """What is read of a machine as the module has it."""
-
-    machine: io.Endpoint
-    suspect: bool
-    trial_at: int
-    wait: int
-    leaving: int
-    credit: float
-    paid: int
-    step: int
-    recent: Any
-    out: Any
-
-
 class Router(Protocol):
     """What is read of the module."""
 
-    s: io.Settings
-    now: int
-    nodes: Any
-    edges: Any
-    parents: Any
-    origins: Any
+    placement: Any
+    slow_start: Any
     requests: Any
-    ranks: Any
     fills: int
     bound: int
 
-    def cold(self, node: Any) -> tuple[float, float]: ...
-
-    def crowded(self, node: Any, req: Any) -> bool: ...
+    @property
+    def now(self) -> int: ...
+    @property
+    def settings(self) -> io.Settings: ...
 
     def full(self, req: Any) -> bool: ...
 
-    def rank(self, nodes: Any, key: int) -> Any: ...
-
 
 Before = tuple[int, int]  # machine and source (-1: none) of the request's attempt before
 
 
 def order(
-    nodes: Iterable[Node], key: int, by_size: bool, paced: bool, how: Arithmetic = STANDARD_ARITHMETIC
+    nodes: Iterable[Upstream], key: int, by_size: bool, paced: bool, how: Arithmetic = STANDARD_ARITHMETIC
 ) -> list[int]:
     """Machines by the rule's hash; with `paced` a slow one has a smaller part, as the module gives it."""
     listed = list(nodes)
-    weigh = by_size and all(n.machine.size > 0 for n in listed)
+    weigh = by_size and all(n.endpoint.size > 0 for n in listed)
     scored = []
     for n in listed:
-        part = (n.machine.size if weigh else 1.0) / (2 ** (n.step / 2) if paced else 1.0)
-        scored.append((how.score(how.hash(key, n.machine.cache), part), n.machine.cache))
+        part = (n.endpoint.size if weigh else 1.0) / (2 ** (n.weight_step / 2) if paced else 1.0)
+        scored.append((how.score(how.hash(key, n.endpoint.cache), part), n.endpoint.cache))
     return [number for _, number in sorted(scored)]
 
 
-def why_not(router: Router, node: Node, avoided: Collection[int]) -> Reason | None:
+def why_not(router: Router, node: Upstream, avoided: Collection[int]) -> Reason | None:
     """Why the module may not use a machine now; None where it may."""
-    if node.machine.state is not EndpointState.READY:
+    if node.endpoint.state is not EndpointState.READY:
         return Reason.OFF
-    if node.machine.cache in avoided:
+    if node.endpoint.cache in avoided:
         return Reason.AVOIDED
-    if router.now < node.leaving:
+    if router.now < node.draining_until:
         return Reason.LEAVING
-    if node.suspect and router.now < node.trial_at:
+    if node.is_ejected and router.now < node.trial_at:
         return Reason.ASIDE
-    if router.cold(node)[1] < math.inf and node.paid == router.now and node.credit < 0:
+    if (
+        router.slow_start.warmth(node).multiple < math.inf
+        and node.credited_at == router.now
+        and node.credit < 0
+    ):
         return Reason.COLD  # its credit was looked at in this turn; here it is not touched
     return None
 
@@ -141,7 +125,7 @@
     home: io.HomeShard | None = None, how: Arithmetic = STANDARD_ARITHMETIC,
 ) -> DecisionRecord:  # fmt: skip
     """The same with what the rule has."""
-    req, nodes = router.requests.get(event.request), router.nodes
+    req, nodes = router.requests.get(event.request), router.placement.table.by_id
     if req is None or node not in nodes or (source >= 0 and source not in nodes):
         return DecisionRecord(BREACH, event.request, node, source)  # nobody asked, or at what is not listed
     trial = DecisionReplay(router, req, event, home, how)
@@ -165,12 +149,12 @@
     ) -> None:
         self.router, self.req, self.event = router, req, event
         self.booked, self.work = frozenset[int](), 0.0
-        self.avoided = frozenset(n.machine.cache for n in req.avoid)
-        s, mixed = router.s, how.hash
-        self.origins: list[int] = [n.machine.cache for n in router.origins]
+        self.avoided = frozenset(n.endpoint.cache for n in req.excluded)
+        s, mixed = router.settings, how.hash
+        self.origins: list[int] = [n.endpoint.cache for n in router.placement.table.origins]
         key, obj, sized = mixed(event.object, event.part), mixed(event.object), s.sizes_compare
-        caches = [order(router.edges, key, sized, paced, how) for paced in (False, True)]
-        parents = [order(router.parents, obj, sized, paced, how) for paced in (False, True)]
+        caches = [order(router.placement.table.caches, key, sized, paced, how) for paced in (False, True)]
+        parents = [order(router.placement.table.parents, obj, sized, paced, how) for paced in (False, True)]
         if home is not None:  # of all listed the home's, each by the draw that it always has
             caches = [[n for n in ranked if n in home.caches] for ranked in caches]
             parents = [[n for n in ranked if n in home.parents] for ranked in parents]
@@ -182,15 +166,17 @@
         """The attempt may be booked already: then its own marks at its machines are no reason against them.
         The source as it was: what is told without one is asked of the machine itself.
         """
-        made = self.router.nodes[node].out.get((self.event.request, self.req.sent - 1))
-        if made is not None and made.at == self.router.now:
-            self.booked, self.work = frozenset((node, source)) - {-1}, made.work
+        made = self.router.placement.table.by_id[node].in_flight.get(
+            (self.event.request, self.req.attempts_sent - 1)
+        )
+        if made is not None and made.sent_at == self.router.now:
+            self.booked, self.work = frozenset((node, source)) - {-1}, made.booked_work
         return node if source < 0 and not self.never_kept else source
 
     def why_not(self, number: int) -> Reason | None:
-        node, now = self.router.nodes[number], self.router.now
+        node, now = self.router.placement.table.by_id[number], self.router.now
         reason = why_not(self.router, node, self.avoided)
-        if number in self.booked and reason is Reason.ASIDE and node.trial_at == now + node.wait:
+        if number in self.booked and reason is Reason.ASIDE and node.trial_at == now + node.ejection_time:
             reason = None  # this is its trial
         if number in self.booked and reason is Reason.COLD and node.credit + self.work >= 0:
             reason = None  # it had the budget
@@ -201,8 +187,9 @@
         return not any(self.why_not(n) or self._unlooked(n) for n in numbers if n >= 0)
 
     def _unlooked(self, number: int) -> bool:
-        node = self.router.nodes[number]
-        return self.router.cold(node)[1] < math.inf and node.paid != self.router.now
+        node = self.router.placement.table.by_id[number]
+        is_cold = bool(self.router.slow_start.warmth(node).multiple < math.inf)
+        return is_cold and node.credited_at != self.router.now
 
     def straight(self, node: int, source: int) -> Reason:
         first = next(n for n in self.origins if self.why_not(n) is None)
@@ -211,7 +198,9 @@
     def where(self, node: int, source: int) -> Reason:
         if node not in self.caches[0]:
             left = [self.why_not(n) for n in self.caches[0]]
-            at = Reason.NONE_USABLE if all(left) and self.router.s.direct and node == source else BREACH
+            at = (
+                Reason.NONE_USABLE if all(left) and self.router.settings.direct and node == source else BREACH
+            )
         else:
             at = self._placed(node)
         if at is BREACH:
@@ -237,14 +226,14 @@
         walked = self._walk(self.caches, chosen)
         if walked is not BREACH:
             return walked
-        nodes, paced = self.router.nodes, self.caches[1]
+        nodes, paced = self.router.placement.table.by_id, self.caches[1]
         good = [n for n in paced if self.why_not(n) is None][:2]
         if chosen in good[1:]:
             first = nodes[good[0]]
-            hot = list(first.recent).count(self.event.object) > HOT_SHARE * HOT_OF
-            if hot and len(nodes[chosen].out) - (chosen in self.booked) < len(first.out):
+            hot = list(first.recent_objects).count(self.event.object) > HOT_SHARE * HOT_OF
+            if hot and len(nodes[chosen].in_flight) - (chosen in self.booked) < len(first.in_flight):
                 return Reason.WIDENED
-        if chosen in paced[1:2] and self.router.crowded(nodes[paced[0]], self.req):
+        if chosen in paced[1:2] and self.router.placement.is_crowded(nodes[paced[0]], self.req):
             return Reason.CROWDED  # after a hold the second by hash
         return BREACH
 
@@ -258,6 +247,6 @@
         if gated or router.fills >= SPARE * router.bound or router.full(self.req):
             return Reason.BOUND
         two = [n for n in self.caches[1][:2] if self.why_not(n) is None]
-        if all(router.crowded(router.nodes[n], self.req) for n in two):
+        if all(router.placement.is_crowded(router.placement.table.by_id[n], self.req) for n in two):
             return Reason.CROWDED
         return BREACH
--- a/quincepier/keys.py
+++ b/quincepier/keys.py
@@ -1,9 +1,7 @@
-"""A hash of keys, and a memory by key that keeps its bounds. Nothing here decides anything."""
+"""A hash of keys, and the bound of memories by key. Nothing here decides anything."""
 
 from __future__ import annotations
 
-from collections import OrderedDict
-
 MEMORY_MOST = 4096  # entries of any memory that requests fill; the oldest go first
 
 
@@ -14,11 +12,3 @@
         h = (h ^ h >> 29) * 0x94D049BB133111EB & 0xFFFFFFFFFFFFFFFF
         h ^= h >> 32
     return h
-
-
-def remember(memory: OrderedDict[tuple[int, int], int], key: tuple[int, int], when: int, since: int) -> None:
-    """Note when a key was seen last; what is older than `since` is forgotten. Times in one unit, rising."""
-    memory[key] = when
-    memory.move_to_end(key)
-    while memory and (len(memory) > MEMORY_MOST or next(iter(memory.values())) < since):
-        memory.popitem(last=False)
--- a/quincepier/lab/world.py
+++ b/quincepier/lab/world.py
@@ -124,7 +124,9 @@
         self.judge.asked(self.now, request.number, front.number, c.effect.value, self.now + left)
         if self.stalls:
             self.after(left, front.left, request)
-        size = self.experiment.sending(cls, obj) / SECOND * front.router.s.client_kb_per_s  # 0: not told
+        size = (
+            self.experiment.sending(cls, obj) / SECOND * front.router.settings.client_kb_per_s
+        )  # 0: not told
         front.tell(io.RequestReceived(request.number, cls, size, 0, group, obj, part, tries > 0, left))
 
     def answered(
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -182,5 +182,5 @@
         return self.tally.report(now, about, list(module.requests.open.values()), aside, hosts)
 
     def _set_aside(self, number: int) -> bool:
-        node = self.module.router.nodes.get(number)
-        return node is not None and bool(node.suspect)
+        node = self.module.router.placement.table.by_id.get(number)
+        return node is not None and node.is_ejected
--- a/quincepier/net/peers/quota_allocator.py
+++ b/quincepier/net/peers/quota_allocator.py
@@ -27,7 +27,7 @@
     def __init__(self, module: ModuleActor, peers: PeerNetwork) -> None:
         self._module = module
         self._peers = peers
-        self._settings = module.router.s
+        self._settings = module.router.settings
         self._live_count = LiveMemberCount(
             peers.name, self._settings.fronts, peers.intervals.tombstone_timeout_ns
         )
@@ -50,7 +50,7 @@
         front_count = math.ceil(1 / self._current_quota())
         if front_count != self._front_count:
             self._front_count = front_count
-            self._module.router.s = scale_settings(self._settings, front_count)
+            self._module.router.context.settings = scale_settings(self._settings, front_count)
             self._module.checks.count("quota_changes")
 
     def _current_quota(self) -> Fraction:
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -1,90 +1,86 @@
-"""Where the copies of an object lie, by hash. It never names a machine that may not be asked."""
+"""Placement: where copies of an object lie, by weighted rendezvous hash, and which of these may be asked."""
 
 import math
 from itertools import islice
 
-from quincepier import interface as io
-from quincepier.fading import Pace
-from quincepier.interface import UpdateScope as ListScope
+from quincepier.context import Context, Part
+from quincepier.interface import EndpointState, EndpointUpdate, HomeShard
 from quincepier.keys import MEMORY_MOST, mix
-from quincepier.policy.parts import HOT_OF, HOT_SHARE, PACE, PACE_EASY, RELIST, SECOND, Node, Request
-from quincepier.policy.trust import Trust
+from quincepier.policy.latency import HALF_LIFE, PRIOR, SLOW, LatencyEstimates
+from quincepier.policy.slow_start import SlowStart
+from quincepier.records import SECOND, Completion, Request, Upstream
+from quincepier.structures import DecayingMean, RecencyMap, rank
+from quincepier.upstream_table import TableChange, UpstreamTable
 
-CROWD, FILL_PART = 0.6, 0.5  # of the slowing a class stands; a fill of a quick cache waits for its source
-HIT_MEMORY = 5 * SECOND  # how long a seen hit keeps an attempt from counting as a fill (design)
+CROWDED, FETCH_LOAD = 0.6, 0.5  # of the slowing a class stands; a fetch at a quick cache waits for its source
+HOT_SHARE, HOT_REQUESTS = 0.25, 32  # of so many last requests of a cache, from which an object has two caches
+HIT_LIFETIME = 5 * SECOND  # how long a seen hit keeps an attempt from counting as a fetch (design)
 
 
-class Placement(Trust):
-    def listed(self, news: io.EndpointUpdate) -> None:
-        if news.scope is ListScope.FAILED:
-            self.timer_in(SECOND, RELIST)
-        if news.scope is ListScope.RESTORED and self.s.list_on_request:
-            self.out.append(io.WatchEndpoints())
-        gone = {m.cache for m in news.machines if m.state is io.EndpointState.GONE}
-        if news.scope in (ListScope.FULL, ListScope.RESTORED):
-            gone |= self.nodes.keys() - {m.cache for m in news.machines}
-        s, upper, moved = self.s, (self.s.parent_kind, self.s.origin_kind), bool(gone & self.nodes.keys())
-        for cache in sorted(gone & self.nodes.keys()):
-            self.rescue(self.nodes.pop(cache))
-        for m in news.machines:  # caches of other zones are of no use here, and there may be very many
-            node = self.nodes.get(m.cache)
-            if node is None and m.cache not in gone and (m.kind in upper or m.zone == s.zone):
-                self.nodes[m.cache], moved = Node(m, Pace(*PACE), HOT_OF), True
-            elif node is not None:
-                if m.up_since > node.machine.up_since:
-                    node.cold_at, node.suspect = max(node.cold_at, m.up_since), False
-                moved = moved or m.size != node.machine.size
-                node.machine, node.leaving = m, 0
-        if moved:
-            self.ranks, nodes = {}, self.nodes.values()
-            self.parents = [n for n in nodes if n.machine.kind == s.parent_kind]
-            self.origins = [n for n in nodes if n.machine.kind == s.origin_kind]
-            self.edges = [n for n in nodes if n.machine.kind not in upper]
-        self.out += map(io.WriteLog, self.back.listed(self.now))
+class Placement(Part):
+    """Caches and sources by hash. Never names an upstream that may not be asked."""
 
-    def rank(self, nodes: list[Node], key: int, home: io.HomeShard | None = None) -> list[Node]:
+    def __init__(self, context: Context, latency: LatencyEstimates, slow_start: SlowStart) -> None:
+        super().__init__(context)
+        self.latency, self.slow_start, self.hits = latency, slow_start, RecencyMap(MEMORY_MOST)
+        self.table = UpstreamTable(lambda e: Upstream(e, DecayingMean(HALF_LIFE, PRIOR), HOT_REQUESTS))
+        self.rankings = dict[int | tuple[int, int], list[Upstream]]()  # by key, and by name of home
+
+    def update(self, update: EndpointUpdate) -> TableChange:
+        change = self.table.apply(update, self.context.settings)
+        self.rankings = {} if change.has_moved else self.rankings
+        return change
+
+    def rank(self, group: list[Upstream], key: int, home: HomeShard | None = None) -> list[Upstream]:
         at = key if home is None else (key, home.name)
-        if at not in self.ranks:  # kept until the list changes: a held request is looked at often
-            self.ranks = self.ranks if len(self.ranks) < MEMORY_MOST else {}
-            weigh = self.s.sizes_compare and all(n.machine.size > 0 for n in nodes)
-            parts = {n: (n.machine.size if weigh else 1.0) / 2 ** (n.step / 2) for n in nodes}
+        if at not in self.rankings:  # kept until the list changes: a held request is looked at often
+            self.rankings = self.rankings if len(self.rankings) < MEMORY_MOST else {}
+            by_size = self.context.settings.sizes_compare and all(u.endpoint.size > 0 for u in group)
+            weights = {u: (u.endpoint.size if by_size else 1.0) / 2 ** (u.weight_step / 2) for u in group}
             if home is not None:  # of all listed the home's, each by the draw that it always has
-                names = home.parents if nodes is self.parents else home.caches
-                nodes = [n for n in nodes if n.machine.cache in names]
-            draws = {n: -math.log((mix(key, n.machine.cache) + 1) / 2**64) / parts[n] for n in nodes}
-            self.ranks[at] = sorted(nodes, key=draws.__getitem__)  # each first for a part by its size
-        return self.ranks[at]
+                members = home.parents if group is self.table.parents else home.caches
+                group = [u for u in group if u.endpoint.cache in members]
+            self.rankings[at] = rank(key, weights, {u: u.endpoint.cache for u in group})
+        return self.rankings[at]
+
+    def reweigh(self) -> None:  # a slow one keeps its part by the square of its slowness
+        for group in (self.table.caches, self.table.parents):
+            usual = SLOW * min(factors := [u.slowness.factor(self.context.now) for u in group], default=1.0)
+            for upstream, factor in zip(group, factors, strict=True):
+                if (step := int(4 * math.log2(max(factor / usual, 1.0)))) != upstream.weight_step:
+                    upstream.weight_step, self.rankings = step, {}
 
-    def reweigh(self) -> None:  # a slow one keeps its part by the square of its pace
-        for group in (self.edges, self.parents):
-            easy = PACE_EASY * min(paces := [n.pace.times(self.now) for n in group], default=1.0)
-            for node, pace in zip(group, paces, strict=True):
-                if (step := int(4 * math.log2(max(pace / easy, 1.0)))) != node.step:
-                    node.step, self.ranks = step, {}
+    def is_usable(self, upstream: Upstream, req: Request) -> bool:
+        ready = upstream.endpoint.state is EndpointState.READY and self.context.now >= upstream.draining_until
+        may = ready and upstream not in req.excluded
+        tried = not upstream.is_ejected or self.context.now >= upstream.trial_at
+        return may and tried and self.slow_start.has_room(upstream)
 
-    def usable(self, node: Node, req: Request) -> bool:
-        ready = (
-            node.machine.state is io.EndpointState.READY
-            and node not in req.avoid
-            and self.now >= node.leaving
-        )
-        return ready and (not node.suspect or self.now >= node.trial_at) and self.room(node)
+    def find_cache(self, req: Request) -> Upstream | None:  # the first by hash; if hot the idler of two
+        ranked = self.rank(self.table.caches, req.key, req.home)
+        good = list(islice((u for u in ranked if self.is_usable(u, req)), 2))
+        hot = len(good) > 1 and good[0].recent_objects.count(req.event.object) > HOT_SHARE * HOT_REQUESTS
+        return min(good, key=lambda u: len(u.in_flight)) if hot else good[0] if good else None
 
-    def place(self, req: Request) -> Node | None:  # the first by hash; for a hot object the idler of two
-        good = list(islice((n for n in self.rank(self.edges, req.key, req.home) if self.usable(n, req)), 2))
-        hot = len(good) > 1 and good[0].recent.count(req.e.object) > HOT_SHARE * HOT_OF
-        return min(good, key=lambda n: len(n.out)) if hot else good[0] if good else None
+    def find_source(self, req: Request) -> Upstream | None:  # by hash over all listed, else the origin
+        ranked = self.rank(self.table.parents, mix(req.event.object), req.home) + self.table.origins
+        return next((u for u in ranked if self.is_usable(u, req)), None)
 
-    def source(self, req: Request) -> Node | None:  # by hash over all listed, else the origin
-        ranked = self.rank(self.parents, mix(req.e.object), req.home) + self.origins
-        return next((n for n in ranked if self.usable(n, req)), None)
+    def is_crowded(self, cache: Upstream | None, req: Request) -> bool:  # whether one more would come late
+        if cache is None:
+            return False
+        n, objective = self.slow_start.sharers(cache), self.latency.objective(req)
+        transfer, size = self.latency.transfer_time(req), cache.endpoint.size
+        slowness = cache.slowness.factor(self.context.now)
+        load = sum(FETCH_LOAD if a.is_fetch and slowness < SLOW else 1 for a in cache.in_flight.values()) + 1
+        listed = self.context.settings.sizes_compare and size > 0  # what a kind was seen to bear is no limit
+        late = slowness * transfer > (CROWDED + (1 - CROWDED) / n) * objective  # more fronts leave more room
+        return late or (listed and load > max(CROWDED * objective / transfer * size / n, 2))
 
-    def crowded(self, node: Node, req: Request) -> bool:  # whether one more of this class would come late
-        n, work, aim, pace = self.sharers(node), self.work_of(req), self.aim(req), node.pace.times(self.now)
-        count = sum(FILL_PART if a.fill and pace < PACE_EASY else 1 for a in node.out.values()) + 1
-        listed = self.s.sizes_compare and node.machine.size > 0  # what a kind was seen to bear is no limit
-        late = pace * work > (CROWD + (1 - CROWD) / n) * aim  # more fronts leave more room
-        return late or (listed and count > max(CROWD * aim / work * node.machine.size / n, 2))
+    def is_known_hit(self, cache: Upstream, req: Request) -> bool:
+        seen = self.hits.get((cache.endpoint.cache, req.key), self.context.now - HIT_LIFETIME)
+        return self.context.now - seen < HIT_LIFETIME
 
-    def known(self, node: Node, req: Request) -> bool:
-        return self.now - self.hits.get((node.machine.cache, req.key), self.now - HIT_MEMORY) < HIT_MEMORY
+    def on_hit(self, done: Completion) -> None:
+        cache = done.attempt.upstream.endpoint.cache
+        self.hits.record((cache, done.attempt.request.key), self.context.now, self.context.now - HIT_LIFETIME)
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -1,27 +1,23 @@
 """Hears each event and has the mechanisms act, in one order. It never sends or answers by another way."""
 
-from collections import Counter
-
 from quincepier import interface as io
-from quincepier.interface import AttemptOutcome as Ending
-from quincepier.interface import CacheStatus as Note
-from quincepier.keys import remember
-from quincepier.policy.attempts import RELEASE_EVERY, WATCH_EVERY
-from quincepier.policy.fills import Fills
-from quincepier.policy.parts import BOUND_START, DEADLINE, HOLD, RELIST, ROUND, STOOD, WATCH, Attempt, Request
-from quincepier.policy.placement import HIT_MEMORY
+from quincepier.context import TIMER_KIND_BITS, TimerKind
+from quincepier.policy.dispatch import BOUND_START, RELEASE_EVERY, WATCH_EVERY, Dispatch
+from quincepier.records import SECOND, Completion, Execution, Request
 
+Outcome, Status = io.AttemptOutcome, io.CacheStatus
 TURN_PART = 0.2  # of the wanted time, over 1 + tier: how long a busy front may keep a request from its turn
-MORE_ATTEMPTS, EXTRA_SHARE, EXTRA_MOST = 3, 0.2, 40.0  # a request's further ones; earned by a first; saved up
-ANSWERS = 8  # of machines, that make the first answers; a class alone is heard by its first
+MORE_ATTEMPTS, EXTRA_SHARE = 3, 0.2  # a request's further ones; earned by a first
+STOOD = 2 * SECOND  # own standstill after which all is found anew
+UNEXPLAINED = (Outcome.OVERLOADED, Outcome.TIMEOUT)  # where not told, by the cache or its source
 # prove it never ran
-RAN_NOT = frozenset((Ending.OVERLOADED, Ending.CONNECT_FAILED, Ending.NOT_PROCESSED, Ending.MISS))
-SOURCE_FAULTS = (Note.SOURCE_REFUSED, Note.SOURCE_BROKEN, Note.SOURCE_MISS, Note.ORIGIN_FAILED)
+RAN_NOT = frozenset((Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_PROCESSED, Outcome.MISS))
+SOURCE_FAULTS = (Status.SOURCE_REFUSED, Status.SOURCE_BROKEN, Status.SOURCE_MISS, Status.ORIGIN_FAILED)
 
 
-class Router(Fills):
+class Router(Dispatch):
     def handle(self, now: int, event: io.Event) -> list[io.Action]:
-        self.now, self.out = now, []
+        self.context.now, self.context.actions = now, []
         while self.lapses and self.lapses[0][0] <= now:  # before anything rests on it
             self.lapses.pop(0)[1]()
         match event:
@@ -30,113 +26,119 @@
             case io.AttemptCompleted():
                 self.ended(event)
             case io.TimerFired(token):
-                self.timer(token & 7, token >> 3)
+                self.timer(TimerKind(token & (1 << TIMER_KIND_BITS) - 1), token >> TIMER_KIND_BITS)
             case io.EndpointUpdate():
                 self.listed(event)
             case io.ObjectPurged(group, obj, ago):
                 self.purged(group, obj, ago)
             case io.ResponseStarted(request, attempt) if req := self.requests.get(request):
-                self.call_off(a for a in req.open.values() if a.no != attempt)
-                req.begun = True
+                self.call_off(a for a in req.open_attempts.values() if a.number != attempt)
+                req.has_response_started = True
             case io.ClientDisconnected(request) if req := self.requests.get(request):
                 self.close(req)
-        return self.out
+        return self.context.actions
 
     def came(self, e: io.RequestReceived) -> None:
-        tier, cls = self.tiers[e.cls], self.s.classes[e.cls]
-        self.asked.add(e.cls)
+        context, tier, cls = self.context, self.tiers[e.cls], self.context.settings.classes[e.cls]
+        self.answers.asked.add(e.cls)
         behind = e.waited > max(TURN_PART * cls.on_time / (1 + tier), RELEASE_EVERY) and not cls.never_kept
-        if behind or e.time_left <= self.s.step:  # refused while that costs little, the lowest tier first
-            self.out.append(io.RejectRequest(e.request, self.advice()))
-            self.out += map(io.WriteLog, self.back.over(self.now, cls.worth, False))
+        if behind or e.time_left <= context.settings.step:  # refused while that costs little
+            self.refuse(e.request)
+            context.log(self.recovery.over(context.now, cls.worth, False))
             return
         home = self.homes(e) if self.homes is not None else None
-        req = self.requests[e.request] = Request(e, self.s, tier, self.now, home)
-        self.extra = min(EXTRA_MOST, self.extra + EXTRA_SHARE)
-        self.timer_in(e.time_left - self.s.step, DEADLINE, e.request)
+        req = self.requests[e.request] = Request(e, context.settings, tier, context.now, home)
+        self.retry_budget.put(EXTRA_SHARE)
+        context.set_timer(e.time_left - context.settings.step, TimerKind.DEADLINE, e.request)
         if home is not None and home.closed and cls.effect is not io.Idempotency.SAFE:
             self.give_up(req)
         else:
             self.route(req)
 
+    def listed(self, update: io.EndpointUpdate) -> None:
+        if update.scope is io.UpdateScope.FAILED:
+            self.context.set_timer(SECOND, TimerKind.RELIST)
+        if update.scope is io.UpdateScope.RESTORED and self.context.settings.list_on_request:
+            self.context.watch_endpoints()
+        for upstream in self.placement.update(update).removed:
+            self.rescue(upstream)
+        self.context.log(self.recovery.listed(self.context.now))
+
     def ended(self, e: io.AttemptCompleted) -> None:
-        if (attempt := self.attempts.pop((e.request, e.attempt), None)) is None:
+        if (attempt := self.attempts.complete(e)) is None:
             return
-        (req := attempt.req).open.pop(e.attempt, None)
-        for node in filter(None, (attempt.node, attempt.source)):
-            node.out.pop((e.request, e.attempt), None)
-        self.learn(attempt, e)
-        if e.ending is Ending.OK and not self.met:  # until each class asked for was answered
-            self.heard[req.e.cls] += 1
-            if (count := self.heard.total()) >= ANSWERS and self.asked <= self.heard.keys():
-                self.met = True
-                self.out += map(io.WriteLog, self.back.answered(self.now, count))
-        if e.ending not in RAN_NOT and (req.first_ran is None or attempt.at < req.first_ran[0]):
-            req.first_ran = (attempt.at, attempt.node.machine)
+        done, req, first = Completion(attempt, e), attempt.request, attempt.request.first_execution
+        self.learn(done)
+        if done.is_ok and self.answers.add(req.event.cls):  # each class asked for was answered
+            self.context.log(self.recovery.answered(self.context.now, self.answers.count))
+        if e.ending not in RAN_NOT and (first is None or attempt.sent_at < first.at):
+            req.first_execution = Execution(attempt.sent_at, attempt.upstream.endpoint)
         if self.requests.get(e.request) is req:
             if e.last:
-                self.close(req, e.ending is Ending.OK)
-            elif e.ending is not Ending.OK and not req.open:
-                self.again(req, attempt, e)
+                self.close(req, done.is_ok)
+            elif not done.is_ok and not req.open_attempts:
+                self.again(done)
         self.release()
 
-    def learn(self, attempt: Attempt, e: io.AttemptCompleted) -> None:
-        from_cache = e.ending is Ending.OK and e.note in (Note.HIT, Note.STALE)
-        self.believe(attempt, e, from_cache)
-        self.bore(attempt, e.ending, from_cache)
-        if len(e.report) > self.link_no and attempt.node.machine.zone == self.s.zone:
-            self.link, self.link_at = e.report[self.link_no], self.now
-        self.compare(attempt, e, from_cache)
-        if from_cache:
-            seen = (attempt.node.machine.cache, attempt.req.key)
-            remember(self.hits, seen, self.now, self.now - HIT_MEMORY)
-            self.sent_in(attempt, e.elapsed)
-        if attempt.fill:
-            self.filled(attempt, e, from_cache)
+    def learn(self, done: Completion) -> None:
+        self.outliers.on_completed(done)
+        self.slow_start.refund_source(done)
+        if done.is_ok:
+            self.slow_start.on_served(done)
+        self.link.take(self.context.now, done)
+        self.latency.learn_slowness(done)
+        if done.is_from_cache:
+            self.placement.on_hit(done)
+            self.latency.learn_transfer_time(done, self.slow_start.slowdown(done.attempt.upstream))
+        if done.attempt.is_fetch:
+            self.filled(done)
 
-    def again(self, req: Request, attempt: Attempt, e: io.AttemptCompleted) -> None:
-        node, source = attempt.node, attempt.source
-        held = source if attempt.held and e.ending is Ending.MISS else None  # the parent lacks it
-        if held is None:  # another one, while it can help; the machine itself may not be at fault
-            blamed = e.ending is not Ending.NOT_PROCESSED and not e.another_way
-            req.avoid += [source or node] if e.note in SOURCE_FAULTS else [node] * blamed
-            if source is not None and e.note is Note.NONE and e.ending in (Ending.OVERLOADED, Ending.TIMEOUT):
-                req.avoid += [source]  # not told whose fault it was: change both
-        useless = (attempt.look and e.ending is Ending.MISS) or req.deadline - self.now < self.work[req.e.cls]
-        if held and self.now >= self.fill_at and self.usable(node, req) and self.usable(held, req):
-            self.fill_at = self.now + int(self.rest)
-            self.send(req, node, held, True)
-        elif held or useless or self.extra < 1 or req.sent > MORE_ATTEMPTS:
+    def again(self, done: Completion) -> None:
+        attempt, req = done.attempt, done.attempt.request
+        upstream, source = attempt.upstream, attempt.source
+        miss = done.outcome is Outcome.MISS
+        held = source if attempt.is_held_only and miss else None  # the parent lacks it
+        if held is None:  # another one, while it can help; the upstream itself may not be at fault
+            blamed = done.outcome is not Outcome.NOT_PROCESSED and not done.event.another_way
+            req.excluded += [source or upstream] if done.status in SOURCE_FAULTS else [upstream] * blamed
+            if source is not None and done.status is Status.NONE and done.outcome in UNEXPLAINED:
+                req.excluded += [source]  # not told whose fault it was: change both
+        late = req.deadline - self.context.now < self.latency.transfer_times.means[req.event.cls]
+        useless = late or (attempt.is_cache_only and miss) or req.attempts_sent > MORE_ATTEMPTS
+        usable, due = self.placement.is_usable, self.context.now >= self.fill_at
+        if held and due and usable(upstream, req) and usable(held, req):
+            self.fill_at = self.context.now + int(self.rest.wait)
+            self.send(req, upstream, held, True)
+        elif held or useless or not self.retry_budget.take():
             self.give_up(req)
         else:
-            self.extra -= 1
             self.route(req)
 
-    def timer(self, kind: int, about: int) -> None:
-        if kind == DEADLINE and (req := self.requests.get(about)) and not req.begun:
+    def timer(self, kind: TimerKind, about: int) -> None:
+        req = self.requests.get(about)
+        if kind is TimerKind.DEADLINE and req is not None and not req.has_response_started:
             self.close(req)
-            self.out.append(io.FailRequest(about))
-        elif kind == HOLD and (req := self.requests.get(about)) and req.held:
-            self.unhold(req)
+            self.context.fail(about)
+        elif kind is TimerKind.QUEUE_TIMEOUT and req is not None and req.is_queued:
+            self.queue.discard(req)
             self.shed(req, True)
-        elif kind == RELIST:
-            self.out.append(io.WatchEndpoints())
-        elif kind == ROUND:
-            self.awake = False
+        elif kind is TimerKind.RELIST:
+            self.context.watch_endpoints()
+        elif kind is TimerKind.RELEASE:
+            self.release_timer.fired()
             self.release()
-        elif kind == WATCH:
-            self.watch()
+        elif kind is TimerKind.OVERDUE_CHECK:
+            self.watch(self.watch_timer.fired())
 
-    def watch(self) -> None:
-        gap, self.watching = self.now - self.watched, False
-        if gap >= STOOD and self.met:  # what we knew of the others is from before
-            self.asked, self.heard, self.met = set(), Counter(), False
+    def watch(self, gap: int) -> None:
+        if gap >= STOOD and self.answers.is_complete:  # what we knew of the others is from before
+            self.answers.restart()
             self.bound = min(self.bound, BOUND_START)
-            self.out += map(io.WriteLog, self.back.stood_still(self.now, gap))
-        if not any(self.depth):
-            self.out += map(io.WriteLog, self.back.unpressed(self.now))
-        self.weigh()
-        self.reweigh()
+            self.context.log(self.recovery.stood_still(self.context.now, gap))
+        if not self.queue:
+            self.context.log(self.recovery.unpressed(self.context.now))
+        self.slow_start.learn_sizes(self.placement.table.by_id.values())
+        self.placement.reweigh()
         if gap <= WATCH_EVERY:  # else answers are still to come, as we stood still ourselves
-            self.silences()
+            self.outliers.check_overdue(self.attempts.values())
         self.wake()
--- a/quincepier/recovery/learned_facts.py
+++ b/quincepier/recovery/learned_facts.py
@@ -12,13 +12,15 @@
 from __future__ import annotations
 
 import math
-from collections import Counter, OrderedDict
 from collections.abc import Callable, Iterable, Iterator
 from functools import partial
-from typing import Protocol, TypeVar
+from typing import Protocol
 
 from quincepier import interface as io
 from quincepier.interface import EndpointState
+from quincepier.records import BaselineKey, Upstream
+from quincepier.structures import Baseline, DecayingSum, RecencyMap, RunningMeans, ServedWork
+from quincepier.upstream_table import UpstreamTable
 
 SECOND = 1_000_000_000
 # Bounds of age, ns; a cold start and a purge have those that the settings give them.
@@ -30,114 +32,122 @@
 OWN = 50  # answers of its own after which nothing of a recalled mean is left that matters
 
 
-class Paced(Protocol):
-    """Signs of how slow a machine is: their sum and number as of a time; they count half after `fade` ns."""
+class LatencyKnowledge(Protocol):
+    """Transfer times and baselines as a module knows them; `quincepier.policy.latency`."""
 
-    slowed: float
-    signs: float
-    at: int
+    transfer_times: RunningMeans
+    baselines: dict[BaselineKey, Baseline]
 
     @property
-    def fade(self) -> int: ...
+    def slow_factor(self) -> float: ...  # times as usual from which an upstream is slow
 
 
-class Known(Protocol):
-    """A machine as a module knows it, as far as it is kept; what a time is not known of is 0."""
+class SlowStartKnowledge(Protocol):
+    """What kinds of upstreams served; `quincepier.policy.slow_start`."""
 
-    machine: io.Endpoint
-    cold_at: int
-    suspect: bool
-    leaving: int
+    served: ServedWork
 
-    @property
-    def pace(self) -> Paced: ...
+
+class PlacementKnowledge(Protocol):
+    """The upstreams of the list; `quincepier.policy.placement`."""
+
+    table: UpstreamTable
 
 
-Machine = TypeVar("Machine", bound=Known)
+class Ejection(Protocol):
+    """Ejects an upstream that is to be tried at once; `quincepier.policy.outliers`."""
 
+    def eject(self, upstream: Upstream) -> None: ...
 
-class Knows(Protocol[Machine]):
+
+class Knows(Protocol):
     """What a module knows, as far as it is kept; `quincepier.policy.Router` is one."""
 
-    now: int
-    began: int
-    born: int
     bound: int
-    s: io.Settings
-    work: list[float]
-    unseen: list[float]
-    samples: Counter[int]
-    usual: dict[tuple[int, bool, bool], tuple[float, int, float, int]]
-    borne: dict[int, tuple[float, int]]
-    nodes: dict[int, Machine]
-    purges: OrderedDict[tuple[int, int], int]
     lapses: list[tuple[int, Callable[[], None]]]  # when, and what is taken back then
 
     @property
-    def borne_fade(self) -> int: ...  # ns after which served work counts half
-
+    def purges(self) -> RecencyMap: ...
+    @property
+    def now(self) -> int: ...
     @property
-    def pace_easy(self) -> float: ...
+    def settings(self) -> io.Settings: ...
+    @property
+    def latency(self) -> LatencyKnowledge: ...
+    @property
+    def slow_start(self) -> SlowStartKnowledge: ...
+    @property
+    def placement(self) -> PlacementKnowledge: ...
+    @property
+    def outliers(self) -> Ejection: ...
 
     def purged(self, group: int, obj: int, ago: int) -> None: ...
 
-    def doubt(self, node: Machine) -> None: ...
-
 
-def export_facts(router: Knows[Machine]) -> Iterator[io.Learned]:
+def export_facts(router: Knows) -> Iterator[io.Learned]:
     """All that counts after a start, small parts, so that a shell may take them in slices of time."""
     now = router.now
     yield io.LearnedFetchLimit(router.bound, 0)
-    for cls, seen in list(router.samples.items()):
-        yield io.LearnedTransferTime(cls, router.work[cls], seen, 0)
-    for (cls, held, told), (mean, seen, least, at) in list(router.usual.items()):
-        yield io.LearnedLatency(cls, held, told, mean, seen, least, now - at)
-    for kind, (work, at) in list(router.borne.items()):
-        yield io.LearnedServedWork(kind, work, now - router.born, now - at)
-    for node in list(router.nodes.values()):
-        found = node.cold_at > node.machine.up_since  # by its failing, which no list told
-        leaving = node.machine.state is not EndpointState.READY or node.leaving > now
+    transfer_times = router.latency.transfer_times
+    for cls, seen in list(transfer_times.counts.items()):
+        yield io.LearnedTransferTime(cls, transfer_times.means[cls], seen, 0)
+    for (cls, held, told), usual in list(router.latency.baselines.items()):
+        ago = now - usual.updated_at
+        yield io.LearnedLatency(cls, held, told, usual.mean, usual.count, usual.least, ago)
+    served = router.slow_start.served
+    for kind, work in list(served.sums.items()):
+        yield io.LearnedServedWork(kind, work.total, now - served.since, now - work.updated_at)
+    for node in list(router.placement.table.by_id.values()):
+        found = node.started_at > node.endpoint.up_since  # by its failing, which no list told
+        leaving = node.endpoint.state is not EndpointState.READY or node.draining_until > now
         fact = io.LearnedEndpoint(
-            node.machine.cache, node.pace.slowed, node.pace.signs, now - node.pace.at if node.pace.at else 0,
-            now - node.cold_at if found else -1, 0 if node.suspect else -1, 0 if leaving else -1,
-        )  # fmt: skip
-        if fact.signs > 0.1 or found or node.suspect or leaving:
+            node.endpoint.cache,
+            node.slowness.total,
+            node.slowness.weight,
+            now - node.slowness.updated_at if node.slowness.updated_at else 0,
+            now - node.started_at if found else -1,
+            0 if node.is_ejected else -1,
+            0 if leaving else -1,
+        )
+        if fact.signs > 0.1 or found or node.is_ejected or leaving:
             yield fact
     for (of_group, name), at in list(router.purges.items()):
         yield io.LearnedPurge(name if of_group else 0, 0 if of_group else name, now - at)
 
 
-def restore_facts(router: Knows[Machine], facts: Iterable[io.Learned], age: int | None) -> int:
+def restore_facts(router: Knows, facts: Iterable[io.Learned], age: int | None) -> int:
     """Take facts that were told `age` nanoseconds ago (None: nobody knows). Returns how many counted."""
     taken, lapses = 0, list[tuple[int, Callable[[], None]]]()
+    times = router.latency.transfer_times
     for fact in facts:
         if age is None and not isinstance(fact, io.LearnedEndpoint | io.LearnedPurge):
             continue
         old = fact.ago + (age or 0)
         match fact:
-            case io.LearnedTransferTime(cls) if old < CLASS_MOST and cls < len(router.work):
-                if not router.samples[cls]:
-                    router.work[cls], router.samples[cls] = fact.mean, min(fact.seen, CLASS_SEEN)
-                    undo = partial(_forget_class, router, cls, router.samples[cls])
+            case io.LearnedTransferTime(cls) if old < CLASS_MOST and cls < len(times.means):
+                if not times.counts[cls]:
+                    times.means[cls], times.counts[cls] = fact.mean, min(fact.seen, CLASS_SEEN)
+                    undo = partial(_forget_class, times, cls, times.counts[cls])
                     lapses.append((router.now + CLASS_MOST - old, undo))
                     taken += 1
-            case io.LearnedLatency(cls, held, told) if old < CLASS_MOST and cls < len(router.work):
-                key, seen = (cls, held, told), min(fact.seen, USUAL_SEEN)
-                if key not in router.usual:
-                    router.usual[key] = (fact.mean, seen, fact.least, router.now - old)
+            case io.LearnedLatency(cls, held, told) if old < CLASS_MOST and cls < len(times.means):
+                key, seen = BaselineKey(cls, held, told), min(fact.seen, USUAL_SEEN)
+                if key not in router.latency.baselines:
+                    router.latency.baselines[key] = Baseline(fact.mean, seen, fact.least, router.now - old)
                     undo = partial(_forget_usual, router, key, seen)
                     lapses.append((router.now + CLASS_MOST - old, undo))
                     taken += 1
             case io.LearnedServedWork(kind, work, span) if old < WORK_MOST:
-                if kind not in router.borne:
-                    router.borne[kind] = work, router.now - old
-                    began, router.born = router.began, min(router.born, router.now - old - span)
-                    undo = partial(_forget_work, router, kind, work, router.now - old, began)
+                served = router.slow_start.served
+                if kind not in served.sums:
+                    served.sums[kind] = DecayingSum(served.half_life, work, router.now - old)
+                    served.since = min(served.since, router.now - old - span)
+                    undo = partial(_forget_work, router, kind, work, router.now - old)
                     lapses.append((router.now + WORK_MOST - old, undo))
                     taken += 1
-            case io.LearnedEndpoint(cache) if cache in router.nodes:
-                taken += _machine(router, router.nodes[cache], fact, age, lapses)
-            case io.LearnedPurge(group, obj) if old <= router.s.purge_settles + 2 * SECOND:
+            case io.LearnedEndpoint(cache) if cache in router.placement.table.by_id:
+                taken += _machine(router, router.placement.table.by_id[cache], fact, age, lapses)
+            case io.LearnedPurge(group, obj) if old <= router.settings.purge_settles + 2 * SECOND:
                 router.purged(group, obj, old if age is not None else 0)
                 taken += 1
     router.lapses = sorted([*router.lapses, *lapses], key=lambda lapse: lapse[0])
@@ -145,47 +155,57 @@
 
 
 def _machine(
-    router: Knows[Machine],
-    node: Machine,
+    router: Knows,
+    node: Upstream,
     fact: io.LearnedEndpoint,
     age: int | None,
     lapses: list[tuple[int, Callable[[], None]]],
 ) -> bool:
-    now, known, before = router.now, age or 0, (node.cold_at, node.suspect, node.leaving, node.pace.signs)
+    now, known, before = (
+        router.now,
+        age or 0,
+        (node.started_at, node.is_ejected, node.draining_until, node.slowness.weight),
+    )
     since = fact.cold_ago + known if age is not None else 0
-    if fact.cold_ago >= 0 and since < max(router.s.cold_time, router.s.parent_cold_time):
-        node.cold_at = max(node.cold_at, now - since, 1)  # never earlier than the list tells
+    if fact.cold_ago >= 0 and since < max(router.settings.cold_time, router.settings.parent_cold_time):
+        node.started_at = max(node.started_at, now - since, 1)  # never earlier than the list tells
     if 0 <= fact.aside_ago + known <= ASIDE_MOST and fact.aside_ago >= 0:  # one request tries it
-        router.doubt(node)
+        router.outliers.eject(node)
     if fact.leaving_ago >= 0 and (left := LEAVING_MOST - fact.leaving_ago - known) > 0:
-        node.leaving = now + left  # until the log names it anew
+        node.draining_until = now + left  # until the log names it anew
     old, slow = fact.ago + known, fact.slowed / max(fact.signs, 1e-9)
-    if age is not None and old < PACE_MOST and slow > math.log(router.pace_easy) and not node.pace.signs:
+    if (
+        age is not None
+        and old < PACE_MOST
+        and slow > math.log(router.latency.slow_factor)
+        and not node.slowness.weight
+    ):
         signs = min(fact.signs, PACE_SIGNS)
-        node.pace.slowed, node.pace.signs, node.pace.at = slow * signs, signs, now - old
+        node.slowness.total, node.slowness.weight, node.slowness.updated_at = slow * signs, signs, now - old
         undo = partial(_forget_pace, node, slow * signs, signs, now - old)
         lapses.append((now + PACE_MOST - old, undo))
-    return before != (node.cold_at, node.suspect, node.leaving, node.pace.signs)
+    return before != (node.started_at, node.is_ejected, node.draining_until, node.slowness.weight)
 
 
-def _forget_class(router: Knows[Machine], cls: int, seen: int) -> None:
-    if router.samples[cls] - seen < OWN:
-        router.work[cls], router.samples[cls] = router.unseen[cls], 0
+def _forget_class(times: RunningMeans, cls: int, seen: int) -> None:
+    if times.counts[cls] - seen < OWN:
+        times.reset(cls)
 
 
-def _forget_usual(router: Knows[Machine], key: tuple[int, bool, bool], seen: int) -> None:
-    if key in router.usual and router.usual[key][1] - seen < OWN:
-        del router.usual[key]
+def _forget_usual(router: Knows, key: BaselineKey, seen: int) -> None:
+    if key in router.latency.baselines and router.latency.baselines[key].count - seen < OWN:
+        del router.latency.baselines[key]
 
 
-def _forget_work(router: Knows[Machine], kind: int, work: float, at: int, began: int) -> None:
-    now_work, now_at = router.borne.get(kind, (0.0, router.now))
-    left = work * math.exp2((at - now_at) / router.borne_fade)
-    router.borne[kind], router.born = (max(now_work - left, 0.0), now_at), began
+def _forget_work(router: Knows, kind: int, work: float, at: int) -> None:
+    served = router.slow_start.served
+    known = served.sums.setdefault(kind, DecayingSum(served.half_life, 0.0, router.now))
+    known.total = max(known.total - DecayingSum(served.half_life, work, at).at(known.updated_at), 0.0)
+    served.since = served.started_at
 
 
-def _forget_pace(node: Known, slowed: float, signs: float, at: int) -> None:
+def _forget_pace(node: Upstream, slowed: float, signs: float, at: int) -> None:
     """Sums fade alike, so a recalled part is taken out of them exactly."""
-    fade = math.exp2((at - node.pace.at) / node.pace.fade)
-    node.pace.slowed -= slowed * fade
-    node.pace.signs = max(node.pace.signs - signs * fade, 0.0)
+    fade = math.exp2((at - node.slowness.updated_at) / node.slowness.half_life)
+    node.slowness.total -= slowed * fade
+    node.slowness.weight = max(node.slowness.weight - signs * fade, 0.0)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -17,6 +17,7 @@
 from quincepier.net.listener import Listener
 from quincepier.net.reading import Reading
 from quincepier.net.session import Outgoing, Session
+from quincepier.policy.slow_start import SlowStart
 from quincepier.wire import changelog, fastcgi, lines
 
 
@@ -49,7 +50,7 @@
 
 
 def cold() -> None:
-    policy.Router.room = lambda self, node: True  # type: ignore[method-assign]
+    SlowStart.has_room = lambda self, upstream: True  # type: ignore[method-assign, assignment]
 
 
 def silent() -> None:
@@ -61,7 +62,7 @@
 
     def came(self: policy.Router, e: io.RequestReceived) -> None:
         if chance.random() < 0.6:
-            self.out.append(io.RejectRequest(e.request, 0))
+            self.context.actions.append(io.RejectRequest(e.request, 0))
         else:
             plain(self, e)
 
--- a/tests/policy_stream.py
+++ b/tests/policy_stream.py
@@ -16,7 +16,8 @@
 from typing import Any
 
 from quincepier import interface as io
-from quincepier.policy import Node, Router
+from quincepier.policy import Router
+from quincepier.records import Upstream
 from quincepier.recovery.learned_facts import export_facts, restore_facts
 
 FOLDER = Path(__file__).parent / "data" / "policy"
@@ -107,12 +108,14 @@
         assert self.homes, "a home was asked for that was not asked for when it was recorded"
         return self.homes.pop(0)
 
-    def witness(self, request: io.RequestReceived, node: Node, source: Node | None) -> None:
-        self.attempts.append(as_witnessed(request, node, source))
+    def witness(self, request: io.RequestReceived, upstream: Upstream, source: Upstream | None) -> None:
+        self.attempts.append(as_witnessed(request, upstream, source))
 
 
-def as_witnessed(request: io.RequestReceived, node: Node, source: Node | None) -> list[int | None]:
-    return [request.request, node.machine.cache, None if source is None else source.machine.cache]
+def as_witnessed(
+    request: io.RequestReceived, upstream: Upstream, source: Upstream | None
+) -> list[int | None]:
+    return [request.request, upstream.endpoint.cache, None if source is None else source.endpoint.cache]
 
 
 class RecordingRouter(Router):
@@ -132,10 +135,10 @@
             found.append(homes(request))
             return found[-1]
 
-        def noted_attempt(request: io.RequestReceived, node: Node, source: Node | None) -> None:
+        def noted_attempt(request: io.RequestReceived, upstream: Upstream, source: Upstream | None) -> None:
             assert witness is not None
-            seen.append(as_witnessed(request, node, source))
-            witness(request, node, source)
+            seen.append(as_witnessed(request, upstream, source))
+            witness(request, upstream, source)
 
         self.homes = noted_home if homes else None
         self.witness = noted_attempt if witness else None
@@ -158,7 +161,7 @@
         return count
 
     def take_settings(self, settings: io.Settings) -> None:
-        self.s = settings
+        self.context.settings = settings
         self.lines.append(to_text(["settings", encode(settings)]))
 
 
@@ -206,7 +209,7 @@
             done = [encode(action) for action in router.handle(now, decode(event))]
             wanted, present = [actions, attempts or [], []], [done, watch.attempts, watch.homes]
         elif kind == "settings":
-            router.s, wanted, present = decode(values[0]), None, None
+            router.context.settings, wanted, present = decode(values[0]), None, None
         elif kind == "learned":
             wanted, present = values[0], [encode(fact) for fact in export_facts(router)]
         else:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,7 +12,8 @@
 
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, UpdateScope
-from quincepier.policy import Router
+from quincepier.policy.slow_start import SlowStart
+from quincepier.records import Upstream
 from tests.rig import (
     CACHES,
     MS,
@@ -207,7 +208,9 @@
         bench.wait(100 * MS)
         new = replace(machine(PARENTS[0], PARENT, bench.now), size=1.0)
         bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (new,)))
-        assert not bench.router.room(bench.router.nodes[PARENTS[0]])  # it begins in debt
+        assert not bench.router.slow_start.has_room(
+            bench.router.placement.table.by_id[PARENTS[0]]
+        )  # it begins in debt
         bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
         bench.wait(20 * MS)
         (after,) = attempts(bench.ask(2, obj=6))
@@ -219,39 +222,39 @@
     """It starts again just before it is warm and all is told when it was: what went out then is not owed."""
     listed = tuple(replace(m, size=1.0) for m in fleet())
     bench = Bench(make_settings(fronts=1, fronts_by_zone=(0, 1)), listed)
-    node, started = bench.router.nodes[CACHES[0]], bench.now
-    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (replace(node.machine, up_since=started),)))
+    node, started = bench.router.placement.table.by_id[CACHES[0]], bench.now
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (replace(node.endpoint, up_since=started),)))
     for _ in range(2):  # the last look while it is cold
         bench.wait(7 * SECOND)
-        bench.router.now = bench.now
-        bench.router.room(node)
+        bench.router.context.now = bench.now
+        bench.router.slow_start.has_room(node)
     assert node.credit > 0
     bench.wait(3 * SECOND)
     for number in range(1, 61):
         for sent in attempts(bench.ask(number, obj=number)):
             bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
-    again = replace(node.machine, up_since=started + 13 * SECOND)
+    again = replace(node.endpoint, up_since=started + 13 * SECOND)
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (again,)))
-    bench.router.room(node)
+    bench.router.slow_start.has_room(node)
     assert -WORK * SECOND <= node.credit <= 0, node.credit / SECOND  # one request at most
 
 
 def first_credits_at_once(patch: pytest.MonkeyPatch) -> None:
     """Each front may ask for one as it hears of the start."""
-    plain = Router.room
+    plain = SlowStart.has_room
 
-    def room(self: Router, node: object) -> bool:
-        new = node.drawn < node.cold_at  # type: ignore[attr-defined]
-        may = plain(self, node)  # type: ignore[arg-type]
+    def has_room(self: SlowStart, upstream: Upstream) -> bool:
+        new = upstream.budget_since < upstream.started_at
+        may = plain(self, upstream)
         if new:
-            node.credit = 0.0  # type: ignore[attr-defined]
+            upstream.credit = 0.0
         return may or new
 
-    patch.setattr(Router, "room", room)
+    patch.setattr(SlowStart, "has_room", has_room)
 
 
 def whole_budget_each(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Router, "sharers", lambda self, node: 1)
+    patch.setattr(SlowStart, "sharers", lambda self, upstream: 1)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -52,6 +52,8 @@
 from quincepier.lab.front import Front as WorldFront
 from quincepier.lab.world import World as LabWorld
 from quincepier.policy import Router
+from quincepier.policy.placement import Placement
+from quincepier.policy.slow_start import SlowStart
 from quincepier.rules import MaintenanceStep, MaintenanceTask, RuleVersion
 from tests.rig import CACHES, MS, PARENTS, SECOND, Bench, attempts, machine, make_settings
 from tests.test_policy_properties import SITES, World
@@ -280,20 +282,20 @@
 def test_the_rule_is_where_the_router_itself_sends() -> None:
     """All warm and idle: the router's own order is the rule's, and its ranking cache serves the digests."""
     bench = Bench()
-    machines = [node.machine for node in bench.router.nodes.values()]
+    machines = [node.endpoint for node in bench.router.placement.table.by_id.values()]
     endpoints = tuple(
         ListedEndpoint(f"h{m.cache}", m.cache, m.kind, m.zone, 0, m.size, True) for m in machines
     )
     inputs = make_inputs(endpoints=endpoints, settings=bench.settings, rule_version=RuleVersion(0, 0))
     ranking_cache = router_ranking_cache(bench.router, lambda: endpoints)
     for key in sample_keys(0, 5, 32, inputs):
-        ranked = bench.router.rank(bench.router.edges, mix(key.object, key.part))
+        ranked = bench.router.placement.rank(bench.router.placement.table.caches, mix(key.object, key.part))
         decision = decide(inputs, key)
-        assert decision.caches == tuple(node.machine.cache for node in ranked)
+        assert decision.caches == tuple(node.endpoint.cache for node in ranked)
         assert decision == DecisionRules(inputs, ranking_cache=ranking_cache).decide(key)
     assert ranking_cache(9, 1) is None and stale_rankings(bench.router) == 0
-    cached = next(iter(bench.router.ranks))
-    bench.router.ranks[cached] = bench.router.ranks[cached][::-1]
+    cached = next(iter(bench.router.placement.rankings))
+    bench.router.placement.rankings[cached] = bench.router.placement.rankings[cached][::-1]
     assert stale_rankings(bench.router) == 1
 
 
@@ -357,9 +359,9 @@
         return
     plain = router.send
 
-    def send(req: Any, node: Any, source: Any, anew: bool = False) -> None:
-        recorder(req.e, node, source)
-        plain(req, node, source, anew)
+    def send(req: Any, to: Any, source: Any, anew: bool = False) -> None:
+        recorder(req.event, to, source)
+        plain(req, to, source, anew)
 
     router.send = send  # type: ignore[method-assign]
 
@@ -419,45 +421,45 @@
 
 
 def wrong_hash(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: mix(key + 1, n.machine.cache))
+    return sorted(nodes, key=lambda n: mix(key + 1, n.endpoint.cache))
 
 
-def by_id(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: int(n.machine.cache))
+def by_id(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
+    return sorted(nodes, key=lambda n: int(n.endpoint.cache))
 
 
-ORIGINAL_RANK, FIRST_RANKINGS = Router.rank, dict[tuple[int, int], list[Any]]()
+ORIGINAL_RANK, FIRST_RANKINGS = Placement.rank, dict[tuple[int, int], list[Any]]()
 
 
-def first_ranking(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
+def first_ranking(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
     """What was ranked first is used for ever, as far as it is still listed."""
-    ranked = [n.machine.cache for n in ORIGINAL_RANK(self, nodes, key)]
+    ranked = [n.endpoint.cache for n in ORIGINAL_RANK(self, nodes, key)]
     first = FIRST_RANKINGS.setdefault((id(self), key), ranked)
-    return [self.nodes[n] for n in first if n in self.nodes]
+    return [self.table.by_id[n] for n in first if n in self.table.by_id]
 
 
-def unweighted(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: -math.log((mix(key, n.machine.cache) + 1) / 2**64))
+def unweighted(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
+    return sorted(nodes, key=lambda n: -math.log((mix(key, n.endpoint.cache) + 1) / 2**64))
 
 
-def always_true(self: Router, *args: object) -> bool:
+def always_true(self: object, *args: object) -> bool:
     return True
 
 
-MUTANTS: dict[str, tuple[str, Callable[..., object]]] = {
-    "wrong hash": ("rank", wrong_hash),
-    "order by id": ("rank", by_id),
-    "stale rankings": ("rank", first_ranking),
-    "sizes passed over": ("rank", unweighted),
-    "an ejected endpoint is used": ("usable", always_true),
-    "warm-up budget passed over": ("room", always_true),
+MUTANTS: dict[str, tuple[type, str, Callable[..., object]]] = {
+    "wrong hash": (Placement, "rank", wrong_hash),
+    "order by id": (Placement, "rank", by_id),
+    "stale rankings": (Placement, "rank", first_ranking),
+    "sizes passed over": (Placement, "rank", unweighted),
+    "an ejected endpoint is used": (Placement, "is_usable", always_true),
+    "warm-up budget passed over": (SlowStart, "has_room", always_true),
 }
 
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_a_mutant_of_placement_is_a_breach(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     FIRST_RANKINGS.clear()
-    monkeypatch.setattr(Router, *MUTANTS[name])
+    monkeypatch.setattr(*MUTANTS[name])
     found = 0
     for seed in range(8):
         try:
@@ -520,7 +522,7 @@
     bench = Bench()
     recorder = DecisionRecorder(bench.router, 1.0, 1)
     [first] = attempts(bench.ask(1))
-    recorder(replace(bench.router.requests[1].e, request=9), 101, 201)
+    recorder(replace(bench.router.requests[1].event, request=9), 101, 201)
     assert recorder.counts[Reason.BREACH] == 1 and len(recorder.breaches) == 1
     drained = machine(first.cache, state=EndpointState.DRAINING)
     bench.give(EndpointUpdate(UpdateScope.CHANGES, (drained,)))
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -192,7 +192,7 @@
         place.let_through()
         assert [answer.status for answer in await place.answered(13)] == [200] * 13
         module, new = place.front.module, place.front.module.directory.number("s-9")
-        known = {module.directory.hosts.get(number) for number in module.router.nodes}
+        known = {module.directory.hosts.get(number) for number in module.router.placement.table.by_id}
         assert known == {"s-9", "p-1", "o-1"} and module.caches[new].out == {}
         assert len(place.caches["s-1"].asked) == 12, "the new one serves them"
         assert not before & set(place.over("s-1")), "over a connection that was the old one's"
@@ -213,7 +213,8 @@
         place.tell(*events)
         await asyncio.sleep(0.01)
         router, new = place.front.module.router, place.front.module.directory.number("s-9")
-        assert router.nodes[new].cold_at > 0 and router.cold(router.nodes[new])[0] < 1
+        upstream = router.placement.table.by_id[new]
+        assert upstream.started_at > 0 and router.slow_start.warmth(upstream).share < 1
 
     play(monkeypatch, story)
 
--- a/tests/test_crossings_dials.py
+++ b/tests/test_crossings_dials.py
@@ -115,18 +115,18 @@
         bench.end(other, AttemptOutcome.OK, CacheStatus.HIT)
     bench.wait(300 * MS)
     bench.end(late, AttemptOutcome.CONNECT_FAILED)
-    assert bench.router.nodes[late.cache].suspect is not answers
+    assert bench.router.placement.table.by_id[late.cache].is_ejected is not answers
 
 
 def test_dials_in_a_row_that_are_not_up_set_aside_a_machine_that_once_answered_beside_them() -> None:
     bench = Bench()
     first = [attempts(bench.ask(n, obj=7))[0] for n in range(1, 7)]
-    node = bench.router.nodes[first[0].cache]
+    node = bench.router.placement.table.by_id[first[0].cache]
     assert {sent.cache for sent in first} == {first[0].cache}
     bench.wait(100 * MS)
     bench.end(first[0], AttemptOutcome.OK, CacheStatus.HIT)
     failed = 0
-    while not node.suspect:
+    while not node.is_ejected:
         failed += 1
         bench.end(first[failed], AttemptOutcome.CONNECT_FAILED)
     assert 1 < failed < len(first) - 1
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -15,7 +15,9 @@
 from quincepier.lab.tally import START
 from quincepier.lab.world import World
 from quincepier.operator.reading import read_struct
-from quincepier.policy import Request, Router
+from quincepier.policy import Router
+from quincepier.policy.placement import Placement
+from quincepier.records import Request, Upstream
 from tests.rig import MS, Bench, attempts, make_class, make_settings
 
 TOLD = {"client_kb_per_s": 4000.0}
@@ -178,21 +180,21 @@
 
 
 def refuses_large(patch: pytest.MonkeyPatch) -> None:
-    plain = Router.crowded
+    plain = Placement.is_crowded
 
-    def crowded(self: Router, node: Any, req: Request) -> bool:
-        return self.work_of(req) > 300 * MS or plain(self, node, req)
+    def crowded(self: Placement, node: Upstream | None, req: Request) -> bool:
+        return self.latency.transfer_time(req) > 300 * MS or plain(self, node, req)
 
-    patch.setattr(Router, "crowded", crowded)
+    patch.setattr(Placement, "is_crowded", crowded)
 
 
 def slow_is_silent(patch: pytest.MonkeyPatch) -> None:
     """What takes longer than usual is called off, and again."""
-    plain: Callable[[Router], None] = Router.watch
+    plain: Callable[[Router, int], None] = Router.watch
 
-    def watch(self: Router) -> None:
-        self.call_off([a for a in self.attempts.values() if a.at < self.now - 250 * MS])
-        plain(self)
+    def watch(self: Router, gap: int) -> None:
+        self.call_off([a for a in self.attempts.values() if a.sent_at < self.now - 250 * MS])
+        plain(self, gap)
 
     patch.setattr(Router, "watch", watch)
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -42,7 +42,7 @@
         ("wire/lines.py", "import quincepier.config", {DOWN}),  # above it
         ("rules/lease_table.py", "import quincepier.net", {DOWN, PURE}),
         ("net/means.py", "import quincepier.lab", {DOWN, LAB}),
-        ("policy/pace.py", "import time", {PURE}),
+        ("policy/latency.py", "import time", {PURE}),
         ("keys.py", "import quincepier.clock", {DOWN, PURE}),  # the clock by another's hand
     ],
 )
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -94,8 +94,10 @@
             else (s.cold_from, s.cold_multiple, s.cold_time)
         )
         if m.kind != s.origin_kind and self.now - m.up_since < min(s.cold_window, warm):
-            work = (sum(at > self.now - s.cold_window for at in sent) - 1) * min(self.router.work)
-            size = m.size if s.sizes_compare else max(self.router.sizes.get(m.kind, 1.0), 1.0)
+            work = (sum(at > self.now - s.cold_window for at in sent) - 1) * min(
+                self.router.latency.transfer_times.means
+            )
+            size = m.size if s.sizes_compare else max(self.router.slow_start.sizes.get(m.kind, 1.0), 1.0)
             stands = multiple * least * size * s.cold_window
             assert work * fronts_that_ask(s.fronts, s.fronts_by_zone, m.zone) <= stands
 
@@ -112,9 +114,13 @@
     def finish(self) -> None:
         super().finish()
         router, classes = self.router, len(self.site.classes)
-        assert max(len(router.hits), len(router.purges), len(router.ranks)) <= MEMORY_MOST
-        assert len(router.usual) <= 4 * classes and len(router.nodes) <= len(self.states)
-        assert not any(router.held) and router.bound >= 1
+        assert (
+            max(len(router.placement.hits), len(router.purges), len(router.placement.rankings)) <= MEMORY_MOST
+        )
+        assert len(router.latency.baselines) <= 4 * classes and len(router.placement.table.by_id) <= len(
+            self.states
+        )
+        assert not any(router.queue.queues) and router.bound >= 1
 
 
 @settings(max_examples=150, **RUNS)  # type: ignore[arg-type]
--- a/tests/test_peer_network.py
+++ b/tests/test_peer_network.py
@@ -201,18 +201,18 @@
     agreeing = QuotaAllocator(enough, peers[1])
 
     async def story() -> None:
-        await until(lambda: few.router.s.fronts == 4, "four are seen where two were told")
-        assert few.router.s.fronts_by_zone == (0, 4)
+        await until(lambda: few.router.settings.fronts == 4, "four are seen where two were told")
+        assert few.router.settings.fronts_by_zone == (0, 4)
         await until(lambda: len(peers[1].view) == 4, "four are seen where six were told")
-        assert enough.router.s.fronts == 6
+        assert enough.router.settings.fronts == 6
         await peers[3].leave()
-        await until(lambda: few.router.s.fronts == 3, "who said that it leaves gave its claim up")
+        await until(lambda: few.router.settings.fronts == 3, "who said that it leaves gave its claim up")
         holder = QuotaHolder(6, 10 * clock.SECOND, 0)
         agreeing.use_leases(holder)
-        assert enough.router.s.fronts == 24, "without a lease a quarter of a part"
+        assert enough.router.settings.fronts == 24, "without a lease a quarter of a part"
         holder.on_grant(clock.now(), clock.now(), QuotaGrant(GrantNumber(1, 1), 2))
         agreeing.update()
-        assert enough.router.s.fronts == 3  # two share 5 in 6 of the whole
+        assert enough.router.settings.fronts == 3  # two share 5 in 6 of the whole
 
     played(peers, story)
     assert (
--- a/tests/test_policy_homes.py
+++ b/tests/test_policy_homes.py
@@ -13,7 +13,9 @@
 
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, Idempotency, UpdateScope
-from quincepier.policy import Attempt, Node, Request, Router
+from quincepier.policy import Router
+from quincepier.policy.placement import Placement
+from quincepier.records import Attempt, Request, Upstream
 from tests.rig import (
     CACHES,
     PARENTS,
@@ -100,8 +102,8 @@
 def each_attempt_has_its_witness() -> None:
     bench, seen = homed(lambda e: None), list[tuple[int, int, int | None]]()
 
-    def witness(e: io.RequestReceived, node: Node, source: Node | None) -> None:
-        seen.append((e.request, node.machine.cache, source.machine.cache if source else None))
+    def witness(e: io.RequestReceived, node: Upstream, source: Upstream | None) -> None:
+        seen.append((e.request, node.endpoint.cache, source.endpoint.cache if source else None))
 
     bench.router.witness = witness
     (sent,) = attempts(bench.ask(1))
@@ -115,10 +117,12 @@
     bench = homed(lambda e: None)
     (sent,) = attempts(bench.ask(1, obj=7))
     req = bench.router.requests[1]
-    order = [n.machine.cache for n in bench.router.rank(bench.router.edges, req.key)]
+    order = [
+        n.endpoint.cache for n in bench.router.placement.rank(bench.router.placement.table.caches, req.key)
+    ]
     bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
-    first = bench.router.nodes[order[0]]
-    first.out = {(5000 + n, 0): Attempt(req, 0, bench.now, first, None) for n in range(200)}
+    first = bench.router.placement.table.by_id[order[0]]
+    first.in_flight = {(5000 + n, 0): Attempt(req, 0, bench.now, first, None) for n in range(200)}
     bench.router.homes = lambda e: home(caches=(order[0], order[2]))
     assert attempts(bench.ask(2, obj=7)) == []
     assert [a.cache for a in attempts(bench.wait(2 * SECOND))] == [order[2]]
@@ -163,15 +167,15 @@
 
 
 Patch = Callable[[pytest.MonkeyPatch], None]
-rank, came, send, listed = Router.rank, Router.came, Router.send, Router.listed
+rank, came, send, listed = Placement.rank, Router.came, Router.send, Router.listed
 
 
-def ranked(change: Callable[[Router, list[Node], int, io.HomeShard | None], list[Node]]) -> Patch:
-    return lambda patch: patch.setattr(Router, "rank", lambda s, n, k, h=None: change(s, n, k, h))
+def ranked(change: Callable[[Placement, list[Upstream], int, io.HomeShard | None], list[Upstream]]) -> Patch:
+    return lambda patch: patch.setattr(Placement, "rank", lambda s, n, k, h=None: change(s, n, k, h))
 
 
 def parents_of_no_home(patch: pytest.MonkeyPatch) -> None:
-    ranked(lambda s, n, k, h: rank(s, n, k, None if n is s.parents else h))(patch)
+    ranked(lambda s, n, k, h: rank(s, n, k, None if n is s.table.parents else h))(patch)
 
 
 def drawn_by_home(patch: pytest.MonkeyPatch) -> None:
@@ -194,7 +198,7 @@
 
 def asked_again(patch: pytest.MonkeyPatch) -> None:
     def anew(self: Router, req: Request, *more: Any) -> None:
-        req.home = self.homes(req.e) if self.homes else None
+        req.home = self.homes(req.event) if self.homes else None
         send(self, req, *more)
 
     patch.setattr(Router, "send", anew)
@@ -202,7 +206,7 @@
 
 def first_witness_alone(patch: pytest.MonkeyPatch) -> None:
     def once(self: Router, req: Request, *more: Any) -> None:
-        self.witness = None if req.sent else self.witness
+        self.witness = None if req.attempts_sent else self.witness
         send(self, req, *more)
 
     patch.setattr(Router, "send", once)
@@ -221,9 +225,9 @@
 def straight_to_any_parent(patch: pytest.MonkeyPatch) -> None:
     """A home with no cache left falls back to all machines."""
 
-    def fallen(s: Router, n: list[Node], k: int, h: io.HomeShard | None) -> list[Node]:
+    def fallen(s: Placement, n: list[Upstream], k: int, h: io.HomeShard | None) -> list[Upstream]:
         usable = h and any(
-            m.machine.cache in h.caches and m.machine.state is EndpointState.READY for m in s.edges
+            m.endpoint.cache in h.caches and m.endpoint.state is EndpointState.READY for m in s.table.caches
         )
         return rank(s, n, k, h if usable else None)
 
@@ -232,9 +236,9 @@
 
 def orders_outlast_the_list(patch: pytest.MonkeyPatch) -> None:
     def kept(self: Router, news: io.EndpointUpdate) -> None:
-        before = self.ranks
+        before = self.placement.rankings
         listed(self, news)
-        self.ranks = before
+        self.placement.rankings = before
 
     patch.setattr(Router, "listed", kept)
 
--- a/tests/test_policy_mechanism.py
+++ b/tests/test_policy_mechanism.py
@@ -10,7 +10,8 @@
 
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome, CacheStatus, UpdateScope
-from quincepier.policy import CROWD, Attempt, Node, Request
+from quincepier.policy.placement import CROWDED
+from quincepier.records import Attempt, Request, Upstream
 from tests.rig import (
     CACHES,
     MS,
@@ -70,11 +71,11 @@
     out = crowd(bench, 0, 0, 16)
     for cls in range(2):
         crowd(bench, cls, 1000 * (cls + 1), 200)
-    bench.router.released = [bench.now] * 3
+    bench.router.queue.released_at = [bench.now] * 3
     left: Counter[int] = Counter()
     for _ in range(95):
         bench.router.bound = 16
-        bench.router.work = [0.5 * SECOND] * 3
+        bench.router.latency.transfer_times.means = [0.5 * SECOND] * 3
         for freed in attempts(bench.end(out.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)):
             left[freed.request // 1000] += 1
             out.append(freed)
@@ -165,7 +166,7 @@
     out = crowd(bench, 0, 0, 16)
     lost = out[0].cache
     bench.end(out[0], AttemptOutcome.CONNECT_FAILED)
-    assert bench.router.nodes[lost].suspect
+    assert bench.router.placement.table.by_id[lost].is_ejected
     assert bench.router.fills < 16
     bench.wait(900 * MS)
     bench.router.bound = 256
@@ -174,7 +175,7 @@
     tried = [a for a in crowd(bench, 0, 200, 12) if a.cache == lost]
     assert len(tried) == 1
     bench.end(tried[0], AttemptOutcome.OK, CacheStatus.FILLED)
-    assert not bench.router.nodes[lost].suspect
+    assert not bench.router.placement.table.by_id[lost].is_ejected
 
 
 def test_whole_zone_lost_goes_straight_to_a_parent() -> None:
@@ -238,9 +239,9 @@
     bench = Bench(machines=small)
     (seen,) = attempts(bench.ask(1, obj=7))
     bench.end(seen, AttemptOutcome.OK, CacheStatus.HIT)
-    bench.router.work[0] = 0.5 * SECOND
+    bench.router.latency.transfer_times.means[0] = 0.5 * SECOND
     out = [a for n in range(10, 30) for a in attempts(bench.ask(n, obj=7, part=0))]
-    stands = CROWD * (500 / 500 + 2)  # part of the slowing that the class stands
+    stands = CROWDED * (500 / 500 + 2)  # part of the slowing that the class stands
     assert len(out) == int(stands * 4 / 2)  # a link of 4 transfers, shared by two fronts
     freed = attempts(bench.end(out[0], AttemptOutcome.OK, CacheStatus.HIT, elapsed=500 * MS))
     assert freed
@@ -296,26 +297,27 @@
                 anew += isinstance(last, io.FetchThrough) and last.source != last.cache
                 bench.end(last, AttemptOutcome.OVERLOADED)
     assert 0 < anew < 60
-    assert bench.router.rest > SECOND
+    assert bench.router.rest.wait > SECOND
     bench.wait(10 * SECOND)
     (held,) = attempts(bench.ask(900, obj=900))
     assert isinstance(held, io.FetchThrough) and held.held_only
     assert (
-        attempts(bench.end(held, AttemptOutcome.OK, CacheStatus.FILLED)) == [] and bench.router.rest > SECOND
+        attempts(bench.end(held, AttemptOutcome.OK, CacheStatus.FILLED)) == []
+        and bench.router.rest.wait > SECOND
     )
     for n in range(1000, 1005):
         (held,) = attempts(bench.ask(n, obj=n))
-        if bench.router.rest:  # one at a time learns whether the origin gives again
+        if bench.router.rest.wait:  # one at a time learns whether the origin gives again
             (sent,) = attempts(bench.end(held, AttemptOutcome.MISS))
             bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
         bench.wait(3 * SECOND)
-    assert bench.router.rest == 0
+    assert bench.router.rest.wait == 0
 
 
 def test_source_that_gives_nothing_of_what_it_holds_is_set_aside() -> None:
     """Where no notes tell whose fault a failed fill was, a parent asked for its own copies alone shows it."""
     bench = Bench()
-    bench.router.rest, bench.router.fill_at = float(SECOND), bench.now + SECOND
+    bench.router.rest.wait, bench.router.fill_at = float(SECOND), bench.now + SECOND
     gone, asked = PARENTS[0], 0
     for n in range(60):
         for sent in attempts(bench.ask(n, obj=n)):
@@ -324,7 +326,7 @@
                 bench.end(sent, AttemptOutcome.OVERLOADED)
             elif isinstance(sent, io.FetchThrough):
                 bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
-    assert asked == 2 and bench.router.nodes[gone].suspect
+    assert asked == 2 and bench.router.placement.table.by_id[gone].is_ejected
 
 
 def test_fills_wait_for_a_link_that_is_told_to_be_full() -> None:
@@ -348,14 +350,14 @@
         bench, count = Bench(), 0
         far = tuple(replace(machine(5000 + n), zone=9) for n in range(foreign))
         bench.give(io.EndpointUpdate(UpdateScope.CHANGES, far))
-        usable = bench.router.usable
+        usable = bench.router.placement.is_usable
 
-        def counted(node: Node, req: Request) -> bool:
+        def counted(upstream: Upstream, req: Request) -> bool:
             nonlocal count
             count += 1
-            return usable(node, req)
+            return usable(upstream, req)
 
-        bench.router.usable = counted  # type: ignore[method-assign]
+        bench.router.placement.is_usable = counted  # type: ignore[method-assign]
         for n in range(20):
             for sent in attempts(bench.ask(n, obj=n)):
                 bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
@@ -368,12 +370,12 @@
 def crowded_first(bench: Bench) -> tuple[int, int]:
     """Fill the cache that one object's parts go to first by hash; its number and the next one's."""
     (sent,) = attempts(bench.ask(1, obj=7))
-    first = bench.router.nodes[sent.cache]
+    first = bench.router.placement.table.by_id[sent.cache]
     req = bench.router.requests[1]
-    second = bench.router.rank(bench.router.edges, req.key)[1]
+    second = bench.router.placement.rank(bench.router.placement.table.caches, req.key)[1]
     bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
-    first.out = {(5000 + n, 0): Attempt(req, 0, bench.now, first, None) for n in range(200)}
-    return first.machine.cache, second.machine.cache
+    first.in_flight = {(5000 + n, 0): Attempt(req, 0, bench.now, first, None) for n in range(200)}
+    return first.endpoint.cache, second.endpoint.cache
 
 
 def test_hold_for_a_crowded_cache_ends_at_the_next_by_hash_while_the_bound_is_free() -> None:
@@ -402,14 +404,14 @@
 def test_sizes_not_told_are_learned_from_what_a_kind_was_seen_to_bear() -> None:
     """With a size of one a cold machine was left unused until it was warm; with none told that is all."""
     bench = Bench(make_settings(sizes_compare=False), unlisted())
-    node = bench.router.nodes[CACHES[0]]
-    assert bench.router.size(node) == 1.0
+    node = bench.router.placement.table.by_id[CACHES[0]]
+    assert bench.router.slow_start.size(node) == 1.0
     for n in range(4000):
         for sent in attempts(bench.ask(n, obj=n)):
             bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=200 * MS)
         bench.wait(10 * MS)
     # 100 requests a second of 0.2 s at this front, as many at the other, over three caches
-    assert 0.7 < bench.router.size(node) / (100 * 0.2 * 2 / 3) < 1.05
+    assert 0.7 < bench.router.slow_start.size(node) / (100 * 0.2 * 2 / 3) < 1.05
 
 
 def test_work_while_a_machine_is_lost_or_cold_does_not_raise_a_learned_size() -> None:
@@ -422,10 +424,13 @@
             for sent in attempts(bench.ask(n, obj=n)):
                 bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=200 * MS)
             bench.wait(10 * MS)
-        return router.size(router.nodes[CACHES[0]])
+        return router.slow_start.size(router.placement.table.by_id[CACHES[0]])
 
     before = play(0)
-    router.nodes[CACHES[1]].suspect, router.nodes[CACHES[1]].trial_at = True, bench.now + 1000 * SECOND
+    router.placement.table.by_id[CACHES[1]].is_ejected, router.placement.table.by_id[CACHES[1]].trial_at = (
+        True,
+        bench.now + 1000 * SECOND,
+    )
     assert play(10_000) == before
 
 
@@ -450,11 +455,11 @@
 def test_refusals_at_one_cache_are_no_sign_against_the_source() -> None:
     """Where no notes tell, a cache with no place for a fill looks like a parent that gives nothing."""
     bench = Bench()
-    bench.router.rest, bench.router.fill_at = float(SECOND), bench.now + SECOND
+    bench.router.rest.wait, bench.router.fill_at = float(SECOND), bench.now + SECOND
     for n in range(60):
         for sent in attempts(bench.ask(n, obj=n)):
             bench.end(sent, AttemptOutcome.OVERLOADED if sent.cache == CACHES[0] else AttemptOutcome.MISS)
-    assert not any(bench.router.nodes[p].suspect for p in PARENTS)
+    assert not any(bench.router.placement.table.by_id[p].is_ejected for p in PARENTS)
 
 
 def test_told_and_untold_sizes_are_not_compared_with_each_other() -> None:
@@ -463,14 +468,14 @@
     for n in range(90):
         for sent in attempts(bench.ask(n, obj=n, size_kb=0.0 if n >= 60 else 400.0)):
             bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=100 * MS)
-    assert max(node.pace.times(bench.now) for node in bench.router.edges) < 1.1
+    assert max(node.slowness.factor(bench.now) for node in bench.router.placement.table.caches) < 1.1
 
 
 @pytest.mark.parametrize(("fronts", "waits"), [(20, True), (1, False)])
 def test_fills_wait_by_their_own_pace_the_earlier_the_more_fronts_see_it(fronts: int, waits: bool) -> None:
     """Nothing told of the zone's link: twenty fronts at their least bounds filled it four times over."""
     bench = Bench(make_settings(fronts=fronts, fronts_by_zone=(0, fronts), client_kb_per_s=0.0))
-    bench.router.work = [250.0 * MS] * 2  # the wanted time is four times that
+    bench.router.latency.transfer_times.means = [250.0 * MS] * 2  # the wanted time is four times that
     for n in range(90):
         for sent in attempts(bench.ask(n, obj=n)) + attempts(bench.wait(40 * MS)):
             bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED, elapsed=(100 if n < 40 else 220) * MS)
@@ -484,7 +489,7 @@
             late = n >= 30 and sent.cache == CACHES[0]
             ending, took = (AttemptOutcome.CANCELLED, 3000 * MS) if late else (AttemptOutcome.OK, 100 * MS)
             bench.end(sent, ending, CacheStatus.NONE if late else CacheStatus.FILLED, elapsed=took)
-    slow, *others = (bench.router.nodes[c].pace.times(bench.now) for c in CACHES)
+    slow, *others = (bench.router.placement.table.by_id[c].slowness.factor(bench.now) for c in CACHES)
     assert slow > 2 * max(others)
 
 
@@ -492,19 +497,22 @@
     """Sorted at each look at a held request, they took 122 us an event and a full-size day was cut off."""
     bench = Bench()
     router = bench.router
-    order = router.rank(router.edges, 5)
-    router.reweigh()
-    assert router.rank(router.edges, 5) is order
+    order = router.placement.rank(router.placement.table.caches, 5)
+    router.placement.reweigh()
+    assert router.placement.rank(router.placement.table.caches, 5) is order
     for _ in range(9):
-        order[0].pace.sign(bench.now, 2.0)
-    router.reweigh()
-    assert router.rank(router.edges, 5) is not order and order[0].step > 0
+        order[0].slowness.add(bench.now, 2.0)
+    router.placement.reweigh()
+    assert router.placement.rank(router.placement.table.caches, 5) is not order and order[0].weight_step > 0
 
 
 def test_with_no_cache_to_ask_and_nothing_straight_it_is_refused_at_once_without_advice() -> None:
     bench = Bench(make_settings(direct=False, retry_after=False))
     for cache in CACHES:
-        bench.router.nodes[cache].suspect, bench.router.nodes[cache].trial_at = True, bench.now + 99 * SECOND
+        (
+            bench.router.placement.table.by_id[cache].is_ejected,
+            bench.router.placement.table.by_id[cache].trial_at,
+        ) = True, bench.now + 99 * SECOND
     (answer,) = (a for a in bench.ask(1) if not isinstance(a, io.SetTimer))
     assert isinstance(answer, io.RejectRequest) and answer.retry_after == 0
 
@@ -521,9 +529,9 @@
     waiting = [a for n in range(100, 140) for a in attempts(bench.ask(n, obj=n))]
     assert len(waiting) > 8
     for a in waiting:  # the caches themselves are heard from
-        bench.router.nodes[a.cache].heard = bench.now + 1
+        bench.router.placement.table.by_id[a.cache].heard_at = bench.now + 1
     bench.wait(1700 * MS)
-    parents = [bench.router.nodes[p].suspect for p in PARENTS]
+    parents = [bench.router.placement.table.by_id[p].is_ejected for p in PARENTS]
     assert not any(parents) if slow else all(parents)
 
 
@@ -535,12 +543,12 @@
     bench = Bench(make_settings(fronts=6, fronts_by_zone=(0, 6), client_kb_per_s=0.0), small)
     for n in range(30):
         (sent,) = attempts(bench.ask(n, obj=n))
-        node = bench.router.nodes[sent.cache]
+        node = bench.router.placement.table.by_id[sent.cache]
         beside = {
             (1000 + k, 0): Attempt(bench.router.requests[n], 0, bench.now, node, None) for k in range(others)
         }
-        node.out.update(beside)
+        node.in_flight.update(beside)
         bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=80 * MS)
         for key in beside:
-            del node.out[key]
-    assert bench.router.work[0] == pytest.approx(own * MS, rel=0.01)
+            del node.in_flight[key]
+    assert bench.router.latency.transfer_times.means[0] == pytest.approx(own * MS, rel=0.01)
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -20,6 +20,8 @@
     UpdateScope,
 )
 from quincepier.policy import Router
+from quincepier.policy.placement import Placement
+from quincepier.policy.slow_start import SlowStart
 from tests.rig import (
     CACHES,
     HOME,
@@ -147,7 +149,9 @@
             else (s.cold_from, s.cold_multiple)
         )
         if self.now - m.up_since < s.cold_window:
-            work = (sum(at > first for at in sent) - 1) * min(self.router.work)  # one may overdraw
+            work = (sum(at > first for at in sent) - 1) * min(
+                self.router.latency.transfer_times.means
+            )  # one may overdraw
             assert work * s.fronts <= multiple * least * m.size * s.cold_window
 
     def check_final(self, action: io.Action, request: int) -> None:
@@ -246,9 +250,9 @@
             self.advance(20 * SECOND)
         assert set(self.owed) <= self.begun, "some request never got its answer"
         router = self.router
-        assert router.attempts == {} and router.fills == 0 and router.depth == [0, 0, 0]
+        assert router.attempts == {} and router.fills == 0 and router.queue.depths == [0, 0, 0]
         assert set(router.requests) <= self.begun
-        assert not any(node.out for node in router.nodes.values())
+        assert not any(node.in_flight for node in router.placement.table.by_id.values())
 
 
 def play(site: io.Settings, steps: list[tuple[int, int, int]]) -> None:
@@ -276,24 +280,24 @@
     return 0
 
 
-def always(self: Router, *args: object) -> bool:
+def always(self: object, *args: object) -> bool:
     return True
 
 
-GUARDS: list[tuple[str, Callable[..., object]]] = [
-    ("oldest", no_age),
-    ("harmless", always),
-    ("usable", always),
-    ("room", always),
+GUARDS: list[tuple[type, str, Callable[..., object]]] = [
+    (Router, "oldest", no_age),
+    (Router, "harmless", always),
+    (Placement, "is_usable", always),
+    (SlowStart, "has_room", always),
 ]
 
 
-@pytest.mark.parametrize(("name", "broken"), GUARDS, ids=[name for name, _ in GUARDS])
+@pytest.mark.parametrize(("part", "name", "broken"), GUARDS, ids=[name for _, name, _ in GUARDS])
 def test_runs_notice_a_guard_taken_out(
-    name: str, broken: Callable[..., object], monkeypatch: pytest.MonkeyPatch
+    part: type, name: str, broken: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The property runs are worth something only if they fail without each guard."""
-    monkeypatch.setattr(Router, name, broken)
+    monkeypatch.setattr(part, name, broken)
     noticed = 0
     for seed in range(24):
         dice = random.Random(seed)
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -7,6 +7,7 @@
 import pytest
 
 from quincepier import interface as io
+from quincepier.context import TimerKind
 from quincepier.interface import (
     AttemptOutcome,
     CacheStatus,
@@ -15,7 +16,6 @@
     Idempotency,
     UpdateScope,
 )
-from quincepier.policy import WATCH
 from tests.rig import (
     CACHES,
     MS,
@@ -152,12 +152,12 @@
 def test_restart_shows_as_fresh_start_and_is_cold() -> None:
     bench = Bench()
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (machine(PARENTS[0], 1, up_since=bench.now),)))
-    node = bench.router.nodes[PARENTS[0]]
-    bench.router.room(node)  # starts in debt
-    bench.router.now += SECOND
-    assert bench.router.room(node)
+    node = bench.router.placement.table.by_id[PARENTS[0]]
+    bench.router.slow_start.has_room(node)  # starts in debt
+    bench.router.context.now += SECOND
+    assert bench.router.slow_start.has_room(node)
     node.credit -= 100.0 * SECOND
-    assert not bench.router.room(node)
+    assert not bench.router.slow_start.has_room(node)
 
 
 @pytest.mark.parametrize("fronts", [20, 210])
@@ -242,7 +242,7 @@
     line = replace(machine(CACHES[0]), up_since=bench.now)
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (line,)))
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (line,)))
-    assert bench.router.nodes[CACHES[0]].cold_at == line.up_since
+    assert bench.router.placement.table.by_id[CACHES[0]].started_at == line.up_since
 
 
 def test_request_that_waited_out_its_time_is_answered_at_once() -> None:
@@ -266,10 +266,10 @@
     bench = Bench()
     for n in range(12):
         bench.ask(n, obj=n)
-    due = min(t for t in bench.timers if t[1] & 7 == WATCH)
+    due = min(t for t in bench.timers if t[1] & 7 == TimerKind.OVERDUE_CHECK)
     bench.now += 3 * SECOND
     bench.give(io.TimerFired(due[1]))
-    assert not any(node.suspect for node in bench.router.nodes.values())
+    assert not any(node.is_ejected for node in bench.router.placement.table.by_id.values())
 
 
 def test_broken_answers_among_good_ones_set_no_cache_aside() -> None:
@@ -281,7 +281,7 @@
             bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
         else:
             bench.end(sent, AttemptOutcome.RESET, last=True)
-    assert not any(node.suspect for node in bench.router.nodes.values())
+    assert not any(node.is_ejected for node in bench.router.placement.table.by_id.values())
 
 
 def test_new_instance_keeps_the_purges_that_it_is_told() -> None:
@@ -298,15 +298,15 @@
 def test_caches_of_other_zones_cost_nothing() -> None:
     """A list of hundreds of foreign caches leaves no machine, and their changes make no hash order anew."""
     bench = Bench()
-    known, sent = len(bench.router.nodes), attempts(bench.ask(1))
+    known, sent = len(bench.router.placement.table.by_id), attempts(bench.ask(1))
     bench.end(sent[0], AttemptOutcome.OK, CacheStatus.HIT)
-    ranks = dict(bench.router.ranks)
+    ranks = dict(bench.router.placement.rankings)
     far = tuple(replace(machine(1000 + n), zone=7) for n in range(300))
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, far))
     bench.give(
         io.EndpointUpdate(UpdateScope.CHANGES, tuple(replace(m, state=EndpointState.GONE) for m in far))
     )
-    assert len(bench.router.nodes) == known and bench.router.ranks == ranks != {}
+    assert len(bench.router.placement.table.by_id) == known and bench.router.placement.rankings == ranks != {}
 
 
 def test_no_rounds_while_nothing_is_held() -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,7 +12,7 @@
 
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, UpdateScope
-from quincepier.policy import BOUND_START
+from quincepier.policy.dispatch import BOUND_START
 from quincepier.recovery import Ramp, RecoveryPhase, RecoveryTracker, first_poll, fronts_that_ask
 from quincepier.recovery.learned_facts import (
     ASIDE_MOST,
@@ -171,8 +171,8 @@
     bench.give(
         io.EndpointUpdate(UpdateScope.CHANGES, (replace(machine(CACHES[2]), state=EndpointState.DRAINING),))
     )
-    bench.router.distrust(bench.router.nodes[PARENTS[0]], "lost")
-    bench.router.nodes[CACHES[1]].cold_at = bench.now - SECOND
+    bench.router.outliers.on_failure(bench.router.placement.table.by_id[PARENTS[0]], "lost")
+    bench.router.placement.table.by_id[CACHES[1]].started_at = bench.now - SECOND
     return list(export_facts(bench.router))
 
 
@@ -191,11 +191,11 @@
     facts = lived(Bench())
     new = Bench()
     assert restore_facts(new.router, facts, SECOND) >= 8
-    router, nodes = new.router, new.router.nodes
-    assert router.work[0] < 250 * MS < router.s.classes[0].on_time
-    assert nodes[CACHES[0]].pace.times(new.now) > 1.3
-    assert nodes[CACHES[1]].cold_at == new.now - 2 * SECOND
-    assert nodes[PARENTS[0]].suspect and nodes[PARENTS[0]].trial_at <= new.now  # one request tries it
+    router, nodes = new.router, new.router.placement.table.by_id
+    assert router.latency.transfer_times.means[0] < 250 * MS < router.settings.classes[0].on_time
+    assert nodes[CACHES[0]].slowness.factor(new.now) > 1.3
+    assert nodes[CACHES[1]].started_at == new.now - 2 * SECOND
+    assert nodes[PARENTS[0]].is_ejected and nodes[PARENTS[0]].trial_at <= new.now  # one request tries it
     assert router.purges[1, 5] == new.now - SECOND - 100 * MS
     assert CACHES[2] not in asked(new, 0)  # it drained, whatever an older list says
     new.give(io.EndpointUpdate(UpdateScope.CHANGES, (machine(CACHES[2]),)))
@@ -205,8 +205,8 @@
 def test_a_clean_bill_of_health_is_never_recalled() -> None:
     """Facts that say well, warm, quick, or a great bound leave a front as careful as it was."""
     new, plain = Bench(make_settings(fronts=200, fronts_by_zone=(0, 6))), Bench()
-    cold = plain.router.nodes[CACHES[0]].cold_at = plain.now - SECOND
-    plain.router.doubt(plain.router.nodes[CACHES[0]])
+    cold = plain.router.placement.table.by_id[CACHES[0]].started_at = plain.now - SECOND
+    plain.router.outliers.eject(plain.router.placement.table.by_id[CACHES[0]])
     well: list[io.Learned] = [
         io.LearnedEndpoint(CACHES[0], 0.0, 900.0, 0, -1, -1, -1),
         io.LearnedEndpoint(CACHES[0], -50.0, 900.0, 0, 60 * SECOND, -1, -1),
@@ -215,8 +215,8 @@
     ]
     assert restore_facts(new.router, well, 0) == 0 and new.router.bound == BOUND_START
     restore_facts(plain.router, well, 0)
-    node = plain.router.nodes[CACHES[0]]
-    assert node.cold_at == cold and node.suspect and node.pace.signs == 0
+    node = plain.router.placement.table.by_id[CACHES[0]]
+    assert node.started_at == cold and node.is_ejected and node.slowness.weight == 0
 
 
 @pytest.mark.parametrize("age", [None, 0])
@@ -224,21 +224,37 @@
     facts = lived(Bench())
     new = Bench()
     restore_facts(new.router, facts, age)
-    assert (new.router.samples.total() == 0) == (age is None)
-    assert new.router.nodes[CACHES[1]].cold_at == (new.now if age is None else new.now - SECOND)
-    assert new.router.purges[1, 5] >= new.now - 100 * MS and new.router.nodes[PARENTS[0]].suspect
+    assert (new.router.latency.transfer_times.counts.total() == 0) == (age is None)
+    assert new.router.placement.table.by_id[CACHES[1]].started_at == (
+        new.now if age is None else new.now - SECOND
+    )
+    assert (
+        new.router.purges[1, 5] >= new.now - 100 * MS
+        and new.router.placement.table.by_id[PARENTS[0]].is_ejected
+    )
 
 
 def state(bench: Bench) -> tuple[object, ...]:
     """All that decisions rest on and a recall may touch."""
     router, now = bench.router, bench.now
+    times, served = router.latency.transfer_times, router.slow_start.served
     return (
-        router.work, +router.samples, {k: round(v[2], 6) for k, v in router.usual.items()}, router.bound,
-        {k: round(v[0]) for k, v in router.borne.items() if round(v[0])}, router.born,
-        [(n.cold_at and now - n.cold_at < 60 * SECOND, n.leaving > now, round(n.pace.times(now), 9))
-         for n in router.nodes.values()],
-        [at for at in router.purges.values() if now - at <= router.s.purge_settles],
-    )  # fmt: skip
+        times.means,
+        +times.counts,
+        {key: round(baseline.least, 6) for key, baseline in router.latency.baselines.items()},
+        router.bound,
+        {kind: round(work.total) for kind, work in served.sums.items() if round(work.total)},
+        served.since,
+        [
+            (
+                n.started_at and now - n.started_at < 60 * SECOND,
+                n.draining_until > now,
+                round(n.slowness.factor(now), 9),
+            )
+            for n in router.placement.table.by_id.values()
+        ],
+        [at for at in router.purges.values() if now - at <= router.settings.purge_settles],
+    )
 
 
 def test_recalled_facts_are_taken_back_as_their_bound_passes_also_after_a_pause() -> None:
@@ -251,7 +267,7 @@
         bench.now += CLASS_MOST + LEAVING_MOST
         bench.ask(1)
     assert new.router.lapses == []
-    new.router.nodes[PARENTS[0]].suspect = False  # a trial decides, which is no old fact
+    new.router.placement.table.by_id[PARENTS[0]].is_ejected = False  # a trial decides, which is no old fact
     assert state(new) == state(none)
 
 
@@ -266,15 +282,17 @@
     bounds |= {io.LearnedTransferTime: CLASS_MOST, io.LearnedLatency: CLASS_MOST}
     bounds |= {io.LearnedServedWork: WORK_MOST}
     alive = [f for f in told if f.ago + seconds * SECOND < bounds.get(type(f), 0)]
-    assert len(new.router.samples) == sum(isinstance(f, io.LearnedTransferTime) for f in alive)
-    assert len(new.router.usual) == sum(isinstance(f, io.LearnedLatency) for f in alive)
-    assert len(new.router.borne) == sum(isinstance(f, io.LearnedServedWork) for f in alive)
+    assert len(new.router.latency.transfer_times.counts) == sum(
+        isinstance(f, io.LearnedTransferTime) for f in alive
+    )
+    assert len(new.router.latency.baselines) == sum(isinstance(f, io.LearnedLatency) for f in alive)
+    assert len(new.router.slow_start.served.sums) == sum(isinstance(f, io.LearnedServedWork) for f in alive)
     assert all(now < until <= now + CLASS_MOST for until, _ in new.router.lapses)
     paced = next(f for f in told if isinstance(f, io.LearnedEndpoint) and f.cache == CACHES[0])
-    pace = new.router.nodes[CACHES[0]].pace
-    assert (pace.signs > 0) == (paced.ago + seconds * SECOND < PACE_MOST)
+    pace = new.router.placement.table.by_id[CACHES[0]].slowness
+    assert (pace.weight > 0) == (paced.ago + seconds * SECOND < PACE_MOST)
     aside = next(f for f in told if isinstance(f, io.LearnedEndpoint) and f.aside_ago >= 0)
-    assert new.router.nodes[aside.cache].suspect == (seconds * SECOND <= ASIDE_MOST)
+    assert new.router.placement.table.by_id[aside.cache].is_ejected == (seconds * SECOND <= ASIDE_MOST)
 
 
 def test_own_answers_outlast_the_recalled_mean() -> None:
@@ -283,11 +301,11 @@
     for n in range(60):
         for sent in attempts(new.ask(n, obj=n)):
             new.end(sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=80 * MS)
-    mine = new.router.work[0]
+    mine = new.router.latency.transfer_times.means[0]
     assert mine > 60 * MS  # it counted as four answers, however many it was made of
     new.now += CLASS_MOST
     new.ask(99)
-    assert new.router.work[0] == pytest.approx(mine) and math.isfinite(mine)
+    assert new.router.latency.transfer_times.means[0] == pytest.approx(mine) and math.isfinite(mine)
 
 
 def test_a_front_that_recalls_answers_each_request_once(seed: int = 3) -> None:
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -97,7 +97,7 @@
             assert status == 200
             (home,) = [m for m in machines.values() if m.whole[job]]  # the hashed cache, and no other
             assert [kind for kind, id in home.at if id == job][-1] == "ipv6"
-        assert not any(node.suspect for node in inside.module.router.nodes.values())
+        assert not any(node.is_ejected for node in inside.module.router.placement.table.by_id.values())
         await inside.close()
 
     play(scenario)
@@ -126,7 +126,7 @@
         await until(lambda: not inside.cache("s-1").connections, "the old connections are gone")
         await inside.serve(SAFE, 9)
         assert AttemptOutcome.CONNECT_FAILED in endings and inside.cache("s-1").number in {
-            n.machine.cache for n in inside.module.router.nodes.values() if n.suspect
+            n.endpoint.cache for n in inside.module.router.placement.table.by_id.values() if n.is_ejected
         }
         machine.set("ipv4", Script())  # set aside or not, what is listed is tried
         await inside.cache("s-1").way.connect()  # type: ignore[union-attr]
@@ -422,7 +422,10 @@
         await inside.start()
         born = inside.record("s-1", edge.addresses(), born_ms=time.time_ns() // clock.MS - 1000)
         inside.tell(born)
-        await until(lambda: inside.module.router.nodes[inside.cache("s-1").number].cold_at > 0, "it is cold")
+        await until(
+            lambda: inside.module.router.placement.table.by_id[inside.cache("s-1").number].started_at > 0,
+            "it is cold",
+        )
         sent = []
         perform = inside.module._send
         number = inside.cache("s-1").number
--- a/tests/test_standing_cold.py
+++ b/tests/test_standing_cold.py
@@ -8,9 +8,11 @@
 import pytest
 
 from quincepier import interface as io
-from quincepier.fading import Pace
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, UpdateScope
-from quincepier.policy import Node, Router
+from quincepier.policy import Router
+from quincepier.policy.slow_start import SlowStart
+from quincepier.records import Upstream
+from quincepier.structures import DecayingMean
 from tests.rig import CACHES, MS, PARENT, PARENTS, SECOND, Bench, attempts, fleet, machine, make_settings
 
 FRONTS, EVERY, STEP = 24, 120 * MS, 40 * MS  # a front asks one request each so long, at its own moment
@@ -85,7 +87,7 @@
 
 def all_at_once(patch: pytest.MonkeyPatch) -> None:
     """Each front takes the whole budget for its own."""
-    patch.setattr(Router, "sharers", lambda self, node: 1)
+    patch.setattr(SlowStart, "sharers", lambda self, upstream: 1)
 
 
 def once(patch: pytest.MonkeyPatch) -> None:
@@ -93,24 +95,24 @@
     plain = Router.listed
 
     def listed(self: Router, news: io.EndpointUpdate) -> None:
-        cold = {cache for cache, node in self.nodes.items() if node.cold_at}
+        cold = {cache for cache, node in self.placement.table.by_id.items() if node.started_at}
         plain(self, news)
         for m in news.machines:
             if m.cache in cold:
-                self.nodes[m.cache].cold_at = 0
+                self.placement.table.by_id[m.cache].started_at = 0
 
     patch.setattr(Router, "listed", listed)
 
 
 def warm_by_name(patch: pytest.MonkeyPatch) -> None:
     """An id that was not there before is taken for warm."""
-    plain = Node.__init__
+    plain = Upstream.__init__
 
-    def begin(self: Node, machine: io.Endpoint, pace: Pace, recent: int) -> None:
-        plain(self, machine, pace, recent)
-        self.cold_at = 0
+    def begin(self: Upstream, endpoint: io.Endpoint, slowness: DecayingMean, recent_objects: int) -> None:
+        plain(self, endpoint, slowness, recent_objects)
+        self.started_at = 0
 
-    patch.setattr(Node, "__init__", begin)
+    patch.setattr(Upstream, "__init__", begin)
 
 
 @pytest.mark.parametrize("upper", [False, True])
--- a/tests/test_standing_floors.py
+++ b/tests/test_standing_floors.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Callable
 
 import pytest
 
@@ -11,8 +12,10 @@
 from quincepier.lab.experiment import Experiment
 from quincepier.lab.world import World
 from quincepier.operator.reading import read_struct
-from quincepier.policy import Request, Router
-from quincepier.policy.fills import GATE
+from quincepier.policy import Router
+from quincepier.policy.dispatch import GATE
+from quincepier.records import Request
+from quincepier.structures import FairQueue
 from tests.rig import MS, SECOND, Bench, attempts, make_class, make_settings
 
 SEEDS = (1, 2, 3)
@@ -81,12 +84,16 @@
 def highest_first(patch: pytest.MonkeyPatch) -> None:
     """What is held leaves by rank, with no shares and no floor."""
 
-    def release(self: Router) -> None:
-        self.wake()
-        while queue := next((q for queues in self.held if (q := self.head(queues))), None):
-            self.route(queue[0], True)
+    def pop(self: FairQueue[Request], now: int, is_ready: Callable[[Request], bool]) -> Request | None:
+        heads = (self._head(tier, is_ready) for tier in range(len(self.weights)))
+        queue = next(filter(None, heads), None)
+        if queue is None:
+            return None
+        request = queue[0]
+        self.discard(request)
+        return request
 
-    patch.setattr(Router, "release", release)
+    patch.setattr(FairQueue, "pop", pop)
 
 
 def refuses_bids(patch: pytest.MonkeyPatch) -> None:
@@ -94,8 +101,8 @@
     plain = Router.came
 
     def came(self: Router, e: io.RequestReceived) -> None:
-        if self.s.classes[e.cls].effect is Idempotency.UNSAFE and self.fills >= GATE * self.bound:
-            self.out.append(io.RejectRequest(e.request, 0))
+        if self.settings.classes[e.cls].effect is Idempotency.UNSAFE and self.fills >= GATE * self.bound:
+            self.context.actions.append(io.RejectRequest(e.request, 0))
         else:
             plain(self, e)
 
@@ -122,7 +129,7 @@
     for _ in range(40):
         bench.now += 100 * MS
         bench.router.bound = 16
-        bench.router.work = [0.5 * SECOND] * 3
+        bench.router.latency.transfer_times.means = [0.5 * SECOND] * 3
         for freed in attempts(bench.end(out.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)):
             left[freed.request // 1000 - 1] += 1
             out.append(freed)
