--- a/quincepier/consensus/election.py
+++ b/quincepier/consensus/election.py
@@ -14,7 +14,8 @@
 
 from quincepier.consensus.leader_state import LeaderState
 from quincepier.consensus.messages import Message, RequestVote, VoteResponse
-from quincepier.consensus.raft_state import RaftRole, RaftState
+from quincepier.consensus.raft_role import RaftRole
+from quincepier.consensus.raft_state import RaftState
 
 
 def on_tick(state: RaftState) -> None:
@@ -24,7 +25,7 @@
         return
     if state.now_ns >= state.election_deadline_ns:
         start_election(state)
-    if state.is_standing and state.now_ns >= state.retry_deadline_ns:
+    if state.is_campaigning and state.now_ns >= state.retry_deadline_ns:
         send_vote_requests(state)
 
 
--- a/quincepier/consensus/raft.py
+++ b/quincepier/consensus/raft.py
@@ -103,7 +103,7 @@
             return state.now_ns
         if state.leader_state is not None:
             return state.leader_state.heartbeat_deadline_ns
-        if state.is_standing or cluster_configuration.needs_announcement(state):
+        if state.is_campaigning or cluster_configuration.needs_announcement(state):
             return min(state.election_deadline_ns, state.retry_deadline_ns)
         return state.election_deadline_ns
 
@@ -118,8 +118,8 @@
         return self._state.term
 
     @property
-    def is_leader(self) -> bool:
-        """Whether it leads and an entry of its term is committed; reads need the lease besides."""
+    def has_committed_in_term(self) -> bool:
+        """Whether it leads and an entry of its term is committed, so that it knows all committed before."""
         leader_state = self._state.leader_state
         return leader_state is not None and self._state.commit_index >= leader_state.first_index
 
@@ -162,8 +162,8 @@
 
 def _drop_reason(state: RaftState, message: Message) -> DropReason | None:
     """Why a valid message is not for this voter now; None: it is."""
-    known_names = {*state.config.voters, *(member.name for member in state.configuration)}
-    if message.sender_name not in known_names:
+    voter_names = {*state.config.voters, *(member.name for member in state.configuration)}
+    if message.sender_name not in voter_names:
         return DropReason.UNKNOWN_SENDER
     if len(state.persistence.pending) >= state.config.limits.max_pending_writes:
         return DropReason.DISK_BEHIND
--- a/quincepier/consistency/merkle_descent.py
+++ b/quincepier/consistency/merkle_descent.py
@@ -70,7 +70,8 @@
         self._responses[sender] = response
         if self.awaited_fronts:
             return False
-        diverging, reference = self._responses[self._divergence.front], self._responses[self._reference]
+        diverging = self._responses[self._divergence.front]
+        reference = self._responses[self._reference]
         self._responses = {}
         self.attempts = 0
         if isinstance(diverging, SubtreeResponse) and isinstance(reference, SubtreeResponse):
@@ -141,7 +142,7 @@
         value = DivergentValue(item, field, ours.get(field, ""), theirs.get(field, ""))
         kind = self._divergence.kind
         if kind is DivergenceKind.DECISION and self._is_stale(diverging):
-            kind = DivergenceKind.MEMORY
+            kind = DivergenceKind.STALE_RANKINGS
         self.finish(value, kind)
 
     def _is_stale(self, diverging: LeafResponse) -> bool:
--- /dev/null
+++ b/quincepier/consistency/router_view.py
@@ -0,0 +1,203 @@
+"""What the comparison reads of the policy's router: the one place that knows its attributes.
+
+Nothing here changes the router's state. Times are those of the router's clock, in nanoseconds.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+from quincepier import interface as io
+from quincepier.interface import EndpointState
+from quincepier.policy import Router
+from quincepier.records import Upstream
+
+RouterNode = Upstream  # the router's record of an endpoint
+
+
+def node_number(node: RouterNode) -> int:
+    """The number of an endpoint that the router names by its own record."""
+    return node.endpoint.cache
+
+
+class EndpointView:
+    """An endpoint, as the router has it now."""
+
+    def __init__(self, router: Router, node: RouterNode) -> None:
+        self._router = router
+        self._node = node
+
+    @property
+    def number(self) -> int:
+        """The endpoint's number."""
+        return self._node.endpoint.cache
+
+    @property
+    def size(self) -> float:
+        """Its size in the endpoint list; 0 where the list has none."""
+        return self._node.endpoint.size
+
+    @property
+    def latency_divisor(self) -> float:
+        """By what the router divides its weight, as it is slower than its like; 1 for a quick one."""
+        divisor: float = 2 ** (self._node.weight_step / 2)
+        return divisor
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether the endpoint list has it as ready."""
+        return self._node.endpoint.state is EndpointState.READY
+
+    @property
+    def is_shutting_down(self) -> bool:
+        """Whether an earlier start of this front heard that it leaves, and that still holds."""
+        return self._router.now < self._node.draining_until
+
+    @property
+    def is_ejected(self) -> bool:
+        """Whether outlier detection has it ejected, and its next trial is not due."""
+        return self._node.is_ejected and self._router.now < self._node.trial_at
+
+    @property
+    def is_on_trial(self) -> bool:
+        """Whether its trial was begun in this turn of the router."""
+        return self._node.trial_at == self._router.now + self._node.ejection_time
+
+    @property
+    def is_warming_up(self) -> bool:
+        """Whether it started lately and so has a warm-up budget."""
+        return self._router.slow_start.warmth(self._node).multiple < math.inf
+
+    @property
+    def is_budget_checked(self) -> bool:
+        """Whether the router checked its warm-up budget in this turn."""
+        return self._node.credited_at == self._router.now
+
+    @property
+    def budget(self) -> float:
+        """What is left of its warm-up budget; below 0: it may not be used."""
+        return self._node.credit
+
+    @property
+    def requests_in_flight(self) -> int:
+        """Attempts that are open there."""
+        return len(self._node.in_flight)
+
+    def count_recent(self, object_hash: int) -> int:
+        """How many of its last requests were for an object."""
+        return list(self._node.recent_objects).count(object_hash)
+
+    def work_of_new_attempt(self, request: RequestView) -> float | None:
+        """Work of the request's last attempt there if it was begun in this turn; else None."""
+        attempt = self._node.in_flight.get((request.id, request.attempts - 1))
+        if attempt is None or attempt.sent_at != self._router.now:
+            return None
+        return attempt.booked_work
+
+    def is_overloaded(self, request: RequestView) -> bool:
+        """Whether one more request of that class would be late there."""
+        return self._router.placement.is_crowded(self._node, request.record)
+
+
+@dataclass(slots=True, frozen=True)
+class RequestView:
+    """A request, as the router has it now; `record` is the router's own."""
+
+    record: Any
+    id: int
+    attempts: int
+    tier: int
+    avoided: frozenset[int]
+    home: io.HomeShard | None
+
+
+@dataclass(slots=True, frozen=True)
+class CachedRanking:
+    """An order of endpoints that the router holds for a key; of one home shard or of all."""
+
+    key_hash: int
+    is_of_home_shard: bool
+    endpoints: Sequence[int]
+
+
+class RouterView:
+    """Reads one router."""
+
+    def __init__(self, router: Router) -> None:
+        self._router = router
+
+    @property
+    def settings(self) -> io.Settings:
+        """The router's settings."""
+        return self._router.settings
+
+    @property
+    def caches(self) -> list[EndpointView]:
+        """The caches of the front's zone."""
+        return self._views(self._router.placement.table.caches)
+
+    @property
+    def parents(self) -> list[EndpointView]:
+        """The parents of all zones."""
+        return self._views(self._router.placement.table.parents)
+
+    @property
+    def origins(self) -> list[EndpointView]:
+        """The origins, in the order in which they are tried."""
+        return self._views(self._router.placement.table.origins)
+
+    @property
+    def fetches_in_flight(self) -> int:
+        """Origin fetches in flight."""
+        return self._router.fills
+
+    @property
+    def fetch_limit(self) -> int:
+        """The concurrency limit of origin fetches."""
+        return self._router.bound
+
+    def has_endpoint(self, number: int) -> bool:
+        """Whether the router knows an endpoint."""
+        return number in self._router.placement.table.by_id
+
+    def endpoint(self, number: int) -> EndpointView:
+        """An endpoint by its number."""
+        return EndpointView(self._router, self._router.placement.table.by_id[number])
+
+    def find_request(self, request_id: int) -> RequestView | None:
+        """An open request by its id."""
+        record = self._router.requests.get(request_id)
+        if record is None:
+            return None
+        avoided = frozenset(node.endpoint.cache for node in record.excluded)
+        return RequestView(record, request_id, record.attempts_sent, record.tier, avoided, record.home)
+
+    def is_at_fetch_limit(self, request: RequestView) -> bool:
+        """Whether no origin fetch may begin for a request, by the limit or the zone's link."""
+        return self._router.full(request.record)
+
+    def rank_caches(self, key_hash: int) -> Sequence[int]:
+        """The router's own order of its caches for a key."""
+        return [
+            node.endpoint.cache
+            for node in self._router.placement.rank(self._router.placement.table.caches, key_hash)
+        ]
+
+    def rank_parents(self, key_hash: int) -> Sequence[int]:
+        """The router's own order of the parents for a key."""
+        return [
+            node.endpoint.cache
+            for node in self._router.placement.rank(self._router.placement.table.parents, key_hash)
+        ]
+
+    def cached_rankings(self, limit: int) -> Iterator[CachedRanking]:
+        """The last rankings that the router holds, `limit` at most."""
+        for key, ranked in list(self._router.placement.rankings.items())[-limit:]:
+            key_hash = key if isinstance(key, int) else key[0]
+            yield CachedRanking(key_hash, not isinstance(key, int), [node.endpoint.cache for node in ranked])
+
+    def _views(self, nodes: list[Upstream]) -> list[EndpointView]:
+        return [EndpointView(self._router, node) for node in nodes]
--- a/quincepier/context.py
+++ b/quincepier/context.py
@@ -110,9 +110,13 @@
 
     @property
     def settings(self) -> Settings:
-        """As they are now."""
+        """As they are now, for all parts."""
         return self.context.settings
 
+    @settings.setter
+    def settings(self, settings: Settings) -> None:
+        self.context.settings = settings
+
 
 class LimitedLog:
     """Log lines up to a number; what comes then is only counted."""
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -15,13 +15,15 @@
 from quincepier import interface as io
 from quincepier.consistency.checker import CheckerAction, ConsistencyChecker, SendMessage
 from quincepier.consistency.decision import DecisionInputs, HomeShardLookup, ListedEndpoint
-from quincepier.consistency.decision_recorder import DecisionRecorder, router_ranking_cache, stale_rankings
+from quincepier.consistency.decision_recorder import DecisionRecorder
 from quincepier.consistency.explain import DecisionRecord
 from quincepier.consistency.findings import Finding
+from quincepier.consistency.router_rankings import RouterRankingCache, count_stale_rankings
+from quincepier.consistency.router_view import RouterView
 from quincepier.consistency.section import ConsistencySection
 from quincepier.interface import EndpointState
 from quincepier.net.fleet.active_rules import ActiveRules
-from quincepier.net.fleet.messages import ALIKE
+from quincepier.net.fleet.messages import CONSISTENCY_CHANNEL
 from quincepier.net.fleet.version_effects import VersionEffects
 from quincepier.net.module import ModuleActor
 from quincepier.net.peers import PeerNetwork
@@ -73,21 +75,22 @@
         self._inputs_identity: _InputsIdentity | None = None
         self._view: tuple[object, ...] = ()
         seed = module.config.seed
-        ranking_cache = router_ranking_cache(module.router, lambda: self._endpoints)
+        self._router = RouterView(module.router)
+        ranking_cache = RouterRankingCache(self._router, lambda: self._endpoints)
         self.checker = ConsistencyChecker(
             module.config.name, seed, section, clock.boot(), ranking_cache=ranking_cache
         )
         module.router.witness = DecisionRecorder(
-            module.router, section.recorded_share, seed, self._on_unexplained_decision
+            self._router, section.recorded_share, seed, self._on_unexplained_decision
         )
-        peers.register_channel(ALIKE, self.on_message)
+        peers.register_channel(CONSISTENCY_CHANNEL, self.on_message)
 
     def on_tick(self, now_ns: int) -> None:
         """Give the checker changed views and inputs, and do what is due."""
         self._update_view()
         self._update_inputs()
         if now_ns >= self.checker.next_tick_ns:
-            if stale := stale_rankings(self._module.router):
+            if stale := count_stale_rankings(self._router):
                 self.checker.add_router_faults(stale_rankings=stale)
             self._perform(self.checker.on_tick(now_ns))
 
@@ -99,23 +102,27 @@
             self._perform(self.checker.on_tick(now_ns))
 
     def _update_view(self) -> None:
-        members, leader = self._peers.view, self._find_leader()
+        members = self._peers.view
+        leader = self._find_leader()
         if (members, leader) != self._view:
             self._view = (members, leader)
             self.checker.on_view_changed(members, leader)
 
     def _update_inputs(self) -> None:
-        version, known = self._effects.version, self._inputs_identity
+        version = self._effects.version
+        known = self._inputs_identity
         # The digest is taken of the whole version, so it is computed once for each number.
         is_known = known is not None and known.rule_version == version.number
         digest = known.rule_version_digest if known is not None and is_known else version.digest
-        identity = _InputsIdentity(self._effects.revision, version.number, digest, self._rules.taken)
+        identity = _InputsIdentity(
+            self._effects.list_revision, version.number, digest, self._rules.file_count
+        )
         if identity != known:
             self._inputs_identity = identity
             self._take_inputs(version)
 
     def _take_inputs(self, version: RuleVersion) -> None:
-        entries = sorted(self._module.directory.entries.values(), key=lambda entry: entry.record.host)
+        entries = sorted(self._module.directory.entry_by_host.values(), key=lambda entry: entry.record.host)
         self._endpoints = tuple(_listed_endpoint(entry.record.host, entry.machine) for entry in entries)
         settings = self._module.config.settings
         self.checker.on_inputs_changed(
@@ -123,14 +130,15 @@
                 version,
                 settings,
                 self._endpoints,
-                self._effects.revision,
+                self._effects.list_revision,
                 __version__,
                 self._home_shard_lookup(version),
             )
         )
 
     def _home_shard_lookup(self, version: RuleVersion) -> HomeShardLookup | None:
-        tenants, placements = self._rules.tenants, self._rules.homes(version, False, False)
+        tenants = self._rules.tenants
+        placements = self._rules.placement_table(version, False, False)
         if tenants is None or placements is None:
             return None
         number_by_tenant = {name: number for number, name in enumerate(tenants.names)}
@@ -144,12 +152,12 @@
     def _perform(self, actions: list[CheckerAction]) -> None:
         for action in actions:
             if isinstance(action, SendMessage):
-                self._peers.send(action.to, ALIKE, action.data)
+                self._peers.send(action.to, CONSISTENCY_CHANNEL, action.data)
             else:
                 self._log_finding(action)
         doubt = DIVERGED_REASON if self.checker.is_cautious else ""
-        if doubt != self._effects.doubt:
-            self._effects.doubt = doubt
+        if doubt != self._effects.divergence_reason:
+            self._effects.divergence_reason = doubt
             self._effects.apply(CONSISTENT_REASON)
 
     def _log_finding(self, finding: Finding) -> None:
--- a/quincepier/net/peers/quota_allocator.py
+++ b/quincepier/net/peers/quota_allocator.py
@@ -50,7 +50,7 @@
         front_count = math.ceil(1 / self._current_quota())
         if front_count != self._front_count:
             self._front_count = front_count
-            self._module.router.context.settings = scale_settings(self._settings, front_count)
+            self._module.router.settings = scale_settings(self._settings, front_count)
             self._module.checks.count("quota_changes")
 
     def _current_quota(self) -> Fraction:
--- a/quincepier/net/reading.py
+++ b/quincepier/net/reading.py
@@ -9,7 +9,7 @@
 from quincepier.net.messages import Came, Left
 from quincepier.net.session import Session, cgi_head
 from quincepier.net.writing import Writing
-from quincepier.translate import PING, BadRequest, open_request
+from quincepier.translate import PING, BadRequestError, open_request
 from quincepier.wire import fastcgi
 
 WHOLE_WITHIN = 2.0  # seconds that one message may take
@@ -90,7 +90,7 @@
                     self.read_closed = self.read_closed or closes
                     self._stir()
         if self.writer is not None and len(session.control) > UNTAKEN_MOST:
-            manager.checks.event("client closed: its short answers are not taken")
+            manager.checks.event("client_closed_short_responses_unread")
             self.close()
             return
         held = session.decoder.held
@@ -118,21 +118,21 @@
             return
         try:
             request = open_request(call, manager.classes, self, at)
-        except BadRequest as error:
+        except BadRequestError as error:
             self.faults += 1
             self.read_closed = self.read_closed or bool(call.fault)
-            manager.checks.event("bad request", str(error))
+            manager.checks.event("bad_request", str(error))
             self._say(session, call.id, cgi_head(error.status))
             return
         if manager.refusing:
             self._say(session, call.id, cgi_head(503, wait_ms=manager.wait_ms()))
             return
         if manager.bodies + len(call.body) > manager.bodies_most:
-            manager.checks.event("request refused: too much open")
+            manager.checks.event("request_rejected_body_limit")
             self._say(session, call.id, cgi_head(503, wait_ms=manager.wait_ms()))
             return
         if not manager.module.add(Came(request)):
-            manager.checks.event("request refused: too many waiting")
+            manager.checks.event("request_rejected_queue_full")
             self._say(session, call.id, cgi_head(503, wait_ms=manager.wait_ms()))
             return
         session.open[call.id] = request
@@ -147,7 +147,7 @@
             session.control = deque(item for item in session.control if item[0] != stream)
         request = session.open.pop(stream, None)
         if request is not None:
-            request.gone = True
+            request.is_cancelled = True
             self._forget(request)
             self.manager.module.push(Left(request))
 
--- a/quincepier/policy/dispatch.py
+++ b/quincepier/policy/dispatch.py
@@ -114,7 +114,7 @@
     def close(self, req: Request, served: bool = False) -> None:  # what is still out for it is called off
         del self.requests[req.id]
         in_time = served and self.context.now - req.received_at <= self.latency.objective(req)
-        self.context.log(self.recovery.over(self.context.now, req.cls.worth, in_time))
+        self.context.log(self.recovery.on_request_finished(self.context.now, req.cls.worth, in_time))
         self.queue.discard(req)
         self.call_off(req.open_attempts.values())
 
@@ -205,5 +205,5 @@
             elif self.queue and self.fills >= GATE * self.bound - 1:  # it holds them; one just left
                 self.bound = min(self.bound * 2, BOUND_MOST)
             else:
-                self.context.log(self.recovery.kept(self.context.now))
+                self.context.log(self.recovery.on_limit_held(self.context.now))
             self.good = self.bad = 0
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -44,7 +44,7 @@
         behind = e.waited > max(TURN_PART * cls.on_time / (1 + tier), RELEASE_EVERY) and not cls.never_kept
         if behind or e.time_left <= context.settings.step:  # refused while that costs little
             self.refuse(e.request)
-            context.log(self.recovery.over(context.now, cls.worth, False))
+            context.log(self.recovery.on_request_finished(context.now, cls.worth, False))
             return
         home = self.homes(e) if self.homes is not None else None
         req = self.requests[e.request] = Request(e, context.settings, tier, context.now, home)
@@ -62,7 +62,7 @@
             self.context.watch_endpoints()
         for upstream in self.placement.update(update).removed:
             self.rescue(upstream)
-        self.context.log(self.recovery.listed(self.context.now))
+        self.context.log(self.recovery.on_list_received(self.context.now))
 
     def ended(self, e: io.AttemptCompleted) -> None:
         if (attempt := self.attempts.complete(e)) is None:
@@ -70,7 +70,7 @@
         done, req, first = Completion(attempt, e), attempt.request, attempt.request.first_execution
         self.learn(done)
         if done.is_ok and self.answers.add(req.event.cls):  # each class asked for was answered
-            self.context.log(self.recovery.answered(self.context.now, self.answers.count))
+            self.context.log(self.recovery.on_first_responses(self.context.now, self.answers.count))
         if e.ending not in RAN_NOT and (first is None or attempt.sent_at < first.at):
             req.first_execution = Execution(attempt.sent_at, attempt.upstream.endpoint)
         if self.requests.get(e.request) is req:
@@ -134,9 +134,9 @@
         if gap >= STOOD and self.answers.is_complete:  # what we knew of the others is from before
             self.answers.restart()
             self.bound = min(self.bound, BOUND_START)
-            self.context.log(self.recovery.stood_still(self.context.now, gap))
+            self.context.log(self.recovery.on_process_pause(self.context.now, gap))
         if not self.queue:
-            self.context.log(self.recovery.unpressed(self.context.now))
+            self.context.log(self.recovery.on_limit_idle(self.context.now))
         self.slow_start.learn_sizes(self.placement.table.by_id.values())
         self.placement.reweigh()
         if gap <= WATCH_EVERY:  # else answers are still to come, as we stood still ourselves
--- a/quincepier/rules/version.py
+++ b/quincepier/rules/version.py
@@ -1,74 +1,96 @@
-"""A rule version: an immutable, numbered whole. Numbers go up by one; a front decides by one at a time.
+"""A rule version: an immutable, numbered value. Numbers go up by one; a front decides by one at a time.
 
-The digest is xxh3-128 over the msgpack of all else, so two versions of one digest hold the same, and a
+The digest is xxh3-128 over the msgpack of all fields, so two versions of one digest hold the same, and a
 flipped bit shows. Machines are named by their host ids, fronts and tenants by their names.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from enum import IntEnum
-from typing import Annotated, Literal, TypeVar
+from typing import Annotated, Any, Literal, TypeVar
 
 import msgspec
 import xxhash
 
 from quincepier.rules.errors import RulesError
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-ShardName = Annotated[str, msgspec.Meta(max_length=64)]  # name of a shard, "" for the common home
-Why = Annotated[str, msgspec.Meta(max_length=200)]
-ORDERS_MOST, MOVES_MOST, SHARDS_MOST, HOMES_MOST = 4096, 64, 64, 4096
-VERSION_MOST = 1 << 20  # bytes of an encoded version
-PARTS = 256  # a tenant's keys are moved in so many parts, by hash
+MAX_NAME_LENGTH = 64
+MAX_REASON_LENGTH = 200
+MAX_MAINTENANCE_TASKS = 4096
+MAX_MIGRATIONS = 64
+MAX_SHARDS = 64
+MAX_PLACEMENTS = 4096
+MAX_VERSION_BYTES = 1 << 20  # encoded
+MAX_ERROR_LENGTH = 100
+DIGEST_BYTES = 16
+HASH_SLOTS = 256  # slots that the keys of a tenant are divided into, by hash
+
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+ShardName = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]  # "" for the default shard
+Reason = Annotated[str, msgspec.Meta(max_length=MAX_REASON_LENGTH)]
 
 
 class MaintenanceStep(IntEnum):
-    WAITING = 0  # wished, not begun: used as usual
+    """Steps of a maintenance task, in their order."""
+
+    PENDING = 0  # requested and not begun: used as usual
     DRAINING = 1  # nothing new may be sent to it
-    EMPTY = 2  # no front may send to it and nothing of any front is open there: work may begin
-    OUT = 3  # work was seen to have begun (it is off the list, down, or restarted)
-    BACK = 4  # it is up again and listed
-    WARMING = 5  # used again, within its cold budget
-    IN = 6  # done: used as usual
-    STOPPED = 7  # given up before EMPTY, or by the operator; `why` says it; used as usual
+    DRAINED = 2  # no front may send to it and nothing of any front is open there: work may begin
+    IN_MAINTENANCE = 3  # work was seen to have begun: it is off the list, down, or restarted
+    RESTORED = 4  # it is up again and listed
+    WARMING = 5  # used again, within its slow-start budget
+    COMPLETED = 6  # used as usual
+    CANCELLED = 7  # given up before DRAINED, or by the operator; used as usual
 
 
 class MaintenanceTask(msgspec.Struct, frozen=True, array_like=True):
-    """One machine or front that is taken out for work."""
+    """One machine or front that is taken out of service for work.
+
+    Attributes:
+        request_id: Id of the operators' request.
+        target: Host id of a machine, or name of a front.
+        kind: What the target is.
+        zone: Zone of the target.
+        step: How far the task is.
+        since_version: Number of the version in which it came to that step.
+        reason: Why it did.
+    """
 
-    wish: Name  # the id of the operators' wish
-    target: Name  # host id of a machine, or name of a front
+    request_id: Name
+    target: Name
     kind: Literal["cache", "parent", "front"]
-    zone: Annotated[str, msgspec.Meta(max_length=64)]
+    zone: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
     step: MaintenanceStep
-    since: int  # number of the version in which it entered this step
-    why: Why = ""
+    since_version: int
+    reason: Reason = ""
 
     @property
-    def aside(self) -> bool:
-        """Whether nothing new may be sent to it."""
-        return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.BACK
+    def is_cordoned(self) -> bool:
+        """Whether nothing new may be sent to the target."""
+        return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.RESTORED
 
     @property
-    def out(self) -> bool:
-        """Whether it counts as out against what is allowed, warming ones counted."""
+    def is_unavailable(self) -> bool:
+        """Whether the target counts against the disruption limits; one that warms up does."""
         return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.WARMING
 
     @property
-    def open(self) -> bool:
+    def is_active(self) -> bool:
+        """Whether the task is neither completed nor cancelled."""
         return self.step <= MaintenanceStep.WARMING
 
 
 class DisruptionLimit(msgspec.Struct, frozen=True, array_like=True):
-    """How many of a kind may be out at once in any one zone, and over all zones."""
+    """How many of a kind may be unavailable at once, in any one zone and in all zones together."""
 
     kind: Literal["cache", "parent", "front"]
-    zone_most: int
-    most: int
+    max_per_zone: int
+    max_total: int
 
 
 class Shard(msgspec.Struct, frozen=True, array_like=True):
-    """A named part of the caches with the parents behind it; no parents named: all of them."""
+    """A named subset of the caches with the parents behind it; no parents: all of them."""
 
     name: Name
     caches: tuple[Name, ...]
@@ -76,8 +98,10 @@
 
 
 class TenantPlacement(msgspec.Struct, frozen=True, array_like=True):
-    """The home shard of a tenant; tenants without a line have the common one, all caches outside of shards
-    or, where no line names any, all caches.
+    """The home shard of a tenant.
+
+    A tenant without a placement is at the default shard: all caches outside of the named shards, or all
+    caches where no placement names a shard.
     """
 
     tenant: Name
@@ -85,126 +109,188 @@
 
 
 class MigrationStep(IntEnum):
+    """Steps of a migration; ROLLING_BACK may follow any step from RAMPING_UP to CUT_OVER."""
+
     PLANNED = 0
-    WARMING = 1  # `part` of the keys go to the new home, growing; what may not be repeated stays at the old
-    VERIFY = 2  # the part stays, both homes are compared
-    CLOSING = 3  # repeats of what may not simply be repeated are refused; firsts still go to the old home
-    CUT_OVER = 4  # all keys in steps, and what may not be repeated at once; repeats of that are refused still
-    DRAINING = 5  # nothing goes to the old home, repeats to the new; what was open there ends
-    DONE = 6
-    RETURNING = 7  # a rollback on its way: all at the old home, repeats refused
-    BACK = 8  # rolled back: everything as before the move
+    RAMPING_UP = 1  # a growing part of the slots goes to the target shard; unsafe requests stay
+    VERIFYING = 2  # the part stays, both shards are compared
+    PAUSING_WRITES = 3  # repeats of unsafe requests are refused; first tries still go to the source shard
+    CUT_OVER = 4  # all slots in steps, and unsafe requests at once; repeats of those are still refused
+    DRAINING = 5  # nothing goes to the source shard, repeats to the target; what was open there ends
+    COMPLETED = 6
+    ROLLING_BACK = 7  # all at the source shard, repeats refused
+    ROLLED_BACK = 8  # everything as before the migration
 
 
 class Migration(msgspec.Struct, frozen=True, array_like=True):
-    """A tenant on its way from one shard to another."""
+    """A tenant on its way from one shard to another.
+
+    Attributes:
+        request_id: Id of the operators' request.
+        tenant: Name of the tenant.
+        source_shard: Where it was at home.
+        target_shard: Where it is going.
+        step: How far the migration is.
+        since_version: Number of the version in which it came to that step.
+        moved_slots: Of `HASH_SLOTS`, those whose keys go to the target shard.
+        reason: Why it came to that step.
+    """
 
-    wish: Name
+    request_id: Name
     tenant: Name
-    old: ShardName
-    new: ShardName
+    source_shard: ShardName
+    target_shard: ShardName
     step: MigrationStep
-    since: int  # number of the version in which it entered this step
-    part: Annotated[int, msgspec.Meta(ge=0, le=PARTS)] = 0  # of the keys that go to the new home, of PARTS
-    why: Why = ""
+    since_version: int
+    moved_slots: Annotated[int, msgspec.Meta(ge=0, le=HASH_SLOTS)] = 0
+    reason: Reason = ""
 
     @property
-    def open(self) -> bool:
-        return self.step not in (MigrationStep.DONE, MigrationStep.BACK)
+    def is_active(self) -> bool:
+        """Whether the migration is neither completed nor rolled back."""
+        return self.step not in (MigrationStep.COMPLETED, MigrationStep.ROLLED_BACK)
 
 
 class RuleVersion(msgspec.Struct, frozen=True, array_like=True):
+    """What all fronts decide by.
+
+    Attributes:
+        number: Goes up by one; 0 is what holds before anything was committed.
+        term: Of the leader that proposed it.
+        maintenance_tasks: Machines and fronts under maintenance, with those that are done.
+        disruption_limits: How many may be unavailable at once, by kind.
+        shards: Named shards.
+        placements: Home shards of tenants.
+        migrations: Tenants on their way, with those that are done.
+    """
+
     number: int
-    term: int  # of the leader that proposed it
-    orders: Annotated[tuple[MaintenanceTask, ...], msgspec.Meta(max_length=ORDERS_MOST)] = ()
-    allowances: Annotated[tuple[DisruptionLimit, ...], msgspec.Meta(max_length=3)] = ()
-    shards: Annotated[tuple[Shard, ...], msgspec.Meta(max_length=SHARDS_MOST)] = ()
-    homes: Annotated[tuple[TenantPlacement, ...], msgspec.Meta(max_length=HOMES_MOST)] = ()
-    moves: Annotated[tuple[Migration, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
+    term: int
+    maintenance_tasks: Annotated[
+        tuple[MaintenanceTask, ...], msgspec.Meta(max_length=MAX_MAINTENANCE_TASKS)
+    ] = ()
+    disruption_limits: Annotated[tuple[DisruptionLimit, ...], msgspec.Meta(max_length=3)] = ()
+    shards: Annotated[tuple[Shard, ...], msgspec.Meta(max_length=MAX_SHARDS)] = ()
+    placements: Annotated[tuple[TenantPlacement, ...], msgspec.Meta(max_length=MAX_PLACEMENTS)] = ()
+    migrations: Annotated[tuple[Migration, ...], msgspec.Meta(max_length=MAX_MIGRATIONS)] = ()
 
     @property
     def digest(self) -> str:
-        """32 hex digits; over number and term too."""
+        """Digest of all fields, the number and the term too, as 32 hex digits."""
         return xxhash.xxh3_128_hexdigest(_encode(self))
 
-    def order_of(self, target: str) -> MaintenanceTask | None:
-        """The last order for that machine or front."""
-        return next((o for o in reversed(self.orders) if o.target == target), None)
+    def task_for(self, target: str) -> MaintenanceTask | None:
+        """Return the last task for a machine or front."""
+        return next((task for task in reversed(self.maintenance_tasks) if task.target == target), None)
 
-    def move_of(self, tenant: str) -> Migration | None:
-        """The last move of that tenant."""
-        return next((m for m in reversed(self.moves) if m.tenant == tenant), None)
+    def migration_of(self, tenant: str) -> Migration | None:
+        """Return the last migration of a tenant."""
+        return next((one for one in reversed(self.migrations) if one.tenant == tenant), None)
 
-    def home_of(self, tenant: str) -> str:
-        """The shard at which the tenant is at home, "" for the common one; moves are not looked at."""
-        return next((h.shard for h in self.homes if h.tenant == tenant), "")
+    def home_shard_of(self, tenant: str) -> str:
+        """Return the home shard of a tenant, "" for the default one; migrations are not looked at."""
+        return next((one.shard for one in self.placements if one.tenant == tenant), "")
 
-    def shard(self, name: str) -> Shard | None:
-        return next((s for s in self.shards if s.name == name), None)
+    def find_shard(self, name: str) -> Shard | None:
+        """Return the shard of that name."""
+        return next((shard for shard in self.shards if shard.name == name), None)
 
 
 class VersionChange(msgspec.Struct, frozen=True):
-    """What a part wants changed, as wholes of its own fields; None leaves a field as it is. Whoever decides a
-    step gives one, and `apply` makes the next version of all of one turn.
-    """
+    """What a planner wants changed: whole new values of fields; None leaves a field as it is."""
 
-    why: str  # told in the log
-    orders: tuple[MaintenanceTask, ...] | None = None
-    allowances: tuple[DisruptionLimit, ...] | None = None
+    reason: str  # for the log
+    maintenance_tasks: tuple[MaintenanceTask, ...] | None = None
+    disruption_limits: tuple[DisruptionLimit, ...] | None = None
     shards: tuple[Shard, ...] | None = None
-    homes: tuple[TenantPlacement, ...] | None = None
-    moves: tuple[Migration, ...] | None = None
+    placements: tuple[TenantPlacement, ...] | None = None
+    migrations: tuple[Migration, ...] | None = None
 
 
+CHANGEABLE_FIELDS = ("maintenance_tasks", "disruption_limits", "shards", "placements", "migrations")
+
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(RuleVersion).decode
 
 
 def initial_version() -> RuleVersion:
-    """What holds before anything was agreed: nothing out, no shards."""
+    """Return what holds before anything was committed: nothing unavailable, no shards."""
     return RuleVersion(0, 0)
 
 
-def apply(version: RuleVersion, term: int, changes: tuple[VersionChange, ...]) -> RuleVersion:
-    """The next version. `since` of entries that are new or entered another step is set to its number here,
-    so whoever proposes need not know it. RulesError where two changes set the same field.
+def apply_changes(version: RuleVersion, term: int, changes: tuple[VersionChange, ...]) -> RuleVersion:
+    """Return the next version.
+
+    Args:
+        version: The newest version.
+        term: Of the leader that proposes the next one.
+        changes: Of all planners. `since_version` of tasks and migrations that are new, or came to another
+            step, is set to the next number here, so planners need not know it.
+
+    Raises:
+        RulesError: Two changes set the same field.
     """
-    number, given = version.number + 1, dict[str, object]()
+    number = version.number + 1
+    values = _merge_changes(changes)
+    if "maintenance_tasks" in values:
+        values["maintenance_tasks"] = _stamp_steps(
+            values["maintenance_tasks"],
+            version.maintenance_tasks,
+            number,
+            lambda task: (task.request_id, task.target),
+        )
+    if "migrations" in values:
+        values["migrations"] = _stamp_steps(
+            values["migrations"], version.migrations, number, lambda migration: migration.request_id
+        )
+    return msgspec.structs.replace(version, number=number, term=term, **values)
+
+
+def _merge_changes(changes: tuple[VersionChange, ...]) -> dict[str, Any]:
+    values = dict[str, Any]()
     for change in changes:
-        for field in ("orders", "allowances", "shards", "homes", "moves"):
+        for field in CHANGEABLE_FIELDS:
             value = getattr(change, field)
             if value is None:
                 continue
-            if field in given:
-                raise RulesError(f"two changes of {field} in one turn", change.why)
-            given[field] = value
-    if "orders" in given:
-        was = {(o.wish, o.target): o for o in version.orders}
-        given["orders"] = tuple(_since(o, was.get((o.wish, o.target)), number) for o in given["orders"])  # type: ignore[attr-defined]
-    if "moves" in given:
-        before = {m.wish: m for m in version.moves}
-        given["moves"] = tuple(_since(m, before.get(m.wish), number) for m in given["moves"])  # type: ignore[attr-defined]
-    return msgspec.structs.replace(version, number=number, term=term, **given)
+            if field in values:
+                raise RulesError(f"two changes of {field} in one version", change.reason)
+            values[field] = value
+    return values
 
 
-T = TypeVar("T", MaintenanceTask, Migration)
+Entry = TypeVar("Entry", MaintenanceTask, Migration)
 
 
-def _since(entry: T, before: T | None, number: int) -> T:
-    kept = before is not None and before.step == entry.step
-    return msgspec.structs.replace(entry, since=before.since if kept and before is not None else number)
+def _stamp_steps(
+    entries: tuple[Entry, ...], before: tuple[Entry, ...], number: int, key_of: Callable[[Entry], object]
+) -> tuple[Entry, ...]:
+    """Set `since_version`: kept where the step is the same as before, else the new version's number."""
+    entry_by_key = {key_of(entry): entry for entry in before}
+    stamped = []
+    for entry in entries:
+        last = entry_by_key.get(key_of(entry))
+        is_same_step = last is not None and last.step == entry.step
+        since = last.since_version if last is not None and is_same_step else number
+        stamped.append(msgspec.structs.replace(entry, since_version=since))
+    return tuple(stamped)
 
 
-def encode(version: RuleVersion) -> bytes:
-    """Digest first, so that what was spoilt on its way or on a disk is refused."""
+def encode_version(version: RuleVersion) -> bytes:
+    """Encode a version: its digest first, so that one damaged in transit or on a disk is rejected."""
     body = _encode(version)
     return xxhash.xxh3_128_digest(body) + body
 
 
-def decode(raw: bytes) -> RuleVersion:
-    if len(raw) > VERSION_MOST or xxhash.xxh3_128_digest(raw[16:]) != raw[:16]:
-        raise RulesError("a rule version is spoilt or too long")
+def decode_version(raw: bytes) -> RuleVersion:
+    """Decode a version.
+
+    Raises:
+        RulesError: It is damaged, too long, or not a rule version.
+    """
+    if len(raw) > MAX_VERSION_BYTES or xxhash.xxh3_128_digest(raw[DIGEST_BYTES:]) != raw[:DIGEST_BYTES]:
+        raise RulesError("a rule version is damaged or too long")
     try:
-        return _decode(raw[16:])
+        return _decode(raw[DIGEST_BYTES:])
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise RulesError(f"not a rule version: {str(error)[:100]}") from None
+        raise RulesError(f"not a rule version: {str(error)[:MAX_ERROR_LENGTH]}") from None
--- a/quincepier/tenancy/section.py
+++ b/quincepier/tenancy/section.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from quincepier.rules import Migration, MigrationStep, Shard
-from quincepier.rules.version import HOMES_MOST, MOVES_MOST, SHARDS_MOST
+from quincepier.rules.version import MAX_MIGRATIONS, MAX_PLACEMENTS, MAX_SHARDS
 
 MS = 1_000_000  # nanoseconds
 SECOND = 1000 * MS
@@ -25,11 +25,11 @@
 Checkpoint = Literal["planned", "warming", "verify", "cut_over", "draining", "done"]
 STEP_BY_CHECKPOINT: dict[Checkpoint, MigrationStep] = {
     "planned": MigrationStep.PLANNED,
-    "warming": MigrationStep.WARMING,
-    "verify": MigrationStep.VERIFY,
+    "warming": MigrationStep.RAMPING_UP,
+    "verify": MigrationStep.VERIFYING,
     "cut_over": MigrationStep.CUT_OVER,
     "draining": MigrationStep.DRAINING,
-    "done": MigrationStep.DONE,
+    "done": MigrationStep.COMPLETED,
 }
 
 
@@ -95,7 +95,11 @@
 
     def matches(self, migration: Migration) -> bool:
         """Whether the migration is the one requested; an id with two meanings makes no progress."""
-        return (migration.wish, migration.tenant, migration.new) == (self.id, self.tenant, self.target_shard)
+        return (migration.request_id, migration.tenant, migration.target_shard) == (
+            self.id,
+            self.tenant,
+            self.target_shard,
+        )
 
 
 class TenantsSection(
@@ -111,13 +115,13 @@
 ):
     """Shards, tenants and requested migrations.
 
-    `grace_period_s`: a front without a lease may go on accepting non-idempotent requests of a named tenant
+    `grace_period_s`: a front without a lease may go on accepting unsafe requests of a named tenant
     for so long. A migration stays planned for the same time, so that every front knows of it by then.
     """
 
-    shard_by_name: Annotated[dict[Name, ShardSettings], msgspec.Meta(max_length=SHARDS_MOST)] = {}
-    tenant_by_name: Annotated[dict[Name, TenantSettings], msgspec.Meta(max_length=HOMES_MOST)] = {}
-    migrations: Annotated[tuple[MigrationRequest, ...], msgspec.Meta(max_length=MOVES_MOST)] = ()
+    shard_by_name: Annotated[dict[Name, ShardSettings], msgspec.Meta(max_length=MAX_SHARDS)] = {}
+    tenant_by_name: Annotated[dict[Name, TenantSettings], msgspec.Meta(max_length=MAX_PLACEMENTS)] = {}
+    migrations: Annotated[tuple[MigrationRequest, ...], msgspec.Meta(max_length=MAX_MIGRATIONS)] = ()
     grace_period_s: Annotated[float, msgspec.Meta(ge=5, le=86_400)] = 60
 
     def __post_init__(self) -> None:
@@ -125,7 +129,7 @@
         self._check_caches()
         self._check_prefixes()
         for name, tenant in self.tenant_by_name.items():
-            self._check_shard_is_known(f"tenants.{name}.home", tenant.home_shard)
+            self._check_shard_exists(f"tenants.{name}.home", tenant.home_shard)
         self._check_migrations()
 
     def to_shards(self) -> tuple[Shard, ...]:
@@ -172,9 +176,11 @@
             ids.add(migration.id)
             if migration.tenant not in self.tenant_by_name:
                 raise ValueError(f"{key}.tenant: no tenant {migration.tenant}: name it under tenants.tenants")
-            self._check_shard_is_known(f"{key}.to", migration.target)
+            self._check_shard_exists(f"{key}.to", migration.target)
 
-    def _check_shard_is_known(self, key: str, name: str) -> None:
+    def _check_shard_exists(self, key: str, name: str) -> None:
         if name != DEFAULT_SHARD_NAME and name not in self.shard_by_name:
-            known = ", ".join([DEFAULT_SHARD_NAME, *sorted(self.shard_by_name)])
-            raise ValueError(f"{key}: no shard {name}: name it under tenants.shards, or take one of {known}")
+            shard_names = ", ".join([DEFAULT_SHARD_NAME, *sorted(self.shard_by_name)])
+            raise ValueError(
+                f"{key}: no shard {name}: name it under tenants.shards, or take one of {shard_names}"
+            )
