--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -208,7 +208,7 @@
         checks=Checks(),
         directory=SimpleNamespace(host_by_number=HOSTS, entry_by_host=entries),
         config=SimpleNamespace(settings=SimpleNamespace(classes=classes)),
-        router=SimpleNamespace(homes=None, nodes={}),
+        router=SimpleNamespace(homes=None, placement=SimpleNamespace(table=SimpleNamespace(by_id={}))),
         requests=SimpleNamespace(request_by_number={}),
         told_of_list=told.append,
     )
