--- a/quincepier/recovery/learned_facts.py
+++ b/quincepier/recovery/learned_facts.py
@@ -1,12 +1,12 @@
-"""What a module has learned, told fact by fact, and how much of it still counts after a start.
+"""Learned facts: what a router has learned, exported one by one, and restored after a restart.
 
-The rule: a fact comes back as if it had been learned at its own time, so it fades by the clock that it always
-fades by; past its bound it is not taken, and what was taken is taken back when its bound passes. Facts that
-guard a rule (cold starts, purges, drains, machines set aside) only make a front more careful; where their age
-is not known they count as new. That a machine is well, warm or quick is never recalled.
+A fact is restored as if it had been learned at its own time, so it decays by its usual half-life. Past its
+maximum age it is not restored, and what was restored expires when that age passes. Facts that protect others
+(cold starts, purges, drains, ejections) only make a front more careful; where their age is unknown they count
+as new. That a machine is well, warm or fast is never restored.
 
-Nor is the bound: what is not known to be held counts as a fill, so a bound that was low before a start sheds
-hits after it (docs/recovery.md).
+Nor is the fetch limit: what is not known to be cached counts as a fetch, so a limit that was low before a
+restart would shed hits after it (docs/recovery.md).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import math
 from collections.abc import Callable, Iterable, Iterator
 from functools import partial
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from quincepier import interface as io
 from quincepier.interface import EndpointState
@@ -22,190 +22,318 @@
 from quincepier.structures import Baseline, DecayingSum, RecencyMap, RunningMeans, ServedWork
 from quincepier.upstream_table import UpstreamTable
 
-SECOND = 1_000_000_000
-# Bounds of age, ns; a cold start and a purge have those that the settings give them.
-CLASS_MOST, WORK_MOST = 600 * SECOND, 60 * SECOND
-PACE_MOST, ASIDE_MOST, LEAVING_MOST = 30 * SECOND, 8 * SECOND, 30 * SECOND
-CLASS_SEEN = 4  # answers that a recalled mean counts as, however many it was made of
-USUAL_SEEN = 21  # those of a recalled usual time: just so many that its least counts
-PACE_SIGNS = 2.0  # signs that a recalled pace counts as at most; it is recalled where it says slow alone
-OWN = 50  # answers of its own after which nothing of a recalled mean is left that matters
-
-
-class LatencyKnowledge(Protocol):
-    """Transfer times and baselines as a module knows them; `quincepier.policy.latency`."""
+NS_PER_S = 1_000_000_000
+# Maximum ages in nanoseconds; those of cold starts and purges follow from the settings.
+MAX_CLASS_AGE = 600 * NS_PER_S
+MAX_WORK_AGE = 60 * NS_PER_S
+MAX_SLOWNESS_AGE = 30 * NS_PER_S
+MAX_EJECTION_AGE = 8 * NS_PER_S
+MAX_DRAIN_AGE = 30 * NS_PER_S
+PURGE_AGE_MARGIN = 2 * NS_PER_S  # beyond the time that a purge takes to settle
+# What restored estimates count as, however many samples they were made of.
+RESTORED_TRANSFER_SAMPLES = 4
+RESTORED_BASELINE_SAMPLES = 21  # just so many that the minimum counts
+MAX_RESTORED_SLOWNESS_WEIGHT = 2.0
+MIN_EXPORTED_SLOWNESS_WEIGHT = 0.1
+OWN_SAMPLES = 50  # own samples after which a restored mean no longer matters
+MIN_WEIGHT = 1e-9  # against division by zero
+
+
+class LatencyEstimates(Protocol):
+    """Transfer times and baseline latencies; `quincepier.policy.latency`."""
 
     transfer_times: RunningMeans
     baselines: dict[BaselineKey, Baseline]
 
     @property
-    def slow_factor(self) -> float: ...  # times as usual from which an upstream is slow
+    def slow_factor(self) -> float:
+        """Multiple of the baseline from which an upstream is slow."""
 
 
-class SlowStartKnowledge(Protocol):
-    """What kinds of upstreams served; `quincepier.policy.slow_start`."""
+class ServedWorkEstimates(Protocol):
+    """The work that kinds of upstreams served; `quincepier.policy.slow_start`."""
 
     served: ServedWork
 
 
-class PlacementKnowledge(Protocol):
-    """The upstreams of the list; `quincepier.policy.placement`."""
+class ListedUpstreams(Protocol):
+    """The upstreams of the endpoint list; `quincepier.policy.placement`."""
 
     table: UpstreamTable
 
 
-class Ejection(Protocol):
-    """Ejects an upstream that is to be tried at once; `quincepier.policy.outliers`."""
+class OutlierDetection(Protocol):
+    """Ejection of upstreams; `quincepier.policy.outliers`."""
 
-    def eject(self, upstream: Upstream) -> None: ...
+    def eject(self, upstream: Upstream) -> None:
+        """Eject an upstream, with a health-check request due at once."""
 
 
-class Knows(Protocol):
-    """What a module knows, as far as it is kept; `quincepier.policy.Router` is one."""
+class LearningRouter(Protocol):
+    """The parts of a router that hold learned facts; `quincepier.policy.Router` is one.
+
+    Attributes:
+        bound: The fetch limit.
+        lapses: When restored facts expire, in the order of time; the router calls each then.
+    """
 
     bound: int
-    lapses: list[tuple[int, Callable[[], None]]]  # when, and what is taken back then
+    lapses: list[tuple[int, Callable[[], None]]]
 
     @property
-    def purges(self) -> RecencyMap: ...
+    def purges(self) -> RecencyMap:
+        """Times of purges, by (0, object) or (1, group)."""
+
     @property
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The time of the last event, in nanoseconds."""
+
     @property
-    def settings(self) -> io.Settings: ...
+    def settings(self) -> io.Settings:
+        """The settings."""
+
     @property
-    def latency(self) -> LatencyKnowledge: ...
+    def latency(self) -> LatencyEstimates:
+        """Transfer times and baselines."""
+
     @property
-    def slow_start(self) -> SlowStartKnowledge: ...
+    def slow_start(self) -> ServedWorkEstimates:
+        """Work served."""
+
     @property
-    def placement(self) -> PlacementKnowledge: ...
+    def placement(self) -> ListedUpstreams:
+        """The listed upstreams."""
+
     @property
-    def outliers(self) -> Ejection: ...
+    def outliers(self) -> OutlierDetection:
+        """Ejection of upstreams."""
 
-    def purged(self, group: int, obj: int, ago: int) -> None: ...
+    def purged(self, group: int, obj: int, ago: int) -> None:
+        """Take a purge that was made `ago` nanoseconds before."""
 
 
-def export_facts(router: Knows) -> Iterator[io.Learned]:
-    """All that counts after a start, small parts, so that a shell may take them in slices of time."""
-    now = router.now
+class UpstreamSnapshot(NamedTuple):
+    """The parts of an upstream's state that a fact may change."""
+
+    started_at: int
+    is_ejected: bool
+    draining_until: int
+    slowness_weight: float
+
+
+def export_facts(router: LearningRouter) -> Iterator[io.Learned]:
+    """Yield all facts that may count after a restart.
+
+    Each is small, so that the caller can collect them over several turns of its event loop.
+    """
     yield io.LearnedFetchLimit(router.bound, 0)
-    transfer_times = router.latency.transfer_times
-    for cls, seen in list(transfer_times.counts.items()):
-        yield io.LearnedTransferTime(cls, transfer_times.means[cls], seen, 0)
-    for (cls, held, told), usual in list(router.latency.baselines.items()):
-        ago = now - usual.updated_at
-        yield io.LearnedLatency(cls, held, told, usual.mean, usual.count, usual.least, ago)
+    yield from _export_class_facts(router)
+    yield from _export_served_work(router)
+    yield from _export_endpoints(router)
+    for (is_group, name), at in list(router.purges.items()):
+        yield io.LearnedPurge(name if is_group else 0, 0 if is_group else name, router.now - at)
+
+
+def _export_class_facts(router: LearningRouter) -> Iterator[io.Learned]:
+    times = router.latency.transfer_times
+    for cls, count in list(times.counts.items()):
+        yield io.LearnedTransferTime(cls, times.means[cls], count, 0)
+    for (cls, is_cached, is_told), baseline in list(router.latency.baselines.items()):
+        age = router.now - baseline.updated_at
+        yield io.LearnedLatency(cls, is_cached, is_told, baseline.mean, baseline.count, baseline.least, age)
+
+
+def _export_served_work(router: LearningRouter) -> Iterator[io.Learned]:
+    now = router.now
     served = router.slow_start.served
     for kind, work in list(served.sums.items()):
         yield io.LearnedServedWork(kind, work.total, now - served.since, now - work.updated_at)
-    for node in list(router.placement.table.by_id.values()):
-        found = node.started_at > node.endpoint.up_since  # by its failing, which no list told
-        leaving = node.endpoint.state is not EndpointState.READY or node.draining_until > now
-        fact = io.LearnedEndpoint(
-            node.endpoint.cache,
-            node.slowness.total,
-            node.slowness.weight,
-            now - node.slowness.updated_at if node.slowness.updated_at else 0,
-            now - node.started_at if found else -1,
-            0 if node.is_ejected else -1,
-            0 if leaving else -1,
-        )
-        if fact.signs > 0.1 or found or node.is_ejected or leaving:
-            yield fact
-    for (of_group, name), at in list(router.purges.items()):
-        yield io.LearnedPurge(name if of_group else 0, 0 if of_group else name, now - at)
-
-
-def restore_facts(router: Knows, facts: Iterable[io.Learned], age: int | None) -> int:
-    """Take facts that were told `age` nanoseconds ago (None: nobody knows). Returns how many counted."""
-    taken, lapses = 0, list[tuple[int, Callable[[], None]]]()
-    times = router.latency.transfer_times
-    for fact in facts:
-        if age is None and not isinstance(fact, io.LearnedEndpoint | io.LearnedPurge):
-            continue
-        old = fact.ago + (age or 0)
+
+
+def _export_endpoints(router: LearningRouter) -> Iterator[io.Learned]:
+    now = router.now
+    for upstream in list(router.placement.table.by_id.values()):
+        endpoint = upstream.endpoint
+        slowness = upstream.slowness
+        is_restarted = upstream.started_at > endpoint.up_since  # found by its failing, not listed
+        is_draining = endpoint.state is not EndpointState.READY or upstream.draining_until > now
+        is_slowness_known = slowness.weight > MIN_EXPORTED_SLOWNESS_WEIGHT
+        if is_slowness_known or is_restarted or upstream.is_ejected or is_draining:
+            yield io.LearnedEndpoint(
+                endpoint.cache,
+                slowness.total,
+                slowness.weight,
+                now - slowness.updated_at if slowness.updated_at else 0,
+                now - upstream.started_at if is_restarted else -1,
+                0 if upstream.is_ejected else -1,
+                0 if is_draining else -1,
+            )
+
+
+def restore_facts(router: LearningRouter, facts: Iterable[io.Learned], age: int | None) -> int:
+    """Restore facts that were exported before a restart.
+
+    Args:
+        router: The router that is given the facts.
+        facts: The facts.
+        age: Nanoseconds since they were exported; None where unknown.
+
+    Returns:
+        How many facts were restored.
+    """
+    restorer = _FactRestorer(router, age)
+    restored_count = sum(restorer.restore(fact) for fact in facts)
+    router.lapses = sorted([*router.lapses, *restorer.expiries], key=lambda expiry: expiry[0])
+    return restored_count
+
+
+class _FactRestorer:
+    """Restores facts of one age, and collects when they expire."""
+
+    def __init__(self, router: LearningRouter, age: int | None) -> None:
+        self.router = router
+        self.expiries = list[tuple[int, Callable[[], None]]]()
+        self._now = router.now
+        self._is_age_known = age is not None
+        self._age = age or 0
+
+    def restore(self, fact: io.Learned) -> bool:
+        """Restore a fact; returns whether it counts."""
         match fact:
-            case io.LearnedTransferTime(cls) if old < CLASS_MOST and cls < len(times.means):
-                if not times.counts[cls]:
-                    times.means[cls], times.counts[cls] = fact.mean, min(fact.seen, CLASS_SEEN)
-                    undo = partial(_forget_class, times, cls, times.counts[cls])
-                    lapses.append((router.now + CLASS_MOST - old, undo))
-                    taken += 1
-            case io.LearnedLatency(cls, held, told) if old < CLASS_MOST and cls < len(times.means):
-                key, seen = BaselineKey(cls, held, told), min(fact.seen, USUAL_SEEN)
-                if key not in router.latency.baselines:
-                    router.latency.baselines[key] = Baseline(fact.mean, seen, fact.least, router.now - old)
-                    undo = partial(_forget_usual, router, key, seen)
-                    lapses.append((router.now + CLASS_MOST - old, undo))
-                    taken += 1
-            case io.LearnedServedWork(kind, work, span) if old < WORK_MOST:
-                served = router.slow_start.served
-                if kind not in served.sums:
-                    served.sums[kind] = DecayingSum(served.half_life, work, router.now - old)
-                    served.since = min(served.since, router.now - old - span)
-                    undo = partial(_forget_work, router, kind, work, router.now - old)
-                    lapses.append((router.now + WORK_MOST - old, undo))
-                    taken += 1
-            case io.LearnedEndpoint(cache) if cache in router.placement.table.by_id:
-                taken += _machine(router, router.placement.table.by_id[cache], fact, age, lapses)
-            case io.LearnedPurge(group, obj) if old <= router.settings.purge_settles + 2 * SECOND:
-                router.purged(group, obj, old if age is not None else 0)
-                taken += 1
-    router.lapses = sorted([*router.lapses, *lapses], key=lambda lapse: lapse[0])
-    return taken
-
-
-def _machine(
-    router: Knows,
-    node: Upstream,
-    fact: io.LearnedEndpoint,
-    age: int | None,
-    lapses: list[tuple[int, Callable[[], None]]],
-) -> bool:
-    now, known, before = (
-        router.now,
-        age or 0,
-        (node.started_at, node.is_ejected, node.draining_until, node.slowness.weight),
+            case io.LearnedEndpoint():
+                return self._restore_endpoint(fact)
+            case io.LearnedPurge():
+                return self._restore_purge(fact)
+        if not self._is_age_known:
+            return False
+        match fact:
+            case io.LearnedTransferTime():
+                return self._restore_transfer_time(fact)
+            case io.LearnedLatency():
+                return self._restore_baseline(fact)
+            case io.LearnedServedWork():
+                return self._restore_served_work(fact)
+        return False
+
+    def _expire_at_age(self, age: int, max_age: int, undo: Callable[[], None]) -> None:
+        self.expiries.append((self._now + max_age - age, undo))
+
+    def _restore_transfer_time(self, fact: io.LearnedTransferTime) -> bool:
+        times = self.router.latency.transfer_times
+        age = fact.ago + self._age
+        if age >= MAX_CLASS_AGE or fact.cls >= len(times.means) or times.counts[fact.cls]:
+            return False
+        count = min(fact.seen, RESTORED_TRANSFER_SAMPLES)
+        times.means[fact.cls] = fact.mean
+        times.counts[fact.cls] = count
+        self._expire_at_age(age, MAX_CLASS_AGE, partial(_forget_transfer_time, times, fact.cls, count))
+        return True
+
+    def _restore_baseline(self, fact: io.LearnedLatency) -> bool:
+        latency = self.router.latency
+        age = fact.ago + self._age
+        key = BaselineKey(fact.cls, fact.held, fact.told)
+        is_known_class = fact.cls < len(latency.transfer_times.means)
+        if age >= MAX_CLASS_AGE or not is_known_class or key in latency.baselines:
+            return False
+        count = min(fact.seen, RESTORED_BASELINE_SAMPLES)
+        latency.baselines[key] = Baseline(fact.mean, count, fact.least, self._now - age)
+        self._expire_at_age(age, MAX_CLASS_AGE, partial(_forget_baseline, latency, key, count))
+        return True
+
+    def _restore_served_work(self, fact: io.LearnedServedWork) -> bool:
+        served = self.router.slow_start.served
+        age = fact.ago + self._age
+        if age >= MAX_WORK_AGE or fact.kind in served.sums:
+            return False
+        updated_at = self._now - age
+        restored = DecayingSum(served.half_life, fact.work, updated_at)
+        served.sums[fact.kind] = DecayingSum(served.half_life, fact.work, updated_at)
+        served.since = min(served.since, updated_at - fact.span)
+        undo = partial(_forget_served_work, self.router, fact.kind, restored)
+        self._expire_at_age(age, MAX_WORK_AGE, undo)
+        return True
+
+    def _restore_purge(self, fact: io.LearnedPurge) -> bool:
+        age = fact.ago + self._age
+        if age > self.router.settings.purge_settles + PURGE_AGE_MARGIN:
+            return False
+        self.router.purged(fact.group, fact.object, age if self._is_age_known else 0)
+        return True
+
+    def _restore_endpoint(self, fact: io.LearnedEndpoint) -> bool:
+        upstream = self.router.placement.table.by_id.get(fact.cache)
+        if upstream is None:
+            return False
+        before = _snapshot(upstream)
+        self._restore_cold_start(upstream, fact)
+        self._restore_ejection(upstream, fact)
+        self._restore_drain(upstream, fact)
+        if self._is_age_known:
+            self._restore_slowness(upstream, fact)
+        return _snapshot(upstream) != before
+
+    def _restore_cold_start(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
+        """A start found by failing is restored, but never an earlier one than the list tells."""
+        settings = self.router.settings
+        age = fact.cold_ago + self._age if self._is_age_known else 0
+        if fact.cold_ago >= 0 and age < max(settings.cold_time, settings.parent_cold_time):
+            upstream.started_at = max(upstream.started_at, self._now - age, 1)
+
+    def _restore_ejection(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
+        """One health-check request is due at once."""
+        if fact.aside_ago >= 0 and fact.aside_ago + self._age <= MAX_EJECTION_AGE:
+            self.router.outliers.eject(upstream)
+
+    def _restore_drain(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
+        """It drains until the change log names it anew."""
+        remaining = MAX_DRAIN_AGE - fact.leaving_ago - self._age
+        if fact.leaving_ago >= 0 and remaining > 0:
+            upstream.draining_until = self._now + remaining
+
+    def _restore_slowness(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
+        """Only that it is slow, and only if the router has no samples of its own."""
+        age = fact.ago + self._age
+        slowness = upstream.slowness
+        mean = fact.slowed / max(fact.signs, MIN_WEIGHT)
+        is_slow = mean > math.log(self.router.latency.slow_factor)
+        if age >= MAX_SLOWNESS_AGE or not is_slow or slowness.weight:
+            return
+        weight = min(fact.signs, MAX_RESTORED_SLOWNESS_WEIGHT)
+        slowness.total = mean * weight
+        slowness.weight = weight
+        slowness.updated_at = self._now - age
+        undo = partial(_forget_slowness, upstream, slowness.total, weight, slowness.updated_at)
+        self._expire_at_age(age, MAX_SLOWNESS_AGE, undo)
+
+
+def _snapshot(upstream: Upstream) -> UpstreamSnapshot:
+    return UpstreamSnapshot(
+        upstream.started_at, upstream.is_ejected, upstream.draining_until, upstream.slowness.weight
     )
-    since = fact.cold_ago + known if age is not None else 0
-    if fact.cold_ago >= 0 and since < max(router.settings.cold_time, router.settings.parent_cold_time):
-        node.started_at = max(node.started_at, now - since, 1)  # never earlier than the list tells
-    if 0 <= fact.aside_ago + known <= ASIDE_MOST and fact.aside_ago >= 0:  # one request tries it
-        router.outliers.eject(node)
-    if fact.leaving_ago >= 0 and (left := LEAVING_MOST - fact.leaving_ago - known) > 0:
-        node.draining_until = now + left  # until the log names it anew
-    old, slow = fact.ago + known, fact.slowed / max(fact.signs, 1e-9)
-    if (
-        age is not None
-        and old < PACE_MOST
-        and slow > math.log(router.latency.slow_factor)
-        and not node.slowness.weight
-    ):
-        signs = min(fact.signs, PACE_SIGNS)
-        node.slowness.total, node.slowness.weight, node.slowness.updated_at = slow * signs, signs, now - old
-        undo = partial(_forget_pace, node, slow * signs, signs, now - old)
-        lapses.append((now + PACE_MOST - old, undo))
-    return before != (node.started_at, node.is_ejected, node.draining_until, node.slowness.weight)
-
-
-def _forget_class(times: RunningMeans, cls: int, seen: int) -> None:
-    if times.counts[cls] - seen < OWN:
+
+
+def _forget_transfer_time(times: RunningMeans, cls: int, restored_count: int) -> None:
+    if times.counts[cls] - restored_count < OWN_SAMPLES:
         times.reset(cls)
 
 
-def _forget_usual(router: Knows, key: BaselineKey, seen: int) -> None:
-    if key in router.latency.baselines and router.latency.baselines[key].count - seen < OWN:
-        del router.latency.baselines[key]
+def _forget_baseline(latency: LatencyEstimates, key: BaselineKey, restored_count: int) -> None:
+    baseline = latency.baselines.get(key)
+    if baseline is not None and baseline.count - restored_count < OWN_SAMPLES:
+        del latency.baselines[key]
 
 
-def _forget_work(router: Knows, kind: int, work: float, at: int) -> None:
+def _forget_served_work(router: LearningRouter, kind: int, restored: DecayingSum) -> None:
     served = router.slow_start.served
-    known = served.sums.setdefault(kind, DecayingSum(served.half_life, 0.0, router.now))
-    known.total = max(known.total - DecayingSum(served.half_life, work, at).at(known.updated_at), 0.0)
+    work = served.sums.setdefault(kind, DecayingSum(served.half_life, 0.0, router.now))
+    work.total = max(work.total - restored.at(work.updated_at), 0.0)
     served.since = served.started_at
 
 
-def _forget_pace(node: Upstream, slowed: float, signs: float, at: int) -> None:
-    """Sums fade alike, so a recalled part is taken out of them exactly."""
-    fade = math.exp2((at - node.slowness.updated_at) / node.slowness.half_life)
-    node.slowness.total -= slowed * fade
-    node.slowness.weight = max(node.slowness.weight - signs * fade, 0.0)
+def _forget_slowness(upstream: Upstream, total: float, weight: float, updated_at: int) -> None:
+    """Samples decay alike, so the restored part can be taken out of the sums exactly."""
+    slowness = upstream.slowness
+    decay = math.exp2((updated_at - slowness.updated_at) / slowness.half_life)
+    slowness.total -= total * decay
+    slowness.weight = max(slowness.weight - weight * decay, 0.0)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -15,11 +15,11 @@
 from quincepier.policy.dispatch import BOUND_START
 from quincepier.recovery import Ramp, RecoveryPhase, RecoveryTracker, first_poll, fronts_that_ask
 from quincepier.recovery.learned_facts import (
-    ASIDE_MOST,
-    CLASS_MOST,
-    LEAVING_MOST,
-    PACE_MOST,
-    WORK_MOST,
+    MAX_CLASS_AGE,
+    MAX_DRAIN_AGE,
+    MAX_EJECTION_AGE,
+    MAX_SLOWNESS_AGE,
+    MAX_WORK_AGE,
     export_facts,
     restore_facts,
 )
@@ -125,13 +125,13 @@
 # Initial limits
 
 
-def test_calls_of_fronts_that_start_together_go_on_out_of_step() -> None:
+def test_polls_of_fronts_that_start_together_do_not_stay_in_step() -> None:
     waits = [first_poll(random.Random(seed), 1000) for seed in range(200)]
     assert min(waits) >= 300 and max(waits) <= 1000
     assert max(sum(w <= other < w + 250 for other in waits) for w in waits) <= 0.5 * len(waits)
 
 
-def test_dials_to_a_machine_rise_by_those_that_are_up() -> None:
+def test_the_dial_limit_of_a_machine_doubles_with_each_established_connection() -> None:
     ramp = Ramp(fronts_that_ask(180, (0, 8), 0))  # a parent: all fronts ask it
     assert ramp.most == 1
     for most in (2, 4, 8):
@@ -145,10 +145,10 @@
     assert ramp.most == 1024
 
 
-# What the list of the start tells holds from the first request on
+# The first endpoint list
 
 
-def test_a_purge_a_drain_and_a_cold_start_of_the_first_list_hold_for_the_first_request() -> None:
+def test_purges_drains_and_cold_starts_of_the_first_list_hold_for_the_first_request() -> None:
     now = 100 * SECOND
     draining = tuple(
         replace(m, state=EndpointState.DRAINING) if m.cache == CACHES[0]
@@ -168,8 +168,8 @@
 # Restored facts
 
 
-def lived(bench: Bench) -> list[io.Learned]:
-    """A while of service: hits, fills, a slow machine, one that failed, a purge."""
+def learn_facts(bench: Bench) -> list[io.Learned]:
+    """Serve hits, fetches, a slow machine, one that failed and a purge; export what was learned."""
     for n in range(200):
         bench.now += 20 * MS
         for sent in attempts(bench.ask(n, cls=n % 2, obj=n % 37)):
@@ -186,7 +186,7 @@
     return list(export_facts(bench.router))
 
 
-def asked(bench: Bench, first: int) -> set[int]:
+def caches_asked(bench: Bench, first: int) -> set[int]:
     """The caches that forty requests are sent to, each answered."""
     found = set[int]()
     for n in range(first, first + 40):
@@ -197,23 +197,25 @@
     return found
 
 
-def test_what_was_learned_comes_back_as_of_its_own_time() -> None:
-    facts = lived(Bench())
+def test_facts_are_restored_with_the_age_they_have() -> None:
+    facts = learn_facts(Bench())
     new = Bench()
     assert restore_facts(new.router, facts, SECOND) >= 8
-    router, nodes = new.router, new.router.placement.table.by_id
+    router, upstreams = new.router, new.router.placement.table.by_id
     assert router.latency.transfer_times.means[0] < 250 * MS < router.settings.classes[0].on_time
-    assert nodes[CACHES[0]].slowness.factor(new.now) > 1.3
-    assert nodes[CACHES[1]].started_at == new.now - 2 * SECOND
-    assert nodes[PARENTS[0]].is_ejected and nodes[PARENTS[0]].trial_at <= new.now  # one request tries it
+    assert upstreams[CACHES[0]].slowness.factor(new.now) > 1.3
+    assert upstreams[CACHES[1]].started_at == new.now - 2 * SECOND
+    assert (
+        upstreams[PARENTS[0]].is_ejected and upstreams[PARENTS[0]].trial_at <= new.now
+    )  # one request checks it
     assert router.purges[1, 5] == new.now - SECOND - 100 * MS
-    assert CACHES[2] not in asked(new, 0)  # it drained, whatever an older list says
+    assert CACHES[2] not in caches_asked(new, 0)  # draining, whatever an older list says
     new.give(io.EndpointUpdate(UpdateScope.CHANGES, (machine(CACHES[2]),)))
-    assert CACHES[2] in asked(new, 100)  # the log has named it anew
+    assert CACHES[2] in caches_asked(new, 100)  # the change log has named it anew
 
 
-def test_a_clean_bill_of_health_is_never_recalled() -> None:
-    """Facts that say well, warm, quick, or a great bound leave a front as careful as it was."""
+def test_that_a_machine_is_well_warm_or_fast_is_never_restored() -> None:
+    """Facts that say well, warm, fast, or a large limit leave a front as careful as it was."""
     new, plain = Bench(make_settings(fronts=200, fronts_by_zone=(0, 6))), Bench()
     cold = plain.router.placement.table.by_id[CACHES[0]].started_at = plain.now - SECOND
     plain.router.outliers.eject(plain.router.placement.table.by_id[CACHES[0]])
@@ -221,17 +223,17 @@
         io.LearnedEndpoint(CACHES[0], 0.0, 900.0, 0, -1, -1, -1),
         io.LearnedEndpoint(CACHES[0], -50.0, 900.0, 0, 60 * SECOND, -1, -1),
         io.LearnedFetchLimit(256, 0),
-        io.LearnedFetchLimit(5, 0),  # shed hits by processes, as nothing is known to be held yet
+        io.LearnedFetchLimit(5, 0),  # would shed hits, as nothing is known to be cached yet
     ]
     assert restore_facts(new.router, well, 0) == 0 and new.router.bound == BOUND_START
     restore_facts(plain.router, well, 0)
-    node = plain.router.placement.table.by_id[CACHES[0]]
-    assert node.started_at == cold and node.is_ejected and node.slowness.weight == 0
+    upstream = plain.router.placement.table.by_id[CACHES[0]]
+    assert upstream.started_at == cold and upstream.is_ejected and upstream.slowness.weight == 0
 
 
 @pytest.mark.parametrize("age", [None, 0])
-def test_of_unknown_age_guards_count_as_new_and_all_else_not(age: int | None) -> None:
-    facts = lived(Bench())
+def test_with_unknown_age_only_protective_facts_are_restored_and_count_as_new(age: int | None) -> None:
+    facts = learn_facts(Bench())
     new = Bench()
     restore_facts(new.router, facts, age)
     assert (new.router.latency.transfer_times.counts.total() == 0) == (age is None)
@@ -244,8 +246,8 @@
     )
 
 
-def state(bench: Bench) -> tuple[object, ...]:
-    """All that decisions rest on and a recall may touch."""
+def decision_state(bench: Bench) -> tuple[object, ...]:
+    """All that decisions rest on and restored facts may change."""
     router, now = bench.router, bench.now
     times, served = router.latency.transfer_times, router.slow_start.served
     return (
@@ -267,59 +269,63 @@
     )
 
 
-def test_recalled_facts_are_taken_back_as_their_bound_passes_also_after_a_pause() -> None:
-    """Paused for as long between the recall and the first request: nothing old decides about it."""
-    facts = lived(Bench())
-    new, none = Bench(), Bench()
+def test_restored_facts_expire_at_their_maximum_age_also_after_a_process_pause() -> None:
+    """Paused for as long between the restore and the first request: no restored fact decides about it."""
+    facts = learn_facts(Bench())
+    new, fresh = Bench(), Bench()
     restore_facts(new.router, facts, SECOND)
-    assert state(new) != state(none)
-    for bench in (new, none):
-        bench.now += CLASS_MOST + LEAVING_MOST
+    assert decision_state(new) != decision_state(fresh)
+    for bench in (new, fresh):
+        bench.now += MAX_CLASS_AGE + MAX_DRAIN_AGE
         bench.ask(1)
     assert new.router.lapses == []
-    new.router.placement.table.by_id[PARENTS[0]].is_ejected = False  # a trial decides, which is no old fact
-    assert state(new) == state(none)
+    new.router.placement.table.by_id[
+        PARENTS[0]
+    ].is_ejected = False  # a health check decides, which is no old fact
+    assert decision_state(new) == decision_state(fresh)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.one_of(st.integers(0, 700), st.sampled_from([600, 86_400, 400 * 86_400])), st.integers(0, 10**6))
-def test_no_fact_counts_past_its_bound_whatever_the_ages(seconds: int, seed: int) -> None:
-    chance, facts = random.Random(seed), lived(Bench())
-    told = [replace(f, ago=f.ago + chance.randrange(0, 700) * SECOND) for f in facts]
+def test_no_fact_counts_past_its_maximum_age(seconds: int, seed: int) -> None:
+    rng, facts = random.Random(seed), learn_facts(Bench())
+    aged = [replace(f, ago=f.ago + rng.randrange(0, 700) * SECOND) for f in facts]
     new = Bench()
-    restore_facts(new.router, told, seconds * SECOND)
-    now, bounds = new.now, dict[type, int]()
-    bounds |= {io.LearnedTransferTime: CLASS_MOST, io.LearnedLatency: CLASS_MOST}
-    bounds |= {io.LearnedServedWork: WORK_MOST}
-    alive = [f for f in told if f.ago + seconds * SECOND < bounds.get(type(f), 0)]
+    restore_facts(new.router, aged, seconds * SECOND)
+    now, max_ages = new.now, dict[type, int]()
+    max_ages |= {io.LearnedTransferTime: MAX_CLASS_AGE, io.LearnedLatency: MAX_CLASS_AGE}
+    max_ages |= {io.LearnedServedWork: MAX_WORK_AGE}
+    alive = [f for f in aged if f.ago + seconds * SECOND < max_ages.get(type(f), 0)]
     assert len(new.router.latency.transfer_times.counts) == sum(
         isinstance(f, io.LearnedTransferTime) for f in alive
     )
     assert len(new.router.latency.baselines) == sum(isinstance(f, io.LearnedLatency) for f in alive)
     assert len(new.router.slow_start.served.sums) == sum(isinstance(f, io.LearnedServedWork) for f in alive)
-    assert all(now < until <= now + CLASS_MOST for until, _ in new.router.lapses)
-    paced = next(f for f in told if isinstance(f, io.LearnedEndpoint) and f.cache == CACHES[0])
-    pace = new.router.placement.table.by_id[CACHES[0]].slowness
-    assert (pace.weight > 0) == (paced.ago + seconds * SECOND < PACE_MOST)
-    aside = next(f for f in told if isinstance(f, io.LearnedEndpoint) and f.aside_ago >= 0)
-    assert new.router.placement.table.by_id[aside.cache].is_ejected == (seconds * SECOND <= ASIDE_MOST)
+    assert all(now < expires_at <= now + MAX_CLASS_AGE for expires_at, _ in new.router.lapses)
+    slow = next(f for f in aged if isinstance(f, io.LearnedEndpoint) and f.cache == CACHES[0])
+    slowness = new.router.placement.table.by_id[CACHES[0]].slowness
+    assert (slowness.weight > 0) == (slow.ago + seconds * SECOND < MAX_SLOWNESS_AGE)
+    ejected = next(f for f in aged if isinstance(f, io.LearnedEndpoint) and f.aside_ago >= 0)
+    assert new.router.placement.table.by_id[ejected.cache].is_ejected == (
+        seconds * SECOND <= MAX_EJECTION_AGE
+    )
 
 
-def test_own_answers_outlast_the_recalled_mean() -> None:
+def test_own_samples_outlast_a_restored_mean() -> None:
     new = Bench()
     restore_facts(new.router, [io.LearnedTransferTime(0, 5.0 * MS, 900, 0)], 0)
     for n in range(60):
         for sent in attempts(new.ask(n, obj=n)):
             new.end(sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=80 * MS)
-    mine = new.router.latency.transfer_times.means[0]
-    assert mine > 60 * MS  # it counted as four answers, however many it was made of
-    new.now += CLASS_MOST
+    own_mean = new.router.latency.transfer_times.means[0]
+    assert own_mean > 60 * MS  # the restored one counted as four samples, however many it was made of
+    new.now += MAX_CLASS_AGE
     new.ask(99)
-    assert new.router.latency.transfer_times.means[0] == pytest.approx(mine) and math.isfinite(mine)
+    assert new.router.latency.transfer_times.means[0] == pytest.approx(own_mean) and math.isfinite(own_mean)
 
 
-def test_a_front_that_recalls_answers_each_request_once(seed: int = 3) -> None:
-    facts = lived(Bench())
+def test_a_front_with_restored_facts_answers_each_request_once(seed: int = 3) -> None:
+    facts = learn_facts(Bench())
     new = Bench(seed=seed)
     restore_facts(new.router, facts, 2 * SECOND)
     answered = list[int]()
