--- a/bench/state.py
+++ b/bench/state.py
@@ -58,8 +58,8 @@
     made = Router(s, 1, SECOND)
     listed = (io.Endpoint(n, 0, 1, n % 65536, 10.0, 0, EndpointState.READY) for n in range(1, machines + 1))
     made.handle(SECOND, io.EndpointUpdate(UpdateScope.FULL, tuple(listed)))
-    for node in made.nodes.values():  # each has been slow lately
-        node.pace.sign(SECOND, 0.7)
+    for upstream in made.placement.table.by_id.values():  # each has been slow lately
+        upstream.slowness.add(SECOND, 0.7)
     for n in range(4000):
         made.handle(SECOND, io.ObjectPurged(n, n % 2 * n, 0))
     return made
