--- a/quincepier/net/fleet/leader.py
+++ b/quincepier/net/fleet/leader.py
@@ -13,6 +13,7 @@
 
 from quincepier import clock
 from quincepier.checks import Checks
+from quincepier.net.fleet.exception_report import report_exception
 from quincepier.net.fleet.messages import LeaseGranted, NotLeader, ReportMessage
 from quincepier.net.fleet.raft_node import RaftNode
 from quincepier.net.fleet.service_baseline import ServiceBaseline
@@ -235,12 +236,7 @@
             try:
                 change = planner(self.committed_version, observations)
             except Exception as error:  # noqa: BLE001 - a defect of one planner must not stop the others
-                self._report_exception(error)
+                report_exception(self.checks, "exception_in_planner", error)
                 continue
             if change is not None:
                 yield change
-
-    def _report_exception(self, error: Exception) -> None:
-        event = "exception_in_planner"
-        self.checks.event(event, f"{type(error).__name__}: {error}")
-        logger.opt(exception=error).bind(event=event).debug("{} with its traceback", event)
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -14,6 +14,7 @@
 
 from quincepier import clock
 from quincepier.net.fleet.active_rules import ActiveRules
+from quincepier.net.fleet.exception_report import report_exception
 from quincepier.net.fleet.follower import Follower
 from quincepier.net.fleet.leader import FleetSources
 from quincepier.net.fleet.machine_observations import observe_machines
@@ -172,9 +173,7 @@
             try:
                 wait_s = self._tick()
             except Exception as error:  # noqa: BLE001 - a defect must not end the ticks
-                event = "exception_in_agreement_node"
-                self.checks.event(event, f"{type(error).__name__}: {error}")
-                logger.opt(exception=error).bind(event=event).debug("{} with its traceback", event)
+                report_exception(self.checks, "exception_in_agreement_node", error)
                 wait_s = MAX_TICK_INTERVAL_S
             await asyncio.sleep(wait_s)
 
--- a/quincepier/rules/lease_table.py
+++ b/quincepier/rules/lease_table.py
@@ -249,13 +249,12 @@
             leader: Name of this front.
             is_consistent: Whether all fronts were found to decide alike; None: not known.
             baseline_by_tenant: On-time ratio of each tenant before any disruption.
-            recently_dead: Fronts that membership remembers though it has removed them. A front that is
-                neither a member nor one of them is forgotten after `unreachable_front_timeout_ns`.
+            recently_dead: Fronts that membership has removed and still remembers. One that is neither a
+                member nor one of them is forgotten after `unreachable_front_timeout_ns`.
         """
         names = {*members, *recently_dead}
         self._forget_unreachable_fronts(now_ns, names)
-        active = self.active_number(now_ns)
-        self._note_active(now_ns, active)
+        active = self._update_active(now_ns)
         return Observations(
             now_ns=now_ns,
             members=members,
@@ -290,9 +289,11 @@
         for name in unreachable:
             del self.lease_by_front[name]
 
-    def _note_active(self, now_ns: int, active: int) -> None:
+    def _update_active(self, now_ns: int) -> int:
+        """Note since when each number is active; return the active one."""
+        active = self.active_number(now_ns)
         if active == self.active_since_number:
-            return
+            return active
         first = max(self.active_since_number, active - MAX_ACTIVE_TIMES) + 1
         for number in range(first, active + 1):
             self.active_since_ns_by_number[number] = now_ns
@@ -300,6 +301,7 @@
             del self.active_since_ns_by_number[min(self.active_since_ns_by_number)]
         self.active_since_number = active
         self.active_since_ns = now_ns
+        return active
 
     def _reports(self, now_ns: int) -> dict[str, FrontReport]:
         reports = {
