--- a/quincepier/rules/lease_table.py
+++ b/quincepier/rules/lease_table.py
@@ -249,8 +249,7 @@
             leader: Name of this front.
             is_consistent: Whether all fronts were found to decide alike; None: not known.
             baseline_by_tenant: On-time ratio of each tenant before any disruption.
-            recently_dead: Fronts that membership has removed and still remembers. One that is neither a
-                member nor one of them is forgotten after `unreachable_front_timeout_ns`.
+            recently_dead: Fronts that membership has removed and still remembers; others are forgotten.
         """
         names = {*members, *recently_dead}
         self._forget_unreachable_fronts(now_ns, names)
--- a/tests/agreementrig.py
+++ b/tests/agreementrig.py
@@ -1,7 +1,7 @@
-"""A rig whose fronts settle things together, and a story told to it: what is struck when what has happened.
+"""A rig of front processes that agree on rule versions, and the scenario that is played in it.
 
-The story waits for lines of the fronts' logs and strikes by them; what is asserted are rules over the
-evidence of the stand-ins, who know who sent what to whom and when.
+A scenario waits for lines of the fronts' logs and injects faults then; what is asserted are rules over the
+evidence of the stand-ins, which know who sent what to whom and when.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from quincepier.lab.experiment import SECOND, load
 from quincepier.lab.fleet.evidence import FleetRun, _read
 from quincepier.lab.fleet.rig import FrontProcess, Rig
-from quincepier.lab.fleet.settling import sections
+from quincepier.lab.fleet.settling import sections as operators_file
 
 VOTERS = 3
 MS = 1_000_000
@@ -35,64 +35,79 @@
   - {name: bid, share: 0.4, send_ms: 5, wanted_ms: 400, deadline_ms: 1500, worth: 3, effect: unsafe,
      never_kept: true}
 """
-WITHIN = 30.0  # seconds for a thing that a story waits for
+WAIT_TIMEOUT_S = 30.0
 
 
-class Line:
-    """Of a front's log."""
+class LogLine:
+    """A line of a front's log; `at` is monotonic nanoseconds."""
 
     def __init__(self, front: int, value: dict[str, Any], offset: int) -> None:
-        self.front, self.event, self.fields = front, value["event"], value["fields"]
-        wall = datetime.fromisoformat(value["time"]).timestamp()
-        self.at = int(wall * SECOND) - offset  # monotonic, of whole milliseconds
+        self.front = front
+        self.event = value["event"]
+        self.fields = value["fields"]
+        unix_s = datetime.fromisoformat(value["time"]).timestamp()
+        self.at = int(unix_s * SECOND) - offset  # of whole milliseconds
 
     def __repr__(self) -> str:
         return f"<n{self.front} {self.at / SECOND:.3f} {self.event} {self.fields}>"
 
 
-class Fronts(Rig):
-    """`story` is told the rig once the load is on; the run ends as it ends. `wishes`: more of each file."""
+class FrontFleet(Rig):
+    """Runs a scenario once the load is on, and ends with it.
+
+    Args:
+        folder: Where the experiment and its evidence are written.
+        scenario: What happens in the run.
+        sections: More sections of each front's operators' file.
+        experiment_text: The experiment.
+        agreement_settings: More lines of the section `agreement`.
+    """
 
     def __init__(
         self,
         folder: Path,
-        story: Callable[[Fronts], Awaitable[None]],
-        wishes: str = "",
-        text: str = EXPERIMENT,
-        lease: str = "",
+        scenario: Callable[[FrontFleet], Awaitable[None]],
+        sections: str = "",
+        experiment_text: str = EXPERIMENT,
+        agreement_settings: str = "",
     ) -> None:
         path = folder / "experiment.yaml"
-        path.write_text(text)
+        path.write_text(experiment_text)
         experiment = load(str(path))
         keep = os.environ.get("AGREEMENT_KEEP")  # a folder in which a run is left to be looked at
         super().__init__(
             str(path), experiment, experiment.variants[0], 1, operators=self._file,
             keep=str(Path(keep) / folder.parent.name / folder.name) if keep else None,
         )  # fmt: skip
-        self.told, self.sections, self.lease = story, wishes, lease
-        self.offset = time.time_ns() - time.monotonic_ns()
-        self.read: dict[int, tuple[int, list[Line]]] = {}
+        self.scenario = scenario
+        self.sections = sections
+        self.agreement_settings = agreement_settings
+        self.clock_offset_ns = time.time_ns() - time.monotonic_ns()
+        self.read_logs: dict[int, tuple[int, list[LogLine]]] = {}
         self.failed: BaseException | None = None
         self.notes: list[list[Any]] = []
-        self.lines: list[Line] = []
+        self.lines: list[LogLine] = []
 
     def _file(self, front: int, rig: Rig) -> str:
         count, ports = self.experiment.fleet.fronts, (self.peer_port, self.ports["peers"])
-        return sections(front, count, VOTERS, *ports, str(self.folder), self.lease) + self.sections
+        return (
+            operators_file(front, count, VOTERS, *ports, str(self.folder), self.agreement_settings)
+            + self.sections
+        )
 
-    # What a story does
+    # What a scenario does
 
-    def wish(self, wishes: str) -> None:
-        """Other wishes in every front's file, read again."""
-        self.sections = wishes
+    def set_sections(self, sections: str) -> None:
+        """Change every front's operators' file and have it reloaded."""
+        self.sections = sections
         for front in self.fronts:
             assert front.told is not None
             front.told.write_text(self._file(front.number, self))
             front.signal(signal.SIGHUP)
 
-    def lines_of(self, front: int) -> list[Line]:
+    def lines_of(self, front: int) -> list[LogLine]:
         place = self.folder / f"front-{front}" / "log"
-        at, lines = self.read.get(front, (0, []))
+        at, lines = self.read_logs.get(front, (0, []))
         if place.exists():
             with place.open("rb") as file:
                 file.seek(at)
@@ -100,12 +115,12 @@
             whole = raw[: raw.rfind(b"\n") + 1]
             for line in whole.splitlines():
                 if line.startswith(b"{"):
-                    lines.append(Line(front, json.loads(line), self.offset))
-            self.read[front] = (at + len(whole), lines)
+                    lines.append(LogLine(front, json.loads(line), self.clock_offset_ns))
+            self.read_logs[front] = (at + len(whole), lines)
         return lines
 
-    def said(self, event: str, fronts: tuple[int, ...] | None = None, **fields: Any) -> list[Line]:
-        """All lines of that event and those fields, in order of time."""
+    def find_lines(self, event: str, fronts: tuple[int, ...] | None = None, **fields: Any) -> list[LogLine]:
+        """Return all lines of an event with some fields, in order of time."""
         numbers = range(len(self.fronts)) if fronts is None else fronts
         found = [
             line
@@ -115,74 +130,78 @@
         ]
         return sorted(found, key=lambda line: line.at)
 
-    async def until(self, holds: Callable[[], Any], what: str, within: float = WITHIN) -> Any:
-        end = time.monotonic() + within
-        while not (found := holds()):
-            if time.monotonic() > end:
+    async def wait_until(
+        self, condition: Callable[[], Any], what: str, timeout_s: float = WAIT_TIMEOUT_S
+    ) -> Any:
+        deadline = time.monotonic() + timeout_s
+        while not (found := condition()):
+            if time.monotonic() > deadline:
                 events = [line for n in range(len(self.fronts)) for line in self.lines_of(n)][-40:]
-                raise AssertionError(f"not within {within} s: {what}; {events}")
+                raise AssertionError(f"not within {timeout_s} s: {what}; {events}")
             await asyncio.sleep(0.02)
         return found
 
-    async def line(self, event: str, since: int = 0, within: float = WITHIN, **fields: Any) -> Line:
-        """The first line of that event after a moment."""
+    async def wait_for_line(
+        self, event: str, since: int = 0, timeout_s: float = WAIT_TIMEOUT_S, **fields: Any
+    ) -> LogLine:
+        """Wait for the first line of an event after a moment."""
 
-        def found() -> Line | None:
-            return next((line for line in self.said(event, **fields) if line.at >= since), None)
+        def found() -> LogLine | None:
+            return next((line for line in self.find_lines(event, **fields) if line.at >= since), None)
 
-        line: Line = await self.until(found, f"{event} {fields}", within)
+        line: LogLine = await self.wait_until(found, f"{event} {fields}", timeout_s)
         return line
 
-    async def leader(self, since: int = 0) -> int:
-        """Who says last that it leads, after a moment."""
-        await self.line("leadership_started", since)
-        return [line for line in self.said("leadership_started") if line.at >= since][-1].front
+    async def wait_for_leader(self, since: int = 0) -> int:
+        """Wait until a front leads after a moment; return the last that does."""
+        await self.wait_for_line("leadership_started", since)
+        return [line for line in self.find_lines("leadership_started") if line.at >= since][-1].front
 
     @property
-    def now(self) -> int:
-        """Monotonic, cut to the milliseconds of log lines."""
+    def now_ns(self) -> int:
+        """The monotonic time, cut to the milliseconds of log lines."""
         return time.monotonic_ns() // MS * MS
 
-    def between(
+    def set_network_fault(
         self, some: tuple[int, ...], others: tuple[int, ...], kind: str, heal: bool = False, size: float = 0
     ) -> None:
-        """A fault on the paths between two parts of the fronts, or its end."""
-        words = {"kind": kind, "path": "peers", "way": "both", "size": size}
-        self.relays["peers"].say(**words, fronts=list(some), apart=list(others), heal=heal)
+        """Start a fault on the paths between two groups of fronts, or end it."""
+        fault = {"kind": kind, "path": "peers", "way": "both", "size": size}
+        self.relays["peers"].say(**fault, fronts=list(some), apart=list(others), heal=heal)
 
-    def work(self, cache: int, lasts: float) -> None:
-        """A cache is worked on: down, and started anew after so many seconds."""
-        self.standins.say(work=cache, lasts=lasts)
+    def start_work(self, cache: int, duration_s: float) -> None:
+        """Take a cache down, and start it anew after so many seconds."""
+        self.standins.say(work=cache, lasts=duration_s)
 
     def kill(self, *fronts: int) -> None:
         for n in fronts:
             self.fronts[n].kill()
 
-    async def start(self, *fronts: int) -> None:
-        """Killed ones, again."""
+    async def restart(self, *fronts: int) -> None:
+        """Start fronts that were killed."""
 
-        async def one(front: FrontProcess) -> None:
+        async def restart_one(front: FrontProcess) -> None:
             if front.process is not None:
                 await front.process.wait()
             await front.start()
 
-        await asyncio.gather(*(one(self.fronts[n]) for n in fronts))
+        await asyncio.gather(*(restart_one(self.fronts[n]) for n in fronts))
 
-    async def pause(self, front: int, lasts: float) -> None:
-        await self._pause(self.fronts[front], lasts)
+    async def pause(self, front: int, duration_s: float) -> None:
+        await self._pause(self.fronts[front], duration_s)
 
     # The run
 
     async def _run(self) -> None:
-        async def tell() -> None:
+        async def play_scenario() -> None:
             try:
-                await self.told(self)
+                await self.scenario(self)
             except BaseException as error:
                 self.failed = error
             for one in self.loads:
                 one.say(stop=True)
             await asyncio.sleep(0.1)
-            for _ in range(100):  # until all are answered
+            for _ in range(100):  # until all requests are answered
                 self.pace.clear()
                 for one in self.loads:
                     one.say(pace=True)
@@ -191,7 +210,7 @@
                     break
             self.broken.set()
 
-        task = asyncio.create_task(tell())
+        task = asyncio.create_task(play_scenario())
         await super()._run()
         task.cancel()
 
@@ -204,41 +223,45 @@
 
     # What must hold
 
-    def commands(self, cache: int, since: int, until: int) -> list[list[Any]]:
-        """Those that reached a cache between two moments, or were filled from it."""
+    def commands_at(self, cache: int, since: int, until: int) -> list[list[Any]]:
+        """Return the commands that reached a cache, or were filled from it, between two moments."""
         return [n for n in self.notes if n[1] == "sent" and n[4] == cache and since < n[0] < until]
 
 
-def told(rig: Fronts) -> FleetRun:
-    """Play it; what the story found wrong is raised."""
+def run_scenario(rig: FrontFleet) -> FleetRun:
+    """Play the scenario; raise what it found wrong."""
     run = asyncio.run(asyncio.wait_for(rig.play(), 110))
     if rig.failed is not None:
         raise rig.failed
-    breaks = ("front_diverged", "unexplained_decision", "exception_in_agreement_node",
-              "exception_in_planner")  # fmt: skip
-    assert not [line for event in breaks for line in rig.said(event)][:3]
+    defects = (
+        "front_diverged",
+        "unexplained_decision",
+        "exception_in_agreement_node",
+        "exception_in_planner",
+    )
+    assert not [line for event in defects for line in rig.find_lines(event)][:3]
     assert not run.void, run.void
     return run
 
 
-def kept_from(rig: Fronts, cache: int, since: int = 0) -> tuple[int, int]:
-    """Between `empty` and `back` of a cache no command reached it; when they were agreed.
+def check_no_commands_during_maintenance(rig: FrontFleet, cache: int, since: int = 0) -> tuple[int, int]:
+    """Check that no command reached a cache from `drained` to `restored`; return both moments.
 
-    Lines are of whole milliseconds and written as the version is agreed; none may send from then on.
+    Lines are of whole milliseconds and written as the version is committed; none may be sent from then on.
     """
     host = f"s-{cache}"
-    told = [line for line in rig.said("maintenance_step", machine=host) if line.at >= since]
-    empty = next(line.at for line in told if line.fields["step"] == "drained") + MS
-    back = next(line.at for line in told if line.fields["step"] == "restored")
-    late = rig.commands(cache, empty, back)
-    assert empty < back and not late, late[:3]
-    return empty, back
+    steps = [line for line in rig.find_lines("maintenance_step", machine=host) if line.at >= since]
+    drained = next(line.at for line in steps if line.fields["step"] == "drained") + MS
+    restored = next(line.at for line in steps if line.fields["step"] == "restored")
+    late = rig.commands_at(cache, drained, restored)
+    assert drained < restored and not late, late[:3]
+    return drained, restored
 
 
-def steps_of(rig: Fronts, cache: int) -> list[str]:
-    """Steps of its order as they were agreed, told once each though by two leaders."""
+def steps_of_task(rig: FrontFleet, cache: int) -> list[str]:
+    """Steps of the cache's task as they were committed, each once though two leaders may log it."""
     found: list[str] = []
-    for line in rig.said("maintenance_step", machine=f"s-{cache}"):
+    for line in rig.find_lines("maintenance_step", machine=f"s-{cache}"):
         if line.fields["step"] not in found:
             found.append(line.fields["step"])
     return found
--- a/tests/test_agreement_processes.py
+++ b/tests/test_agreement_processes.py
@@ -1,4 +1,4 @@
-"""Fronts as processes that settle orders and moves among themselves, with faults between them."""
+"""Front processes that agree on maintenance and migrations, with faults injected between them."""
 
 from __future__ import annotations
 
@@ -10,234 +10,259 @@
 import pytest
 
 from quincepier.lab.experiment import SECOND
-from tests.agreementrig import EXPERIMENT, Fronts, kept_from, steps_of, told
+from tests.agreementrig import (
+    EXPERIMENT,
+    FrontFleet,
+    check_no_commands_during_maintenance,
+    run_scenario,
+    steps_of_task,
+)
 
-WORK = """
+MAINTENANCE_SECTION = """
 maintenance:
   floor: 0.2
   as_before: 0.3
   wishes: [{id: first, machines: [s-1]}]
 """
-WHOLE = ["pending", "draining", "drained", "in_maintenance", "restored", "warming", "completed"]
+ALL_STEPS = ["pending", "draining", "drained", "in_maintenance", "restored", "warming", "completed"]
 
 
-async def worked_on(rig: Fronts) -> None:
-    """Work begins once it is empty, and its order ends."""
-    await rig.line("maintenance_step", machine="s-1", step="drained")
-    rig.work(1, 1.0)
-    await rig.line("maintenance_step", machine="s-1", step="completed")
+async def do_maintenance(rig: FrontFleet) -> None:
+    """Work begins once the cache is drained, and its task is completed."""
+    await rig.wait_for_line("maintenance_step", machine="s-1", step="drained")
+    rig.start_work(1, 1.0)
+    await rig.wait_for_line("maintenance_step", machine="s-1", step="completed")
 
 
 @pytest.mark.fleet(14)
-def test_an_order_for_one_cache_goes_through_all_its_steps_and_no_command_reaches_it(tmp_path: Path) -> None:
-    async def story(rig: Fronts) -> None:
-        await rig.leader()
-        rig.wish(WORK)
-        await worked_on(rig)
-        assert len({line.front for line in rig.said("version_adopted")}) == 5
-
-    rig = Fronts(tmp_path, story)
-    run = told(rig)
+def test_a_maintenance_task_goes_through_all_its_steps_and_no_command_reaches_the_cache(
+    tmp_path: Path,
+) -> None:
+    async def scenario(rig: FrontFleet) -> None:
+        await rig.wait_for_leader()
+        rig.set_sections(MAINTENANCE_SECTION)
+        await do_maintenance(rig)
+        assert len({line.front for line in rig.find_lines("version_adopted")}) == 5
+
+    rig = FrontFleet(tmp_path, scenario)
+    run = run_scenario(rig)
     assert not run.accused and not run.figures.broken, run.figures.first_broken
-    empty, _ = kept_from(rig, 1)
-    assert steps_of(rig, 1) == WHOLE
-    drained = rig.said("maintenance_step", machine="s-1", step="draining")[0].at
-    assert rig.commands(1, 0, drained) and rig.commands(2, empty, empty + 10**10)  # it was used before
+    drained, _ = check_no_commands_during_maintenance(rig, 1)
+    assert steps_of_task(rig, 1) == ALL_STEPS
+    draining = rig.find_lines("maintenance_step", machine="s-1", step="draining")[0].at
+    # It was used before, and the others are used meanwhile.
+    assert rig.commands_at(1, 0, draining) and rig.commands_at(2, drained, drained + 10**10)
 
 
-def good(rig: Fronts) -> None:
-    """The whole order, no command at the machine that is worked on, no rule broken by any front."""
-    run = told(rig)
+def check_whole_task(rig: FrontFleet) -> None:
+    """The whole task, no command at the machine that is worked on, no rule broken by any front."""
+    run = run_scenario(rig)
     assert not run.accused and not run.figures.broken, (run.accused, run.figures.first_broken)
-    kept_from(rig, 1)
-    assert steps_of(rig, 1) == WHOLE
+    check_no_commands_during_maintenance(rig, 1)
+    assert steps_of_task(rig, 1) == ALL_STEPS
 
 
 @pytest.mark.fleet(21)
 @pytest.mark.parametrize("step", ["draining", "in_maintenance"])
-def test_a_leader_killed_in_the_middle_of_an_order_is_followed_by_one_that_goes_on(
+def test_a_leader_killed_in_the_middle_of_a_task_is_followed_by_one_that_goes_on(
     tmp_path: Path, step: str
 ) -> None:
-    async def story(rig: Fronts) -> None:
-        first = await rig.leader()
-        rig.wish(WORK)
+    async def scenario(rig: FrontFleet) -> None:
+        first = await rig.wait_for_leader()
+        rig.set_sections(MAINTENANCE_SECTION)
         if step == "in_maintenance":
-            await rig.line("maintenance_step", machine="s-1", step="drained")
-            rig.work(1, 4.0)
-        await rig.line("maintenance_step", machine="s-1", step=step)
+            await rig.wait_for_line("maintenance_step", machine="s-1", step="drained")
+            rig.start_work(1, 4.0)
+        await rig.wait_for_line("maintenance_step", machine="s-1", step=step)
         rig.kill(first)
-        second = await rig.leader(rig.now)
+        second = await rig.wait_for_leader(rig.now_ns)
         assert second != first
         if step == "draining":
-            await rig.line("maintenance_step", machine="s-1", step="drained")
-            rig.work(1, 1.0)
-        await rig.start(first)
-        await rig.line("maintenance_step", machine="s-1", step="completed")
+            await rig.wait_for_line("maintenance_step", machine="s-1", step="drained")
+            rig.start_work(1, 1.0)
+        await rig.restart(first)
+        await rig.wait_for_line("maintenance_step", machine="s-1", step="completed")
 
-    good(Fronts(tmp_path, story))
+    check_whole_task(FrontFleet(tmp_path, scenario))
 
 
 @pytest.mark.fleet(22)
-def test_halves_cut_in_the_middle_the_one_without_a_quorum_agrees_on_nothing_and_serves_on(
+def test_a_minority_cut_off_in_the_middle_of_a_task_commits_nothing_and_serves_on(
     tmp_path: Path,
 ) -> None:
-    cut: list[int] = []
-    few: list[tuple[int, ...]] = []
-
-    async def story(rig: Fronts) -> None:
-        first = await rig.leader()
-        rig.wish(WORK)
-        await rig.line("maintenance_step", machine="s-1", step="draining")
-        some = (first, 3)
-        others = tuple(n for n in range(5) if n not in some)
-        cut.append(rig.now)
-        few.append(some)
-        rig.between(some, others, "cut")
-        await rig.until(
-            lambda: all(rig.said("cautious_mode_entered", (n,)) for n in some), "both are cautious"
+    fault_times: list[int] = []
+    minorities: list[tuple[int, ...]] = []
+
+    async def scenario(rig: FrontFleet) -> None:
+        first = await rig.wait_for_leader()
+        rig.set_sections(MAINTENANCE_SECTION)
+        await rig.wait_for_line("maintenance_step", machine="s-1", step="draining")
+        minority = (first, 3)
+        majority = tuple(n for n in range(5) if n not in minority)
+        fault_times.append(rig.now_ns)
+        minorities.append(minority)
+        rig.set_network_fault(minority, majority, "cut")
+        await rig.wait_until(
+            lambda: all(rig.find_lines("cautious_mode_entered", (n,)) for n in minority), "both are cautious"
         )
-        await rig.leader(cut[0])
-        await rig.line("maintenance_step", machine="s-1", step="drained")
-        rig.work(1, 1.0)
-        await rig.line("maintenance_step", machine="s-1", step="restored")
-        cut.append(rig.now)
-        rig.between(some, others, "cut", heal=True)
-        await rig.line("maintenance_step", machine="s-1", step="completed")
-        await rig.until(lambda: all(_left(rig, n) for n in some), "both have a lease again")
-
-    def _left(rig: Fronts, n: int) -> bool:
-        return any(line.at > cut[1] for line in rig.said("cautious_mode_left", (n,)))
-
-    rig = Fronts(tmp_path, story)
-    good(rig)
-    since, until, alone = cut[0] + SECOND, cut[1], few[0]
-    new = rig.said("version_committed", alone) + rig.said("version_adopted", alone)
+        await rig.wait_for_leader(fault_times[0])
+        await rig.wait_for_line("maintenance_step", machine="s-1", step="drained")
+        rig.start_work(1, 1.0)
+        await rig.wait_for_line("maintenance_step", machine="s-1", step="restored")
+        fault_times.append(rig.now_ns)
+        rig.set_network_fault(minority, majority, "cut", heal=True)
+        await rig.wait_for_line("maintenance_step", machine="s-1", step="completed")
+        await rig.wait_until(lambda: all(has_left(rig, n) for n in minority), "both have a lease again")
+
+    def has_left(rig: FrontFleet, n: int) -> bool:
+        return any(line.at > fault_times[1] for line in rig.find_lines("cautious_mode_left", (n,)))
+
+    rig = FrontFleet(tmp_path, scenario)
+    check_whole_task(rig)
+    since, until = fault_times[0] + SECOND, fault_times[1]
+    minority = minorities[0]
+    new = rig.find_lines("version_committed", minority) + rig.find_lines("version_adopted", minority)
     assert not [line for line in new if since < line.at < until]
-    sent = [n for n in rig.notes if n[1] == "sent" and n[3] in alone and since < n[0] < until]
+    sent = [n for n in rig.notes if n[1] == "sent" and n[3] in minority and since < n[0] < until]
     assert len(sent) > 5  # they served on
 
 
 @pytest.mark.fleet(22)
-def test_a_leader_that_stands_still_for_five_seconds_does_no_harm_as_it_goes_on(tmp_path: Path) -> None:
-    async def story(rig: Fronts) -> None:
-        first = await rig.leader()
-        rig.wish(WORK)
-        await rig.line("maintenance_step", machine="s-1", step="draining")
-        began = rig.now
+def test_a_leader_paused_for_five_seconds_does_no_harm_as_it_goes_on(tmp_path: Path) -> None:
+    async def scenario(rig: FrontFleet) -> None:
+        first = await rig.wait_for_leader()
+        rig.set_sections(MAINTENANCE_SECTION)
+        await rig.wait_for_line("maintenance_step", machine="s-1", step="draining")
+        paused_at = rig.now_ns
         pause = asyncio.create_task(rig.pause(first, 5.0))
-        assert await rig.leader(began) != first
-        await rig.line("maintenance_step", machine="s-1", step="drained")
-        rig.work(1, 1.0)
+        assert await rig.wait_for_leader(paused_at) != first
+        await rig.wait_for_line("maintenance_step", machine="s-1", step="drained")
+        rig.start_work(1, 1.0)
         await pause
-        await rig.line("maintenance_step", machine="s-1", step="completed")
-        await rig.until(lambda: rig.said("leadership_ended", (first,)), "it knows that it leads no more")
+        await rig.wait_for_line("maintenance_step", machine="s-1", step="completed")
+        await rig.wait_until(
+            lambda: rig.find_lines("leadership_ended", (first,)), "it knows that it leads no more"
+        )
 
-    good(Fronts(tmp_path, story))
+    check_whole_task(FrontFleet(tmp_path, scenario))
 
 
 @pytest.mark.fleet(23)
-@pytest.mark.parametrize("lost", [False, True])
-def test_all_fronts_killed_at_once_in_the_middle_of_an_order(tmp_path: Path, lost: bool) -> None:
-    """With their folders the order goes on where it was; without, it is settled anew and begins anew."""
-    again: list[int] = []
-
-    async def story(rig: Fronts) -> None:
-        await rig.leader()
-        rig.wish(WORK)
-        await rig.line("maintenance_step", machine="s-1", step="drained")
+@pytest.mark.parametrize("folders_lost", [False, True])
+def test_all_fronts_killed_at_once_in_the_middle_of_a_task(tmp_path: Path, folders_lost: bool) -> None:
+    """With their folders the task goes on where it was; without, it is planned anew and begins anew."""
+    restart_times: list[int] = []
+
+    async def scenario(rig: FrontFleet) -> None:
+        await rig.wait_for_leader()
+        rig.set_sections(MAINTENANCE_SECTION)
+        await rig.wait_for_line("maintenance_step", machine="s-1", step="drained")
         rig.kill(*range(5))
-        if lost:
-            for place in rig.folder.glob("front-*/rules-*"):
-                shutil.rmtree(place)
-        again.append(rig.now)
-        await rig.start(*range(5))
-        await rig.leader(again[0])
-        if lost:
-            await rig.line("maintenance_step", again[0], machine="s-1", step="drained")
-        rig.work(1, 1.0)
-        await rig.line("maintenance_step", again[0], machine="s-1", step="completed")
-
-    rig = Fronts(tmp_path, story)
-    run = told(rig)
+        if folders_lost:
+            for folder in rig.folder.glob("front-*/rules-*"):
+                shutil.rmtree(folder)
+        restart_times.append(rig.now_ns)
+        await rig.restart(*range(5))
+        await rig.wait_for_leader(restart_times[0])
+        if folders_lost:
+            await rig.wait_for_line("maintenance_step", restart_times[0], machine="s-1", step="drained")
+        rig.start_work(1, 1.0)
+        await rig.wait_for_line("maintenance_step", restart_times[0], machine="s-1", step="completed")
+
+    rig = FrontFleet(tmp_path, scenario)
+    run = run_scenario(rig)
     assert not run.accused and not run.figures.broken, (run.accused, run.figures.first_broken)
-    kept_from(rig, 1, again[0] if lost else 0)
+    check_no_commands_during_maintenance(rig, 1, restart_times[0] if folders_lost else 0)
     steps = [
-        line.fields["step"] for line in rig.said("maintenance_step", machine="s-1") if line.at > again[0]
+        line.fields["step"]
+        for line in rig.find_lines("maintenance_step", machine="s-1")
+        if line.at > restart_times[0]
     ]
-    assert steps == (WHOLE if lost else WHOLE[3:])
+    assert steps == (ALL_STEPS if folders_lost else ALL_STEPS[3:])
 
 
 @pytest.mark.fleet(31)
-def test_an_order_goes_through_with_half_a_second_of_delay_between_all_fronts(tmp_path: Path) -> None:
-    async def story(rig: Fronts) -> None:
-        await rig.leader()
-        every = tuple(range(5))
-        rig.between(every, every, "delay", size=500)
-        rig.wish(WORK)
-        await worked_on(rig)
+def test_a_task_is_completed_with_half_a_second_of_delay_between_all_fronts(tmp_path: Path) -> None:
+    async def scenario(rig: FrontFleet) -> None:
+        await rig.wait_for_leader()
+        all_fronts = tuple(range(5))
+        rig.set_network_fault(all_fronts, all_fronts, "delay", size=500)
+        rig.set_sections(MAINTENANCE_SECTION)
+        await do_maintenance(rig)
 
-    good(Fronts(tmp_path, story, lease="lease_ms: 3000"))
+    check_whole_task(FrontFleet(tmp_path, scenario, agreement_settings="lease_ms: 3000"))
 
 
-TENANTS_TEXT = EXPERIMENT.replace(
+EXPERIMENT_WITH_TENANT = EXPERIMENT.replace(
     "  - {name: bid,",
     "  - {name: order, share: 0.3, send_ms: 5, wanted_ms: 400, deadline_ms: 1500, worth: 2, effect: keyed,\n"
     "     objects: 60}\n  - {name: bid,",
 )
-SHARDS = """
+TENANTS_SECTION = """
 tenants:
   notice_s: 5
   shards: {north: {caches: [s-3, s-4]}}
   tenants: {acme: {items: ["00000001", "00000002"]}}
 """
-NORTH = (3, 4)
+NORTH_CACHES = (3, 4)
 
 
-def keyed(rig: Fronts, caches: tuple[int, ...], since: int = 0) -> list[list[Any]]:
-    """Commands at some caches of requests that may not simply be repeated; all are the tenant's."""
+def unsafe_commands_at(rig: FrontFleet, caches: tuple[int, ...], since: int = 0) -> list[list[Any]]:
+    """Return commands at some caches that belong to unsafe requests; all of these are the tenant's."""
     jobs = {n[2] for n in rig.notes if n[1] == "asked" and n[4] == "keyed"}
     return [n for n in rig.notes if n[1] == "sent" and n[2] in jobs and n[4] in caches and n[0] > since]
 
 
 @pytest.mark.fleet(15)
-def test_a_move_is_rolled_back_during_a_cut_and_what_may_not_be_repeated_never_ran_at_the_new_home(
+def test_a_migration_is_rolled_back_during_a_partition_and_no_unsafe_request_ran_at_the_target_shard(
     tmp_path: Path,
 ) -> None:
-    healed: list[int] = []
-    alone: list[int] = []
-
-    async def story(rig: Fronts) -> None:
-        first = await rig.leader()
-        rig.wish(SHARDS + "  moves: [{id: m1, tenant: acme, to: north}]\n")
-        await rig.until(
-            lambda: [m for m in rig.said("migration_step", tenant="acme") if m.fields["moved_slots"] >= 20],
-            "a part of the keys goes to the new home",
+    healed_at: list[int] = []
+
+    async def scenario(rig: FrontFleet) -> None:
+        first = await rig.wait_for_leader()
+        rig.set_sections(TENANTS_SECTION + "  moves: [{id: m1, tenant: acme, to: north}]\n")
+        await rig.wait_until(
+            lambda: [
+                m for m in rig.find_lines("migration_step", tenant="acme") if m.fields["moved_slots"] >= 20
+            ],
+            "a part of the keys goes to the target shard",
+        )
+        started_at = rig.now_ns
+        await rig.wait_until(
+            lambda: len({m.front for m in adopted(rig, started_at)}) == 5, "all know of the migration"
         )
-        begun = rig.now
-        await rig.until(lambda: len({m.front for m in adopted(rig, begun)}) == 5, "all know of the move")
-        some = (first, 3)
-        alone.extend(some)
-        rig.between(some, tuple(n for n in range(5) if n not in some), "cut")
-        await rig.until(
-            lambda: all(rig.said("cautious_mode_entered", (n,)) for n in some), "both are cautious"
+        minority = (first, 3)
+        majority = tuple(n for n in range(5) if n not in minority)
+        rig.set_network_fault(minority, majority, "cut")
+        await rig.wait_until(
+            lambda: all(rig.find_lines("cautious_mode_entered", (n,)) for n in minority), "both are cautious"
         )
-        rig.wish(SHARDS + "  moves: [{id: m1, tenant: acme, to: north, rollback: true}]\n")
-        await rig.line("migration_step", tenant="acme", step="rolled_back")
-        rig.between(some, tuple(n for n in range(5) if n not in some), "cut", heal=True)
-        healed.append(rig.now)
-        last = rig.said("version_committed")[-1].fields["number"]
-        await rig.until(
-            lambda: all(any(a.fields["number"] >= last for a in adopted(rig, healed[0], n)) for n in some),
-            "the two that were cut off know that it is back",
+        rig.set_sections(TENANTS_SECTION + "  moves: [{id: m1, tenant: acme, to: north, rollback: true}]\n")
+        await rig.wait_for_line("migration_step", tenant="acme", step="rolled_back")
+        rig.set_network_fault(minority, majority, "cut", heal=True)
+        healed_at.append(rig.now_ns)
+        last = rig.find_lines("version_committed")[-1].fields["number"]
+        await rig.wait_until(
+            lambda: all(
+                any(a.fields["number"] >= last for a in adopted(rig, healed_at[0], n)) for n in minority
+            ),
+            "the two that were cut off know that it is rolled back",
         )
 
-    def adopted(rig: Fronts, since: int, front: int | None = None) -> list[Any]:
+    def adopted(rig: FrontFleet, since: int, front: int | None = None) -> list[Any]:
         fronts = None if front is None else (front,)
-        return [line for line in rig.said("version_adopted", fronts) if line.at > since - SECOND]
-
-    rig = Fronts(tmp_path, story, wishes=SHARDS, text=TENANTS_TEXT, lease="span_s: 2")
-    run = told(rig)
+        return [line for line in rig.find_lines("version_adopted", fronts) if line.at > since - SECOND]
+
+    rig = FrontFleet(
+        tmp_path,
+        scenario,
+        sections=TENANTS_SECTION,
+        experiment_text=EXPERIMENT_WITH_TENANT,
+        agreement_settings="span_s: 2",
+    )
+    run = run_scenario(rig)
     assert not run.accused and not run.figures.broken, (run.accused, run.figures.first_broken)
-    assert keyed(rig, (1, 2)) and not keyed(rig, NORTH)
-    moved = [n for n in rig.notes if n[1] == "sent" and n[4] in NORTH]
-    assert moved  # of what may be repeated a part went there
+    assert unsafe_commands_at(rig, (1, 2)) and not unsafe_commands_at(rig, NORTH_CACHES)
+    moved = [n for n in rig.notes if n[1] == "sent" and n[4] in NORTH_CACHES]
+    assert moved  # a part of the safe requests went there
