--- a/quincepier/consistency/decision.py
+++ b/quincepier/consistency/decision.py
@@ -47,7 +47,7 @@
         list_revision: Sequence number in the change log of the last change to the list.
         build: Version of the software.
         find_home_shard: Home shard of a tenant's request. It must follow from `rule_version` and `endpoints`
-            alone, for the caches of all zones, and never be that of a front in its cautious set.
+            alone, for the caches of all zones, and never be that of a front in cautious mode.
     """
 
     rule_version: RuleVersion
--- a/quincepier/consistency/findings.py
+++ b/quincepier/consistency/findings.py
@@ -28,7 +28,7 @@
 # A version or list on its way to a front is no fault; another build is one only where its decisions differ.
 LAGGING_KINDS = frozenset({DivergenceKind.LAGGING_VERSION, DivergenceKind.LAGGING_LIST})
 FAULT_KINDS = frozenset(DivergenceKind) - LAGGING_KINDS - {DivergenceKind.BUILD}
-# Kinds for which a front goes to its cautious set: its decisions by the rules are wrong, not late.
+# Kinds for which a front enters cautious mode: its decisions by the rules are wrong, not late.
 CAUTIOUS_KINDS = FAULT_KINDS - {DivergenceKind.OUTDATED_LIST, DivergenceKind.UNEXPLAINED_DECISION}
 
 TREE_BY_KIND: dict[DivergenceKind, TreeKind] = {
@@ -65,7 +65,7 @@
 
     @property
     def requires_caution(self) -> bool:
-        """Whether the front must go to its cautious set."""
+        """Whether the front must enter cautious mode."""
         return self.kind in CAUTIOUS_KINDS or (self.kind is DivergenceKind.BUILD and self.affects_decisions)
 
 
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -1,6 +1,6 @@
 """The consistency checker of a running front: its messages over the peer network, and what follows.
 
-A front that is found to diverge goes to its cautious set until a round finds it consistent again. The module
+A front that is found to diverge enters cautious mode until a round finds it consistent again. The module
 is imported only where the operators' file has the section `consistency`.
 """
 
@@ -61,7 +61,7 @@
         Args:
             module: The actor that owns the router.
             peers: Carries the messages.
-            effects: Supplies the adopted rule version and puts the cautious set in force.
+            effects: Supplies the adopted rule version and puts cautious mode in force.
             rules: Supplies tenants and placements.
             section: Settings.
             find_leader: Name of the leader; empty where nobody leads.
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -100,7 +100,7 @@
     async def start(self) -> None:
         """Take part, and wait a little for the committed version: it may say what not to send to."""
         self._module.shared.stale = self.effects.stale
-        thread = WorkerThread("rules kept")
+        thread = WorkerThread("version-store")
         self.effects.stored_version = await self._load_stored_version(thread)
         writer = VersionWriter(self._version_store, thread, lambda: self.follower.version, self.checks)
         self.effects.on_applied = writer.on_version_applied
--- a/quincepier/net/settled.py
+++ b/quincepier/net/settled.py
@@ -12,7 +12,7 @@
     """All of it runs inside a turn of the module's actor and takes no longer than a few looks into maps."""
 
     def before(self, now: int) -> None:
-        """Before each event that the module hears: who has no lease any more decides by the cautious set."""
+        """Before each event that the module hears: a front without a lease decides in cautious mode."""
 
     def listed(self, news: EndpointUpdate) -> EndpointUpdate:
         """News of the list as the module is to hear them."""
--- a/tests/test_agreement_node.py
+++ b/tests/test_agreement_node.py
@@ -10,8 +10,7 @@
 
 from quincepier.checks import Checks
 from quincepier.net.fleet.node import AgreementNode
-from tests.fleetkit import make_version
-from tests.test_version_effects import grant_lease, hear_version, make_front
+from tests.fleetkit import grant_lease, hear_version, make_front, make_version
 
 
 def test_a_start_waits_for_an_answer_and_not_for_a_version_heard_in_passing() -> None:
--- a/tests/test_version_effects.py
+++ b/tests/test_version_effects.py
@@ -9,23 +9,18 @@
 import pytest
 
 from quincepier import clock
-from quincepier.checks import Checks
-from quincepier.interface import EndpointState, EndpointUpdate, Idempotency, UpdateScope
-from quincepier.maintenance import cordoned_hosts
-from quincepier.net.fleet.follower import Follower
-from quincepier.net.fleet.messages import LeaseGranted, VersionCommitted
+from quincepier.interface import EndpointState, EndpointUpdate, UpdateScope
 from quincepier.net.fleet.version_effects import VersionEffects
 from quincepier.net.fleet.version_store import VersionStore
-from quincepier.rules import LeaseGrant, RulesError, RuleVersion, encode_version
+from quincepier.rules import RulesError, RuleVersion
 from quincepier.tenancy import TenancyError
 from tests.fleetkit import (
     DRAINING_TASK,
-    HOST_BY_NUMBER,
     PENDING_TASK,
-    TIMINGS,
-    VOTERS,
+    grant_lease,
+    hear_version,
     make_endpoint,
-    make_report,
+    make_front,
     make_version,
 )
 
@@ -33,49 +28,6 @@
 READY = make_endpoint(1, EndpointState.READY)
 
 
-def make_front(
-    stored: RuleVersion | None = None, effects_type: Any = VersionEffects
-) -> tuple[Any, Follower, list[EndpointUpdate]]:
-    """Effects, the follower that they rest on, and the updates that the router is told."""
-    updates: list[EndpointUpdate] = []
-    classes = (SimpleNamespace(effect=Idempotency.SAFE, worth=1.0, on_time=clock.SECOND),)
-    entry_by_host = {
-        host: SimpleNamespace(
-            machine=make_endpoint(number, EndpointState.READY), record=SimpleNamespace(host=host)
-        )
-        for number, host in HOST_BY_NUMBER.items()
-    }
-    module: Any = SimpleNamespace(
-        checks=Checks(),
-        directory=SimpleNamespace(host_by_number=HOST_BY_NUMBER, entry_by_host=entry_by_host),
-        config=SimpleNamespace(settings=SimpleNamespace(classes=classes)),
-        router=SimpleNamespace(homes=None, nodes={}),
-        requests=SimpleNamespace(request_by_number={}),
-        told_of_list=updates.append,
-    )
-    active_rules: Any = SimpleNamespace(
-        cordoned_hosts=lambda version, is_cautious: cordoned_hosts(version, is_cautious, "f"),
-        placement_table=lambda *arguments: None,
-        grace_period_ns=1 << 60,
-        file_count=1,
-    )
-    follower = Follower("f", VOTERS, 1, clock.boot(), TIMINGS, 7)
-    effects = effects_type(module, follower, active_rules, 10)
-    effects.stored_version = stored
-    return effects, follower, updates
-
-
-def hear_version(follower: Follower, version: RuleVersion) -> None:
-    follower.on_message(clock.boot(), "a", VersionCommitted(1, encode_version(version)))
-
-
-def grant_lease(follower: Follower, number: int, lease_ms: int = 1000) -> None:
-    follower.on_tick(follower.next_report_ns, lambda: make_report("f", number))
-    token = follower.lease.last_token
-    follower.lease.request_time_by_token[token] = clock.boot()
-    follower.on_message(clock.boot(), "a", LeaseGranted(1, LeaseGrant(1, token, number, lease_ms)))
-
-
 class TrustingEffects(VersionEffects):
     """Mutant: a lease that has ended is not looked at before a decision."""
 
