--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -259,5 +259,5 @@
         ]
 
     def _is_ejected(self, number: int) -> bool:
-        node = self.module.router.nodes.get(number)
-        return node is not None and bool(node.suspect)
+        node = self.module.router.placement.table.by_id.get(number)
+        return node is not None and node.is_ejected
--- a/tests/test_peer_network.py
+++ b/tests/test_peer_network.py
@@ -199,25 +199,27 @@
     configured = replace(base, fronts=2, fronts_by_zone=(0, 2))
 
     def make_module(settings: Any) -> Any:
-        return SimpleNamespace(router=SimpleNamespace(s=settings), checks=Checks())
+        return SimpleNamespace(router=SimpleNamespace(settings=settings), checks=Checks())
 
     few, enough = make_module(configured), make_module(replace(configured, fronts=6, fronts_by_zone=(1, 5)))
     QuotaAllocator(few, networks[0])
     allocator = QuotaAllocator(enough, networks[1])
 
     async def scenario() -> None:
-        await until(lambda: few.router.s.fronts == 4, "four are seen where two are configured")
-        assert few.router.s.fronts_by_zone == (0, 4)
+        await until(lambda: few.router.settings.fronts == 4, "four are seen where two are configured")
+        assert few.router.settings.fronts_by_zone == (0, 4)
         await until(lambda: len(networks[1].view) == 4, "four are seen where six are configured")
-        assert enough.router.s.fronts == 6
+        assert enough.router.settings.fronts == 6
         await networks[3].leave()
-        await until(lambda: few.router.s.fronts == 3, "the one that announced its leave counts no longer")
+        await until(
+            lambda: few.router.settings.fronts == 3, "the one that announced its leave counts no longer"
+        )
         holder = QuotaHolder(6, 10 * clock.SECOND, 0)
         allocator.use_leases(holder)
-        assert enough.router.s.fronts == 24, "without a lease a quarter of a fraction"
+        assert enough.router.settings.fronts == 24, "without a lease a quarter of a fraction"
         holder.on_grant(clock.now(), clock.now(), QuotaGrant(GrantNumber(1, 1), 2))
         allocator.update()
-        assert enough.router.s.fronts == 3  # two share 5 in 6 of the whole
+        assert enough.router.settings.fronts == 3  # two share 5 in 6 of the whole
 
     run_scenario(networks, scenario)
     assert (
