--- /dev/null
+++ b/tests/test_structures.py
@@ -0,0 +1,214 @@
+"""The plain data structures beside the decision logic keep to what they are told."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+from dataclasses import dataclass
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from quincepier.structures import (
+    Backoff,
+    Baseline,
+    Coverage,
+    DecayingMean,
+    DecayingSum,
+    FairQueue,
+    PurgeLog,
+    RecencyMap,
+    RunningMeans,
+    ServedWork,
+    TokenBucket,
+    rank,
+    tiers,
+)
+
+SECOND = 1_000_000_000
+
+
+@dataclass(eq=False)
+class Item:
+    tier: int
+    key: int
+    is_queued: bool = False
+
+
+def make_queue() -> FairQueue[Item]:
+    return FairQueue((80.0, 15.0, 5.0), 0, boost_every=10, floor_interval=SECOND, scan_limit=16)
+
+
+def always(item: Item) -> bool:
+    return True
+
+
+def test_items_of_one_key_leave_in_order_and_an_empty_queue_gives_none() -> None:
+    queue, items = make_queue(), [Item(1, 7) for _ in range(3)]
+    for item in items:
+        queue.push(item)
+    assert [queue.pop(0, always) for _ in range(4)] == [*items, None] and not queue
+    assert not any(item.is_queued for item in items)
+
+
+def test_tiers_leave_by_their_weights() -> None:
+    queue, left = make_queue(), Counter[int]()
+    for n in range(300):
+        queue.push(Item(n % 3, n))
+    for _ in range(100):
+        item = queue.pop(0, always)
+        assert item is not None
+        left[item.tier] += 1
+    assert left == {0: 80, 1: 15, 2: 5}
+
+
+def test_a_tier_that_nothing_left_for_a_floor_interval_goes_first() -> None:
+    queue = make_queue()
+    for n in range(9):
+        queue.push(Item(n % 3, n))
+    queue.released_at = [2 * SECOND, 2 * SECOND, SECOND]
+    item = queue.pop(2 * SECOND, always)
+    assert item is not None and item.tier == 2
+
+
+def test_what_is_not_ready_stays_and_what_is_discarded_never_leaves() -> None:
+    queue, first, second = make_queue(), Item(0, 1), Item(0, 2)
+    queue.push(first)
+    queue.push(second)
+    assert queue.pop(0, lambda item: item is second) is second
+    queue.discard(first)
+    queue.discard(first)
+    assert queue.pop(0, always) is None and queue.depths == [0, 0, 0]
+
+
+def test_only_so_many_keys_of_a_tier_are_looked_at() -> None:
+    queue, looked = make_queue(), list[int]()
+    for n in range(40):
+        queue.push(Item(0, n))
+
+    def is_ready(item: Item) -> bool:
+        looked.append(item.key)
+        return False
+
+    assert queue.pop(0, is_ready) is None and looked == list(range(16))
+
+
+def test_a_longer_queue_of_one_key_is_preferred_by_full_steps() -> None:
+    queue = make_queue()
+    for key, count in ((1, 9), (2, 10), (3, 19)):
+        for _ in range(count):
+            queue.push(Item(0, key))
+    item = queue.pop(0, always)
+    assert item is not None and item.key == 2
+
+
+def test_a_bucket_gives_whole_tokens_alone_and_keeps_its_capacity() -> None:
+    bucket = TokenBucket(1.5, 2.0)
+    assert bucket.take() and not bucket.take()
+    for _ in range(9):
+        bucket.put(0.5)
+    assert bucket.tokens == 2.0
+
+
+def test_a_backoff_doubles_within_its_bounds_and_eases_to_none() -> None:
+    backoff, waits = Backoff(100, 350, 0.3), list[float]()
+    for _ in range(4):
+        backoff.increase()
+        waits.append(backoff.wait)
+    assert waits == [100, 200, 350, 350]
+    for _ in range(3):
+        backoff.ease()
+    assert backoff.wait == 0
+
+
+def test_a_mean_of_no_samples_is_as_usual_and_samples_fade() -> None:
+    mean = DecayingMean(SECOND, prior=1.0)
+    assert mean.factor(0) == 1.0
+    mean.add(0, 2.0)
+    assert mean.factor(0) == pytest.approx(math.exp(2 / 2))
+    assert mean.factor(SECOND) == pytest.approx(math.exp(1 / 1.5))
+    mean.add(SECOND, -9.0)
+    assert mean.factor(SECOND) == 1.0  # never quicker than usual
+
+
+def test_a_sum_counts_half_after_its_half_life() -> None:
+    total = DecayingSum(SECOND, 8.0, 0)
+    total.add(SECOND, 1.0)
+    assert total.total == 5.0 and total.at(2 * SECOND) == 2.5
+
+
+def test_served_work_of_a_steady_rate_gives_that_rate() -> None:
+    served = ServedWork(15 * SECOND, 3 * SECOND, 0)
+    for n in range(2000):
+        served.add(n * SECOND // 10, 1, 0.2 * SECOND)
+    assert served.rates(200 * SECOND)[1] == pytest.approx(2.0, rel=0.15)
+
+
+def test_a_baseline_follows_its_mean_down_at_once_and_up_slowly() -> None:
+    baseline = Baseline()
+    for n in range(30):
+        baseline.add(n, 1.0, min_weight=0.02, min_count=20, rise=0.0)
+    for n in range(100):
+        baseline.add(30 + n, 3.0, min_weight=0.02, min_count=20, rise=0.001)
+    assert baseline.mean > 2.5 and 1.0 < baseline.least < 1.2
+
+
+def test_running_means_weigh_alike_from_the_first_sample_and_can_be_reset() -> None:
+    means = RunningMeans([50.0, 60.0], min_weight=0.02)
+    for sample in (1.0, 2.0, 3.0):
+        means.add(1, sample)
+    assert means.means == [50.0, pytest.approx(2.0)]
+    means.reset(1)
+    assert means.means[1] == 60.0 and not means.counts[1]
+
+
+@settings(derandomize=True, max_examples=60)
+@given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 5)), max_size=60))
+def test_a_recency_map_keeps_its_bounds_in_number_and_age(script: list[tuple[int, int]]) -> None:
+    seen, now = RecencyMap(4), 0
+    for key, wait in script:
+        now += wait
+        seen.record((0, key), now, now - 7)
+        assert len(seen) <= 4 and all(at >= now - 7 for at in seen.values())
+        assert next(reversed(seen)) == (0, key)
+
+
+def test_a_purge_of_a_group_counts_for_all_its_objects() -> None:
+    log = PurgeLog(16)
+    assert log.last(3, 7) == -1
+    log.purge(3, 7, 10, 0)
+    log.purge(3, 0, 5, 0)
+    log.purge(3, 7, 8, 0)  # told late: the later one stays
+    assert (log.last(3, 7), log.last(3, 8), log.last(4, 8)) == (10, 5, -1)
+
+
+def test_coverage_is_complete_once_with_one_of_each_kind_asked_for() -> None:
+    coverage = Coverage(3)
+    coverage.asked |= {1, 2}
+    assert [coverage.add(kind) for kind in (1, 1, 1, 2, 2)] == [False, False, False, True, False]
+    coverage.restart()
+    assert not coverage.is_complete and coverage.count == 0
+
+
+@pytest.mark.parametrize(
+    ("weights", "wanted"),
+    [
+        ((), {}),
+        ((4.0,), {4.0: 0}),
+        ((1.0, 2.0), {2.0: 0, 1.0: 2}),
+        ((1.0, 2.0, 3.0, 4.0), {4.0: 0, 3.0: 1, 2.0: 2, 1.0: 2}),
+    ],
+)
+def test_tiers_by_rank(weights: tuple[float, ...], wanted: dict[float, int]) -> None:
+    assert tiers(weights, 3) == wanted
+
+
+def test_rendezvous_ranks_are_by_weight_and_outlast_who_leaves() -> None:
+    ids = {"a": 11, "b": 12, "c": 13}
+    weights = {"a": 1.0, "b": 1.0, "c": 2.0}
+    ranks = {key: rank(key, weights, ids) for key in range(4000)}
+    share = Counter(order[0] for order in ranks.values())
+    assert share["c"] / 4000 == pytest.approx(0.5, abs=0.03)
+    without = {name: ids[name] for name in ("a", "b")}
+    assert all(rank(key, weights, without) == [n for n in ranks[key] if n != "c"] for key in ranks)
