--- a/quincepier/consistency/router_view.py
+++ b/quincepier/consistency/router_view.py
@@ -8,57 +8,19 @@
 import math
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any
 
 from quincepier import interface as io
 from quincepier.interface import EndpointState
+from quincepier.policy import Router
+from quincepier.records import Upstream
 
-
-class RouterNode(Protocol):
-    """The router's record of an endpoint."""
-
-    machine: io.Endpoint
-    suspect: bool
-    trial_at: int
-    wait: int
-    leaving: int
-    credit: float
-    paid: int
-    step: int
-    recent: Any
-    out: Any
-
-
-class Router(Protocol):
-    """The router's state, as far as it is read."""
-
-    s: io.Settings
-    now: int
-    nodes: Any
-    edges: Any
-    parents: Any
-    origins: Any
-    requests: Any
-    ranks: Any
-    fills: int
-    bound: int
-
-    def cold(self, node: Any) -> tuple[float, float]:
-        """Share of its size that a node surely does, and the load multiple it stands; infinite once warm."""
-
-    def crowded(self, node: Any, req: Any) -> bool:
-        """Whether one more request of that class would be late at a node."""
-
-    def full(self, req: Any) -> bool:
-        """Whether no origin fetch may begin for a request."""
-
-    def rank(self, nodes: Any, key: int) -> Any:
-        """Nodes in order for a key."""
+RouterNode = Upstream  # the router's record of an endpoint
 
 
 def node_number(node: RouterNode) -> int:
     """The number of an endpoint that the router names by its own record."""
-    return node.machine.cache
+    return node.endpoint.cache
 
 
 class EndpointView:
@@ -71,49 +33,48 @@
     @property
     def number(self) -> int:
         """The endpoint's number."""
-        return self._node.machine.cache
+        return self._node.endpoint.cache
 
     @property
     def size(self) -> float:
         """Its size in the endpoint list; 0 where the list has none."""
-        return self._node.machine.size
+        return self._node.endpoint.size
 
     @property
     def latency_divisor(self) -> float:
         """By what the router divides its weight, as it is slower than its like; 1 for a quick one."""
-        divisor: float = 2 ** (self._node.step / 2)
+        divisor: float = 2 ** (self._node.weight_step / 2)
         return divisor
 
     @property
     def is_ready(self) -> bool:
         """Whether the endpoint list has it as ready."""
-        return self._node.machine.state is EndpointState.READY
+        return self._node.endpoint.state is EndpointState.READY
 
     @property
     def is_shutting_down(self) -> bool:
         """Whether an earlier start of this front heard that it leaves, and that still holds."""
-        return self._router.now < self._node.leaving
+        return self._router.now < self._node.draining_until
 
     @property
     def is_ejected(self) -> bool:
         """Whether outlier detection has it ejected, and its next trial is not due."""
-        return self._node.suspect and self._router.now < self._node.trial_at
+        return self._node.is_ejected and self._router.now < self._node.trial_at
 
     @property
     def is_on_trial(self) -> bool:
         """Whether its trial was begun in this turn of the router."""
-        return self._node.trial_at == self._router.now + self._node.wait
+        return self._node.trial_at == self._router.now + self._node.ejection_time
 
     @property
     def is_warming_up(self) -> bool:
         """Whether it started lately and so has a warm-up budget."""
-        _, load_multiple = self._router.cold(self._node)
-        return load_multiple < math.inf
+        return self._router.slow_start.warmth(self._node).multiple < math.inf
 
     @property
     def is_budget_checked(self) -> bool:
         """Whether the router checked its warm-up budget in this turn."""
-        return self._node.paid == self._router.now
+        return self._node.credited_at == self._router.now
 
     @property
     def budget(self) -> float:
@@ -123,23 +84,22 @@
     @property
     def requests_in_flight(self) -> int:
         """Attempts that are open there."""
-        return len(self._node.out)
+        return len(self._node.in_flight)
 
     def count_recent(self, object_hash: int) -> int:
         """How many of its last requests were for an object."""
-        return list(self._node.recent).count(object_hash)
+        return list(self._node.recent_objects).count(object_hash)
 
     def work_of_new_attempt(self, request: RequestView) -> float | None:
         """Work of the request's last attempt there if it was begun in this turn; else None."""
-        attempt = self._node.out.get((request.id, request.attempts - 1))
-        if attempt is None or attempt.at != self._router.now:
+        attempt = self._node.in_flight.get((request.id, request.attempts - 1))
+        if attempt is None or attempt.sent_at != self._router.now:
             return None
-        work: float = attempt.work
-        return work
+        return attempt.booked_work
 
     def is_overloaded(self, request: RequestView) -> bool:
         """Whether one more request of that class would be late there."""
-        return self._router.crowded(self._node, request.record)
+        return self._router.placement.is_crowded(self._node, request.record)
 
 
 @dataclass(slots=True, frozen=True)
@@ -172,22 +132,22 @@
     @property
     def settings(self) -> io.Settings:
         """The router's settings."""
-        return self._router.s
+        return self._router.settings
 
     @property
     def caches(self) -> list[EndpointView]:
         """The caches of the front's zone."""
-        return self._views(self._router.edges)
+        return self._views(self._router.placement.table.caches)
 
     @property
     def parents(self) -> list[EndpointView]:
         """The parents of all zones."""
-        return self._views(self._router.parents)
+        return self._views(self._router.placement.table.parents)
 
     @property
     def origins(self) -> list[EndpointView]:
         """The origins, in the order in which they are tried."""
-        return self._views(self._router.origins)
+        return self._views(self._router.placement.table.origins)
 
     @property
     def fetches_in_flight(self) -> int:
@@ -201,19 +161,19 @@
 
     def has_endpoint(self, number: int) -> bool:
         """Whether the router knows an endpoint."""
-        return number in self._router.nodes
+        return number in self._router.placement.table.by_id
 
     def endpoint(self, number: int) -> EndpointView:
         """An endpoint by its number."""
-        return EndpointView(self._router, self._router.nodes[number])
+        return EndpointView(self._router, self._router.placement.table.by_id[number])
 
     def find_request(self, request_id: int) -> RequestView | None:
         """An open request by its id."""
         record = self._router.requests.get(request_id)
         if record is None:
             return None
-        avoided = frozenset(node.machine.cache for node in record.avoid)
-        return RequestView(record, request_id, record.sent, record.tier, avoided, record.home)
+        avoided = frozenset(node.endpoint.cache for node in record.excluded)
+        return RequestView(record, request_id, record.attempts_sent, record.tier, avoided, record.home)
 
     def is_at_fetch_limit(self, request: RequestView) -> bool:
         """Whether no origin fetch may begin for a request, by the limit or the zone's link."""
@@ -221,18 +181,23 @@
 
     def rank_caches(self, key_hash: int) -> Sequence[int]:
         """The router's own order of its caches for a key."""
-        return [node.machine.cache for node in self._router.rank(self._router.edges, key_hash)]
+        return [
+            node.endpoint.cache
+            for node in self._router.placement.rank(self._router.placement.table.caches, key_hash)
+        ]
 
     def rank_parents(self, key_hash: int) -> Sequence[int]:
         """The router's own order of the parents for a key."""
-        return [node.machine.cache for node in self._router.rank(self._router.parents, key_hash)]
+        return [
+            node.endpoint.cache
+            for node in self._router.placement.rank(self._router.placement.table.parents, key_hash)
+        ]
 
     def cached_rankings(self, limit: int) -> Iterator[CachedRanking]:
         """The last rankings that the router holds, `limit` at most."""
-        for key, ranked in list(self._router.ranks.items())[-limit:]:
-            is_of_home_shard = not isinstance(key, int)
-            key_hash = key[0] if is_of_home_shard else key
-            yield CachedRanking(key_hash, is_of_home_shard, [node.machine.cache for node in ranked])
+        for key, ranked in list(self._router.placement.rankings.items())[-limit:]:
+            key_hash = key if isinstance(key, int) else key[0]
+            yield CachedRanking(key_hash, not isinstance(key, int), [node.endpoint.cache for node in ranked])
 
-    def _views(self, nodes: Any) -> list[EndpointView]:
+    def _views(self, nodes: list[Upstream]) -> list[EndpointView]:
         return [EndpointView(self._router, node) for node in nodes]
--- a/tests/test_decision_recorder.py
+++ b/tests/test_decision_recorder.py
@@ -28,7 +28,8 @@
 from quincepier.lab.experiment import load
 from quincepier.lab.front import Front as WorldFront
 from quincepier.lab.world import World as LabWorld
-from quincepier.policy import Router
+from quincepier.policy.placement import Placement
+from quincepier.policy.slow_start import SlowStart
 from quincepier.rules import RuleVersion
 from tests.rig import CACHES, PARENTS, Bench, attempts, machine
 from tests.test_policy_properties import SITES, World
@@ -37,20 +38,20 @@
 def test_the_rule_is_where_the_router_itself_sends() -> None:
     """All warm and idle: the router's own order is the rule's, and its ranking cache serves the digests."""
     bench = Bench()
-    machines = [node.machine for node in bench.router.nodes.values()]
+    machines = [node.endpoint for node in bench.router.placement.table.by_id.values()]
     endpoints = tuple(
         ListedEndpoint(f"h{m.cache}", m.cache, m.kind, m.zone, 0, m.size, True) for m in machines
     )
     inputs = DecisionInputs(RuleVersion(0, 0), bench.settings, endpoints, 3, "b")
     ranking_cache = RouterRankingCache(RouterView(bench.router), lambda: endpoints)
     for key in sample_keys(0, 5, 32, inputs):
-        ranked = bench.router.rank(bench.router.edges, mix(key.object, key.part))
+        ranked = bench.router.placement.rank(bench.router.placement.table.caches, mix(key.object, key.part))
         decision = decide(inputs, key)
-        assert decision.caches == tuple(node.machine.cache for node in ranked)
+        assert decision.caches == tuple(node.endpoint.cache for node in ranked)
         assert decision == DecisionRules(inputs, ranking_cache=ranking_cache).decide(key)
     assert ranking_cache(9, 1) is None and count_stale_rankings(RouterView(bench.router)) == 0
-    cached = next(iter(bench.router.ranks))
-    bench.router.ranks[cached] = bench.router.ranks[cached][::-1]
+    cached = next(iter(bench.router.placement.rankings))
+    bench.router.placement.rankings[cached] = bench.router.placement.rankings[cached][::-1]
     assert count_stale_rankings(RouterView(bench.router)) == 1
 
 
@@ -108,46 +109,46 @@
     assert count_stale_rankings(RouterView(world.router)) == 0
 
 
-def wrong_hash(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: mix(key + 1, n.machine.cache))
+def wrong_hash(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
+    return sorted(nodes, key=lambda n: mix(key + 1, n.endpoint.cache))
 
 
-def by_id(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: int(n.machine.cache))
+def by_id(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
+    return sorted(nodes, key=lambda n: int(n.endpoint.cache))
 
 
-ORIGINAL_RANK, FIRST_RANKINGS = Router.rank, dict[tuple[int, int], list[Any]]()
+ORIGINAL_RANK, FIRST_RANKINGS = Placement.rank, dict[tuple[int, int], list[Any]]()
 
 
-def first_ranking(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
+def first_ranking(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
     """What was ranked first is used for ever, as far as it is still listed."""
-    ranked = [n.machine.cache for n in ORIGINAL_RANK(self, nodes, key)]
+    ranked = [n.endpoint.cache for n in ORIGINAL_RANK(self, nodes, key)]
     first = FIRST_RANKINGS.setdefault((id(self), key), ranked)
-    return [self.nodes[n] for n in first if n in self.nodes]
+    return [self.table.by_id[n] for n in first if n in self.table.by_id]
 
 
-def unweighted(self: Router, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: -math.log((mix(key, n.machine.cache) + 1) / 2**64))
+def unweighted(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
+    return sorted(nodes, key=lambda n: -math.log((mix(key, n.endpoint.cache) + 1) / 2**64))
 
 
-def always_true(self: Router, *args: object) -> bool:
+def always_true(self: object, *args: object) -> bool:
     return True
 
 
-MUTANTS: dict[str, tuple[str, Callable[..., object]]] = {
-    "wrong hash": ("rank", wrong_hash),
-    "order by id": ("rank", by_id),
-    "stale rankings": ("rank", first_ranking),
-    "sizes passed over": ("rank", unweighted),
-    "an ejected endpoint is used": ("usable", always_true),
-    "warm-up budget passed over": ("room", always_true),
+MUTANTS: dict[str, tuple[type, str, Callable[..., object]]] = {
+    "wrong hash": (Placement, "rank", wrong_hash),
+    "order by id": (Placement, "rank", by_id),
+    "stale rankings": (Placement, "rank", first_ranking),
+    "sizes passed over": (Placement, "rank", unweighted),
+    "an ejected endpoint is used": (Placement, "is_usable", always_true),
+    "warm-up budget passed over": (SlowStart, "has_room", always_true),
 }
 
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_a_mutant_of_placement_is_unexplained(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     FIRST_RANKINGS.clear()
-    monkeypatch.setattr(Router, *MUTANTS[name])
+    monkeypatch.setattr(*MUTANTS[name])
     found = 0
     for seed in range(8):
         try:
@@ -163,8 +164,8 @@
     bench = Bench()
     recorder = DecisionRecorder(RouterView(bench.router), 1.0, 1)
     [first] = attempts(bench.ask(1))
-    nodes = bench.router.nodes
-    recorder(replace(bench.router.requests[1].e, request=9), nodes[101], nodes[201])
+    nodes = bench.router.placement.table.by_id
+    recorder(replace(bench.router.requests[1].event, request=9), nodes[101], nodes[201])
     assert recorder.count_by_reason[Reason.UNEXPLAINED] == 1 and len(recorder.unexplained) == 1
     drained = machine(first.cache, state=EndpointState.DRAINING)
     bench.give(EndpointUpdate(UpdateScope.CHANGES, (drained,)))
