--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -155,7 +155,7 @@
         await opening
         assert all(machine.whole[job] == 1 for job, _, _ in jobs)
         way = inside.way("s-1")
-        await until(lambda: not (way.races.races or way.tasks or way.up), "dials for what is answered end too")
+        await until(lambda: not (way.races.races or way.tasks or way.up), "no dial is left")
         assert way.extras == 0 and inside.dialer.account.used == 0
         assert inside.module.means.descriptors.caches == sum(
             len(cache.connections) for cache in inside.module.caches.values()
