--- /dev/null
+++ b/bench/mixed_versions.py
@@ -0,0 +1,147 @@
+"""Fronts of an older build and of this one in one fleet, as processes on loopback.
+
+    .venv/bin/python bench/mixed_versions.py OLD
+
+OLD is a checkout of the older build (d9fcac3, before the renames, was measured). Five fronts, three of them
+voters, are played in six mixes; two of them, all old and all new, are the controls. In each a cache goes
+through a whole maintenance task; the leader is killed in the middle and started again, in the other build where
+builds are mixed, in the folders that the first one wrote. At the end all fronts must have the same view and the
+same adopted version. Printed per mix: members seen, version, steps, messages and records that any front refused,
+which must be none, and frames that came to a front which was still starting, which the controls have too. Exit
+code 1 where something does not hold.
+"""
+
+from __future__ import annotations
+
+import re
+import sys
+import tempfile
+from collections import Counter
+from pathlib import Path
+
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
+
+from quincepier.lab.fleet.rig import SERVE
+from tests.agreementrig import Fronts, Line, steps_of, told
+
+ROOT = Path(__file__).resolve().parent.parent
+ALL = set(range(5))  # fronts; the first three are voters
+MIXES: tuple[set[int], ...] = (ALL, set(), {0, 2, 4}, {1, 3}, {0, 1, 2}, {3, 4})  # those of the older build
+EARLY = "peer_frames_without_channel"  # the rest of a front that starts is not there yet
+TASK = """
+maintenance:
+  floor: 0.2
+  as_before: 0.3
+  wishes: [{id: first, machines: [s-1]}]
+"""
+STEPS = ["pending", "draining", "drained", "in_maintenance", "restored", "warming", "completed"]
+OLD_STEPS = dict(zip(["waiting", "draining", "empty", "out", "back", "warming", "in"], STEPS, strict=True))
+REFUSALS = (
+    "peer_datagrams_rejected",
+    "peer_full_states_rejected",
+    "peer_stream_rejected",
+    "rule_messages_rejected",
+    "rule_version_rejected",
+    "committed_entry_rejected",
+    "stored_version_not_used",
+    "unknown_version_reported",
+    "voter_storage_failed",
+    "front_diverged",
+)
+COUNTER = re.compile(r"(?:^|, )([^,]+?) (\d+)(?=, |$)")
+
+
+def new_names() -> dict[str, str]:
+    """Old event and counter names to new ones, as docs/glossary.md has them."""
+    section = (ROOT / "docs" / "glossary.md").read_text().split("## Log events and counters")[1]
+    rows = re.findall(r"^\| `([^`]+)` \| `([a-z_]+)`", section, re.MULTILINE)
+    return {old: new for old, new in rows}
+
+
+class MixedFronts(Fronts):
+    """Fronts some of which run from another checkout; their log lines are read by this build's names."""
+
+    def __init__(self, folder: Path, old: Path, of_old: set[int]) -> None:
+        super().__init__(folder, self.play_story)
+        self.of_old = set(of_old)
+        self.names = new_names()
+        self.command = lambda front: (("env", f"--chdir={old}", *SERVE) if front in self.of_old else SERVE)
+        self.views: dict[int, int] = {}
+        self.versions: dict[int, int] = {}
+
+    def lines_of(self, front: int) -> list[Line]:
+        lines = super().lines_of(front)
+        for line in lines:
+            line.event = self.names.get(line.event, line.event)
+            if line.event == "maintenance_step":
+                line.fields["step"] = OLD_STEPS.get(line.fields["step"], line.fields["step"])
+        return lines
+
+    async def play_story(self, _: Fronts) -> None:
+        first = await self.leader()
+        self.wish(TASK)
+        await self.line("maintenance_step", machine="s-1", step="draining")
+        self.kill(first)
+        if self.of_old not in (ALL, set()):
+            self.of_old = self.of_old ^ {first}
+        await self.leader(self.now)
+        await self.line("maintenance_step", machine="s-1", step="drained")
+        self.work(1, 1.0)
+        await self.start(first)
+        await self.line("maintenance_step", machine="s-1", step="completed")
+        await self.until(self._agree, "one view and one version")
+        since = self.now
+        for front in range(5):
+            await self.until(lambda n=front: self._counted(n, since), f"counters of front {front}")
+
+    def _agree(self) -> bool:
+        for front in range(5):
+            lines = self.lines_of(front)
+            self.views[front] = next(
+                (x.fields["members"] for x in lines[::-1] if x.event == "view_changed"), 1
+            )
+            self.versions[front] = next(
+                (x.fields["number"] for x in lines[::-1] if x.event == "version_adopted"), 0
+            )
+        return set(self.views.values()) == {5} and len(set(self.versions.values())) == 1
+
+    def _counted(self, front: int, since: int) -> bool:
+        return any(x.event == "counters" and x.at > since for x in self.lines_of(front))
+
+    def refusals(self) -> Counter[str]:
+        """How often a front refused something, and had early frames, by counter and event."""
+        found = Counter[str]()
+        for line in self.lines:
+            if line.event in REFUSALS:
+                found[line.event] += 1
+            if line.event == "counters":
+                for name, _ in COUNTER.findall(line.fields["detail"]):
+                    found[self.names.get(name, name)] += 1
+        return Counter({name: count for name, count in found.items() if name in (*REFUSALS, EARLY)})
+
+
+def play(old: Path, of_old: set[int]) -> bool:
+    """Play one mix and print what came of it; whether all holds."""
+    with tempfile.TemporaryDirectory() as folder:
+        rig = MixedFronts(Path(folder), old, of_old)
+        run = told(rig)
+        steps, refused = steps_of(rig, 1), rig.refusals()
+        early = refused.pop(EARLY, 0)
+        good = steps == STEPS and not refused and not run.accused and not run.figures.broken
+        print(
+            f"old {sorted(of_old)}, then {sorted(rig.of_old)}: members {sorted(set(rig.views.values()))}, "
+            f"versions {sorted(set(rig.versions.values()))}, steps {len(steps)} of {len(STEPS)}, "
+            f"refused {dict(refused) or 'nothing'}, early frames {early}, rules broken {run.figures.broken}: "
+            f"{'holds' if good else 'DOES NOT HOLD'}",
+            flush=True,
+        )
+    return good
+
+
+def main(old: str) -> int:
+    """Play all mixes; the exit code."""
+    return 0 if all([play(Path(old).resolve(), mix) for mix in MIXES]) else 1
+
+
+if __name__ == "__main__":
+    sys.exit(main(sys.argv[1]))
