--- a/quincepier/consistency/decision_recorder.py
+++ b/quincepier/consistency/decision_recorder.py
@@ -21,7 +21,7 @@
 
 
 class DecisionRecorder:
-    """A callable for `Router.witness`, which the router calls for each attempt that it is about to make."""
+    """A callable for `Router.observer`, which the router calls for each attempt that it is about to make."""
 
     def __init__(
         self,
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -115,7 +115,7 @@
         self._may_lack_migrations = may_lack_migrations
         if is_mode_changed and is_cautious:
             self._take_back_unsafe_attempts()
-        self.module.router.homes = self._placements
+        self.module.router.find_home = self._placements
         cordoned = self.active_rules.cordoned_hosts(version, is_cautious)
         listed = [entry.machine for entry in self.module.directory.entry_by_host.values()]
         update = self._overlay.set_cordoned(cordoned, listed)
--- a/quincepier/recovery/learned_facts.py
+++ b/quincepier/recovery/learned_facts.py
@@ -73,12 +73,12 @@
     """The parts of a router that hold learned facts; `quincepier.policy.Router` is one.
 
     Attributes:
-        bound: The fetch limit.
-        lapses: When restored facts expire, in the order of time; the router calls each then.
+        fetch_limit: The concurrency limit of fetches.
+        expiries: When restored facts expire, in the order of time; the router calls each then.
     """
 
-    bound: int
-    lapses: list[tuple[int, Callable[[], None]]]
+    fetch_limit: int
+    expiries: list[tuple[int, Callable[[], None]]]
 
     @property
     def purges(self) -> RecencyMap:
@@ -108,7 +108,7 @@
     def outliers(self) -> OutlierDetection:
         """Ejection of upstreams."""
 
-    def purged(self, group: int, obj: int, ago: int) -> None:
+    def on_purge(self, group: int, obj: int, ago: int) -> None:
         """Take a purge that was made `ago` nanoseconds before."""
 
 
@@ -126,7 +126,7 @@
 
     Each is small, so that the caller can collect them over several turns of its event loop.
     """
-    yield io.LearnedFetchLimit(router.bound, 0)
+    yield io.LearnedFetchLimit(router.fetch_limit, 0)
     yield from _export_class_facts(router)
     yield from _export_served_work(router)
     yield from _export_endpoints(router)
@@ -183,7 +183,7 @@
     """
     restorer = _FactRestorer(router, age)
     restored_count = sum(restorer.restore(fact) for fact in facts)
-    router.lapses = sorted([*router.lapses, *restorer.expiries], key=lambda expiry: expiry[0])
+    router.expiries = sorted([*router.expiries, *restorer.expiries], key=lambda expiry: expiry[0])
     return restored_count
 
 
@@ -258,7 +258,7 @@
         age = fact.ago + self._age
         if age > self.router.settings.purge_settles + PURGE_AGE_MARGIN:
             return False
-        self.router.purged(fact.group, fact.object, age if self._is_age_known else 0)
+        self.router.on_purge(fact.group, fact.object, age if self._is_age_known else 0)
         return True
 
     def _restore_endpoint(self, fact: io.LearnedEndpoint) -> bool:
--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -60,7 +60,7 @@
         checks=Checks(),
         directory=SimpleNamespace(host_by_number=HOST_BY_NUMBER, entry_by_host=entry_by_host),
         config=SimpleNamespace(settings=SimpleNamespace(classes=classes)),
-        router=SimpleNamespace(homes=None, placement=SimpleNamespace(table=SimpleNamespace(by_id={}))),
+        router=SimpleNamespace(find_home=None, placement=SimpleNamespace(table=SimpleNamespace(by_id={}))),
         requests=SimpleNamespace(request_by_number={}),
         told_of_list=updates.append,
     )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -46,7 +46,7 @@
 
 
 def purges() -> None:
-    policy.Router.oldest = lambda self, req, stale: 0  # type: ignore[method-assign]
+    policy.Router.max_age = lambda self, req, stale: 0  # type: ignore[method-assign]
 
 
 def cold() -> None:
@@ -58,7 +58,7 @@
 
 
 def claims() -> None:
-    plain, chance = policy.Router.came, random.Random(1)
+    plain, chance = policy.Router.on_request, random.Random(1)
 
     def came(self: policy.Router, e: io.RequestReceived) -> None:
         if chance.random() < 0.6:
@@ -71,7 +71,7 @@
         return served(self)
 
     served, front.Front.serve = front.Front.serve, serve  # type: ignore[method-assign]
-    policy.Router.came = came  # type: ignore[method-assign]
+    policy.Router.on_request = came  # type: ignore[method-assign]
 
 
 def restart_at_once() -> None:
--- a/tests/policy_recording.py
+++ b/tests/policy_recording.py
@@ -94,8 +94,8 @@
 
     def set_hooks(self) -> None:
         if self.plan.homes:
-            self.router.homes = self.home
-            self.router.witness = lambda request, node, source: None
+            self.router.find_home = self.home
+            self.router.observer = lambda request, node, source: None
 
     def home(self, request: io.RequestReceived) -> io.HomeShard | None:
         if request.tenant == 0:
@@ -455,8 +455,8 @@
     }  # fmt: skip
 
 
-def record_lab(name: str, variant: str, seed: int, front: int, most: int) -> None:
-    """The streams of one front of an experiment, one for each of its starts, `most` lines of each."""
+def record_lab(name: str, variant: str, seed: int, front: int) -> list[list[str]]:
+    """The streams of one front of an experiment, one for each of its starts."""
     experiment = load(str(TOP / "experiments" / f"{name}.yaml"))
     chosen = next(v for v in experiment.variants if v.name == variant)
     made = list[RecordingRouter]()
@@ -468,21 +468,35 @@
     def take(router: RecordingRouter, facts: Iterable[io.Learned], age: int | None) -> int:
         return router.take_learned(list(facts), age)
 
-    hooks: dict[str, Any] = {"Router": make, "learned": RecordingRouter.tell_learned, "recall": take}
+    hooks: dict[str, Any] = {
+        "Router": make,
+        "export_facts": RecordingRouter.tell_learned,
+        "restore_facts": take,
+    }
     with mock.patch.multiple(lab_front, **hooks):
         World(experiment, chosen, seed).play()
     first = (seed * 1000 + front) * 100  # seeds of the starts of this front
-    starts = [router for router in made if first <= router.seed < first + 100]
-    for start, router in enumerate(starts):
-        write(f"lab-{name}-{start}", router.lines[:most])
+    return [router.lines for router in made if first <= router.seed < first + 100]
+
+
+def record_killed_cold() -> list[list[str]]:
+    return record_lab("killed-cold", "state kept", seed=2, front=2)
+
+
+def record_bad_day() -> list[list[str]]:
+    return record_lab("bad-day", "no second copies", seed=1, front=1)
 
 
 def main() -> None:
     for name, plan in plans().items():
         for start, lines in enumerate(Site(plan).play()):
             write(f"site-{name}-{start}", lines)
-    record_lab("bad-day", "no second copies", seed=1, front=1, most=1200)
-    record_lab("killed-cold", "state kept", seed=2, front=2, most=1000)
+    for name, streams, most in (
+        ("bad-day", record_bad_day(), 1200),
+        ("killed-cold", record_killed_cold(), 1000),
+    ):
+        for start, lines in enumerate(streams):
+            write(f"lab-{name}-{start}", lines[:most])
 
 
 if __name__ == "__main__":
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -131,7 +131,7 @@
 class Careless(Router):
     """Sends a bid again whatever became of it."""
 
-    def harmless(self, req: object, node: object) -> bool:
+    def may_send(self, req: object, node: object) -> bool:
         return True
 
 
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -190,13 +190,13 @@
 
 def slow_is_silent(patch: pytest.MonkeyPatch) -> None:
     """What takes longer than usual is called off, and again."""
-    plain: Callable[[Router, int], None] = Router.watch
+    plain: Callable[[Router, int], None] = Router.check_overdue
 
     def watch(self: Router, gap: int) -> None:
-        self.call_off([a for a in self.attempts.values() if a.sent_at < self.now - 250 * MS])
+        self.cancel([a for a in self.attempts.values() if a.sent_at < self.now - 250 * MS])
         plain(self, gap)
 
-    patch.setattr(Router, "watch", watch)
+    patch.setattr(Router, "check_overdue", watch)
 
 
 @pytest.mark.parametrize(("mutant", "told"), [(refuses_large, TOLD), (slow_is_silent, {})])
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -120,7 +120,7 @@
         assert len(router.latency.baselines) <= 4 * classes and len(router.placement.table.by_id) <= len(
             self.states
         )
-        assert not any(router.queue.queues) and router.bound >= 1
+        assert not any(router.queue.queues) and router.fetch_limit >= 1
 
 
 @settings(max_examples=150, **RUNS)  # type: ignore[arg-type]
@@ -135,7 +135,7 @@
 
 
 def test_the_runs_would_notice_an_effect_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quincepier.policy.Router.harmless", lambda *_: True)
+    monkeypatch.setattr("quincepier.policy.Router.may_send", lambda *_: True)
     with pytest.raises(AssertionError):
         test_the_rules_hold_whatever_the_settings_are()
 
--- a/tests/test_policy_homes.py
+++ b/tests/test_policy_homes.py
@@ -39,7 +39,7 @@
 
 def homed(found: Callable[[io.RequestReceived], io.HomeShard | None], **changes: Any) -> Bench:
     bench = Bench(make_settings(classes=KEYED, **changes))
-    bench.router.homes = found
+    bench.router.find_home = found
     return bench
 
 
@@ -81,7 +81,7 @@
         done = bench.ask(10 + n, cls=n)
         assert attempts(done) == [] and refused(done) == [10 + n]
         assert 10 + n not in bench.router.requests
-    bench.router.homes = lambda e: home()
+    bench.router.find_home = lambda e: home()
     assert len(attempts(bench.ask(20, cls=2))) == 1
 
 
@@ -105,7 +105,7 @@
     def witness(e: io.RequestReceived, node: Upstream, source: Upstream | None) -> None:
         seen.append((e.request, node.endpoint.cache, source.endpoint.cache if source else None))
 
-    bench.router.witness = witness
+    bench.router.observer = witness
     (sent,) = attempts(bench.ask(1))
     (again,) = attempts(bench.end(sent, AttemptOutcome.CONNECT_FAILED))
     assert isinstance(sent, io.FetchThrough) and isinstance(again, io.FetchThrough)
@@ -123,7 +123,7 @@
     bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
     first = bench.router.placement.table.by_id[order[0]]
     first.in_flight = {(5000 + n, 0): Attempt(req, 0, bench.now, first, None) for n in range(200)}
-    bench.router.homes = lambda e: home(caches=(order[0], order[2]))
+    bench.router.find_home = lambda e: home(caches=(order[0], order[2]))
     assert attempts(bench.ask(2, obj=7)) == []
     assert [a.cache for a in attempts(bench.wait(2 * SECOND))] == [order[2]]
 
@@ -167,7 +167,7 @@
 
 
 Patch = Callable[[pytest.MonkeyPatch], None]
-rank, came, send, listed = Placement.rank, Router.came, Router.send, Router.listed
+rank, came, send, listed = Placement.rank, Router.on_request, Router.send, Router.on_endpoint_update
 
 
 def ranked(change: Callable[[Placement, list[Upstream], int, io.HomeShard | None], list[Upstream]]) -> Patch:
@@ -188,17 +188,17 @@
 
 def never_closed(patch: pytest.MonkeyPatch) -> None:
     def open_to_all(self: Router, e: io.RequestReceived) -> None:
-        found = self.homes
-        self.homes = found and (lambda e: (h := found(e)) and replace(h, closed=False))
+        found = self.find_home
+        self.find_home = found and (lambda e: (h := found(e)) and replace(h, closed=False))
         came(self, e)
-        self.homes = found
+        self.find_home = found
 
-    patch.setattr(Router, "came", open_to_all)
+    patch.setattr(Router, "on_request", open_to_all)
 
 
 def asked_again(patch: pytest.MonkeyPatch) -> None:
     def anew(self: Router, req: Request, *more: Any) -> None:
-        req.home = self.homes(req.event) if self.homes else None
+        req.home = self.find_home(req.event) if self.find_home else None
         send(self, req, *more)
 
     patch.setattr(Router, "send", anew)
@@ -206,7 +206,7 @@
 
 def first_witness_alone(patch: pytest.MonkeyPatch) -> None:
     def once(self: Router, req: Request, *more: Any) -> None:
-        self.witness = None if req.attempts_sent else self.witness
+        self.observer = None if req.attempts_sent else self.observer
         send(self, req, *more)
 
     patch.setattr(Router, "send", once)
@@ -240,7 +240,7 @@
         listed(self, news)
         self.placement.rankings = before
 
-    patch.setattr(Router, "listed", kept)
+    patch.setattr(Router, "on_endpoint_update", kept)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -250,7 +250,7 @@
             self.advance(20 * SECOND)
         assert set(self.owed) <= self.begun, "some request never got its answer"
         router = self.router
-        assert router.attempts == {} and router.fills == 0 and router.queue.depths == [0, 0, 0]
+        assert router.attempts == {} and router.fetches == 0 and router.queue.depths == [0, 0, 0]
         assert set(router.requests) <= self.begun
         assert not any(node.in_flight for node in router.placement.table.by_id.values())
 
@@ -285,8 +285,8 @@
 
 
 GUARDS: list[tuple[type, str, Callable[..., object]]] = [
-    (Router, "oldest", no_age),
-    (Router, "harmless", always),
+    (Router, "max_age", no_age),
+    (Router, "may_send", always),
     (Placement, "is_usable", always),
     (SlowStart, "has_room", always),
 ]
--- a/tests/test_policy_recorded.py
+++ b/tests/test_policy_recorded.py
@@ -9,6 +9,7 @@
 
 from quincepier import interface as io
 from tests import policy_stream
+from tests.policy_recording import Site, plans, record_killed_cold
 
 NAMES = policy_stream.names()
 
@@ -70,3 +71,10 @@
     if hasattr(cls, "__dataclass_fields__"):
         value = cls(*range(len(fields(cls))))
         assert policy_stream.decode(policy_stream.encode(value)) == value
+
+
+def test_streams_can_be_recorded_anew() -> None:
+    """Not that they are the stored ones: machines and clients of the recording may change, those never do."""
+    site, fronts = Site(plans()["restart"]).play(), record_killed_cold()
+    assert [len(site), len(fronts)] == [3, 2] and all(len(lines) > 200 for lines in site + fronts)
+    assert all(any('"recall"' in line for line in lines) for lines in (site[1], fronts[1]))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,7 +12,7 @@
 
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, UpdateScope
-from quincepier.policy.dispatch import BOUND_START
+from quincepier.policy.dispatch import INITIAL_LIMIT
 from quincepier.recovery import Ramp, RecoveryPhase, RecoveryTracker, first_poll, fronts_that_ask
 from quincepier.recovery.learned_facts import (
     MAX_CLASS_AGE,
@@ -116,10 +116,10 @@
     for n in range(10):
         for sent in attempts(bench.ask(n, cls=n % classes, obj=n)):
             bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
-    bench.router.bound = 200
+    bench.router.fetch_limit = 200
     bench.now += gap * SECOND
     bench.wait(SECOND)
-    assert bench.router.bound == (BOUND_START if cut else 200)
+    assert bench.router.fetch_limit == (INITIAL_LIMIT if cut else 200)
 
 
 # Initial limits
@@ -225,7 +225,7 @@
         io.LearnedFetchLimit(256, 0),
         io.LearnedFetchLimit(5, 0),  # would shed hits, as nothing is known to be cached yet
     ]
-    assert restore_facts(new.router, well, 0) == 0 and new.router.bound == BOUND_START
+    assert restore_facts(new.router, well, 0) == 0 and new.router.fetch_limit == INITIAL_LIMIT
     restore_facts(plain.router, well, 0)
     upstream = plain.router.placement.table.by_id[CACHES[0]]
     assert upstream.started_at == cold and upstream.is_ejected and upstream.slowness.weight == 0
@@ -254,7 +254,7 @@
         times.means,
         +times.counts,
         {key: round(baseline.least, 6) for key, baseline in router.latency.baselines.items()},
-        router.bound,
+        router.fetch_limit,
         {kind: round(work.total) for kind, work in served.sums.items() if round(work.total)},
         served.since,
         [
@@ -278,7 +278,7 @@
     for bench in (new, fresh):
         bench.now += MAX_CLASS_AGE + MAX_DRAIN_AGE
         bench.ask(1)
-    assert new.router.lapses == []
+    assert new.router.expiries == []
     new.router.placement.table.by_id[
         PARENTS[0]
     ].is_ejected = False  # a health check decides, which is no old fact
@@ -301,7 +301,7 @@
     )
     assert len(new.router.latency.baselines) == sum(isinstance(f, io.LearnedLatency) for f in alive)
     assert len(new.router.slow_start.served.sums) == sum(isinstance(f, io.LearnedServedWork) for f in alive)
-    assert all(now < expires_at <= now + MAX_CLASS_AGE for expires_at, _ in new.router.lapses)
+    assert all(now < expires_at <= now + MAX_CLASS_AGE for expires_at, _ in new.router.expiries)
     slow = next(f for f in aged if isinstance(f, io.LearnedEndpoint) and f.cache == CACHES[0])
     slowness = new.router.placement.table.by_id[CACHES[0]].slowness
     assert (slowness.weight > 0) == (slow.ago + seconds * SECOND < MAX_SLOWNESS_AGE)
--- a/tests/test_standing_cold.py
+++ b/tests/test_standing_cold.py
@@ -92,7 +92,7 @@
 
 def once(patch: pytest.MonkeyPatch) -> None:
     """A machine is cold once: when it starts again as it warms up, it is taken for warm."""
-    plain = Router.listed
+    plain = Router.on_endpoint_update
 
     def listed(self: Router, news: io.EndpointUpdate) -> None:
         cold = {cache for cache, node in self.placement.table.by_id.items() if node.started_at}
@@ -101,7 +101,7 @@
             if m.cache in cold:
                 self.placement.table.by_id[m.cache].started_at = 0
 
-    patch.setattr(Router, "listed", listed)
+    patch.setattr(Router, "on_endpoint_update", listed)
 
 
 def warm_by_name(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_standing_floors.py
+++ b/tests/test_standing_floors.py
@@ -13,7 +13,7 @@
 from quincepier.lab.world import World
 from quincepier.operator.reading import read_struct
 from quincepier.policy import Router
-from quincepier.policy.dispatch import GATE
+from quincepier.policy.dispatch import SHED_SHARE
 from quincepier.records import Request
 from quincepier.structures import FairQueue
 from tests.rig import MS, SECOND, Bench, attempts, make_class, make_settings
@@ -73,7 +73,7 @@
     plain = Router.hold
 
     def hold(self: Router, req: Request) -> None:
-        if req.tier == 2 and self.fills >= GATE * self.bound:
+        if req.tier == 2 and self.fetches >= SHED_SHARE * self.fetch_limit:
             self.shed(req)
         else:
             plain(self, req)
@@ -98,15 +98,18 @@
 
 def refuses_bids(patch: pytest.MonkeyPatch) -> None:
     """What may not be repeated is kept out with the rest."""
-    plain = Router.came
+    plain = Router.on_request
 
     def came(self: Router, e: io.RequestReceived) -> None:
-        if self.settings.classes[e.cls].effect is Idempotency.UNSAFE and self.fills >= GATE * self.bound:
+        if (
+            self.settings.classes[e.cls].effect is Idempotency.UNSAFE
+            and self.fetches >= SHED_SHARE * self.fetch_limit
+        ):
             self.context.actions.append(io.RejectRequest(e.request, 0))
         else:
             plain(self, e)
 
-    patch.setattr(Router, "came", came)
+    patch.setattr(Router, "on_request", came)
 
 
 @pytest.mark.parametrize(("mutant", "starved"), [(sheds_all, "image"), (refuses_bids, "bid")])
@@ -128,7 +131,7 @@
             bench.ask(1000 * (tier + 1) + n, tier, obj=1000 * (tier + 1) + n)
     for _ in range(40):
         bench.now += 100 * MS
-        bench.router.bound = 16
+        bench.router.fetch_limit = 16
         bench.router.latency.transfer_times.means = [0.5 * SECOND] * 3
         for freed in attempts(bench.end(out.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)):
             left[freed.request // 1000 - 1] += 1
