--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -87,7 +87,7 @@
             self._name, self._voters, incarnation, clock.boot(), self._timings, module.config.seed
         )
         self.effects = VersionEffects(module, self.follower, active_rules, section.statistics_window_s)
-        module.settled = self.effects  # from the first entry of the endpoint list on, which it counts
+        module.overrides = self.effects  # from the first entry of the endpoint list on, which it counts
         self._version_store = VersionStore(section.folder_of(self._name))
         self._voter: Voter | None = None
         self._consistency: ConsistencyService | None = None
@@ -99,7 +99,7 @@
 
     async def start(self) -> None:
         """Take part, and wait a little for the committed version: it may say what not to send to."""
-        self._module.shared.stale = self.effects.stale
+        self._module.shared.stale = self.effects.are_decisions_stale
         thread = WorkerThread("version-store")
         self.effects.stored_version = await self._load_stored_version(thread)
         writer = VersionWriter(self._version_store, thread, lambda: self.follower.version, self.checks)
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -183,34 +183,34 @@
         finally:
             self._is_updating_list = False
 
-    # What the module's actor asks and tells (net/settled.py).
+    # What the module's actor asks and tells (net/router_overrides.py).
 
-    def stale(self) -> bool:
+    def are_decisions_stale(self) -> bool:
         """Whether a command decided before may not hold any more; asked right before its first byte."""
         return not self.is_cautious and self.follower.is_cautious(clock.boot())
 
-    def before(self, now: int) -> None:  # noqa: ARG002 - the router's clock stops while a machine sleeps
+    def before_event(self, now_ns: int) -> None:  # noqa: ARG002 - leases need the clock that runs in sleep
         """Enter cautious mode before the router's next event if the lease has ended."""
-        if self._is_updating_list or not self.stale():
+        if self._is_updating_list or not self.are_decisions_stale():
             return
         try:
             self.apply()
         except Exception as error:  # noqa: BLE001 - a defect must not fail the request decided next
             report_exception(self.checks, "exception_in_agreement_node", error)
 
-    def listed(self, news: EndpointUpdate) -> EndpointUpdate:
+    def override_list(self, update: EndpointUpdate) -> EndpointUpdate:
         """Return an update of the endpoint list as the router is to hear it."""
         if self._placements is not None:
             self._placements.renew()
-        return self._overlay.overlay(news)
+        return self._overlay.overlay(update)
 
-    def heard(self, seq: int, of_list: bool) -> None:
-        """The change log was read up to a number; `of_list`: that entry changes the endpoint list."""
-        self._change_log_sequence = max(self._change_log_sequence, seq)
-        if of_list:
+    def on_change_log_read(self, sequence: int, is_list_change: bool) -> None:
+        """The change log was read up to a number; `is_list_change`: that entry changes the endpoint list."""
+        self._change_log_sequence = max(self._change_log_sequence, sequence)
+        if is_list_change:
             self.list_revision = self._change_log_sequence
 
-    def came(self, event: RequestReceived, request: OpenRequest) -> None:
+    def on_request(self, event: RequestReceived, request: OpenRequest) -> None:
         """Set the tenant and the shard of a request that was received."""
         tenant = self.active_rules.tenant_of(request.object_key)
         event.tenant = tenant.number
@@ -220,16 +220,16 @@
             placement = self._placements.decide(event.tenant, event.object, not is_unsafe, event.repeat)
             request.shard = placement.shard
 
-    def sent(self, attempt: OpenAttempt, now: int) -> None:
+    def on_command_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
         """Count a command that is sent."""
-        self._counters.on_sent(attempt, now)
+        self._counters.on_sent(attempt, now_ns)
 
-    def ended(self, attempt: OpenAttempt, note: CacheStatus) -> None:
+    def on_attempt_completed(self, attempt: OpenAttempt, cache_status: CacheStatus) -> None:
         """Count an attempt that was completed."""
-        if note is not CacheStatus.NONE:
-            self._counters.on_attempt_completed(attempt.request, note, clock.now())
+        if cache_status is not CacheStatus.NONE:
+            self._counters.on_attempt_completed(attempt.request, cache_status, clock.now())
 
-    def answered(self, request: OpenRequest, status: int) -> None:
+    def on_response(self, request: OpenRequest, status: int) -> None:
         """Count the final response of a request."""
         self._counters.on_answered(request, status, clock.now())
 
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -46,7 +46,7 @@
 
 if TYPE_CHECKING:  # imported only where machines have several addresses, or the fleet settles things
     from quincepier.addresses.section import AddressesSection
-    from quincepier.net.settled import Settled
+    from quincepier.net.router_overrides import RouterOverrides
 
 MAILBOX_MOST = 1024
 TURNS = 32  # messages handled before others get the loop
@@ -77,7 +77,7 @@
         self.later: deque[io.Event] = deque()
         self.router = Router(config.settings, config.seed, clock.now())
         self.standing = False
-        self.settled: Settled | None = None  # what the fleet settles, where the operators' file has it
+        self.overrides: RouterOverrides | None = None  # where the operators' file has `agreement`
 
     def begin(self) -> None:
         """Tell the events known at the start; the list stands then."""
@@ -146,8 +146,8 @@
 
     def _tell(self, event: io.Event, request: OpenRequest | None = None) -> None:
         now, actions = clock.now(), list[io.Action]()
-        if self.settled is not None:
-            self.settled.before(now)
+        if self.overrides is not None:
+            self.overrides.before_event(now)
         try:
             actions = self.router.handle(now, event)
         except Exception as error:  # whatever fails in the decisions ends that request alone
@@ -179,8 +179,8 @@
             return
         self.requests.add(request)
         event = request_came(request, clock.now())
-        if self.settled is not None:
-            self.settled.came(event, request)
+        if self.overrides is not None:
+            self.overrides.on_request(event, request)
         self._tell(event, request)
 
     def _leave(self, request: OpenRequest) -> None:
@@ -195,8 +195,8 @@
         if request.is_cancelled:  # heard before its Left, which may stand behind much else
             self._leave(request)
         event = attempt_ended(attempt, end)
-        if self.settled is not None:
-            self.settled.ended(attempt, end.note)
+        if self.overrides is not None:
+            self.overrides.on_attempt_completed(attempt, end.note)
         if end.ending is AttemptOutcome.OK and not request.is_finished:
             self._answer(Answer(request, 200, end.body, end.still))
         elif end.body is not None:
@@ -205,8 +205,8 @@
         self._tell(event, request)
 
     def _news(self, event: ChangeEvent, scope: UpdateScope) -> None:
-        if self.settled is not None:
-            self.settled.heard(event.seq, isinstance(event, FleetChange))
+        if self.overrides is not None:
+            self.overrides.on_change_log_read(event.seq, isinstance(event, FleetChange))
         if isinstance(event, PurgeRecord):
             self._tell(purged(event))
             self._recall(event)
@@ -222,7 +222,7 @@
                 for fault in host.faults:
                     self.checks.event("endpoint_address_invalid", f"{host.host}: {fault}")
             self.standing = self.standing or event.whole
-            self.told_of_list(news if self.settled is None else self.settled.listed(news))
+            self.told_of_list(news if self.overrides is None else self.overrides.override_list(news))
             self._follow_list()
         elif isinstance(event, BadRecord):
             self.checks.event("change_log_record_invalid", event.why)
@@ -305,7 +305,7 @@
                     self.caches[machine].mailbox.push(Check(self.config.report_on_probe))
             case io.WatchEndpoints():
                 whole = self.directory.full_list()
-                self.later.append(whole if self.settled is None else self.settled.listed(whole))
+                self.later.append(whole if self.overrides is None else self.overrides.override_list(whole))
             case io.WriteLog(text):
                 logger.bind(event="router", detail=(named := self._named(text))).info("router: {}", named)
 
@@ -334,8 +334,8 @@
             attempt.is_ended = True
             self.mailbox.push(Ended(attempt, AttemptOutcome.NOT_PROCESSED, now))
             return
-        if self.settled is not None:
-            self.settled.sent(attempt, now)
+        if self.overrides is not None:
+            self.overrides.on_command_sent(attempt, now)
         fields = serve_fields(action, request, self.directory, timeout)
         command = lines.serve(request.job_id, fields, request.body)
         cache.mailbox.push(Send(attempt, command, timeout))
@@ -343,8 +343,8 @@
     def _answer(self, answer: Answer) -> None:
         request = answer.request
         if self.checks.must(not request.is_finished, "one final answer a request"):
-            if self.settled is not None:
-                self.settled.answered(request, answer.status)
+            if self.overrides is not None:
+                self.overrides.on_response(request, answer.status)
             self.requests.finish(request)
             request.receiver.push(answer)
         elif answer.body is not None:
--- a/tests/test_version_effects.py
+++ b/tests/test_version_effects.py
@@ -31,9 +31,9 @@
 class TrustingEffects(VersionEffects):
     """Mutant: a lease that has ended is not looked at before a decision."""
 
-    def before(self, now: int) -> None: ...
+    def before_event(self, now_ns: int) -> None: ...
 
-    def stale(self) -> bool:
+    def are_decisions_stale(self) -> bool:
         return False
 
 
@@ -46,11 +46,11 @@
     effects.apply()
     grant_lease(follower, 2)
     effects.apply()
-    assert not effects.is_cautious and not effects.stale()
+    assert not effects.is_cautious and not effects.are_decisions_stale()
     assert not updates[-1].machines[0].state.value
     follower.lease.lease_until_ns = clock.boot()  # as after a process pause
-    is_safe = effects.stale()
-    effects.before(clock.now())
+    is_safe = effects.are_decisions_stale()
+    effects.before_event(clock.now())
     is_safe = is_safe and updates[-1].machines == (DRAINING,)
     assert is_safe is (effects_type is VersionEffects)
 
@@ -88,7 +88,7 @@
     hear_version(follower, make_version(2, DRAINING_TASK))
     grant_lease(follower, 2)
     effects.apply()
-    update = effects.listed(EndpointUpdate(UpdateScope.CHANGES, (READY,)))
+    update = effects.override_list(EndpointUpdate(UpdateScope.CHANGES, (READY,)))
     assert update.machines[0].state is EndpointState.DRAINING
 
 
@@ -142,5 +142,5 @@
     follower.lease.lease_until_ns = clock.boot()
     effects.apply()
     effects.apply()
-    assert not effects.stale()
+    assert not effects.are_decisions_stale()
     assert (taken_back == ["acme 0"]) is (effects_type is VersionEffects)
