--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -14,6 +14,7 @@
 
 from quincepier import clock
 from quincepier.net.fleet.active_rules import ActiveRules
+from quincepier.net.fleet.exception_report import report_exception
 from quincepier.net.fleet.follower import Follower
 from quincepier.net.fleet.leader import FleetSources
 from quincepier.net.fleet.machine_observations import observe_machines
@@ -86,7 +87,7 @@
             self._name, self._voters, incarnation, clock.boot(), self._timings, module.config.seed
         )
         self.effects = VersionEffects(module, self.follower, active_rules, section.statistics_window_s)
-        module.settled = self.effects  # from the first entry of the endpoint list on, which it counts
+        module.overrides = self.effects  # from the first entry of the endpoint list on, which it counts
         self._version_store = VersionStore(section.folder_of(self._name))
         self._voter: Voter | None = None
         self._consistency: ConsistencyService | None = None
@@ -98,8 +99,8 @@
 
     async def start(self) -> None:
         """Take part, and wait a little for the committed version: it may say what not to send to."""
-        self._module.shared.stale = self.effects.stale
-        thread = WorkerThread("rules kept")
+        self._module.shared.stale = self.effects.are_decisions_stale
+        thread = WorkerThread("version-store")
         self.effects.stored_version = await self._load_stored_version(thread)
         writer = VersionWriter(self._version_store, thread, lambda: self.follower.version, self.checks)
         self.effects.on_applied = writer.on_version_applied
@@ -172,9 +173,7 @@
             try:
                 wait_s = self._tick()
             except Exception as error:  # noqa: BLE001 - a defect must not end the ticks
-                event = "exception_in_agreement_node"
-                self.checks.event(event, f"{type(error).__name__}: {error}")
-                logger.opt(exception=error).bind(event=event).debug("{} with its traceback", event)
+                report_exception(self.checks, "exception_in_agreement_node", error)
                 wait_s = MAX_TICK_INTERVAL_S
             await asyncio.sleep(wait_s)
 
