--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -2,13 +2,13 @@
 
     .venv/bin/python bench/mixed_versions.py OLD
 
-OLD is a checkout of the older build (d9fcac3, before the renames, was measured). Five fronts, three of them
-voters, are played in six mixes; two of them, all old and all new, are the controls. In each a cache goes
-through a whole maintenance task; the leader is killed in the middle and started again, in the other build where
-builds are mixed, in the folders that the first one wrote. At the end all fronts must have the same view and the
-same adopted version. Printed per mix: members seen, version, steps, messages and records that any front refused,
-which must be none, and frames that came to a front which was still starting, which the controls have too. Exit
-code 1 where something does not hold.
+OLD is a checkout of the older build (d9fcac3, before the renames, was measured). Five fronts, three of
+them voters, are played in six mixes; two of them, all old and all new, are the controls. In each a cache
+goes through a whole maintenance task; the leader is killed in the middle and started again, in the other
+build where builds are mixed, in the folders that the first one wrote. At the end all fronts must have
+the same view and the same adopted version. Printed per mix: members seen, version, steps, messages and
+records that any front refused, which must be none, and frames that came to a front which was still
+starting, which the controls have too. Exit code 1 where something does not hold.
 """
 
 from __future__ import annotations
