--- a/quincepier/lab/orders.py
+++ b/quincepier/lab/orders.py
@@ -22,6 +22,7 @@
     plan,
 )
 from quincepier.rules import (
+    FleetView,
     FrontReport,
     HostCount,
     LeaseHolder,
@@ -283,8 +284,7 @@
         if leader is None or ledger is None or self.agreeing:
             return
         view = tuple(f.name for f in self.fronts if f.alive)
-        seen = ledger.observe(
-            self.clock(leader),
+        fleet = FleetView(
             view,
             {
                 m.host: MachineObservation(
@@ -297,6 +297,7 @@
             leader.name,
             recently_dead=[f.name for f in self.fronts if not f.alive],
         )
+        seen = ledger.observe(self.clock(leader), fleet)
         found = plan(version, self.section, seen).change
         if found is not None:
             self.agreeing = True
--- a/quincepier/net/fleet/leader.py
+++ b/quincepier/net/fleet/leader.py
@@ -18,6 +18,7 @@
 from quincepier.net.fleet.raft_node import RaftNode
 from quincepier.net.fleet.service_baseline import ServiceBaseline
 from quincepier.rules import (
+    FleetView,
     LeaseTable,
     LeaseTimings,
     MachineObservation,
@@ -183,16 +184,16 @@
     def _observe(self, now_ns: int, lease_table: LeaseTable) -> Observations:
         sources = self.sources
         lease_table.set_decommissioned(sources.decommissioned_fronts())
-        return lease_table.observe(
-            now_ns,
-            sources.list_members(),
-            sources.observe_machines(),
-            self._voters,
-            self._name,
-            sources.is_consistent(self.committed_version.number),
-            self._baseline.ratio_by_tenant,
-            sources.recently_dead(self._timings.unreachable_front_timeout_ns),
+        view = FleetView(
+            members=sources.list_members(),
+            machine_by_host=sources.observe_machines(),
+            voters=self._voters,
+            leader=self._name,
+            is_consistent=sources.is_consistent(self.committed_version.number),
+            baseline_on_time_ratio_by_tenant=self._baseline.ratio_by_tenant,
+            recently_dead=sources.recently_dead(self._timings.unreachable_front_timeout_ns),
         )
+        return lease_table.observe(now_ns, view)
 
     def _log_active_number(self, observations: Observations) -> None:
         if observations.active_number == self._active_number:
--- a/quincepier/rules/__init__.py
+++ b/quincepier/rules/__init__.py
@@ -18,6 +18,7 @@
 from quincepier.rules.lease_table import LeaseTable
 from quincepier.rules.lease_timings import LeaseTimings
 from quincepier.rules.reports import (
+    FleetView,
     FrontReport,
     HostCount,
     MachineObservation,
@@ -44,6 +45,7 @@
 
 __all__ = [
     "DisruptionLimit",
+    "FleetView",
     "FrontReport",
     "HostCount",
     "LeaseGrant",
--- a/quincepier/rules/lease_table.py
+++ b/quincepier/rules/lease_table.py
@@ -8,14 +8,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 import msgspec
 
 from quincepier.rules.lease_messages import LeaseGrant, LeaseRequest
 from quincepier.rules.lease_timings import NS_PER_MS, LeaseTimings
-from quincepier.rules.reports import FrontReport, HostCount, MachineObservation, Observations, TenantCount
+from quincepier.rules.reports import FleetView, FrontReport, HostCount, Observations, TenantCount
 from quincepier.rules.version import RuleVersion
 
 MAX_FRONTS = 4096
@@ -228,44 +228,26 @@
         leases = self.lease_by_front.values()
         return all(lease.lease_until_ns > now_ns or now_ns >= lease.idle_at_ns for lease in leases)
 
-    def observe(
-        self,
-        now_ns: int,
-        members: tuple[str, ...],
-        machine_by_host: Mapping[str, MachineObservation],
-        voters: tuple[str, ...],
-        leader: str,
-        is_consistent: bool | None = None,
-        baseline_by_tenant: Mapping[str, float] | None = None,
-        recently_dead: Iterable[str] = (),
-    ) -> Observations:
+    def observe(self, now_ns: int, view: FleetView) -> Observations:
         """Return all that planners decide by.
 
-        Args:
-            now_ns: The time.
-            members: Fronts in the membership view.
-            machine_by_host: Machines of the endpoint list.
-            voters: Names of the voters.
-            leader: Name of this front.
-            is_consistent: Whether all fronts were found to decide alike; None: not known.
-            baseline_by_tenant: On-time ratio of each tenant before any disruption.
-            recently_dead: Fronts that membership has removed and still remembers; others are forgotten.
+        A front that is neither a member nor recently dead is forgotten after `unreachable_front_timeout_ns`.
         """
-        names = {*members, *recently_dead}
+        names = {*view.members, *view.recently_dead}
         self._forget_unreachable_fronts(now_ns, names)
         active = self._update_active(now_ns)
         return Observations(
             now_ns=now_ns,
-            members=members,
+            members=view.members,
             report_by_front=self._reports(now_ns),
             unleased_fronts_idle=self.are_unleased_fronts_idle(now_ns),
             active_number=active,
             active_for_ns=now_ns - self.active_since_ns,
-            machine_by_host=dict(machine_by_host),
-            voters=voters,
-            leader=leader,
-            is_consistent=is_consistent,
-            baseline_on_time_ratio_by_tenant=dict(baseline_by_tenant or {}),
+            machine_by_host=dict(view.machine_by_host),
+            voters=view.voters,
+            leader=view.leader,
+            is_consistent=view.is_consistent,
+            baseline_on_time_ratio_by_tenant=dict(view.baseline_on_time_ratio_by_tenant),
             active_ns_by_number=self._active_durations(now_ns, active),
             committed_for_ns=now_ns - self.committed_at_ns,
             acknowledged_number=self.acknowledged_number(now_ns, names),
--- a/quincepier/rules/reports.py
+++ b/quincepier/rules/reports.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 from typing import Annotated, NamedTuple
 
@@ -110,6 +111,29 @@
     warm_up_ms: int
 
 
+@dataclass(slots=True, frozen=True)
+class FleetView:
+    """What the leader sees of the fleet beside the leases that it granted.
+
+    Attributes:
+        members: Fronts in the membership view.
+        machine_by_host: Machines of the endpoint list.
+        voters: Names of the voters.
+        leader: Name of the leader.
+        is_consistent: As in `Observations`.
+        baseline_on_time_ratio_by_tenant: As in `Observations`.
+        recently_dead: Fronts that membership has removed and still remembers.
+    """
+
+    members: tuple[str, ...]
+    machine_by_host: Mapping[str, MachineObservation]
+    voters: tuple[str, ...]
+    leader: str
+    is_consistent: bool | None = None
+    baseline_on_time_ratio_by_tenant: Mapping[str, float] = field(default_factory=dict)
+    recently_dead: Iterable[str] = ()
+
+
 @dataclass(slots=True, frozen=True)
 class Observations:
     """All that a planner decides by, besides the rule version; equal values give equal plans.
--- a/tests/maintenancemodel.py
+++ b/tests/maintenancemodel.py
@@ -22,6 +22,7 @@
     plan,
 )
 from quincepier.rules import (
+    FleetView,
     FrontReport,
     HostCount,
     LeaseGrant,
@@ -356,7 +357,7 @@
             if uptime != OFF_THE_LIST
         }
         members = tuple(front.name for front in self.fronts)
-        observations = self.lease_table.observe(self.clock_ns, members, machines, (), "f0")
+        observations = self.lease_table.observe(self.clock_ns, FleetView(members, machines, (), "f0"))
         change = self.components.plan(self.version, self.section, observations).change
         if change is None:
             return
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,6 +5,7 @@
 import pytest
 
 from quincepier.rules import (
+    FleetView,
     FrontReport,
     LeaseGrant,
     LeaseHolder,
@@ -32,6 +33,10 @@
     return LeaseRequest(token, report)
 
 
+def view_of(member: str, recently_dead: tuple[str, ...] = ()) -> FleetView:
+    return FleetView((member,), {}, (), member, recently_dead=recently_dead)
+
+
 def test_a_lease_counts_from_the_request_and_the_leader_waits_longer() -> None:
     front, leader = LeaseHolder(7, 0, TIMINGS, FIRST), LeaseTable(0, TIMINGS, FIRST)
     assert front.is_cautious(0)
@@ -95,25 +100,25 @@
     elsewhere = LeaseHolder(8, 2 * MS, TIMINGS, SECOND)
     leader.on_request(3 * MS, make_request(elsewhere, "a", 2 * MS), FOREVER)
     assert leader.active_number(1050 * MS) == 1 and leader.active_number(1052 * MS) == 2
-    reports = leader.observe(1010 * MS, ("a",), {}, (), "a").report_by_front
+    reports = leader.observe(1010 * MS, view_of("a")).report_by_front
     # What the front that is cut off has open counts for the longest attempt.
     assert {name: report.version_number for name, report in reports.items()} == {"a": 2, "a@7": 1}
-    assert "a@7" in leader.observe(3150 * MS, ("a",), {}, (), "a").report_by_front
-    assert "a@7" not in leader.observe(3153 * MS, ("a",), {}, (), "a").report_by_front
+    assert "a@7" in leader.observe(3150 * MS, view_of("a")).report_by_front
+    assert "a@7" not in leader.observe(3153 * MS, view_of("a")).report_by_front
 
 
 def test_an_unreachable_front_that_was_not_told_is_remembered_and_in_the_end_forgotten() -> None:
     leader = LeaseTable(-5000 * MS, TIMINGS, FIRST)
     leader.on_request(1 * MS, make_request(LeaseHolder(7, 0, TIMINGS, FIRST), "a", 0), FOREVER)
     leader.on_version_committed(SECOND)
-    observations = leader.observe(60_000 * MS, ("b",), {}, (), "b", recently_dead=("a",))
+    observations = leader.observe(60_000 * MS, view_of("b", recently_dead=("a",)))
     assert observations.active_number == 2
     assert observations.acknowledged_number == 0  # b was not heard
     assert observations.unleased_fronts_idle and not observations.report_by_front
     request = make_request(LeaseHolder(1, 0, TIMINGS, SECOND), "b", 60_000 * MS)
     leader.on_request(60_001 * MS, request, FOREVER)
-    assert leader.observe(60_002 * MS, ("b",), {}, (), "b").acknowledged_number == 1
-    assert leader.observe(121_100 * MS, ("b",), {}, (), "b").acknowledged_number == 2
+    assert leader.observe(60_002 * MS, view_of("b")).acknowledged_number == 1
+    assert leader.observe(121_100 * MS, view_of("b")).acknowledged_number == 2
 
 
 def test_another_version_under_the_same_number_gives_no_lease() -> None:
