--- a/quincepier/policy/dispatch.py
+++ b/quincepier/policy/dispatch.py
@@ -44,7 +44,7 @@
         self.zone_fronts = max(*settings.fronts_by_zone[settings.zone :][:1], 0, 1)  # with this one
         self.min_limit = max(MIN_ZONE_LIMIT // self.zone_fronts, MIN_LIMIT)
         self.fetch_limit, self.fetches, self.good, self.bad = INITIAL_LIMIT, 0, 0, 0
-        self.backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF, BACKOFF_EASE)
+        self.backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF, BACKOFF_EASE, MIN_BACKOFF / 2)
         self.fetch_at, self.link = now, LinkReport(settings, LINK_HALF_LIFE)  # what fills wait for; see full
         self.release_timer = IntervalTimer(self.context, TimerKind.RELEASE, RELEASE_INTERVAL)
         self.overdue_timer = IntervalTimer(self.context, TimerKind.OVERDUE_CHECK, OVERDUE_INTERVAL)
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -112,7 +112,7 @@
 
 
 def test_a_backoff_doubles_within_its_bounds_and_eases_to_none() -> None:
-    backoff, waits = Backoff(100, 350, 0.3), list[float]()
+    backoff, waits = Backoff(100, 350, 0.3, 50), list[float]()
     for _ in range(4):
         backoff.increase()
         waits.append(backoff.wait)
