--- a/quincepier/net/fleet/leader.py
+++ b/quincepier/net/fleet/leader.py
@@ -120,8 +120,10 @@
     def on_report(self, now_ns: int, message: ReportMessage) -> LeaseGranted | NotLeader | None:
         """Return the answer to a report, if there is one."""
         self._update_leadership(now_ns)
-        raft, lease_table = self._raft_node.raft, self.lease_table
-        request, report = message.request, message.request.report
+        raft = self._raft_node.raft
+        lease_table = self.lease_table
+        request = message.request
+        report = request.report
         if lease_table is None or raft is None:
             leader = self._raft_node.leader
             return NotLeader(request.token, leader if leader != self._name else "")
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -73,7 +73,8 @@
         Before the first answer of a leader it is the stored one, where that is newer: what a voter reads from
         its own log at the start may be older than what its earlier incarnation was granted.
         """
-        adopted, stored = self.follower.version, self.stored_version
+        adopted = self.follower.version
+        stored = self.stored_version
         is_waiting = self.follower.lease.is_awaiting_first_answer()
         if stored is not None and is_waiting and stored.number > adopted.number:
             return stored
