--- a/quincepier/context.py
+++ b/quincepier/context.py
@@ -73,6 +73,7 @@
         self,
         attempt: Attempt,
         source: Upstream,
+        rank: int,
         timeout: int,
         max_age: int,
         join: bool,
@@ -80,7 +81,7 @@
         within: int,
     ) -> None:
         """Through a cache, from a source where it has no copy; the cache itself: none."""
-        to, by, rank = attempt.upstream.endpoint.cache, source.endpoint.cache, 1
+        to, by = attempt.upstream.endpoint.cache, source.endpoint.cache
         action = FetchThrough(
             attempt.request.id, to, timeout, by, rank, max_age, join, renew, attempt.is_held_only
         )
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -183,7 +183,7 @@
                     self.module.sweep(now, late)
                     swept = now
             except Exception as error:
-                self.checks.event("exception_in_upkeep", f"{type(error).__name__}: {error}")
+                self.checks.exception("exception_in_upkeep", error)
             if ticks % TELL_EVERY == 0 and (moved := self.checks.changed()):
                 logger.bind(event="counters", detail=moved).info("counters: {}", moved)
 
--- a/quincepier/net/actor.py
+++ b/quincepier/net/actor.py
@@ -97,7 +97,7 @@
         except asyncio.CancelledError:
             raise
         except Exception as error:
-            self.checks.event(f"exception_in_{self.name}_actor", f"{type(error).__name__}: {error}")
+            self.checks.exception(f"exception_in_{self.name}_actor", error)
 
     async def run(self) -> None:
         while True:
@@ -110,8 +110,7 @@
         try:
             self.handle(message)
         except Exception as error:
-            kind = f"{type(message).__name__}: {type(error).__name__}: {error}"
-            self.checks.event(f"exception_in_{self.name}_actor", kind)
+            self.checks.exception(f"exception_in_{self.name}_actor", error, about=type(message).__name__)
             self.spoiled(message)
 
     def handle(self, message: M) -> None:
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -182,7 +182,7 @@
         self._over(what)
         if isinstance(what, Probe):
             self.shared.module.push(Checked(self.number, ending, at - what.at, ()))
-        elif self.checks.must(not what.is_ended, "an attempt ends once"):
+        elif self.checks.must(not what.is_ended, "attempt_completes_once"):
             what.is_ended = True
             self.shared.module.push(Ended(what, ending, at, another_way=another_way))
 
@@ -191,7 +191,7 @@
         report = report_of(head, self.shared.config.report_fields)
         if isinstance(what, Probe):
             self.shared.module.push(Checked(self.number, PROBE_WORDS[head.word], at - what.at, report))
-        elif self.checks.must(not what.is_ended, "an attempt ends once"):
+        elif self.checks.must(not what.is_ended, "attempt_completes_once"):
             what.is_ended = True
             still = head.word == "unchanged"
             end = Ended(what, ENDINGS[head.word], at, note_of(head), waited_of(head), report, body, still)
--- a/quincepier/net/clients.py
+++ b/quincepier/net/clients.py
@@ -153,7 +153,7 @@
             try:
                 connection.due(time, resume)
             except Exception as error:
-                self.checks.event("exception_in_client_actor", f"{type(error).__name__}: {error}")
+                self.checks.exception("exception_in_client_actor", error)
                 connection.close()
         stalled = {c: (c.moved, time) for c in self.in_session if c.writer is not None}
         kept = {c: told for c, told in self.stalled.items() if c in stalled and told[0] == c.moved}
--- a/quincepier/net/dialer.py
+++ b/quincepier/net/dialer.py
@@ -178,7 +178,7 @@
             raise
         except Exception as error:  # whatever it is, it ends this dial alone
             self._forget(number)
-            self.dialer.checks.event("exception_in_dial", f"{type(error).__name__}: {error}")
+            self.dialer.checks.exception("exception_in_dial", error)
             self.perform(self.races.failed(number, Cause.LOCAL_RESOURCES, clock.now()))
         else:
             self._forget(number)
--- a/quincepier/net/fleet/leader.py
+++ b/quincepier/net/fleet/leader.py
@@ -13,7 +13,6 @@
 
 from quincepier import clock
 from quincepier.checks import Checks
-from quincepier.net.fleet.exception_report import report_exception
 from quincepier.net.fleet.messages import LeaseGranted, NotLeader, ReportMessage
 from quincepier.net.fleet.raft_node import RaftNode
 from quincepier.net.fleet.service_baseline import ServiceBaseline
@@ -239,7 +238,7 @@
             try:
                 change = planner(self.committed_version, observations)
             except Exception as error:  # noqa: BLE001 - a defect of one planner must not stop the others
-                report_exception(self.checks, "exception_in_planner", error)
+                self.checks.exception("exception_in_planner", error)
                 continue
             if change is not None:
                 yield change
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -14,7 +14,6 @@
 
 from quincepier import clock
 from quincepier.net.fleet.active_rules import ActiveRules
-from quincepier.net.fleet.exception_report import report_exception
 from quincepier.net.fleet.follower import Follower
 from quincepier.net.fleet.leader import FleetSources
 from quincepier.net.fleet.machine_observations import observe_machines
@@ -173,7 +172,7 @@
             try:
                 wait_s = self._tick()
             except Exception as error:  # noqa: BLE001 - a defect must not end the ticks
-                report_exception(self.checks, "exception_in_agreement_node", error)
+                self.checks.exception("exception_in_agreement_node", error)
                 wait_s = MAX_TICK_INTERVAL_S
             await asyncio.sleep(wait_s)
 
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -18,7 +18,6 @@
 from quincepier.memory.open_requests import OpenAttempt, OpenRequest
 from quincepier.net.fleet.active_rules import ActiveRules
 from quincepier.net.fleet.endpoint_overlay import EndpointOverlay
-from quincepier.net.fleet.exception_report import report_exception
 from quincepier.net.fleet.follower import Follower
 from quincepier.net.fleet.report_counters import ReportCounters
 from quincepier.net.module import ModuleActor
@@ -197,7 +196,7 @@
         try:
             self.apply()
         except Exception as error:  # noqa: BLE001 - a defect must not fail the request decided next
-            report_exception(self.checks, "exception_in_agreement_node", error)
+            self.checks.exception("exception_in_agreement_node", error)
 
     def override_list(self, update: EndpointUpdate) -> EndpointUpdate:
         """Return an update of the endpoint list as the router is to hear it."""
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -151,15 +151,13 @@
         try:
             actions = self.router.handle(now, event)
         except Exception as error:  # whatever fails in the decisions ends that request alone
-            kind = f"{type(event).__name__}: {type(error).__name__}: {error}"
-            self.checks.event("exception_in_module", kind)
+            self.checks.exception("exception_in_module", error, about=type(event).__name__)
             self._fail(request)
         for action in actions:
             try:
                 self._perform(action, now)
             except Exception as error:
-                kind = f"{type(action).__name__}: {type(error).__name__}: {error}"
-                self.checks.event("exception_in_module_actor", kind)
+                self.checks.exception("exception_in_module_actor", error, about=type(action).__name__)
                 self._fail(self.requests.request_by_number.get(getattr(action, "request", -1)))
         while self.later:
             self._tell(self.later.popleft())
@@ -321,7 +319,7 @@
 
     def _send(self, action: io.ForwardRequest | io.FetchThrough, now: int) -> None:
         request = self._owed(action.request)
-        if not self.checks.must(request is not None, "nothing is sent for a request that is over"):
+        if not self.checks.must(request is not None, "no_attempt_after_final_answer"):
             return
         assert request is not None
         source = action.source if isinstance(action, io.FetchThrough) else -1
@@ -342,7 +340,7 @@
 
     def _answer(self, answer: Answer) -> None:
         request = answer.request
-        if self.checks.must(not request.is_finished, "one final answer a request"):
+        if self.checks.must(not request.is_finished, "one_final_answer_per_request"):
             if self.overrides is not None:
                 self.overrides.on_response(request, answer.status)
             self.requests.finish(request)
--- a/quincepier/net/peers/background_tasks.py
+++ b/quincepier/net/peers/background_tasks.py
@@ -6,7 +6,6 @@
 from collections.abc import Coroutine
 
 from quincepier.checks import Checks
-from quincepier.net.peers.defects import log_defect
 
 
 class BackgroundTasks:
@@ -38,4 +37,4 @@
             return
         error = task.exception()
         if error is not None:
-            log_defect(self._checks, self._defect_event, error)
+            self._checks.exception(self._defect_event, error)
--- a/quincepier/net/peers/detector_actor.py
+++ b/quincepier/net/peers/detector_actor.py
@@ -8,7 +8,6 @@
 from quincepier import clock
 from quincepier.checks import Checks
 from quincepier.membership import Action, FailureDetector, MemberRecord, ProbeIntervals
-from quincepier.net.peers.defects import log_defect
 
 MIN_TICK_INTERVAL_NS = 5 * clock.MS
 
@@ -113,4 +112,4 @@
             self._perform(action)
 
     def _log_defect(self, error: Exception) -> None:
-        log_defect(self._checks, "peer_network_exception", error)
+        self._checks.exception("peer_network_exception", error)
--- a/quincepier/net/peers/peer_network.py
+++ b/quincepier/net/peers/peer_network.py
@@ -28,7 +28,6 @@
 from quincepier.net.peers import state_sync
 from quincepier.net.peers.address_book import Address, AddressBook
 from quincepier.net.peers.datagram_socket import DatagramSocket
-from quincepier.net.peers.defects import log_defect
 from quincepier.net.peers.detector_actor import DetectorActor
 from quincepier.net.peers.frames import CHANNEL_COUNT, PeersError
 from quincepier.net.peers.state_sync import StateSync
@@ -277,4 +276,4 @@
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _log_defect(self, error: Exception) -> None:
-        log_defect(self.checks, "peer_network_exception", error)
+        self.checks.exception("peer_network_exception", error)
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -99,7 +99,7 @@
         try:
             restored = restore_facts(self.module.router, facts, age_ns)
         except Exception as error:  # noqa: BLE001 - a defect: the front starts as one without stored state
-            self._report_defect("state_restore_exception", error)
+            self.checks.exception("state_restore_exception", error)
             return
         self.checks.count("state_facts_restored", restored)
         if age_ns is not None:
@@ -162,7 +162,7 @@
         try:
             return self._write(await self._collect_facts())
         except Exception as error:  # noqa: BLE001 - a defect: the next write is tried all the same
-            self._report_defect("state_write_exception", error)
+            self.checks.exception("state_write_exception", error)
             return None
 
     async def _collect_facts(self) -> LearnedStateBuilder:
@@ -195,7 +195,3 @@
             self.checks.event("state_not_written", str(outcome))
         else:
             self.checks.count("state_writes")
-
-    def _report_defect(self, event: str, error: Exception) -> None:
-        self.checks.event(event, f"{type(error).__name__}: {error}")
-        logger.opt(exception=error).bind(event=event).debug("{} with its traceback", event)
--- a/quincepier/net/writing.py
+++ b/quincepier/net/writing.py
@@ -132,7 +132,7 @@
         elif isinstance(error, OSError):
             self.manager.checks.count("client_connections_reset")
         else:
-            self.manager.checks.event("exception_in_client_actor", f"{type(error).__name__}: {error}")
+            self.manager.checks.exception("exception_in_client_actor", error)
         self.close()
 
     def _put_out(self) -> None:
--- a/quincepier/policy/dispatch.py
+++ b/quincepier/policy/dispatch.py
@@ -74,7 +74,7 @@
             self.context.forward(attempt, left, span)
         else:
             join, renew = s.joins and not look, cls.fresh > 0 and not look
-            self.context.fetch(attempt, source, left, self.max_age(req, look), join, renew, span)
+            self.context.fetch(attempt, source, 1, left, self.max_age(req, look), join, renew, span)
         if self.observer is not None:
             self.observer(req.event, to, attempt.source)
         self.schedule()
@@ -155,8 +155,8 @@
         if self.now - self.link.told_at > 2 * LINK_HALF_LIFE:  # all see it; one as quick as usual is not full
             link = self.latency.fetch_slowness.factor(self.context.now)
             part = LINK_SHARE + (1 - LINK_SHARE) / self.zone_fronts
-        bears = part * self.latency.objective(req) / self.latency.transfer_time(req)
-        return self.fetches >= self.fetch_limit or link > max(bears, 1)
+        objective, transfer = self.latency.objective, self.latency.transfer_time
+        return self.fetches >= self.fetch_limit or link > max(part * objective(req) / transfer(req), 1)
 
     def hold(self, req: Request) -> None:
         self.queue.push(req)
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -9,10 +9,11 @@
 from typing import Any
 
 import pytest
+from loguru import logger
 
 from quincepier import clock
 from quincepier import interface as io
-from quincepier.checks import Checks
+from quincepier.checks import MAX_LINES_PER_EVENT, Checks
 from quincepier.config import FrontConfig, read_front
 from quincepier.interface import AttemptOutcome
 from quincepier.memory.buffer_pool import BufferPool, PooledBody
@@ -265,9 +266,9 @@
 
 def test_checks_assert_in_debug_and_counters_tell_what_moved() -> None:
     checks = Checks()
-    assert checks.must(True, "all is well") and checks.counts == {}
-    with pytest.raises(AssertionError, match="it holds"):
-        checks.must(False, "it holds")
+    assert checks.must(True, "all_is_well") and checks.counts == {}
+    with pytest.raises(AssertionError, match="it_holds"):
+        checks.must(False, "it_holds")
     checks.event("something", "once")
     assert checks.changed() == "something 1" and checks.changed() == ""
     checks.count("something")
@@ -343,3 +344,20 @@
     actor.safely(Left(request))
     actor._due()
     assert router.events == [io.ClientDisconnected(request.number)] and not actor.timers
+
+
+def test_an_exception_is_logged_with_its_innermost_calls_and_then_only_counted() -> None:
+    lines, checks = list[str](), Checks()
+    sink = logger.add(lambda line: lines.append(str(line)), format="{message}")
+    try:
+        for _ in range(MAX_LINES_PER_EVENT + 5):
+            try:
+                int("seven")
+            except ValueError as error:
+                checks.exception("exception_in_test", error, about="Came")
+    finally:
+        logger.remove(sink)
+    assert checks.counts["exception_in_test"] == MAX_LINES_PER_EVENT + 5
+    assert len(lines) == MAX_LINES_PER_EVENT
+    assert lines[0].startswith("exception_in_test: Came: ValueError: invalid literal")
+    assert "at test_actors.py:" in lines[0]
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -111,7 +111,7 @@
             assert cache.server is not None
             cache.server.close()
         assert not [
-            kind for kind in self.front.checks.counts if kind.startswith(("invariant_violated", "exception"))
+            kind for kind in self.front.checks.counts if kind.startswith(("invariant_violated_", "exception"))
         ]
 
 
--- a/tests/test_oncall_page.py
+++ b/tests/test_oncall_page.py
@@ -51,7 +51,7 @@
             if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
                 continue
             owner = ast.unparse(node.func.value)
-            if node.func.attr in ("event", "count") and owner.endswith("checks") and node.args:
+            if node.func.attr in ("event", "count", "exception") and owner.endswith("checks") and node.args:
                 yield node.args[0]
             elif node.func.attr == "bind" and owner.endswith("logger"):
                 yield from (keyword.value for keyword in node.keywords if keyword.arg == "event")
@@ -106,13 +106,18 @@
     return {pattern for module, expression in found for pattern in module.patterns(expression)}
 
 
+def invariants_in(*sources: str) -> set[str]:
+    """Second arguments of `checks.must(...)`, by which violations are counted."""
+    calls = [node for source in sources for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Call)]
+    named = [call.args[1] for call in calls if ast.unparse(call.func).endswith("checks.must")]
+    return {f"invariant_violated_{ast.literal_eval(name)}" for name in named}
+
+
 @cache
 def names_of_code() -> frozenset[str]:
     files = [p for p in (ROOT / "quincepier").rglob("*.py") if "lab" not in p.relative_to(ROOT).parts]
-    found = names_in(*(path.read_text() for path in files if path.name != "checks.py"))
-    return frozenset(
-        found | names_in((ROOT / "quincepier/checks.py").read_text().replace("self.", "checks."))
-    )
+    sources = [path.read_text() for path in files]
+    return frozenset(names_in(*sources) | invariants_in(*sources))
 
 
 def log_tables(page: str) -> str:
