--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -178,11 +178,13 @@
         finally:
             for task in work:
                 task.cancel()
-            await asyncio.gather(*work, return_exceptions=True)
-            if self.sock is not None:
-                self.sock.close()
-            self.shared.descriptors.cache(-1)
-            self._drop()
+            try:
+                await asyncio.gather(*work, return_exceptions=True)
+            finally:  # also where `close` cancels this task as it waits for the other two
+                if self.sock is not None:
+                    self.sock.close()
+                self.shared.descriptors.cache(-1)
+                self._drop()
 
     def _drop(self) -> None:
         """The connection is gone: what no byte was taken of never ran, of the rest nothing is known.
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+import asyncio
+from typing import Any
+
 import pytest
 
 from quincepier import clock
@@ -297,3 +300,31 @@
         await inside.settled()
 
     on_loop(scenario)
+
+
+def test_a_connection_closed_as_it_ends_by_itself_leaves_no_descriptor(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """`close` comes between the end of its reader and the end of its writer, which are waited for."""
+    plain, opened = asyncio.gather, list[Inside]()
+
+    def closed_meanwhile(*parts: Any, **how: Any) -> Any:
+        waiting = plain(*parts, **how)
+        for connection in opened[0].connections():
+            connection.close()
+        return waiting
+
+    async def scenario() -> None:
+        inside = Inside(ONE)
+        opened.append(inside)
+        request = inside.ask(BID)
+        wire = await inside.out(request)
+        wire.answer(request.job_id, b"whole")
+        assert await inside.status(request) == 200
+        monkeypatch.setattr(asyncio, "gather", closed_meanwhile)
+        wire.close()
+        await until(lambda: not inside.connections(), "the connection is gone")
+        monkeypatch.undo()
+        await inside.settled()
+
+    on_loop(scenario)
