--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -94,6 +94,7 @@
             sender.task.cancel()
 
 
+@pytest.mark.fleet(10)
 def test_fronts_restarted_in_turn_lose_nothing_and_are_ready_in_time(tmp_path: Path) -> None:
     """Each is told to end under load, with a row of requests open on its connection, and started anew."""
 
