--- a/tests/test_raft_node.py
+++ b/tests/test_raft_node.py
@@ -152,3 +152,27 @@
     while jobs:
         run_job()
     assert saved == [("vote in 5",), ("vote in 6",)] and receivers == ["b"] and node.persisted_ticket == 2
+
+
+def test_a_queue_that_is_full_as_a_write_completes_ends_the_voter_and_raises_nothing() -> None:
+    """The next write is refused between the end of one and the report of it to the voter."""
+    jobs: list[Callable[[Any], None]] = []
+    reported: list[int] = []
+
+    def submit(work: Callable[[], Any], on_done: Callable[[Any], None]) -> bool:
+        jobs.append(on_done)
+        return len(jobs) == 1  # the second finds no room
+
+    def on_persisted(now: int, ticket: int) -> list[Any]:
+        reported.append(ticket)
+        return []
+
+    thread: Any = SimpleNamespace(submit=submit)
+    storage: Any = SimpleNamespace()
+    checks = Checks()
+    node = RaftNode("a", VOTERS, storage, thread, 1, lambda to, raw: None, lambda event: None, checks)
+    node.raft = SimpleNamespace(on_persisted=on_persisted)  # type: ignore[assignment]
+    node._perform([PersistRecords(1, ()), PersistRecords(2, ())])
+    jobs[0](None)
+    assert node.raft is None and reported == []
+    assert checks.counts[STORAGE_FAILED] == 1 and node.persisted_ticket == 1
