--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -32,8 +32,8 @@
 from loguru import logger
 
 from quincepier.addresses import parse_term
-from quincepier.lab.scripted import Machine, Moment, Script
-from tests.addresskit import SAFE, Inside, play
+from quincepier.lab.scripted import Moment, Script
+from tests.addresskit import SAFE, Inside, Machine, play
 
 HIGHEST = 10_000_000  # microseconds
 GATE = 10  # requests at once: below the module's gate on fills, so that none is held or refused
--- a/bench/agree.py
+++ b/bench/agree.py
@@ -9,10 +9,12 @@
 import statistics
 import sys
 import time
+from collections.abc import Sequence
+from functools import partial
 
 from quincepier.lab.model_events import Budget
 from quincepier.lab.raft_model_checker import ModelChecker
-from quincepier.lab.raft_simulation import MS, SECOND, SimulatedCluster
+from quincepier.lab.raft_simulation import MS, SECOND, SimulatedCluster, SimulatedVoter
 
 BUDGETS = [
     (Budget(timeouts=1, heartbeats=0, proposals=0, crashes=0, storage_losses=0, duplicates=1), None),
@@ -57,6 +59,10 @@
             )
 
 
+def committed_by_all(voters: Sequence[SimulatedVoter], data: bytes) -> bool:
+    return all(voter.has_committed(data) for voter in voters)
+
+
 def timed(
     size: int, seed: int, delay_range_ns: tuple[int, int]
 ) -> tuple[float, float, list[float], float, float]:
@@ -70,7 +76,7 @@
     assert old is not None
     for data in (b"1", b"2", b"3", b"4", b"5"):
         old.propose(data)
-        took = cluster.run_until(lambda data=data: all(voter.has_committed(data) for voter in voters))
+        took = cluster.run_until(partial(committed_by_all, voters, data))
         commits.append(took / MS)
     messages, size_before = cluster.sent_messages, cluster.sent_bytes
     cluster.run(10 * SECOND)
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -129,7 +129,7 @@
     return data
 
 
-async def active(clients: list[Client], seconds: float, first: int) -> HdrHistogram:
+async def active(clients: list[Watched], seconds: float, first: int) -> HdrHistogram:
     """Open loop: a request each 1/RATE seconds, over the clients in turn."""
     histogram, loop = HdrHistogram(1, 60_000_000, 3), asyncio.get_running_loop()
     began = loop.time() + 0.05
--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -17,12 +17,13 @@
 import sys
 import tempfile
 from collections import Counter
+from functools import partial
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from quincepier.lab.fleet.rig import SERVE
-from tests.agreementrig import Fronts, Line, steps_of, told
+from tests.agreementrig import FrontFleet, LogLine, run_scenario, steps_of_task
 
 ROOT = Path(__file__).resolve().parent.parent
 ALL = set(range(5))  # fronts; the first three are voters
@@ -58,7 +59,7 @@
     return {old: new for old, new in rows}
 
 
-class MixedFronts(Fronts):
+class MixedFronts(FrontFleet):
     """Fronts some of which run from another checkout; their log lines are read by this build's names."""
 
     def __init__(self, folder: Path, old: Path, of_old: set[int]) -> None:
@@ -69,7 +70,7 @@
         self.views: dict[int, int] = {}
         self.versions: dict[int, int] = {}
 
-    def lines_of(self, front: int) -> list[Line]:
+    def lines_of(self, front: int) -> list[LogLine]:
         lines = super().lines_of(front)
         for line in lines:
             line.event = self.names.get(line.event, line.event)
@@ -77,22 +78,22 @@
                 line.fields["step"] = OLD_STEPS.get(line.fields["step"], line.fields["step"])
         return lines
 
-    async def play_story(self, _: Fronts) -> None:
-        first = await self.leader()
-        self.wish(TASK)
-        await self.line("maintenance_step", machine="s-1", step="draining")
+    async def play_story(self, _: FrontFleet) -> None:
+        first = await self.wait_for_leader()
+        self.set_sections(TASK)
+        await self.wait_for_line("maintenance_step", machine="s-1", step="draining")
         self.kill(first)
         if self.of_old not in (ALL, set()):
             self.of_old = self.of_old ^ {first}
-        await self.leader(self.now)
-        await self.line("maintenance_step", machine="s-1", step="drained")
-        self.work(1, 1.0)
-        await self.start(first)
-        await self.line("maintenance_step", machine="s-1", step="completed")
-        await self.until(self._agree, "one view and one version")
-        since = self.now
+        await self.wait_for_leader(self.now_ns)
+        await self.wait_for_line("maintenance_step", machine="s-1", step="drained")
+        self.start_work(1, 1.0)
+        await self.restart(first)
+        await self.wait_for_line("maintenance_step", machine="s-1", step="completed")
+        await self.wait_until(self._agree, "one view and one version")
+        since = self.now_ns
         for front in range(5):
-            await self.until(lambda n=front: self._counted(n, since), f"counters of front {front}")
+            await self.wait_until(partial(self._counted, front, since), f"counters of front {front}")
 
     def _agree(self) -> bool:
         for front in range(5):
@@ -124,8 +125,8 @@
     """Play one mix and print what came of it; whether all holds."""
     with tempfile.TemporaryDirectory() as folder:
         rig = MixedFronts(Path(folder), old, of_old)
-        run = told(rig)
-        steps, refused = steps_of(rig, 1), rig.refusals()
+        run = run_scenario(rig)
+        steps, refused = steps_of_task(rig, 1), rig.refusals()
         early = refused.pop(EARLY, 0)
         good = steps == STEPS and not refused and not run.accused and not run.figures.broken
         print(
--- a/bench/state.py
+++ b/bench/state.py
@@ -13,6 +13,7 @@
 import tempfile
 import time
 from collections import Counter
+from functools import partial
 from pathlib import Path
 
 import msgspec
@@ -65,6 +66,10 @@
     return made
 
 
+def save(store: SnapshotStore, builder: LearnedStateBuilder) -> int:
+    return store.save(encode(builder.build("n1", current_timestamp())))
+
+
 async def cost(machines: int) -> None:
     made = router(machines)
     classes, kinds = ("a", "b", "c", "d"), ("std", "parent", "origin")
@@ -98,16 +103,14 @@
                     since = time.perf_counter()
             gather.append(time.perf_counter() - began)
             began = time.perf_counter()
-            size = await asyncio.to_thread(
-                lambda b=builder: store.save(encode(b.build("n1", current_timestamp())))
-            )
+            size = await asyncio.to_thread(partial(save, store, builder))
             write.append(time.perf_counter() - began)
             began = time.perf_counter()
             loaded = await asyncio.to_thread(store.load)
             assert loaded.state is not None
             facts = list(facts_from_state(loaded.state, names))
             restore_facts(made, facts, 0)
-            made.lapses.clear()
+            made.expiries.clear()
             read.append(time.perf_counter() - began)
     watching.cancel()
     ms = [
@@ -130,7 +133,21 @@
         builder.add(fact)
     state = builder.build("n1", current_timestamp())
     good, plain = pack_record(CURRENT_VERSION, 3, encode(state)), msgspec.to_builtins(state)
-    odd = [None, -1, 0, 1 << 63, float("nan"), float("inf"), "", "x" * 300, b"\xff", [], {}, [[]], True]
+    odd: list[object] = [
+        None,
+        -1,
+        0,
+        1 << 63,
+        float("nan"),
+        float("inf"),
+        "",
+        "x" * 300,
+        b"\xff",
+        [],
+        {},
+        [[]],
+        True,
+    ]
     until = time.perf_counter() + seconds
     while time.perf_counter() < until:
         inputs += 1
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, Self
 from urllib.parse import parse_qs, urlsplit
 
 from tests.fcgikit import Got, Reader, call, params
@@ -168,7 +168,7 @@
         self.task = asyncio.create_task(self._read())
 
     @classmethod
-    async def to(cls, address: tuple[str, int], limit: int = 1 << 16) -> Client:
+    async def to(cls, address: tuple[str, int], limit: int = 1 << 16) -> Self:
         return cls(*await asyncio.open_connection(*address, limit=limit))
 
     async def _read(self) -> None:
