--- a/quincepier/net/means.py
+++ b/quincepier/net/actor_dependencies.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Means:
+class ActorDependencies:
     config: FrontConfig  # replaced as a whole when a new one is read
     checks: Checks
     pool: BufferPool
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -15,7 +15,15 @@
 from quincepier.memory.open_requests import OpenAttempt
 from quincepier.net.actor import Actor
 from quincepier.net.connection import Connection
-from quincepier.net.messages import CallOff, Check, Checked, Ended, Recall, Send, ToCache
+from quincepier.net.messages import (
+    CancelCommand,
+    RunHealthCheck,
+    HealthCheckFinished,
+    AttemptFinished,
+    RevokeCommand,
+    SendCommand,
+    ToCache,
+)
 from quincepier.net.probe import PROBE_WORDS, Probe
 from quincepier.net.shared import Shared
 from quincepier.policy.send_permission import find_denial
@@ -49,14 +57,14 @@
 
     def handle(self, message: ToCache) -> None:
         match message:
-            case Send(attempt, command):
+            case SendCommand(attempt, command):
                 self._send(attempt.request.job_id, attempt, command, attempt.deadline_ns)
-            case CallOff(attempt):
+            case CancelCommand(attempt):
                 self._give_up(attempt, AttemptOutcome.CANCELLED)
-            case Recall(attempt):
+            case RevokeCommand(attempt):
                 if attempt in self.out and attempt not in self.out[attempt][1].started:
                     self._give_up(attempt, AttemptOutcome.NOT_PROCESSED)
-            case Check(gauges):
+            case RunHealthCheck(gauges):
                 self.probes += 1
                 tag = f"probe{self.probes}"
                 probe = lines.gauges(tag) if gauges else lines.health(tag)
@@ -65,7 +73,7 @@
 
     def spoiled(self, message: ToCache) -> None:
         """An exception left an attempt half handled."""
-        if isinstance(message, Send | CallOff):
+        if isinstance(message, SendCommand | CancelCommand):
             self._abandon(message.attempt)
 
     def _abandon(self, attempt: OpenAttempt) -> None:
@@ -224,20 +232,24 @@
         """Without an answer."""
         self._over(what)
         if isinstance(what, Probe):
-            self.shared.module.push(Checked(self.number, ending, at - what.at, ()))
+            self.shared.module.push(HealthCheckFinished(self.number, ending, at - what.at, ()))
         elif self.checks.must(not what.is_ended, "attempt_completes_once"):
             what.is_ended = True
-            self.shared.module.push(Ended(what, ending, at, another_way=another_way))
+            self.shared.module.push(AttemptFinished(what, ending, at, another_way=another_way))
 
     def answered(self, what: OpenAttempt | Probe, head: lines.Head, body: PooledBody | None, at: int) -> None:
         self._over(what)
         report = report_of(head, self.shared.config.report_fields)
         if isinstance(what, Probe):
-            self.shared.module.push(Checked(self.number, PROBE_WORDS[head.word], at - what.at, report))
+            self.shared.module.push(
+                HealthCheckFinished(self.number, PROBE_WORDS[head.word], at - what.at, report)
+            )
         elif self.checks.must(not what.is_ended, "attempt_completes_once"):
             what.is_ended = True
             still = head.word == "unchanged"
-            end = Ended(what, ENDINGS[head.word], at, note_of(head), waited_of(head), report, body, still)
+            end = AttemptFinished(
+                what, ENDINGS[head.word], at, note_of(head), waited_of(head), report, body, still
+            )
             self.shared.module.push(end)
 
     def cancel(self) -> None:
--- a/quincepier/net/client.py
+++ b/quincepier/net/client.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from quincepier import clock
-from quincepier.net.messages import Answer, Left
+from quincepier.net.messages import Response, ClientDisconnected
 from quincepier.net.reading import WHOLE_WITHIN, Reading
 
 # Seconds: to a new connection's first whole request; to a close behind an answer.
@@ -125,7 +125,7 @@
             for request in session.open.values():
                 request.cancel(clock.now())
                 self._forget(request)
-                manager.module.push(Left(request))
+                manager.module.push(ClientDisconnected(request))
         if self.writer is not None:
             # The socket closes behind it, once the loop has let go of it; a task that never began ends too.
             self.writer.add_done_callback(lambda _: self._shut())
@@ -154,7 +154,7 @@
         for request in list(self.session.open.values()) if self.session is not None else ():
             if request.number < 0:
                 request.is_finished = True
-                self.push(Answer(request, 503, wait_ms=self.manager.wait_ms()))
+                self.push(Response(request, 503, wait_ms=self.manager.wait_ms()))
 
     def fail_unbegun(self) -> int:
         """How many answers with a body, of which nothing was written, became failures."""
--- a/quincepier/net/clients.py
+++ b/quincepier/net/clients.py
@@ -17,7 +17,7 @@
 from quincepier.clients import Caps, ConnectionRegistry, Turns, Verdict
 from quincepier.net.client import ClientConnection
 from quincepier.net.lingering import LOOK_EVERY, Lingering
-from quincepier.net.means import Means
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.timers import ActiveClock, Wheel
 from quincepier.translate import class_table
 from quincepier.wire.errors import ProtocolError
@@ -42,7 +42,9 @@
 class ConnectionManager:
     """What all client connections use."""
 
-    def __init__(self, means: Means, standing: Callable[[], bool], places: Places | None = None) -> None:
+    def __init__(
+        self, means: ActorDependencies, standing: Callable[[], bool], places: Places | None = None
+    ) -> None:
         self.checks, self.pool, self.descriptors = means.checks, means.pool, means.descriptors
         self.module, self.standing, self.pauses = means.module, standing, means.pauses
         self.means, self.classes = means, class_table(means.config)
--- a/quincepier/net/dialer.py
+++ b/quincepier/net/dialer.py
@@ -32,7 +32,7 @@
 from quincepier.addresses.race import Action
 from quincepier.addresses.section import AddressesSection
 from quincepier.interface import AttemptOutcome
-from quincepier.net.means import Means
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.sockets import ConnectFailedError, connect_within
 
 CAUSES = {
@@ -243,7 +243,9 @@
 class Dialer:
     """What the ways of all machines share: the operators' section, the account of dials, the descriptors."""
 
-    def __init__(self, means: Means, section: AddressesSection, spare: Callable[[], bool]) -> None:
+    def __init__(
+        self, means: ActorDependencies, section: AddressesSection, spare: Callable[[], bool]
+    ) -> None:
         self.means, self.checks = means, means.checks
         self.section, self.preference = section, section.preference
         self.account = Account(section.limits.dials_all, spare)
--- a/quincepier/net/messages.py
+++ b/quincepier/net/messages.py
@@ -12,21 +12,21 @@
 
 
 @dataclass(slots=True)
-class Came:
+class RequestArrived:
     """Client to module: a request is there."""
 
     request: OpenRequest
 
 
 @dataclass(slots=True)
-class Left:
+class ClientDisconnected:
     """Client to module: no answer is owed any more."""
 
     request: OpenRequest
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """Module to client: the one final answer."""
 
     request: OpenRequest
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Send:
+class SendCommand:
     """Module to cache: an attempt and its command."""
 
     attempt: OpenAttempt
@@ -45,28 +45,28 @@
 
 
 @dataclass(slots=True)
-class CallOff:
+class CancelCommand:
     """Module to cache."""
 
     attempt: OpenAttempt
 
 
 @dataclass(slots=True, frozen=True)
-class Recall:
+class RevokeCommand:
     """Module to cache: a command not written yet is not to be written as it stands."""
 
     attempt: OpenAttempt
 
 
 @dataclass(slots=True, frozen=True)
-class Check:
+class RunHealthCheck:
     """Module to cache: a probe, of its load or of its life alone."""
 
     gauges: bool
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptFinished:
     """Cache to module: how an attempt ended, when, and what came with it."""
 
     attempt: OpenAttempt
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Checked:
+class HealthCheckFinished:
     """Cache to module: how a probe ended."""
 
     cache: int
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class ChangeLogEvent:
     """List to module: one numbered event.
 
     The log did not tell it yet as it answered at `unread_before_ns`; 0 where that is not known.
@@ -101,6 +101,6 @@
     unread_before_ns: int = 0
 
 
-FromClient = Came | Left
-ToCache = Send | CallOff | Recall | Check
-ToModule = Came | Left | Ended | Checked | News
+FromClient = RequestArrived | ClientDisconnected
+ToCache = SendCommand | CancelCommand | RevokeCommand | RunHealthCheck
+ToModule = RequestArrived | ClientDisconnected | AttemptFinished | HealthCheckFinished | ChangeLogEvent
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -23,18 +23,18 @@
 from quincepier.net.cache_fleet import CacheFleet
 from quincepier.net.event_dates import EventDates
 from quincepier.net.first_byte_checks import check_first_byte
-from quincepier.net.means import Means
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.messages import (
-    Answer,
-    CallOff,
-    Came,
-    Check,
-    Checked,
-    Ended,
-    Left,
-    News,
-    Recall,
-    Send,
+    Response,
+    CancelCommand,
+    RequestArrived,
+    RunHealthCheck,
+    HealthCheckFinished,
+    AttemptFinished,
+    ClientDisconnected,
+    ChangeLogEvent,
+    RevokeCommand,
+    SendCommand,
     ToModule,
 )
 from quincepier.net.shared import Shared
@@ -69,7 +69,7 @@
     ) -> None:
         super().__init__(checks, MAILBOX_MOST)
         self.config = config
-        self.means = Means(config, checks, pool, descriptors, self.mailbox, budget)
+        self.means = ActorDependencies(config, checks, pool, descriptors, self.mailbox, budget)
         self.shared = Shared(self.means, make_room)
         self.dates = EventDates(config)
         self.directory = MachineDirectory(config.zones, config.kinds, self.dates.start_of)
@@ -108,18 +108,18 @@
 
     def handle(self, message: ToModule) -> None:
         match message:
-            case Came(request):
+            case RequestArrived(request):
                 self._came(request)
-            case Left(request):
+            case ClientDisconnected(request):
                 if request.number < 0:  # its turn has not come yet
                     request.is_finished = True
                 else:
                     self._leave(request)
-            case Ended():
+            case AttemptFinished():
                 self._ended(message)
-            case Checked(cache, ending, elapsed, report):
+            case HealthCheckFinished(cache, ending, elapsed, report):
                 self._tell(io.HealthCheckCompleted(cache, ending, elapsed, report))
-            case News(event, unread_before):
+            case ChangeLogEvent(event, unread_before):
                 self._news(event, UpdateScope.CHANGES, unread_before)
 
     # Time
@@ -175,12 +175,12 @@
         if self.requests.is_full:
             self.checks.event("request_rejected_open_limit")
             request.is_finished = True
-            request.receiver.push(Answer(request, 503, wait_ms=self.means.config.wait_ms))
+            request.receiver.push(Response(request, 503, wait_ms=self.means.config.wait_ms))
             return
         if request.job_id in self.requests.job_ids:
             self.checks.event("bad_request", "HTTP_X_JOB_ID is that of an open request")
             request.is_finished = True
-            request.receiver.push(Answer(request, 409))
+            request.receiver.push(Response(request, 409))
             return
         request.allows_second_copy = self._allows_second_copy(request.class_index)
         self.requests.add(request)
@@ -201,7 +201,7 @@
             self.requests.finish(request)
             self._tell(io.ClientDisconnected(request.number))
 
-    def _ended(self, end: Ended) -> None:
+    def _ended(self, end: AttemptFinished) -> None:
         attempt = end.attempt
         request = attempt.request
         check_first_byte(attempt, self.checks)
@@ -212,7 +212,7 @@
         if self.overrides is not None:
             self.overrides.on_attempt_completed(attempt, end.note)
         if end.ending is AttemptOutcome.OK and not request.is_finished:
-            self._answer(Answer(request, 200, end.body, end.still))
+            self._answer(Response(request, 200, end.body, end.still))
         elif end.body is not None:
             end.body.release()
         self.requests.remove_if_done(request)
@@ -283,7 +283,7 @@
         """From now on its first byte does not go out; where one has, that is of no effect."""
         if not attempt.is_ended and (cache := self.caches.get(attempt.cache)) is not None:
             attempt.revoke(clock.now())
-            cache.mailbox.push(Recall(attempt))
+            cache.mailbox.push(RevokeCommand(attempt))
 
     def follow_addresses(self, section: AddressesSection) -> None:
         """The operators tell other addresses or limits: they hold from the next dial on."""
@@ -306,18 +306,18 @@
                 if request is not None and no < len(request.attempts) and not request.attempts[no].is_ended:
                     attempt = request.attempts[no]
                     if (cache := self.caches.get(attempt.cache)) is not None:
-                        cache.mailbox.push(CallOff(attempt))
+                        cache.mailbox.push(CancelCommand(attempt))
             case io.RejectRequest(number, retry_after):
                 if (request := self._owed(number)) is not None:
-                    self._answer(Answer(request, 503, wait_ms=retry_after // clock.MS or None))
+                    self._answer(Response(request, 503, wait_ms=retry_after // clock.MS or None))
             case io.FailRequest(number):
                 if (request := self._owed(number)) is not None:
-                    self._answer(Answer(request, 502))
+                    self._answer(Response(request, 502))
             case io.SetTimer(wait, token, about):
                 self.timers.set(now + max(wait, 0), (token, about))
             case io.SendHealthCheck(machine):
                 if machine in self.caches:
-                    self.caches[machine].mailbox.push(Check(self.config.report_on_probe))
+                    self.caches[machine].mailbox.push(RunHealthCheck(self.config.report_on_probe))
             case io.WatchEndpoints():
                 whole = self.directory.full_list()
                 self.later.append(whole if self.overrides is None else self.overrides.override_list(whole))
@@ -349,14 +349,14 @@
         cache = self.caches.get(action.cache)
         if cache is None or len(request.attempts) > self.config.settings.attempts:
             attempt.is_ended = True
-            self.mailbox.push(Ended(attempt, AttemptOutcome.NOT_PROCESSED, now))
+            self.mailbox.push(AttemptFinished(attempt, AttemptOutcome.NOT_PROCESSED, now))
             return
         if self.overrides is not None:
             self.overrides.on_command_sent(attempt, now)
         fields = tuple(serve_fields(action, request, self.directory, timeout))
-        cache.mailbox.push(Send(attempt, ServeCommand(request.job_id, fields, request.body)))
+        cache.mailbox.push(SendCommand(attempt, ServeCommand(request.job_id, fields, request.body)))
 
-    def _answer(self, answer: Answer) -> None:
+    def _answer(self, answer: Response) -> None:
         request = answer.request
         if self.checks.must(not request.is_finished, "one_final_answer_per_request"):
             if self.overrides is not None:
@@ -370,12 +370,12 @@
     def _fail(self, request: OpenRequest | None) -> None:
         """After an exception: a failure, as what has run is not known."""
         if request is not None and not request.is_finished:
-            self._answer(Answer(request, 500))
+            self._answer(Response(request, 500))
 
     def spoiled(self, message: ToModule) -> None:
-        if isinstance(message, Came):
+        if isinstance(message, RequestArrived):
             self._fail(message.request)
-        elif isinstance(message, Ended):
+        elif isinstance(message, AttemptFinished):
             self._fail(message.attempt.request)
 
     # Upkeep
@@ -386,4 +386,4 @@
     def fail_open(self) -> None:
         """The process ends: what is still open is answered as failed, and the module told no more."""
         for request in [r for r in self.requests.request_by_number.values() if not r.is_finished]:
-            self._answer(Answer(request, 502))
+            self._answer(Response(request, 502))
--- a/quincepier/net/peers/peer_network.py
+++ b/quincepier/net/peers/peer_network.py
@@ -24,7 +24,7 @@
     ViewChanged,
 )
 from quincepier.membership.section import MembersSection
-from quincepier.net.means import Means
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.peers import state_sync
 from quincepier.net.peers.address_book import Address, AddressBook
 from quincepier.net.peers.datagram_socket import DatagramSocket
@@ -102,7 +102,9 @@
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     @classmethod
-    def from_section(cls, section: MembersSection, config: FrontConfig, means: Means) -> PeerNetwork:
+    def from_section(
+        cls, section: MembersSection, config: FrontConfig, means: ActorDependencies
+    ) -> PeerNetwork:
         """Makes the network that the operators' file describes.
 
         Raises:
--- a/quincepier/net/reading.py
+++ b/quincepier/net/reading.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 from quincepier import clock
-from quincepier.net.messages import Came, Left
+from quincepier.net.messages import RequestArrived, ClientDisconnected
 from quincepier.net.session import Session, cgi_head
 from quincepier.net.sockets import MOMENTARY_PAUSE, is_momentary
 from quincepier.net.writing import Writing
@@ -199,7 +199,7 @@
             manager.checks.event("request_rejected_body_limit")
             self._say(session, call.id, cgi_head(503, wait_ms=manager.wait_ms()))
             return
-        if not manager.module.add(Came(request)):
+        if not manager.module.add(RequestArrived(request)):
             manager.checks.event("request_rejected_queue_full")
             self._say(session, call.id, cgi_head(503, wait_ms=manager.wait_ms()))
             return
@@ -217,7 +217,7 @@
         if request is not None:
             request.cancel(clock.now())
             self._forget(request)
-            self.manager.module.push(Left(request))
+            self.manager.module.push(ClientDisconnected(request))
 
     def _half(self, session: Session, now: int) -> bool:
         """Whether something is half-sent; since when is noted as it begins."""
--- a/quincepier/net/session.py
+++ b/quincepier/net/session.py
@@ -8,7 +8,7 @@
 
 from quincepier.memory.buffer_pool import PooledBody
 from quincepier.memory.open_requests import OpenRequest
-from quincepier.net.messages import Answer
+from quincepier.net.messages import Response
 from quincepier.wire import fastcgi
 
 
@@ -62,7 +62,7 @@
         self.keep: dict[int, bool] = {}
         self.sending: deque[Outgoing] = deque()
         self.control: deque[tuple[int, bytes]] = deque()  # whole and short: 0 or the request, and its bytes
-        self.inbox: deque[Answer] = deque()
+        self.inbox: deque[Response] = deque()
         self.unfinished: object = None  # what is half-sent, and since when by the manager's active clock
         self.unfinished_at = 0
 
--- a/quincepier/net/shared.py
+++ b/quincepier/net/shared.py
@@ -9,7 +9,7 @@
 
 from quincepier.config import FrontConfig
 from quincepier.memory.buffer_pool import PooledBody
-from quincepier.net.means import Means
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.sockets import let_go
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 class Shared:
     """What all cache actors use, and who waits for buffers."""
 
-    def __init__(self, means: Means, make_room: Callable[[], None]) -> None:
+    def __init__(self, means: ActorDependencies, make_room: Callable[[], None]) -> None:
         self.means, self.checks, self.pool = means, means.checks, means.pool
         self.descriptors, self.module, self.make_room = means.descriptors, means.module, make_room
         self.waiting: deque[asyncio.Future[None]] = deque()
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -14,8 +14,8 @@
 
 from quincepier import clock
 from quincepier.net.actor import Actor
-from quincepier.net.means import Means
-from quincepier.net.messages import News
+from quincepier.net.actor_dependencies import ActorDependencies
+from quincepier.net.messages import ChangeLogEvent
 from quincepier.net.sockets import resolve
 from quincepier.net.watch_poll import Poll
 from quincepier.recovery import first_poll
@@ -40,7 +40,7 @@
 class Watch(Actor[None]):
     name = "change_log"
 
-    def __init__(self, means: Means) -> None:
+    def __init__(self, means: ActorDependencies) -> None:
         super().__init__(means.checks, 1)
         self.means, self.descriptors = means, means.descriptors
         self.module = means.module
@@ -216,7 +216,7 @@
             if isinstance(event, BadRecord):
                 self._again(f"event {event.seq}: {event.why}")
             else:
-                self.module.urge(News(event, self.answered_at_ns))
+                self.module.urge(ChangeLogEvent(event, self.answered_at_ns))
             self.last, self.tries = event.seq, 0
         if last > self.last and not events:
             self._again(f"events {self.last + 1} to {last} are missing")
--- a/quincepier/net/watch_poll.py
+++ b/quincepier/net/watch_poll.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from quincepier.net.means import Means
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.sockets import connect
 from quincepier.wire.errors import ProtocolError
 
@@ -17,7 +17,7 @@
 LATE_READS = 64  # past that time, of what lay in the socket as the process stood still
 
 
-class Response:
+class PollResponse:
     """What httptools tells of one answer."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        means: Means,
+        means: ActorDependencies,
         view: memoryview,
         kept: socket.socket | None,
         due: float,
@@ -95,8 +95,8 @@
         self.keeps = response.kept
         return bytes(response.body)
 
-    async def _read(self, sock: socket.socket, until: float) -> Response:
-        response, late = Response(), 0
+    async def _read(self, sock: socket.socket, until: float) -> PollResponse:
+        response, late = PollResponse(), 0
         while not response.whole:
             late += not await self._readable(sock, until)
             try:
--- a/quincepier/net/writing.py
+++ b/quincepier/net/writing.py
@@ -13,7 +13,7 @@
 from quincepier import clock
 from quincepier.memory.buffer_pool import PooledBody
 from quincepier.memory.open_requests import OpenRequest
-from quincepier.net.messages import Answer
+from quincepier.net.messages import Response
 from quincepier.net.session import Outgoing, Session, cgi_head
 from quincepier.net.sockets import is_momentary, send_all
 from quincepier.timers import Timer
@@ -83,7 +83,7 @@
             or self.writer
         )
 
-    def push(self, answer: Answer) -> None:
+    def push(self, answer: Response) -> None:
         """Into its mailbox."""
         if self.closed or self.session is None:
             if answer.body is not None:
@@ -110,7 +110,7 @@
             session.sending.append(Outgoing(stream, keep, head, body))
         self._stir()
 
-    def _take(self, session: Session, answer: Answer) -> None:
+    def _take(self, session: Session, answer: Response) -> None:
         request = answer.request
         if session.open.get(request.stream_id) is not request:  # it was aborted as the answer was made
             if answer.body is not None:
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -22,7 +22,7 @@
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.cache import CacheActor
 from quincepier.net.dialer import Dialer, Way
-from quincepier.net.messages import Came, Left, News
+from quincepier.net.messages import RequestArrived, ClientDisconnected, ChangeLogEvent
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors
 from quincepier.wire.changelog import BadRecord, read_changes
@@ -103,7 +103,7 @@
         self.asked += 1
         job = f"{self.asked:016x}"
         request = open_request(inbox, cls, job, part=part, received_at_ns=clock.now())
-        self.module.mailbox.push(Came(request))
+        self.module.mailbox.push(RequestArrived(request))
         return job, inbox, request
 
     async def answered(self, inbox: Inbox) -> int:
@@ -118,7 +118,7 @@
         return job, await self.answered(inbox)
 
     def leave(self, request: Any) -> None:
-        self.module.mailbox.push(Left(request))
+        self.module.mailbox.push(ClientDisconnected(request))
 
     def tell(self, *hosts: dict[str, Any], **event: Any) -> None:
         """News of the change log."""
@@ -127,7 +127,7 @@
         changes = {"seq": self.seq, "results": [{"seq": self.seq} | body]}
         (record,) = read_changes(changes, parse)[1]
         assert not isinstance(record, BadRecord), record
-        self.module.mailbox.urge(News(record))
+        self.module.mailbox.urge(ChangeLogEvent(record))
 
     async def quiet(self) -> None:
         """Nothing is out and nobody waits for an answer."""
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -23,7 +23,7 @@
 from quincepier.net import sockets
 from quincepier.net.cache import CacheActor
 from quincepier.net.connection import Connection
-from quincepier.net.messages import Came, Left
+from quincepier.net.messages import RequestArrived, ClientDisconnected
 from quincepier.net.module import ModuleActor
 from quincepier.wire.changelog import read_changes
 from tests.frontkit import SETTINGS, Inbox, host, make_config, open_request
@@ -170,7 +170,7 @@
         job, now = f"{self.asked:016x}", clock.now()
         values: dict[str, Any] = {"received_at_ns": now, "allowed_ns": 30 * clock.SECOND} | changes
         request = open_request(Inbox(), cls, job, **values)
-        assert self.module.mailbox.add(Came(request))
+        assert self.module.mailbox.add(RequestArrived(request))
         return request
 
     def taken(self, name: str) -> None:
@@ -185,7 +185,7 @@
     def left(self, request: OpenRequest) -> None:
         """As its client's connection does, the mark first and the message when the module gets to it."""
         request.cancel(clock.now())
-        self.module.mailbox.push(Left(request))
+        self.module.mailbox.push(ClientDisconnected(request))
 
     def look(self) -> None:
         for machine in self.machines.values():
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -22,7 +22,7 @@
 from quincepier.memory.open_requests import OpenAttempt
 from quincepier.net.actor import Mailbox
 from quincepier.net.clients import ConnectionManager
-from quincepier.net.messages import Came, Ended, Left
+from quincepier.net.messages import RequestArrived, AttemptFinished, ClientDisconnected
 from quincepier.net.module import ModuleActor
 from quincepier.net.session import Outgoing, cgi_head
 from quincepier.net.sockets import Descriptors
@@ -46,8 +46,8 @@
 def test_a_client_that_left_before_its_turn_is_not_told_to_the_module() -> None:
     actor, router = make_module(lambda event: [])
     request = open_request(Inbox(), received_at_ns=clock.now())
-    actor.safely(Left(request))
-    actor.safely(Came(request))
+    actor.safely(ClientDisconnected(request))
+    actor.safely(RequestArrived(request))
     assert router.events == [] and actor.requests.unanswered == 0 and not actor.requests.request_by_number
 
 
@@ -90,7 +90,7 @@
 
 def ask(actor: ModuleActor, inbox: Inbox, cls: int = 1, job: str = "") -> Any:
     request = open_request(inbox, cls, job or f"{actor.requests.accepted:016x}", received_at_ns=clock.now())
-    actor.safely(Came(request))
+    actor.safely(RequestArrived(request))
     return request
 
 
@@ -136,7 +136,7 @@
     assert [answer.status for answer in inbox.got] == [502]
     other = ask(actor, inbox)
     router.script = lambda event: [io.RejectRequest(other.number, 0)]
-    actor.safely(Left(other))
+    actor.safely(ClientDisconnected(other))
     assert len(inbox.got) == 1 and isinstance(router.events[-1], io.ClientDisconnected)
     assert actor.requests.request_by_number == {} and actor.requests.unanswered == 0
 
@@ -146,11 +146,11 @@
     inbox = Inbox()
     request = ask(actor, inbox)
     attempt: OpenAttempt = actor.requests.start_attempt(request, 5, clock.now())
-    actor.safely(Left(request))
+    actor.safely(ClientDisconnected(request))
     attempt.is_ended = True
     body = PooledBody.allocate(actor.shared.pool, 40_000)
     assert body is not None and actor.shared.pool.used == 3
-    actor.safely(Ended(attempt, AttemptOutcome.OK, clock.now(), body=body))
+    actor.safely(AttemptFinished(attempt, AttemptOutcome.OK, clock.now(), body=body))
     assert actor.shared.pool.used == 0 and inbox.got == []
     event = router.events[-1]
     assert isinstance(event, io.AttemptCompleted) and event.last
@@ -188,7 +188,7 @@
     first = ask(actor, inbox, job="9b1f03aa5c7e2d41")
     ask(actor, inbox, job="9b1f03aa5c7e2d41")
     assert len(router.events) == 1 and [answer.status for answer in inbox.got] == [409]
-    actor.safely(Left(first))
+    actor.safely(ClientDisconnected(first))
     ask(actor, inbox, job="9b1f03aa5c7e2d41")
     assert len(router.events) == 3 and len(inbox.got) == 1
 
@@ -344,7 +344,7 @@
     assert io.TimerFired(16) in router.events
     router.events.clear()
     actor._perform(io.SetTimer(0, 24, request.number), 0)
-    actor.safely(Left(request))
+    actor.safely(ClientDisconnected(request))
     actor._due()
     assert router.events == [io.ClientDisconnected(request.number)] and not actor.timers
 
@@ -357,10 +357,10 @@
             try:
                 int("seven")
             except ValueError as error:
-                checks.exception("exception_in_test", error, about="Came")
+                checks.exception("exception_in_test", error, about="RequestArrived")
     finally:
         logger.remove(sink)
     assert checks.counts["exception_in_test"] == MAX_LINES_PER_EVENT + 5
     assert len(lines) == MAX_LINES_PER_EVENT
-    assert lines[0].startswith("exception_in_test: Came: ValueError: invalid literal")
+    assert lines[0].startswith("exception_in_test: RequestArrived: ValueError: invalid literal")
     assert "at test_actors.py:" in lines[0]
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -21,7 +21,7 @@
 from quincepier.net.command_writer import CommandWriter
 from quincepier.net.connection import Connection
 from quincepier.net.first_byte_checks import check_first_byte
-from quincepier.net.messages import CallOff, Ended
+from quincepier.net.messages import CancelCommand, AttemptFinished
 from quincepier.policy.send_permission import Denial, find_denial
 from tests.attemptkit import BID, IMAGE, Inside, Wire, on_loop
 from tests.frontkit import Inbox, open_request
@@ -75,7 +75,7 @@
     cache = inside.module.caches[attempt.cache]
     (connection,) = cache.connections
     bound(connection, takes)
-    cache.mailbox.push(CallOff(attempt))
+    cache.mailbox.push(CancelCommand(attempt))
     await turns()
     assert attempt.state is AttemptState.CANCELLED and inside.endings(request) == []
     return request, connection, wire
@@ -188,7 +188,7 @@
         bound(connection, 0)
         told, ended = inside.module._ended, list[bool]()
 
-        def on_ended(end: Ended) -> None:
+        def on_ended(end: AttemptFinished) -> None:
             wire.look()
             ended.append(wire.ended and attempt.state is AttemptState.CLOSED)
             told(end)
@@ -199,7 +199,7 @@
             if is_timeout:
                 cache._timed_out(attempt)
             else:
-                cache.mailbox.push(CallOff(attempt))
+                cache.mailbox.push(CancelCommand(attempt))
             await until(lambda: ended != [], "its outcome is told")
         assert ended == [True], "once, after its connection was closed"
         assert inside.checks.counts.pop("exception_in_cache_actor") == 1
@@ -257,7 +257,7 @@
         request = inside.ask(IMAGE)
         await until(lambda: any(a.state is AttemptState.SENT for a in request.attempts), "a part is out")
         (connection,) = inside.connections()
-        inside.module.caches[request.attempts[0].cache].mailbox.push(CallOff(request.attempts[0]))
+        inside.module.caches[request.attempts[0].cache].mailbox.push(CancelCommand(request.attempts[0]))
         await turns()
         assert inside.endings(request) == [] and request.attempts[0].state is AttemptState.CANCELLED
         BoundedSocket.of_next = None
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -18,7 +18,7 @@
 from quincepier.lifecycle.front import Front
 from quincepier.net import connection
 from quincepier.net.actor import Actor
-from quincepier.net.messages import Answer, Came, News
+from quincepier.net.messages import Response, RequestArrived, ChangeLogEvent
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import connect as plain
 from quincepier.wire.changelog import FleetChange, read_changes
@@ -74,7 +74,7 @@
             self.seq += 1
             _, (change,) = read_changes({"seq": self.seq, "results": [self.event(hosts)]})
             assert isinstance(change, FleetChange)
-            self.front.module.mailbox.urge(News(change))
+            self.front.module.mailbox.urge(ChangeLogEvent(change))
 
     def ask(self, times: int) -> None:
         for _ in range(times):
@@ -83,7 +83,7 @@
             request = open_request(
                 self.inbox, 0, job, object_id=self.number, object_key=job, received_at_ns=clock.now()
             )
-            self.front.module.mailbox.push(Came(request))
+            self.front.module.mailbox.push(RequestArrived(request))
 
     def hold(self, name: str) -> list[asyncio.Event]:
         address, port = self.caches[name].address.split(":")
@@ -96,7 +96,7 @@
         for gate in gates:
             gate.set()
 
-    async def answered(self, times: int) -> list[Answer]:
+    async def answered(self, times: int) -> list[Response]:
         await until(lambda: len(self.inbox.got) >= times, f"{times} are answered")
         await asyncio.sleep(0.5)  # of virtual time: whatever else would come has come
         assert len(self.inbox.got) == times
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -10,7 +10,7 @@
 from quincepier import clock
 from quincepier.interface import AttemptOutcome
 from quincepier.memory.open_requests import OpenRequest
-from quincepier.net.messages import CallOff
+from quincepier.net.messages import CancelCommand
 from tests.attemptkit import BID, IMAGE, Clock, Inside, Wire, answer, on_loop
 from tests.rig import SECOND
 from tests.standins import until
@@ -163,7 +163,7 @@
         cache, attempt = inside.cache("o-1"), request.attempts[0]
         if order == "answer, cancel":
             wire.answer(request.job_id, b"y" * 100_000)  # it can be read; it has not been
-        cache.safely(CallOff(attempt))
+        cache.safely(CancelCommand(attempt))
         if order == "cancel, answer":
             wire.answer(request.job_id, b"y" * 100_000)
         assert await inside.status(request) == 502
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -11,7 +11,7 @@
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome
 from quincepier.net.cache import CacheActor
-from quincepier.net.messages import CallOff, Recall, ToCache, ToModule
+from quincepier.net.messages import CancelCommand, RevokeCommand, ToCache, ToModule
 from tests.attemptkit import BID, IMAGE, Clock, Dials, Inside, on_loop
 from tests.rig import MS, SECOND, Bench, attempts, make_class, make_settings
 from tests.standins import until
@@ -125,7 +125,7 @@
         for step in ORDERS[order].split():
             match step:
                 case "cancel":
-                    cache.safely(CallOff(attempt))
+                    cache.safely(CancelCommand(attempt))
                 case "up":
                     dials.let()
                 case "close":
@@ -159,7 +159,7 @@
         await until(lambda: inside.endings(request) != [], "it ends")
         del cache.handle
         await inside.served()
-        assert not inside.serves(request) and [type(m) for m in heard] == [CallOff]
+        assert not inside.serves(request) and [type(m) for m in heard] == [CancelCommand]
         await inside.settled()
 
     on_loop(scenario)
@@ -250,7 +250,7 @@
         wire = await inside.out(request)
         cache = inside.cache("o-1")
         for _ in range(cache.mailbox.most):
-            cache.mailbox.push(Recall(request.attempts[0]))
+            cache.mailbox.push(RevokeCommand(request.attempts[0]))
         inside.listed(inside.host("o-1", health="DELETED"))
         wire.answer(request.job_id)  # what is out is heard to its end
         assert await inside.status(request) == 200
@@ -322,8 +322,8 @@
         wire.answer(request.job_id)
         wire.reset()
         cache._give_up(attempt, AttemptOutcome.TIMEOUT)
-        cache.safely(CallOff(attempt))
-        cache.safely(Recall(attempt))
+        cache.safely(CancelCommand(attempt))
+        cache.safely(RevokeCommand(attempt))
         assert await inside.status(request) == 502
         await until(lambda: not inside.connections(), "the break is heard")
         assert inside.endings(request) == [AttemptOutcome.TIMEOUT]
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -21,7 +21,7 @@
 from quincepier.net import lingering
 from quincepier.net.client import ClientConnection
 from quincepier.net.clients import READS, ConnectionManager
-from quincepier.net.messages import Answer, Came, Left
+from quincepier.net.messages import Response, RequestArrived, ClientDisconnected
 from quincepier.net.sockets import no_delay
 from tests.fcgikit import ABORT, Reader, begin, call, params, rec
 from tests.standins import until
@@ -84,7 +84,7 @@
 
 
 def taken(manager: ConnectionManager) -> list[str]:
-    return [message.request.job_id for message in manager.module.last if isinstance(message, Came)]
+    return [message.request.job_id for message in manager.module.last if isinstance(message, RequestArrived)]
 
 
 def give(manager: ConnectionManager, request: object, body: bytes) -> None:
@@ -93,7 +93,7 @@
     held = PooledBody.allocate(manager.pool, len(body))
     assert held is not None
     held.append(body)
-    request.receiver.push(Answer(request, 200, held))  # type: ignore[attr-defined, arg-type]
+    request.receiver.push(Response(request, 200, held))  # type: ignore[attr-defined, arg-type]
 
 
 async def drained(manager: ConnectionManager, peer: Peer) -> None:
@@ -143,7 +143,7 @@
         await until(lambda: bool(taken(manager)), "it is asked")
         between(manager, lambda: peer.send(LATE))
         message = manager.module.take()
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         give(manager, message.request, large)
         await until(lambda: not manager.connections, "its side is closed")
         await peer.to_the_end()
@@ -241,7 +241,7 @@
         manager.drain()  # in the same turn
         assert taken(manager) == ["2" * 16] and not peer.at_front.closed
         message = manager.module.take()
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         give(manager, message.request, b"bytes")
         await peer.to_the_end()
         assert peer.reader.got[2].body == b"bytes"
@@ -300,12 +300,14 @@
         peer.send(call(1, params("1" * 16)) + paused_by)
         await until(lambda: bool(taken(manager)), "it is asked")
         message = manager.module.take()
-        assert isinstance(message, Came) and not peer.at_front.reading
+        assert isinstance(message, RequestArrived) and not peer.at_front.reading
         leave(peer)
         async with asyncio.timeout(5):
             while not message.request.is_cancelled:
                 await asyncio.sleep(0.005)
-        assert [m.request for m in manager.module.queue if isinstance(m, Left)] == [message.request]
+        assert [m.request for m in manager.module.queue if isinstance(m, ClientDisconnected)] == [
+            message.request
+        ]
 
     on_loop(scenario)
 
@@ -327,7 +329,7 @@
         aborted_at = clock.now()
         await until(lambda: bool(taken(manager)), "it is asked")
         message = manager.module.take()
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         request, denied = message.request, list[bool]()
         while not request.is_cancelled:
             now = clock.now()
@@ -353,7 +355,7 @@
         peer.send(call(1, params("1" * 16)) + FAULTY)
         await until(lambda: bool(taken(manager)), "it is asked")
         message = manager.module.take()
-        assert isinstance(message, Came) and not peer.at_front.reading
+        assert isinstance(message, RequestArrived) and not peer.at_front.reading
         peer.sock.close()
         async with asyncio.timeout(5):
             while not message.request.is_cancelled:
@@ -370,7 +372,7 @@
         peer.send(call(1, params("1" * 16)))
         await until(lambda: bool(taken(manager)), "it is asked")
         message = manager.module.take()
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         for other in crowd:
             other.send(PING)
         manager.active.left = 0  # the others had this turn
@@ -392,7 +394,7 @@
         peer = Peer(manager)
         peer.send(call(1, params("1" * 16)) + LATE)
         await until(lambda: len(taken(manager)) == 2, "both are asked")
-        first, second = (m.request for m in manager.module.last if isinstance(m, Came))
+        first, second = (m.request for m in manager.module.last if isinstance(m, RequestArrived))
         assert not first.is_cancelled and not second.is_cancelled
         peer.send(rec(ABORT, 1))
         peer.at_front.receive()
@@ -410,7 +412,7 @@
 async def answered_and_closed(manager: ConnectionManager, peer: Peer, job: str) -> None:
     """The request has its answer, nothing else is sent on, and the connection ends without a reset."""
     (message,) = manager.module.last
-    assert isinstance(message, Came) and message.request.job_id == job
+    assert isinstance(message, RequestArrived) and message.request.job_id == job
     message.request.number = 1  # the module has it
     assert not message.request.is_cancelled
     give(manager, message.request, b"bytes")
@@ -462,7 +464,7 @@
         peer.send(LATE + GARBAGE)
         await until(lambda: bool(taken(manager)), "it is taken")
         (message,) = manager.module.last
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         peer.sock.close()
         await until(lambda: message.request.is_cancelled, "its client is gone")
         assert not manager.connections
@@ -484,13 +486,13 @@
         peer.send(LATE)
         await until(lambda: bool(taken(manager)), "it is read")
         (message,) = manager.module.last
-        assert isinstance(message, Came) and message.request.earliest_arrival_ns <= clock.now()
+        assert isinstance(message, RequestArrived) and message.request.earliest_arrival_ns <= clock.now()
         assert before <= message.request.earliest_arrival_ns < message.request.received_at_ns
         assert not floors
         peer.send(call(3, params("3" * 16)))
         await until(lambda: len(taken(manager)) == 2, "so is another")
         later = manager.module.last[1]
-        assert isinstance(later, Came)
+        assert isinstance(later, RequestArrived)
         assert later.request.earliest_arrival_ns > message.request.received_at_ns, "it was empty between"
 
     on_loop(scenario)
--- a/tests/test_crossings_commands.py
+++ b/tests/test_crossings_commands.py
@@ -14,7 +14,7 @@
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net import sockets
 from quincepier.net.connection import Connection
-from quincepier.net.messages import CallOff
+from quincepier.net.messages import CancelCommand
 from tests.attemptkit import BID, LARGE, Inside, Wire, on_loop
 from tests.standins import until
 
@@ -195,7 +195,7 @@
         request = inside.ask(BID)
         wire = await inside.out(request)
         monkeypatch.setattr(Unwilling, "takes_nothing", True)
-        inside.cache("o-1").mailbox.push(CallOff(request.attempts[0]))
+        inside.cache("o-1").mailbox.push(CancelCommand(request.attempts[0]))
         for _ in range(20):
             await asyncio.sleep(0)
         assert inside.endings(request) == []
@@ -221,7 +221,7 @@
         request = inside.ask(BID)
         await inside.out(request)
         cache = inside.cache("o-1")
-        cache.safely(CallOff(request.attempts[0]))
+        cache.safely(CancelCommand(request.attempts[0]))
         assert request.attempts[0].is_ended and inside.cancels(request) == 1
         await inside.status(request)
         await inside.settled()
@@ -238,7 +238,7 @@
         (connection,) = cache.connections
         (attempt,) = request.attempts
         connection.lost = True  # its end has been read in this turn
-        cache.safely(CallOff(attempt))
+        cache.safely(CancelCommand(attempt))
         assert not attempt.is_ended
         wire.close()
         await until(lambda: attempt.is_ended, "it has ended")
--- a/tests/test_crossings_drain.py
+++ b/tests/test_crossings_drain.py
@@ -13,7 +13,7 @@
 from quincepier.net import clients
 from quincepier.net.clients import ConnectionManager
 from quincepier.net.listener import Listener
-from quincepier.net.messages import Came
+from quincepier.net.messages import RequestArrived
 from quincepier.net.sockets import listen
 from tests.fcgikit import Reader, begin, call, params
 from tests.loopback import own_address
@@ -59,7 +59,7 @@
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(address)
         while (message := manager.module.take()) is not None:
-            assert isinstance(message, Came)
+            assert isinstance(message, RequestArrived)
             message.request.number = 1  # the module has it
             give(manager, message.request, b"bytes")
         await asyncio.gather(manager.close_all(), *(comer.to_the_end() for comer in comers))
@@ -121,7 +121,7 @@
         peer.send(LATE)
         peer.at_front.receive()
         (message,) = manager.module.last
-        assert isinstance(message, Came) and not message.request.is_finished
+        assert isinstance(message, RequestArrived) and not message.request.is_finished
         await asyncio.gather(manager.close_all(), peer.to_the_end())
         assert message.request.is_finished and peer.reader.got[2].status == 503
 
@@ -140,7 +140,7 @@
         peer.send(LATE)
         await until(lambda: bool(taken(manager)), "it is asked")
         message = manager.module.take()
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         message.request.number = 1
         give(manager, message.request, large)
         await until(lambda: peer.at_front.writer is not None, "the socket is full")
@@ -169,7 +169,7 @@
         never.send(LATE)
         await until(lambda: bool(taken(manager)), "it is asked")
         message = manager.module.take()
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         give(manager, message.request, large)
         await until(lambda: never.at_front.writer is not None, "the socket is full")
         async with asyncio.timeout(20):
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -20,7 +20,7 @@
 from quincepier.memory.open_requests import OpenAttempt
 from quincepier.net import sockets
 from quincepier.net.dialer import dial
-from quincepier.net.messages import Answer, Came
+from quincepier.net.messages import Response, RequestArrived
 from quincepier.net.probe import Probe
 from quincepier.net.watch import POLL_GRACE, POLL_MS
 from quincepier.wire import lines
@@ -57,7 +57,7 @@
         peer.sock.send(call(1, params("1" * 16)))
         await until(lambda: bool(manager.module.last), "it is asked")
         message = manager.module.take()
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         large = PooledBody.allocate(manager.pool, len(LARGE))
         assert large is not None
         large.append(LARGE)
@@ -69,7 +69,7 @@
             act(peer.sock)
             connection.receive()
 
-        message.request.receiver.push(Answer(message.request, 200, large))
+        message.request.receiver.push(Response(message.request, 200, large))
         asyncio.get_running_loop().call_soon(cross)
 
         def is_closed() -> bool:
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -20,8 +20,8 @@
 from quincepier.net.actor import Mailbox
 from quincepier.net.client import ClientConnection
 from quincepier.net.clients import READS, WAKES, ConnectionManager
-from quincepier.net.means import Means
-from quincepier.net.messages import Answer, Came, ToModule
+from quincepier.net.actor_dependencies import ActorDependencies
+from quincepier.net.messages import Response, RequestArrived, ToModule
 from quincepier.net.sockets import Descriptors
 from tests.fcgikit import Reader, begin, call, params, rec
 from tests.frontkit import make_config
@@ -35,7 +35,7 @@
     checks, pool = Checks(), BufferPool(8)
     module: Mailbox[ToModule] = Mailbox(4096)
     budget = MemoryBudget(max_buffers=8, max_body_bytes=1 << 20, max_open_requests=4096)
-    means = Means(make_config(), checks, pool, Descriptors(sockets), module, budget)
+    means = ActorDependencies(make_config(), checks, pool, Descriptors(sockets), module, budget)
     return ConnectionManager(means, lambda: True, places)
 
 
@@ -175,7 +175,9 @@
             peer.sock.send(call(1, params("1" * 16)))
         await until(lambda: len(manager.module.last) == len(peers), "all are read")
         came = [
-            message.request.received_at_ns for message in manager.module.last if isinstance(message, Came)
+            message.request.received_at_ns
+            for message in manager.module.last
+            if isinstance(message, RequestArrived)
         ]
         assert max(came) - min(came) < clock.now() - min(came)  # those read last were there before
         first, last = came[READS - 1], came[READS:]
@@ -278,11 +280,11 @@
         await until(lambda: len(manager.module.last) == 32, "all are asked")
         manager.pool.max_buffers = 1000
         while (message := manager.module.take()) is not None:
-            assert isinstance(message, Came)
+            assert isinstance(message, RequestArrived)
             body = PooledBody.allocate(manager.pool, len(large))
             assert body is not None
             body.append(large)
-            message.request.receiver.push(Answer(message.request, 200, body))
+            message.request.receiver.push(Response(message.request, 200, body))
         await until(lambda: peer.connection.writer is not None, "the socket is full")
         assert peer.connection.owed
         await until(lambda: all(peer.answered(n) for n in range(1, 33)), "all are taken in the end")
@@ -291,11 +293,11 @@
         peer.sock.send(call(40, params("f" * 16), keep=False))
         await until(lambda: bool(manager.module.last), "the last is asked")
         message = manager.module.take()
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         body = PooledBody.allocate(manager.pool, len(large))
         assert body is not None
         body.append(large)
-        message.request.receiver.push(Answer(message.request, 200, body))
+        message.request.receiver.push(Response(message.request, 200, body))
         await until(lambda: peer.connection.writer is not None, "the socket is full")
         now = clock.now()
         while not peer.connection.closed:
@@ -315,12 +317,12 @@
         peer.sock.send(b"".join(call(n, params(f"{n:016x}")) for n in sizes))
         await until(lambda: len(manager.module.last) == 4, "all are asked")
         while (message := manager.module.take()) is not None:  # all in one turn, the largest first
-            assert isinstance(message, Came)
+            assert isinstance(message, RequestArrived)
             size = sizes[message.request.stream_id]
             body = PooledBody.allocate(manager.pool, size)
             assert body is not None
             body.append(bytes(size))
-            message.request.receiver.push(Answer(message.request, 200, body))
+            message.request.receiver.push(Response(message.request, 200, body))
         await until(lambda: all(peer.answered(n) for n in sizes), "all are answered")
         assert peer.reader.order == [2, 4, 3, 1]
         assert [len(peer.reader.got[n].body) for n in sizes] == [*sizes.values()]
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -41,7 +41,7 @@
         ("maintenance/disruption_budget.py", "import quincepier.tenancy", {DOWN}),  # beside it
         ("wire/lines.py", "import quincepier.config", {DOWN}),  # above it
         ("rules/lease_table.py", "import quincepier.net", {DOWN, PURE}),
-        ("net/means.py", "import quincepier.lab", {DOWN, LAB}),
+        ("net/actor_dependencies.py", "import quincepier.lab", {DOWN, LAB}),
         ("policy/latency.py", "import time", {PURE}),
         ("keys.py", "import quincepier.clock", {DOWN, PURE}),  # the clock by another's hand
     ],
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -27,7 +27,7 @@
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net import module, sockets, watch, watch_poll
 from quincepier.net.actor import Actor
-from quincepier.net.messages import Came
+from quincepier.net.messages import RequestArrived
 from quincepier.wire.changelog import PurgeRecord
 from tests.frontkit import SETTINGS, Inbox, host, open_request, raw_config
 from tests.standins import Asked, Cache, ChangeLog
@@ -113,7 +113,7 @@
                 object_key=f"{self.number % 97:016x}",
                 received_at_ns=clock.now(),
             )
-            self.front.module.mailbox.push(Came(request))
+            self.front.module.mailbox.push(RequestArrived(request))
             await asyncio.sleep(EVERY)
 
     def broken(self) -> set[str]:
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -13,7 +13,7 @@
 from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.memory.open_requests import OpenAttempt, OpenRequestTable
-from quincepier.net.messages import Ended
+from quincepier.net.messages import AttemptFinished
 from quincepier.policy import Router
 from quincepier.simhost import Host
 from quincepier.simwire import encode_action
@@ -145,9 +145,12 @@
     attempt = OpenAttempt(taken, 0, 5, 1000)
 
     def last(ending: AttemptOutcome) -> bool:
-        return attempt_ended(attempt, Ended(attempt, ending, 1500)).last
+        return attempt_ended(attempt, AttemptFinished(attempt, ending, 1500)).last
 
-    assert attempt_ended(attempt, Ended(attempt, AttemptOutcome.OK, 1500, CacheStatus.HIT, 7)).elapsed == 500
+    assert (
+        attempt_ended(attempt, AttemptFinished(attempt, AttemptOutcome.OK, 1500, CacheStatus.HIT, 7)).elapsed
+        == 500
+    )
     assert last(AttemptOutcome.OK) and not last(AttemptOutcome.TIMEOUT) and not last(AttemptOutcome.CANCELLED)
     taken.is_finished = True
     assert last(AttemptOutcome.TIMEOUT)
@@ -230,7 +233,7 @@
                 endings = (AttemptOutcome.OK, 0), (AttemptOutcome.OVERLOADED, 11), (AttemptOutcome.RESET, 104)
                 ending, number = endings[0 if n % 5 else n // 5 % 3]
                 now += 20 * clock.MS
-                ended = attempt_ended(attempt, Ended(attempt, ending, now, CacheStatus.FILLED, 5))
+                ended = attempt_ended(attempt, AttemptFinished(attempt, ending, now, CacheStatus.FILLED, 5))
                 taken.is_finished = ending is AttemptOutcome.OK
                 outcome = (3, taken.number, 0, action.cache, number, 20 * clock.MS, ended.last, 2, 5, 0)
                 same(ended, 1040, struct.pack("<IIHIBQBBQB", *outcome))
--- a/tests/watchkit.py
+++ b/tests/watchkit.py
@@ -17,7 +17,7 @@
 from quincepier.memory.buffer_pool import BufferPool
 from quincepier.memory.memory_budget import divide_memory
 from quincepier.net.actor import Mailbox
-from quincepier.net.means import Means
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.messages import ToModule
 from quincepier.net.sockets import Descriptors
 from quincepier.net.watch import Watch
@@ -101,7 +101,7 @@
         config = make_config(changelog="{}:{}".format(*log.address))
         budget = divide_memory(192, 24 << 20, 500)
         pool = BufferPool(4, 0)
-        self.means = Means(config, self.checks, pool, Descriptors(64), self.module, budget)
+        self.means = ActorDependencies(config, self.checks, pool, Descriptors(64), self.module, budget)
         self.watch = Watch(self.means)
         self.watch.random.uniform = lambda a, b: b  # type: ignore[method-assign]
 
