--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -16,11 +16,11 @@
 from quincepier.net.actor import Actor
 from quincepier.net.connection import Connection
 from quincepier.net.messages import (
+    AttemptFinished,
     CancelCommand,
-    RunHealthCheck,
     HealthCheckFinished,
-    AttemptFinished,
     RevokeCommand,
+    RunHealthCheck,
     SendCommand,
     ToCache,
 )
--- a/quincepier/net/client.py
+++ b/quincepier/net/client.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from quincepier import clock
-from quincepier.net.messages import Response, ClientDisconnected
+from quincepier.net.messages import ClientDisconnected, Response
 from quincepier.net.reading import WHOLE_WITHIN, Reading
 
 # Seconds: to a new connection's first whole request; to a close behind an answer.
--- a/quincepier/net/clients.py
+++ b/quincepier/net/clients.py
@@ -15,9 +15,9 @@
 
 from quincepier import clock
 from quincepier.clients import Caps, ConnectionRegistry, Turns, Verdict
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.client import ClientConnection
 from quincepier.net.lingering import LOOK_EVERY, Lingering
-from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.timers import ActiveClock, Wheel
 from quincepier.translate import class_table
 from quincepier.wire.errors import ProtocolError
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -19,21 +19,21 @@
 from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.memory.open_requests import OpenAttempt, OpenRequest, OpenRequestTable
 from quincepier.net.actor import Actor
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.cache import CacheActor
 from quincepier.net.cache_fleet import CacheFleet
 from quincepier.net.event_dates import EventDates
 from quincepier.net.first_byte_checks import check_first_byte
-from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.messages import (
-    Response,
-    CancelCommand,
-    RequestArrived,
-    RunHealthCheck,
-    HealthCheckFinished,
     AttemptFinished,
-    ClientDisconnected,
+    CancelCommand,
     ChangeLogEvent,
+    ClientDisconnected,
+    HealthCheckFinished,
+    RequestArrived,
+    Response,
     RevokeCommand,
+    RunHealthCheck,
     SendCommand,
     ToModule,
 )
--- a/quincepier/net/reading.py
+++ b/quincepier/net/reading.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 from quincepier import clock
-from quincepier.net.messages import RequestArrived, ClientDisconnected
+from quincepier.net.messages import ClientDisconnected, RequestArrived
 from quincepier.net.session import Session, cgi_head
 from quincepier.net.sockets import MOMENTARY_PAUSE, is_momentary
 from quincepier.net.writing import Writing
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -22,7 +22,7 @@
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.cache import CacheActor
 from quincepier.net.dialer import Dialer, Way
-from quincepier.net.messages import RequestArrived, ClientDisconnected, ChangeLogEvent
+from quincepier.net.messages import ChangeLogEvent, ClientDisconnected, RequestArrived
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors
 from quincepier.wire.changelog import BadRecord, read_changes
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -23,7 +23,7 @@
 from quincepier.net import sockets
 from quincepier.net.cache import CacheActor
 from quincepier.net.connection import Connection
-from quincepier.net.messages import RequestArrived, ClientDisconnected
+from quincepier.net.messages import ClientDisconnected, RequestArrived
 from quincepier.net.module import ModuleActor
 from quincepier.wire.changelog import read_changes
 from tests.frontkit import SETTINGS, Inbox, host, make_config, open_request
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -22,7 +22,7 @@
 from quincepier.memory.open_requests import OpenAttempt
 from quincepier.net.actor import Mailbox
 from quincepier.net.clients import ConnectionManager
-from quincepier.net.messages import RequestArrived, AttemptFinished, ClientDisconnected
+from quincepier.net.messages import AttemptFinished, ClientDisconnected, RequestArrived
 from quincepier.net.module import ModuleActor
 from quincepier.net.session import Outgoing, cgi_head
 from quincepier.net.sockets import Descriptors
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -21,7 +21,7 @@
 from quincepier.net.command_writer import CommandWriter
 from quincepier.net.connection import Connection
 from quincepier.net.first_byte_checks import check_first_byte
-from quincepier.net.messages import CancelCommand, AttemptFinished
+from quincepier.net.messages import AttemptFinished, CancelCommand
 from quincepier.policy.send_permission import Denial, find_denial
 from tests.attemptkit import BID, IMAGE, Inside, Wire, on_loop
 from tests.frontkit import Inbox, open_request
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -18,7 +18,7 @@
 from quincepier.lifecycle.front import Front
 from quincepier.net import connection
 from quincepier.net.actor import Actor
-from quincepier.net.messages import Response, RequestArrived, ChangeLogEvent
+from quincepier.net.messages import ChangeLogEvent, RequestArrived, Response
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import connect as plain
 from quincepier.wire.changelog import FleetChange, read_changes
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -21,7 +21,7 @@
 from quincepier.net import lingering
 from quincepier.net.client import ClientConnection
 from quincepier.net.clients import READS, ConnectionManager
-from quincepier.net.messages import Response, RequestArrived, ClientDisconnected
+from quincepier.net.messages import ClientDisconnected, RequestArrived, Response
 from quincepier.net.sockets import no_delay
 from tests.fcgikit import ABORT, Reader, begin, call, params, rec
 from tests.standins import until
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -20,7 +20,7 @@
 from quincepier.memory.open_requests import OpenAttempt
 from quincepier.net import sockets
 from quincepier.net.dialer import dial
-from quincepier.net.messages import Response, RequestArrived
+from quincepier.net.messages import RequestArrived, Response
 from quincepier.net.probe import Probe
 from quincepier.net.watch import POLL_GRACE, POLL_MS
 from quincepier.wire import lines
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -18,10 +18,10 @@
 from quincepier.memory.buffer_pool import BufferPool, PooledBody
 from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.net.actor import Mailbox
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.client import ClientConnection
 from quincepier.net.clients import READS, WAKES, ConnectionManager
-from quincepier.net.actor_dependencies import ActorDependencies
-from quincepier.net.messages import Response, RequestArrived, ToModule
+from quincepier.net.messages import RequestArrived, Response, ToModule
 from quincepier.net.sockets import Descriptors
 from tests.fcgikit import Reader, begin, call, params, rec
 from tests.frontkit import make_config
