--- a/quincepier/__main__.py
+++ b/quincepier/__main__.py
@@ -60,7 +60,7 @@
 from quincepier.lifecycle import signals
 
 if __name__ == "__main__":
-    signals.catch(sys.argv[1:2] == ["serve"])
+    signals.install_handlers(sys.argv[1:2] == ["serve"])
 
 from docopt import DocoptExit, docopt
 
@@ -84,7 +84,7 @@
     except DocoptExit as error:
         print(error, file=sys.stderr)
         return 2
-    signals.catch(bool(chosen["serve"]))
+    signals.install_handlers(bool(chosen["serve"]))
     if chosen["version"]:
         print(f"quincepier {__version__}")
         return 0
@@ -100,12 +100,12 @@
     place, operators = chosen["--operator"] or os.environ.get("ROUTER_OPERATOR"), None
     try:
         if place:
-            from quincepier.lifecycle.operators import Operators
+            from quincepier.lifecycle.operators import OperatorConfiguration
 
-            operators = Operators(place)
-        config = load_front(path=chosen["--config"], judge=operators.judge if operators else None)
+            operators = OperatorConfiguration(place)
+        config = load_front(path=chosen["--config"], judge=operators.parse_address if operators else None)
     except SettingsError as error:
-        signals.ignore()  # it ends with the code that tells why
+        signals.ignore_signals()  # it ends with the code that tells why
         print(f"quincepier: {error}; {error.advice}", file=sys.stderr)
         return 2
     if chosen["check-config"]:
@@ -113,7 +113,7 @@
         return 0
     from quincepier.lifecycle import front, logs
 
-    logs.set_up(operators.log_format if operators else "text")
+    logs.configure_logging(operators.log_format if operators else "text")
     return front.run(config, chosen["--config"], operators)
 
 
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -1,4 +1,4 @@
-"""One real front: its parts put together, started, drained and stopped."""
+"""The front process: creates the actors of a front, starts, drains and stops them."""
 
 from __future__ import annotations
 
@@ -23,207 +23,272 @@
 from quincepier.net.listener import Listener
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors, listen_once_possible
-from quincepier.net.watch import Watch
+from quincepier.net.watch import ChangeLogWatcher
 
-if TYPE_CHECKING:  # imported only where an operators' file is named
-    from quincepier.lifecycle.operators import Operators
+if TYPE_CHECKING:  # imported at run time only if an operator's file is named
+    from quincepier.lifecycle.operators import OperatorConfiguration
 
-TICK = 0.1  # seconds between looks at the loop's lag
-SWEEP_EVERY, TELL_EVERY = 2, 100  # ticks
-# After SIGTERM clients come on for up to 0.6 s; the kill comes the longest deadline, three seconds at most,
-# plus 0.7 s after it. What is open shortly before is answered as failed, as the process ends; what comes in
-# the time before that, on connections that are never free, is refused, as it would hardly be done by then.
-DRAIN_LEAST, DRAIN_DEADLINE_MOST, DRAIN_END, DRAIN_REFUSES = 0.75, 3.0, 0.45, 0.5
-GC_AFTER = 10_000  # new objects between looks for circles: what a request leaves has none
+TICK_S = 0.1  # interval of maintenance, by which the event loop's lag is measured
+SWEEP_INTERVAL_TICKS, COUNTER_LOG_INTERVAL_TICKS = 2, 100  # ticks
+# After SIGTERM, clients may connect for up to 0.6 s; the process is killed after the longest request deadline
+# (3 s at most) plus 0.7 s. DRAIN_END_MARGIN_S before the kill, open requests get a failure as their response
+# and the process ends. Requests that arrive in the REFUSAL_PERIOD_S before that, on connections that never
+# become idle, are rejected, since they would hardly finish in time.
+MIN_DRAIN_S, MAX_DRAINED_DEADLINE_S, DRAIN_END_MARGIN_S, REFUSAL_PERIOD_S = 0.75, 3.0, 0.45, 0.5
+GC_THRESHOLD_OBJECTS = 10_000  # between collections; requests create no reference cycles
 
 
 class Front:
+    """A front: its actors, its listener and the optional components of the operator's file.
+
+    Args:
+        config: The configuration.
+        path: The configuration's file, read again at SIGHUP; None for the default.
+        operators: The operator's file; None if none is named.
+
+    Attributes:
+        config: The configuration that the front started with.
+        config_path: The configuration's file.
+        checks: Counters, event log and invariant checks.
+        operator_configuration: The operator's file.
+        descriptors: Counts the front's sockets and holds the limits on them.
+        pool: The buffers for reads and response bodies.
+        module: The decision module's actor.
+        connection_manager: Manages the client connections.
+        change_log_watcher: Follows the change log.
+        state_persistence: Stores learned state, if the operator's file has the section `state`.
+        peer_network: Connects to other fronts, if it has the section `members`.
+        agreement_node: Agrees on rule versions with other fronts, if it has the section `agreement`.
+        stop_requested: Set by SIGTERM and SIGINT.
+        max_loop_lag_ns: Largest lag of the event loop so far.
+    """
+
     def __init__(
-        self, config: FrontConfig, path: str | None = None, operators: Operators | None = None
+        self, config: FrontConfig, path: str | None = None, operators: OperatorConfiguration | None = None
     ) -> None:
-        self.config, self.path, self.checks, self.operators = config, path, Checks(), operators
+        self.config, self.config_path, self.checks, self.operator_configuration = (
+            config,
+            path,
+            Checks(),
+            operators,
+        )
         budget = divide_memory(config.memory_mb, resident_bytes(), config.max_open)
         self.descriptors = Descriptors(config.sockets)
         reserve = self.descriptors.clients_most + self.descriptors.caches_most
         self.pool = BufferPool(budget.max_buffers, min(reserve, budget.max_buffers // 2))
-        self.module = ModuleActor(config, self.checks, self.pool, self.descriptors, self._make_room, budget)
+        self.module = ModuleActor(
+            config, self.checks, self.pool, self.descriptors, self._free_buffers, budget
+        )
         if operators is not None:
-            operators.equip(self.module)
-        places = operators.places if operators is not None else None
-        self.manager = ConnectionManager(self.module.means, lambda: self.module.standing, places)
-        self.watch = Watch(self.module.means)
-        self.keeper = operators.keeper(self.module) if operators is not None else None
-        self.peers = operators.peers(self.module) if operators is not None else None
-        self.fleet = operators.fleet(self.module, self.peers) if operators is not None else None
-        self.term = asyncio.Event()
-        self.lag_most = 0
-
-    def _make_room(self) -> None:
-        self.manager.make_room()
+            operators.configure_addresses(self.module)
+        client_limits = operators.client_connection_limits if operators is not None else None
+        self.connection_manager = ConnectionManager(
+            self.module.dependencies, lambda: self.module.has_endpoint_list, client_limits
+        )
+        self.change_log_watcher = ChangeLogWatcher(self.module.dependencies)
+        self.state_persistence = (
+            operators.create_state_persistence(self.module) if operators is not None else None
+        )
+        self.peer_network = operators.create_peer_network(self.module) if operators is not None else None
+        self.agreement_node = (
+            operators.create_agreement_node(self.module, self.peer_network) if operators is not None else None
+        )
+        self.stop_requested = asyncio.Event()
+        self.max_loop_lag_ns = 0
+
+    def _free_buffers(self) -> None:
+        self.connection_manager.make_room()
 
     async def serve(self) -> None:
-        """Until a SIGTERM or SIGINT has been drained. OSError or PeersError where an address can't be had."""
+        """Serve until a SIGTERM or SIGINT and the drain after it.
+
+        Raises:
+            OSError: The address to listen on is not available.
+            PeersError: The address for other fronts is not available.
+        """
         loop = asyncio.get_running_loop()
         sock = await listen_once_possible(self.config.listen, self.checks)
-        listener = Listener(self.manager, sock)
-        signals.tell(lambda: loop.call_soon_threadsafe(self._signalled))
-        self.module.begin()
-        if self.keeper is not None:
-            await self.keeper.restore()
-        if self.peers is not None:
-            await self.peers.start()
-        self.watch.start()
-        await self.watch.up_to_date()
-        if self.fleet is not None:
-            await self.fleet.start()
+        listener = Listener(self.connection_manager, sock)
+        signals.set_listener(lambda: loop.call_soon_threadsafe(self._on_signal))
+        self.module.start_with_known_events()
+        if self.state_persistence is not None:
+            await self.state_persistence.restore()
+        if self.peer_network is not None:
+            await self.peer_network.start()
+        self.change_log_watcher.start()
+        await self.change_log_watcher.wait_until_caught_up()
+        if self.agreement_node is not None:
+            await self.agreement_node.start()
         upkeep = loop.create_task(self._upkeep())
-        keeping = loop.create_task(self.keeper.run()) if self.keeper is not None else None
-        serves = not self.term.is_set()  # else it ends before anyone was told that it serves
+        persistence_task = (
+            loop.create_task(self.state_persistence.run()) if self.state_persistence is not None else None
+        )
+        serves = not self.stop_requested.is_set()  # a signal during the start ends it before it serves
         if serves:
             listener.start()
             self._log_serving()
             gc.collect()
             gc.freeze()
-            gc.set_threshold(GC_AFTER, 10, 10)
-            self.module.means.pauses.catch_up = self.watch.catch_up
-            self.module.means.pauses.start()  # the long turns of a start are none
-            await self.term.wait()
-        if self.peers is not None:
-            await self.peers.leave()
+            gc.set_threshold(GC_THRESHOLD_OBJECTS, 10, 10)
+            self.module.dependencies.pause_detector.catch_up = self.change_log_watcher.catch_up
+            # started only now, since the long loop iterations of a start are no pauses
+            self.module.dependencies.pause_detector.start()
+            await self.stop_requested.wait()
+        if self.peer_network is not None:
+            await self.peer_network.leave()
         if serves:
             await self._drain(listener)
         listener.close()
-        await self.manager.close_all()
-        signals.ignore()
-        if self.fleet is not None:
-            self.fleet.close()
-        if self.keeper is not None and keeping is not None:
-            keeping.cancel()
-            await self.keeper.write_final()
+        await self.connection_manager.close_all()
+        signals.ignore_signals()
+        if self.agreement_node is not None:
+            self.agreement_node.close()
+        if self.state_persistence is not None and persistence_task is not None:
+            persistence_task.cancel()
+            await self.state_persistence.write_final()
         upkeep.cancel()
-        self.module.means.pauses.stop()
-        actors: list[Actor[Any]] = [self.watch, *self.module.caches.values(), self.module]
+        self.module.dependencies.pause_detector.stop()
+        actors: list[Actor[Any]] = [self.change_log_watcher, *self.module.caches.values(), self.module]
         for actor in actors:
             actor.cancel()
         await asyncio.sleep(0)
         self._log_stopped()
 
-    def _signalled(self) -> None:
-        """In a turn of the loop: what came is done, several of one kind once."""
-        came = signals.take()
-        if came.intersection(signals.ENDING):
-            self.term.set()
-        if signal.SIGHUP in came:
+    def _on_signal(self) -> None:
+        """Act on the signals received, each kind once; runs in an iteration of the event loop."""
+        received = signals.take_received()
+        if received.intersection(signals.STOP_SIGNALS):
+            self.stop_requested.set()
+        if signal.SIGHUP in received:
             self.reload()
 
     def reload(self) -> None:
-        """SIGHUP: read both files again. Where one can't be used that is logged, and both old ones stay."""
-        means, file = self.module.means, None
+        """Read the configuration and the operator's file again, after SIGHUP.
+
+        If one of them is invalid, the faults are logged and both old files stay in force.
+        """
+        dependencies, operator_file = self.module.dependencies, None
         try:
-            config, now, later = reloaded(means.config, load_front(path=self.path, judge=means.judge))
-            if self.operators is not None:
-                file = self.operators.again()
+            config, applied, deferred = reloaded(
+                dependencies.config, load_front(path=self.config_path, judge=dependencies.parse_address)
+            )
+            if self.operator_configuration is not None:
+                operator_file = self.operator_configuration.read_file()
         except SettingsError as error:
             for fault in getattr(error, "faults", [str(error)]):
                 self.checks.event("configuration_rejected", fault)
             return
-        means.config = config
-        if self.operators is not None and file is not None:
-            changed, left = self.operators.take(file, self.module, self.manager)
-            if self.fleet is not None:
-                self.operators.wishes(self.fleet)
-            now, later = now + changed, later + left
+        dependencies.config = config
+        if self.operator_configuration is not None and operator_file is not None:
+            applied_sections, deferred_sections = self.operator_configuration.apply_file(
+                operator_file, self.module, self.connection_manager
+            )
+            if self.agreement_node is not None:
+                self.operator_configuration.update_agreement_node(self.agreement_node)
+            applied, deferred = applied + applied_sections, deferred + deferred_sections
         self.checks.count("configurations_reloaded")
-        told, held = ", ".join(now) or "nothing", ", ".join(later)
-        read = logger.bind(event="configuration_reloaded", keys=told)
-        read.info("configuration reloaded: {} changed", told)
-        if later:
-            told_later = logger.bind(event="restart_required", keys=held)
-            told_later.warning("restart required for: {}", held)
-        if "changelog" in now:
-            self.watch.move()
+        applied_keys, deferred_keys = ", ".join(applied) or "nothing", ", ".join(deferred)
+        log = logger.bind(event="configuration_reloaded", keys=applied_keys)
+        log.info("configuration reloaded: {} changed", applied_keys)
+        if deferred:
+            deferred_log = logger.bind(event="restart_required", keys=deferred_keys)
+            deferred_log.warning("restart required for: {}", deferred_keys)
+        if "changelog" in applied:
+            self.change_log_watcher.on_address_changed()
 
     async def _drain(self, listener: Listener) -> None:
-        """Serve on while clients may still come, then until nothing is open, and end before the kill."""
-        began = clock.now()
+        """Serve while clients may still connect, then until none is open; return before the kill."""
+        started_at_ns = clock.now()
         deadlines = [c.deadline / clock.SECOND for c in self.config.settings.classes]
-        most = min(max(deadlines, default=0.0), DRAIN_DEADLINE_MOST) + 0.7 - DRAIN_END
-        left = self.module.requests.unanswered
-        logger.bind(event="drain_started", requests=left).info("drain: {} requests open", left)
+        max_drain_s = min(max(deadlines, default=0.0), MAX_DRAINED_DEADLINE_S) + 0.7 - DRAIN_END_MARGIN_S
+        open_count = self.module.requests.unanswered
+        logger.bind(event="drain_started", requests=open_count).info("drain: {} requests open", open_count)
         while True:
-            await asyncio.sleep(TICK / 5)
-            spent = (clock.now() - began) / clock.SECOND
-            if spent >= DRAIN_LEAST:
-                all_taken = listener.stop()
-                self.manager.refusing = spent >= most - DRAIN_REFUSES
-                self.manager.drain()
-                if (all_taken and self._quiet()) or spent >= most:
+            await asyncio.sleep(TICK_S / 5)
+            elapsed_s = (clock.now() - started_at_ns) / clock.SECOND
+            if elapsed_s >= MIN_DRAIN_S:
+                is_backlog_empty = listener.stop()
+                self.connection_manager.refusing = elapsed_s >= max_drain_s - REFUSAL_PERIOD_S
+                self.connection_manager.drain()
+                if (is_backlog_empty and self._is_idle()) or elapsed_s >= max_drain_s:
                     break
-        self.manager.refusing = True  # nothing is taken any more that would be answered by nobody
-        if not self._quiet():
-            left = self.module.requests.unanswered
-            told = logger.bind(event="drain_deadline_reached", requests=left)
-            told.info("drain deadline reached with {} requests open, answered as failed", left)
-            self.module.fail_open()
+        self.connection_manager.refusing = True  # a request accepted from now on would get no response
+        if not self._is_idle():
+            open_count = self.module.requests.unanswered
+            log = logger.bind(event="drain_deadline_reached", requests=open_count)
+            log.info("drain deadline reached with {} requests open, answered as failed", open_count)
+            self.module.fail_open_requests()
 
-    def _quiet(self) -> bool:
-        """Nothing asked whole is unanswered; what is half-sent holds no drain up."""
-        return not self.module.requests.unanswered and self.manager.quiet()
+    def _is_idle(self) -> bool:
+        """Whether every complete request has its response; incomplete ones don't delay a drain."""
+        return not self.module.requests.unanswered and self.connection_manager.quiet()
 
     async def _upkeep(self) -> None:
-        """Sweep overdue and idle connections, watch the loop's lag, tell counters that moved."""
-        ticks, swept = 0, clock.now()
+        """Close overdue and idle connections, measure the event loop's lag, log counters that changed."""
+        ticks, swept_at_ns = 0, clock.now()
         while True:
-            before = clock.now()
-            await asyncio.sleep(TICK)
-            self.lag_most = max(self.lag_most, clock.now() - before - int(TICK * clock.SECOND))
+            slept_since_ns = clock.now()
+            await asyncio.sleep(TICK_S)
+            self.max_loop_lag_ns = max(
+                self.max_loop_lag_ns, clock.now() - slept_since_ns - int(TICK_S * clock.SECOND)
+            )
             ticks += 1
             try:
-                if ticks % SWEEP_EVERY == 0:
+                if ticks % SWEEP_INTERVAL_TICKS == 0:
                     now = clock.now()
-                    late = now - swept > 1.5 * SWEEP_EVERY * TICK * clock.SECOND  # by the front's own fault
-                    self.manager.sweep(now)
+                    # a late sweep is the fault of this process: its peers may not be stalled
+                    late = now - swept_at_ns > 1.5 * SWEEP_INTERVAL_TICKS * TICK_S * clock.SECOND
+                    self.connection_manager.sweep(now)
                     self.module.sweep(now, late)
-                    swept = now
+                    swept_at_ns = now
             except Exception as error:
                 self.checks.exception("exception_in_upkeep", error)
-            if ticks % TELL_EVERY == 0 and (moved := self.checks.changed()):
-                logger.bind(event="counters", detail=moved).info("counters: {}", moved)
+            if ticks % COUNTER_LOG_INTERVAL_TICKS == 0 and (counters := self.checks.changed()):
+                logger.bind(event="counters", detail=counters).info("counters: {}", counters)
 
     def _log_serving(self) -> None:
         host, port = self.config.listen
-        told = logger.bind(event="front_serving", front=self.config.name, address=f"{host}:{port}")
-        told.info("front {} serves on {}:{}", self.config.name, host, port)
+        log = logger.bind(event="front_serving", front=self.config.name, address=f"{host}:{port}")
+        log.info("front {} serves on {}:{}", self.config.name, host, port)
 
     def _log_stopped(self) -> None:
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        told = logger.bind(
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        log = logger.bind(
             event="front_stopped",
             front=self.config.name,
-            cpu_s=round(used.ru_utime + used.ru_stime, 2),
-            memory_kb=used.ru_maxrss,
+            cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
+            memory_kb=usage.ru_maxrss,
             descriptors=self.descriptors.peak,
-            lag_ms=round(self.lag_most / clock.MS),
+            lag_ms=round(self.max_loop_lag_ns / clock.MS),
             requests=self.module.requests.accepted,
         )
-        told.info(
+        log.info(
             "front {} stopped: CPU {:.2f} s, memory {:.0f} MB at most, descriptors {} at most, "
             "buffers {} of {}, loop lag {:.0f} ms at most, requests {}; counters: {}",
             self.config.name,
-            used.ru_utime + used.ru_stime,
-            used.ru_maxrss / 1024,
+            usage.ru_utime + usage.ru_stime,
+            usage.ru_maxrss / 1024,
             self.descriptors.peak,
             self.pool.allocated,
             self.pool.max_buffers,
-            self.lag_most / clock.MS,
+            self.max_loop_lag_ns / clock.MS,
             self.module.requests.accepted,
             ", ".join(f"{kind} {n}" for kind, n in sorted(self.checks.counts.items())) or "none",
         )
 
 
-def run(config: FrontConfig, path: str | None = None, operators: Operators | None = None) -> int:
-    """The exit code: 0 after a drain, 1 where the address can't be had."""
-    # where hundreds of fronts are played an io_uring is refused; libuv reads this as its first loop begins
+def run(config: FrontConfig, path: str | None = None, operators: OperatorConfiguration | None = None) -> int:
+    """Run a front until it has stopped.
+
+    Args:
+        config: The configuration.
+        path: The configuration's file; None for the default.
+        operators: The operator's file; None if none is named.
+
+    Returns:
+        The exit code: 0 after a drain, 1 if the front can't listen on its address, 2 for another error.
+    """
+    # io_uring fails with hundreds of fronts on one machine; libuv reads this as it starts its first loop
     os.environ.setdefault("UV_USE_IO_URING", "0")
     import uvloop
 
@@ -243,4 +308,4 @@
         try:
             return runner.run(main())
         finally:
-            signals.ignore()  # where it did not come to serve either
+            signals.ignore_signals()  # also if the front never came to serve
--- a/quincepier/lifecycle/logs.py
+++ b/quincepier/lifecycle/logs.py
@@ -1,4 +1,4 @@
-"""Log lines to standard error, without traces of variables: text, or one flat JSON object a line."""
+"""Logging to standard error as text or as one flat JSON object a line, without values of variables."""
 
 from __future__ import annotations
 
@@ -9,20 +9,19 @@
 from loguru import logger
 
 TEXT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZZ} {level: <7} {message}"
-FIELD_MOST = 500  # characters of a field's text
+MAX_FIELD_CHARACTERS = 500  # longer values of fields are cut
 
 
-def flat(record: Any) -> str:
-    """A record as JSON: `time` (RFC 3339), `level`, `event` (stable words), `fields` (texts and numbers).
+def to_json_line(record: Any) -> str:
+    """Return a record as JSON: `time` (RFC 3339), `level`, `event` (a stable name) and `fields`.
 
-    loguru's own `serialize` nests some twenty keys of the process and the source line, a kilobyte a line; its
-    record is what is written here, less those. Lines without an event of their own have their text as the
-    event.
+    loguru's own `serialize` adds some twenty nested keys about the process and the source line, a kilobyte a
+    line; they are left out here. A record without the extra key `event` has its message as the event.
     """
     extra = dict(record["extra"])
     extra.pop("flat", None)
     event = extra.pop("event", None)
-    fields = {k: v if isinstance(v, int | float) else str(v)[:FIELD_MOST] for k, v in extra.items()}
+    fields = {k: v if isinstance(v, int | float) else str(v)[:MAX_FIELD_CHARACTERS] for k, v in extra.items()}
     return json.dumps(
         {
             "time": record["time"].isoformat(timespec="milliseconds"),
@@ -33,15 +32,15 @@
     )
 
 
-def _flatten(record: Any) -> None:
-    record["extra"]["flat"] = flat(record)
+def _add_json_line(record: Any) -> None:
+    record["extra"]["flat"] = to_json_line(record)
 
 
-def set_up(form: str = "text") -> None:
-    """Log lines from here on: `text` or `json`."""
+def configure_logging(form: str = "text") -> None:
+    """Configure the format of log lines from now on: `text` or `json`."""
     logger.remove()
     json_lines = form == "json"
-    logger.configure(patcher=_flatten if json_lines else None)
+    logger.configure(patcher=_add_json_line if json_lines else None)
     logger.add(
         sys.stderr,
         format="{extra[flat]}" if json_lines else TEXT,
--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -1,6 +1,6 @@
-"""The operators' file in the life of a front: read at its start and at SIGHUP, its sections put to work.
+"""The operator's file: read at a front's start and at SIGHUP; its sections configure optional components.
 
-Imported only where a file is named.
+This module is imported only if an operator's file is named.
 """
 
 from __future__ import annotations
@@ -23,46 +23,57 @@
     from quincepier.net.state_persistence import StatePersistence
 
 
-ONLY_AT_A_START = ("state", "members", "agreement", "consistency")  # what they say changes at a start alone
-AT_A_START = ("addresses", *ONLY_AT_A_START)  # sections that come and go only at a start
+# sections whose changes take effect only at a start
+APPLIED_ONLY_AT_START = ("state", "members", "agreement", "consistency")
+ADDED_ONLY_AT_START = ("addresses", *APPLIED_ONLY_AT_START)  # sections added or removed only at a start
 
 
-NEEDS = {
+REQUIRED_SECTION_BY_NAME = {
     "agreement": "members",
     "maintenance": "agreement",
     "tenants": "agreement",
     "consistency": "agreement",
-}  # what a section would do nothing without
+}  # a section has no effect without the section that it requires
 
 
-def checked(path: str) -> OperatorFile:
-    """The file at a path; OperatorError also where a section lacks the one that it needs."""
+def load_and_check(path: str) -> OperatorFile:
+    """Read and check a file; OperatorError if it is invalid or lacks a section that another one requires."""
     file = load(path)
-    lacks = [
-        f"{path}: {name}: needs the section {other}: add it, or take {name} out"
-        for name, other in NEEDS.items()
-        if file.named(name) is not None and file.named(other) is None
+    faults = [
+        f"{path}: {name}: needs the section {required}: add it, or take {name} out"
+        for name, required in REQUIRED_SECTION_BY_NAME.items()
+        if file.named(name) is not None and file.named(required) is None
     ]
-    if lacks:
-        raise OperatorError(lacks)
+    if faults:
+        raise OperatorError(faults)
     return file
 
 
-class Operators:
-    """The file as it holds now."""
+class OperatorConfiguration:
+    """The operator's file in force, and the components that its sections configure.
+
+    Args:
+        path: The file.
+
+    Attributes:
+        path: The file.
+        file: Its contents in force.
+        quota_allocator: Divides tenants' quotas among the fronts, if the file has the section `members`.
+    """
 
     def __init__(self, path: str) -> None:
-        """Raises OperatorError with all that is wrong with the file."""
-        self.path, self.file = path, checked(path)
+        """Read the file; raises OperatorError with all its faults."""
+        self.path, self.file = path, load_and_check(path)
         self.quota_allocator: QuotaAllocator | None = None
 
     @property
     def log_format(self) -> str:
+        """Format of log lines: `text` or `json`."""
         return (self.file.get(LogSection) or LogSection()).format
 
     @property
-    def judge(self) -> Judge | None:
-        """Of the addresses in change-log records, where machines may have several."""
+    def parse_address(self) -> Judge | None:
+        """The parser of addresses in change-log records; None unless machines may have several addresses."""
         if self.file.named("addresses") is None:
             return None
         from quincepier.addresses import parse
@@ -71,6 +82,7 @@
 
     @property
     def summary(self) -> str:
+        """One line for `check-config`."""
         return f"operators' file is good: {', '.join(self.file.names) or 'no sections'}"
 
     def _addresses(self, file: OperatorFile) -> AddressesSection | None:
@@ -80,17 +92,17 @@
 
         return file.get(AddressesSection)
 
-    def equip(self, module: ModuleActor) -> None:
-        """Before the front serves: what the sections ask for."""
+    def configure_addresses(self, module: ModuleActor) -> None:
+        """Create the dialer for machines with several addresses, if the file has the section `addresses`."""
         section = self._addresses(self.file)
         if section is not None:
             from quincepier.net.dialer import Dialer
 
-            module.means.judge = self.judge
-            module.shared.dialer = Dialer(module.means, section, module.shared.descriptor)
+            module.dependencies.parse_address = self.parse_address
+            module.shared.dialer = Dialer(module.dependencies, section, module.shared.descriptor)
 
-    def keeper(self, module: ModuleActor) -> StatePersistence | None:
-        """Who keeps what was learned over starts."""
+    def create_state_persistence(self, module: ModuleActor) -> StatePersistence | None:
+        """Return the persistence of learned state; None without the section `state`."""
         if self.file.named("state") is None:
             return None
         from quincepier.net.state_persistence import StatePersistence
@@ -99,8 +111,12 @@
         section = self.file.get(StateSection)
         return None if section is None else StatePersistence(module, section)
 
-    def peers(self, module: ModuleActor) -> PeerNetwork | None:
-        """This front among the others; PeersError where the section has no place for it."""
+    def create_peer_network(self, module: ModuleActor) -> PeerNetwork | None:
+        """Return the network of fronts; None without the section `members`.
+
+        Raises:
+            PeersError: The section does not list this front.
+        """
         if self.file.named("members") is None:
             return None
         from quincepier.membership.section import MembersSection
@@ -110,12 +126,12 @@
         section = self.file.get(MembersSection)
         if section is None:
             return None
-        peers = PeerNetwork.from_section(section, module.config, module.means)
+        peers = PeerNetwork.from_section(section, module.config, module.dependencies)
         self.quota_allocator = QuotaAllocator(module, peers)
         return peers
 
-    def fleet(self, module: ModuleActor, peers: PeerNetwork | None) -> AgreementNode | None:
-        """What this front settles with the others."""
+    def create_agreement_node(self, module: ModuleActor, peers: PeerNetwork | None) -> AgreementNode | None:
+        """Return the node that agrees on rule versions; None without the section `agreement`."""
         if peers is None or self.file.named("agreement") is None:
             return None
         from quincepier.net.fleet.active_rules import ActiveRules
@@ -125,23 +141,25 @@
         section = self.file.get(AgreementSection)
         if section is None:
             return None
-        return AgreementNode(module, peers, section, ActiveRules(module, self.file), self._compared())
+        return AgreementNode(
+            module, peers, section, ActiveRules(module, self.file), self._consistency_section()
+        )
 
-    def _compared(self) -> ConsistencySection | None:
+    def _consistency_section(self) -> ConsistencySection | None:
         if self.file.named("consistency") is None:
             return None
         from quincepier.consistency.section import ConsistencySection
 
         return self.file.get(ConsistencySection)
 
-    def wishes(self, fleet: AgreementNode) -> None:
-        """The file as it holds now, read again."""
-        fleet.active_rules.load(self.file)
-        fleet.effects.apply()
+    def update_agreement_node(self, node: AgreementNode) -> None:
+        """Pass the file to the agreement node after a reload."""
+        node.active_rules.load(self.file)
+        node.effects.apply()
 
     @property
-    def places(self) -> Places | None:
-        """Whose clients' connections are whose, and how many each may have."""
+    def client_connection_limits(self) -> Places | None:
+        """Limits on connections by client network; None without the section `clients`."""
         if self.file.named("clients") is None:
             return None
         from quincepier.clients.section import ClientsSection, Places
@@ -149,24 +167,32 @@
         section = self.file.get(ClientsSection)
         return None if section is None else Places(section)
 
-    def again(self) -> OperatorFile:
-        """The file read anew, checked and not yet in force; raises OperatorError."""
-        return checked(self.path)
+    def read_file(self) -> OperatorFile:
+        """Read and check the file again without applying it; raises OperatorError."""
+        return load_and_check(self.path)
 
-    def take(
+    def apply_file(
         self, file: OperatorFile, module: ModuleActor, manager: ConnectionManager
     ) -> tuple[list[str], list[str]]:
-        """Put a file in force that was read anew: the sections that changed, and those left for a start."""
+        """Apply a file that was read again.
+
+        Returns:
+            Names of the changed sections that were applied, and of those that take effect at the next start.
+        """
         names = dict.fromkeys((*self.file.names, *file.names))
-        differ = [name for name in names if file.named(name) != self.file.named(name)]
-        once = [name for name in differ if None in (file.named(name), self.file.named(name))]
-        later = [n for n in differ if n in ONLY_AT_A_START or (n in once and n in AT_A_START)]
+        changed = [name for name in names if file.named(name) != self.file.named(name)]
+        added_or_removed = [name for name in changed if None in (file.named(name), self.file.named(name))]
+        deferred = [
+            name
+            for name in changed
+            if name in APPLIED_ONLY_AT_START or (name in added_or_removed and name in ADDED_ONLY_AT_START)
+        ]
         self.file = file
-        if "log" in differ:
-            logs.set_up(self.log_format)
+        if "log" in changed:
+            logs.configure_logging(self.log_format)
         section = self._addresses(file)
-        if "addresses" in differ and "addresses" not in later and section is not None:
-            module.follow_addresses(section)
-        if "clients" in differ:
-            manager.follow(self.places)
-        return [n for n in differ if n not in later], later
+        if "addresses" in changed and "addresses" not in deferred and section is not None:
+            module.apply_address_settings(section)
+        if "clients" in changed:
+            manager.follow(self.client_connection_limits)
+        return [name for name in changed if name not in deferred], deferred
--- a/quincepier/lifecycle/signals.py
+++ b/quincepier/lifecycle/signals.py
@@ -1,8 +1,9 @@
-"""SIGTERM, SIGINT and SIGHUP from the first moment to the last: an end with an exit code, or service goes on.
+"""Handlers of SIGTERM, SIGINT and SIGHUP from the start of the process to its end.
 
-Handlers are the process's own, not the event loop's, whose are undone as it closes. What came is told to the
-front in a turn of its loop: a handler runs between any two lines, and would read a configuration anew inside
-another reading, or in the middle of the module's work.
+At any time, a signal to stop ends the process with an exit code, and SIGHUP does not end it. The handlers
+are installed in the process, not in the event loop, which removes its own as it closes. A handler runs
+between any two bytecodes, where a reload could interrupt another reload or the decision module; so it only
+notes the signal, and the front acts on it in an iteration of its loop.
 """
 
 from __future__ import annotations
@@ -12,43 +13,49 @@
 from collections.abc import Callable
 from types import FrameType
 
-ENDING = (signal.SIGTERM, signal.SIGINT)
-_noted: set[int] = set()  # came and not taken yet
-_told: Callable[[], object] | None = None
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+_received: set[int] = set()  # received since the last `take_received`
+_listener: Callable[[], object] | None = None
 
 
-def _came(number: int, frame: FrameType | None) -> None:
-    if _told is None and number in ENDING:
-        os._exit(0)  # nothing is taken yet; an exception could be lost in whatever line this is
-    _noted.add(number)
-    if _told is not None:
-        _told()
+def _on_signal(number: int, frame: FrameType | None) -> None:
+    if _listener is None and number in STOP_SIGNALS:
+        os._exit(
+            0
+        )  # no request was accepted yet; an exception raised here could be swallowed by the interrupted code
+    _received.add(number)
+    if _listener is not None:
+        _listener()
 
 
-def catch(serves: bool) -> None:
-    """From here on SIGHUP is noted, and of a program that `serves` SIGTERM and SIGINT are an end with 0."""
-    for number in (signal.SIGHUP, *(ENDING if serves else ())):
-        signal.signal(number, _came)
+def install_handlers(serves: bool) -> None:
+    """Note SIGHUP from now on; in a process that serves, handle SIGTERM and SIGINT too.
 
+    Args:
+        serves: The process is to serve: until `set_listener`, signals to stop end it with exit code 0.
+    """
+    for number in (signal.SIGHUP, *(STOP_SIGNALS if serves else ())):
+        signal.signal(number, _on_signal)
 
-def tell(told: Callable[[], object]) -> None:
-    """Who is told from now on that something was noted, at once for what came before."""
-    global _told
-    _told = told
-    if _noted:
-        told()
 
+def set_listener(listener: Callable[[], object]) -> None:
+    """Call `listener` on each signal from now on, and at once if one was received before."""
+    global _listener
+    _listener = listener
+    if _received:
+        listener()
 
-def take() -> set[int]:
-    """What came since it was taken last, each once."""
-    taken = set(_noted)
-    _noted.difference_update(taken)
-    return taken
 
+def take_received() -> set[int]:
+    """Return the signals received since the last call, each once."""
+    received = set(_received)
+    _received.difference_update(received)
+    return received
 
-def ignore() -> None:
-    """The end has come: no signal has anything more to say, up to the process's last moment."""
-    for number in (signal.SIGHUP, *ENDING):
-        # the interpreter puts handlers of ours back to the default as it stops
+
+def ignore_signals() -> None:
+    """Ignore all signals until the process has ended."""
+    for number in (signal.SIGHUP, *STOP_SIGNALS):
+        # the interpreter resets Python handlers to the default as it finalizes, but not SIG_IGN
         signal.signal(number, signal.SIG_IGN)
-    _noted.clear()
+    _received.clear()
--- a/quincepier/memory/buffer_pool.py
+++ b/quincepier/memory/buffer_pool.py
@@ -9,7 +9,7 @@
 
 
 class BufferPool:
-    """Buffers of `BUFFER_SIZE` bytes which are reused, with a hard limit on their number.
+    """Reusable buffers of `BUFFER_SIZE` bytes, with a hard limit on their number.
 
     Args:
         max_buffers: Limit on the buffers allocated at any time.
@@ -17,7 +17,7 @@
 
     Attributes:
         allocated: Buffers allocated so far, in use or free.
-        on_release: Called after buffers have come back, if set.
+        on_release: Called after buffers were released, if set.
     """
 
     def __init__(self, max_buffers: int, reserved: int = 0) -> None:
@@ -68,7 +68,7 @@
 
     @classmethod
     def allocate(cls, pool: BufferPool, length: int) -> PooledBody | None:
-        """Return an empty body with room for `length` bytes, or None if the pool has too little room."""
+        """Return an empty body for up to `length` bytes, or None if the pool has too few free buffers."""
         buffers = pool.acquire(-(-length // BUFFER_SIZE), pool.reserved)
         return None if buffers is None else cls(pool, buffers)
 
--- a/quincepier/memory/machine_directory.py
+++ b/quincepier/memory/machine_directory.py
@@ -1,4 +1,4 @@
-"""The machine directory: machine numbers by host id and back, and what the endpoint list said last of each.
+"""The machine directory: machine numbers by host id and back, and the newest list record of each machine.
 
 A number follows from the host id alone, so that all fronts hash an object to the same machine.
 """
@@ -18,7 +18,7 @@
 CELL_MASK = 0xFFFF
 
 
-def _as_told(born_ms: int) -> int:
+def _unix_ms_to_ns(born_ms: int) -> int:
     return born_ms * MS
 
 
@@ -36,7 +36,7 @@
     Args:
         zones: Names of the zones, in the order of their numbers.
         kinds: Names of the kinds of machine, in the order of their numbers.
-        start_of: A start's Unix millisecond as a time of the monotonic clock, ns; 0 (long ago) stays 0.
+        convert_start: Converts a start, Unix milliseconds, to ns of the monotonic clock; 0 stays 0.
 
     Attributes:
         entry_by_host: The listed machines, by host id.
@@ -44,9 +44,12 @@
     """
 
     def __init__(
-        self, zones: tuple[str, ...], kinds: tuple[str, ...], start_of: Callable[[int], int] = _as_told
+        self,
+        zones: tuple[str, ...],
+        kinds: tuple[str, ...],
+        convert_start: Callable[[int], int] = _unix_ms_to_ns,
     ) -> None:
-        self._start_of = start_of
+        self._convert_start = convert_start
         self.zone_by_name = {name: zone for zone, name in enumerate(zones)}
         self.kind_by_name = {name: kind for kind, name in enumerate(kinds)}
         self.entry_by_host: dict[str, MachineEntry] = {}
@@ -86,10 +89,10 @@
         previous = self.entry_by_host.get(record.host)
         if previous is not None and previous.record.born_ms == record.born_ms:
             return previous.machine.up_since
-        return self._start_of(record.born_ms)
+        return self._convert_start(record.born_ms)
 
-    def date_again(self, starts_ms: Collection[int]) -> tuple[Endpoint, ...]:
-        """Date these starts again; return the machines whose start proves earlier.
+    def redate_starts(self, starts_ms: Collection[int]) -> tuple[Endpoint, ...]:
+        """Convert these starts again; return the machines whose start proves earlier.
 
         Args:
             starts_ms: Starts as listed, Unix milliseconds.
@@ -100,7 +103,7 @@
         for entry in self.entry_by_host.values():
             if entry.record.born_ms not in starts_ms:
                 continue
-            up_since = self._start_of(entry.record.born_ms)
+            up_since = self._convert_start(entry.record.born_ms)
             if up_since < entry.machine.up_since:
                 entry.machine = replace(entry.machine, up_since=up_since)
                 changed.append(entry.machine)
--- a/quincepier/memory/memory_budget.py
+++ b/quincepier/memory/memory_budget.py
@@ -1,4 +1,4 @@
-"""Divides the memory limit: what the process uses itself is measured, the remainder is split by purpose."""
+"""Divides the memory limit: the resident size of the process is measured, the rest is split by purpose."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 MB = 1024 * 1024
 DEFAULT_RESIDENT_BYTES = 30 * MB  # assumed where the system does not report the resident size
 HEADROOM_FRACTION = 0.15  # of the limit: growth of the process, the kernel's buffers, files
-MIN_DIVIDED_FRACTION = 0.1  # of the limit: divided even where the process leaves less
-# Fractions of what is divided; connections and tables use the remainder.
+MIN_DIVIDED_FRACTION = 0.1  # of the limit: divided at least, even if the process leaves less
+# Fractions of the divided memory; connections and tables use the rest.
 BUFFER_FRACTION = 0.5
 BODY_FRACTION = 0.12
 REQUEST_FRACTION = 0.2
@@ -52,7 +52,7 @@
     Args:
         memory_mb: The limit of the process, in megabytes.
         resident: Bytes that the process uses before it serves.
-        max_open_requests: Upper limit on open requests, whatever memory there is.
+        max_open_requests: Upper limit on open requests, however much memory there is.
     """
     limit = memory_mb * MB
     divided = max(limit * (1 - HEADROOM_FRACTION) - resident, limit * MIN_DIVIDED_FRACTION)
--- a/quincepier/memory/open_requests.py
+++ b/quincepier/memory/open_requests.py
@@ -1,4 +1,4 @@
-"""The table of open requests and their attempts; a request number is not reused while it may still matter."""
+"""The table of open requests and their attempts; the number of an open request is not reused."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class AttemptState(Enum):
-    """Where an attempt stands at its server; TRANSITIONS has the allowed changes, docs/design.md a drawing.
+    """State of an attempt at its server; TRANSITIONS has the allowed changes, docs/design.md a diagram.
 
-    A state says nothing of whether the outcome was told: that is `OpenAttempt.is_ended`.
+    It does not say whether the outcome was reported to the router: that is `OpenAttempt.is_completed`.
     """
 
-    QUEUED = "queued"  # no byte of its command was taken
-    SENT = "sent"  # a byte was: the server may run it
-    CANCELLED = "cancelled"  # nobody waits for it any more, but its server does not know: it may still run
-    CLOSED = "closed"  # never sent, answered whole, its cancel out whole, or its connection closed
+    QUEUED = "queued"  # no byte of its command was sent
+    SENT = "sent"  # its first byte was sent: the server may run it
+    CANCELLED = "cancelled"  # nobody waits for it any more, but its server was not notified: it may still run
+    CLOSED = "closed"  # never sent, response complete, cancel command sent completely, or connection closed
 
 
 TRANSITIONS = {
@@ -32,13 +32,13 @@
 class ResponseReceiver(Protocol):
     """The client connection that sent a request and takes its response."""
 
-    def push(self, answer: Any) -> None:
+    def push(self, response: Any) -> None:
         """Queue a response for the client."""
 
     def check_client(self, now_ns: int) -> bool:
-        """Read what the client has sent, such as an abort or a close, unless that was done lately.
+        """Read from the client's connection, to detect an abort or a close, unless that was done recently.
 
-        Return whether what it sent a short time ago has been read.
+        Return whether everything that the client sent up to a short time ago has been read.
         """
 
 
@@ -49,28 +49,28 @@
     Attributes:
         receiver: Where the response goes.
         stream_id: The request's number on that connection.
-        job_id: The client's id of the request; one of the requests on the wire to caches.
+        job_id: The client's id of the request; it identifies the request on the wire to caches too.
         class_index: Index of its class in the settings.
         class_name: Name of that class.
         object_key: The object's id as text, 16 hexadecimal digits.
         object_id: The same as a number.
-        part: Which part of the object is asked for.
-        group: The object's group, of which all may be purged together.
-        is_repeat: Whether the client has sent it before.
+        part: Number of the requested part of the object.
+        group: The object's group; all objects of a group may be purged together.
+        is_repeat: Whether the client sent the same request before.
         known_version: Version of the object that the client holds; empty if it holds none.
         allowed_ns: How long the client waits for a response.
-        received_at_ns: When its last byte was read, or its connection stood in line to be read.
-        earliest_arrival_ns: From when its time counts: before `received_at_ns` where it may have lain in the
-            socket while the process stood still.
+        received_at_ns: When its last byte was read, or its connection was queued to be read.
+        earliest_arrival_ns: Start of `allowed_ns`; before `received_at_ns` if the request may have been in
+            the socket during a process pause.
         body: The request's body.
-        idempotency_key: Of a write that caches deduplicate by this key; passed on unchanged.
+        idempotency_key: Key by which caches deduplicate a write; passed on unchanged.
         number: Its number in the table; -1 before it is added.
-        is_finished: It has its final response, or the client has gone.
-        is_cancelled: The client closed or cancelled it; its connection sets this before the router is told.
-        left_at_ns: When that was; 0: it has not.
-        tenant: Its tenant, where placement of tenants is in force.
+        is_finished: It has its final response, or the client has disconnected.
+        is_cancelled: The client aborted it or disconnected; set before the router is notified.
+        disconnected_at_ns: When `is_cancelled` was set; 0 if it is not.
+        tenant: Its tenant, if tenants are placed on shards.
         shard: The shard at which the tenant was placed.
-        allows_second_copy: Whether an attempt may begin while another one is not closed.
+        allows_second_copy: Whether an attempt may begin while another attempt is not closed.
         attempts: All attempts, in their order.
     """
 
@@ -93,44 +93,44 @@
     number: int = -1
     is_finished: bool = False
     is_cancelled: bool = False
-    left_at_ns: int = 0
+    disconnected_at_ns: int = 0
     tenant: str = ""
     shard: str = ""
     allows_second_copy: bool = True
     attempts: list[OpenAttempt] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Count from when it was read, where nothing else is known."""
+        """Let its time start when it was read, unless an earlier arrival is known."""
         self.earliest_arrival_ns = self.earliest_arrival_ns or self.received_at_ns
 
     def cancel(self, now_ns: int) -> None:
-        """Note that the client has closed or cancelled it: nothing begins for it from now on."""
+        """Note that the client aborted it or disconnected: no attempt starts for it from now on."""
         if not self.is_cancelled:
-            self.is_cancelled, self.left_at_ns = True, now_ns
+            self.is_cancelled, self.disconnected_at_ns = True, now_ns
 
     def time_left(self, now_ns: int) -> int:
-        """Return for how many ns its client still waits, 0 at least."""
+        """Return how long its client still waits, in ns; 0 if the time is over."""
         return max(self.allowed_ns - (now_ns - self.earliest_arrival_ns), 0)
 
 
 @dataclass(slots=True, eq=False)
 class OpenAttempt:
-    """One attempt to have a request answered by a cache.
+    """One attempt to get the response to a request from a cache.
 
     Attributes:
         request: The request it belongs to.
         number: Its index among the request's attempts.
         cache: Number of the machine it is sent to.
         started_at_ns: When it was started.
-        source: Number of the machine the cache fills from; -1 for none.
-        is_ended: Its outcome was told: no more is waited for. Its server may not know yet; see `state`.
-        state: Where it stands at its server.
-        is_revoked: By a purge, or as its cache or source leaves: its first byte must not be sent.
-        first_byte_deadline_ns: From then on its first byte would be a repeat that may do harm; 0 for none.
-        deadline_ns: When nobody waits for its answer any more.
-        revoked_at_ns: When it was revoked; 0: it is not.
-        first_byte_at_ns: When its first byte went out; 0: none has.
-        closed_at_ns: When it was closed; 0: it is not.
+        source: Number of the machine that the cache fetches from; -1 for none.
+        is_completed: Its outcome was reported to the router. Its server may still run it; see `state`.
+        state: Its state at its server.
+        is_revoked: Its first byte must not be sent any more, after a purge or as its cache or source leaves.
+        first_byte_deadline_ns: Its first byte must not be sent later, as a repeat might do harm; 0 for none.
+        deadline_ns: When it times out.
+        revoked_at_ns: When it was revoked; 0 if it was not.
+        first_byte_at_ns: When its first byte was sent; 0 if it was not.
+        closed_at_ns: When it was closed; 0 if it was not.
     """
 
     request: OpenRequest
@@ -138,7 +138,7 @@
     cache: int
     started_at_ns: int
     source: int = -1
-    is_ended: bool = False
+    is_completed: bool = False
     is_revoked: bool = False
     first_byte_deadline_ns: int = 0
     deadline_ns: int = 0
@@ -149,30 +149,30 @@
 
     @property
     def may_run(self) -> bool:
-        """Whether its server may run it now: sent, and neither answered nor given up there."""
+        """Whether its server may run it now: it was sent, and it is not closed."""
         return self.state in (AttemptState.SENT, AttemptState.CANCELLED)
 
     def on_first_byte(self, now_ns: int) -> None:
-        """Note that a byte of its command was taken."""
+        """Note that the first byte of its command was sent."""
         self._enter(AttemptState.SENT)
         self.first_byte_at_ns = now_ns
 
     def on_cancelled(self) -> None:
-        """Note that nobody waits for it, and that its server is not told yet."""
+        """Note that nobody waits for it any more, while its server is not notified yet."""
         self._enter(AttemptState.CANCELLED)
 
     def on_closed(self, now_ns: int) -> None:
-        """Note that its server does not run it any more, or never did."""
+        """Note that its server can't run it any more, or never ran it."""
         self._enter(AttemptState.CLOSED)
         self.closed_at_ns = now_ns
 
     def _enter(self, state: AttemptState) -> None:
         if state not in TRANSITIONS[self.state]:
-            raise AssertionError(f"an attempt goes from {self.state.value} to {state.value}")
+            raise AssertionError(f"invalid transition of an attempt from {self.state.value} to {state.value}")
         self.state = state
 
     def revoke(self, now_ns: int) -> None:
-        """Note that its first byte must not be sent from now on; where it was, that is of no effect."""
+        """Note that its first byte must not be sent from now on; no effect if it was sent before."""
         if not self.is_revoked:
             self.is_revoked, self.revoked_at_ns = True, now_ns
 
@@ -185,8 +185,8 @@
 
     Attributes:
         request_by_number: The open requests.
-        job_ids: Client's ids of the open requests; none of these may be used for anything else on the wire.
-        next_number: The number to be tried next.
+        job_ids: Clients' ids of the open requests; each identifies one request on the wire.
+        next_number: The next number to assign, if it is free.
         unanswered: Requests without a final response.
         accepted: Requests added so far.
     """
@@ -233,7 +233,7 @@
 
     def remove_if_done(self, request: OpenRequest) -> None:
         """Remove a request that is finished and whose attempts have all ended."""
-        is_done = request.is_finished and all(attempt.is_ended for attempt in request.attempts)
+        is_done = request.is_finished and all(attempt.is_completed for attempt in request.attempts)
         if is_done and self.request_by_number.pop(request.number, None) is not None:
             self.job_ids.discard(request.job_id)
-            request.attempts = []  # each refers back: without the cycle they are freed at once
+            request.attempts = []  # breaks the reference cycle, so that they are freed at once
--- a/quincepier/net/__init__.py
+++ b/quincepier/net/__init__.py
@@ -1,1 +1,1 @@
-"""Actors on sockets: client connections, caches, the change log and the module."""
+"""The actors of a front: client connections, cache connections, the change log and the decision module."""
--- a/quincepier/net/actor.py
+++ b/quincepier/net/actor.py
@@ -1,4 +1,7 @@
-"""Mailboxes and actors: one task, one bounded queue, messages in order. No locks, no threads."""
+"""Mailboxes and actors.
+
+An actor is one task that handles the messages of its bounded mailbox one at a time, without locks or threads.
+"""
 
 from __future__ import annotations
 
@@ -13,79 +16,103 @@
 
 
 class Mailbox(Generic[M]):
-    """Three bounded queues, taken in order: what must not wait, what is under way, and new work."""
+    """Three queues, emptied in this order: urgent messages, messages about work in progress, new work.
+
+    Args:
+        max_messages: Limit on queued messages for `try_push` and on new work for `try_push_new_work`.
+
+    Attributes:
+        queue: Messages about work in progress.
+        urgent: Messages taken before all others.
+        new_work: Messages taken after all others.
+        waiter: Set while the actor waits for a message.
+    """
 
     def __init__(self, most: int) -> None:
-        self.most = most
+        self.max_messages = most
         self.queue: deque[M] = deque()
-        self.first: deque[M] = deque()  # taken before all others, and after all others
-        self.last: deque[M] = deque()
-        self.reader: asyncio.Future[None] | None = None
+        self.urgent: deque[M] = deque()
+        self.new_work: deque[M] = deque()
+        self.waiter: asyncio.Future[None] | None = None
 
     def __len__(self) -> int:
-        return len(self.queue) + len(self.first) + len(self.last)
+        return len(self.queue) + len(self.urgent) + len(self.new_work)
 
-    def offer(self, message: M) -> bool:
-        """Whether there was room for the message."""
-        if len(self) >= self.most:
+    def try_push(self, message: M) -> bool:
+        """Queue a message; return False if the mailbox is full."""
+        if len(self) >= self.max_messages:
             return False
         self.queue.append(message)
         self.wake()
         return True
 
-    def urge(self, message: M) -> None:
-        """For what must not wait behind anything else."""
-        self.first.append(message)
+    def push_urgent(self, message: M) -> None:
+        """Queue a message ahead of all others. There is no limit on these."""
+        self.urgent.append(message)
         self.wake()
 
-    def add(self, message: M) -> bool:
-        """For new work, which waits for all that is under way; whether there was room for it."""
-        if len(self.last) >= self.most:
+    def try_push_new_work(self, message: M) -> bool:
+        """Queue new work behind all other messages; return False if too much new work is queued."""
+        if len(self.new_work) >= self.max_messages:
             return False
-        self.last.append(message)
+        self.new_work.append(message)
         self.wake()
         return True
 
     def push(self, message: M) -> None:
-        """Take a message whatever is queued: for those whose number is bounded by what is open."""
+        """Queue a message without a limit: for messages whose number open requests and attempts bound."""
         self.queue.append(message)
         self.wake()
 
     def wake(self) -> None:
-        """Let the reader look up, message or not."""
-        if self.reader is not None and not self.reader.done():
-            self.reader.set_result(None)
+        """Wake the waiting actor, even without a message."""
+        if self.waiter is not None and not self.waiter.done():
+            self.waiter.set_result(None)
 
     def take(self) -> M | None:
-        lane = self.first or self.queue or self.last
+        """Remove and return the next message; None if there is none."""
+        lane = self.urgent or self.queue or self.new_work
         if not lane:
             return None
         return lane.popleft()
 
     async def wait(self) -> None:
-        """Until there is a message or a wake."""
+        """Wait for a message or a call of `wake`."""
         if not len(self):
-            self.reader = asyncio.get_running_loop().create_future()
+            self.waiter = asyncio.get_running_loop().create_future()
             try:
-                await self.reader
+                await self.waiter
             finally:
-                self.reader = None
+                self.waiter = None
 
 
 class Actor(Generic[M]):
-    """Owns its state and a mailbox. An exception ends one message or task; it is counted and logged."""
+    """One task that owns its state and handles the messages of its mailbox.
+
+    An exception ends the handling of one message, or one task; it is counted and logged.
+
+    Args:
+        checks: Counters and event log.
+        max_mailbox_size: Limit of the mailbox.
+
+    Attributes:
+        name: Name of the actor in log events.
+        tasks: The tasks that are running.
+    """
 
     name = "actor"
 
-    def __init__(self, checks: Checks, mailbox_most: int) -> None:
+    def __init__(self, checks: Checks, max_mailbox_size: int) -> None:
         self.checks = checks
-        self.mailbox: Mailbox[M] = Mailbox(mailbox_most)
+        self.mailbox: Mailbox[M] = Mailbox(max_mailbox_size)
         self.tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
+        """Start handling messages."""
         self.spawn(self.run())
 
     def spawn(self, work: Awaitable[None]) -> asyncio.Task[None]:
+        """Start a task of this actor; an exception in it is logged and counted."""
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(self._guard(work))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -100,25 +127,28 @@
             self.checks.exception(f"exception_in_{self.name}_actor", error)
 
     async def run(self) -> None:
+        """Handle messages until cancelled."""
         while True:
             while (message := self.mailbox.take()) is not None:
-                self.safely(message)
+                self.handle_safely(message)
             await self.mailbox.wait()
 
-    def safely(self, message: M) -> None:
-        """One message; what goes wrong with it ends nothing but what it was about."""
+    def handle_safely(self, message: M) -> None:
+        """Handle one message; an exception ends only the request or attempt that the message is about."""
         try:
             self.handle(message)
         except Exception as error:
             self.checks.exception(f"exception_in_{self.name}_actor", error, about=type(message).__name__)
-            self.spoiled(message)
+            self.on_handling_failed(message)
 
     def handle(self, message: M) -> None:
+        """Handle one message."""
         raise NotImplementedError
 
-    def spoiled(self, message: M) -> None:
-        """End what a message was about whose handling broke."""
+    def on_handling_failed(self, message: M) -> None:
+        """Fail the request or attempt of a message whose handling raised an exception."""
 
     def cancel(self) -> None:
+        """Cancel all tasks of this actor."""
         for task in list(self.tasks):
             task.cancel()
--- a/quincepier/net/actor_dependencies.py
+++ b/quincepier/net/actor_dependencies.py
@@ -1,4 +1,4 @@
-"""What the actors of one front have in common."""
+"""The objects that all actors of one front share."""
 
 from __future__ import annotations
 
@@ -17,14 +17,29 @@
 
 @dataclass(slots=True)
 class ActorDependencies:
-    config: FrontConfig  # replaced as a whole when a new one is read
+    """Configuration and shared resources, passed to every actor of a front.
+
+    Attributes:
+        config: The configuration; a reload replaces the whole object.
+        checks: Counters, event log and invariant checks.
+        buffer_pool: The buffers for reads and response bodies.
+        descriptors: Counts the front's sockets and holds the limits on them.
+        module_mailbox: Mailbox of the decision module's actor.
+        memory_budget: Limits that follow from the memory limit.
+        parse_address: Parses an address in a change-log record; None unless the operator's file has the
+            section `addresses`, by which a machine may have several addresses.
+        pause_detector: Detects that the process did not run for a while.
+    """
+
+    config: FrontConfig
     checks: Checks
-    pool: BufferPool
+    buffer_pool: BufferPool
     descriptors: Descriptors
-    module: Mailbox[ToModule]
-    budget: MemoryBudget
-    judge: Judge | None = None  # of addresses, where machines may have several
-    pauses: PauseDetector = field(init=False)
+    module_mailbox: Mailbox[ToModule]
+    memory_budget: MemoryBudget
+    parse_address: Judge | None = None
+    pause_detector: PauseDetector = field(init=False)
 
     def __post_init__(self) -> None:
-        self.pauses = PauseDetector(self.checks)
+        """Create the pause detector, which reports to the same checks."""
+        self.pause_detector = PauseDetector(self.checks)
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -71,14 +71,14 @@
                 now = clock.now()
                 self._send(tag, Probe(tag, now), probe, now + self.shared.config.dial_timeout)
 
-    def spoiled(self, message: ToCache) -> None:
+    def on_handling_failed(self, message: ToCache) -> None:
         """An exception left an attempt half handled."""
         if isinstance(message, SendCommand | CancelCommand):
             self._abandon(message.attempt)
 
     def _abandon(self, attempt: OpenAttempt) -> None:
         """It may have run or not: its connection is closed, and its outcome is told once that is done."""
-        if attempt.is_ended:
+        if attempt.is_completed:
             return
         if attempt in self.out:
             _, connection = self.out[attempt]
@@ -217,7 +217,7 @@
                 connection.open.pop(id, None)
                 connection.past(id)
                 self.ended(what, ending, clock.now())
-        elif isinstance(what, OpenAttempt) and what.request.is_finished and not what.is_ended:
+        elif isinstance(what, OpenAttempt) and what.request.is_finished and not what.is_completed:
             self.ended(what, ending, clock.now())  # its cancel waits, and now nothing may begin in its place
 
     def _over(self, what: OpenAttempt | Probe) -> None:
@@ -233,9 +233,9 @@
         self._over(what)
         if isinstance(what, Probe):
             self.shared.module.push(HealthCheckFinished(self.number, ending, at - what.at, ()))
-        elif self.checks.must(not what.is_ended, "attempt_completes_once"):
-            what.is_ended = True
-            self.shared.module.push(AttemptFinished(what, ending, at, another_way=another_way))
+        elif self.checks.must(not what.is_completed, "attempt_completes_once"):
+            what.is_completed = True
+            self.shared.module.push(AttemptFinished(what, ending, at, has_alternative_address=another_way))
 
     def answered(self, what: OpenAttempt | Probe, head: lines.Head, body: PooledBody | None, at: int) -> None:
         self._over(what)
@@ -244,8 +244,8 @@
             self.shared.module.push(
                 HealthCheckFinished(self.number, PROBE_WORDS[head.word], at - what.at, report)
             )
-        elif self.checks.must(not what.is_ended, "attempt_completes_once"):
-            what.is_ended = True
+        elif self.checks.must(not what.is_completed, "attempt_completes_once"):
+            what.is_completed = True
             still = head.word == "unchanged"
             end = AttemptFinished(
                 what, ENDINGS[head.word], at, note_of(head), waited_of(head), report, body, still
--- a/quincepier/net/client.py
+++ b/quincepier/net/client.py
@@ -154,7 +154,7 @@
         for request in list(self.session.open.values()) if self.session is not None else ():
             if request.number < 0:
                 request.is_finished = True
-                self.push(Response(request, 503, wait_ms=self.manager.wait_ms()))
+                self.push(Response(request, 503, retry_after_ms=self.manager.wait_ms()))
 
     def fail_unbegun(self) -> int:
         """How many answers with a body, of which nothing was written, became failures."""
--- a/quincepier/net/clients.py
+++ b/quincepier/net/clients.py
@@ -43,11 +43,19 @@
     """What all client connections use."""
 
     def __init__(
-        self, means: ActorDependencies, standing: Callable[[], bool], places: Places | None = None
+        self, dependencies: ActorDependencies, standing: Callable[[], bool], places: Places | None = None
     ) -> None:
-        self.checks, self.pool, self.descriptors = means.checks, means.pool, means.descriptors
-        self.module, self.standing, self.pauses = means.module, standing, means.pauses
-        self.means, self.classes = means, class_table(means.config)
+        self.checks, self.pool, self.descriptors = (
+            dependencies.checks,
+            dependencies.buffer_pool,
+            dependencies.descriptors,
+        )
+        self.module, self.standing, self.pauses = (
+            dependencies.module_mailbox,
+            standing,
+            dependencies.pause_detector,
+        )
+        self.dependencies, self.classes = dependencies, class_table(dependencies.config)
         self.connections: set[ClientConnection] = set()
         self.in_session: set[ClientConnection] = set()  # those that are not at rest
         # who does not take what it is owed: when bytes last went, and since when by the active clock
@@ -56,8 +64,8 @@
         most = self.descriptors.clients_most
         caps = Caps(most) if places is None else places.caps(most)
         self.registry: ConnectionRegistry[ClientConnection] = ConnectionRegistry(caps)
-        self.bodies, self.bodies_most = 0, means.budget.max_body_bytes
-        buffers = means.pool.acquire()
+        self.bodies, self.bodies_most = 0, dependencies.memory_budget.max_body_bytes
+        buffers = dependencies.buffer_pool.acquire()
         assert buffers is not None, "the first buffer of the pool is there"
         self.scratch = memoryview(buffers[0])  # all connections are read into it, each for a moment
         self.lingering = Lingering(self.checks, self.descriptors, self.scratch)
@@ -69,7 +77,7 @@
         self.turning = False
         self.epoll: select.epoll | None = None  # made with the first connection
         self.by_fd: dict[int, ClientConnection] = {}
-        self.random = random.Random(means.config.seed)
+        self.random = random.Random(dependencies.config.seed)
         self.draining = self.refusing = False  # see drain; what comes is answered with a refusal at once
 
     def follow(self, places: Places | None) -> None:
@@ -116,7 +124,7 @@
 
     def wait_ms(self) -> int | None:
         """What a client is told whom the front itself refuses: spread, so that not all come back together."""
-        most = self.means.config.wait_ms
+        most = self.dependencies.config.wait_ms
         return None if most is None else max(int(self.random.uniform(WAIT_LEAST, 1) * most), 1)
 
     def _stalled_longest(self) -> ClientConnection | None:
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -43,7 +43,7 @@
         self.sock: socket.socket | None = None
         self.open: dict[str, OpenAttempt | Probe] = {}
         self.ghosts: OrderedDict[str, None] = OrderedDict()
-        self.writer = CommandWriter(self, self.shared.means.pauses)
+        self.writer = CommandWriter(self, self.shared.dependencies.pause_detector)
         self.started: set[OpenAttempt | Probe] = set()  # those of whose command a byte may have been read
         self.lost = self.doubtful = self.absent = self.begun = False
         self.heard = 0
@@ -94,7 +94,7 @@
         silent = self.heard < attempt.started_at_ns < now - self.shared.config.dial_timeout and not self.lost
         self.touch(now)
         self.writer.cancel(None if self.lost else self.sock, attempt, outcome)
-        if attempt.request.is_finished and not attempt.is_ended:
+        if attempt.request.is_finished and not attempt.is_completed:
             self.actor.ended(attempt, outcome, now)
         self.doubtful = self.doubtful or silent
         if silent:
@@ -117,7 +117,7 @@
         """Its cancel is out whole, or the connection closed: another attempt may begin in its place."""
         now = clock.now()
         pending.attempt.on_closed(now)
-        if not pending.attempt.is_ended:
+        if not pending.attempt.is_completed:
             self.actor.ended(pending.attempt, pending.outcome, now)
 
     def on_first_byte(self, what: OpenAttempt | Probe, now_ns: int) -> None:
--- a/quincepier/net/dialer.py
+++ b/quincepier/net/dialer.py
@@ -157,7 +157,7 @@
         """Count descriptors of dials beside a race's first; room that is free goes to who waits longest."""
         extras = self.races.extras
         if extras != self.extras:
-            self.dialer.means.descriptors.cache(extras - self.extras)
+            self.dialer.dependencies.descriptors.cache(extras - self.extras)
             self.extras = extras
         self.dialer.share_room()
 
@@ -166,7 +166,7 @@
         self.perform(self.races.tick(clock.now()))
 
     async def _dial(self, number: int, address: Address) -> None:
-        timeout = self.dialer.means.config.dial_timeout / clock.SECOND
+        timeout = self.dialer.dependencies.config.dial_timeout / clock.SECOND
         try:
             sock = await dial(address, timeout)
         except OSError as error:
@@ -244,9 +244,9 @@
     """What the ways of all machines share: the operators' section, the account of dials, the descriptors."""
 
     def __init__(
-        self, means: ActorDependencies, section: AddressesSection, spare: Callable[[], bool]
+        self, dependencies: ActorDependencies, section: AddressesSection, spare: Callable[[], bool]
     ) -> None:
-        self.means, self.checks = means, means.checks
+        self.dependencies, self.checks = dependencies, dependencies.checks
         self.section, self.preference = section, section.preference
         self.account = Account(section.limits.dials_all, spare)
         self.ways: dict[int, Way] = {}
@@ -255,7 +255,7 @@
     def way(self, number: int, host: str) -> Way:
         """The way to a machine, kept until it is forgotten. Chance of each follows from the front's seed."""
         if number not in self.ways:
-            self.ways[number] = Way(self, host, self.means.config.seed ^ number)
+            self.ways[number] = Way(self, host, self.dependencies.config.seed ^ number)
         return self.ways[number]
 
     def forget(self, number: int) -> None:
--- a/quincepier/net/first_byte_checks.py
+++ b/quincepier/net/first_byte_checks.py
@@ -11,7 +11,7 @@
 
 def check_first_byte(attempt: OpenAttempt, checks: Checks) -> None:
     """Check that the first byte of an attempt, if one went out, might go out when it did."""
-    first, left = attempt.first_byte_at_ns, attempt.request.left_at_ns
+    first, left = attempt.first_byte_at_ns, attempt.request.disconnected_at_ns
     revoked, window = attempt.revoked_at_ns, attempt.first_byte_deadline_ns
     checks.must(first <= attempt.deadline_ns, "first_byte_within_deadline")
     checks.must(not 0 < left < first, "no_first_byte_after_client_left")
--- a/quincepier/net/fleet/report_counters.py
+++ b/quincepier/net/fleet/report_counters.py
@@ -217,7 +217,7 @@
         for request in requests:
             has_open_attempt = False
             for attempt in request.attempts:
-                if attempt.is_ended:
+                if attempt.is_completed:
                     continue
                 has_open_attempt = True
                 attempts[attempt.cache] += 1
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -167,7 +167,7 @@
         for request in list(self.module.requests.request_by_number.values()):
             if request.tenant and self.active_rules.is_unsafe_class[request.class_index]:
                 for attempt in request.attempts:
-                    self.module.take_back(attempt)
+                    self.module.revoke_attempt(attempt)
 
     def _log_mode(self, reason: str, number: int, cordoned: int) -> None:
         self.checks.count("cautious_mode_entries" if self.is_cautious else "cautious_mode_exits")
@@ -179,7 +179,7 @@
     def _update_list(self, update: EndpointUpdate) -> None:
         self._is_updating_list = True
         try:
-            self.module.told_of_list(update)
+            self.module.apply_endpoint_update(update)
         finally:
             self._is_updating_list = False
 
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -1,4 +1,8 @@
-"""The module's actor: the only one that calls the Router. Events in, its actions out, as they are."""
+"""The decision module's actor, the only caller of `Router`.
+
+It passes every message on as an event of the router and carries out the actions that the router returns,
+without decisions of its own.
+"""
 
 from __future__ import annotations
 
@@ -47,15 +51,41 @@
 from quincepier.wire.errors import ProtocolError
 from quincepier.wire.lines import ServeCommand
 
-if TYPE_CHECKING:  # imported only where machines have several addresses, or the fleet settles things
+if TYPE_CHECKING:  # imported at run time only if the operator's file has their sections
     from quincepier.addresses.section import AddressesSection
     from quincepier.net.router_overrides import RouterOverrides
 
-MAILBOX_MOST = 1024
-TURNS = 32  # messages handled before others get the loop
+MAX_MAILBOX_MESSAGES = 1024
+MESSAGES_PER_LOOP_TURN = 32  # messages handled before other tasks run
 
 
 class ModuleActor(Actor[ToModule]):
+    """Runs the router: converts messages to its events and performs its actions.
+
+    Args:
+        config: The configuration that the front starts with.
+        checks: Counters, event log and invariant checks.
+        pool: The buffers for reads and response bodies.
+        descriptors: Counts the front's sockets and holds the limits on them.
+        free_buffers: Called when the buffer pool is used up: makes a slow client's buffers free.
+        budget: Limits that follow from the memory limit.
+
+    Attributes:
+        config: The configuration that the front started with.
+        dependencies: Configuration and resources shared by all actors.
+        shared: State shared by the actors of all caches.
+        dates: Converts dates of the change log.
+        directory: The listed machines and their numbers.
+        fleet: Creates and ends the actors of listed machines.
+        requests: The open requests.
+        caches: Actors by machine number.
+        timers: The router's timers: its token and the number of the request it is about, -1 for none.
+        pending_events: Events that follow from actions, dispatched after them.
+        router: The decision module.
+        has_endpoint_list: A full endpoint list has been applied.
+        overrides: Changes the router's events, if the operator's file has the section `agreement`.
+    """
+
     name = "module"
 
     def __init__(
@@ -64,100 +94,104 @@
         checks: Checks,
         pool: BufferPool,
         descriptors: Descriptors,
-        make_room: Callable[[], None],
+        free_buffers: Callable[[], None],
         budget: MemoryBudget,
     ) -> None:
-        super().__init__(checks, MAILBOX_MOST)
+        super().__init__(checks, MAX_MAILBOX_MESSAGES)
         self.config = config
-        self.means = ActorDependencies(config, checks, pool, descriptors, self.mailbox, budget)
-        self.shared = Shared(self.means, make_room)
+        self.dependencies = ActorDependencies(config, checks, pool, descriptors, self.mailbox, budget)
+        self.shared = Shared(self.dependencies, free_buffers)
         self.dates = EventDates(config)
-        self.directory = MachineDirectory(config.zones, config.kinds, self.dates.start_of)
-        self.fleet = CacheFleet(self.shared, self.directory, self._askers)
+        self.directory = MachineDirectory(config.zones, config.kinds, self.dates.start_time_of)
+        self.fleet = CacheFleet(self.shared, self.directory, self._count_requesting_fronts)
         self.requests = OpenRequestTable(budget.max_open_requests)
         self.caches: dict[int, CacheActor] = self.shared.actors
-        self.timers: Wheel[tuple[int, int]] = Wheel(clock.now(), clock.MS)  # token, the request it is about
-        self.alarm: asyncio.TimerHandle | None = None
-        self.alarm_at = 0
-        self.later: deque[io.Event] = deque()
+        self.timers: Wheel[tuple[int, int]] = Wheel(clock.now(), clock.MS)
+        self.wakeup_timer: asyncio.TimerHandle | None = None
+        self.wakeup_at_ns = 0
+        self.pending_events: deque[io.Event] = deque()
         self.router = Router(config.settings, config.seed, clock.now())
-        self.standing = False
-        self.overrides: RouterOverrides | None = None  # where the operators' file has `agreement`
+        self.has_endpoint_list = False
+        self.overrides: RouterOverrides | None = None
 
-    def begin(self) -> None:
-        """Tell the events known at the start; the list stands then."""
+    def start_with_known_events(self) -> None:
+        """Apply the change-log events of the configuration, then start handling messages."""
         for event in self.config.known:
             self.dates.observe(event)
         for event in self.config.known:
-            self._news(event, UpdateScope.CHANGES if self.standing else UpdateScope.RESTORED)
+            self._on_change_log_event(
+                event, UpdateScope.CHANGES if self.has_endpoint_list else UpdateScope.RESTORED
+            )
         self.start()
 
     async def run(self) -> None:
-        turns = 0
+        """Handle timers and messages until cancelled; other tasks get the loop at regular intervals."""
+        handled_count = 0
         while True:
-            self._due()
+            self._fire_due_timers()
             message = self.mailbox.take()
             if message is not None:
-                self.safely(message)
-                turns += 1
-                if turns % TURNS == 0:
+                self.handle_safely(message)
+                handled_count += 1
+                if handled_count % MESSAGES_PER_LOOP_TURN == 0:
                     await asyncio.sleep(0)
             else:
-                self._arm()
+                self._schedule_wakeup()
                 await self.mailbox.wait()
 
     def handle(self, message: ToModule) -> None:
+        """Handle one message."""
         match message:
             case RequestArrived(request):
-                self._came(request)
+                self._on_request_arrived(request)
             case ClientDisconnected(request):
-                if request.number < 0:  # its turn has not come yet
+                if request.number < 0:  # its RequestArrived is still queued
                     request.is_finished = True
                 else:
-                    self._leave(request)
+                    self._on_client_disconnected(request)
             case AttemptFinished():
-                self._ended(message)
-            case HealthCheckFinished(cache, ending, elapsed, report):
-                self._tell(io.HealthCheckCompleted(cache, ending, elapsed, report))
-            case ChangeLogEvent(event, unread_before):
-                self._news(event, UpdateScope.CHANGES, unread_before)
+                self._on_attempt_finished(message)
+            case HealthCheckFinished(cache, outcome, elapsed_ns, load_report):
+                self._dispatch(io.HealthCheckCompleted(cache, outcome, elapsed_ns, load_report))
+            case ChangeLogEvent(event, absent_at_ns):
+                self._on_change_log_event(event, UpdateScope.CHANGES, absent_at_ns)
 
     # Time
 
-    def _due(self) -> None:
+    def _fire_due_timers(self) -> None:
         while (timer := self.timers.take(clock.now())) is not None:
             token, number = timer.what
             if number >= 0 and (
                 (request := self.requests.request_by_number.get(number)) is None or request.is_finished
             ):
                 continue
-            self._tell(io.TimerFired(token))
+            self._dispatch(io.TimerFired(token))
 
-    def _arm(self) -> None:
-        """Wake at the next timer, if nothing else comes before."""
+    def _schedule_wakeup(self) -> None:
+        """Have the event loop wake this actor when the next timer is due."""
         due = self.timers.next()
         if due is None:
             return
-        if self.alarm is None or self.alarm_at > due or self.alarm_at <= clock.now():
-            if self.alarm is not None:
-                self.alarm.cancel()
-            self.alarm_at = due
+        if self.wakeup_timer is None or self.wakeup_at_ns > due or self.wakeup_at_ns <= clock.now():
+            if self.wakeup_timer is not None:
+                self.wakeup_timer.cancel()
+            self.wakeup_at_ns = due
             wait = max(due - clock.now(), 0) / clock.SECOND
-            self.alarm = asyncio.get_running_loop().call_later(wait, self._ring)
+            self.wakeup_timer = asyncio.get_running_loop().call_later(wait, self._on_wakeup_timer)
 
-    def _ring(self) -> None:
-        self.alarm = None
+    def _on_wakeup_timer(self) -> None:
+        self.wakeup_timer = None
         self.mailbox.wake()
 
     # Events
 
-    def _tell(self, event: io.Event, request: OpenRequest | None = None) -> None:
+    def _dispatch(self, event: io.Event, request: OpenRequest | None = None) -> None:
         now, actions = clock.now(), list[io.Action]()
         if self.overrides is not None:
             self.overrides.before_event(now)
         try:
             actions = self.router.handle(now, event)
-        except Exception as error:  # whatever fails in the decisions ends that request alone
+        except Exception as error:  # an error in the router fails only this request
             self.checks.exception("exception_in_module", error, about=type(event).__name__)
             self._fail(request)
         for action in actions:
@@ -166,16 +200,18 @@
             except Exception as error:
                 self.checks.exception("exception_in_module_actor", error, about=type(action).__name__)
                 self._fail(self.requests.request_by_number.get(getattr(action, "request", -1)))
-        while self.later:
-            self._tell(self.later.popleft())
+        while self.pending_events:
+            self._dispatch(self.pending_events.popleft())
 
-    def _came(self, request: OpenRequest) -> None:
-        if request.is_finished or request.is_cancelled:  # the client left as it waited
+    def _on_request_arrived(self, request: OpenRequest) -> None:
+        if (
+            request.is_finished or request.is_cancelled
+        ):  # the client disconnected while the message was queued
             return
         if self.requests.is_full:
             self.checks.event("request_rejected_open_limit")
             request.is_finished = True
-            request.receiver.push(Response(request, 503, wait_ms=self.means.config.wait_ms))
+            request.receiver.push(Response(request, 503, retry_after_ms=self.dependencies.config.wait_ms))
             return
         if request.job_id in self.requests.job_ids:
             self.checks.event("bad_request", "HTTP_X_JOB_ID is that of an open request")
@@ -187,111 +223,112 @@
         event = request_came(request, clock.now())
         if self.overrides is not None:
             self.overrides.on_request(event, request)
-        self._tell(event, request)
+        self._dispatch(event, request)
 
     def _allows_second_copy(self, class_index: int) -> bool:
-        """Whether two attempts of a request may run at once."""
+        """Whether two attempts of a request of this class may run at the same time."""
         settings = self.config.settings
         return settings.second_copies and settings.classes[class_index].effect is io.Idempotency.SAFE
 
-    def _leave(self, request: OpenRequest) -> None:
-        """Its client is gone: nothing begins for it any more."""
+    def _on_client_disconnected(self, request: OpenRequest) -> None:
+        """Finish a request without a response; no attempt starts for it from now on."""
         if not request.is_finished:
             self.checks.count("requests_left")
             self.requests.finish(request)
-            self._tell(io.ClientDisconnected(request.number))
+            self._dispatch(io.ClientDisconnected(request.number))
 
-    def _ended(self, end: AttemptFinished) -> None:
-        attempt = end.attempt
+    def _on_attempt_finished(self, finished: AttemptFinished) -> None:
+        attempt = finished.attempt
         request = attempt.request
         check_first_byte(attempt, self.checks)
-        self.checks.count(f"attempts_ended_{end.ending.name.lower()}")
-        if request.is_cancelled:  # heard before its Left, which may stand behind much else
-            self._leave(request)
-        event = attempt_ended(attempt, end)
+        self.checks.count(f"attempts_ended_{finished.outcome.name.lower()}")
+        if request.is_cancelled:  # its ClientDisconnected may still be queued
+            self._on_client_disconnected(request)
+        event = attempt_ended(attempt, finished)
         if self.overrides is not None:
-            self.overrides.on_attempt_completed(attempt, end.note)
-        if end.ending is AttemptOutcome.OK and not request.is_finished:
-            self._answer(Response(request, 200, end.body, end.still))
-        elif end.body is not None:
-            end.body.release()
+            self.overrides.on_attempt_completed(attempt, finished.cache_status)
+        if finished.outcome is AttemptOutcome.OK and not request.is_finished:
+            self._respond(Response(request, 200, finished.body, finished.is_unchanged))
+        elif finished.body is not None:
+            finished.body.release()
         self.requests.remove_if_done(request)
-        self._tell(event, request)
+        self._dispatch(event, request)
 
-    def _news(self, event: ChangeEvent, scope: UpdateScope, unread_before: int = 0) -> None:
+    def _on_change_log_event(self, event: ChangeEvent, scope: UpdateScope, absent_at_ns: int = 0) -> None:
         if self.overrides is not None:
             self.overrides.on_change_log_read(event.seq, isinstance(event, FleetChange))
         self.dates.observe(event)
-        self._date_starts_again()
+        self._redate_starts()
         if isinstance(event, PurgeRecord):
-            self._tell(purged(event, self.dates.age_of(event, unread_before)))
-            self._recall(event)
+            self._dispatch(purged(event, self.dates.purge_age(event, absent_at_ns)))
+            self._revoke_purged(event)
         elif isinstance(event, FleetChange):
             if event.whole and scope is UpdateScope.CHANGES:
                 scope = UpdateScope.FULL
             try:
-                news = self.directory.apply(event, scope)
+                update = self.directory.apply(event, scope)
             except ProtocolError as error:
                 self.checks.event("change_log_record_invalid", str(error))
                 return
             for host in event.hosts:
                 for fault in host.faults:
                     self.checks.event("endpoint_address_invalid", f"{host.host}: {fault}")
-            self.standing = self.standing or event.whole
-            self._list_changed(news)
+            self.has_endpoint_list = self.has_endpoint_list or event.whole
+            self._on_endpoint_update(update)
             if event.whole:
                 self.fleet.follow_all()
             else:
-                self.fleet.follow_changes(machine.cache for machine in news.machines)
+                self.fleet.follow_changes(machine.cache for machine in update.machines)
         elif isinstance(event, BadRecord):
             self.checks.event("change_log_record_invalid", event.why)
 
-    def _date_starts_again(self) -> None:
-        """Tell the router of starts that a later date of the log shows to be earlier."""
-        machines = self.directory.date_again(self.dates.take_unsettled_starts())
+    def _redate_starts(self) -> None:
+        """Correct start times that a later date in the log proves to be earlier, and notify the router."""
+        machines = self.directory.redate_starts(self.dates.take_unsettled_starts())
         if machines:
-            self._list_changed(io.EndpointUpdate(UpdateScope.CHANGES, machines))
+            self._on_endpoint_update(io.EndpointUpdate(UpdateScope.CHANGES, machines))
 
-    def _list_changed(self, news: io.EndpointUpdate) -> None:
-        self.told_of_list(news if self.overrides is None else self.overrides.override_list(news))
+    def _on_endpoint_update(self, update: io.EndpointUpdate) -> None:
+        self.apply_endpoint_update(update if self.overrides is None else self.overrides.override_list(update))
 
-    def told_of_list(self, news: io.EndpointUpdate) -> None:
-        """News of the list, as the module is to have it."""
-        self._recall_from(news)
-        self._tell(news)
+    def apply_endpoint_update(self, update: io.EndpointUpdate) -> None:
+        """Pass an endpoint update to the router, after revoking the attempts that it rules out."""
+        self._revoke_leaving(update)
+        self._dispatch(update)
 
-    def _recall(self, purge: PurgeRecord) -> None:
-        """What was decided before this purge and is not written yet goes back to the module."""
+    def _revoke_purged(self, purge: PurgeRecord) -> None:
+        """Revoke attempts for purged objects: if not sent yet, the router decides on them anew."""
         for request in list(self.requests.request_by_number.values()):
             if request.object_id == purge.object or (purge.object is None and request.group == purge.group):
                 for attempt in request.attempts:
-                    self.take_back(attempt)
+                    self.revoke_attempt(attempt)
 
-    def _recall_from(self, news: io.EndpointUpdate) -> None:
-        """So does what is for a machine told to drain or be gone, or names it as the source."""
-        listed = {m.cache: m.state for m in news.machines}
+    def _revoke_leaving(self, update: io.EndpointUpdate) -> None:
+        """Revoke attempts at machines that drain or are gone, or that fetch from such a machine."""
+        listed = {m.cache: m.state for m in update.machines}
         leaving = {cache for cache, state in listed.items() if state is not io.EndpointState.READY}
-        if news.scope is not UpdateScope.CHANGES:
+        if update.scope is not UpdateScope.CHANGES:
             leaving |= self.caches.keys() - listed.keys()
         if leaving:
             for request in list(self.requests.request_by_number.values()):
                 for attempt in request.attempts:
                     if attempt.cache in leaving or attempt.source in leaving:
-                        self.take_back(attempt)
+                        self.revoke_attempt(attempt)
 
-    def take_back(self, attempt: OpenAttempt) -> None:
-        """From now on its first byte does not go out; where one has, that is of no effect."""
-        if not attempt.is_ended and (cache := self.caches.get(attempt.cache)) is not None:
+    def revoke_attempt(self, attempt: OpenAttempt) -> None:
+        """Forbid the attempt's first byte from now on; no effect if it has been sent."""
+        if not attempt.is_completed and (cache := self.caches.get(attempt.cache)) is not None:
             attempt.revoke(clock.now())
             cache.mailbox.push(RevokeCommand(attempt))
 
-    def follow_addresses(self, section: AddressesSection) -> None:
-        """The operators tell other addresses or limits: they hold from the next dial on."""
+    def apply_address_settings(self, section: AddressesSection) -> None:
+        """Apply a changed section `addresses`; it takes effect from the next connect."""
         if self.shared.dialer is not None:
             self.shared.dialer.configure(section)
             self.fleet.follow_all(anew=True)
 
-    def _askers(self, site: str) -> int:
+    def _count_requesting_fronts(self, site: str) -> int:
+        """Return how many fronts send requests to the machines of a zone, given by its name."""
         settings = self.config.settings
         return fronts_that_ask(settings.fronts, settings.fronts_by_zone, self.directory.zone_by_name[site])
 
@@ -300,42 +337,52 @@
     def _perform(self, action: io.Action, now: int) -> None:
         match action:
             case io.ForwardRequest() | io.FetchThrough():
-                self._send(action, now)
-            case io.CancelAttempt(number, no):
+                self._start_attempt(action, now)
+            case io.CancelAttempt(number, attempt_number):
                 request = self.requests.request_by_number.get(number)
-                if request is not None and no < len(request.attempts) and not request.attempts[no].is_ended:
-                    attempt = request.attempts[no]
+                if (
+                    request is not None
+                    and attempt_number < len(request.attempts)
+                    and not request.attempts[attempt_number].is_completed
+                ):
+                    attempt = request.attempts[attempt_number]
                     if (cache := self.caches.get(attempt.cache)) is not None:
                         cache.mailbox.push(CancelCommand(attempt))
             case io.RejectRequest(number, retry_after):
-                if (request := self._owed(number)) is not None:
-                    self._answer(Response(request, 503, wait_ms=retry_after // clock.MS or None))
+                if (request := self._find_unanswered(number)) is not None:
+                    self._respond(Response(request, 503, retry_after_ms=retry_after // clock.MS or None))
             case io.FailRequest(number):
-                if (request := self._owed(number)) is not None:
-                    self._answer(Response(request, 502))
-            case io.SetTimer(wait, token, about):
-                self.timers.set(now + max(wait, 0), (token, about))
+                if (request := self._find_unanswered(number)) is not None:
+                    self._respond(Response(request, 502))
+            case io.SetTimer(wait, token, request_number):
+                self.timers.set(now + max(wait, 0), (token, request_number))
             case io.SendHealthCheck(machine):
                 if machine in self.caches:
                     self.caches[machine].mailbox.push(RunHealthCheck(self.config.report_on_probe))
             case io.WatchEndpoints():
-                whole = self.directory.full_list()
-                self.later.append(whole if self.overrides is None else self.overrides.override_list(whole))
+                full_list = self.directory.full_list()
+                self.pending_events.append(
+                    full_list if self.overrides is None else self.overrides.override_list(full_list)
+                )
             case io.WriteLog(text):
-                logger.bind(event="router", detail=(named := self._named(text))).info("router: {}", named)
+                logger.bind(event="router", detail=(line := self._with_host_ids(text))).info(
+                    "router: {}", line
+                )
 
-    def _named(self, text: str) -> str:
-        """A log line of the module with host ids in place of its numbers."""
+    def _with_host_ids(self, text: str) -> str:
+        """Return a log line of the router with host ids in place of machine numbers."""
         return " ".join(
-            self.directory.host_by_number.get(int(w), w) if w.isdecimal() else w for w in text.split(" ")
+            self.directory.host_by_number.get(int(word), word) if word.isdecimal() else word
+            for word in text.split(" ")
         )
 
-    def _owed(self, number: int) -> OpenRequest | None:
+    def _find_unanswered(self, number: int) -> OpenRequest | None:
+        """Return the open request of this number; None if it has its final response or is gone."""
         request = self.requests.request_by_number.get(number)
         return request if request is not None and not request.is_finished else None
 
-    def _send(self, action: io.ForwardRequest | io.FetchThrough, now: int) -> None:
-        request = self._owed(action.request)
+    def _start_attempt(self, action: io.ForwardRequest | io.FetchThrough, now: int) -> None:
+        request = self._find_unanswered(action.request)
         if not self.checks.must(request is not None, "no_attempt_after_final_answer"):
             return
         assert request is not None
@@ -343,12 +390,12 @@
         attempt = self.requests.start_attempt(request, action.cache, now, source)
         self.checks.count("attempts_retried" if attempt.number else "attempts_first")
         attempt.first_byte_deadline_ns = now + action.within if action.within else 0
-        left = request.time_left(now)
-        timeout = min(action.timeout, left) if action.timeout else left
+        time_left = request.time_left(now)
+        timeout = min(action.timeout, time_left) if action.timeout else time_left
         attempt.deadline_ns = now + timeout
         cache = self.caches.get(action.cache)
         if cache is None or len(request.attempts) > self.config.settings.attempts:
-            attempt.is_ended = True
+            attempt.is_completed = True
             self.mailbox.push(AttemptFinished(attempt, AttemptOutcome.NOT_PROCESSED, now))
             return
         if self.overrides is not None:
@@ -356,34 +403,41 @@
         fields = tuple(serve_fields(action, request, self.directory, timeout))
         cache.mailbox.push(SendCommand(attempt, ServeCommand(request.job_id, fields, request.body)))
 
-    def _answer(self, answer: Response) -> None:
-        request = answer.request
+    def _respond(self, response: Response) -> None:
+        request = response.request
         if self.checks.must(not request.is_finished, "one_final_answer_per_request"):
             if self.overrides is not None:
-                self.overrides.on_response(request, answer.status)
+                self.overrides.on_response(request, response.status)
             self.requests.finish(request)
-            self.checks.count(f"responses_{answer.status}")
-            request.receiver.push(answer)
-        elif answer.body is not None:
-            answer.body.release()
+            self.checks.count(f"responses_{response.status}")
+            request.receiver.push(response)
+        elif response.body is not None:
+            response.body.release()
 
     def _fail(self, request: OpenRequest | None) -> None:
-        """After an exception: a failure, as what has run is not known."""
+        """Respond with 500 after an exception: an attempt may or may not have run."""
         if request is not None and not request.is_finished:
-            self._answer(Response(request, 500))
+            self._respond(Response(request, 500))
 
-    def spoiled(self, message: ToModule) -> None:
+    def on_handling_failed(self, message: ToModule) -> None:
+        """Fail the request that the message is about."""
         if isinstance(message, RequestArrived):
             self._fail(message.request)
         elif isinstance(message, AttemptFinished):
             self._fail(message.attempt.request)
 
-    # Upkeep
+    # Maintenance
 
     def sweep(self, now: int, late: bool) -> None:
+        """Close idle and stalled cache connections, and remove the actors of machines that left the list.
+
+        Args:
+            now: The time, ns.
+            late: The sweep is late because the process was paused: no connection counts as stalled.
+        """
         self.fleet.sweep(now, late)
 
-    def fail_open(self) -> None:
-        """The process ends: what is still open is answered as failed, and the module told no more."""
+    def fail_open_requests(self) -> None:
+        """Respond with 502 to all open requests before the process ends; the router is not notified."""
         for request in [r for r in self.requests.request_by_number.values() if not r.is_finished]:
-            self._answer(Response(request, 502))
+            self._respond(Response(request, 502))
--- a/quincepier/net/peers/peer_network.py
+++ b/quincepier/net/peers/peer_network.py
@@ -103,7 +103,7 @@
 
     @classmethod
     def from_section(
-        cls, section: MembersSection, config: FrontConfig, means: ActorDependencies
+        cls, section: MembersSection, config: FrontConfig, dependencies: ActorDependencies
     ) -> PeerNetwork:
         """Makes the network that the operators' file describes.
 
@@ -120,8 +120,8 @@
             section.fleet,
             config.name,
             listen.address,
-            means.checks,
-            means.descriptors,
+            dependencies.checks,
+            dependencies.descriptors,
             config.seed,
             announced_address=announced.address,
             addresses={name: endpoint.address for name, endpoint in section.fronts.items()},
--- a/quincepier/net/reading.py
+++ b/quincepier/net/reading.py
@@ -199,7 +199,7 @@
             manager.checks.event("request_rejected_body_limit")
             self._say(session, call.id, cgi_head(503, wait_ms=manager.wait_ms()))
             return
-        if not manager.module.add(RequestArrived(request)):
+        if not manager.module.try_push_new_work(RequestArrived(request)):
             manager.checks.event("request_rejected_queue_full")
             self._say(session, call.id, cgi_head(503, wait_ms=manager.wait_ms()))
             return
--- a/quincepier/net/router_overrides.py
+++ b/quincepier/net/router_overrides.py
@@ -1,4 +1,4 @@
-"""How agreement between fronts overrides what the router hears; `net/fleet/` does so, where it is on."""
+"""How agreement between fronts changes the events of the router; `net/fleet/` implements it."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class RouterOverrides(Protocol):
-    """What the module's actor calls.
+    """Calls from the decision module's actor, made only if the operator's file has the section `agreement`.
 
-    Every method runs inside a turn of the actor, and takes no longer than a few lookups in maps.
+    Every method runs while the actor handles a message, and takes no longer than a few dictionary lookups.
     """
 
     def before_event(self, now_ns: int) -> None:
-        """Called before each event of the router: a front without a lease decides in cautious mode."""
+        """Called before each event of the router; a front without a lease decides in cautious mode."""
 
     def override_list(self, update: EndpointUpdate) -> EndpointUpdate:
-        """Return an update of the endpoint list as the router is to hear it."""
+        """Return the update of the endpoint list to pass to the router in place of `update`."""
 
     def on_change_log_read(self, sequence: int, is_list_change: bool) -> None:
-        """The change log was read up to a number; `is_list_change`: that entry changes the endpoint list."""
+        """The change log was read up to a sequence number; `is_list_change`: its entry changes the list."""
 
     def on_request(self, event: RequestReceived, request: OpenRequest) -> None:
-        """A request was received: set its tenant."""
+        """Called when a request arrives, to set its tenant."""
 
     def on_command_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
-        """A command is sent to a cache."""
+        """Called when the command of an attempt is passed to a cache's actor."""
 
     def on_attempt_completed(self, attempt: OpenAttempt, cache_status: CacheStatus) -> None:
-        """An attempt was completed."""
+        """Called when an attempt is completed."""
 
     def on_response(self, request: OpenRequest, status: int) -> None:
-        """A request was answered with its final HTTP status."""
+        """Called with the final HTTP status of a request."""
--- a/quincepier/net/shared.py
+++ b/quincepier/net/shared.py
@@ -21,9 +21,17 @@
 class Shared:
     """What all cache actors use, and who waits for buffers."""
 
-    def __init__(self, means: ActorDependencies, make_room: Callable[[], None]) -> None:
-        self.means, self.checks, self.pool = means, means.checks, means.pool
-        self.descriptors, self.module, self.make_room = means.descriptors, means.module, make_room
+    def __init__(self, dependencies: ActorDependencies, make_room: Callable[[], None]) -> None:
+        self.dependencies, self.checks, self.pool = (
+            dependencies,
+            dependencies.checks,
+            dependencies.buffer_pool,
+        )
+        self.descriptors, self.module, self.make_room = (
+            dependencies.descriptors,
+            dependencies.module_mailbox,
+            make_room,
+        )
         self.waiting: deque[asyncio.Future[None]] = deque()
         self.actors: dict[int, CacheActor] = {}
         self.connected: set[CacheActor] = set()  # those that have connections; thousands may be listed
@@ -36,7 +44,7 @@
 
     @property
     def config(self) -> FrontConfig:
-        return self.means.config
+        return self.dependencies.config
 
     def freed(self) -> None:
         while self.waiting:
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -1,7 +1,7 @@
 """Persistence of a front's learned state: restored once at the start, then written periodically.
 
-The disk is used in threads of their own, so that one that hangs delays no request, start or stop. Facts are
-collected in slices, a few in each turn of the event loop. Whatever fails here, the front serves without it.
+Disk access runs in threads of its own, so that a disk that hangs delays no request, start or stop. Facts are
+collected in slices, one in each iteration of the event loop. If anything here fails, the front serves on.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 from quincepier.state.learned_state import AddressBackoffRecord, encode
 from quincepier.state.section import StateSection
 
-FACTS_PER_SLICE = 100  # collected in one turn of the event loop
-LOAD_TIMEOUT_S = 0.05  # that a start waits for the disk
-WRITE_INTERVAL_JITTER = 0.2  # share of the interval by which it varies
+FACTS_PER_SLICE = 100  # collected in one iteration of the event loop
+LOAD_TIMEOUT_S = 0.05  # how long a start waits for the disk
+WRITE_INTERVAL_JITTER = 0.2  # fraction of the interval by which it varies
 THREAD_NAME = "state"
 MS_PER_S = 1000
 
@@ -44,8 +44,8 @@
     """Restores and writes the learned state of one front.
 
     Args:
-        module: The actor of the router, whose facts are stored.
-        section: The operators' settings of the folder.
+        module: The decision module's actor, whose router's facts are stored.
+        section: The section `state` of the operator's file.
 
     Attributes:
         is_usable: The folder was opened and read.
@@ -64,7 +64,7 @@
     # Restore
 
     async def restore(self) -> None:
-        """Give the router the facts that an earlier start stored, if they can be read in time."""
+        """Give the router the facts that an earlier process stored, if they can be read in time."""
         loading = run_in_daemon_thread(self._open_and_load, THREAD_NAME)
         await asyncio.wait((loading,), timeout=LOAD_TIMEOUT_S)
         if not loading.done():
@@ -80,7 +80,7 @@
         return self.store.load()
 
     def _on_loaded(self, outcome: LoadedSnapshot | Exception) -> LoadedSnapshot | None:
-        """Take the folder into use, if it could be opened."""
+        """Use the folder from now on, if it could be opened."""
         if isinstance(outcome, Exception):
             self.checks.event("state_not_used", str(outcome))
             return None
@@ -98,7 +98,7 @@
         facts = list(facts_from_state(state, self._name_mapping()))
         try:
             restored = restore_facts(self.module.router, facts, age_ns)
-        except Exception as error:  # noqa: BLE001 - a defect: the front starts as one without stored state
+        except Exception as error:  # noqa: BLE001 - a defect: start without stored state
             self.checks.exception("state_restore_exception", error)
             return
         self.checks.count("state_facts_restored", restored)
@@ -150,18 +150,18 @@
                 await self._start_write()
 
     async def write_final(self) -> None:
-        """Write once more as the front ends, and wait for it no longer than the section allows."""
+        """Write a last time as the front stops; wait no longer than `final_write_timeout_ms`."""
         timeout_ms = self.section.final_write_timeout_ms
         if timeout_ms and (writing := await self._start_write()) is not None:
             await asyncio.wait((writing,), timeout=timeout_ms / MS_PER_S)
 
     async def _start_write(self) -> asyncio.Future[int | Exception] | None:
-        """Start a write and return its future; None if there is none to be done."""
+        """Start a write and return its future; None if no write is possible now."""
         if not self.is_usable or self.is_writing or self.store.read_only_reason:
             return None
         try:
             return self._write(await self._collect_facts())
-        except Exception as error:  # noqa: BLE001 - a defect: the next write is tried all the same
+        except Exception as error:  # noqa: BLE001 - a defect: the next write is still tried
             self.checks.exception("state_write_exception", error)
             return None
 
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -1,7 +1,7 @@
-"""The actor that follows the change log by long polls. Its loss never stops serving.
+"""The actor that follows the change log by long polls. The front keeps serving if the log is unreachable.
 
-A log that stopped but whose connection stays open, and one that answers slowly, look alike. So a poll that is
-overdue is not given up: another one begins over a new connection beside it, and whichever is answered counts.
+A stopped log whose connection stays open and a slow log look alike. So an overdue poll is not cancelled:
+another poll starts in parallel over a new connection, and the first response counts.
 """
 
 from __future__ import annotations
@@ -17,215 +17,260 @@
 from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.messages import ChangeLogEvent
 from quincepier.net.sockets import resolve
-from quincepier.net.watch_poll import Poll
+from quincepier.net.watch_poll import ChangeLogPoll
 from quincepier.recovery import first_poll
 from quincepier.wire.changelog import BadRecord, ChangeEvent, decode_changes
 from quincepier.wire.errors import ProtocolError
 
-# The longest wait asked for, and the seconds past it until an answer is overdue. A log that stopped but stays
-# open is found out after both, and what it has to tell counts as told 2 s after the wait.
-POLL_MS, POLL_GRACE = 1000, 0.75
-CONNECT_WITHIN = 0.5  # seconds until a connection is overdue
-MAX_POLLS = 4  # beside each other; the oldest goes for a further one
-# Seconds from one try to the next: none at the first failure, then doubled at each in a row. After an outage
-# of eight seconds, what came at its start has counted as told for one, and a drain's grace is two.
-BACK_OFF, BACK_OFF_MOST = 0.05, 0.75
-# A front serves once it has heard what the log had as it started: an answer, or so much silence after the
-# call, as the log answers at once where there is news. Without the log it serves after the second of these.
-QUIET, START_WAITS = 0.06, 0.25  # seconds
-TRIES = 3  # of a record that can't be read, or of a gap, before it is passed over
-SETTLE_TURNS = 4  # of the loop, in which an answer that is there is read before its poll counts as overdue
-
-
-class Watch(Actor[None]):
+# The timeout requested of the log for one long poll in ms, and the seconds beyond it until the response is
+# overdue. A stopped log whose connection stays open is detected after both; the front is held to have
+# received an event 2 s after the poll's timeout.
+POLL_TIMEOUT_MS, POLL_GRACE_S = 1000, 0.75
+CONNECT_TIMEOUT_S = 0.5  # until a connect is overdue and another poll starts
+MAX_POLLS = 4  # in parallel; the oldest is closed for a further one
+# Backoff between failed polls: none after the first failure, then doubled at each failure in a row. At the
+# end of an outage of 8 s, the front has been held for 1 s to have received an event from the start of the
+# outage; a drain's grace period is 2 s.
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 0.75
+# A front starts serving once it has received the events that the log had at its start: after a response, or
+# after QUIET_PERIOD_S without one, as the log responds at once if it has events. If the log can't be
+# reached, the front serves after MAX_START_WAIT_S.
+QUIET_PERIOD_S, MAX_START_WAIT_S = 0.06, 0.25
+MAX_RECORD_TRIES = 3  # polls for an invalid record or a gap before it is skipped
+SETTLE_TURNS = 4  # loop iterations in which a response that has arrived is read before its poll is overdue
+
+
+class ChangeLogWatcher(Actor[None]):
+    """Polls the change log and passes its events to the decision module's actor, each once and in order.
+
+    Args:
+        dependencies: Configuration and resources shared by all actors.
+
+    Attributes:
+        last_sequence: Number of the last event that was delivered or skipped.
+        failures: Failed polls in a row.
+        record_tries: Polls so far for the next record, which is missing or invalid.
+        buffers: One read buffer, never released, so that purges arrive even if the pool is used up.
+        polls: The polls in progress, the oldest first.
+        idle_socket: Connection kept for the next poll.
+        address_changes: How often a reload has changed the log's address.
+        sequence_at_poll_start: `last_sequence` when the newest poll started.
+        stale_before_s: Polls that started before this time of the loop's clock don't prove that the front
+            has caught up.
+        wakeup: Ends the wait for a poll to finish.
+        next_poll_at_s: When the next poll is due, by the loop's clock; 0 for at once.
+        caught_up: Set once the front has received the events that the log had at its start.
+        poll_timeout_ms: Timeout that the next poll requests of the log.
+        last_response_at_ns: When the log last responded; events that it returns later were not in it then.
+    """
+
     name = "change_log"
 
-    def __init__(self, means: ActorDependencies) -> None:
-        super().__init__(means.checks, 1)
-        self.means, self.descriptors = means, means.descriptors
-        self.module = means.module
-        self.last, self.failures, self.tries = means.config.known_seq, 0, 0
-        self.random = random.Random(means.config.seed)
-        self.buffers = means.pool.acquire() or []  # its own for good: purges come whatever else is short
-        self.polls: list[Poll] = []  # the oldest first
-        self.kept: socket.socket | None = None  # for the next poll
-        self.moves = 0  # to another address
-        self.reached = self.last  # as the newest poll began
-        self.behind_since = 0.0  # only what was asked since, by the loop's clock, tells of what is current
-        self.nudge: asyncio.Future[None] | None = None  # of the wait for a poll to end
-        self.due = 0.0  # the next poll, by the loop's clock in seconds
-        self.current = asyncio.Event()  # what the log had as this front started is told
-        self.wait_ms = first_poll(self.random, POLL_MS)  # that the next poll asks for
-        self.answered_at_ns = 0  # when the log answered last: what it tells later was not there by then
+    def __init__(self, dependencies: ActorDependencies) -> None:
+        super().__init__(dependencies.checks, 1)
+        self.dependencies, self.descriptors = dependencies, dependencies.descriptors
+        self.module_mailbox = dependencies.module_mailbox
+        self.last_sequence, self.failures, self.record_tries = dependencies.config.known_seq, 0, 0
+        self.random = random.Random(dependencies.config.seed)
+        self.buffers = dependencies.buffer_pool.acquire() or []
+        self.polls: list[ChangeLogPoll] = []
+        self.idle_socket: socket.socket | None = None
+        self.address_changes = 0
+        self.sequence_at_poll_start = self.last_sequence
+        self.stale_before_s = 0.0
+        self.wakeup: asyncio.Future[None] | None = None
+        self.next_poll_at_s = 0.0
+        self.caught_up = asyncio.Event()
+        self.poll_timeout_ms = first_poll(self.random, POLL_TIMEOUT_MS)
+        self.last_response_at_ns = 0
 
     @property
-    def polling(self) -> asyncio.Task[bytes] | None:
-        """The newest poll's task."""
+    def newest_task(self) -> asyncio.Task[bytes] | None:
+        """The task of the newest poll; None if there is none."""
         return self.polls[-1].task if self.polls else None
 
-    def move(self) -> None:
-        """The configuration names another address: ask there now, from the number reached.
+    def on_address_changed(self) -> None:
+        """Poll the new address at once, from the last sequence number on; called after a reload changed it.
 
-        A signal calls it, between any two lines of this actor; what was answered whole is taken all the same.
+        It may run between any two steps of this actor; a complete response of the old address is still used.
         """
-        self.failures, self.due, self.moves = 0, 0.0, self.moves + 1
-        self._drop_kept()
+        self.failures, self.next_poll_at_s, self.address_changes = 0, 0.0, self.address_changes + 1
+        self._close_idle_socket()
         for poll in self.polls:
             if not poll.task.cancel():
-                poll.keeps = False
+                poll.can_reuse_connection = False
 
-    async def up_to_date(self) -> None:
-        """Until what was missed between the list of the start and now is told, if the log can be asked.
+    async def wait_until_caught_up(self) -> None:
+        """Wait until the events since the configuration's endpoint list are delivered, if the log responds.
 
-        Else requests would go by a list without what the log had long told all others, such as a purge.
+        Otherwise requests would be routed without events that all other fronts have, such as a purge.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(START_WAITS):
-                await self.current.wait()
+            async with asyncio.timeout(MAX_START_WAIT_S):
+                await self.caught_up.wait()
 
     async def catch_up(self) -> None:
-        """After a long pause of the process: ask anew, and wait as at a start.
+        """After a long process pause, start another poll and wait as at a start.
 
-        A poll that ended meanwhile has told nothing of what came after it.
+        A poll that finished during the pause does not contain the events after it.
         """
-        self.behind_since = asyncio.get_running_loop().time()
-        self.current.clear()
-        self.due = 0.0
-        self._one_more()
-        resolve(self.nudge)
-        await self.up_to_date()
+        self.stale_before_s = asyncio.get_running_loop().time()
+        self.caught_up.clear()
+        self.next_poll_at_s = 0.0
+        self._start_additional_poll()
+        resolve(self.wakeup)
+        await self.wait_until_caught_up()
 
     async def run(self) -> None:
-        """Poll for good."""
+        """Poll until cancelled."""
         try:
             while True:
                 if not self.polls:
-                    self._begin()
-                ended = await self._wait()
-                if not ended:
-                    self._overdue()
-                for poll in ended:
+                    self._start_poll()
+                finished = await self._wait_for_polls()
+                if not finished:
+                    self._on_overdue()
+                for poll in finished:
                     self.polls.remove(poll)
-                    self._on_ended(poll)
+                    self._on_poll_finished(poll)
         finally:
             for poll in self.polls:
                 poll.close()
-            self._drop_kept()
+            self._close_idle_socket()
 
-    def _begin(self) -> None:
-        """One more poll, once it is due."""
-        kept, self.kept = self.kept, None
-        self.reached = self.last
-        self.polls.append(Poll(self.means, memoryview(self.buffers[0]), kept, self.due, self._target))
-        self.due = 0.0
+    def _start_poll(self) -> None:
+        """Start a poll; it sends its request once it is due."""
+        idle_socket, self.idle_socket = self.idle_socket, None
+        self.sequence_at_poll_start = self.last_sequence
+        self.polls.append(
+            ChangeLogPoll(
+                self.dependencies,
+                memoryview(self.buffers[0]),
+                idle_socket,
+                self.next_poll_at_s,
+                self._make_target,
+            )
+        )
+        self.next_poll_at_s = 0.0
 
-    def _target(self) -> str:
-        asyncio.get_running_loop().call_later(QUIET, self._quiet, self.polls[-1])
-        return f"/changes?since={self.last}&timeout={self.wait_ms}"
+    def _make_target(self) -> str:
+        """Return the request target of the newest poll, and watch for its quiet period."""
+        asyncio.get_running_loop().call_later(QUIET_PERIOD_S, self._on_quiet_period, self.polls[-1])
+        return f"/changes?since={self.last_sequence}&timeout={self.poll_timeout_ms}"
 
-    def _quiet(self, poll: Poll) -> None:
-        """So long after it was asked; what has begun, or has failed, is waited for."""
-        if not poll.has_heard and not poll.task.done():
-            self._is_current(poll)
+    def _on_quiet_period(self, poll: ChangeLogPoll) -> None:
+        """Count as caught up if no byte of the response has arrived; otherwise the response is awaited."""
+        if not poll.has_received_data and not poll.task.done():
+            self._mark_caught_up(poll)
 
-    def _is_current(self, poll: Poll) -> None:
-        if poll.began >= self.behind_since:
-            self.current.set()
+    def _mark_caught_up(self, poll: ChangeLogPoll) -> None:
+        if poll.started_at_s >= self.stale_before_s:
+            self.caught_up.set()
 
-    def _overdue_at(self) -> float:
+    def _overdue_at_s(self) -> float:
         newest = self.polls[-1]
-        if newest.asked is not None:
-            return newest.asked + POLL_MS / 1000 + POLL_GRACE
-        return newest.began + CONNECT_WITHIN
+        if newest.requested_at_s is not None:
+            return newest.requested_at_s + POLL_TIMEOUT_MS / 1000 + POLL_GRACE_S
+        return newest.started_at_s + CONNECT_TIMEOUT_S
 
-    async def _wait(self) -> list[Poll]:
-        """Those that ended, once one has; none once the newest one is overdue."""
+    async def _wait_for_polls(self) -> list[ChangeLogPoll]:
+        """Wait until a poll finishes; return the finished ones, or none once the newest one is overdue."""
         loop, turns = asyncio.get_running_loop(), 0
         while True:
-            ended = [poll for poll in self.polls if poll.task.done()]
-            left = self._overdue_at() - loop.time()
-            if ended or (left <= 0 and turns >= SETTLE_TURNS):
-                return ended
-            if left > 0:
-                self.nudge = loop.create_future()
-                ends: list[asyncio.Future[Any]] = [poll.task for poll in self.polls]
-                ends.append(self.nudge)
-                await asyncio.wait(ends, timeout=left, return_when=asyncio.FIRST_COMPLETED)
-            else:  # as a standstill of the process ends, its answer may lie in the socket
+            finished = [poll for poll in self.polls if poll.task.done()]
+            remaining_s = self._overdue_at_s() - loop.time()
+            if finished or (remaining_s <= 0 and turns >= SETTLE_TURNS):
+                return finished
+            if remaining_s > 0:
+                self.wakeup = loop.create_future()
+                awaited: list[asyncio.Future[Any]] = [poll.task for poll in self.polls]
+                awaited.append(self.wakeup)
+                await asyncio.wait(awaited, timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED)
+            else:  # after a process pause the response may be in the socket already
                 turns += 1
                 await asyncio.sleep(0)
 
-    def _overdue(self) -> None:
-        """Another poll beside those that nothing is heard of."""
-        why = "not up in time" if self.polls[-1].asked is None else "no answer in time"
-        self._failed(self.polls[-1].began, f"TimeoutError: {why}, asked once more")
-        self._one_more()
+    def _on_overdue(self) -> None:
+        """Start another poll beside the overdue ones."""
+        reason = "not up in time" if self.polls[-1].requested_at_s is None else "no response in time"
+        self._on_poll_failed(self.polls[-1].started_at_s, f"TimeoutError: {reason}, polling again")
+        self._start_additional_poll()
 
-    def _one_more(self) -> None:
+    def _start_additional_poll(self) -> None:
+        """Start a poll in parallel; at the limit, close the oldest one first."""
         if len(self.polls) >= MAX_POLLS:
             self.polls.pop(0).close()
-        self._begin()
+        self._start_poll()
 
-    def _on_ended(self, poll: Poll) -> None:
-        if poll.task.cancelled():  # the address is another one now
+    def _on_poll_finished(self, poll: ChangeLogPoll) -> None:
+        if poll.task.cancelled():  # by a change of the address
             poll.close()
             return
-        moves = self.moves
+        address_changes = self.address_changes
         try:
-            self._take(*decode_changes(poll.task.result(), self.means.judge))
-            self._is_current(poll)
-            self.wait_ms, self.failures = POLL_MS, 0
-            if self.last == self.reached and moves == self.moves:
-                self.due = poll.began + BACK_OFF  # a log that does not wait is not asked without a pause
-        except Exception as error:  # whatever it is, it is tried again
+            self._deliver_events(*decode_changes(poll.task.result(), self.dependencies.parse_address))
+            self._mark_caught_up(poll)
+            self.poll_timeout_ms, self.failures = POLL_TIMEOUT_MS, 0
+            if self.last_sequence == self.sequence_at_poll_start and address_changes == self.address_changes:
+                # a log that responds at once without new events must not be polled in a busy loop
+                self.next_poll_at_s = poll.started_at_s + MIN_BACKOFF_S
+        except Exception as error:  # whatever the error, poll again
             poll.close()
-            if poll.was_kept and isinstance(error, ConnectionError):  # closed as it was asked
+            # the log may close an idle connection at the moment at which it is used again
+            if poll.is_unconfirmed_reuse and isinstance(error, ConnectionError):
                 self.checks.count("change_log_connections_closed_idle")
             else:
-                self._failed(poll.began, f"{type(error).__name__}: {error}")
+                self._on_poll_failed(poll.started_at_s, f"{type(error).__name__}: {error}")
             return
-        if poll.keeps and not self.polls and moves == self.moves:
-            self.kept = poll.take_connection()
+        if poll.can_reuse_connection and not self.polls and address_changes == self.address_changes:
+            self.idle_socket = poll.take_connection()
         else:
             poll.close()
 
-    def _failed(self, began: float, why: str) -> None:
-        """A try that brought nothing: the next one is due at once, later ones after a pause."""
+    def _on_poll_failed(self, started_at_s: float, reason: str) -> None:
+        """Count a failed poll: the next one is due at once after the first failure, then with backoff."""
         self.failures += 1
-        self.checks.event("change_log_poll_failed", why)
+        self.checks.event("change_log_poll_failed", reason)
         if self.failures > 1:
             loop = asyncio.get_running_loop()
-            wait = min(BACK_OFF * 2 ** min(self.failures - 2, 10), BACK_OFF_MOST)
-            due = began + wait * self.random.uniform(0.5, 1)  # a try may have taken that long
-            self.due = max(due, loop.time() + BACK_OFF)
+            backoff_s = min(MIN_BACKOFF_S * 2 ** min(self.failures - 2, 10), MAX_BACKOFF_S)
+            # counted from the poll's start, since the poll itself may have taken that long
+            due_s = started_at_s + backoff_s * self.random.uniform(0.5, 1)
+            self.next_poll_at_s = max(due_s, loop.time() + MIN_BACKOFF_S)
 
-    def _drop_kept(self) -> None:
-        sock, self.kept = self.kept, None
+    def _close_idle_socket(self) -> None:
+        sock, self.idle_socket = self.idle_socket, None
         if sock is not None:
             sock.close()
             self.descriptors.cache(-1)
 
-    def _take(self, last: int, events: tuple[ChangeEvent, ...]) -> None:
-        """Pass on what is new, once, in order; at a gap or a bad record ask again, a few times."""
+    def _deliver_events(self, last: int, events: tuple[ChangeEvent, ...]) -> None:
+        """Pass new events on, each once and in order; ProtocolError at a gap or invalid record, a few times.
+
+        Args:
+            last: Number of the last event in the log.
+            events: Events of the response.
+        """
         for event in events:
-            if event.seq <= self.last:
+            if event.seq <= self.last_sequence:
                 continue
-            if event.seq != self.last + 1:
-                self._again(f"events {self.last + 1} to {event.seq - 1} are missing")
-                self.last = event.seq - 1  # the record itself has tries of its own
+            if event.seq != self.last_sequence + 1:
+                self._retry_or_skip(f"events {self.last_sequence + 1} to {event.seq - 1} are missing")
+                self.last_sequence = event.seq - 1  # the record after the gap has retries of its own
             if isinstance(event, BadRecord):
-                self._again(f"event {event.seq}: {event.why}")
+                self._retry_or_skip(f"event {event.seq}: {event.why}")
             else:
-                self.module.urge(ChangeLogEvent(event, self.answered_at_ns))
-            self.last, self.tries = event.seq, 0
-        if last > self.last and not events:
-            self._again(f"events {self.last + 1} to {last} are missing")
-            self.last, self.tries = last, 0
-        self.answered_at_ns = clock.now()
-
-    def _again(self, why: str) -> None:
-        self.tries += 1
-        if self.tries < TRIES:
-            raise ProtocolError(why)
-        self.checks.event("change_log_record_skipped", why)
-        self.tries = 0
+                self.module_mailbox.push_urgent(ChangeLogEvent(event, self.last_response_at_ns))
+            self.last_sequence, self.record_tries = event.seq, 0
+        if last > self.last_sequence and not events:
+            self._retry_or_skip(f"events {self.last_sequence + 1} to {last} are missing")
+            self.last_sequence, self.record_tries = last, 0
+        self.last_response_at_ns = clock.now()
+
+    def _retry_or_skip(self, reason: str) -> None:
+        """Raise ProtocolError, so that the record is polled for again; after the last try skip it."""
+        self.record_tries += 1
+        if self.record_tries < MAX_RECORD_TRIES:
+            raise ProtocolError(reason)
+        self.checks.event("change_log_record_skipped", reason)
+        self.record_tries = 0
--- a/quincepier/net/writing.py
+++ b/quincepier/net/writing.py
@@ -119,7 +119,10 @@
         del session.open[request.stream_id]
         self._forget(request)
         self._say(
-            session, request.stream_id, cgi_head(answer.status, answer.still, answer.wait_ms), answer.body
+            session,
+            request.stream_id,
+            cgi_head(answer.status, answer.is_unchanged, answer.retry_after_ms),
+            answer.body,
         )
 
     def _flush(self) -> None:
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -147,28 +147,28 @@
 class End(Protocol):
     """How an attempt ended, as the cache's actor tells it: at which nanosecond, and what came with it."""
 
-    ending: AttemptOutcome
-    at: int
-    note: CacheStatus
-    waited: int
-    report: tuple[float, ...]
-    another_way: bool
+    outcome: AttemptOutcome
+    finished_at_ns: int
+    cache_status: CacheStatus
+    queue_time_ns: int
+    load_report: tuple[float, ...]
+    has_alternative_address: bool
 
 
 def attempt_ended(attempt: OpenAttempt, end: End) -> io.AttemptCompleted:
     """`last` says that the request is over, by this ending or earlier."""
-    r, last = attempt.request, attempt.request.is_finished or end.ending is AttemptOutcome.OK
+    r, last = attempt.request, attempt.request.is_finished or end.outcome is AttemptOutcome.OK
     return io.AttemptCompleted(
         request=r.number,
         attempt=attempt.number,
         cache=attempt.cache,
-        ending=end.ending,
-        elapsed=max(end.at - attempt.started_at_ns, 0),
+        ending=end.outcome,
+        elapsed=max(end.finished_at_ns - attempt.started_at_ns, 0),
         last=last,
-        note=end.note,
-        waited=end.waited,
-        report=end.report,
-        another_way=end.another_way,
+        note=end.cache_status,
+        waited=end.queue_time_ns,
+        report=end.load_report,
+        another_way=end.has_alternative_address,
     )
 
 
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -77,9 +77,11 @@
         checks, pool = Checks(), BufferPool(BUDGET.max_buffers)
         descriptors = Descriptors(sockets)
         self.module = ModuleActor(self.config(order), checks, pool, descriptors, lambda: None, BUDGET)
-        self.module.means.judge = parse
-        self.module.shared.dialer = Dialer(self.module.means, self.section, self.module.shared.descriptor)
-        self.module.begin()
+        self.module.dependencies.parse_address = parse
+        self.module.shared.dialer = Dialer(
+            self.module.dependencies, self.section, self.module.shared.descriptor
+        )
+        self.module.start_with_known_events()
 
     @property
     def checks(self) -> Checks:
@@ -127,7 +129,7 @@
         changes = {"seq": self.seq, "results": [{"seq": self.seq} | body]}
         (record,) = read_changes(changes, parse)[1]
         assert not isinstance(record, BadRecord), record
-        self.module.mailbox.urge(ChangeLogEvent(record))
+        self.module.mailbox.push_urgent(ChangeLogEvent(record))
 
     async def quiet(self) -> None:
         """Nothing is out and nobody waits for an answer."""
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -152,7 +152,7 @@
             return plain(now, event)
 
         self.module.router.handle = handle  # type: ignore[method-assign]
-        self.module.begin()
+        self.module.start_with_known_events()
 
     def host(self, name: str, **changes: Any) -> dict[str, Any]:
         return host(name, self.machines[name].address, KINDS.get(name[0], "std"), **changes)
@@ -162,7 +162,7 @@
         self.seq += 1
         record = {"seq": self.seq, "fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
         (event,) = read_changes({"seq": self.seq, "results": [record]})[1]
-        self.module._news(event, io.UpdateScope.CHANGES)
+        self.module._on_change_log_event(event, io.UpdateScope.CHANGES)
 
     def ask(self, cls: int = IMAGE, **changes: Any) -> OpenRequest:
         """Into the module's mailbox; its owner keeps what it is answered."""
@@ -170,17 +170,17 @@
         job, now = f"{self.asked:016x}", clock.now()
         values: dict[str, Any] = {"received_at_ns": now, "allowed_ns": 30 * clock.SECOND} | changes
         request = open_request(Inbox(), cls, job, **values)
-        assert self.module.mailbox.add(RequestArrived(request))
+        assert self.module.mailbox.try_push_new_work(RequestArrived(request))
         return request
 
     def taken(self, name: str) -> None:
         """The module and this machine's actor get to what came last, in this turn."""
         came = self.module.mailbox.take()
         assert came is not None
-        self.module.safely(came)
+        self.module.handle_safely(came)
         sent = self.cache(name).mailbox.take()
         assert sent is not None
-        self.cache(name).safely(sent)
+        self.cache(name).handle_safely(sent)
 
     def left(self, request: OpenRequest) -> None:
         """As its client's connection does, the mark first and the message when the module gets to it."""
--- a/tests/faulty_front.py
+++ b/tests/faulty_front.py
@@ -82,16 +82,16 @@
         raise OSError(number, f"{error}, as drawn")
 
     def on_signal(self, number: int, frame: FrameType | None) -> None:
-        if number in signals.ENDING:
+        if number in signals.STOP_SIGNALS:
             self.since["term"] = min(self.since["term"], time.monotonic())
-        _came(number, frame)
+        _on_signal(number, frame)
 
     def stepped(self) -> int:
         spent = time.monotonic() - self.since["start"]
         return sum(int(step.seconds * 1e9) for step in self.plan.steps if step.at <= spent)
 
 
-_came = signals._came
+_on_signal = signals._on_signal
 
 
 def install(plan: Plan) -> Faults:
@@ -154,7 +154,7 @@
     wall, seconds = time.time_ns, time.time
     time.time_ns = lambda: wall() + faults.stepped()
     time.time = lambda: seconds() + faults.stepped() / 1e9
-    signals._came = faults.on_signal
+    signals._on_signal = faults.on_signal
     return faults
 
 
--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -62,7 +62,7 @@
         config=SimpleNamespace(settings=SimpleNamespace(classes=classes)),
         router=SimpleNamespace(find_home=None, placement=SimpleNamespace(table=SimpleNamespace(by_id={}))),
         requests=SimpleNamespace(request_by_number={}),
-        told_of_list=updates.append,
+        apply_endpoint_update=updates.append,
     )
     active_rules: Any = SimpleNamespace(
         cordoned_hosts=lambda version, is_cautious: cordoned_hosts(version, is_cautious, "f"),
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -114,7 +114,7 @@
 def begins_for_who_left() -> None:
     """Each command that may run twice once more, 0.3 s after its client has left."""
     commands: dict[OpenAttempt, ServeCommand] = {}
-    plain_send, plain_leave = connection.Connection.send, module.ModuleActor._leave
+    plain_send, plain_leave = connection.Connection.send, module.ModuleActor._on_client_disconnected
 
     def send(self: connection.Connection, id: str, what: Any, command: Any) -> None:
         if isinstance(command, ServeCommand):
@@ -132,7 +132,7 @@
         plain_leave(self, request)
 
     connection.Connection.send = send  # type: ignore[method-assign]
-    module.ModuleActor._leave = leave  # type: ignore[method-assign]
+    module.ModuleActor._on_client_disconnected = leave  # type: ignore[method-assign]
 
 
 def asks_no_permission() -> None:
@@ -165,21 +165,21 @@
 
 
 def ends_at_a_second_signal() -> None:
-    plain, came = signals._came, list[int]()
+    plain, came = signals._on_signal, list[int]()
 
     def again(number: int, frame: Any) -> None:
         came.append(number)
-        if sum(one in signals.ENDING for one in came) > 1:
+        if sum(one in signals.STOP_SIGNALS for one in came) > 1:
             os._exit(0)
         plain(number, frame)
 
-    signals._came = again
+    signals._on_signal = again
 
 
 def ends_at_a_half_written_configuration() -> None:
     def reload(self: front.Front) -> None:
         try:
-            load_front(path=self.path)
+            load_front(path=self.config_path)
         except SettingsError:
             os._exit(2)
 
--- a/tests/signalkit.py
+++ b/tests/signalkit.py
@@ -86,14 +86,14 @@
     points = list[str]()
     while "=" in asked[0]:
         points.append(asked.pop(0))
-    plain = signals.catch
+    plain = signals.install_handlers
 
-    def catch(*args: Any) -> None:
+    def install_handlers(*args: Any) -> None:
         plain(*args)
         while points:
             at(*points.pop().split("=", 1))
 
-    signals.catch = catch  # type: ignore[assignment]
+    signals.install_handlers = install_handlers  # type: ignore[assignment]
     sys.argv = ["quincepier", *asked]
     runpy.run_module("quincepier", run_name="__main__", alter_sys=True)
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -33,21 +33,21 @@
 
 def test_what_must_not_wait_goes_first_and_new_work_last_and_is_bounded() -> None:
     box: Mailbox[int] = Mailbox(2)
-    assert box.add(7) and box.add(8) and not box.add(9)
+    assert box.try_push_new_work(7) and box.try_push_new_work(8) and not box.try_push_new_work(9)
     box.push(4)
     box.push(5)
     box.push(6)  # past the bound: what is under way has a place
-    assert not box.offer(99)
-    box.urge(1)
-    box.urge(2)
+    assert not box.try_push(99)
+    box.push_urgent(1)
+    box.push_urgent(2)
     assert [box.take() for _ in range(9)] == [1, 2, 4, 5, 6, 7, 8, None, None] and len(box) == 0
 
 
 def test_a_client_that_left_before_its_turn_is_not_told_to_the_module() -> None:
     actor, router = make_module(lambda event: [])
     request = open_request(Inbox(), received_at_ns=clock.now())
-    actor.safely(ClientDisconnected(request))
-    actor.safely(RequestArrived(request))
+    actor.handle_safely(ClientDisconnected(request))
+    actor.handle_safely(RequestArrived(request))
     assert router.events == [] and actor.requests.unanswered == 0 and not actor.requests.request_by_number
 
 
@@ -90,7 +90,7 @@
 
 def ask(actor: ModuleActor, inbox: Inbox, cls: int = 1, job: str = "") -> Any:
     request = open_request(inbox, cls, job or f"{actor.requests.accepted:016x}", received_at_ns=clock.now())
-    actor.safely(RequestArrived(request))
+    actor.handle_safely(RequestArrived(request))
     return request
 
 
@@ -107,7 +107,7 @@
     ask(actor, bad, 0)
     ask(actor, good, 1)
     assert [answer.status for answer in bad.got] == [500]
-    assert [(answer.status, answer.wait_ms) for answer in good.got] == [(503, 300)]
+    assert [(answer.status, answer.retry_after_ms) for answer in good.got] == [(503, 300)]
     assert actor.checks.counts["exception_in_module"] == 1
 
 
@@ -132,11 +132,11 @@
     inbox = Inbox()
     request = ask(actor, inbox)
     router.script = lambda event: [io.FailRequest(request.number)] * 2
-    actor._tell(io.TimerFired(1))
+    actor._dispatch(io.TimerFired(1))
     assert [answer.status for answer in inbox.got] == [502]
     other = ask(actor, inbox)
     router.script = lambda event: [io.RejectRequest(other.number, 0)]
-    actor.safely(ClientDisconnected(other))
+    actor.handle_safely(ClientDisconnected(other))
     assert len(inbox.got) == 1 and isinstance(router.events[-1], io.ClientDisconnected)
     assert actor.requests.request_by_number == {} and actor.requests.unanswered == 0
 
@@ -146,11 +146,11 @@
     inbox = Inbox()
     request = ask(actor, inbox)
     attempt: OpenAttempt = actor.requests.start_attempt(request, 5, clock.now())
-    actor.safely(ClientDisconnected(request))
-    attempt.is_ended = True
+    actor.handle_safely(ClientDisconnected(request))
+    attempt.is_completed = True
     body = PooledBody.allocate(actor.shared.pool, 40_000)
     assert body is not None and actor.shared.pool.used == 3
-    actor.safely(AttemptFinished(attempt, AttemptOutcome.OK, clock.now(), body=body))
+    actor.handle_safely(AttemptFinished(attempt, AttemptOutcome.OK, clock.now(), body=body))
     assert actor.shared.pool.used == 0 and inbox.got == []
     event = router.events[-1]
     assert isinstance(event, io.AttemptCompleted) and event.last
@@ -165,7 +165,7 @@
     ask(actor, Inbox())
     message = actor.mailbox.take()
     assert message is not None
-    actor.safely(message)
+    actor.handle_safely(message)
     event = router.events[-1]
     assert (
         isinstance(event, io.AttemptCompleted)
@@ -188,7 +188,7 @@
     first = ask(actor, inbox, job="9b1f03aa5c7e2d41")
     ask(actor, inbox, job="9b1f03aa5c7e2d41")
     assert len(router.events) == 1 and [answer.status for answer in inbox.got] == [409]
-    actor.safely(ClientDisconnected(first))
+    actor.handle_safely(ClientDisconnected(first))
     ask(actor, inbox, job="9b1f03aa5c7e2d41")
     assert len(router.events) == 3 and len(inbox.got) == 1
 
@@ -199,7 +199,7 @@
     inbox = Inbox()
     for _ in range(3):
         ask(actor, inbox)
-    assert len(router.events) == 2 and [(a.status, a.wait_ms) for a in inbox.got] == [(503, 500)]
+    assert len(router.events) == 2 and [(a.status, a.retry_after_ms) for a in inbox.got] == [(503, 500)]
 
 
 @pytest.mark.parametrize("how", ["on_probe", "off"])
@@ -214,7 +214,7 @@
         ]
         raw["settings"]["report"]["how"] = how
         actor, router = make_module(lambda event: [], read_front(raw, {}))
-        actor.begin()
+        actor.start_with_known_events()
         number = actor.directory.assign_number
         actor._perform(io.SendHealthCheck(number("s-1")), clock.now())
         actor._perform(io.SendHealthCheck(number("s-2")), clock.now())
@@ -247,7 +247,7 @@
     actor, router = make_module(lambda event: [])
     for wait, token in ((3, 30), (1, 10), (2, 20)):
         actor._perform(io.SetTimer(wait, token), 0)
-    actor._due()
+    actor._fire_due_timers()
     assert [event.token for event in router.events if isinstance(event, io.TimerFired)] == [10, 20, 30]
 
 
@@ -304,7 +304,7 @@
 
         actor, router = make_module(script)
         number = actor.directory.assign_number("s-1")
-        actor.begin()
+        actor.start_with_known_events()
         ask(actor, Inbox())
 
         def ended() -> list[AttemptOutcome]:
@@ -322,7 +322,7 @@
 def test_a_client_closed_as_it_comes_leaves_nothing_behind() -> None:
     async def play() -> None:
         actor, _ = make_module(lambda event: [])
-        manager = ConnectionManager(actor.means, lambda: True)
+        manager = ConnectionManager(actor.dependencies, lambda: True)
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         connection = manager.admit(ours)
@@ -340,12 +340,12 @@
     actor, router = make_module(lambda event: [])
     request = ask(actor, Inbox())
     actor._perform(io.SetTimer(0, 16, request.number), 0)
-    actor._due()
+    actor._fire_due_timers()
     assert io.TimerFired(16) in router.events
     router.events.clear()
     actor._perform(io.SetTimer(0, 24, request.number), 0)
-    actor.safely(ClientDisconnected(request))
-    actor._due()
+    actor.handle_safely(ClientDisconnected(request))
+    actor._fire_due_timers()
     assert router.events == [io.ClientDisconnected(request.number)] and not actor.timers
 
 
--- a/tests/test_agreement_section.py
+++ b/tests/test_agreement_section.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quincepier.lifecycle.operators import Operators
+from quincepier.lifecycle.operators import OperatorConfiguration
 from quincepier.operator import OperatorError, read
 
 VALID_SECTION = """
@@ -36,6 +36,6 @@
     path = tmp_path / "operator.yaml"
     path.write_text(VALID_SECTION + "maintenance: {}\n")
     with pytest.raises(OperatorError, match="agreement: needs the section members: add it"):
-        Operators(str(path))
+        OperatorConfiguration(str(path))
     path.write_text(VALID_SECTION + "members: {fleet: web, fronts: {a: '127.0.0.1:1'}}\nmaintenance: {}\n")
-    assert Operators(str(path)).file.names == ["members", "agreement", "maintenance"]
+    assert OperatorConfiguration(str(path)).file.names == ["members", "agreement", "maintenance"]
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -186,14 +186,14 @@
         cache = inside.module.caches[attempt.cache]
         (connection,) = cache.connections
         bound(connection, 0)
-        told, ended = inside.module._ended, list[bool]()
+        told, ended = inside.module._on_attempt_finished, list[bool]()
 
         def on_ended(end: AttemptFinished) -> None:
             wire.look()
             ended.append(wire.ended and attempt.state is AttemptState.CLOSED)
             told(end)
 
-        monkeypatch.setattr(inside.module, "_ended", on_ended)
+        monkeypatch.setattr(inside.module, "_on_attempt_finished", on_ended)
         with monkeypatch.context() as patched:
             patched.setattr(CommandWriter, "cancel", broken)
             if is_timeout:
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -57,7 +57,7 @@
         purge = {"seq": 2, "invalidate": {"bucket": 99, "time": purged_ms}}
         known = {"seq": 2, "results": [listed, purge]}
         self.front = Front(read_front(raw_config(known=known), {}))
-        self.front.module.begin()
+        self.front.module.start_with_known_events()
         self.upkeep = asyncio.create_task(self.front._upkeep())
 
     def host(self, name: str, at: str | None = None, **changed: Any) -> dict[str, Any]:
@@ -74,7 +74,7 @@
             self.seq += 1
             _, (change,) = read_changes({"seq": self.seq, "results": [self.event(hosts)]})
             assert isinstance(change, FleetChange)
-            self.front.module.mailbox.urge(ChangeLogEvent(change))
+            self.front.module.mailbox.push_urgent(ChangeLogEvent(change))
 
     def ask(self, times: int) -> None:
         for _ in range(times):
@@ -298,6 +298,6 @@
 
 
 def test_a_front_that_lets_out_what_was_decided_before_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ModuleActor, "_recall_from", lambda self, news: None)
+    monkeypatch.setattr(ModuleActor, "_revoke_leaving", lambda self, news: None)
     to, by = drained(monkeypatch)
     assert to > 0 and by > 0
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -163,7 +163,7 @@
         cache, attempt = inside.cache("o-1"), request.attempts[0]
         if order == "answer, cancel":
             wire.answer(request.job_id, b"y" * 100_000)  # it can be read; it has not been
-        cache.safely(CancelCommand(attempt))
+        cache.handle_safely(CancelCommand(attempt))
         if order == "cancel, answer":
             wire.answer(request.job_id, b"y" * 100_000)
         assert await inside.status(request) == 502
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -125,7 +125,7 @@
         for step in ORDERS[order].split():
             match step:
                 case "cancel":
-                    cache.safely(CancelCommand(attempt))
+                    cache.handle_safely(CancelCommand(attempt))
                 case "up":
                     dials.let()
                 case "close":
@@ -184,18 +184,18 @@
             inside.module.mailbox.push = to_module.append  # type: ignore[method-assign, assignment]
         caches = list(inside.module.caches.values()) if where == "mailbox" else []
         for cache in caches:  # the second attempt in theirs
-            cache.safely = partial(keep, to_caches, cache)  # type: ignore[method-assign]
+            cache.handle_safely = partial(keep, to_caches, cache)  # type: ignore[method-assign]
         wire.reset()
         await until(lambda: bool(dials.waiting or to_module or to_caches), "it waits")
         front_clock.on(3 * SECOND if passed else SECOND // 2)
         dials.let()
         inside.module.mailbox.push = take  # type: ignore[method-assign]
         for cache in caches:
-            del cache.safely
+            del cache.handle_safely
         for message in to_module:
             take(message)
         for cache, command in to_caches:
-            cache.safely(command)
+            cache.handle_safely(command)
         if passed:
             assert await inside.status(request) == 503
             assert len(inside.serves(request)) == 1
@@ -249,7 +249,7 @@
         request = inside.ask(BID)
         wire = await inside.out(request)
         cache = inside.cache("o-1")
-        for _ in range(cache.mailbox.most):
+        for _ in range(cache.mailbox.max_messages):
             cache.mailbox.push(RevokeCommand(request.attempts[0]))
         inside.listed(inside.host("o-1", health="DELETED"))
         wire.answer(request.job_id)  # what is out is heard to its end
@@ -322,8 +322,8 @@
         wire.answer(request.job_id)
         wire.reset()
         cache._give_up(attempt, AttemptOutcome.TIMEOUT)
-        cache.safely(CancelCommand(attempt))
-        cache.safely(RevokeCommand(attempt))
+        cache.handle_safely(CancelCommand(attempt))
+        cache.handle_safely(RevokeCommand(attempt))
         assert await inside.status(request) == 502
         await until(lambda: not inside.connections(), "the break is heard")
         assert inside.endings(request) == [AttemptOutcome.TIMEOUT]
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -84,7 +84,9 @@
 
 
 def taken(manager: ConnectionManager) -> list[str]:
-    return [message.request.job_id for message in manager.module.last if isinstance(message, RequestArrived)]
+    return [
+        message.request.job_id for message in manager.module.new_work if isinstance(message, RequestArrived)
+    ]
 
 
 def give(manager: ConnectionManager, request: object, body: bytes) -> None:
@@ -394,7 +396,7 @@
         peer = Peer(manager)
         peer.send(call(1, params("1" * 16)) + LATE)
         await until(lambda: len(taken(manager)) == 2, "both are asked")
-        first, second = (m.request for m in manager.module.last if isinstance(m, RequestArrived))
+        first, second = (m.request for m in manager.module.new_work if isinstance(m, RequestArrived))
         assert not first.is_cancelled and not second.is_cancelled
         peer.send(rec(ABORT, 1))
         peer.at_front.receive()
@@ -411,7 +413,7 @@
 
 async def answered_and_closed(manager: ConnectionManager, peer: Peer, job: str) -> None:
     """The request has its answer, nothing else is sent on, and the connection ends without a reset."""
-    (message,) = manager.module.last
+    (message,) = manager.module.new_work
     assert isinstance(message, RequestArrived) and message.request.job_id == job
     message.request.number = 1  # the module has it
     assert not message.request.is_cancelled
@@ -463,7 +465,7 @@
         peer = Peer(manager)
         peer.send(LATE + GARBAGE)
         await until(lambda: bool(taken(manager)), "it is taken")
-        (message,) = manager.module.last
+        (message,) = manager.module.new_work
         assert isinstance(message, RequestArrived)
         peer.sock.close()
         await until(lambda: message.request.is_cancelled, "its client is gone")
@@ -485,13 +487,13 @@
         peer = Peer(manager)
         peer.send(LATE)
         await until(lambda: bool(taken(manager)), "it is read")
-        (message,) = manager.module.last
+        (message,) = manager.module.new_work
         assert isinstance(message, RequestArrived) and message.request.earliest_arrival_ns <= clock.now()
         assert before <= message.request.earliest_arrival_ns < message.request.received_at_ns
         assert not floors
         peer.send(call(3, params("3" * 16)))
         await until(lambda: len(taken(manager)) == 2, "so is another")
-        later = manager.module.last[1]
+        later = manager.module.new_work[1]
         assert isinstance(later, RequestArrived)
         assert later.request.earliest_arrival_ns > message.request.received_at_ns, "it was empty between"
 
--- a/tests/test_crossings_commands.py
+++ b/tests/test_crossings_commands.py
@@ -221,8 +221,8 @@
         request = inside.ask(BID)
         await inside.out(request)
         cache = inside.cache("o-1")
-        cache.safely(CancelCommand(request.attempts[0]))
-        assert request.attempts[0].is_ended and inside.cancels(request) == 1
+        cache.handle_safely(CancelCommand(request.attempts[0]))
+        assert request.attempts[0].is_completed and inside.cancels(request) == 1
         await inside.status(request)
         await inside.settled()
 
@@ -238,10 +238,10 @@
         (connection,) = cache.connections
         (attempt,) = request.attempts
         connection.lost = True  # its end has been read in this turn
-        cache.safely(CancelCommand(attempt))
-        assert not attempt.is_ended
+        cache.handle_safely(CancelCommand(attempt))
+        assert not attempt.is_completed
         wire.close()
-        await until(lambda: attempt.is_ended, "it has ended")
+        await until(lambda: attempt.is_completed, "it has ended")
         assert connection.sock is not None and connection.sock.fileno() < 0, "the socket was closed before"
         await until(lambda: bool(inside.endings(request)), "it is told")
         assert inside.endings(request) == [AttemptOutcome.CANCELLED]
--- a/tests/test_crossings_drain.py
+++ b/tests/test_crossings_drain.py
@@ -120,7 +120,7 @@
         peer = Peer(manager)
         peer.send(LATE)
         peer.at_front.receive()
-        (message,) = manager.module.last
+        (message,) = manager.module.new_work
         assert isinstance(message, RequestArrived) and not message.request.is_finished
         await asyncio.gather(manager.close_all(), peer.to_the_end())
         assert message.request.is_finished and peer.reader.got[2].status == 503
--- a/tests/test_crossings_poll.py
+++ b/tests/test_crossings_poll.py
@@ -65,7 +65,7 @@
 def test_an_answer_that_is_none_is_asked_for_again_at_once_on_a_new_connection(
     monkeypatch: pytest.MonkeyPatch, answer: bytes
 ) -> None:
-    monkeypatch.setattr(watch_poll, "MAX_ANSWER", 2048)
+    monkeypatch.setattr(watch_poll, "MAX_RESPONSE_BYTES", 2048)
 
     async def story(rig: Rig) -> None:
         ask = await rig.log.asked(1)
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -25,15 +25,15 @@
     "quincepier.config:load_front",
     "import:quincepier.lifecycle.front",
     "import:loguru",
-    "quincepier.lifecycle.logs:set_up",
+    "quincepier.lifecycle.logs:configure_logging",
     f"{FRONT}:run",
     "import:uvloop",
     f"{FRONT}:Front.__init__",
     f"{FRONT}:Front.serve",
     f"{NET}.sockets:listen",
-    f"{NET}.module:ModuleActor.begin",
-    f"{NET}.watch:Watch.start",
-    f"{NET}.watch:Watch.up_to_date",
+    f"{NET}.module:ModuleActor.start_with_known_events",
+    f"{NET}.watch:ChangeLogWatcher.start",
+    f"{NET}.watch:ChangeLogWatcher.wait_until_caught_up",
 )
 SERVES = f"{NET}.listener:Listener.start"
 # And those of the end, from the first line of the drain to the interpreter's.
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize(
     "points",
     [
-        (f"{NET}.watch:Watch.up_to_date=SWAP,HUP",),
+        (f"{NET}.watch:ChangeLogWatcher.wait_until_caught_up=SWAP,HUP",),
         # the file is read and not yet in force as it is replaced again: what is read later holds
         (f"{SERVES}=HUP", f"{FRONT}:reloaded=SWAP,HUP"),
     ],
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -22,7 +22,7 @@
 from quincepier.net.dialer import dial
 from quincepier.net.messages import RequestArrived, Response
 from quincepier.net.probe import Probe
-from quincepier.net.watch import POLL_GRACE, POLL_MS
+from quincepier.net.watch import POLL_GRACE_S, POLL_TIMEOUT_MS
 from quincepier.wire import lines
 from tests.attemptkit import Inside, answer, on_loop
 from tests.fcgikit import call, params
@@ -55,7 +55,7 @@
         peer = Peer(manager)
         connection = peer.connection
         peer.sock.send(call(1, params("1" * 16)))
-        await until(lambda: bool(manager.module.last), "it is asked")
+        await until(lambda: bool(manager.module.new_work), "it is asked")
         message = manager.module.take()
         assert isinstance(message, RequestArrived)
         large = PooledBody.allocate(manager.pool, len(LARGE))
@@ -199,7 +199,7 @@
             ask.writer.write(news if there == "all" else news[:40])
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualLoop)
-        loop.jumping.ahead += 2 * (POLL_MS / 1000 + POLL_GRACE)  # the front stands still
+        loop.jumping.ahead += 2 * (POLL_TIMEOUT_MS / 1000 + POLL_GRACE_S)  # the front stands still
         again = await rig.log.asked(2)
         lost = there != "all"
         assert (again.since, again.connection) == ((1, 2) if lost else (2, 1))
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -25,8 +25,8 @@
 ) -> None:
     async def story(rig: Rig) -> None:
         new, ask = await Log().start(), await rig.log.asked(1)
-        assert rig.watch.polling is not None
-        rig.watch.polling.add_done_callback(lambda _: rig.move(new))  # whole, and not taken yet
+        assert rig.watch.newest_task is not None
+        rig.watch.newest_task.add_done_callback(lambda _: rig.move(new))  # whole, and not taken yet
         ask.tell(2)
         assert (await new.asked(1)).since == 2
         new.asks[0].tell(2, 3)
@@ -40,14 +40,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def story(rig: Rig) -> None:
-        new, ask, plain = await Log().start(), await rig.log.asked(1), rig.module.urge
+        new, ask, plain = await Log().start(), await rig.log.asked(1), rig.module.push_urgent
 
         def urge(message: ToModule) -> None:
             plain(message)
             if rig.taken == [2]:
                 rig.move(new)  # the signal comes between two events of one answer
 
-        rig.module.urge = urge  # type: ignore[method-assign]
+        rig.module.push_urgent = urge  # type: ignore[method-assign]
         ask.tell(2, 3)
         first = await new.asked(1)
         assert first.since == 3 and rig.taken == [2, 3] and first.at - ask.at < MOMENT
@@ -108,7 +108,7 @@
 def test_a_move_before_the_watch_runs_loses_no_first_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story(rig: Rig) -> None:
         rig.log.script = lambda ask: ask.tell(2) if ask.since == 1 else None
-        rig.watch.move()
+        rig.watch.on_address_changed()
         rig.watch.start()
         await rig.told(2)
         assert [ask.since for ask in rig.log.asks] in ([1], [1, 2])
@@ -130,7 +130,7 @@
         (await rig.log.asked(2)).tell(1, 2)
         began, before = now(), len(rig.log.asks)
         await asyncio.sleep(1)
-        assert len(rig.log.asks) - before <= 1 / watch.BACK_OFF + 1, "asked without a pause"
+        assert len(rig.log.asks) - before <= 1 / watch.MIN_BACKOFF_S + 1, "asked without a pause"
         assert {ask.since for ask in rig.log.asks[1:]} == {4} and now() - began >= 1
         rig.log.script = lambda ask: ask.tell(3, 4, 5)  # it has caught up
         await rig.told(2, 3, 4, 5)
@@ -164,7 +164,7 @@
         assert ask.since == 2 and rig.taken == [2]
         ask.tell(3, 4)  # it was late, not lost
         await rig.told(2, 3, 4)
-        for times in range(3, 3 + watch.TRIES):
+        for times in range(3, 3 + watch.MAX_RECORD_TRIES):
             (await rig.log.asked(times)).tell(7)
         await rig.told(2, 3, 4, 7)
 
@@ -196,14 +196,14 @@
 
     async def story(rig: Rig) -> None:
         loop, ask = asyncio.get_running_loop(), await rig.log.asked(1)
-        loop.call_later(watch.QUIET - 0.01, ask.writer.write, answer[:40])
+        loop.call_later(watch.QUIET_PERIOD_S - 0.01, ask.writer.write, answer[:40])
         if broken:
-            loop.call_later(watch.QUIET - 0.005, ask.writer.close)
+            loop.call_later(watch.QUIET_PERIOD_S - 0.005, ask.writer.close)
             ask = await rig.log.asked(2)
-            loop.call_later(watch.QUIET - 0.02, ask.writer.write, answer)
+            loop.call_later(watch.QUIET_PERIOD_S - 0.02, ask.writer.write, answer)
         else:
-            loop.call_later(watch.QUIET + 0.05, ask.writer.write, answer[40:])
-        await rig.watch.up_to_date()
+            loop.call_later(watch.QUIET_PERIOD_S + 0.05, ask.writer.write, answer[40:])
+        await rig.watch.wait_until_caught_up()
         assert rig.taken == [2], "it serves without what the log had"
 
     play(monkeypatch, story)
@@ -216,8 +216,10 @@
         if not quiet:
             ask.writer.write(http(body(2))[:40])  # and nothing more
         began = now()
-        await rig.watch.up_to_date()
-        assert now() - began == pytest.approx(watch.QUIET if quiet else watch.START_WAITS, abs=0.02)
+        await rig.watch.wait_until_caught_up()
+        assert now() - began == pytest.approx(
+            watch.QUIET_PERIOD_S if quiet else watch.MAX_START_WAIT_S, abs=0.02
+        )
         ask.writer.write(http(body(2))[0 if quiet else 40 :])
         await rig.told(2)
 
@@ -235,7 +237,7 @@
         it.log.late = NEVER
         await it.start()
         it.change(it.log)
-        it.told_at = it.now + it.front.watch.wait_ms / 1000 + 2
+        it.told_at = it.now + it.front.change_log_watcher.poll_timeout_ms / 1000 + 2
         await asyncio.sleep(0.001)
         it.log.late = 0.0
         await it.ask_for(it.told_at - it.now + DRAIN_GRACE + 1.5)
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -68,7 +68,7 @@
         request = inside.ask(IMAGE, allowed_ns=ALLOWED)
         came = inside.module.mailbox.take()
         assert came is not None
-        inside.module.safely(came)
+        inside.module.handle_safely(came)
         time.on(WAITED)  # its command stands in the mailbox of s-1
         await out_in_time(inside, request)
         await inside.settled()
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -35,8 +35,8 @@
     checks, pool = Checks(), BufferPool(8)
     module: Mailbox[ToModule] = Mailbox(4096)
     budget = MemoryBudget(max_buffers=8, max_body_bytes=1 << 20, max_open_requests=4096)
-    means = ActorDependencies(make_config(), checks, pool, Descriptors(sockets), module, budget)
-    return ConnectionManager(means, lambda: True, places)
+    dependencies = ActorDependencies(make_config(), checks, pool, Descriptors(sockets), module, budget)
+    return ConnectionManager(dependencies, lambda: True, places)
 
 
 class Peer:
@@ -173,10 +173,10 @@
         await asyncio.sleep(0)
         for peer in peers:
             peer.sock.send(call(1, params("1" * 16)))
-        await until(lambda: len(manager.module.last) == len(peers), "all are read")
+        await until(lambda: len(manager.module.new_work) == len(peers), "all are read")
         came = [
             message.request.received_at_ns
-            for message in manager.module.last
+            for message in manager.module.new_work
             if isinstance(message, RequestArrived)
         ]
         assert max(came) - min(came) < clock.now() - min(came)  # those read last were there before
@@ -277,7 +277,7 @@
         peer, large = Peer(manager), os.urandom(40_000) * 6
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         peer.sock.send(b"".join(call(n, params(f"{n:016x}")) for n in range(1, 33)))
-        await until(lambda: len(manager.module.last) == 32, "all are asked")
+        await until(lambda: len(manager.module.new_work) == 32, "all are asked")
         manager.pool.max_buffers = 1000
         while (message := manager.module.take()) is not None:
             assert isinstance(message, RequestArrived)
@@ -291,7 +291,7 @@
         assert all(got.body == large for got in peer.reader.got.values()) and manager.pool.used == 1
         await until(lambda: peer.connection.session is None, "it rests")
         peer.sock.send(call(40, params("f" * 16), keep=False))
-        await until(lambda: bool(manager.module.last), "the last is asked")
+        await until(lambda: bool(manager.module.new_work), "the last is asked")
         message = manager.module.take()
         assert isinstance(message, RequestArrived)
         body = PooledBody.allocate(manager.pool, len(large))
@@ -315,7 +315,7 @@
         manager.pool.max_buffers = 1000
         peer, sizes = Peer(manager), {1: 240_000, 2: 5, 3: 70_000, 4: 5}
         peer.sock.send(b"".join(call(n, params(f"{n:016x}")) for n in sizes))
-        await until(lambda: len(manager.module.last) == 4, "all are asked")
+        await until(lambda: len(manager.module.new_work) == 4, "all are asked")
         while (message := manager.module.take()) is not None:  # all in one turn, the largest first
             assert isinstance(message, RequestArrived)
             size = sizes[message.request.stream_id]
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -57,7 +57,7 @@
     requests.finish(request)
     requests.finish(request)
     assert requests.unanswered == 0 and requests.request_by_number == {request.number: request}
-    attempt.is_ended = True
+    attempt.is_completed = True
     requests.remove_if_done(request)
     assert requests.request_by_number == {}
 
--- a/tests/test_report_counters.py
+++ b/tests/test_report_counters.py
@@ -25,7 +25,7 @@
 def test_a_report_counts_its_window_and_what_is_open_now() -> None:
     request_class: Any = SimpleNamespace(effect=Idempotency.KEYED, worth=2.0, on_time=clock.SECOND)
     counters = ReportCounters((request_class,), 0, 2)
-    attempt: Any = SimpleNamespace(cache=1, source=2, is_ended=False)
+    attempt: Any = SimpleNamespace(cache=1, source=2, is_completed=False)
     attempt.request = make_request([attempt], is_finished=True)
     counters.on_sent(attempt, 0)
     counters.on_answered(attempt.request, 200, clock.SECOND // 2)
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -108,13 +108,13 @@
         machine, endings = Machine(tmp_path), list[AttemptOutcome]()
         inside = Inside(tmp_path, {"s-1": machine, "o-1": Machine(tmp_path)}, **quick())
         await inside.start()
-        told = inside.module._ended
+        told = inside.module._on_attempt_finished
 
-        def ended(end: Any) -> None:
-            endings.append(end.ending)
-            told(end)
+        def ended(finished: Any) -> None:
+            endings.append(finished.outcome)
+            told(finished)
 
-        inside.module._ended = ended  # type: ignore[method-assign]
+        inside.module._on_attempt_finished = ended  # type: ignore[method-assign]
         for kind, left in (("unix", 2), ("ipv6", 1)):
             machine.set(kind, Script(Moment.REFUSE))
             await inside.serve(SAFE, left)
@@ -157,7 +157,7 @@
         way = inside.way("s-1")
         await until(lambda: not (way.races.races or way.tasks or way.up), "no dial is left")
         assert way.extras == 0 and inside.dialer.account.used == 0
-        assert inside.module.means.descriptors.caches == sum(
+        assert inside.module.dependencies.descriptors.caches == sum(
             len(cache.connections) for cache in inside.module.caches.values()
         )
         await inside.close()
@@ -187,7 +187,7 @@
             case _:
                 state = "DRAINING" if news == "drain" else "DELETED"
                 inside.tell(inside.record("s-1", edge.addresses(), health=state))
-        await until(lambda: attempt.is_revoked and attempt.is_ended, "the attempt went back")
+        await until(lambda: attempt.is_revoked and attempt.is_completed, "the attempt went back")
         for kind in edge.kinds:
             edge.set(kind, Script())
         assert await inside.answered(inbox) == 200
@@ -241,7 +241,7 @@
         inside.leave(request)
         await until(lambda: not inside.way("o-1").tasks, "nothing is dialled for nobody")
         await until(lambda: not inside.cache("o-1").connections, "its connection is gone")
-        assert (inside.module.means.descriptors.caches, inside.dialer.account.used) == (0, 0)
+        assert (inside.module.dependencies.descriptors.caches, inside.dialer.account.used) == (0, 0)
         assert inbox.got == [] and origin.whole[job] == 0
         counts = inside.checks.counts
         assert counts["dials_cancelled"] and not counts["dials_failed_timed_out"]
@@ -277,7 +277,7 @@
     async def scenario() -> None:
         inside = Inside(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **quick())
         await inside.start(sockets=32)
-        descriptors = inside.module.means.descriptors
+        descriptors = inside.module.dependencies.descriptors
         for kind in ("unix", "ipv6"):
             origin.set(kind, Script(Moment.REFUSE))
         asked = [inside.ask(UNSAFE) for _ in range(40)]
@@ -339,7 +339,7 @@
         section = type(inside.section)(
             **quick(machines={"o-1": (parse(origin.doors["ipv4"].text),)}, forbid=(parse_term("ipv6"),))
         )
-        inside.module.follow_addresses(section)  # SIGHUP: the one being dialled is forbidden
+        inside.module.apply_address_settings(section)  # SIGHUP: the one being dialled is forbidden
         assert await inside.answered(held) == 200 and origin.at[-1] == ("ipv4", waiting)
         assert [str(a) for a in inside.way("o-1").book.entries] == [origin.doors["ipv4"].text]
         await inside.close()
@@ -431,14 +431,14 @@
             "it is cold",
         )
         sent = []
-        perform = inside.module._send
+        perform = inside.module._start_attempt
         number = inside.cache("s-1").number
 
         def send(action: Any, now: int) -> None:
             sent.append(action.cache == number)
             perform(action, now)
 
-        inside.module._send = send  # type: ignore[method-assign]
+        inside.module._start_attempt = send  # type: ignore[method-assign]
         scripts = [Script(Moment.REFUSE), Script(), Script(Moment.ACCEPT, True), Script(Moment.FULL)]
         for n in range(40):
             edge.set("unix", scripts[n % 4])
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -82,11 +82,13 @@
         self.config = raw_config(changelog=self.log.address, known=self.log.known(), settings=self.settings)
         (self.folder / "config.json").write_text(json.dumps(self.config))
         self.front = Front(read_front(self.config, {}), str(self.folder / "config.json"))
-        self.patch.setattr(self.front.watch.random, "uniform", lambda least, most: most)  # the worst draws
-        self.front.module.begin()
-        self.front.watch.start()
+        self.patch.setattr(
+            self.front.change_log_watcher.random, "uniform", lambda least, most: most
+        )  # the worst draws
+        self.front.module.start_with_known_events()
+        self.front.change_log_watcher.start()
         self.upkeep = asyncio.create_task(self.front._upkeep())
-        await self.front.watch.up_to_date()
+        await self.front.change_log_watcher.wait_until_caught_up()
 
     def host(self, name: str, **changed: Any) -> dict[str, Any]:
         kinds = {"p": "parent", "o": "origin"}
@@ -141,7 +143,7 @@
 
     async def end(self) -> None:
         self.upkeep.cancel()
-        actors: list[Actor[Any]] = [self.front.watch, self.front.module]
+        actors: list[Actor[Any]] = [self.front.change_log_watcher, self.front.module]
         for actor in (*actors, *self.front.module.caches.values()):
             actor.cancel()
         await asyncio.sleep(0.01)
@@ -156,7 +158,7 @@
     story.change(story.log)
     await asyncio.sleep(0.001)
     story.log.late = 0.0
-    story.told_at = story.now + watch.POLL_MS / 1000 + 2
+    story.told_at = story.now + watch.POLL_TIMEOUT_MS / 1000 + 2
 
 
 async def late(story: Story) -> None:
@@ -222,27 +224,27 @@
 
 
 def waits_on(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(watch, "POLL_GRACE", 30.0)
-    patch.setattr(watch_poll, "MAX_LIFETIME", 30.0)
+    patch.setattr(watch, "POLL_GRACE_S", 30.0)
+    patch.setattr(watch_poll, "MAX_POLL_DURATION_S", 30.0)
 
 
 def impatient(patch: pytest.MonkeyPatch) -> None:
-    async def poll(self: watch_poll.Poll) -> bytes:
+    async def poll(self: watch_poll.ChangeLogPoll) -> bytes:
         async with asyncio.timeout(1.1):  # of its whole poll, what is late by more is never heard
             return await plain(self)
 
-    plain = watch_poll.Poll.run
-    patch.setattr(watch_poll.Poll, "run", poll)
+    plain = watch_poll.ChangeLogPoll.run
+    patch.setattr(watch_poll.ChangeLogPoll, "run", poll)
 
 
 def slow_again(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(watch, "BACK_OFF", 30.0)
-    patch.setattr(watch, "BACK_OFF_MOST", 30.0)
+    patch.setattr(watch, "MIN_BACKOFF_S", 30.0)
+    patch.setattr(watch, "MAX_BACKOFF_S", 30.0)
 
 
 def stays(patch: pytest.MonkeyPatch) -> None:
     waits_on(patch)
-    patch.setattr(watch.Watch, "move", lambda self: None)
+    patch.setattr(watch.ChangeLogWatcher, "on_address_changed", lambda self: None)
 
 
 def forgets_starts(patch: pytest.MonkeyPatch) -> None:
@@ -267,7 +269,7 @@
 
 def as_before(patch: pytest.MonkeyPatch) -> None:
     """As late as with a back-off of one second that came after a try of half a one."""
-    patch.setattr(watch, "BACK_OFF_MOST", 1.5)
+    patch.setattr(watch, "MAX_BACKOFF_S", 1.5)
 
 
 CASES: list[tuple[Callable[[Story], Awaitable[None]], Callable[[pytest.MonkeyPatch], None]]] = [
--- a/tests/test_version_effects.py
+++ b/tests/test_version_effects.py
@@ -130,7 +130,7 @@
     effects, follower, _ = make_front(effects_type=effects_type)
     taken_back: list[str] = []
     effects.active_rules.is_unsafe_class = [True, False]
-    effects.module.take_back = taken_back.append
+    effects.module.revoke_attempt = taken_back.append
     for number, (tenant, class_index) in enumerate((("acme", 0), ("acme", 1), ("", 0))):
         effects.module.requests.request_by_number[number] = SimpleNamespace(
             tenant=tenant, class_index=class_index, attempts=[f"{tenant} {class_index}"]
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -44,7 +44,7 @@
     """One event of the change log, as its watch passes it on."""
     inside.seq += 1
     (event,) = read_changes({"seq": inside.seq, "results": [{"seq": inside.seq} | record]})[1]
-    inside.module._news(event, io.UpdateScope.CHANGES)
+    inside.module._on_change_log_event(event, io.UpdateScope.CHANGES)
 
 
 async def age_asked_for(inside: Inside) -> int:
--- a/tests/watchkit.py
+++ b/tests/watchkit.py
@@ -20,7 +20,7 @@
 from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.messages import ToModule
 from quincepier.net.sockets import Descriptors
-from quincepier.net.watch import Watch
+from quincepier.net.watch import ChangeLogWatcher
 from tests.frontkit import make_config
 from tests.loopback import own_address
 from tests.standins import until
@@ -101,17 +101,17 @@
         config = make_config(changelog="{}:{}".format(*log.address))
         budget = divide_memory(192, 24 << 20, 500)
         pool = BufferPool(4, 0)
-        self.means = ActorDependencies(config, self.checks, pool, Descriptors(64), self.module, budget)
-        self.watch = Watch(self.means)
+        self.dependencies = ActorDependencies(config, self.checks, pool, Descriptors(64), self.module, budget)
+        self.watch = ChangeLogWatcher(self.dependencies)
         self.watch.random.uniform = lambda a, b: b  # type: ignore[method-assign]
 
     @property
     def taken(self) -> list[int]:
-        return [message.event.seq for message in self.module.first]  # type: ignore[union-attr]
+        return [message.event.seq for message in self.module.urgent]  # type: ignore[union-attr]
 
     def move(self, log: Log) -> None:
-        self.means.config = replace(self.means.config, changelog=log.address)
-        self.watch.move()
+        self.dependencies.config = replace(self.dependencies.config, changelog=log.address)
+        self.watch.on_address_changed()
 
     async def told(self, *seqs: int) -> None:
         await until(lambda: len(self.taken) >= len(seqs), f"{seqs} are taken")
