--- a/quincepier/net/actor.py
+++ b/quincepier/net/actor.py
@@ -28,8 +28,8 @@
         waiter: Set while the actor waits for a message.
     """
 
-    def __init__(self, most: int) -> None:
-        self.max_messages = most
+    def __init__(self, max_messages: int) -> None:
+        self.max_messages = max_messages
         self.queue: deque[M] = deque()
         self.urgent: deque[M] = deque()
         self.new_work: deque[M] = deque()
@@ -71,10 +71,10 @@
 
     def take(self) -> M | None:
         """Remove and return the next message; None if there is none."""
-        lane = self.urgent or self.queue or self.new_work
-        if not lane:
+        next_queue = self.urgent or self.queue or self.new_work
+        if not next_queue:
             return None
-        return lane.popleft()
+        return next_queue.popleft()
 
     async def wait(self) -> None:
         """Wait for a message or a call of `wake`."""
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -204,9 +204,7 @@
             self._dispatch(self.pending_events.popleft())
 
     def _on_request_arrived(self, request: OpenRequest) -> None:
-        if (
-            request.is_finished or request.is_cancelled
-        ):  # the client disconnected while the message was queued
+        if request.is_finished or request.is_cancelled:  # aborted while the message was queued
             return
         if self.requests.is_full:
             self.checks.event("request_rejected_open_limit")
