--- a/tests/signalkit.py
+++ b/tests/signalkit.py
@@ -1,8 +1,8 @@
-"""The front's program with signals at named points: `python -m tests.signalkit POINT=ACTIONS... serve ...`.
+"""Runs the front with signals at named points: `python -m tests.signalkit POINT=ACTIONS... serve ...`.
 
 A point is `module:name` of a function or method, `import:MODULE`, `exit`, or `teardown` of the interpreter.
-As it is first reached the actions are done, a list of TERM, INT, HUP, and SWAP: the file beside the
-configuration, named .next, takes its place.
+When it is reached for the first time, its actions are done: a list of the signals TERM, INT and HUP, and of
+SWAP, which replaces the configuration by the file beside it that is named .next.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from quincepier.lifecycle import signals
 
 
-def act(actions: str) -> None:
+def send_signals(actions: str) -> None:
     for action in actions.split(","):
         if action == "SWAP":
             os.replace(os.environ["ROUTER_CONFIG"] + ".next", os.environ["ROUTER_CONFIG"])
@@ -27,8 +27,8 @@
             os.kill(os.getpid(), getattr(signal, f"SIG{action}"))
 
 
-class Last:
-    """Deleted with the modules: by then the interpreter has put handlers back to the default."""
+class SignalsAtTeardown:
+    """Sends signals as it is deleted with the modules, after the interpreter has reset the handlers."""
 
     def __init__(self, actions: str) -> None:
         self.numbers = [getattr(signal, f"SIG{action}") for action in actions.split(",")]
@@ -38,8 +38,8 @@
             kill(own, number)
 
 
-class Importing:
-    """A finder that finds nothing, and acts as the module is asked for."""
+class ImportHook:
+    """An import finder that finds no module and calls `reached` on the import of one module."""
 
     def __init__(self, module: str, reached: Callable[[], None]) -> None:
         self.module, self.reached = module, reached
@@ -49,52 +49,53 @@
             self.reached()
 
 
-def at(point: str, actions: str) -> None:
-    undone = [actions]
+def install_point(point: str, actions: str) -> None:
+    pending = [actions]
 
     def reached() -> None:
-        if undone:
-            act(undone.pop())
+        if pending:
+            send_signals(pending.pop())
 
     kind, _, name = point.partition(":")
     if point == "exit":
         atexit.register(reached)
     elif point == "teardown":
-        vars(sys)["last"] = Last(actions)  # deleted for certain: what is frozen in the collector is not
+        # kept in `sys`, so that it is deleted at teardown; objects frozen in the garbage collector are not
+        vars(sys)["last"] = SignalsAtTeardown(actions)
     elif kind == "import":
-        sys.meta_path.insert(0, Importing(name, reached))
+        sys.meta_path.insert(0, ImportHook(name, reached))
     else:
-        wrap(kind, name, reached)
+        wrap_function(kind, name, reached)
 
 
-def wrap(module: str, name: str, reached: Callable[[], None]) -> None:
+def wrap_function(module: str, name: str, reached: Callable[[], None]) -> None:
     owner: Any = importlib.import_module(module)
-    *way, last = name.split(".")
-    for word in way:
+    *qualifiers, last = name.split(".")
+    for word in qualifiers:
         owner = getattr(owner, word)
-    plain = getattr(owner, last)
+    original = getattr(owner, last)
 
     def wrapped(*args: Any, **kwargs: Any) -> Any:
         reached()
-        return plain(*args, **kwargs)
+        return original(*args, **kwargs)
 
     setattr(owner, last, wrapped)
 
 
-def main(asked: list[str]) -> None:
-    """The points are set as soon as the front's program has its handlers: nothing is imported before."""
+def main(arguments: list[str]) -> None:
+    """Install the points right after the front's signal handlers, before any other module is imported."""
     points = list[str]()
-    while "=" in asked[0]:
-        points.append(asked.pop(0))
-    plain = signals.install_handlers
+    while "=" in arguments[0]:
+        points.append(arguments.pop(0))
+    original = signals.install_handlers
 
     def install_handlers(*args: Any) -> None:
-        plain(*args)
+        original(*args)
         while points:
-            at(*points.pop().split("=", 1))
+            install_point(*points.pop().split("=", 1))
 
     signals.install_handlers = install_handlers  # type: ignore[assignment]
-    sys.argv = ["quincepier", *asked]
+    sys.argv = ["quincepier", *arguments]
     runpy.run_module("quincepier", run_name="__main__", alter_sys=True)
 
 
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -1,4 +1,4 @@
-"""Signals between any two lines of a front's start, service, drain and end: it ends with 0, or serves on."""
+"""Signals at any point of a front's start, service, drain and end: it exits with 0, or continues to serve."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.standins import PATIENCE, Asked, ChangeLog, Front, play, until
 
 FRONT, NET = "quincepier.lifecycle.front", "quincepier.net"
-# In the order in which a start comes by; up to here nobody was told that the front serves.
-BEFORE = (
+# In the order in which a start reaches them; after the last one the front announces that it serves.
+START_POINTS = (
     "import:docopt",
     "import:quincepier.config",
     "quincepier.config:load_front",
@@ -35,9 +35,9 @@
     f"{NET}.watch:ChangeLogWatcher.start",
     f"{NET}.watch:ChangeLogWatcher.wait_until_caught_up",
 )
-SERVES = f"{NET}.listener:Listener.start"
-# And those of the end, from the first line of the drain to the interpreter's.
-AFTER = (
+SERVING_POINT = f"{NET}.listener:Listener.start"
+# In the order in which a stop reaches them, from the start of the drain to the teardown of the interpreter.
+END_POINTS = (
     f"{FRONT}:Front._drain",
     f"{NET}.clients:ConnectionManager.drain",
     f"{NET}.clients:ConnectionManager.close_all",
@@ -47,14 +47,14 @@
     "exit",
     "teardown",
 )
-TOLD = AFTER[:3]  # where a reload still counts: up to the last read of the last client
+RELOADABLE_END_POINTS = END_POINTS[:3]  # a reload still works up to the last read from a client
 
 
-async def ends(folder: Path, *points: str) -> tuple[int, str]:
-    """The exit code and the log of a front with such signals, one after the other until it has ended."""
+async def run_front(folder: Path, *points: str) -> tuple[int, str]:
+    """Run a front with signals at these points; return its exit code and its log."""
     folder.mkdir()
-    listen, gone = ("{}:{}".format(*own_address()) for _ in range(2))
-    (folder / "config.json").write_text(json.dumps(raw_config(listen=listen, changelog=gone)))
+    listen, closed_address = ("{}:{}".format(*own_address()) for _ in range(2))
+    (folder / "config.json").write_text(json.dumps(raw_config(listen=listen, changelog=closed_address)))
     environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "tests.signalkit", *points, "serve",
@@ -62,73 +62,77 @@
     )  # fmt: skip
     try:
         async with asyncio.timeout(PATIENCE):
-            told = (await process.communicate())[1].decode()
+            log = (await process.communicate())[1].decode()
     finally:
         if process.returncode is None:
             process.kill()
     assert process.returncode is not None
-    return process.returncode, told
+    return process.returncode, log
 
 
-def all_end(folder: Path, *cases: tuple[str, ...]) -> dict[tuple[str, ...], tuple[int, str]]:
-    """Each case's outcome; a few at a time."""
+def run_cases(folder: Path, *cases: tuple[str, ...]) -> dict[tuple[str, ...], tuple[int, str]]:
+    """Run all cases, six at a time; return exit code and log by case."""
 
     async def run() -> list[tuple[int, str]]:
-        turn = asyncio.Semaphore(6)
+        semaphore = asyncio.Semaphore(6)
 
-        async def one(n: int, case: tuple[str, ...]) -> tuple[int, str]:
-            async with turn:
-                return await ends(folder / str(n), *case)
+        async def run_case(n: int, case: tuple[str, ...]) -> tuple[int, str]:
+            async with semaphore:
+                return await run_front(folder / str(n), *case)
 
-        return await asyncio.gather(*(one(n, case) for n, case in enumerate(cases)))
+        return await asyncio.gather(*(run_case(n, case) for n, case in enumerate(cases)))
 
     return dict(zip(cases, asyncio.run(run()), strict=True))
 
 
-def faults(found: dict[tuple[str, ...], tuple[int, str]], *without: str) -> list[tuple[Any, ...]]:
-    """Who did not end in order, or said what it must not."""
+def faults(outcomes: dict[tuple[str, ...], tuple[int, str]], *forbidden: str) -> list[tuple[Any, ...]]:
+    """Return the cases with another exit code than 0, or with a forbidden word in the log."""
     return [
-        (case, code, told)
-        for case, (code, told) in found.items()
-        if code != 0 or any(word in told for word in ("Traceback", "exception", *without))
+        (case, code, log)
+        for case, (code, log) in outcomes.items()
+        if code != 0 or any(word in log for word in ("Traceback", "exception", *forbidden))
     ]
 
 
-def in_turn(points: tuple[str, ...]) -> list[str]:
-    """SIGTERM and SIGINT by turns: one handler has both."""
+def alternate_signals(points: tuple[str, ...]) -> list[str]:
+    """Send SIGTERM and SIGINT alternately, as one handler serves both."""
     return [f"{point}={('TERM', 'INT')[n % 2]}" for n, point in enumerate(points)]
 
 
 def test_an_end_before_it_serves_is_an_end_in_order_and_at_once(tmp_path: Path) -> None:
-    """Nothing is taken yet: no drain is waited for. Without its own signal it would serve, and not end."""
-    found = all_end(tmp_path, *((point,) for point in in_turn(BEFORE)))
-    assert faults(found, "drain", "serves") == []
+    """No request was accepted yet, so there is no drain. Without the signal the front would not stop."""
+    outcomes = run_cases(tmp_path, *((point,) for point in alternate_signals(START_POINTS)))
+    assert faults(outcomes, "drain", "serves") == []
 
 
 def test_a_further_signal_in_the_end_neither_kills_nor_cuts_it_short(tmp_path: Path) -> None:
-    found = all_end(tmp_path, *((f"{SERVES}=TERM", point) for point in in_turn(AFTER)))
-    assert faults(found) == []
-    assert all("stopped" in told and told.count("drain:") == 1 for _, told in found.values())
+    outcomes = run_cases(
+        tmp_path, *((f"{SERVING_POINT}=TERM", point) for point in alternate_signals(END_POINTS))
+    )
+    assert faults(outcomes) == []
+    assert all("stopped" in log and log.count("drain:") == 1 for _, log in outcomes.values())
 
 
 def test_a_reload_at_any_point_ends_nothing_and_counts_while_the_front_serves(tmp_path: Path) -> None:
-    before = tuple((f"{point}=HUP", f"{SERVES}=TERM") for point in BEFORE[::3])
-    after = tuple((f"{SERVES}=TERM", f"{point}=HUP") for point in AFTER)
-    found = all_end(tmp_path, *before, *after)
-    assert faults(found) == []
-    assert all("stopped" in told for _, told in found.values())
-    counted = {case for case, (_, told) in found.items() if told.count("configuration reloaded:") == 1}
-    assert counted == {*before, *(case for case in after if case[1].startswith(TOLD))}
+    before = tuple((f"{point}=HUP", f"{SERVING_POINT}=TERM") for point in START_POINTS[::3])
+    after = tuple((f"{SERVING_POINT}=TERM", f"{point}=HUP") for point in END_POINTS)
+    outcomes = run_cases(tmp_path, *before, *after)
+    assert faults(outcomes) == []
+    assert all("stopped" in log for _, log in outcomes.values())
+    counted = {case for case, (_, log) in outcomes.items() if log.count("configuration reloaded:") == 1}
+    assert counted == {*before, *(case for case in after if case[1].startswith(RELOADABLE_END_POINTS))}
 
 
 def test_a_reload_and_an_end_in_the_same_moment_are_both_done(tmp_path: Path) -> None:
-    start, drain, orders = BEFORE[-1], AFTER[0], ("HUP,TERM", "TERM,HUP")
-    cases: list[tuple[str, ...]] = [(f"{point}={order}",) for point in (start, SERVES) for order in orders]
-    cases += [(f"{SERVES}=TERM", f"{drain}={order}") for order in orders]
-    found = all_end(tmp_path, *cases)
-    assert faults(found) == []
-    assert all(told.count("configuration reloaded:") == 1 for _, told in found.values())
-    assert all(("drain:" in told) is (start not in case[0]) for case, (_, told) in found.items())
+    start, drain, orders = START_POINTS[-1], END_POINTS[0], ("HUP,TERM", "TERM,HUP")
+    cases: list[tuple[str, ...]] = [
+        (f"{point}={order}",) for point in (start, SERVING_POINT) for order in orders
+    ]
+    cases += [(f"{SERVING_POINT}=TERM", f"{drain}={order}") for order in orders]
+    outcomes = run_cases(tmp_path, *cases)
+    assert faults(outcomes) == []
+    assert all(log.count("configuration reloaded:") == 1 for _, log in outcomes.values())
+    assert all(("drain:" in log) is (start not in case[0]) for case, (_, log) in outcomes.items())
 
 
 def data(asked: Asked) -> None:
@@ -136,7 +140,7 @@
 
 
 @dataclass
-class Signalled(Front):
+class FrontWithSignals(Front):
     """A front with signals at points of its start and service."""
 
     points: tuple[str, ...] = ()
@@ -150,8 +154,8 @@
     "points",
     [
         (f"{NET}.watch:ChangeLogWatcher.wait_until_caught_up=SWAP,HUP",),
-        # the file is read and not yet in force as it is replaced again: what is read later holds
-        (f"{SERVES}=HUP", f"{FRONT}:reloaded=SWAP,HUP"),
+        # the file is replaced again between its reading and its use: the newest file must be in force
+        (f"{SERVING_POINT}=HUP", f"{FRONT}:reloaded=SWAP,HUP"),
     ],
     ids=["while it waits for its first changes", "in the middle of another reload"],
 )
@@ -163,18 +167,18 @@
         moved.events = list(first.log.events)
         await moved.start()
         (tmp_path / "config.json.next").write_text(json.dumps(first.config | {"changelog": moved.address}))
-        front = Signalled(tmp_path, first.caches, first.log, first.config, points=points)
+        front = FrontWithSignals(tmp_path, first.caches, first.log, first.config, points=points)
         front.address = first.address
         try:
             await front.start()
-            await until(lambda: bool(moved.since), "the log of the last file is asked")
+            await until(lambda: bool(moved.since), "the log of the newest file is polled")
             assert moved.since[0] == len(front.log.events)
             client = await front.client()
             client.ask(1)
             assert (await client.ended(1)).status == 200
             asked = len(front.log.since)
             moved.add(invalidate={"bucket": 17, "time": 1})
-            await until(lambda: moved.since[-1] == len(moved.events), "and followed")
+            await until(lambda: moved.since[-1] == len(moved.events), "and its events are received")
             assert len(front.log.since) == asked and not front.ended
         finally:
             await front.stop()
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -1,4 +1,4 @@
-"""What lies in a socket, or happens to it, as the front has stood still or has not got to it yet."""
+"""Bytes or events on a socket that the front has not read yet, because of a process pause or a busy loop."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
 from tests.standins import until
 from tests.test_idle import Peer, make_manager
 from tests.virtual import VirtualLoop
-from tests.watchkit import Rig, body, http, play
+from tests.watchkit import WatcherRig, http_response, log_body, run_with_watcher
 
 LARGE = os.urandom(480_000)
 ONE = ("s-1", "o-1")
-TURNS = 8  # of the loop, more than any close takes
-LIMIT, STANDSTILL = 0.1, 0.25  # seconds: allowed to a dial, and without CPU
+TURNS = 8  # loop iterations; more than any close takes
+CONNECT_TIMEOUT_S, PAUSE_S = 0.1, 0.25  # the pause exceeds the timeout
 
 
-def ends(peer: socket.socket) -> None:
+def closes(peer: socket.socket) -> None:
     peer.close()
 
 
-def sends_what_is_no_record(peer: socket.socket) -> None:
+def sends_invalid_record(peer: socket.socket) -> None:
     peer.send(b"\xff" * 64)
 
 
-@pytest.mark.parametrize("act", [ends, sends_what_is_no_record])
+@pytest.mark.parametrize("act", [closes, sends_invalid_record])
 def test_a_client_that_goes_before_the_rest_of_its_answer_is_begun_leaves_no_socket(
     act: Callable[[socket.socket], None],
 ) -> None:
@@ -64,7 +64,7 @@
         seen = list[bool]()
 
         def cross() -> None:
-            """In the turn in which the answer did not fit, before the task that takes the rest has begun."""
+            """Runs in the loop iteration that could not send all, before the task for the rest starts."""
             seen.append(connection.writer is not None and not connection.closed)
             act(peer.sock)
             connection.receive()
@@ -73,15 +73,15 @@
         asyncio.get_running_loop().call_soon(cross)
 
         def is_closed() -> bool:
-            if act is sends_what_is_no_record:  # its answer goes out first: it is taken here
+            if act is sends_invalid_record:  # the response is sent first, so it must be read here
                 peer.read()
             return connection.closed
 
-        await until(is_closed, "its end is read")
+        await until(is_closed, "the end of its connection is read")
         assert seen == [True]
-        if act is sends_what_is_no_record:
+        if act is sends_invalid_record:
             assert peer.reader.got[1].body == LARGE
-            peer.sock.close()  # the front has ended its side
+            peer.sock.close()  # the front has closed its side
         for _ in range(TURNS):
             await asyncio.sleep(0)
         assert connection.sock.fileno() < 0, "its socket is closed"
@@ -90,36 +90,36 @@
     on_loop(scenario)
 
 
-class Standstill(socket.socket):
-    """The front has no CPU from the moment on in which the connect is under way; the system goes on."""
+class PausingSocket(socket.socket):
+    """Pauses the process while the connect is in progress; the kernel completes it."""
 
     def connect(self, address: object) -> None:
         try:
             super().connect(address)  # type: ignore[arg-type]
         finally:
-            time.sleep(STANDSTILL)
+            time.sleep(PAUSE_S)
 
 
-Dial = Callable[[tuple[str, int], float], "asyncio.Future[socket.socket]"]
+Connect = Callable[[tuple[str, int], float], "asyncio.Future[socket.socket]"]
 
 
-def over_one(address: tuple[str, int], timeout: float) -> asyncio.Future[socket.socket]:
+def connect_one(address: tuple[str, int], timeout: float) -> asyncio.Future[socket.socket]:
     return asyncio.ensure_future(sockets.connect(address, timeout, Checks()))
 
 
-def in_a_race(address: tuple[str, int], timeout: float) -> asyncio.Future[socket.socket]:
+def connect_race(address: tuple[str, int], timeout: float) -> asyncio.Future[socket.socket]:
     return asyncio.ensure_future(dial(parse("{}:{}".format(*address)), timeout))
 
 
-@pytest.mark.parametrize("begin", [over_one, in_a_race])
+@pytest.mark.parametrize("connect", [connect_one, connect_race])
 def test_a_connection_that_came_up_while_the_front_stood_still_is_up(
-    monkeypatch: pytest.MonkeyPatch, begin: Dial
+    monkeypatch: pytest.MonkeyPatch, connect: Connect
 ) -> None:
-    monkeypatch.setattr(socket, "socket", Standstill)
+    monkeypatch.setattr(socket, "socket", PausingSocket)
 
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            sock = await begin(server.getsockname(), LIMIT)
+            sock = await connect(server.getsockname(), CONNECT_TIMEOUT_S)
             assert sock.getpeername() == server.getsockname()
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             sock.close()
@@ -127,24 +127,24 @@
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("begin", [over_one, in_a_race])
+@pytest.mark.parametrize("connect", [connect_one, connect_race])
 def test_one_that_nobody_waits_for_any_more_or_that_is_not_up_stays_none(
-    monkeypatch: pytest.MonkeyPatch, begin: Dial
+    monkeypatch: pytest.MonkeyPatch, connect: Connect
 ) -> None:
     async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0), backlog=0) as server:
             with monkeypatch.context() as patch:
-                patch.setattr(socket, "socket", Standstill)
-                called_off = begin(server.getsockname(), LIMIT)
-                asyncio.get_running_loop().call_later(STANDSTILL / 2, called_off.cancel)  # due within it
+                patch.setattr(socket, "socket", PausingSocket)
+                cancelled = connect(server.getsockname(), CONNECT_TIMEOUT_S)
+                asyncio.get_running_loop().call_later(PAUSE_S / 2, cancelled.cancel)  # due within the pause
                 with pytest.raises(asyncio.CancelledError):
-                    await called_off
-            fill = [socket.socket() for _ in range(4)]  # the system takes no more for this listener
+                    await cancelled
+            fill = [socket.socket() for _ in range(4)]  # the kernel accepts no more for this listener
             for sock in fill:
                 sock.setblocking(False)
                 sock.connect_ex(server.getsockname())
             with pytest.raises(TimeoutError):
-                await begin(server.getsockname(), LIMIT)
+                await connect(server.getsockname(), CONNECT_TIMEOUT_S)
             for sock in fill:
                 sock.close()
 
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("size", [5, 48_000, None])
 def test_an_answer_that_is_there_as_its_time_is_up_counts(size: int | None) -> None:
-    """Loops run timers before they look at sockets: behind a standstill both are due at once."""
+    """An event loop runs timers before it polls sockets: after a process pause both are due at once."""
 
     async def scenario() -> None:
         loop, timers = asyncio.get_running_loop(), list[Callable[[], object]]()
@@ -171,13 +171,13 @@
         request = inside.ask()
         wire = await inside.out(request)
         cache = inside.cache("s-1")
-        (attempt,), (connection,), (time_is_up,) = cache.out, cache.connections, timers
+        (attempt,), (connection,), (time_out,) = cache.out, cache.connections, timers
         if size is not None:
             wire.answer(request.job_id, b"b" * size)
-        time_is_up()  # the loop has not looked since
+        time_out()  # the loop has not polled its sockets since
         await asyncio.sleep(0)
-        assert attempt not in cache.out, "its end waits for no more than a turn"
-        await until(lambda: bool(inside.endings(request)), "the module hears")
+        assert attempt not in cache.out, "the attempt completes within a loop iteration"
+        await until(lambda: bool(inside.endings(request)), "the module is notified")
         assert inside.endings(request)[0] is (AttemptOutcome.TIMEOUT if size is None else AttemptOutcome.OK)
         if size is not None:
             assert await inside.status(request) == 200 and not inside.cancels(request)
@@ -189,25 +189,25 @@
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("there", ["all", "half", "nothing"])
+@pytest.mark.parametrize("arrived", ["all", "half", "nothing"])
 def test_news_that_lie_in_the_socket_as_the_time_of_the_poll_is_up_are_taken(
-    monkeypatch: pytest.MonkeyPatch, there: str
+    monkeypatch: pytest.MonkeyPatch, arrived: str
 ) -> None:
-    async def story(rig: Rig) -> None:
-        ask, news = await rig.log.asked(1), http(body(2))
-        if there != "nothing":
-            ask.writer.write(news if there == "all" else news[:40])
+    async def scenario(rig: WatcherRig) -> None:
+        poll, response = await rig.log.wait_for_poll(1), http_response(log_body(2))
+        if arrived != "nothing":
+            poll.writer.write(response if arrived == "all" else response[:40])
         loop = asyncio.get_running_loop()
         assert isinstance(loop, VirtualLoop)
-        loop.jumping.ahead += 2 * (POLL_TIMEOUT_MS / 1000 + POLL_GRACE_S)  # the front stands still
-        again = await rig.log.asked(2)
-        lost = there != "all"
-        assert (again.since, again.connection) == ((1, 2) if lost else (2, 1))
+        loop.virtual_selector.time_s += 2 * (POLL_TIMEOUT_MS / 1000 + POLL_GRACE_S)  # the front is paused
+        next_poll = await rig.log.wait_for_poll(2)
+        lost = arrived != "all"
+        assert (next_poll.since, next_poll.connection_number) == ((1, 2) if lost else (2, 1))
         assert rig.checks.counts["change_log_poll_failed"] == lost
-        again.tell(*range(again.since + 1, 4))
-        await rig.told(2, 3)
+        next_poll.respond(*range(next_poll.since + 1, 4))
+        await rig.expect_delivered(2, 3)
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("size", [5, 100_000])
@@ -222,19 +222,19 @@
         assert connection.sock is not None
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2 * size + 4096)
         text = answer(request.job_id, b"b" * size)
-        there = list[int]()
+        arrived = list[int]()
 
         def cross(sock: socket.socket) -> None:
             wire.say(text)
             wire.reset()
-            there.append(len(sock.recv(2 * size + 4096, socket.MSG_PEEK)))
+            arrived.append(len(sock.recv(2 * size + 4096, socket.MSG_PEEK)))
 
         asyncio.get_running_loop().call_soon(cross, connection.sock)
         connection.writer.add(
             Probe("behind", clock.now()), lines.cancel("f" * 16)
         )  # goes out right behind it, in the same turn
         assert await inside.status(request) == 200
-        assert inside.endings(request) == [AttemptOutcome.OK] and there == [len(text)]
+        assert inside.endings(request) == [AttemptOutcome.OK] and arrived == [len(text)]
         await inside.settled()
 
     on_loop(scenario)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -1,4 +1,7 @@
-"""What can cross a long poll of the change log: a move, an older answer, a gap, the start, silence."""
+"""Events that race with a long poll of the change log.
+
+They are a change of address, an older response, a gap, the start and silence of the log.
+"""
 
 from __future__ import annotations
 
@@ -13,238 +16,262 @@
 from quincepier.net import sockets, watch, watch_poll
 from quincepier.net.messages import ToModule
 from tests.standins import until
-from tests.test_standing_told import DRAIN_GRACE, NEVER, Story, waits_on
+from tests.test_standing_told import DRAIN_GRACE_S, NEVER_S, LateEventScenario, never_overdue
 from tests.virtual import run
-from tests.watchkit import MOMENT, Ask, Log, Rig, body, http, now, play, purge
+from tests.watchkit import (
+    IMMEDIATE_S,
+    ReceivedPoll,
+    ScriptedChangeLog,
+    WatcherRig,
+    http_response,
+    log_body,
+    loop_time,
+    purge_record,
+    run_with_watcher,
+)
 
-# A move to another address
+# Change of the address
 
 
 def test_an_answer_of_the_old_address_in_the_turn_of_the_move_is_taken_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(rig: Rig) -> None:
-        new, ask = await Log().start(), await rig.log.asked(1)
+    async def scenario(rig: WatcherRig) -> None:
+        new, poll = await ScriptedChangeLog().start(), await rig.log.wait_for_poll(1)
         assert rig.watch.newest_task is not None
-        rig.watch.newest_task.add_done_callback(lambda _: rig.move(new))  # whole, and not taken yet
-        ask.tell(2)
-        assert (await new.asked(1)).since == 2
-        new.asks[0].tell(2, 3)
-        await rig.told(2, 3)
-        assert len(rig.log.asks) == 1 and rig.watch.descriptors.caches == 1
+        rig.watch.newest_task.add_done_callback(
+            lambda _: rig.change_address(new)
+        )  # complete, and not handled yet
+        poll.respond(2)
+        assert (await new.wait_for_poll(1)).since == 2
+        new.polls[0].respond(2, 3)
+        await rig.expect_delivered(2, 3)
+        assert len(rig.log.polls) == 1 and rig.watch.descriptors.caches == 1
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
 def test_a_move_while_an_answer_is_being_taken_goes_to_the_new_address_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(rig: Rig) -> None:
-        new, ask, plain = await Log().start(), await rig.log.asked(1), rig.module.push_urgent
-
-        def urge(message: ToModule) -> None:
-            plain(message)
-            if rig.taken == [2]:
-                rig.move(new)  # the signal comes between two events of one answer
+    async def scenario(rig: WatcherRig) -> None:
+        new, poll, original = (
+            await ScriptedChangeLog().start(),
+            await rig.log.wait_for_poll(1),
+            rig.module_mailbox.push_urgent,
+        )
 
-        rig.module.push_urgent = urge  # type: ignore[method-assign]
-        ask.tell(2, 3)
-        first = await new.asked(1)
-        assert first.since == 3 and rig.taken == [2, 3] and first.at - ask.at < MOMENT
-        assert len(rig.log.asks) == 1
+        def push_urgent(message: ToModule) -> None:
+            original(message)
+            if rig.delivered == [2]:
+                rig.change_address(new)  # the signal arrives between two events of one response
+
+        rig.module_mailbox.push_urgent = push_urgent  # type: ignore[method-assign]
+        poll.respond(2, 3)
+        first = await new.wait_for_poll(1)
+        assert (
+            first.since == 3
+            and rig.delivered == [2, 3]
+            and first.received_at_s - poll.received_at_s < IMMEDIATE_S
+        )
+        assert len(rig.log.polls) == 1
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
 def test_a_move_during_the_pause_after_failures_asks_there_at_once_and_hears_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(rig: Rig) -> None:
-        new = await Log().start()
-        rig.log.script = lambda ask: ask.writer.transport.abort()
-        await until(lambda: rig.watch.failures >= 6, "pauses are as long as they get")
-        moved = now()
-        rig.move(new)
-        ask = await new.asked(1)
-        assert ask.at - moved < MOMENT
-        ask.tell(2)
-        await rig.told(2)
-        assert (await new.asked(2)).since == 2  # nothing that was answered is asked for again
+    async def scenario(rig: WatcherRig) -> None:
+        new = await ScriptedChangeLog().start()
+        rig.log.on_poll = lambda poll: poll.writer.transport.abort()
+        await until(lambda: rig.watch.failures >= 6, "the backoff has reached its maximum")
+        moved = loop_time()
+        rig.change_address(new)
+        poll = await new.wait_for_poll(1)
+        assert poll.received_at_s - moved < IMMEDIATE_S
+        poll.respond(2)
+        await rig.expect_delivered(2)
+        assert (await new.wait_for_poll(2)).since == 2  # delivered events are not requested again
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
 def test_two_moves_in_a_row_end_at_the_second_address(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(rig: Rig) -> None:
-        one, two = await Log().start(), await Log().start()
-        await rig.log.asked(1)
-        rig.move(one)
-        rig.move(two)
-        (await two.asked(1)).tell(2)
-        await rig.told(2)
-        assert (await two.asked(2)).since == 2 and not one.asks
-        rig.move(one)
-        await one.asked(1)  # while that poll waits, and in the turn in which it was sent
-        rig.move(two)
-        assert (await two.asked(3)).since == 2
-
-    play(monkeypatch, story)
+    async def scenario(rig: WatcherRig) -> None:
+        first, second = await ScriptedChangeLog().start(), await ScriptedChangeLog().start()
+        await rig.log.wait_for_poll(1)
+        rig.change_address(first)
+        rig.change_address(second)
+        (await second.wait_for_poll(1)).respond(2)
+        await rig.expect_delivered(2)
+        assert (await second.wait_for_poll(2)).since == 2 and not first.polls
+        rig.change_address(first)
+        await first.wait_for_poll(1)  # change while that poll waits, in the loop iteration that received it
+        rig.change_address(second)
+        assert (await second.wait_for_poll(3)).since == 2
+
+    run_with_watcher(monkeypatch, scenario)
 
 
 def test_half_an_answer_at_the_move_leaves_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(rig: Rig) -> None:
-        new, ask, answer = await Log().start(), await rig.log.asked(1), http(body(2))
-        ask.writer.write(answer[:-7])
-        await asyncio.sleep(0.01)  # of virtual time: it passes once all is read
-        rig.move(new)
-        ask.writer.write(answer[-7:])  # the old address's last bytes
-        assert (await new.asked(1)).since == 1
-        new.asks[0].tell(2, 3)
-        await rig.told(2, 3)
+    async def scenario(rig: WatcherRig) -> None:
+        new, poll, response = (
+            await ScriptedChangeLog().start(),
+            await rig.log.wait_for_poll(1),
+            http_response(log_body(2)),
+        )
+        poll.writer.write(response[:-7])
+        await asyncio.sleep(0.01)  # virtual time, which advances once everything is read
+        rig.change_address(new)
+        poll.writer.write(response[-7:])  # the last bytes from the old address
+        assert (await new.wait_for_poll(1)).since == 1
+        new.polls[0].respond(2, 3)
+        await rig.expect_delivered(2, 3)
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
 def test_a_move_before_the_watch_runs_loses_no_first_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(rig: Rig) -> None:
-        rig.log.script = lambda ask: ask.tell(2) if ask.since == 1 else None
+    async def scenario(rig: WatcherRig) -> None:
+        rig.log.on_poll = lambda poll: poll.respond(2) if poll.since == 1 else None
         rig.watch.on_address_changed()
         rig.watch.start()
-        await rig.told(2)
-        assert [ask.since for ask in rig.log.asks] in ([1], [1, 2])
+        await rig.expect_delivered(2)
+        assert [poll.since for poll in rig.log.polls] in ([1], [1, 2])
 
-    play(monkeypatch, story, started=False)
+    run_with_watcher(monkeypatch, scenario, started=False)
 
 
-# What it says when it comes back
+# Contents of responses
 
 
 def test_an_older_number_sets_nothing_back_and_is_not_asked_for_without_a_pause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(rig: Rig) -> None:
-        (await rig.log.asked(1)).tell(2, 3, 4)
-        await rig.told(2, 3, 4)
-        # a log that starts anew, and does not wait; it falls silent where it is asked without end
-        rig.log.script = lambda ask: ask.tell(1, 2) if len(rig.log.asks) < 200 else None
-        (await rig.log.asked(2)).tell(1, 2)
-        began, before = now(), len(rig.log.asks)
+    async def scenario(rig: WatcherRig) -> None:
+        (await rig.log.wait_for_poll(1)).respond(2, 3, 4)
+        await rig.expect_delivered(2, 3, 4)
+        # a restarted log that does not wait for events; it stops responding if it is polled in a busy loop
+        rig.log.on_poll = lambda poll: poll.respond(1, 2) if len(rig.log.polls) < 200 else None
+        (await rig.log.wait_for_poll(2)).respond(1, 2)
+        began, before = loop_time(), len(rig.log.polls)
         await asyncio.sleep(1)
-        assert len(rig.log.asks) - before <= 1 / watch.MIN_BACKOFF_S + 1, "asked without a pause"
-        assert {ask.since for ask in rig.log.asks[1:]} == {4} and now() - began >= 1
-        rig.log.script = lambda ask: ask.tell(3, 4, 5)  # it has caught up
-        await rig.told(2, 3, 4, 5)
+        assert len(rig.log.polls) - before <= 1 / watch.MIN_BACKOFF_S + 1, "polled without backoff"
+        assert {poll.since for poll in rig.log.polls[1:]} == {4} and loop_time() - began >= 1
+        rig.log.on_poll = lambda poll: poll.respond(3, 4, 5)  # the log has caught up
+        await rig.expect_delivered(2, 3, 4, 5)
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
 def test_an_answer_out_of_order_or_with_an_event_twice_is_refused_whole_and_asked_for_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(rig: Rig) -> None:
-        ask = await rig.log.asked(1)
-        ask.tell(3, 2)
-        ask = await rig.log.asked(2)
-        assert ask.since == 1 and not rig.taken
-        ask.tell(2, 2, 3)
-        ask = await rig.log.asked(3)
-        assert ask.since == 1 and not rig.taken
-        ask.tell(2, 3)
-        await rig.told(2, 3)
-        (await rig.log.asked(4)).tell(2, 3, 4)  # the same once more, with a new one
-        await rig.told(2, 3, 4)
-
-    play(monkeypatch, story)
+    async def scenario(rig: WatcherRig) -> None:
+        poll = await rig.log.wait_for_poll(1)
+        poll.respond(3, 2)
+        poll = await rig.log.wait_for_poll(2)
+        assert poll.since == 1 and not rig.delivered
+        poll.respond(2, 2, 3)
+        poll = await rig.log.wait_for_poll(3)
+        assert poll.since == 1 and not rig.delivered
+        poll.respond(2, 3)
+        await rig.expect_delivered(2, 3)
+        (await rig.log.wait_for_poll(4)).respond(2, 3, 4)  # the same events again, and a new one
+        await rig.expect_delivered(2, 3, 4)
+
+    run_with_watcher(monkeypatch, scenario)
 
 
 def test_a_gap_is_asked_for_again_and_passed_over_once_it_stays(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story(rig: Rig) -> None:
-        (await rig.log.asked(1)).tell(2, 4)
-        ask = await rig.log.asked(2)
-        assert ask.since == 2 and rig.taken == [2]
-        ask.tell(3, 4)  # it was late, not lost
-        await rig.told(2, 3, 4)
+    async def scenario(rig: WatcherRig) -> None:
+        (await rig.log.wait_for_poll(1)).respond(2, 4)
+        poll = await rig.log.wait_for_poll(2)
+        assert poll.since == 2 and rig.delivered == [2]
+        poll.respond(3, 4)  # the event was late, not lost
+        await rig.expect_delivered(2, 3, 4)
         for times in range(3, 3 + watch.MAX_RECORD_TRIES):
-            (await rig.log.asked(times)).tell(7)
-        await rig.told(2, 3, 4, 7)
+            (await rig.log.wait_for_poll(times)).respond(7)
+        await rig.expect_delivered(2, 3, 4, 7)
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
 def test_a_record_that_cannot_be_read_right_behind_a_gap_holds_up_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    answer = http(json.dumps({"seq": 5, "results": [{"seq": 4}, purge(5)]}).encode())
+    response = http_response(json.dumps({"seq": 5, "results": [{"seq": 4}, purge_record(5)]}).encode())
 
-    async def story(rig: Rig) -> None:
-        rig.log.script = lambda ask: ask.writer.write(answer)
+    async def scenario(rig: WatcherRig) -> None:
+        rig.log.on_poll = lambda poll: poll.writer.write(response)
         await asyncio.sleep(2)
-        assert rig.taken == [5], "the event behind both is told"
+        assert rig.delivered == [5], "the event after both is delivered"
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
-# The start
+# Start
 
 
 @pytest.mark.parametrize("broken", [False, True])
 def test_a_front_that_is_being_told_does_not_begin_before_it_is(
     monkeypatch: pytest.MonkeyPatch, broken: bool
 ) -> None:
-    """The first answer begins within the silence that would end the wait, and is whole after it."""
-    answer = http(body(2))
+    """The first response begins within the quiet period that would end the wait, and is complete after it."""
+    response = http_response(log_body(2))
 
-    async def story(rig: Rig) -> None:
-        loop, ask = asyncio.get_running_loop(), await rig.log.asked(1)
-        loop.call_later(watch.QUIET_PERIOD_S - 0.01, ask.writer.write, answer[:40])
+    async def scenario(rig: WatcherRig) -> None:
+        loop, poll = asyncio.get_running_loop(), await rig.log.wait_for_poll(1)
+        loop.call_later(watch.QUIET_PERIOD_S - 0.01, poll.writer.write, response[:40])
         if broken:
-            loop.call_later(watch.QUIET_PERIOD_S - 0.005, ask.writer.close)
-            ask = await rig.log.asked(2)
-            loop.call_later(watch.QUIET_PERIOD_S - 0.02, ask.writer.write, answer)
+            loop.call_later(watch.QUIET_PERIOD_S - 0.005, poll.writer.close)
+            poll = await rig.log.wait_for_poll(2)
+            loop.call_later(watch.QUIET_PERIOD_S - 0.02, poll.writer.write, response)
         else:
-            loop.call_later(watch.QUIET_PERIOD_S + 0.05, ask.writer.write, answer[40:])
+            loop.call_later(watch.QUIET_PERIOD_S + 0.05, poll.writer.write, response[40:])
         await rig.watch.wait_until_caught_up()
-        assert rig.taken == [2], "it serves without what the log had"
+        assert rig.delivered == [2], "the watcher has the events of the log before the front serves"
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("quiet", [True, False])
 def test_a_start_waits_for_a_log_no_longer_than_it_may(monkeypatch: pytest.MonkeyPatch, quiet: bool) -> None:
-    async def story(rig: Rig) -> None:
-        ask = await rig.log.asked(1)
+    async def scenario(rig: WatcherRig) -> None:
+        poll = await rig.log.wait_for_poll(1)
         if not quiet:
-            ask.writer.write(http(body(2))[:40])  # and nothing more
-        began = now()
+            poll.writer.write(http_response(log_body(2))[:40])  # and no more bytes
+        began = loop_time()
         await rig.watch.wait_until_caught_up()
-        assert now() - began == pytest.approx(
+        assert loop_time() - began == pytest.approx(
             watch.QUIET_PERIOD_S if quiet else watch.MAX_START_WAIT_S, abs=0.02
         )
-        ask.writer.write(http(body(2))[0 if quiet else 40 :])
-        await rig.told(2)
+        poll.writer.write(http_response(log_body(2))[0 if quiet else 40 :])
+        await rig.expect_delivered(2)
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
-# Silence, then a drain
+# Silence of the log, then a drain
 
 
 def silent_from_the_start(folder: Path, patch: pytest.MonkeyPatch) -> set[str]:
-    """No poll is answered from before the first on; a drain, a start and a purge come right after."""
-
-    async def story() -> set[str]:
-        it = Story(folder, patch)
-        it.log.late = NEVER
-        await it.start()
-        it.change(it.log)
-        it.told_at = it.now + it.front.change_log_watcher.poll_timeout_ms / 1000 + 2
+    """No poll gets a response, from the first on; a drain, a start and a purge follow right after."""
+
+    async def measure() -> set[str]:
+        scenario = LateEventScenario(folder, patch)
+        scenario.log.late = NEVER_S
+        await scenario.start()
+        scenario.append_changes(scenario.log)
+        scenario.received_by_s = scenario.now + scenario.front.change_log_watcher.poll_timeout_ms / 1000 + 2
         await asyncio.sleep(0.001)
-        it.log.late = 0.0
-        await it.ask_for(it.told_at - it.now + DRAIN_GRACE + 1.5)
-        await it.end()
-        return it.broken()
+        scenario.log.late = 0.0
+        await scenario.send_requests_for(scenario.received_by_s - scenario.now + DRAIN_GRACE_S + 1.5)
+        await scenario.stop()
+        return scenario.find_violations()
 
-    found: set[str] = run(story(), patch)
+    found: set[str] = run(measure(), patch)
     return found
 
 
@@ -257,47 +284,47 @@
 def test_a_front_that_goes_on_listening_to_it_is_found(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    waits_on(monkeypatch)
+    never_overdue(monkeypatch)
     assert "drain" in silent_from_the_start(tmp_path, monkeypatch)
 
 
-def answer_after(rig: Rig, seconds: float) -> None:
-    """From now on the log tells of event 2, so long after it was asked, whoever still listens."""
+def answer_after(rig: WatcherRig, seconds: float) -> None:
+    """Have the log respond with event 2 so long after each poll, whether or not the watcher still waits."""
 
-    def late(ask: Ask) -> None:
-        asyncio.get_running_loop().call_later(seconds, ask.tell, 2)
+    def late(poll: ReceivedPoll) -> None:
+        asyncio.get_running_loop().call_later(seconds, poll.respond, 2)
 
-    rig.log.script = late
+    rig.log.on_poll = late
 
 
 @pytest.mark.parametrize("seconds", [2.0, 3.5, 5.0])
 def test_a_log_that_always_answers_late_is_heard(monkeypatch: pytest.MonkeyPatch, seconds: float) -> None:
-    """Slow or crowded: later than a log that stopped is found out, each time it is asked."""
+    """A slow or busy log: every response takes longer than the detection of a stopped log."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: WatcherRig) -> None:
         answer_after(rig, seconds)
-        began = now()
-        await rig.told(2)
-        assert now() - began <= seconds + 0.1, "its first answer counts"
-        asked = len(rig.log.asks)
+        began = loop_time()
+        await rig.expect_delivered(2)
+        assert loop_time() - began <= seconds + 0.1, "its first response counts"
+        asked = len(rig.log.polls)
         await asyncio.sleep(10)
-        assert len(rig.log.asks) - asked <= 12, "it is not asked more often than usual"
+        assert len(rig.log.polls) - asked <= 12, "it is not polled more often than usual"
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
 
 
 def test_a_log_whose_connections_come_up_late_is_heard(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = sockets.connect
+    original = sockets.connect
 
     async def connect(address: tuple[str, int], timeout: float, checks: Checks) -> socket.socket:
         async with asyncio.timeout(timeout):
             await asyncio.sleep(1.2)
-            return await plain(address, timeout, checks)
+            return await original(address, timeout, checks)
 
     monkeypatch.setattr(watch_poll, "connect", connect)
 
-    async def story(rig: Rig) -> None:
-        rig.log.script = lambda ask: ask.tell(2)
-        await rig.told(2)
+    async def scenario(rig: WatcherRig) -> None:
+        rig.log.on_poll = lambda poll: poll.respond(2)
+        await rig.expect_delivered(2)
 
-    play(monkeypatch, story)
+    run_with_watcher(monkeypatch, scenario)
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -1,7 +1,8 @@
-"""What counts as told: a drain, a purge and a new start are in the change log, and the front hears them late.
+"""Deadlines by which a front must act on a drain, a restart and a purge that it receives late.
 
-Played in virtual time, with the front's own actors over loopback: it has acted by the time at which each
-counts as told (LATER.md, 'Bad peers' and 'New configurations'), plus the grace of its rule.
+A front is held to have received a change-log event at a certain time, even if the log's responses are late
+or lost (LATER.md, 'Bad peers' and 'New configurations'). By then, plus the grace period of the rule, it must
+act on the event. The tests run the front's own actors in virtual time, over loopback.
 """
 
 from __future__ import annotations
@@ -33,45 +34,47 @@
 from tests.standins import Asked, Cache, ChangeLog
 from tests.virtual import run, unix_ms
 
-NEVER = 1e6  # seconds
-DRAIN_GRACE, PURGE_GRACE, SLACK = 2.0, 0.5, 0.05  # seconds; frontkit's settings are read for the rest
-EVERY, WORK, SIZE = 0.02, 0.1, 1.0  # seconds between requests, of work each; transfers a cache can carry
-PURGED = 17  # the group of what is asked for
+NEVER_S = 1e6  # seconds
+DRAIN_GRACE_S, PURGE_GRACE_S, SLACK_S = 2.0, 0.5, 0.05  # other limits are read from frontkit's settings
+# WORK_S: the time that a cache takes for a request; CAPACITY: parallel transfers that a cache can carry
+REQUEST_INTERVAL_S, WORK_S, CAPACITY = 0.02, 0.1, 1.0
+PURGED_GROUP = 17  # the group of all requested objects
 
 
-class Story:
-    """A front over four caches, a parent, an origin and a change log that tells it nothing by and by."""
+class LateEventScenario:
+    """A front over four caches, a parent, an origin and a change log that stops responding at some time."""
 
     def __init__(self, folder: Path, patch: pytest.MonkeyPatch) -> None:
         self.folder, self.patch, self.log = folder, patch, ChangeLog()
         self.caches = {
-            name: Cache(partial(self.asked, name)) for name in ("s-1", "s-2", "s-3", "s-4", "p-1", "o-1")
+            name: Cache(partial(self.on_command, name)) for name in ("s-1", "s-2", "s-3", "s-4", "p-1", "o-1")
         }
-        self.serves: list[tuple[float, str, dict[str, str]]] = []
-        self.way = "up"  # to the change log: up, cut (nothing is said, nothing comes up) or down (refused)
-        self.tries: list[float] = []  # to connect to the change log
+        self.served_commands: list[tuple[float, str, dict[str, str]]] = []
+        # connections to the change log: up, cut (connects and reads hang) or down (connects are refused)
+        self.link_state = "up"
+        self.connect_times: list[float] = []  # of connects to the change log
         self.inbox, self.number = Inbox(), 0
-        self.changed_at = self.told_at = 0.0
+        self.changed_at_s = self.received_by_s = 0.0
 
     @property
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def asked(self, name: str, asked: Asked) -> None:
-        self.serves.append((self.now, name, asked.fields))
-        asyncio.get_running_loop().call_later(WORK, asked.data)
+    def on_command(self, name: str, asked: Asked) -> None:
+        self.served_commands.append((self.now, name, asked.fields))
+        asyncio.get_running_loop().call_later(WORK_S, asked.data)
 
     async def start(self) -> None:
-        plain = sockets.connect
+        original = sockets.connect
 
         async def connect(address: tuple[str, int], timeout: float, checks: Checks) -> Any:
-            self.tries.append(self.now)
-            if self.way == "cut":
+            self.connect_times.append(self.now)
+            if self.link_state == "cut":
                 await asyncio.sleep(timeout)
                 raise TimeoutError
-            if self.way == "down":
+            if self.link_state == "down":
                 raise ConnectionRefusedError
-            return await plain(address, timeout, checks)
+            return await original(address, timeout, checks)
 
         self.patch.setattr(watch_poll, "connect", connect)
         for cache in self.caches.values():
@@ -83,8 +86,8 @@
         (self.folder / "config.json").write_text(json.dumps(self.config))
         self.front = Front(read_front(self.config, {}), str(self.folder / "config.json"))
         self.patch.setattr(
-            self.front.change_log_watcher.random, "uniform", lambda least, most: most
-        )  # the worst draws
+            self.front.change_log_watcher.random, "uniform", lambda low, high: high
+        )  # the longest backoff
         self.front.module.start_with_known_events()
         self.front.change_log_watcher.start()
         self.upkeep = asyncio.create_task(self.front._upkeep())
@@ -92,18 +95,18 @@
 
     def host(self, name: str, **changed: Any) -> dict[str, Any]:
         kinds = {"p": "parent", "o": "origin"}
-        return host(name, self.caches[name].address, kinds.get(name[0], "std"), share=SIZE, **changed)
+        return host(name, self.caches[name].address, kinds.get(name[0], "std"), share=CAPACITY, **changed)
 
-    def change(self, log: ChangeLog, heard: bool = True) -> None:
-        """A drain, a new start and a purge are in the log; it tells them to the poll that waits, or later."""
-        self.changed_at = self.now
+    def append_changes(self, log: ChangeLog, notify: bool = True) -> None:
+        """Append a drain, a restart and a purge to the log; respond to the waiting poll only if `notify`."""
+        self.changed_at_s = self.now
         hosts = [self.host("s-1", health="DRAINING"), self.host("s-2", born_ms=unix_ms(self.now))]
         log.events.append({"seq": 2, "fleet": {"seq": 1, "whole": False, "hosts": hosts}})
-        log.events.append({"seq": 3, "invalidate": {"bucket": PURGED, "time": unix_ms(self.now)}})
-        if heard:
+        log.events.append({"seq": 3, "invalidate": {"bucket": PURGED_GROUP, "time": unix_ms(self.now)}})
+        if notify:
             log.changed.set()
 
-    async def ask_for(self, seconds: float) -> None:
+    async def send_requests_for(self, seconds: float) -> None:
         until = self.now + seconds
         while self.now < until:
             self.number += 1
@@ -116,32 +119,36 @@
                 received_at_ns=clock.now(),
             )
             self.front.module.mailbox.push(RequestArrived(request))
-            await asyncio.sleep(EVERY)
-
-    def broken(self) -> set[str]:
-        """The terms that were not kept, by what the caches were sent."""
-        found, at = set(), self.told_at
-        for when, name, fields in self.serves:
-            if name == "s-1" and when > at + DRAIN_GRACE + SLACK:
-                found.add("drain")
+            await asyncio.sleep(REQUEST_INTERVAL_S)
+
+    def find_violations(self) -> set[str]:
+        """Return the rules that were violated, judged by the commands that the caches received."""
+        violated, received_by_s = set(), self.received_by_s
+        for when, name, fields in self.served_commands:
+            if name == "s-1" and when > received_by_s + DRAIN_GRACE_S + SLACK_S:
+                violated.add("drain")
             oldest = when - int(fields["fresh"]) / 1000 if "fresh" in fields else -math.inf
-            settled = when > self.changed_at + self.settings["family_info"]["purge_settles"] / 1e9
-            if when > at + PURGE_GRACE + SLACK and oldest < self.changed_at - 0.002 and not settled:
-                found.add("purge")
+            settled = when > self.changed_at_s + self.settings["family_info"]["purge_settles"] / 1e9
+            if (
+                when > received_by_s + PURGE_GRACE_S + SLACK_S
+                and oldest < self.changed_at_s - 0.002
+                and not settled
+            ):
+                violated.add("purge")
         rules = self.settings["rules"]
         window = rules["tip_after"] / 1e9
-        starts = [when for when, name, _ in self.serves if name == "s-2" and when > at]
+        starts = [when for when, name, _ in self.served_commands if name == "s-2" and when > received_by_s]
         for first in starts:
             share = (
                 rules["cold_from"]
-                + (1 - rules["cold_from"]) * (first - self.changed_at) * 1e9 / rules["warm_within"]
+                + (1 - rules["cold_from"]) * (first - self.changed_at_s) * 1e9 / rules["warm_within"]
             )
-            n = rules["fall_multiple"] * share * SIZE * window / WORK
+            n = rules["fall_multiple"] * share * CAPACITY * window / WORK_S
             if sum(first <= when < first + window for when in starts) > n + 3 * math.sqrt(n) + 3:
-                found.add("cold")
-        return found
+                violated.add("cold")
+        return violated
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         self.upkeep.cancel()
         actors: list[Actor[Any]] = [self.front.change_log_watcher, self.front.module]
         for actor in (*actors, *self.front.module.caches.values()):
@@ -152,114 +159,119 @@
             server.close()
 
 
-async def silent(story: Story) -> None:
-    """The open watch falls silent once: told two seconds after the end of the wait that was asked for."""
-    story.log.late = NEVER
-    story.change(story.log)
+async def log_silent_once(scenario: LateEventScenario) -> None:
+    """One poll gets no response: events count as received 2 s after the end of the poll's timeout."""
+    scenario.log.late = NEVER_S
+    scenario.append_changes(scenario.log)
     await asyncio.sleep(0.001)
-    story.log.late = 0.0
-    story.told_at = story.now + watch.POLL_TIMEOUT_MS / 1000 + 2
-
-
-async def late(story: Story) -> None:
-    """Each answer takes longer than the front has patience past the end of its wait."""
-    story.log.late = 1.2
-    await story.ask_for(2.5)
-    story.change(story.log)
-    story.told_at = story.now + 7
-
-
-async def cut(story: Story) -> None:
-    """For six seconds nothing comes through, and no connection comes up."""
-    story.log.late, story.way = NEVER, "cut"
-    story.change(story.log)
-    story.told_at = story.now + 7
-    await story.ask_for(6)
-    story.log.late, story.way = 0.0, "up"
-
-
-async def down(story: Story) -> None:
-    """For the eight seconds after the change no connection comes up, and the last try has just begun then."""
-    story.log.late, story.way = NEVER, "cut"
-    await story.ask_for(9)
-    every = story.tries[-1] - story.tries[-2]
-    await story.ask_for(
-        story.tries[-1] + math.ceil((story.now - story.tries[-1] + 8) / every) * every - 8 - story.now
+    scenario.log.late = 0.0
+    scenario.received_by_s = scenario.now + watch.POLL_TIMEOUT_MS / 1000 + 2
+
+
+async def log_always_late(scenario: LateEventScenario) -> None:
+    """Every response takes longer than the grace period after the poll's timeout."""
+    scenario.log.late = 1.2
+    await scenario.send_requests_for(2.5)
+    scenario.append_changes(scenario.log)
+    scenario.received_by_s = scenario.now + 7
+
+
+async def connections_cut(scenario: LateEventScenario) -> None:
+    """For 6 s no byte is transferred and no connection is established."""
+    scenario.log.late, scenario.link_state = NEVER_S, "cut"
+    scenario.append_changes(scenario.log)
+    scenario.received_by_s = scenario.now + 7
+    await scenario.send_requests_for(6)
+    scenario.log.late, scenario.link_state = 0.0, "up"
+
+
+async def connects_hang(scenario: LateEventScenario) -> None:
+    """For 8 s after the change no connection is established; at their end a connect has just begun."""
+    scenario.log.late, scenario.link_state = NEVER_S, "cut"
+    await scenario.send_requests_for(9)
+    interval_s = scenario.connect_times[-1] - scenario.connect_times[-2]
+    await scenario.send_requests_for(
+        scenario.connect_times[-1]
+        + math.ceil((scenario.now - scenario.connect_times[-1] + 8) / interval_s) * interval_s
+        - 8
+        - scenario.now
     )
-    story.change(story.log)
-    story.told_at = story.now + 7
-    await story.ask_for(8)
-    story.log.late, story.way = 0.0, "up"
-
-
-async def refused(story: Story) -> None:
-    story.log.late, story.way = NEVER, "down"
-    story.change(story.log)
-    story.told_at = story.now + 7
-    await story.ask_for(8)
-    story.log.late, story.way = 0.0, "up"
-
-
-async def broken_off(story: Story) -> None:
-    """Answers break off in the middle of the event, three times: told two seconds after the first."""
-    story.log.broken = [b'HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{"seq":3,"results":[{"seq":2,"fl'] * 3
-    while len(story.log.broken) == 3:
+    scenario.append_changes(scenario.log)
+    scenario.received_by_s = scenario.now + 7
+    await scenario.send_requests_for(8)
+    scenario.log.late, scenario.link_state = 0.0, "up"
+
+
+async def connects_refused(scenario: LateEventScenario) -> None:
+    scenario.log.late, scenario.link_state = NEVER_S, "down"
+    scenario.append_changes(scenario.log)
+    scenario.received_by_s = scenario.now + 7
+    await scenario.send_requests_for(8)
+    scenario.log.late, scenario.link_state = 0.0, "up"
+
+
+async def responses_truncated(scenario: LateEventScenario) -> None:
+    """Three responses end within the event: events count as received 2 s after the first one."""
+    scenario.log.broken = [
+        b'HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{"seq":3,"results":[{"seq":2,"fl'
+    ] * 3
+    while len(scenario.log.broken) == 3:
         await asyncio.sleep(0.01)
-    story.change(story.log, heard=False)
-    story.told_at = story.now + 2
+    scenario.append_changes(scenario.log, notify=False)
+    scenario.received_by_s = scenario.now + 2
 
 
-async def moved(story: Story) -> None:
-    """SIGHUP names another address, up after a moment; the old one tells nothing: told after four seconds."""
-    story.log.late, new = NEVER, ChangeLog()
+async def log_address_changed(scenario: LateEventScenario) -> None:
+    """SIGHUP names another address, reachable after 1.5 s; events count as received after 4 s."""
+    scenario.log.late, new = NEVER_S, ChangeLog()
     await new.start()
-    new.events = list(story.log.events)
-    story.change(new)
-    story.told_at, story.way = story.now + 4, "down"
-    changed = story.config | {"changelog": new.address}
-    (story.folder / "config.json").write_text(json.dumps(changed))
-    story.front.reload()
-    await story.ask_for(1.5)
-    story.way = "up"
+    new.events = list(scenario.log.events)
+    scenario.append_changes(new)
+    scenario.received_by_s, scenario.link_state = scenario.now + 4, "down"
+    changed = scenario.config | {"changelog": new.address}
+    (scenario.folder / "config.json").write_text(json.dumps(changed))
+    scenario.front.reload()
+    await scenario.send_requests_for(1.5)
+    scenario.link_state = "up"
 
 
-def waits_on(patch: pytest.MonkeyPatch) -> None:
+def never_overdue(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(watch, "POLL_GRACE_S", 30.0)
     patch.setattr(watch_poll, "MAX_POLL_DURATION_S", 30.0)
 
 
-def impatient(patch: pytest.MonkeyPatch) -> None:
+def gives_up_slow_polls(patch: pytest.MonkeyPatch) -> None:
     async def poll(self: watch_poll.ChangeLogPoll) -> bytes:
-        async with asyncio.timeout(1.1):  # of its whole poll, what is late by more is never heard
-            return await plain(self)
+        async with asyncio.timeout(1.1):  # of the whole poll; later responses are lost
+            return await original(self)
 
-    plain = watch_poll.ChangeLogPoll.run
+    original = watch_poll.ChangeLogPoll.run
     patch.setattr(watch_poll.ChangeLogPoll, "run", poll)
 
 
-def slow_again(patch: pytest.MonkeyPatch) -> None:
+def long_backoff(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(watch, "MIN_BACKOFF_S", 30.0)
     patch.setattr(watch, "MAX_BACKOFF_S", 30.0)
 
 
-def stays(patch: pytest.MonkeyPatch) -> None:
-    waits_on(patch)
+def ignores_address_change(patch: pytest.MonkeyPatch) -> None:
+    never_overdue(patch)
     patch.setattr(watch.ChangeLogWatcher, "on_address_changed", lambda self: None)
 
 
-def forgets_starts(patch: pytest.MonkeyPatch) -> None:
-    """A new start of a machine on the list keeps the time of the one before."""
-    plain = MachineDirectory._to_machine
+def keeps_first_start_time(patch: pytest.MonkeyPatch) -> None:
+    """The start time of a listed machine does not change with its restart."""
+    original = MachineDirectory._to_machine
 
     def machine(self: MachineDirectory, record: Any) -> Any:
-        before, now = self.entry_by_host.get(record.host), plain(self, record)
+        before, now = self.entry_by_host.get(record.host), original(self, record)
         return replace(now, up_since=before.machine.up_since) if before is not None else now
 
     patch.setattr(MachineDirectory, "_to_machine", machine)
 
 
-def purges_from_long_ago(patch: pytest.MonkeyPatch) -> None:
-    """It takes what it hears late for over already."""
+def overstates_purge_age(patch: pytest.MonkeyPatch) -> None:
+    """A purge that is received late counts as 20 s older than it is."""
 
     def purged(record: PurgeRecord, age: int) -> io.ObjectPurged:
         return io.ObjectPurged(record.group, record.object or 0, age + 20 * clock.SECOND)
@@ -267,52 +279,57 @@
     patch.setattr(module, "purged", purged)
 
 
-def as_before(patch: pytest.MonkeyPatch) -> None:
-    """As late as with a back-off of one second that came after a try of half a one."""
+def longer_backoff(patch: pytest.MonkeyPatch) -> None:
+    """As late as with a backoff of 1 s after a connect that takes 0.5 s."""
     patch.setattr(watch, "MAX_BACKOFF_S", 1.5)
 
 
-CASES: list[tuple[Callable[[Story], Awaitable[None]], Callable[[pytest.MonkeyPatch], None]]] = [
-    (silent, waits_on), (late, impatient), (cut, slow_again), (down, as_before), (refused, slow_again),
-    (broken_off, slow_again), (moved, stays),
+CASES: list[tuple[Callable[[LateEventScenario], Awaitable[None]], Callable[[pytest.MonkeyPatch], None]]] = [
+    (log_silent_once, never_overdue), (log_always_late, gives_up_slow_polls), (connections_cut, long_backoff),
+    (connects_hang, longer_backoff), (connects_refused, long_backoff), (responses_truncated, long_backoff),
+    (log_address_changed, ignores_address_change),
 ]  # fmt: skip
 
 
-def play(folder: Path, patch: pytest.MonkeyPatch, trouble: Callable[[Story], Awaitable[None]]) -> set[str]:
-    async def story() -> set[str]:
-        it = Story(folder, patch)
-        await it.start()
-        await it.ask_for(1.5)
-        await trouble(it)
-        await it.ask_for(max(it.told_at - it.now, 0) + DRAIN_GRACE + 1.5)
-        await it.end()
-        return it.broken()
+def run_scenario(
+    folder: Path, patch: pytest.MonkeyPatch, fault: Callable[[LateEventScenario], Awaitable[None]]
+) -> set[str]:
+    async def measure() -> set[str]:
+        scenario = LateEventScenario(folder, patch)
+        await scenario.start()
+        await scenario.send_requests_for(1.5)
+        await fault(scenario)
+        await scenario.send_requests_for(max(scenario.received_by_s - scenario.now, 0) + DRAIN_GRACE_S + 1.5)
+        await scenario.stop()
+        return scenario.find_violations()
 
-    found: set[str] = run(story(), patch)
+    found: set[str] = run(measure(), patch)
     return found
 
 
-@pytest.mark.parametrize("trouble", [trouble for trouble, _ in CASES])
+@pytest.mark.parametrize("fault", [fault for fault, _ in CASES])
 def test_it_acts_by_the_time_at_which_the_change_counts_as_told(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, trouble: Callable[[Story], Awaitable[None]]
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fault: Callable[[LateEventScenario], Awaitable[None]]
 ) -> None:
-    assert play(tmp_path, monkeypatch, trouble) == set()
+    assert run_scenario(tmp_path, monkeypatch, fault) == set()
 
 
-@pytest.mark.parametrize(("trouble", "mutant"), CASES)
+@pytest.mark.parametrize(("fault", "mutant"), CASES)
 def test_a_front_that_hears_later_is_found(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
-    trouble: Callable[[Story], Awaitable[None]],
+    fault: Callable[[LateEventScenario], Awaitable[None]],
     mutant: Callable[[pytest.MonkeyPatch], None],
 ) -> None:
     mutant(monkeypatch)
-    assert {"drain", "purge"} & play(tmp_path, monkeypatch, trouble)
+    assert {"drain", "purge"} & run_scenario(tmp_path, monkeypatch, fault)
 
 
-@pytest.mark.parametrize(("term", "mutant"), [("purge", purges_from_long_ago), ("cold", forgets_starts)])
+@pytest.mark.parametrize(
+    ("term", "mutant"), [("purge", overstates_purge_age), ("cold", keeps_first_start_time)]
+)
 def test_what_is_heard_late_counts_from_when_it_was(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, term: str, mutant: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
     mutant(monkeypatch)
-    assert play(tmp_path, monkeypatch, silent) == {term}
+    assert run_scenario(tmp_path, monkeypatch, log_silent_once) == {term}
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,5 +1,8 @@
-"""A loop whose time moves on only as nothing is ready: seconds of waiting cost none, and no verdict rests on
-how busy the machine is. Sockets are real ones, on loopback, both ends in the same loop."""
+"""An event loop in virtual time, which advances only when no socket is ready.
+
+Waiting takes no real time, and results don't depend on how busy the machine is. Sockets are real, over
+loopback, with both ends in the same loop.
+"""
 
 from __future__ import annotations
 
@@ -14,44 +17,44 @@
 
 from quincepier import clock
 
-START, UNIX = 1000 * clock.SECOND, 1_764_576_000 * clock.SECOND
-SURE = 0.00002  # real seconds; what is sent over loopback is there at once, but for a busy kernel
+START_MONOTONIC_NS, START_UNIX_NS = 1000 * clock.SECOND, 1_764_576_000 * clock.SECOND
+LOOPBACK_DELAY_S = 0.00002  # real time; bytes over loopback arrive at once unless the kernel is busy
 
 
-class Jumping(selectors.DefaultSelector):
-    ahead = 0.0
+class VirtualSelector(selectors.DefaultSelector):
+    time_s = 0.0
 
     def select(self, timeout: float | None = None) -> Any:
         ready = super().select(0)
         if not ready and timeout != 0:
-            time.sleep(SURE)
+            time.sleep(LOOPBACK_DELAY_S)
             ready = super().select(0)
             if not ready:
-                self.ahead += 0.05 if timeout is None else timeout
+                self.time_s += 0.05 if timeout is None else timeout
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self.jumping = Jumping()
-        super().__init__(self.jumping)
+        self.virtual_selector = VirtualSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
-        return self.jumping.ahead
+        return self.virtual_selector.time_s
 
 
-def run(story: Coroutine[Any, Any, Any], patch: pytest.MonkeyPatch) -> Any:
-    """Play a story, the front's clock being the loop's."""
+def run(scenario: Coroutine[Any, Any, Any], patch: pytest.MonkeyPatch) -> Any:
+    """Run a coroutine in virtual time; the front's clocks follow the loop's."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         loop = runner.get_loop()
         times = SimpleNamespace(
-            monotonic_ns=lambda: START + round(loop.time() * clock.SECOND),
-            time_ns=lambda: UNIX + round(loop.time() * clock.SECOND),
+            monotonic_ns=lambda: START_MONOTONIC_NS + round(loop.time() * clock.SECOND),
+            time_ns=lambda: START_UNIX_NS + round(loop.time() * clock.SECOND),
         )
         patch.setattr(clock, "time", times)
-        return runner.run(story)
+        return runner.run(scenario)
 
 
 def unix_ms(seconds: float) -> int:
-    """The Unix millisecond of a time of the loop."""
-    return (UNIX + round(seconds * clock.SECOND)) // clock.MS
+    """Convert a time of the loop to Unix milliseconds."""
+    return (START_UNIX_NS + round(seconds * clock.SECOND)) // clock.MS
--- a/tests/watchkit.py
+++ b/tests/watchkit.py
@@ -1,6 +1,7 @@
-"""A scripted change log and the watch alone, over loopback in virtual time.
+"""A scripted change log and a change-log watcher without a front, over loopback in virtual time.
 
-Each answer, close and move is put where a story wants it; no verdict rests on how busy the machine is.
+A test decides when each response, close and change of address happens; the result does not depend on how busy
+the machine is.
 """
 
 from __future__ import annotations
@@ -26,45 +27,45 @@
 from tests.standins import until
 from tests.virtual import run
 
-MOMENT = 0.04  # seconds; less than the shortest pause of the watch
+IMMEDIATE_S = 0.04  # less than the shortest backoff of the watcher
 
 
-def purge(seq: int) -> dict[str, Any]:
+def purge_record(seq: int) -> dict[str, Any]:
     return {"seq": seq, "invalidate": {"bucket": seq, "time": 1764576000000}}
 
 
-def body(*seqs: int, last: int | None = None) -> bytes:
+def log_body(*seqs: int, last: int | None = None) -> bytes:
     latest = max(seqs) if last is None else last
-    return json.dumps({"seq": latest, "results": [purge(seq) for seq in seqs]}).encode()
+    return json.dumps({"seq": latest, "results": [purge_record(seq) for seq in seqs]}).encode()
 
 
-def http(content: bytes, status: str = "200 OK", more: str = "") -> bytes:
+def http_response(content: bytes, status: str = "200 OK", more: str = "") -> bytes:
     return f"HTTP/1.1 {status}\r\n{more}Content-Length: {len(content)}\r\n\r\n".encode() + content
 
 
 @dataclass
-class Ask:
-    """One poll as the log read it."""
+class ReceivedPoll:
+    """One poll as the change log received it."""
 
     since: int
-    at: float  # by the loop's clock, in seconds
-    connection: int
+    received_at_s: float  # by the loop's clock
+    connection_number: int
     writer: asyncio.StreamWriter
-    task: asyncio.Future[None] | None = None  # of what is written by and by
+    task: asyncio.Future[None] | None = None  # writes a response in pieces
 
-    def tell(self, *seqs: int, last: int | None = None) -> None:
-        self.writer.write(http(body(*seqs, last=last)))
+    def respond(self, *seqs: int, last: int | None = None) -> None:
+        self.writer.write(http_response(log_body(*seqs, last=last)))
 
 
-class Log:
-    """Reads polls and says nothing by itself; `script` may act in the turn in which one is read."""
+class ScriptedChangeLog:
+    """Reads polls and does not respond by itself; `on_poll` may act in the loop iteration that reads one."""
 
     def __init__(self) -> None:
-        self.asks: list[Ask] = []
-        self.connections = 0
-        self.script: Callable[[Ask], None] = lambda ask: None
+        self.polls: list[ReceivedPoll] = []
+        self.connection_count = 0
+        self.on_poll: Callable[[ReceivedPoll], None] = lambda poll: None
 
-    async def start(self) -> Log:
+    async def start(self) -> ScriptedChangeLog:
         self.server = await asyncio.start_server(self._serve, *own_address())
         return self
 
@@ -74,66 +75,70 @@
         return found
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
-        number = self.connections
+        self.connection_count += 1
+        number = self.connection_count
         try:
             while line := await reader.readline():
                 while (await reader.readline()).strip():
                     pass
                 since = int(line.split(b"since=")[1].split(b"&")[0])
-                self.asks.append(Ask(since, asyncio.get_running_loop().time(), number, writer))
-                self.script(self.asks[-1])
+                self.polls.append(ReceivedPoll(since, asyncio.get_running_loop().time(), number, writer))
+                self.on_poll(self.polls[-1])
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
             writer.close()
 
-    async def asked(self, times: int) -> Ask:
-        await until(lambda: len(self.asks) >= times, f"it is asked {times} times")
-        return self.asks[times - 1]
+    async def wait_for_poll(self, times: int) -> ReceivedPoll:
+        await until(lambda: len(self.polls) >= times, f"{times} polls are received")
+        return self.polls[times - 1]
 
 
-class Rig:
-    """A watch that knows of event 1, its log, and the module's mailbox that nobody empties."""
+class WatcherRig:
+    """A watcher that knows event 1, its change log, and the module's mailbox, which nobody empties."""
 
-    def __init__(self, log: Log) -> None:
-        self.checks, self.log, self.module = Checks(), log, Mailbox[ToModule](64)
+    def __init__(self, log: ScriptedChangeLog) -> None:
+        self.checks, self.log, self.module_mailbox = Checks(), log, Mailbox[ToModule](64)
         config = make_config(changelog="{}:{}".format(*log.address))
         budget = divide_memory(192, 24 << 20, 500)
         pool = BufferPool(4, 0)
-        self.dependencies = ActorDependencies(config, self.checks, pool, Descriptors(64), self.module, budget)
+        self.dependencies = ActorDependencies(
+            config, self.checks, pool, Descriptors(64), self.module_mailbox, budget
+        )
         self.watch = ChangeLogWatcher(self.dependencies)
         self.watch.random.uniform = lambda a, b: b  # type: ignore[method-assign]
 
     @property
-    def taken(self) -> list[int]:
-        return [message.event.seq for message in self.module.urgent]  # type: ignore[union-attr]
+    def delivered(self) -> list[int]:
+        return [message.event.seq for message in self.module_mailbox.urgent]  # type: ignore[union-attr]
 
-    def move(self, log: Log) -> None:
+    def change_address(self, log: ScriptedChangeLog) -> None:
         self.dependencies.config = replace(self.dependencies.config, changelog=log.address)
         self.watch.on_address_changed()
 
-    async def told(self, *seqs: int) -> None:
-        await until(lambda: len(self.taken) >= len(seqs), f"{seqs} are taken")
-        assert self.taken == list(seqs)
+    async def expect_delivered(self, *seqs: int) -> None:
+        await until(lambda: len(self.delivered) >= len(seqs), f"{seqs} are delivered")
+        assert self.delivered == list(seqs)
 
 
-def play(patch: pytest.MonkeyPatch, story: Callable[[Rig], Awaitable[None]], started: bool = True) -> None:
-    async def whole() -> None:
-        rig = Rig(await Log().start())
+def run_with_watcher(
+    patch: pytest.MonkeyPatch, scenario: Callable[[WatcherRig], Awaitable[None]], started: bool = True
+) -> None:
+    async def run_test() -> None:
+        rig = WatcherRig(await ScriptedChangeLog().start())
         try:
             if started:
                 rig.watch.start()
-            await story(rig)
-            assert rig.watch.tasks, "the watch lives"
+            await scenario(rig)
+            assert rig.watch.tasks, "the watcher is still running"
             assert not rig.checks.counts["exception_in_change_log_actor"]
         finally:
             rig.watch.cancel()
             await asyncio.sleep(0)
             rig.log.server.close()
 
-    run(whole(), patch)
+    run(run_test(), patch)
 
 
-def now() -> float:
+def loop_time() -> float:
     return asyncio.get_running_loop().time()
