--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -1,4 +1,4 @@
-"""Mailboxes, and the module's actor: what an exception ends, and what it does not."""
+"""Mailboxes and the decision module's actor: which work an exception ends, and which it does not."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 
 
 def test_what_must_not_wait_goes_first_and_new_work_last_and_is_bounded() -> None:
-    box: Mailbox[int] = Mailbox(2)
-    assert box.try_push_new_work(7) and box.try_push_new_work(8) and not box.try_push_new_work(9)
-    box.push(4)
-    box.push(5)
-    box.push(6)  # past the bound: what is under way has a place
-    assert not box.try_push(99)
-    box.push_urgent(1)
-    box.push_urgent(2)
-    assert [box.take() for _ in range(9)] == [1, 2, 4, 5, 6, 7, 8, None, None] and len(box) == 0
+    mailbox: Mailbox[int] = Mailbox(2)
+    assert mailbox.try_push_new_work(7) and mailbox.try_push_new_work(8) and not mailbox.try_push_new_work(9)
+    mailbox.push(4)
+    mailbox.push(5)
+    mailbox.push(6)  # beyond the limit, which does not apply to work in progress
+    assert not mailbox.try_push(99)
+    mailbox.push_urgent(1)
+    mailbox.push_urgent(2)
+    assert [mailbox.take() for _ in range(9)] == [1, 2, 4, 5, 6, 7, 8, None, None] and len(mailbox) == 0
 
 
 def test_a_client_that_left_before_its_turn_is_not_told_to_the_module() -> None:
@@ -53,19 +53,19 @@
 
 def test_wake_lets_the_reader_look_up_without_a_message() -> None:
     async def play() -> None:
-        box: Mailbox[int] = Mailbox(2)
-        reader = asyncio.create_task(box.wait())
+        mailbox: Mailbox[int] = Mailbox(2)
+        reader = asyncio.create_task(mailbox.wait())
         await asyncio.sleep(0)
         assert not reader.done()
-        box.wake()
+        mailbox.wake()
         await reader
-        assert box.take() is None
+        assert mailbox.take() is None
 
     asyncio.run(play())
 
 
-class Scripted:
-    """In the Router's place: does what the test says for each event."""
+class ScriptedRouter:
+    """Stands in for the Router: returns the actions that the test gives for each event."""
 
     def __init__(self, script: Callable[[io.Event], list[io.Action]]) -> None:
         self.script = script
@@ -81,14 +81,14 @@
 
 def make_module(
     script: Callable[[io.Event], list[io.Action]], config: FrontConfig | None = None
-) -> tuple[ModuleActor, Scripted]:
-    checks, router, pool = Checks(), Scripted(script), BufferPool(100)
+) -> tuple[ModuleActor, ScriptedRouter]:
+    checks, router, pool = Checks(), ScriptedRouter(script), BufferPool(100)
     actor = ModuleActor(config or make_config(), checks, pool, Descriptors(1024), lambda: None, BUDGET)
     actor.router = router  # type: ignore[assignment]
     return actor, router
 
 
-def ask(actor: ModuleActor, inbox: Inbox, cls: int = 1, job: str = "") -> Any:
+def push_request(actor: ModuleActor, inbox: Inbox, cls: int = 1, job: str = "") -> Any:
     request = open_request(inbox, cls, job or f"{actor.requests.accepted:016x}", received_at_ns=clock.now())
     actor.handle_safely(RequestArrived(request))
     return request
@@ -104,8 +104,8 @@
 
     actor, _ = make_module(script)
     bad, good = Inbox(), Inbox()
-    ask(actor, bad, 0)
-    ask(actor, good, 1)
+    push_request(actor, bad, 0)
+    push_request(actor, good, 1)
     assert [answer.status for answer in bad.got] == [500]
     assert [(answer.status, answer.retry_after_ms) for answer in good.got] == [(503, 300)]
     assert actor.checks.counts["exception_in_module"] == 1
@@ -123,18 +123,18 @@
     actor, _ = make_module(script)
     actor.caches[5] = SimpleNamespace(mailbox=Inbox())  # type: ignore[assignment]
     inbox = Inbox()
-    ask(actor, inbox)
+    push_request(actor, inbox)
     assert [answer.status for answer in inbox.got] == [500] and len(actor.timers) == 1
 
 
 def test_one_final_answer_and_none_after_the_client_left() -> None:
     actor, router = make_module(lambda event: [])
     inbox = Inbox()
-    request = ask(actor, inbox)
+    request = push_request(actor, inbox)
     router.script = lambda event: [io.FailRequest(request.number)] * 2
     actor._dispatch(io.TimerFired(1))
     assert [answer.status for answer in inbox.got] == [502]
-    other = ask(actor, inbox)
+    other = push_request(actor, inbox)
     router.script = lambda event: [io.RejectRequest(other.number, 0)]
     actor.handle_safely(ClientDisconnected(other))
     assert len(inbox.got) == 1 and isinstance(router.events[-1], io.ClientDisconnected)
@@ -144,7 +144,7 @@
 def test_answer_that_comes_when_the_request_is_over_gives_its_buffers_back() -> None:
     actor, router = make_module(lambda event: [])
     inbox = Inbox()
-    request = ask(actor, inbox)
+    request = push_request(actor, inbox)
     attempt: OpenAttempt = actor.requests.start_attempt(request, 5, clock.now())
     actor.handle_safely(ClientDisconnected(request))
     attempt.is_completed = True
@@ -162,7 +162,7 @@
         if isinstance(event, io.RequestReceived)
         else []
     )
-    ask(actor, Inbox())
+    push_request(actor, Inbox())
     message = actor.mailbox.take()
     assert message is not None
     actor.handle_safely(message)
@@ -176,7 +176,7 @@
 
 def test_nothing_is_sent_for_a_request_that_is_over() -> None:
     actor, _ = make_module(lambda event: [])
-    request = ask(actor, Inbox())
+    request = push_request(actor, Inbox())
     actor.requests.finish(request)
     with pytest.raises(AssertionError):  # counted and logged in release
         actor._perform(io.ForwardRequest(request.number, 5, 0), clock.now())
@@ -185,11 +185,11 @@
 def test_an_id_that_is_open_is_not_taken_for_another_object() -> None:
     actor, router = make_module(lambda event: [])
     inbox = Inbox()
-    first = ask(actor, inbox, job="9b1f03aa5c7e2d41")
-    ask(actor, inbox, job="9b1f03aa5c7e2d41")
+    first = push_request(actor, inbox, job="9b1f03aa5c7e2d41")
+    push_request(actor, inbox, job="9b1f03aa5c7e2d41")
     assert len(router.events) == 1 and [answer.status for answer in inbox.got] == [409]
     actor.handle_safely(ClientDisconnected(first))
-    ask(actor, inbox, job="9b1f03aa5c7e2d41")
+    push_request(actor, inbox, job="9b1f03aa5c7e2d41")
     assert len(router.events) == 3 and len(inbox.got) == 1
 
 
@@ -198,7 +198,7 @@
     actor.requests.max_requests = 2
     inbox = Inbox()
     for _ in range(3):
-        ask(actor, inbox)
+        push_request(actor, inbox)
     assert len(router.events) == 2 and [(a.status, a.retry_after_ms) for a in inbox.got] == [(503, 500)]
 
 
@@ -224,7 +224,7 @@
                 event.cache: event for event in router.events if isinstance(event, io.HealthCheckCompleted)
             }
 
-        await until(lambda: len(ended()) == 2, "both probes end")
+        await until(lambda: len(ended()) == 2, "both health checks finish")
         well, refused = ended()[number("s-1")], ended()[number("s-2")]
         assert (well.ending, refused.ending) == (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED)
         assert cache.probed == ["gauges" if how == "on_probe" else "health"]
@@ -232,7 +232,7 @@
         cache.health = "ill"
         router.events.clear()
         actor._perform(io.SendHealthCheck(number("s-1")), clock.now())
-        await until(lambda: len(ended()) == 1, "the third ends")
+        await until(lambda: len(ended()) == 1, "the third one finishes")
         assert ended()[number("s-1")].ending is AttemptOutcome.ERROR
         actor.cancel()
         for each in actor.caches.values():
@@ -305,12 +305,12 @@
         actor, router = make_module(script)
         number = actor.directory.assign_number("s-1")
         actor.start_with_known_events()
-        ask(actor, Inbox())
+        push_request(actor, Inbox())
 
         def ended() -> list[AttemptOutcome]:
             return [event.ending for event in router.events if isinstance(event, io.AttemptCompleted)]
 
-        await until(lambda: bool(ended()), "the attempt ends")
+        await until(lambda: bool(ended()), "the attempt completes")
         assert ended() == [ending]
         actor.cancel()
         for each in actor.caches.values():
@@ -328,7 +328,7 @@
         connection = manager.admit(ours)
         assert connection is not None and manager.registry.first(clock.now()) is connection
         connection.close()
-        await until(lambda: not manager.connections, "it is gone")
+        await until(lambda: not manager.connections, "the connection is removed")
         assert (manager.descriptors.clients, ours.fileno(), manager.pool.used) == (0, -1, 1)
         assert manager.registry.first(clock.now()) is None and not manager.wheel
         theirs.close()
@@ -338,7 +338,7 @@
 
 def test_a_timer_about_a_request_that_is_over_does_not_come() -> None:
     actor, router = make_module(lambda event: [])
-    request = ask(actor, Inbox())
+    request = push_request(actor, Inbox())
     actor._perform(io.SetTimer(0, 16, request.number), 0)
     actor._fire_due_timers()
     assert io.TimerFired(16) in router.events
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""Buffer pool, open request table, machine directory, and the clock at its edge."""
+"""Buffer pool, open request table, machine directory, and conversion of Unix times."""
 
 from __future__ import annotations
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,6 +1,6 @@
-"""During a move some fronts run in the old shape and some in the new, before the same caches.
+"""During a migration, fronts with old and with new settings run before the same caches.
 
-The judge sees what the caches and the clients saw, no more, and shares no code with the front.
+`find_violations` judges only by what the caches and the clients observed, and shares no code with the front.
 """
 
 from __future__ import annotations
@@ -21,81 +21,95 @@
 from tests.standins import Asked, Cache, ChangeLog, Client, Front, until
 
 MS = 1_000_000
-OLD, NEW = 1, 2  # the first digit of a request's job id says which front's client asked
-DRAINED, COLD = "s-2", "s-4"
-PURGED = "00000000000000ff"
-WORK_S, SIZE = 0.02, 30.0  # the stand-ins take so long for a request; a link's size as listed
+OLD, NEW = 1, 2  # the first digit of a request's job id: the front that received it
+DRAINED_HOST, COLD_HOST = "s-2", "s-4"
+PURGED_KEY = "00000000000000ff"
+WORK_S, LINK_SIZE = 0.02, 30.0  # time that a stand-in takes for a request; capacity of a link, as listed
 RULES: dict[str, float] = {"cold_from": 0.02, "fall_multiple": 2.0, "warm_s": 600.0, "tip_s": 1.5}
 
 
-def new_shape() -> dict[str, Any]:
-    """Settings of the new deployments: no sizes, no reports, nothing straight, a keyed class, no advice."""
-    made = copy.deepcopy(SETTINGS)
-    made["weights"] = "off"
-    made["report"] = {"fields": [], "how": "off"}
-    made["family_info"] |= {"pass_through_ok": False, "client_kb_per_s": 0.0}
-    made["limits"] |= {"retry_after": False, "probes": False, "try_limit": 6}
-    made["services"][2] |= {"effect": "guarded", "window": 2000 * MS}
-    return made
+def new_settings() -> dict[str, Any]:
+    """Settings of new deployments.
+
+    No sizes, no load reports, no direct requests to the origin, no retry advice; one class is keyed.
+    """
+    settings = copy.deepcopy(SETTINGS)
+    settings["weights"] = "off"
+    settings["report"] = {"fields": [], "how": "off"}
+    settings["family_info"] |= {"pass_through_ok": False, "client_kb_per_s": 0.0}
+    settings["limits"] |= {"retry_after": False, "probes": False, "try_limit": 6}
+    settings["services"][2] |= {"effect": "guarded", "window": 2000 * MS}
+    return settings
 
 
 @dataclass(frozen=True)
-class Served:
-    """One `serve` command as a cache got it."""
+class ReceivedServe:
+    """One `serve` command as a cache received it."""
 
     cache: str
     front: int
     cls: str
     key: str
     via: str
-    fresh: int  # ms, 0: the class's own
+    fresh: int  # largest copy age in ms; 0: that of the class
     at: float
 
 
 @dataclass
-class Seen:
-    served: list[Served] = field(default_factory=list)
-    answers: dict[int, list[int]] = field(default_factory=lambda: {OLD: [], NEW: []})
-    asked: Counter[int] = field(default_factory=Counter)
-    told_drain: float = 0.0  # when both fronts had taken it
-    purge: float = 0.0  # Unix seconds
-    told_purge: float = 0.0
-    started: float = 0.0  # when the cold machine did
-
-
-def judge(seen: Seen) -> list[str]:
-    """The rules and fairness, from what was seen; a line for each fault."""
+class Observations:
+    """What caches and clients observed, by front; times are Unix seconds."""
+
+    commands: list[ReceivedServe] = field(default_factory=list)
+    statuses: dict[int, list[int]] = field(default_factory=lambda: {OLD: [], NEW: []})
+    request_counts: Counter[int] = field(default_factory=Counter)
+    drain_received_at: float = 0.0  # when both fronts had received the drain
+    purged_at: float = 0.0
+    purge_received_at: float = 0.0
+    started_at: float = 0.0  # when the cold machine started
+
+
+def find_violations(observed: Observations) -> list[str]:
+    """Check the rules and fairness; return a line for each violation."""
     faults = []
-    for s in seen.served:
-        if DRAINED in (s.cache, s.via) and seen.told_drain and s.at > seen.told_drain:
+    for s in observed.commands:
+        if (
+            DRAINED_HOST in (s.cache, s.via)
+            and observed.drain_received_at
+            and s.at > observed.drain_received_at
+        ):
             faults.append(f"drain: front {s.front} asked {s.cache} via {s.via}")
-        old_copy = not s.fresh or s.fresh > (s.at - seen.purge) * 1000 + 1
-        if s.key == PURGED and seen.told_purge and s.at > seen.told_purge and old_copy:
+        old_copy = not s.fresh or s.fresh > (s.at - observed.purged_at) * 1000 + 1
+        if (
+            s.key == PURGED_KEY
+            and observed.purge_received_at
+            and s.at > observed.purge_received_at
+            and old_copy
+        ):
             faults.append(f"purge: front {s.front} takes a copy of {s.fresh} ms")
         if s.front == NEW and s.cache[0] != "s":
             faults.append(f"straight: front {s.front} asked {s.cache}")
-    reached = sorted(s.at for s in seen.served if s.cache == COLD)
+    reached = sorted(s.at for s in observed.commands if s.cache == COLD_HOST)
     for n, at in enumerate(reached):
-        share = RULES["cold_from"] + (1 - RULES["cold_from"]) * (at - seen.started) / RULES["warm_s"]
+        share = RULES["cold_from"] + (1 - RULES["cold_from"]) * (at - observed.started_at) / RULES["warm_s"]
         span = [later for later in reached[n:] if later < at + RULES["tip_s"]]
-        if len(span) * WORK_S > RULES["fall_multiple"] * share * SIZE * RULES["tip_s"]:
+        if len(span) * WORK_S > RULES["fall_multiple"] * share * LINK_SIZE * RULES["tip_s"]:
             faults.append(f"cold: {len(span)} requests in a window")
             break
-    for front, statuses in seen.answers.items():
-        if len(statuses) != seen.asked[front]:
-            faults.append(f"lost: front {front} answered {len(statuses)} of {seen.asked[front]}")
-        others = max(statuses.count(200) for statuses in seen.answers.values())
+    for front, statuses in observed.statuses.items():
+        if len(statuses) != observed.request_counts[front]:
+            faults.append(f"lost: front {front} answered {len(statuses)} of {observed.request_counts[front]}")
+        others = max(statuses.count(200) for statuses in observed.statuses.values())
         if statuses.count(200) < 0.8 * others:
             faults.append(f"starved: front {front} has {statuses.count(200)} served, another {others}")
     return faults
 
 
-class Move:
-    """Both fronts, each with a change log of its own, before the same caches."""
+class TwoFronts:
+    """Two fronts, each with its own change log, before the same caches."""
 
     def __init__(self, folder: Path) -> None:
-        self.seen, self.folder = Seen(), folder
-        names = ("s-1", DRAINED, "s-3", COLD, "p-1", "o-1")
+        self.observed, self.folder = Observations(), folder
+        names = ("s-1", DRAINED_HOST, "s-3", COLD_HOST, "p-1", "o-1")
         self.caches = {name: Cache(self.behaviour(name)) for name in names}
         self.fronts = {OLD: Front(folder / "old", self.caches), NEW: Front(folder / "new", self.caches)}
         self.clients: dict[int, Client] = {}
@@ -104,8 +118,10 @@
         def behave(asked: Asked) -> None:
             get = asked.fields.get
             front, fresh = int(asked.id[0]), int(get("fresh", "0"))
-            served = Served(name, front, get("class", ""), get("key", ""), get("via", ""), fresh, time.time())
-            self.seen.served.append(served)
+            served = ReceivedServe(
+                name, front, get("class", ""), get("key", ""), get("via", ""), fresh, time.time()
+            )
+            self.observed.commands.append(served)
             asyncio.get_running_loop().call_later(WORK_S, asked.data)
 
         return behave
@@ -114,7 +130,7 @@
         for cache in self.caches.values():
             await cache.start()
         kinds = {"p": "parent", "o": "origin"}
-        hosts = [host(n, c.address, kinds.get(n[0], "std")) for n, c in self.caches.items() if n != COLD]
+        hosts = [host(n, c.address, kinds.get(n[0], "std")) for n, c in self.caches.items() if n != COLD_HOST]
         for number, front in self.fronts.items():
             front.folder.mkdir()
             await front.log.start()
@@ -122,7 +138,7 @@
             for entry in listed if number == NEW else []:
                 del entry["share"]
             front.log.add(fleet={"seq": 0, "whole": True, "hosts": listed})
-            settings = copy.deepcopy(SETTINGS) if number == OLD else new_shape()
+            settings = copy.deepcopy(SETTINGS) if number == OLD else new_settings()
             settings["replicas_of_me"], settings["family_info"]["seats_by_zone"] = 2, [0, 2]
             settings["rules"] |= {"cold_from": RULES["cold_from"], "fall_multiple": RULES["fall_multiple"]}
             settings["rules"] |= {"warm_within": int(RULES["warm_s"] * 1000) * MS}
@@ -134,32 +150,34 @@
             await front.start()
             self.clients[number] = await front.client()
 
-    async def tell(self, **event: Any) -> None:
-        """Both change logs say it; returns when both fronts have asked for what comes after it."""
+    async def append_to_logs(self, **event: Any) -> None:
+        """Append an event to both change logs; wait until both fronts have polled for the next event."""
         logs: list[ChangeLog] = [front.log for front in self.fronts.values()]
         last = [log.add(**event) for log in logs]
         await until(
             lambda: all(log.since and log.since[-1] >= n for log, n in zip(logs, last, strict=True)), "told"
         )
 
-    async def play(self, first: int, count: int, key: str = "") -> None:
-        """As many requests at each front, eight open at a time."""
+    async def send_requests(self, first: int, count: int, key: str = "") -> None:
+        """Send `count` requests to each front, eight of them open at a time."""
 
-        async def one(number: int, request: int) -> None:
+        async def send_request(number: int, request: int) -> None:
             item, cls = key or f"{request * 7919 % 40 + 1:016x}", ("lot-image", "lot-video")[request % 2]
-            upload = request % 10 == 0 and not key  # never kept: straight to the origin where that may be
+            upload = (
+                request % 10 == 0 and not key
+            )  # not cacheable: sent directly to the origin if that is allowed
             self.clients[number].ask(
                 request, "bid" if upload else cls, b"offer" * upload,
                 HTTP_X_JOB_ID=f"{number}{request:015x}", HTTP_X_ITEM=item, HTTP_X_N="0",
             )  # fmt: skip
             got = await self.clients[number].ended(request)
-            self.seen.answers[number].append(got.status)
+            self.observed.statuses[number].append(got.status)
 
         for at in range(first, first + count, 8):
             batch = range(at, min(at + 8, first + count))
             for number in self.fronts:
-                self.seen.asked[number] += len(batch)
-            await asyncio.gather(*(one(number, r) for number in self.fronts for r in batch))
+                self.observed.request_counts[number] += len(batch)
+            await asyncio.gather(*(send_request(number, r) for number in self.fronts for r in batch))
 
     async def stop(self) -> None:
         for front in self.fronts.values():
@@ -167,56 +185,66 @@
 
 
 def test_fronts_of_both_shapes_before_the_same_caches(tmp_path: Path) -> None:
-    async def run() -> Seen:
-        move = Move(tmp_path)
-        seen = move.seen
+    async def run() -> Observations:
+        fronts = TwoFronts(tmp_path)
+        observed = fronts.observed
         try:
-            await move.start()
-            await move.play(1, 160)
-            drained = host(DRAINED, move.caches[DRAINED].address, health="DRAINING")
-            await move.tell(fleet={"seq": 1, "whole": False, "hosts": [drained]})
-            seen.told_drain = time.time()
-            seen.started = time.time()
-            cold = host(COLD, move.caches[COLD].address, born_ms=int(seen.started * 1000))
-            await move.tell(fleet={"seq": 2, "whole": False, "hosts": [cold]})
-            await move.play(1001, 160)
-            seen.purge = time.time()
-            await move.tell(invalidate={"object": PURGED, "time": int(seen.purge * 1000)})
-            seen.told_purge = time.time()
-            await move.play(2001, 8, key=PURGED)
-            await move.play(3001, 80)
+            await fronts.start()
+            await fronts.send_requests(1, 160)
+            drained = host(DRAINED_HOST, fronts.caches[DRAINED_HOST].address, health="DRAINING")
+            await fronts.append_to_logs(fleet={"seq": 1, "whole": False, "hosts": [drained]})
+            observed.drain_received_at = time.time()
+            observed.started_at = time.time()
+            cold = host(COLD_HOST, fronts.caches[COLD_HOST].address, born_ms=int(observed.started_at * 1000))
+            await fronts.append_to_logs(fleet={"seq": 2, "whole": False, "hosts": [cold]})
+            await fronts.send_requests(1001, 160)
+            observed.purged_at = time.time()
+            await fronts.append_to_logs(
+                invalidate={"object": PURGED_KEY, "time": int(observed.purged_at * 1000)}
+            )
+            observed.purge_received_at = time.time()
+            await fronts.send_requests(2001, 8, key=PURGED_KEY)
+            await fronts.send_requests(3001, 80)
         finally:
-            await move.stop()
-        return seen
+            await fronts.stop()
+        return observed
 
-    seen = asyncio.run(run())
-    assert judge(seen) == []
+    observed = asyncio.run(run())
+    assert find_violations(observed) == []
     for number in (OLD, NEW):
-        mine = [s for s in seen.served if s.front == number]
-        assert {s.cache for s in mine} >= {"s-1", DRAINED, "s-3"} and any(s.key == PURGED for s in mine)
-    assert any(s.via == "p-1" for s in seen.served if s.front == NEW)
+        mine = [s for s in observed.commands if s.front == number]
+        assert {s.cache for s in mine} >= {"s-1", DRAINED_HOST, "s-3"} and any(
+            s.key == PURGED_KEY for s in mine
+        )
+    assert any(s.via == "p-1" for s in observed.commands if s.front == NEW)
 
 
-GOOD = Served("s-1", NEW, "lot-image", "01", "p-1", 0, 10.0)
+VALID_SERVE = ReceivedServe("s-1", NEW, "lot-image", "01", "p-1", 0, 10.0)
 
 
 @pytest.mark.parametrize(
     ("broken", "fault"),
     [
-        ([replace(GOOD, cache=DRAINED)], "drain"),
-        ([replace(GOOD, via=DRAINED)], "drain"),
-        ([replace(GOOD, key=PURGED)], "purge"),
-        ([replace(GOOD, key=PURGED, fresh=9000)], "purge"),
-        ([replace(GOOD, cache="p-1")], "straight"),
-        ([replace(GOOD, cache=COLD)] * 200, "cold"),
+        ([replace(VALID_SERVE, cache=DRAINED_HOST)], "drain"),
+        ([replace(VALID_SERVE, via=DRAINED_HOST)], "drain"),
+        ([replace(VALID_SERVE, key=PURGED_KEY)], "purge"),
+        ([replace(VALID_SERVE, key=PURGED_KEY, fresh=9000)], "purge"),
+        ([replace(VALID_SERVE, cache="p-1")], "straight"),
+        ([replace(VALID_SERVE, cache=COLD_HOST)] * 200, "cold"),
     ],
 )
-def test_a_broken_front_is_named_by_the_judge(broken: list[Served], fault: str) -> None:
-    seen = Seen(broken, told_drain=5.0, purge=4.0, told_purge=5.0, started=9.0)
-    assert [line.partition(":")[0] for line in judge(seen)] == [fault] * len(judge(seen))
-    assert judge(seen) and judge(replace(seen, served=[GOOD])) == []
+def test_a_broken_front_is_named_by_the_judge(broken: list[ReceivedServe], fault: str) -> None:
+    observed = Observations(
+        broken, drain_received_at=5.0, purged_at=4.0, purge_received_at=5.0, started_at=9.0
+    )
+    assert [line.partition(":")[0] for line in find_violations(observed)] == [fault] * len(
+        find_violations(observed)
+    )
+    assert find_violations(observed) and find_violations(replace(observed, commands=[VALID_SERVE])) == []
 
 
 def test_lost_and_starved_are_named_by_the_judge() -> None:
-    seen = Seen(answers={OLD: [200] * 10, NEW: [200] * 5}, asked=Counter({OLD: 10, NEW: 6}))
-    assert [line.partition(":")[0] for line in judge(seen)] == ["lost", "starved"]
+    observed = Observations(
+        statuses={OLD: [200] * 10, NEW: [200] * 5}, request_counts=Counter({OLD: 10, NEW: 6})
+    )
+    assert [line.partition(":")[0] for line in find_violations(observed)] == ["lost", "starved"]
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -1,4 +1,4 @@
-"""A front whose process stands still for a while: stopped, or without CPU."""
+"""Process pauses of a front: stopped by a signal, or without CPU."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from tests.standins import Asked, Behaviour, Front, play, until
 
-STOPPED = 1.0  # seconds
+PAUSE_S = 1.0  # seconds
 ALLOWED_MS, SLACK_MS = 2500, 150
 
 
-def never(asked: Asked) -> None:
+def never_respond(asked: Asked) -> None:
     pass
 
 
-def never_but_hits(asked: Asked) -> None:
+def respond_except_bids(asked: Asked) -> None:
     if asked.fields["class"] != "bid":
         asked.data()
 
@@ -28,7 +28,11 @@
 def test_what_came_as_a_front_was_stopped_is_sent_with_the_time_that_its_client_has_left(
     tmp_path: Path,
 ) -> None:
-    caches: dict[str, Behaviour] = {"s-1": never_but_hits, "p-1": never, "o-1": never_but_hits}
+    caches: dict[str, Behaviour] = {
+        "s-1": respond_except_bids,
+        "p-1": never_respond,
+        "o-1": respond_except_bids,
+    }
 
     async def scenario(front: Front) -> None:
         client = await front.client()
@@ -38,27 +42,27 @@
         await asyncio.sleep(0.1)
         client.ask(2, "bid", HTTP_X_ALLOW_MS=str(ALLOWED_MS))
         began = time.monotonic()
-        await asyncio.sleep(STOPPED)
+        await asyncio.sleep(PAUSE_S)
         front.signal(signal.SIGCONT)
         origin = front.caches["o-1"]
-        await until(lambda: bool(origin.asked), "it is sent on")
+        await until(lambda: bool(origin.asked), "the command is sent")
         left = ALLOWED_MS - (time.monotonic() - began) * 1000
         assert int(origin.asked[0].fields["wait"]) <= left + SLACK_MS
         got = await client.ended(2)
         assert got.status == 502
-        assert time.monotonic() - began < ALLOWED_MS / 1000 + 0.5, "later is lost"
+        assert time.monotonic() - began < ALLOWED_MS / 1000 + 0.5, "the client has its response in time"
 
     play(tmp_path, caches, scenario)
 
 
 @pytest.mark.fleet(4)
 def test_nothing_begins_for_a_client_that_left_while_the_front_was_stopped(tmp_path: Path) -> None:
-    """Its first attempt is reset in that time too; an idle connection to another cache is there."""
+    """Its first attempt is reset during the pause too; a connection to another cache is idle."""
     caches: dict[str, Behaviour] = {name: Asked.data for name in ("s-1", "s-2", "p-1", "o-1")}
 
     async def scenario(front: Front) -> None:
         other = await front.client()
-        for n in range(1, 9):  # to both caches
+        for n in range(1, 9):  # distributed over both caches
             other.ask(n, HTTP_X_ITEM=f"{n * 0x9E3779B97F4A7C15 % 2**64:016x}")
             assert (await other.ended(n)).status == 200
         for n in range(8):
@@ -67,7 +71,7 @@
                 cache.behaviour = held.append
             client = await front.client()
             client.ask(50 + n, HTTP_X_ITEM=f"{n * 0x9E3779B97F4A7C15 % 2**64:016x}")
-            await until(lambda found=held: bool(found), "it is out")  # type: ignore[misc]
+            await until(lambda found=held: bool(found), "the attempt is sent")  # type: ignore[misc]
             front.signal(signal.SIGSTOP)
             await asyncio.sleep(0.05)
             await client.close()
@@ -75,7 +79,7 @@
             await asyncio.sleep(0.3)
             front.signal(signal.SIGCONT)
             await asyncio.sleep(0.3)
-            assert len(held) == 1, "nothing begins for it"
+            assert len(held) == 1, "no attempt begins for a disconnected client"
 
     play(tmp_path, caches, scenario)
 
@@ -85,7 +89,10 @@
 def test_news_that_came_while_the_front_was_stopped_are_heard_before_anything_begins(
     tmp_path: Path, purged_after: float, stopped: float
 ) -> None:
-    """Requests for a purged group lie in the sockets; so does the purge, or it is to be asked for first."""
+    """Requests for a purged group are in the sockets after the pause.
+
+    So is the purge, or the front must poll for it first.
+    """
     caches: dict[str, Behaviour] = {name: Asked.data for name in ("s-1", "s-2", "p-1", "o-1")}
 
     async def scenario(front: Front) -> None:
@@ -93,7 +100,7 @@
         for n, client in enumerate(clients, 1):
             client.ask(n)
             assert (await client.ended(n)).status == 200
-        front.log.late = 0.03  # on its way; the requests are there
+        front.log.late = 0.03  # the purge arrives after the requests
         asked = {name: len(cache.asked) for name, cache in front.caches.items()}
         front.signal(signal.SIGSTOP)
         await asyncio.sleep(purged_after)
@@ -104,7 +111,10 @@
         await asyncio.sleep(stopped - purged_after)
         front.signal(signal.SIGCONT)
         for n, client in enumerate(clients, 1):
-            assert (await client.ended(100 + n)).status in (200, 503)  # shed, where they are too many fills
+            assert (await client.ended(100 + n)).status in (
+                200,
+                503,
+            )  # 503 if load shedding rejects it, as it needs too many fetches
         since_ms = (time.time() - purged_at) * 1000
         later = [one for name, cache in front.caches.items() for one in cache.asked[asked[name] :]]
         ages = [int(one.fields.get("fresh", "12000")) for one in later if one.fields["class"] == "lot-image"]
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Ten fronts restarted in turn under load: nothing that was taken is lost, and they are ready soon."""
+"""Ten fronts restarted in turn under load: no received request is lost, and each is ready soon."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from tests.standins import Asked, Cache, ChangeLog, Client, Front, until
 from tests.test_standing_restart import Sender
 
-FRONTS, AT_ONCE = 10, 2
-READY_WITHIN, READY = 10.0, 0.9  # seconds, and the share of the fronts that are ready in them
+FRONTS, RESTARTS_AT_ONCE = 10, 2
+MAX_READY_TIME_S, MIN_READY_RATIO = 10.0, 0.9  # ratio of the fronts that must be ready within that time
 
 
-def later(asked: Asked) -> None:
+def respond_later(asked: Asked) -> None:
     asyncio.get_running_loop().call_later(0.2, asked.data)
 
 
-async def ready(front: Front) -> float:
-    """Seconds from the start of the process to the answer of 200 for /ping."""
+async def start_until_ready(front: Front) -> float:
+    """Start a front; return the seconds until it responds to /ping with 200."""
     began = time.monotonic()
     await front.start(wait=False)
     while True:
@@ -43,11 +43,11 @@
 
 
 class Fleet:
-    """Fronts that share caches and a change log, each with a client that sends rows of requests."""
+    """Fronts that share caches and a change log, each with a client that sends batches of requests."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.log = folder, ChangeLog()
-        self.caches = {name: Cache(later) for name in ("s-1", "p-1", "o-1")}
+        self.caches = {name: Cache(respond_later) for name in ("s-1", "p-1", "o-1")}
         self.fronts: list[Front] = []
         self.senders: list[Sender] = []
 
@@ -58,34 +58,36 @@
         for n in range(1, FRONTS):
             (self.folder / str(n)).mkdir()
             address = own_address()
-            named = {"name": f"n{n}", "listen": "{}:{}".format(*address)}
-            self.fronts.append(Front(self.folder / str(n), self.caches, self.log, first.config | named))
+            overrides = {"name": f"n{n}", "listen": "{}:{}".format(*address)}
+            self.fronts.append(Front(self.folder / str(n), self.caches, self.log, first.config | overrides))
             self.fronts[-1].address = address
         for n in range(1, FRONTS, 3):
             await asyncio.gather(*(front.start() for front in self.fronts[n : n + 3]))
         for front in self.fronts:
-            await self.send(front)
+            await self.add_sender(front)
 
-    async def send(self, front: Front) -> Sender:
+    async def add_sender(self, front: Front) -> Sender:
         sender = Sender(len(self.senders), await front.client())
         self.senders.append(sender)
         return sender
 
     async def restart(self, front: Front, sender: Sender) -> float:
-        """The time to be ready of the process that follows, and the load is on it again."""
+        """Restart a front and put load on it again; return the seconds until it is ready."""
         front.signal(SIGTERM)
-        await until(lambda: sender.client.closed, "its clients are sent away")
+        await until(lambda: sender.client.closed, "its client connections are closed")
         await sender.task
         assert await front.code() == 0, front.lines
-        took = await ready(front)
-        await self.send(front)
-        return took
+        start_times_s = await start_until_ready(front)
+        await self.add_sender(front)
+        return start_times_s
 
-    def left(self) -> tuple[list[str], list[str]]:
-        """What was taken and not answered, and what crossed a close."""
+    def find_unanswered(self) -> tuple[list[str], list[str]]:
+        """Return the jobs without a response: received by a front, and maybe not received."""
         jobs = {asked.id for cache in self.caches.values() for asked in cache.asked}
-        lost, crossed = zip(*(sender.left(jobs) for sender in self.senders), strict=True)
-        return sum(lost, []), sum(crossed, [])
+        unanswered, maybe_not_received = zip(
+            *(sender.find_unanswered(jobs) for sender in self.senders), strict=True
+        )
+        return sum(unanswered, []), sum(maybe_not_received, [])
 
     async def stop(self) -> None:
         for front in self.fronts:
@@ -96,32 +98,42 @@
 
 @pytest.mark.fleet(10)
 def test_fronts_restarted_in_turn_lose_nothing_and_are_ready_in_time(tmp_path: Path) -> None:
-    """Each is told to end under load, with a row of requests open on its connection, and started anew."""
+    """Each is stopped under load, with a batch of requests open on its connection, and restarted."""
 
     async def scenario() -> None:
         fleet = Fleet(tmp_path)
         try:
             await fleet.start()
-            await until(lambda: all(s.sent > s.row for s in fleet.senders), "all are served")
-            took = list[float]()
-            for n in range(0, FRONTS, AT_ONCE):
-                pairs = zip(fleet.fronts[n : n + AT_ONCE], fleet.senders[n : n + AT_ONCE], strict=True)
-                took += await asyncio.gather(*(fleet.restart(*pair) for pair in pairs))
-            anew = fleet.senders[FRONTS:]
-            await until(lambda: all(s.sent > s.row for s in anew), "the new ones serve")
+            await until(
+                lambda: all(s.sent_count > s.batch_size for s in fleet.senders), "all clients are served"
+            )
+            start_times_s = list[float]()
+            for n in range(0, FRONTS, RESTARTS_AT_ONCE):
+                pairs = zip(
+                    fleet.fronts[n : n + RESTARTS_AT_ONCE],
+                    fleet.senders[n : n + RESTARTS_AT_ONCE],
+                    strict=True,
+                )
+                start_times_s += await asyncio.gather(*(fleet.restart(*pair) for pair in pairs))
+            new_senders = fleet.senders[FRONTS:]
+            await until(
+                lambda: all(s.sent_count > s.batch_size for s in new_senders), "the restarted fronts serve"
+            )
             for front in fleet.fronts:
                 front.signal(SIGTERM)
             await until(lambda: all(s.client.closed for s in fleet.senders), "every connection ends")
             assert [await front.code() for front in fleet.fronts] == [0] * FRONTS
-            in_time = sum(seconds <= READY_WITHIN for seconds in took)
-            assert in_time >= READY * FRONTS, sorted(took)
-            lost, crossed = fleet.left()
-            assert lost == [], [front.lines for front in fleet.fronts]
+            in_time = sum(seconds <= MAX_READY_TIME_S for seconds in start_times_s)
+            assert in_time >= MIN_READY_RATIO * FRONTS, sorted(start_times_s)
+            unanswered, maybe_not_received = fleet.find_unanswered()
+            assert unanswered == [], [front.lines for front in fleet.fronts]
             sent = {asked.id for cache in fleet.caches.values() for asked in cache.asked}
-            assert sent.isdisjoint(crossed)  # a client may send these again: nothing of them went on
-            statuses = [s.client.records.got[n].status for s in fleet.senders for n in s.got()]
+            assert sent.isdisjoint(
+                maybe_not_received
+            )  # a client may send these again: none was forwarded to a cache
+            statuses = [s.client.records.got[n].status for s in fleet.senders for n in s.completed()]
             assert set(statuses) <= {200, 503} and statuses.count(503) < 0.2 * len(statuses)
-            print(f"ready in {min(took):.2f} to {max(took):.2f} s, {len(statuses)} answers")
+            print(f"ready in {min(start_times_s):.2f} to {max(start_times_s):.2f} s, {len(statuses)} answers")
         finally:
             await fleet.stop()
 
@@ -130,7 +142,7 @@
 
 @pytest.mark.parametrize("log", ["down", "silent", "not up"])
 def test_discovery_holds_no_start_up(tmp_path: Path, log: str) -> None:
-    """A change log that refuses, takes the call and says nothing, or whose connections never come up."""
+    """A change log that refuses connections, never responds, or whose connections are never established."""
 
     async def scenario() -> None:
         front = Front(tmp_path, {name: Cache(Asked.data) for name in ("s-1", "p-1", "o-1")})
@@ -141,7 +153,7 @@
         full.bind(("127.0.0.1", 0))
         if log == "silent":
             front.log.stopped = True
-        if log == "not up":  # its queue of connections is full, and nobody takes any
+        if log == "not up":  # its accept queue is full and never emptied
             full.listen(0)
             changes = {"changelog": "{}:{}".format(*full.getsockname())}
             for _ in range(4):
@@ -154,7 +166,7 @@
             client.send(call(1, {"SCRIPT_NAME": "/ping"}) + call(2, params(f"{2:016x}")))
             assert [(await client.ended(n)).status for n in (1, 2)] == [200, 200]
             if log == "silent":
-                assert front.log.since, "it was asked"
+                assert front.log.since, "the log was polled"
         finally:
             await front.stop()
             for sock in (full, *others):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The front in service, as a process between stand-ins: tight limits, new configurations, hostile peers."""
+"""The front as a process between stand-ins: tight limits, reloads, hostile peers."""
 
 from __future__ import annotations
 
@@ -16,15 +16,17 @@
 from tests.standins import Asked, Behaviour, Cache, ChangeLog, Front, play, until
 
 
-def ok(asked: Asked) -> None:
+def respond_ok(asked: Asked) -> None:
     asked.data()
 
 
-def silent(asked: Asked) -> None:
+def never_respond(asked: Asked) -> None:
     """Never answers."""
 
 
-def fleet(edge: Behaviour = ok, parent: Behaviour = ok, origin: Behaviour = ok) -> dict[str, Behaviour]:
+def fleet(
+    edge: Behaviour = respond_ok, parent: Behaviour = respond_ok, origin: Behaviour = respond_ok
+) -> dict[str, Behaviour]:
     return {"s-1": edge, "p-1": parent, "o-1": origin}
 
 
@@ -50,7 +52,7 @@
     assert divide_memory(192, 24 * MB, 500).max_open_requests == 500
 
 
-def rewrite(front: Front, **changes: object) -> None:
+def rewrite_configuration(front: Front, **changes: object) -> None:
     (front.folder / "config.json").write_text(json.dumps(front.config | changes))
 
 
@@ -64,19 +66,19 @@
             return sum("configuration reloaded" in line for line in front.lines) == times
 
         for times in (1, 2):
-            rewrite(front, changelog=new.address)
+            rewrite_configuration(front, changelog=new.address)
             front.signal(signal.SIGHUP)
-            await until(partial(read, times), "it is read again")
-        await until(lambda: bool(new.since), "the new address is asked")
+            await until(partial(read, times), "the configuration is reloaded")
+        await until(lambda: bool(new.since), "the new address is polled")
         assert new.since[0] == 1
-        added = Cache(ok)
+        added = Cache(respond_ok)
         await added.start()
         client = await front.client()
         client.ask(1, "bid", b"offer")
         assert (await client.ended(1)).status == 200 and len(front.caches["o-1"].asked) == 1
         gone = host("o-1", front.caches["o-1"].address, "origin", health="DELETED")
         new.add(fleet={"seq": 1, "whole": False, "hosts": [gone, host("o-2", added.address, "origin")]})
-        await until(lambda: new.since[-1] == 2, "the change is taken")
+        await until(lambda: new.since[-1] == 2, "the change is received")
         client.ask(2, "bid", b"offer")
         assert (await client.ended(2)).status == 200 and len(added.asked) == 1
         for server in (new.server, added.server):
@@ -89,13 +91,16 @@
 def test_a_faulty_file_at_sighup_names_the_key_and_changes_nothing(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
-        rewrite(front, seed=None)
+        rewrite_configuration(front, seed=None)
         front.signal(signal.SIGHUP)
-        await until(lambda: front.logged("configuration_rejected"), "the fault is told")
+        await until(lambda: front.logged("configuration_rejected"), "the fault is logged")
         assert any("seed" in line for line in front.lines if "configuration_rejected" in line)
-        rewrite(front, listen="127.0.0.1:1", name="n9")
+        rewrite_configuration(front, listen="127.0.0.1:1", name="n9")
         front.signal(signal.SIGHUP)
-        await until(lambda: front.logged("restart required for: name, listen"), "what can't change")
+        await until(
+            lambda: front.logged("restart required for: name, listen"),
+            "the keys that need a restart are logged",
+        )
         client.ask(1)
         assert (await client.ended(1)).status == 200 and not front.ended
 
@@ -115,10 +120,12 @@
             line = next(x for x in status.read_text().splitlines() if x.startswith("SigCgt"))
             return int(line.split()[1], 16) >> (signal.SIGHUP - 1) & 1
 
-        await until(lambda: bool(caught()), "the handler stands")
+        await until(lambda: bool(caught()), "the signal handler is installed")
         front.signal(signal.SIGHUP)
-        await until(lambda: front.logged("configuration reloaded"), "what came early is done later")
-        await until(lambda: front.logged("serves"), "it serves: an earlier SIGTERM ends it without a drain")
+        await until(lambda: front.logged("configuration reloaded"), "the early signal is handled later")
+        await until(
+            lambda: front.logged("serves"), "it serves; an earlier SIGTERM would end it without a drain"
+        )
         front.signal(signal.SIGTERM)
         await until(lambda: front.logged("drain"), "it drains")
         while not front.ended:
@@ -133,14 +140,14 @@
     async def scenario(front: Front) -> None:
         assert front.log.server is not None
         asked = len(front.log.since)
-        front.log.broken.append(b"")  # the poll is cut with nothing said
-        await until(lambda: len(front.log.since) > asked + 2, "asked again")
+        front.log.broken.append(b"")  # the poll's connection closes without a response
+        await until(lambda: len(front.log.since) > asked + 2, "the log is polled again")
         front.log.stopped = True
         front.log.stalled.clear()
-        await until(front.log.stalled.is_set, "a poll has come and gets nothing")
+        await until(front.log.stalled.is_set, "a poll is received and gets no response")
         front.log.stopped = False
         seen = len(front.log.since)
-        await until(lambda: len(front.log.since) > seen, "another connection asks")
+        await until(lambda: len(front.log.since) > seen, "another connection polls")
         client = await front.client()
         client.send(call(1, {"SCRIPT_NAME": "/ping"}))
         assert (await client.ended(1)).status == 200
@@ -189,7 +196,7 @@
         await front.start(limits={"cores": 1.0, "memory_mb": 64, "sockets": 40})
         for _ in range(60):
             await front.client()
-        await until(lambda: front.logged("client_closed_"), "room is made")
+        await until(lambda: front.logged("client_closed_"), "an idle connection is closed")
         client = await front.client()
         client.ask(1)
         assert (await client.ended(1)).status == 200
@@ -209,7 +216,7 @@
 
 
 def test_surplus_answers_are_passed_over_and_the_connection_lives(tmp_path: Path) -> None:
-    def surplus(asked: Asked) -> None:
+    def surplus_responses(asked: Asked) -> None:
         asked.writer.write(b"ffffffffffffffff data - 3\r\nxyz\r\n")
         asked.data()
         asked.data(b"twice")
@@ -221,11 +228,11 @@
             assert (await client.ended(n)).body == b"bytes"
         assert edge.connections == 1 and len(edge.asked) == 5 and not front.logged("cache_protocol_error")
 
-    play(tmp_path, fleet(surplus), scenario)
+    play(tmp_path, fleet(surplus_responses), scenario)
 
 
 def test_a_spoilt_answer_ends_nothing_but_itself(tmp_path: Path) -> None:
-    def spoilt(asked: Asked) -> None:
+    def invalid_response(asked: Asked) -> None:
         if asked.fields["part"] == "1":
             asked.writer.write(b"\x00noise\r\n")
 
@@ -233,18 +240,20 @@
         client, edge = await front.client(), front.caches["s-1"]
         for n in (2, 1, 3):
             client.ask(n, HTTP_X_N=str(n))
-            await until(lambda: len(edge.asked) > len(client.records.got) - 1, "it is out")
+            await until(
+                lambda: len(edge.asked) > len(client.records.got) - 1, "the request is sent to a cache"
+            )
         assert (await client.ended(1)).status == 200 and len(front.caches["p-1"].asked) >= 1
         for asked in edge.asked:
             if asked.fields["part"] != "1":
                 asked.data(b"still here")
         assert [(await client.ended(n)).body for n in (2, 3)] == [b"still here"] * 2
 
-    play(tmp_path, fleet(spoilt), scenario)
+    play(tmp_path, fleet(invalid_response), scenario)
 
 
 def test_an_answer_that_stops_short_on_an_open_connection_is_asked_for_elsewhere(tmp_path: Path) -> None:
-    def stops(asked: Asked) -> None:
+    def truncated_response(asked: Asked) -> None:
         asked.writer.write(f"{asked.id} data how=local 800\r\nhalf".encode())
 
     async def scenario(front: Front) -> None:
@@ -253,7 +262,7 @@
         got = await client.ended(1)
         assert (got.status, got.body) == (200, b"bytes") and len(front.caches["p-1"].asked) == 1
 
-    play(tmp_path, fleet(stops), scenario)
+    play(tmp_path, fleet(truncated_response), scenario)
 
 
 def test_a_connection_reset_as_it_is_new_is_no_sign_against_the_cache(tmp_path: Path) -> None:
--- a/tests/test_standing_restart.py
+++ b/tests/test_standing_restart.py
@@ -1,4 +1,4 @@
-"""A planned restart: clients go on sending on every open connection, and a second front takes over."""
+"""Planned restart: clients keep sending on every open connection while a second front takes over."""
 
 from __future__ import annotations
 
@@ -14,97 +14,100 @@
 from tests.loopback import own_address
 from tests.standins import Asked, ChangeLog, Client, Front, play, until
 
-ROW = 4  # requests sent at once on a connection; the next row follows the last answer
-SLOW = "9"  # the part that a cache takes long for
+BATCH_SIZE = 4  # requests written at once on a connection; the next batch follows the last response
+SLOW_PART = "9"  # the part of an object for which a cache takes 0.6 s
 CLASSES = ("lot-image", "lot-video", "bid", "lot-image")
 
 
-def later(asked: Asked) -> None:
-    after = 0.6 if asked.fields["part"] == SLOW else 0.05
+def respond_later(asked: Asked) -> None:
+    after = 0.6 if asked.fields["part"] == SLOW_PART else 0.05
     asyncio.get_running_loop().call_later(after, asked.data)
 
 
 class Sender:
-    """One client connection on which request follows request until the front ends it."""
+    """A client connection that sends requests one after another until the front closes it."""
 
-    def __init__(self, number: int, client: Client, part: str = "0", row: int = ROW) -> None:
-        self.number, self.client, self.part, self.row = number, client, part, row
-        self.sent = 0
+    def __init__(self, number: int, client: Client, part: str = "0", row: int = BATCH_SIZE) -> None:
+        self.number, self.client, self.part, self.batch_size = number, client, part, row
+        self.sent_count = 0
         self.task = asyncio.create_task(self._run())
 
     def job(self, n: int) -> str:
         return f"{self.number:08x}{n:08x}"
 
     async def _run(self) -> None:
-        """Rows of requests, each written at once; with row 1 without waiting for what is open."""
+        """Write batches of requests; a batch of one does not wait for the responses before it."""
         while not self.client.closed:
-            row = range(self.sent + 1, self.sent + 1 + self.row)
-            calls = [call(n, params(self.job(n), CLASSES[n % ROW], HTTP_X_N=self.part)) for n in row]
+            row = range(self.sent_count + 1, self.sent_count + 1 + self.batch_size)
+            calls = [call(n, params(self.job(n), CLASSES[n % BATCH_SIZE], HTTP_X_N=self.part)) for n in row]
             self.client.send(b"".join(calls))
-            self.sent += self.row
-            if self.row == 1:
+            self.sent_count += self.batch_size
+            if self.batch_size == 1:
                 await asyncio.sleep(0.02)
             else:
-                await until(partial(self.over, row), "the row ends")
+                await until(partial(self.is_batch_done, row), "all requests of the batch have a response")
 
-    def over(self, row: range) -> bool:
-        return self.client.closed or self.got() >= {*row}
+    def is_batch_done(self, row: range) -> bool:
+        return self.client.closed or self.completed() >= {*row}
 
-    def got(self) -> set[int]:
+    def completed(self) -> set[int]:
         return {n for n, got in self.client.records.got.items() if got.ended is not None}
 
-    def left(self, jobs: set[str]) -> tuple[list[str], list[str]]:
-        """What has no answer as the connection has ended: what the front had taken, and what crossed the end.
+    def find_unanswered(self, jobs: set[str]) -> tuple[list[str], list[str]]:
+        """Return the jobs without a response on a closed connection: received and maybe not received ones.
 
-        A connection is read in order, and a row at once: what came before something that was answered or
-        seen at a cache was taken.
+        The front reads a connection in order, and a batch at once: requests up to the batch of one that has a
+        response or reached a cache were received.
         """
-        seen = self.got() | {n for n in range(1, self.sent + 1) if self.job(n) in jobs}
-        taken = -(-max(seen, default=0) // self.row) * self.row
-        open_now = [n for n in range(1, self.sent + 1) if n not in self.got()]
+        seen = self.completed() | {n for n in range(1, self.sent_count + 1) if self.job(n) in jobs}
+        taken = -(-max(seen, default=0) // self.batch_size) * self.batch_size
+        open_now = [n for n in range(1, self.sent_count + 1) if n not in self.completed()]
         return [self.job(n) for n in open_now if n <= taken], [self.job(n) for n in open_now if n > taken]
 
 
 async def restart(front: Front, second: Front) -> tuple[list[str], list[int]]:
-    """The requests that were taken and not answered, and the statuses of all others."""
+    """Restart the front; return the received requests without a response, and the statuses of all others."""
     senders = [Sender(n, await front.client()) for n in range(3)]
-    senders += [Sender(3, await front.client(), part=SLOW), Sender(4, await front.client(), row=1)]
-    await until(lambda: all(s.sent > 2 * s.row or s.part == SLOW for s in senders), "they are served")
+    senders += [Sender(3, await front.client(), part=SLOW_PART), Sender(4, await front.client(), row=1)]
+    await until(
+        lambda: all(s.sent_count > 2 * s.batch_size or s.part == SLOW_PART for s in senders),
+        "all clients are served",
+    )
     front.signal(signal.SIGTERM)
-    await until(lambda: front.logged("drain:"), "the first drains")
+    await until(lambda: front.logged("drain:"), "the first front drains")
     with contextlib.suppress(ConnectionRefusedError):
-        senders.append(Sender(5, await front.client()))  # some still come
+        senders.append(Sender(5, await front.client()))  # clients may still connect during the drain
     await second.start(listen="{}:{}".format(*second.address))
     await until(lambda: all(s.client.closed for s in senders), "every connection ends")
     await asyncio.gather(*(s.task for s in senders))
     assert await front.code() == 0
     jobs = {asked.id for cache in front.caches.values() for asked in cache.asked}
-    lost, crossed = zip(*(s.left(jobs) for s in senders), strict=True)
-    anew = await second.client()
-    for n, job in enumerate(sum(crossed, []), 1):  # what crossed a close goes to the other front, once
-        anew.send(call(n, params(job)))
-        assert (await anew.ended(n)).status == 200
-    got = [s.client.records.got[n].status for s in senders for n in s.got()]
-    return sum(lost, []), got
+    unanswered, maybe_not_received = zip(*(s.find_unanswered(jobs) for s in senders), strict=True)
+    second_client = await second.client()
+    for n, job in enumerate(sum(maybe_not_received, []), 1):  # sent to the other front, once
+        second_client.send(call(n, params(job)))
+        assert (await second_client.ended(n)).status == 200
+    got = [s.client.records.got[n].status for s in senders for n in s.completed()]
+    return sum(unanswered, []), got
 
 
 @pytest.mark.parametrize(
     "fault", ["", "restart: ends at once", "restart: keeps its clients", "restart: takes on to the end"]
 )
 def test_clients_that_go_on_sending_lose_nothing_that_was_taken(tmp_path: Path, fault: str) -> None:
-    """Several requests in a row on each connection, one never without an open request, one with slow ones."""
+    """Batches on each connection; one connection always has an open request, another has slow requests."""
 
     async def scenario(front: Front) -> None:
         (tmp_path / "second").mkdir()
         second = Front(tmp_path / "second", front.caches, front.log, front.config | {"name": "n1"})
         second.address = own_address()
         try:
-            lost, statuses = await restart(front, second)
+            unanswered, statuses = await restart(front, second)
         finally:
-            second.caches, second.log = {}, ChangeLog()  # the first one's, and ended with it
+            second.caches, second.log = {}, ChangeLog()  # they belong to the first front, which stops them
             await second.stop()
         refused = statuses.count(503)
-        kept = not lost and set(statuses) <= {200, 503} and refused < 0.2 * len(statuses)
-        assert kept is not bool(fault), (lost, refused, len(statuses), front.lines)
+        kept = not unanswered and set(statuses) <= {200, 503} and refused < 0.2 * len(statuses)
+        assert kept is not bool(fault), (unanswered, refused, len(statuses), front.lines)
 
-    play(tmp_path, {"s-1": later, "p-1": later, "o-1": later}, scenario, fault)
+    play(tmp_path, {"s-1": respond_later, "p-1": respond_later, "o-1": respond_later}, scenario, fault)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The machine's wall clock is stepped under a serving front; its monotonic clock runs on."""
+"""Steps of the machine's wall clock while a front serves; the monotonic clock is not stepped."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SteppedClock:
-    """The clocks of the front's machine: the world's, moved on and stepped as the test says."""
+    """The clocks of the front's machine: real time plus `passed`, and `step` on the wall clock alone; ns."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.passed = self.step = 0
@@ -36,23 +36,23 @@
         )
 
     def world_ms(self) -> int:
-        """The Unix millisecond of everybody else."""
+        """Return the Unix milliseconds of all other machines, whose clocks are not stepped."""
         return (time.time_ns() + self.passed) // clock.MS
 
 
-def read_log(inside: Inside, **record: Any) -> None:
-    """One event of the change log, as its watch passes it on."""
+def apply_log_event(inside: Inside, **record: Any) -> None:
+    """Apply one event of the change log, as its watcher delivers it."""
     inside.seq += 1
     (event,) = read_changes({"seq": inside.seq, "results": [{"seq": inside.seq} | record]})[1]
     inside.module._on_change_log_event(event, io.UpdateScope.CHANGES)
 
 
-async def age_asked_for(inside: Inside) -> int:
-    """How old a copy may be that a request takes, as the cache is told; milliseconds."""
+async def requested_max_age_ms(inside: Inside) -> int:
+    """Send a request; return the largest copy age that its command allows, ms."""
     request = inside.ask(IMAGE)
     wire = await inside.out(request)
     found = re.search(rf"serve {request.job_id} \S*fresh=(\d+)", wire.text.decode())
-    assert found is not None, "an age is named"
+    assert found is not None, "the command has a largest copy age"
     wire.answer(request.job_id)
     assert await inside.status(request) == 200
     return int(found[1])
@@ -67,9 +67,9 @@
         await inside.served()
         clocks.step = step
         purged_at = clock.now()
-        read_log(inside, invalidate={"bucket": 17, "time": clocks.world_ms()})
+        apply_log_event(inside, invalidate={"bucket": 17, "time": clocks.world_ms()})
         clocks.passed += clock.SECOND
-        assert await age_asked_for(inside) <= (clock.now() - purged_at) / clock.MS
+        assert await requested_max_age_ms(inside) <= (clock.now() - purged_at) / clock.MS
         await inside.settled()
 
     on_loop(scenario)
@@ -96,14 +96,14 @@
 def test_no_copy_from_before_a_purge_of_the_first_list_is_asked_for(
     monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
-    """The clock was wrong before the front started; by the log's own dates the purge is not older."""
+    """The clock was wrong before the front started; the dates in the log limit the age of the purge."""
     clocks = SteppedClock(monkeypatch)
     clocks.step = step
 
     async def scenario() -> None:
         purged_at, newest = clock.now() - clock.SECOND, clocks.world_ms()
         inside = Inside(ONE, purged_ms=(newest - 30_000, newest - 1000, newest))
-        assert await age_asked_for(inside) <= (clock.now() - purged_at) / clock.MS
+        assert await requested_max_age_ms(inside) <= (clock.now() - purged_at) / clock.MS
         await inside.settled()
 
     on_loop(scenario)
@@ -131,7 +131,7 @@
 def test_a_server_that_starts_under_a_clock_wrong_from_the_beginning_is_in_slow_start(
     monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
-    """The clock was wrong before the front started, and the log tells of a new server some time later."""
+    """The clock was wrong before the front started; a new server is listed 60 s later."""
     clocks = SteppedClock(monkeypatch)
     clocks.step = step
 
@@ -152,19 +152,19 @@
 def test_a_server_that_started_long_ago_is_warm_once_the_log_has_told_a_later_date(
     monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
-    """Its start is the newest date of the first list; the first purge then shows that it was long ago.
+    """Its start is the newest date in the first list; the first purge then shows that it was long ago.
 
-    A clock that is behind takes its step off the age.
+    If the wall clock is behind, the age is smaller by the step.
     """
     clocks = SteppedClock(monkeypatch)
-    clocks.step, clocks.passed = step, 2 * HOUR  # no time of the monotonic clock is before its beginning
+    clocks.step, clocks.passed = step, 2 * HOUR  # so that all start times are positive on the monotonic clock
 
     async def scenario() -> None:
         now = clock.now()
         inside = Inside((*ONE, "s-2"), born_ms=clocks.world_ms() - 3600 * 1000)
         upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
-        assert upstream.started_at >= now - 10 * clock.MS, "its start is the newest date"
-        read_log(inside, invalidate={"bucket": 17, "time": clocks.world_ms()})
+        assert upstream.started_at >= now - 10 * clock.MS, "its start is the newest date in the log"
+        apply_log_event(inside, invalidate={"bucket": 17, "time": clocks.world_ms()})
         age = clock.now() - upstream.started_at
         assert age <= HOUR + clock.SECOND
         assert age >= HOUR + min(step, 0) - clock.SECOND
@@ -175,14 +175,14 @@
 
 
 def test_a_restart_found_by_its_failing_keeps_its_date_as_the_log_tells_a_later_one() -> None:
-    """What the front saw itself is not dated again with the list."""
+    """A start time that the front observed itself is not corrected by dates in the log."""
 
     async def scenario() -> None:
         hour_ago = time.time_ns() // clock.MS - 3600 * 1000
         inside = Inside((*ONE, "s-2"), born_ms=hour_ago)
         upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
         upstream.started_at = restarted_at = clock.now()
-        read_log(inside, invalidate={"bucket": 17, "time": time.time_ns() // clock.MS})
+        apply_log_event(inside, invalidate={"bucket": 17, "time": time.time_ns() // clock.MS})
         assert upstream.started_at == restarted_at
         await asyncio.sleep(0)
         await inside.settled()
@@ -191,7 +191,7 @@
 
 
 def test_a_purge_long_before_the_newest_of_the_first_list_is_as_old_as_the_log_says() -> None:
-    """What has settled long ago forbids no copy."""
+    """A purge of long ago excludes no copy."""
     ages = EventAges(unix_ns=0, now_ns=0)
     ages.observe_log(2_000_000)
     day = 86_400 * clock.SECOND
@@ -199,4 +199,4 @@
     assert ages.age_at_start(2_000_000, day) == 0
     assert (
         ages.age_at_start(1_999_000, 1_999_500 * clock.MS) == 499 * clock.MS
-    )  # by the clock, if that is less
+    )  # by the clock, as that age is less
