--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -31,7 +31,7 @@
 from tests.standins import Cache, until
 
 
-def test_what_must_not_wait_goes_first_and_new_work_last_and_is_bounded() -> None:
+def test_urgent_messages_are_taken_first_and_new_work_last_with_a_limit() -> None:
     mailbox: Mailbox[int] = Mailbox(2)
     assert mailbox.try_push_new_work(7) and mailbox.try_push_new_work(8) and not mailbox.try_push_new_work(9)
     mailbox.push(4)
@@ -43,7 +43,7 @@
     assert [mailbox.take() for _ in range(9)] == [1, 2, 4, 5, 6, 7, 8, None, None] and len(mailbox) == 0
 
 
-def test_a_client_that_left_before_its_turn_is_not_told_to_the_module() -> None:
+def test_a_request_aborted_while_queued_is_not_passed_to_the_router() -> None:
     actor, router = make_module(lambda event: [])
     request = open_request(Inbox(), received_at_ns=clock.now())
     actor.handle_safely(ClientDisconnected(request))
@@ -51,7 +51,7 @@
     assert router.events == [] and actor.requests.unanswered == 0 and not actor.requests.request_by_number
 
 
-def test_wake_lets_the_reader_look_up_without_a_message() -> None:
+def test_wake_ends_the_wait_without_a_message() -> None:
     async def play() -> None:
         mailbox: Mailbox[int] = Mailbox(2)
         reader = asyncio.create_task(mailbox.wait())
@@ -94,7 +94,7 @@
     return request
 
 
-def test_exception_in_the_module_fails_that_request_alone() -> None:
+def test_an_exception_in_the_router_fails_only_that_request() -> None:
     def script(event: io.Event) -> list[io.Action]:
         if isinstance(event, io.RequestReceived) and event.cls == 0:
             raise KeyError("no such thing")
@@ -111,7 +111,7 @@
     assert actor.checks.counts["exception_in_module"] == 1
 
 
-def test_action_that_cannot_be_done_fails_its_request_and_no_other_action() -> None:
+def test_an_action_that_raises_fails_its_request_and_no_other_action() -> None:
     def script(event: io.Event) -> list[io.Action]:
         if not isinstance(event, io.RequestReceived):
             return []
@@ -127,7 +127,7 @@
     assert [answer.status for answer in inbox.got] == [500] and len(actor.timers) == 1
 
 
-def test_one_final_answer_and_none_after_the_client_left() -> None:
+def test_one_final_response_and_none_after_the_client_disconnected() -> None:
     actor, router = make_module(lambda event: [])
     inbox = Inbox()
     request = push_request(actor, inbox)
@@ -141,7 +141,7 @@
     assert actor.requests.request_by_number == {} and actor.requests.unanswered == 0
 
 
-def test_answer_that_comes_when_the_request_is_over_gives_its_buffers_back() -> None:
+def test_a_response_after_the_request_is_finished_releases_its_buffers() -> None:
     actor, router = make_module(lambda event: [])
     inbox = Inbox()
     request = push_request(actor, inbox)
@@ -156,7 +156,7 @@
     assert isinstance(event, io.AttemptCompleted) and event.last
 
 
-def test_attempt_at_a_machine_off_the_list_is_moot() -> None:
+def test_an_attempt_at_an_unlisted_machine_is_not_processed() -> None:
     actor, router = make_module(
         lambda event: [io.ForwardRequest(event.request, 4242, 0)]
         if isinstance(event, io.RequestReceived)
@@ -174,7 +174,7 @@
     )
 
 
-def test_nothing_is_sent_for_a_request_that_is_over() -> None:
+def test_no_attempt_is_sent_for_a_finished_request() -> None:
     actor, _ = make_module(lambda event: [])
     request = push_request(actor, Inbox())
     actor.requests.finish(request)
@@ -182,7 +182,7 @@
         actor._perform(io.ForwardRequest(request.number, 5, 0), clock.now())
 
 
-def test_an_id_that_is_open_is_not_taken_for_another_object() -> None:
+def test_the_id_of_an_open_request_is_rejected_for_another_request() -> None:
     actor, router = make_module(lambda event: [])
     inbox = Inbox()
     first = push_request(actor, inbox, job="9b1f03aa5c7e2d41")
@@ -193,7 +193,7 @@
     assert len(router.events) == 3 and len(inbox.got) == 1
 
 
-def test_too_many_open_requests_are_refused_with_a_time_and_not_told() -> None:
+def test_requests_over_the_open_limit_are_rejected_with_a_retry_time() -> None:
     actor, router = make_module(lambda event: [])
     actor.requests.max_requests = 2
     inbox = Inbox()
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("how", ["on_probe", "off"])
-def test_probes_ask_for_load_where_reports_come_so_else_for_life(how: str) -> None:
+def test_health_checks_request_a_load_report_only_if_configured(how: str) -> None:
     async def play() -> None:
         cache = Cache(lambda asked: None)
         await cache.start()
@@ -243,7 +243,7 @@
     asyncio.run(play())
 
 
-def test_late_timers_come_in_their_order() -> None:
+def test_overdue_timers_fire_in_order() -> None:
     actor, router = make_module(lambda event: [])
     for wait, token in ((3, 30), (1, 10), (2, 20)):
         actor._perform(io.SetTimer(wait, token), 0)
@@ -251,7 +251,7 @@
     assert [event.token for event in router.events if isinstance(event, io.TimerFired)] == [10, 20, 30]
 
 
-def test_an_answer_not_begun_can_still_become_a_failure() -> None:
+def test_a_response_not_started_can_be_replaced_by_a_failure() -> None:
     pool = BufferPool(100)
     body = PooledBody.allocate(pool, 50_000)
     assert body is not None
@@ -265,7 +265,7 @@
     assert (reader.got[4].status, reader.got[4].body, pool.used) == (502, b"", 0)
 
 
-def test_checks_assert_in_debug_and_counters_tell_what_moved() -> None:
+def test_checks_assert_in_debug_and_changed_counters_are_reported_once() -> None:
     checks = Checks()
     assert checks.must(True, "all_is_well") and checks.counts == {}
     with pytest.raises(AssertionError, match="it_holds"):
@@ -286,7 +286,7 @@
         (OSError(errno.ENFILE, "none left"), AttemptOutcome.NOT_PROCESSED),
     ],
 )
-def test_only_a_refusal_or_none_in_time_says_that_a_machine_is_not_there(
+def test_only_a_refused_or_timed_out_connect_counts_as_connect_failed(
     monkeypatch: pytest.MonkeyPatch, error: type[OSError] | OSError, ending: AttemptOutcome
 ) -> None:
     async def fails(address: tuple[str, int], timeout: float, checks: Checks) -> None:
@@ -319,7 +319,7 @@
     asyncio.run(play())
 
 
-def test_a_client_closed_as_it_comes_leaves_nothing_behind() -> None:
+def test_a_client_closed_right_after_accept_leaks_no_resources() -> None:
     async def play() -> None:
         actor, _ = make_module(lambda event: [])
         manager = ConnectionManager(actor.dependencies, lambda: True)
@@ -336,7 +336,7 @@
     asyncio.run(play())
 
 
-def test_a_timer_about_a_request_that_is_over_does_not_come() -> None:
+def test_a_timer_of_a_finished_request_does_not_fire() -> None:
     actor, router = make_module(lambda event: [])
     request = push_request(actor, Inbox())
     actor._perform(io.SetTimer(0, 16, request.number), 0)
--- a/tests/test_crossings_poll.py
+++ b/tests/test_crossings_poll.py
@@ -48,7 +48,7 @@
         send_twice,
     ],
 )
-def test_whatever_the_form_of_a_good_answer_it_is_heard_on_the_connection_that_stays(
+def test_every_form_of_valid_response_is_read_and_the_connection_kept(
     monkeypatch: pytest.MonkeyPatch, form: Callable[[ReceivedPoll], None]
 ) -> None:
     async def scenario(rig: WatcherRig) -> None:
@@ -70,7 +70,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{",
     ],
 )
-def test_an_answer_that_is_none_is_asked_for_again_at_once_on_a_new_connection(
+def test_after_an_invalid_response_the_log_is_polled_at_once_on_a_new_connection(
     monkeypatch: pytest.MonkeyPatch, response: bytes
 ) -> None:
     monkeypatch.setattr(watch_poll, "MAX_RESPONSE_BYTES", 2048)
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("end", ["close", "abort"])
 @pytest.mark.parametrize("early", [True, False])
-def test_a_connection_that_the_log_closes_as_it_is_asked_once_more_is_no_outage(
+def test_an_idle_connection_closed_by_the_log_as_it_is_reused_is_no_failure(
     monkeypatch: pytest.MonkeyPatch, end: str, early: bool
 ) -> None:
     async def scenario(rig: WatcherRig) -> None:
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -99,13 +99,13 @@
     return [f"{point}={('TERM', 'INT')[n % 2]}" for n, point in enumerate(points)]
 
 
-def test_an_end_before_it_serves_is_an_end_in_order_and_at_once(tmp_path: Path) -> None:
+def test_a_stop_signal_before_serving_ends_the_front_at_once_without_drain(tmp_path: Path) -> None:
     """No request was accepted yet, so there is no drain. Without the signal the front would not stop."""
     outcomes = run_cases(tmp_path, *((point,) for point in alternate_signals(START_POINTS)))
     assert faults(outcomes, "drain", "serves") == []
 
 
-def test_a_further_signal_in_the_end_neither_kills_nor_cuts_it_short(tmp_path: Path) -> None:
+def test_a_further_signal_while_stopping_neither_kills_nor_shortens_the_stop(tmp_path: Path) -> None:
     outcomes = run_cases(
         tmp_path, *((f"{SERVING_POINT}=TERM", point) for point in alternate_signals(END_POINTS))
     )
@@ -113,7 +113,7 @@
     assert all("stopped" in log and log.count("drain:") == 1 for _, log in outcomes.values())
 
 
-def test_a_reload_at_any_point_ends_nothing_and_counts_while_the_front_serves(tmp_path: Path) -> None:
+def test_a_reload_at_any_point_ends_nothing_and_works_while_the_front_serves(tmp_path: Path) -> None:
     before = tuple((f"{point}=HUP", f"{SERVING_POINT}=TERM") for point in START_POINTS[::3])
     after = tuple((f"{SERVING_POINT}=TERM", f"{point}=HUP") for point in END_POINTS)
     outcomes = run_cases(tmp_path, *before, *after)
@@ -123,7 +123,7 @@
     assert counted == {*before, *(case for case in after if case[1].startswith(RELOADABLE_END_POINTS))}
 
 
-def test_a_reload_and_an_end_in_the_same_moment_are_both_done(tmp_path: Path) -> None:
+def test_a_simultaneous_reload_and_stop_are_both_done(tmp_path: Path) -> None:
     start, drain, orders = START_POINTS[-1], END_POINTS[0], ("HUP,TERM", "TERM,HUP")
     cases: list[tuple[str, ...]] = [
         (f"{point}={order}",) for point in (start, SERVING_POINT) for order in orders
@@ -159,7 +159,7 @@
     ],
     ids=["while it waits for its first changes", "in the middle of another reload"],
 )
-def test_the_file_that_was_last_in_place_holds(tmp_path: Path, points: tuple[str, ...]) -> None:
+def test_the_newest_configuration_file_is_in_force(tmp_path: Path, points: tuple[str, ...]) -> None:
     async def scenario(first: Front) -> None:
         first.signal(signal.SIGTERM)
         assert await first.code() == 0
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("act", [closes, sends_invalid_record])
-def test_a_client_that_goes_before_the_rest_of_its_answer_is_begun_leaves_no_socket(
+def test_a_client_that_disconnects_before_the_rest_of_its_response_leaks_no_socket(
     act: Callable[[socket.socket], None],
 ) -> None:
     async def scenario() -> None:
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("connect", [connect_one, connect_race])
-def test_a_connection_that_came_up_while_the_front_stood_still_is_up(
+def test_a_connection_established_during_a_process_pause_is_used(
     monkeypatch: pytest.MonkeyPatch, connect: Connect
 ) -> None:
     monkeypatch.setattr(socket, "socket", PausingSocket)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("connect", [connect_one, connect_race])
-def test_one_that_nobody_waits_for_any_more_or_that_is_not_up_stays_none(
+def test_a_connect_cancelled_or_timed_out_during_a_process_pause_stays_failed(
     monkeypatch: pytest.MonkeyPatch, connect: Connect
 ) -> None:
     async def scenario() -> None:
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("size", [5, 48_000, None])
-def test_an_answer_that_is_there_as_its_time_is_up_counts(size: int | None) -> None:
+def test_a_response_in_the_socket_at_the_deadline_counts(size: int | None) -> None:
     """An event loop runs timers before it polls sockets: after a process pause both are due at once."""
 
     async def scenario() -> None:
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("arrived", ["all", "half", "nothing"])
-def test_news_that_lie_in_the_socket_as_the_time_of_the_poll_is_up_are_taken(
+def test_events_in_the_socket_as_the_poll_times_out_are_delivered(
     monkeypatch: pytest.MonkeyPatch, arrived: str
 ) -> None:
     async def scenario(rig: WatcherRig) -> None:
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize("size", [5, 100_000])
-def test_an_answer_that_is_there_whole_counts_though_a_write_meets_the_reset_behind_it_first(
+def test_a_complete_response_counts_even_if_a_write_sees_the_reset_behind_it_first(
     size: int,
 ) -> None:
     async def scenario() -> None:
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -33,7 +33,7 @@
 # Change of the address
 
 
-def test_an_answer_of_the_old_address_in_the_turn_of_the_move_is_taken_once(
+def test_a_response_that_races_with_the_address_change_is_delivered_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(rig: WatcherRig) -> None:
@@ -51,7 +51,7 @@
     run_with_watcher(monkeypatch, scenario)
 
 
-def test_a_move_while_an_answer_is_being_taken_goes_to_the_new_address_next(
+def test_an_address_change_while_events_are_delivered_applies_to_the_next_poll(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(rig: WatcherRig) -> None:
@@ -79,7 +79,7 @@
     run_with_watcher(monkeypatch, scenario)
 
 
-def test_a_move_during_the_pause_after_failures_asks_there_at_once_and_hears_it(
+def test_an_address_change_during_backoff_polls_the_new_address_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(rig: WatcherRig) -> None:
@@ -97,7 +97,7 @@
     run_with_watcher(monkeypatch, scenario)
 
 
-def test_two_moves_in_a_row_end_at_the_second_address(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_two_address_changes_in_a_row_end_at_the_second_address(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(rig: WatcherRig) -> None:
         first, second = await ScriptedChangeLog().start(), await ScriptedChangeLog().start()
         await rig.log.wait_for_poll(1)
@@ -114,7 +114,7 @@
     run_with_watcher(monkeypatch, scenario)
 
 
-def test_half_an_answer_at_the_move_leaves_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_half_a_response_at_the_address_change_is_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(rig: WatcherRig) -> None:
         new, poll, response = (
             await ScriptedChangeLog().start(),
@@ -132,7 +132,7 @@
     run_with_watcher(monkeypatch, scenario)
 
 
-def test_a_move_before_the_watch_runs_loses_no_first_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_address_change_before_the_watcher_runs_loses_no_response(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(rig: WatcherRig) -> None:
         rig.log.on_poll = lambda poll: poll.respond(2) if poll.since == 1 else None
         rig.watch.on_address_changed()
@@ -146,7 +146,7 @@
 # Contents of responses
 
 
-def test_an_older_number_sets_nothing_back_and_is_not_asked_for_without_a_pause(
+def test_an_older_sequence_number_resets_nothing_and_causes_no_busy_polling(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(rig: WatcherRig) -> None:
@@ -165,7 +165,7 @@
     run_with_watcher(monkeypatch, scenario)
 
 
-def test_an_answer_out_of_order_or_with_an_event_twice_is_refused_whole_and_asked_for_again(
+def test_a_response_with_unordered_or_duplicate_events_is_rejected_and_polled_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario(rig: WatcherRig) -> None:
@@ -184,7 +184,7 @@
     run_with_watcher(monkeypatch, scenario)
 
 
-def test_a_gap_is_asked_for_again_and_passed_over_once_it_stays(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_gap_is_polled_again_and_skipped_if_it_persists(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(rig: WatcherRig) -> None:
         (await rig.log.wait_for_poll(1)).respond(2, 4)
         poll = await rig.log.wait_for_poll(2)
@@ -198,7 +198,7 @@
     run_with_watcher(monkeypatch, scenario)
 
 
-def test_a_record_that_cannot_be_read_right_behind_a_gap_holds_up_nothing(
+def test_an_invalid_record_after_a_gap_does_not_block_later_events(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     response = http_response(json.dumps({"seq": 5, "results": [{"seq": 4}, purge_record(5)]}).encode())
@@ -215,7 +215,7 @@
 
 
 @pytest.mark.parametrize("broken", [False, True])
-def test_a_front_that_is_being_told_does_not_begin_before_it_is(
+def test_a_start_waits_for_a_first_response_that_has_begun(
     monkeypatch: pytest.MonkeyPatch, broken: bool
 ) -> None:
     """The first response begins within the quiet period that would end the wait, and is complete after it."""
@@ -237,7 +237,9 @@
 
 
 @pytest.mark.parametrize("quiet", [True, False])
-def test_a_start_waits_for_a_log_no_longer_than_it_may(monkeypatch: pytest.MonkeyPatch, quiet: bool) -> None:
+def test_a_start_waits_for_the_log_only_for_a_limited_time(
+    monkeypatch: pytest.MonkeyPatch, quiet: bool
+) -> None:
     async def scenario(rig: WatcherRig) -> None:
         poll = await rig.log.wait_for_poll(1)
         if not quiet:
@@ -275,13 +277,13 @@
     return found
 
 
-def test_a_log_silent_before_its_first_answer_delays_no_drain(
+def test_a_log_silent_before_its_first_response_delays_no_drain(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert silent_from_the_start(tmp_path, monkeypatch) == set()
 
 
-def test_a_front_that_goes_on_listening_to_it_is_found(
+def test_a_watcher_that_keeps_waiting_for_it_is_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     never_overdue(monkeypatch)
@@ -298,7 +300,9 @@
 
 
 @pytest.mark.parametrize("seconds", [2.0, 3.5, 5.0])
-def test_a_log_that_always_answers_late_is_heard(monkeypatch: pytest.MonkeyPatch, seconds: float) -> None:
+def test_events_of_a_log_that_always_responds_late_are_delivered(
+    monkeypatch: pytest.MonkeyPatch, seconds: float
+) -> None:
     """A slow or busy log: every response takes longer than the detection of a stopped log."""
 
     async def scenario(rig: WatcherRig) -> None:
@@ -313,7 +317,7 @@
     run_with_watcher(monkeypatch, scenario)
 
 
-def test_a_log_whose_connections_come_up_late_is_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_events_of_a_log_with_slow_connects_are_delivered(monkeypatch: pytest.MonkeyPatch) -> None:
     original = sockets.connect
 
     async def connect(address: tuple[str, int], timeout: float, checks: Checks) -> socket.socket:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -158,7 +158,7 @@
     assert later - clock.SECOND <= ages.start_of(event_ms, later) <= later
 
 
-def test_news_that_claims_to_be_older_than_the_answer_before_it_counts_from_now() -> None:
+def test_an_event_dated_before_a_response_without_it_counts_as_new() -> None:
     unix, now = 1_764_576_000 * clock.SECOND, 1000 * clock.SECOND
     ages = EventAges(unix + 3600 * clock.SECOND, now)  # stepped before the front started
     event_ms = unix // clock.MS
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -184,7 +184,7 @@
             await front.stop()
 
 
-def test_fronts_of_both_shapes_before_the_same_caches(tmp_path: Path) -> None:
+def test_fronts_with_old_and_new_settings_share_caches(tmp_path: Path) -> None:
     async def run() -> Observations:
         fronts = TwoFronts(tmp_path)
         observed = fronts.observed
@@ -233,7 +233,7 @@
         ([replace(VALID_SERVE, cache=COLD_HOST)] * 200, "cold"),
     ],
 )
-def test_a_broken_front_is_named_by_the_judge(broken: list[ReceivedServe], fault: str) -> None:
+def test_each_violation_of_a_rule_is_detected(broken: list[ReceivedServe], fault: str) -> None:
     observed = Observations(
         broken, drain_received_at=5.0, purged_at=4.0, purge_received_at=5.0, started_at=9.0
     )
@@ -243,7 +243,7 @@
     assert find_violations(observed) and find_violations(replace(observed, commands=[VALID_SERVE])) == []
 
 
-def test_lost_and_starved_are_named_by_the_judge() -> None:
+def test_lost_requests_and_unfair_service_are_detected() -> None:
     observed = Observations(
         statuses={OLD: [200] * 10, NEW: [200] * 5}, request_counts=Counter({OLD: 10, NEW: 6})
     )
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.fleet(6)
-def test_what_came_as_a_front_was_stopped_is_sent_with_the_time_that_its_client_has_left(
+def test_a_request_received_during_a_pause_is_sent_with_its_remaining_time(
     tmp_path: Path,
 ) -> None:
     caches: dict[str, Behaviour] = {
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.fleet(4)
-def test_nothing_begins_for_a_client_that_left_while_the_front_was_stopped(tmp_path: Path) -> None:
+def test_no_attempt_begins_for_a_client_that_disconnected_during_a_pause(tmp_path: Path) -> None:
     """Its first attempt is reset during the pause too; a connection to another cache is idle."""
     caches: dict[str, Behaviour] = {name: Asked.data for name in ("s-1", "s-2", "p-1", "o-1")}
 
@@ -86,7 +86,7 @@
 
 @pytest.mark.fleet(6)
 @pytest.mark.parametrize(("purged_after", "stopped"), [(0.05, 1.0), (1.6, 3.0)])
-def test_news_that_came_while_the_front_was_stopped_are_heard_before_anything_begins(
+def test_change_log_events_of_a_pause_are_applied_before_any_attempt_begins(
     tmp_path: Path, purged_after: float, stopped: float
 ) -> None:
     """Requests for a purged group are in the sockets after the pause.
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("log", ["down", "silent", "not up"])
-def test_discovery_holds_no_start_up(tmp_path: Path, log: str) -> None:
+def test_an_unreachable_change_log_delays_no_start(tmp_path: Path, log: str) -> None:
     """A change log that refuses connections, never responds, or whose connections are never established."""
 
     async def scenario() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(("memory_mb", "sockets"), [(32, 64), (32, 256), (64, 256), (192, 1024)])
-def test_tight_limits_serve_fewer_and_not_none(tmp_path: Path, memory_mb: int, sockets: int) -> None:
+def test_a_front_with_tight_limits_still_serves(tmp_path: Path, memory_mb: int, sockets: int) -> None:
     async def scenario(front: Front) -> None:
         front.signal(signal.SIGKILL)
         await front.code()
@@ -44,7 +44,7 @@
     play(tmp_path, fleet(lambda asked: asked.data(b"x" * 240_000)), scenario)
 
 
-def test_the_memory_shared_out_stays_under_the_limit_less_what_the_program_takes() -> None:
+def test_the_divided_memory_stays_under_the_limit_minus_the_resident_size() -> None:
     for limit in (32, 48, 64, 80, 96, 128, 192):
         budget = divide_memory(limit, 24 * MB, 20_000)
         given = budget.max_buffers * 16_384 + budget.max_body_bytes + budget.max_open_requests * 6144
@@ -56,7 +56,7 @@
     (front.folder / "config.json").write_text(json.dumps(front.config | changes))
 
 
-def test_sighup_moves_the_change_log_and_carries_the_numbers_on(tmp_path: Path) -> None:
+def test_sighup_changes_the_change_log_address_and_keeps_the_sequence_number(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         new = ChangeLog()
         await new.start()
@@ -88,7 +88,7 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_a_faulty_file_at_sighup_names_the_key_and_changes_nothing(tmp_path: Path) -> None:
+def test_an_invalid_file_at_sighup_names_the_key_and_changes_nothing(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
         rewrite_configuration(front, seed=None)
@@ -107,7 +107,7 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_sighup_before_the_front_stands_and_in_its_drain_does_not_end_it(tmp_path: Path) -> None:
+def test_sighup_during_start_and_drain_does_not_end_the_front(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         front.signal(signal.SIGKILL)
         await front.code()
@@ -136,7 +136,7 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_a_change_log_that_stops_and_stays_open_is_asked_again(tmp_path: Path) -> None:
+def test_a_stopped_change_log_with_open_connections_is_polled_again(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         assert front.log.server is not None
         asked = len(front.log.since)
@@ -155,7 +155,7 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_hostile_clients_get_an_answer_or_a_close_and_reach_no_cache(tmp_path: Path) -> None:
+def test_hostile_clients_get_a_response_or_a_close_and_reach_no_cache(tmp_path: Path) -> None:
     whole = pairs(params("0" * 16))
     sends = {
         "nothing": b"",
@@ -204,7 +204,7 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_half_sent_requests_do_not_hold_up_a_drain(tmp_path: Path) -> None:
+def test_incomplete_requests_do_not_delay_a_drain(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
         client.send(begin(1))
@@ -215,7 +215,7 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_surplus_answers_are_passed_over_and_the_connection_lives(tmp_path: Path) -> None:
+def test_surplus_responses_are_ignored_and_the_connection_is_kept(tmp_path: Path) -> None:
     def surplus_responses(asked: Asked) -> None:
         asked.writer.write(b"ffffffffffffffff data - 3\r\nxyz\r\n")
         asked.data()
@@ -231,7 +231,7 @@
     play(tmp_path, fleet(surplus_responses), scenario)
 
 
-def test_a_spoilt_answer_ends_nothing_but_itself(tmp_path: Path) -> None:
+def test_an_invalid_response_fails_only_its_own_attempt(tmp_path: Path) -> None:
     def invalid_response(asked: Asked) -> None:
         if asked.fields["part"] == "1":
             asked.writer.write(b"\x00noise\r\n")
@@ -252,7 +252,7 @@
     play(tmp_path, fleet(invalid_response), scenario)
 
 
-def test_an_answer_that_stops_short_on_an_open_connection_is_asked_for_elsewhere(tmp_path: Path) -> None:
+def test_a_truncated_response_on_an_open_connection_is_retried_elsewhere(tmp_path: Path) -> None:
     def truncated_response(asked: Asked) -> None:
         asked.writer.write(f"{asked.id} data how=local 800\r\nhalf".encode())
 
@@ -265,7 +265,7 @@
     play(tmp_path, fleet(truncated_response), scenario)
 
 
-def test_a_connection_reset_as_it_is_new_is_no_sign_against_the_cache(tmp_path: Path) -> None:
+def test_a_new_connection_that_is_reset_does_not_count_against_the_cache(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         edge = front.caches["s-1"]
         edge.reset_new = 3
--- a/tests/test_standing_restart.py
+++ b/tests/test_standing_restart.py
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(
     "fault", ["", "restart: ends at once", "restart: keeps its clients", "restart: takes on to the end"]
 )
-def test_clients_that_go_on_sending_lose_nothing_that_was_taken(tmp_path: Path, fault: str) -> None:
+def test_clients_that_keep_sending_lose_no_received_request(tmp_path: Path, fault: str) -> None:
     """Batches on each connection; one connection always has an open request, another has slow requests."""
 
     async def scenario(front: Front) -> None:
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -308,14 +308,14 @@
 
 
 @pytest.mark.parametrize("fault", [fault for fault, _ in CASES])
-def test_it_acts_by_the_time_at_which_the_change_counts_as_told(
+def test_a_front_acts_by_the_time_at_which_events_count_as_received(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fault: Callable[[LateEventScenario], Awaitable[None]]
 ) -> None:
     assert run_scenario(tmp_path, monkeypatch, fault) == set()
 
 
 @pytest.mark.parametrize(("fault", "mutant"), CASES)
-def test_a_front_that_hears_later_is_found(
+def test_a_front_that_receives_events_later_is_detected(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     fault: Callable[[LateEventScenario], Awaitable[None]],
@@ -328,7 +328,7 @@
 @pytest.mark.parametrize(
     ("term", "mutant"), [("purge", overstates_purge_age), ("cold", keeps_first_start_time)]
 )
-def test_what_is_heard_late_counts_from_when_it_was(
+def test_an_event_received_late_counts_from_its_own_date(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, term: str, mutant: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
     mutant(monkeypatch)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_no_copy_from_before_a_purge_is_asked_for(monkeypatch: pytest.MonkeyPatch, step: int) -> None:
+def test_no_copy_from_before_a_purge_is_requested(monkeypatch: pytest.MonkeyPatch, step: int) -> None:
     clocks = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_no_copy_from_before_a_purge_of_the_first_list_is_asked_for(
+def test_no_copy_from_before_a_purge_of_the_first_list_is_requested(
     monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
     """The clock was wrong before the front started; the dates in the log limit the age of the purge."""
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_server_that_starts_under_a_clock_wrong_from_the_beginning_is_in_slow_start(
+def test_a_server_listed_later_is_in_slow_start_though_the_clock_was_always_wrong(
     monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
     """The clock was wrong before the front started; a new server is listed 60 s later."""
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_server_that_started_long_ago_is_warm_once_the_log_has_told_a_later_date(
+def test_a_server_that_started_long_ago_is_warm_once_the_log_has_a_later_date(
     monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
     """Its start is the newest date in the first list; the first purge then shows that it was long ago.
@@ -174,7 +174,7 @@
     on_loop(scenario)
 
 
-def test_a_restart_found_by_its_failing_keeps_its_date_as_the_log_tells_a_later_one() -> None:
+def test_a_restart_detected_by_failures_keeps_its_start_time_at_a_later_date_in_the_log() -> None:
     """A start time that the front observed itself is not corrected by dates in the log."""
 
     async def scenario() -> None:
@@ -190,7 +190,7 @@
     on_loop(scenario)
 
 
-def test_a_purge_long_before_the_newest_of_the_first_list_is_as_old_as_the_log_says() -> None:
+def test_a_purge_long_before_the_newest_date_of_the_first_list_has_the_age_by_the_log() -> None:
     """A purge of long ago excludes no copy."""
     ages = EventAges(unix_ns=0, now_ns=0)
     ages.observe_log(2_000_000)
