--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:  # imported at run time only if an operator's file is named
     from quincepier.lifecycle.operators import OperatorConfiguration
 
-TICK_S = 0.1  # interval of maintenance, by which the event loop's lag is measured
+TICK_S = 0.1  # interval of the periodic work, which also measures the event loop's lag
 SWEEP_INTERVAL_TICKS, COUNTER_LOG_INTERVAL_TICKS = 2, 100  # ticks
 # After SIGTERM, clients may connect for up to 0.6 s; the process is killed after the longest request deadline
 # (3 s at most) plus 0.7 s. DRAIN_END_MARGIN_S before the kill, open requests get a failure as their response
@@ -288,7 +288,7 @@
     Returns:
         The exit code: 0 after a drain, 1 if the front can't listen on its address, 2 for another error.
     """
-    # io_uring fails with hundreds of fronts on one machine; libuv reads this as it starts its first loop
+    # the kernel refuses io_uring with hundreds of fronts on one machine; libuv reads this for its first loop
     os.environ.setdefault("UV_USE_IO_URING", "0")
     import uvloop
 
--- a/quincepier/lifecycle/logs.py
+++ b/quincepier/lifecycle/logs.py
@@ -1,4 +1,4 @@
-"""Logging to standard error as text or as one flat JSON object a line, without values of variables."""
+"""Logging to standard error, as text or as one flat JSON object a line; tracebacks show no variables."""
 
 from __future__ import annotations
 
--- a/quincepier/memory/machine_directory.py
+++ b/quincepier/memory/machine_directory.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class MachineEntry:
-    """A listed machine: its record as received, and the same as the router takes it."""
+    """A listed machine: its record as received, and the endpoint that the router gets for it."""
 
     record: HostRecord
     machine: Endpoint
@@ -92,7 +92,7 @@
         return self._convert_start(record.born_ms)
 
     def redate_starts(self, starts_ms: Collection[int]) -> tuple[Endpoint, ...]:
-        """Convert these starts again; return the machines whose start proves earlier.
+        """Convert these starts again; return the machines that started earlier than assumed.
 
         Args:
             starts_ms: Starts as listed, Unix milliseconds.
@@ -112,15 +112,15 @@
     def apply(self, change: FleetChange, scope: UpdateScope = UpdateScope.CHANGES) -> EndpointUpdate:
         """Apply a change completely or, if one of its records can't be used, not at all.
 
-        The last record of a host counts. A new machine at the address of another one implies that the other
-        has gone, reported or not: what is meant for it would reach the new one.
+        The last record of a host counts. A new machine at the address of a listed one implies that the listed
+        one is gone, even if the log does not say so: requests for it would reach the new one.
 
         Args:
             change: Records of hosts, all or those that changed.
-            scope: How the router is to take the result.
+            scope: Scope of the returned update.
 
         Returns:
-            The changed machines, as the router takes them.
+            The update for the router: all changed machines.
 
         Raises:
             ProtocolError: A record names a zone or kind that the settings don't have.
@@ -138,7 +138,7 @@
         return EndpointUpdate(scope, tuple(entry.machine for entry in changed.values()))
 
     def _replaced_entries(self, changed: dict[str, MachineEntry]) -> dict[str, MachineEntry]:
-        """Entries, as gone, of listed machines whose address a new machine has."""
+        """Return entries, with state GONE, of listed machines whose address a new machine has taken."""
         new = [entry for host, entry in changed.items() if host not in self.entry_by_host]
         freed = {e.record.address for e in changed.values() if e.machine.state is EndpointState.GONE}
         occupied = {e.record.address for e in new if e.machine.state is EndpointState.READY} - freed - {None}
@@ -149,12 +149,12 @@
         }
 
     def full_list(self) -> EndpointUpdate:
-        """Return all listed machines, as the router takes them."""
+        """Return all listed machines as an update for the router."""
         return EndpointUpdate(UpdateScope.FULL, tuple(entry.machine for entry in self.entry_by_host.values()))
 
     @property
     def has_unlisted(self) -> bool:
-        """Whether numbers are kept of hosts that are not listed."""
+        """Whether hosts that are not listed still have numbers."""
         return len(self.host_by_number) > len(self.entry_by_host)
 
     def forget_unlisted(self, used: Collection[int]) -> None:
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -56,7 +56,7 @@
     from quincepier.net.router_overrides import RouterOverrides
 
 MAX_MAILBOX_MESSAGES = 1024
-MESSAGES_PER_LOOP_TURN = 32  # messages handled before other tasks run
+MESSAGES_PER_LOOP_ITERATION = 32  # messages handled before other tasks run
 
 
 class ModuleActor(Actor[ToModule]):
@@ -133,7 +133,7 @@
             if message is not None:
                 self.handle_safely(message)
                 handled_count += 1
-                if handled_count % MESSAGES_PER_LOOP_TURN == 0:
+                if handled_count % MESSAGES_PER_LOOP_ITERATION == 0:
                     await asyncio.sleep(0)
             else:
                 self._schedule_wakeup()
--- a/quincepier/net/process_pause.py
+++ b/quincepier/net/process_pause.py
@@ -17,7 +17,7 @@
 HEARTBEAT = 50 * clock.MS  # interval between readings of the clock
 MIN_PAUSE = 50 * clock.MS  # beyond a heartbeat; a shorter pause looks like a busy loop iteration
 MIN_LONG_PAUSE = 300 * clock.MS  # a pause of this length may have delayed change-log events
-SETTLE_TURNS = 12  # loop iterations in which everything that arrived in a pause is read and handled
+SETTLE_ITERATIONS = 12  # loop iterations in which everything that arrived in a pause is read and handled
 
 
 class PauseDetector:
@@ -39,7 +39,7 @@
         self._settling: asyncio.Task[None] | None = None
         self._last_beat_ns = clock.now()
         self._paused_since_ns = 0  # 0: everything that arrived in the last pause has been read
-        self._turns_left = 0
+        self._settle_iterations_left = 0
         self._heartbeat_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -73,9 +73,9 @@
             return
         self._paused_since_ns = self._paused_since_ns or self._last_beat_ns
         self._last_beat_ns = now_ns
-        was_settling, self._turns_left = self._turns_left > 0, SETTLE_TURNS
+        was_settling, self._settle_iterations_left = self._settle_iterations_left > 0, SETTLE_ITERATIONS
         if not was_settling:
-            asyncio.get_running_loop().call_soon(self._count_settle_turn)
+            asyncio.get_running_loop().call_soon(self._count_settle_iteration)
         self._checks.count("process_pauses")
         if elapsed_ns >= MIN_LONG_PAUSE:
             self._checks.event("process_paused", f"for {elapsed_ns // clock.MS} ms")
@@ -86,16 +86,16 @@
 
     async def _settle_long_pause(self) -> None:
         """Let the loop read the sockets first, then catch up with the change log."""
-        for _ in range(SETTLE_TURNS):
+        for _ in range(SETTLE_ITERATIONS):
             await asyncio.sleep(0)
         if self.catch_up is not None:
             await self.catch_up()
         self.settled.set()
 
-    def _count_settle_turn(self) -> None:
-        self._turns_left -= 1
-        if self._turns_left > 0:
-            asyncio.get_running_loop().call_soon(self._count_settle_turn)
+    def _count_settle_iteration(self) -> None:
+        self._settle_iterations_left -= 1
+        if self._settle_iterations_left > 0:
+            asyncio.get_running_loop().call_soon(self._count_settle_iteration)
         else:
             self._paused_since_ns = 0
 
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -37,7 +37,7 @@
 # reached, the front serves after MAX_START_WAIT_S.
 QUIET_PERIOD_S, MAX_START_WAIT_S = 0.06, 0.25
 MAX_RECORD_TRIES = 3  # polls for an invalid record or a gap before it is skipped
-SETTLE_TURNS = 4  # loop iterations in which a response that has arrived is read before its poll is overdue
+SETTLE_ITERATIONS = 4  # loop iterations to read an arrived response before its poll is overdue
 
 
 class ChangeLogWatcher(Actor[None]):
@@ -175,11 +175,11 @@
 
     async def _wait_for_polls(self) -> list[ChangeLogPoll]:
         """Wait until a poll finishes; return the finished ones, or none once the newest one is overdue."""
-        loop, turns = asyncio.get_running_loop(), 0
+        loop, iterations = asyncio.get_running_loop(), 0
         while True:
             finished = [poll for poll in self.polls if poll.task.done()]
             remaining_s = self._overdue_at_s() - loop.time()
-            if finished or (remaining_s <= 0 and turns >= SETTLE_TURNS):
+            if finished or (remaining_s <= 0 and iterations >= SETTLE_ITERATIONS):
                 return finished
             if remaining_s > 0:
                 self.wakeup = loop.create_future()
@@ -187,7 +187,7 @@
                 awaited.append(self.wakeup)
                 await asyncio.wait(awaited, timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED)
             else:  # after a process pause the response may be in the socket already
-                turns += 1
+                iterations += 1
                 await asyncio.sleep(0)
 
     def _on_overdue(self) -> None:
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_process_pause.py
@@ -33,7 +33,7 @@
 
 LARGE = os.urandom(480_000)
 ONE = ("s-1", "o-1")
-TURNS = 8  # loop iterations; more than any close takes
+LOOP_ITERATIONS = 8  # more than any close takes
 CONNECT_TIMEOUT_S, PAUSE_S = 0.1, 0.25  # the pause exceeds the timeout
 
 
@@ -55,7 +55,7 @@
         peer = Peer(manager)
         connection = peer.connection
         peer.sock.send(call(1, params("1" * 16)))
-        await until(lambda: bool(manager.module.new_work), "it is asked")
+        await until(lambda: bool(manager.module.new_work), "the request is received")
         message = manager.module.take()
         assert isinstance(message, RequestArrived)
         large = PooledBody.allocate(manager.pool, len(LARGE))
@@ -82,7 +82,7 @@
         if act is sends_invalid_record:
             assert peer.reader.got[1].body == LARGE
             peer.sock.close()  # the front has closed its side
-        for _ in range(TURNS):
+        for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
         assert connection.sock.fileno() < 0, "its socket is closed"
         assert not manager.connections and manager.descriptors.clients == 0 and manager.pool.used == 1
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -135,8 +135,8 @@
     assert all(("drain:" in log) is (start not in case[0]) for case, (_, log) in outcomes.items())
 
 
-def data(asked: Asked) -> None:
-    asked.data()
+def data(command: Asked) -> None:
+    command.data()
 
 
 @dataclass
@@ -176,10 +176,10 @@
             client = await front.client()
             client.ask(1)
             assert (await client.ended(1)).status == 200
-            asked = len(front.log.since)
+            poll_count = len(front.log.since)
             moved.add(invalidate={"bucket": 17, "time": 1})
             await until(lambda: moved.since[-1] == len(moved.events), "and its events are received")
-            assert len(front.log.since) == asked and not front.ended
+            assert len(front.log.since) == poll_count and not front.ended
         finally:
             await front.stop()
             assert moved.server is not None
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -310,9 +310,9 @@
         began = loop_time()
         await rig.expect_delivered(2)
         assert loop_time() - began <= seconds + 0.1, "its first response counts"
-        asked = len(rig.log.polls)
+        poll_count = len(rig.log.polls)
         await asyncio.sleep(10)
-        assert len(rig.log.polls) - asked <= 12, "it is not polled more often than usual"
+        assert len(rig.log.polls) - poll_count <= 12, "it is not polled more often than usual"
 
     run_with_watcher(monkeypatch, scenario)
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -77,7 +77,7 @@
             and observed.drain_received_at
             and s.at > observed.drain_received_at
         ):
-            faults.append(f"drain: front {s.front} asked {s.cache} via {s.via}")
+            faults.append(f"drain: front {s.front} sent to {s.cache} via {s.via}")
         old_copy = not s.fresh or s.fresh > (s.at - observed.purged_at) * 1000 + 1
         if (
             s.key == PURGED_KEY
@@ -87,7 +87,7 @@
         ):
             faults.append(f"purge: front {s.front} takes a copy of {s.fresh} ms")
         if s.front == NEW and s.cache[0] != "s":
-            faults.append(f"straight: front {s.front} asked {s.cache}")
+            faults.append(f"straight: front {s.front} sent to {s.cache}")
     reached = sorted(s.at for s in observed.commands if s.cache == COLD_HOST)
     for n, at in enumerate(reached):
         share = RULES["cold_from"] + (1 - RULES["cold_from"]) * (at - observed.started_at) / RULES["warm_s"]
@@ -115,14 +115,14 @@
         self.clients: dict[int, Client] = {}
 
     def behaviour(self, name: str) -> Callable[[Asked], None]:
-        def behave(asked: Asked) -> None:
-            get = asked.fields.get
-            front, fresh = int(asked.id[0]), int(get("fresh", "0"))
+        def behave(command: Asked) -> None:
+            get = command.fields.get
+            front, fresh = int(command.id[0]), int(get("fresh", "0"))
             served = ReceivedServe(
                 name, front, get("class", ""), get("key", ""), get("via", ""), fresh, time.time()
             )
             self.observed.commands.append(served)
-            asyncio.get_running_loop().call_later(WORK_S, asked.data)
+            asyncio.get_running_loop().call_later(WORK_S, command.data)
 
         return behave
 
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -15,13 +15,13 @@
 ALLOWED_MS, SLACK_MS = 2500, 150
 
 
-def never_respond(asked: Asked) -> None:
+def never_respond(command: Asked) -> None:
     pass
 
 
-def respond_except_bids(asked: Asked) -> None:
-    if asked.fields["class"] != "bid":
-        asked.data()
+def respond_except_bids(command: Asked) -> None:
+    if command.fields["class"] != "bid":
+        command.data()
 
 
 @pytest.mark.fleet(6)
@@ -101,7 +101,7 @@
             client.ask(n)
             assert (await client.ended(n)).status == 200
         front.log.late = 0.03  # the purge arrives after the requests
-        asked = {name: len(cache.asked) for name, cache in front.caches.items()}
+        commands_before = {name: len(cache.asked) for name, cache in front.caches.items()}
         front.signal(signal.SIGSTOP)
         await asyncio.sleep(purged_after)
         purged_at = time.time()
@@ -116,7 +116,7 @@
                 503,
             )  # 503 if load shedding rejects it, as it needs too many fetches
         since_ms = (time.time() - purged_at) * 1000
-        later = [one for name, cache in front.caches.items() for one in cache.asked[asked[name] :]]
+        later = [one for name, cache in front.caches.items() for one in cache.asked[commands_before[name] :]]
         ages = [int(one.fields.get("fresh", "12000")) for one in later if one.fields["class"] == "lot-image"]
         assert len(ages) >= len(clients) // 2 and max(ages) <= since_ms
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -21,8 +21,8 @@
 MAX_READY_TIME_S, MIN_READY_RATIO = 10.0, 0.9  # ratio of the fronts that must be ready within that time
 
 
-def respond_later(asked: Asked) -> None:
-    asyncio.get_running_loop().call_later(0.2, asked.data)
+def respond_later(command: Asked) -> None:
+    asyncio.get_running_loop().call_later(0.2, command.data)
 
 
 async def start_until_ready(front: Front) -> float:
@@ -83,7 +83,7 @@
 
     def find_unanswered(self) -> tuple[list[str], list[str]]:
         """Return the jobs without a response: received by a front, and maybe not received."""
-        jobs = {asked.id for cache in self.caches.values() for asked in cache.asked}
+        jobs = {command.id for cache in self.caches.values() for command in cache.asked}
         unanswered, maybe_not_received = zip(
             *(sender.find_unanswered(jobs) for sender in self.senders), strict=True
         )
@@ -127,7 +127,7 @@
             assert in_time >= MIN_READY_RATIO * FRONTS, sorted(start_times_s)
             unanswered, maybe_not_received = fleet.find_unanswered()
             assert unanswered == [], [front.lines for front in fleet.fronts]
-            sent = {asked.id for cache in fleet.caches.values() for asked in cache.asked}
+            sent = {command.id for cache in fleet.caches.values() for command in cache.asked}
             assert sent.isdisjoint(
                 maybe_not_received
             )  # a client may send these again: none was forwarded to a cache
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,11 +16,11 @@
 from tests.standins import Asked, Behaviour, Cache, ChangeLog, Front, play, until
 
 
-def respond_ok(asked: Asked) -> None:
-    asked.data()
+def respond_ok(command: Asked) -> None:
+    command.data()
 
 
-def never_respond(asked: Asked) -> None:
+def never_respond(command: Asked) -> None:
     """Never answers."""
 
 
@@ -41,7 +41,7 @@
         client.ask(1)
         assert (await client.ended(1)).status == 200
 
-    play(tmp_path, fleet(lambda asked: asked.data(b"x" * 240_000)), scenario)
+    play(tmp_path, fleet(lambda command: command.data(b"x" * 240_000)), scenario)
 
 
 def test_the_divided_memory_stays_under_the_limit_minus_the_resident_size() -> None:
@@ -139,9 +139,9 @@
 def test_a_stopped_change_log_with_open_connections_is_polled_again(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         assert front.log.server is not None
-        asked = len(front.log.since)
+        poll_count = len(front.log.since)
         front.log.broken.append(b"")  # the poll's connection closes without a response
-        await until(lambda: len(front.log.since) > asked + 2, "the log is polled again")
+        await until(lambda: len(front.log.since) > poll_count + 2, "the log is polled again")
         front.log.stopped = True
         front.log.stalled.clear()
         await until(front.log.stalled.is_set, "a poll is received and gets no response")
@@ -216,10 +216,10 @@
 
 
 def test_surplus_responses_are_ignored_and_the_connection_is_kept(tmp_path: Path) -> None:
-    def surplus_responses(asked: Asked) -> None:
-        asked.writer.write(b"ffffffffffffffff data - 3\r\nxyz\r\n")
-        asked.data()
-        asked.data(b"twice")
+    def surplus_responses(command: Asked) -> None:
+        command.writer.write(b"ffffffffffffffff data - 3\r\nxyz\r\n")
+        command.data()
+        command.data(b"twice")
 
     async def scenario(front: Front) -> None:
         client, edge = await front.client(), front.caches["s-1"]
@@ -232,9 +232,9 @@
 
 
 def test_an_invalid_response_fails_only_its_own_attempt(tmp_path: Path) -> None:
-    def invalid_response(asked: Asked) -> None:
-        if asked.fields["part"] == "1":
-            asked.writer.write(b"\x00noise\r\n")
+    def invalid_response(command: Asked) -> None:
+        if command.fields["part"] == "1":
+            command.writer.write(b"\x00noise\r\n")
 
     async def scenario(front: Front) -> None:
         client, edge = await front.client(), front.caches["s-1"]
@@ -244,17 +244,17 @@
                 lambda: len(edge.asked) > len(client.records.got) - 1, "the request is sent to a cache"
             )
         assert (await client.ended(1)).status == 200 and len(front.caches["p-1"].asked) >= 1
-        for asked in edge.asked:
-            if asked.fields["part"] != "1":
-                asked.data(b"still here")
+        for command in edge.asked:
+            if command.fields["part"] != "1":
+                command.data(b"still here")
         assert [(await client.ended(n)).body for n in (2, 3)] == [b"still here"] * 2
 
     play(tmp_path, fleet(invalid_response), scenario)
 
 
 def test_a_truncated_response_on_an_open_connection_is_retried_elsewhere(tmp_path: Path) -> None:
-    def truncated_response(asked: Asked) -> None:
-        asked.writer.write(f"{asked.id} data how=local 800\r\nhalf".encode())
+    def truncated_response(command: Asked) -> None:
+        command.writer.write(f"{command.id} data how=local 800\r\nhalf".encode())
 
     async def scenario(front: Front) -> None:
         client = await front.client()
--- a/tests/test_standing_restart.py
+++ b/tests/test_standing_restart.py
@@ -19,9 +19,9 @@
 CLASSES = ("lot-image", "lot-video", "bid", "lot-image")
 
 
-def respond_later(asked: Asked) -> None:
-    after = 0.6 if asked.fields["part"] == SLOW_PART else 0.05
-    asyncio.get_running_loop().call_later(after, asked.data)
+def respond_later(command: Asked) -> None:
+    after = 0.6 if command.fields["part"] == SLOW_PART else 0.05
+    asyncio.get_running_loop().call_later(after, command.data)
 
 
 class Sender:
@@ -81,7 +81,7 @@
     await until(lambda: all(s.client.closed for s in senders), "every connection ends")
     await asyncio.gather(*(s.task for s in senders))
     assert await front.code() == 0
-    jobs = {asked.id for cache in front.caches.values() for asked in cache.asked}
+    jobs = {command.id for cache in front.caches.values() for command in cache.asked}
     unanswered, maybe_not_received = zip(*(s.find_unanswered(jobs) for s in senders), strict=True)
     second_client = await second.client()
     for n, job in enumerate(sum(maybe_not_received, []), 1):  # sent to the other front, once
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -60,9 +60,9 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def on_command(self, name: str, asked: Asked) -> None:
-        self.served_commands.append((self.now, name, asked.fields))
-        asyncio.get_running_loop().call_later(WORK_S, asked.data)
+    def on_command(self, name: str, command: Asked) -> None:
+        self.served_commands.append((self.now, name, command.fields))
+        asyncio.get_running_loop().call_later(WORK_S, command.data)
 
     async def start(self) -> None:
         original = sockets.connect
--- a/tests/watchkit.py
+++ b/tests/watchkit.py
@@ -90,7 +90,7 @@
             writer.close()
 
     async def wait_for_poll(self, times: int) -> ReceivedPoll:
-        await until(lambda: len(self.polls) >= times, f"{times} polls are received")
+        await until(lambda: len(self.polls) >= times, f"the log receives {times} polls")
         return self.polls[times - 1]
 
 
