--- a/quincepier/memory/machine_directory.py
+++ b/quincepier/memory/machine_directory.py
@@ -1,4 +1,4 @@
-"""The machine directory: machine numbers by host id and back, and what the endpoint list said last of each.
+"""The machine directory: machine numbers by host id and back, and the newest list record of each machine.
 
 A number follows from the host id alone, so that all fronts hash an object to the same machine.
 """
@@ -18,13 +18,13 @@
 CELL_MASK = 0xFFFF
 
 
-def _as_told(born_ms: int) -> int:
+def _unix_ms_to_ns(born_ms: int) -> int:
     return born_ms * MS
 
 
 @dataclass(slots=True)
 class MachineEntry:
-    """A listed machine: its record as received, and the same as the router takes it."""
+    """A listed machine: its record as received, and the endpoint that the router gets for it."""
 
     record: HostRecord
     machine: Endpoint
@@ -36,7 +36,7 @@
     Args:
         zones: Names of the zones, in the order of their numbers.
         kinds: Names of the kinds of machine, in the order of their numbers.
-        start_of: A start's Unix millisecond as a time of the monotonic clock, ns; 0 (long ago) stays 0.
+        convert_start: Converts a start, Unix milliseconds, to ns of the monotonic clock; 0 stays 0.
 
     Attributes:
         entry_by_host: The listed machines, by host id.
@@ -44,9 +44,12 @@
     """
 
     def __init__(
-        self, zones: tuple[str, ...], kinds: tuple[str, ...], start_of: Callable[[int], int] = _as_told
+        self,
+        zones: tuple[str, ...],
+        kinds: tuple[str, ...],
+        convert_start: Callable[[int], int] = _unix_ms_to_ns,
     ) -> None:
-        self._start_of = start_of
+        self._convert_start = convert_start
         self.zone_by_name = {name: zone for zone, name in enumerate(zones)}
         self.kind_by_name = {name: kind for kind, name in enumerate(kinds)}
         self.entry_by_host: dict[str, MachineEntry] = {}
@@ -86,10 +89,10 @@
         previous = self.entry_by_host.get(record.host)
         if previous is not None and previous.record.born_ms == record.born_ms:
             return previous.machine.up_since
-        return self._start_of(record.born_ms)
+        return self._convert_start(record.born_ms)
 
-    def date_again(self, starts_ms: Collection[int]) -> tuple[Endpoint, ...]:
-        """Date these starts again; return the machines whose start proves earlier.
+    def redate_starts(self, starts_ms: Collection[int]) -> tuple[Endpoint, ...]:
+        """Convert these starts again; return the machines that started earlier than assumed.
 
         Args:
             starts_ms: Starts as listed, Unix milliseconds.
@@ -100,7 +103,7 @@
         for entry in self.entry_by_host.values():
             if entry.record.born_ms not in starts_ms:
                 continue
-            up_since = self._start_of(entry.record.born_ms)
+            up_since = self._convert_start(entry.record.born_ms)
             if up_since < entry.machine.up_since:
                 entry.machine = replace(entry.machine, up_since=up_since)
                 changed.append(entry.machine)
@@ -109,15 +112,15 @@
     def apply(self, change: FleetChange, scope: UpdateScope = UpdateScope.CHANGES) -> EndpointUpdate:
         """Apply a change completely or, if one of its records can't be used, not at all.
 
-        The last record of a host counts. A new machine at the address of another one implies that the other
-        has gone, reported or not: what is meant for it would reach the new one.
+        The last record of a host counts. A new machine at the address of a listed one implies that the listed
+        one is gone, even if the log does not say so: requests for it would reach the new one.
 
         Args:
             change: Records of hosts, all or those that changed.
-            scope: How the router is to take the result.
+            scope: Scope of the returned update.
 
         Returns:
-            The changed machines, as the router takes them.
+            The update for the router: all changed machines.
 
         Raises:
             ProtocolError: A record names a zone or kind that the settings don't have.
@@ -135,7 +138,7 @@
         return EndpointUpdate(scope, tuple(entry.machine for entry in changed.values()))
 
     def _replaced_entries(self, changed: dict[str, MachineEntry]) -> dict[str, MachineEntry]:
-        """Entries, as gone, of listed machines whose address a new machine has."""
+        """Return entries, with state GONE, of listed machines whose address a new machine has taken."""
         new = [entry for host, entry in changed.items() if host not in self.entry_by_host]
         freed = {e.record.address for e in changed.values() if e.machine.state is EndpointState.GONE}
         occupied = {e.record.address for e in new if e.machine.state is EndpointState.READY} - freed - {None}
@@ -146,12 +149,12 @@
         }
 
     def full_list(self) -> EndpointUpdate:
-        """Return all listed machines, as the router takes them."""
+        """Return all listed machines as an update for the router."""
         return EndpointUpdate(UpdateScope.FULL, tuple(entry.machine for entry in self.entry_by_host.values()))
 
     @property
     def has_unlisted(self) -> bool:
-        """Whether numbers are kept of hosts that are not listed."""
+        """Whether hosts that are not listed still have numbers."""
         return len(self.host_by_number) > len(self.entry_by_host)
 
     def forget_unlisted(self, used: Collection[int]) -> None:
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -22,7 +22,7 @@
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.cache import CacheActor
 from quincepier.net.dialer import Dialer, Way
-from quincepier.net.messages import Came, Left, News
+from quincepier.net.messages import ChangeLogEvent, ClientDisconnected, RequestArrived
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors
 from quincepier.wire.changelog import BadRecord, read_changes
@@ -77,9 +77,11 @@
         checks, pool = Checks(), BufferPool(BUDGET.max_buffers)
         descriptors = Descriptors(sockets)
         self.module = ModuleActor(self.config(order), checks, pool, descriptors, lambda: None, BUDGET)
-        self.module.means.judge = parse
-        self.module.shared.dialer = Dialer(self.module.means, self.section, self.module.shared.descriptor)
-        self.module.begin()
+        self.module.dependencies.parse_address = parse
+        self.module.shared.dialer = Dialer(
+            self.module.dependencies, self.section, self.module.shared.descriptor
+        )
+        self.module.start_with_known_events()
 
     @property
     def checks(self) -> Checks:
@@ -103,7 +105,7 @@
         self.asked += 1
         job = f"{self.asked:016x}"
         request = open_request(inbox, cls, job, part=part, received_at_ns=clock.now())
-        self.module.mailbox.push(Came(request))
+        self.module.mailbox.push(RequestArrived(request))
         return job, inbox, request
 
     async def answered(self, inbox: Inbox) -> int:
@@ -118,7 +120,7 @@
         return job, await self.answered(inbox)
 
     def leave(self, request: Any) -> None:
-        self.module.mailbox.push(Left(request))
+        self.module.mailbox.push(ClientDisconnected(request))
 
     def tell(self, *hosts: dict[str, Any], **event: Any) -> None:
         """News of the change log."""
@@ -127,7 +129,7 @@
         changes = {"seq": self.seq, "results": [{"seq": self.seq} | body]}
         (record,) = read_changes(changes, parse)[1]
         assert not isinstance(record, BadRecord), record
-        self.module.mailbox.urge(News(record))
+        self.module.mailbox.push_urgent(ChangeLogEvent(record))
 
     async def quiet(self) -> None:
         """Nothing is out and nobody waits for an answer."""
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -18,10 +18,10 @@
 from quincepier.memory.buffer_pool import BufferPool, PooledBody
 from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.net.actor import Mailbox
+from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.client import ClientConnection
 from quincepier.net.clients import READS, WAKES, ConnectionManager
-from quincepier.net.means import Means
-from quincepier.net.messages import Answer, Came, ToModule
+from quincepier.net.messages import RequestArrived, Response, ToModule
 from quincepier.net.sockets import Descriptors
 from tests.fcgikit import Reader, begin, call, params, rec
 from tests.frontkit import make_config
@@ -35,8 +35,8 @@
     checks, pool = Checks(), BufferPool(8)
     module: Mailbox[ToModule] = Mailbox(4096)
     budget = MemoryBudget(max_buffers=8, max_body_bytes=1 << 20, max_open_requests=4096)
-    means = Means(make_config(), checks, pool, Descriptors(sockets), module, budget)
-    return ConnectionManager(means, lambda: True, places)
+    dependencies = ActorDependencies(make_config(), checks, pool, Descriptors(sockets), module, budget)
+    return ConnectionManager(dependencies, lambda: True, places)
 
 
 class Peer:
@@ -173,9 +173,11 @@
         await asyncio.sleep(0)
         for peer in peers:
             peer.sock.send(call(1, params("1" * 16)))
-        await until(lambda: len(manager.module.last) == len(peers), "all are read")
+        await until(lambda: len(manager.module.new_work) == len(peers), "all are read")
         came = [
-            message.request.received_at_ns for message in manager.module.last if isinstance(message, Came)
+            message.request.received_at_ns
+            for message in manager.module.new_work
+            if isinstance(message, RequestArrived)
         ]
         assert max(came) - min(came) < clock.now() - min(came)  # those read last were there before
         first, last = came[READS - 1], came[READS:]
@@ -275,27 +277,27 @@
         peer, large = Peer(manager), os.urandom(40_000) * 6
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         peer.sock.send(b"".join(call(n, params(f"{n:016x}")) for n in range(1, 33)))
-        await until(lambda: len(manager.module.last) == 32, "all are asked")
+        await until(lambda: len(manager.module.new_work) == 32, "all are asked")
         manager.pool.max_buffers = 1000
         while (message := manager.module.take()) is not None:
-            assert isinstance(message, Came)
+            assert isinstance(message, RequestArrived)
             body = PooledBody.allocate(manager.pool, len(large))
             assert body is not None
             body.append(large)
-            message.request.receiver.push(Answer(message.request, 200, body))
+            message.request.receiver.push(Response(message.request, 200, body))
         await until(lambda: peer.connection.writer is not None, "the socket is full")
         assert peer.connection.owed
         await until(lambda: all(peer.answered(n) for n in range(1, 33)), "all are taken in the end")
         assert all(got.body == large for got in peer.reader.got.values()) and manager.pool.used == 1
         await until(lambda: peer.connection.session is None, "it rests")
         peer.sock.send(call(40, params("f" * 16), keep=False))
-        await until(lambda: bool(manager.module.last), "the last is asked")
+        await until(lambda: bool(manager.module.new_work), "the last is asked")
         message = manager.module.take()
-        assert isinstance(message, Came)
+        assert isinstance(message, RequestArrived)
         body = PooledBody.allocate(manager.pool, len(large))
         assert body is not None
         body.append(large)
-        message.request.receiver.push(Answer(message.request, 200, body))
+        message.request.receiver.push(Response(message.request, 200, body))
         await until(lambda: peer.connection.writer is not None, "the socket is full")
         now = clock.now()
         while not peer.connection.closed:
@@ -313,14 +315,14 @@
         manager.pool.max_buffers = 1000
         peer, sizes = Peer(manager), {1: 240_000, 2: 5, 3: 70_000, 4: 5}
         peer.sock.send(b"".join(call(n, params(f"{n:016x}")) for n in sizes))
-        await until(lambda: len(manager.module.last) == 4, "all are asked")
+        await until(lambda: len(manager.module.new_work) == 4, "all are asked")
         while (message := manager.module.take()) is not None:  # all in one turn, the largest first
-            assert isinstance(message, Came)
+            assert isinstance(message, RequestArrived)
             size = sizes[message.request.stream_id]
             body = PooledBody.allocate(manager.pool, size)
             assert body is not None
             body.append(bytes(size))
-            message.request.receiver.push(Answer(message.request, 200, body))
+            message.request.receiver.push(Response(message.request, 200, body))
         await until(lambda: all(peer.answered(n) for n in sizes), "all are answered")
         assert peer.reader.order == [2, 4, 3, 1]
         assert [len(peer.reader.got[n].body) for n in sizes] == [*sizes.values()]
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""Buffer pool, open request table, machine directory, and the clock at its edge."""
+"""Buffer pool, open request table, machine directory, and conversion of Unix times."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     requests.finish(request)
     requests.finish(request)
     assert requests.unanswered == 0 and requests.request_by_number == {request.number: request}
-    attempt.is_ended = True
+    attempt.is_completed = True
     requests.remove_if_done(request)
     assert requests.request_by_number == {}
 
@@ -158,7 +158,7 @@
     assert later - clock.SECOND <= ages.start_of(event_ms, later) <= later
 
 
-def test_news_that_claims_to_be_older_than_the_answer_before_it_counts_from_now() -> None:
+def test_an_event_dated_before_a_response_without_it_counts_as_new() -> None:
     unix, now = 1_764_576_000 * clock.SECOND, 1000 * clock.SECOND
     ages = EventAges(unix + 3600 * clock.SECOND, now)  # stepped before the front started
     event_ms = unix // clock.MS
