--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -17,7 +17,7 @@
 from quincepier.net.connection import Connection
 from quincepier.net.messages import CallOff, Check, Checked, Ended, Recall, Send, ToCache
 from quincepier.net.probe import PROBE_WORDS, Probe
-from quincepier.net.shared import Shared
+from quincepier.net.cache_connection_context import CacheConnectionContext
 from quincepier.policy.send_permission import find_denial
 from quincepier.recovery import Ramp
 from quincepier.translate import ENDINGS, note_of, report_of, waited_of
@@ -25,7 +25,7 @@
 from quincepier.wire.lines import ServeCommand
 
 if TYPE_CHECKING:  # imported only where machines have several addresses
-    from quincepier.net.dialer import Way
+    from quincepier.net.dialer import Route
 
 MAILBOX_MOST = 4096
 
@@ -34,13 +34,18 @@
     name = "cache"
 
     def __init__(
-        self, shared: Shared, number: int, host: str, address: tuple[str, int] | None, fronts: int = 1
+        self,
+        context: CacheConnectionContext,
+        number: int,
+        host: str,
+        address: tuple[str, int] | None,
+        fronts: int = 1,
     ) -> None:
         """`fronts` are those that may ask this machine."""
-        super().__init__(shared.checks, MAILBOX_MOST)
+        super().__init__(context.checks, MAILBOX_MOST)
         self.ramp = Ramp(fronts)
-        self.shared, self.number, self.host, self.address = shared, number, host, address
-        self.way: Way | None = None if shared.dialer is None else shared.dialer.way(number, host)
+        self.context, self.number, self.host, self.address = context, number, host, address
+        self.route: Route | None = None if context.dialer is None else context.dialer.get_route(number, host)
         self.moves: dict[OpenAttempt | Probe, int] = {}
         self.connections: list[Connection] = []
         self.out: dict[OpenAttempt | Probe, tuple[str, Connection]] = {}
@@ -61,7 +66,7 @@
                 tag = f"probe{self.probes}"
                 probe = lines.gauges(tag) if gauges else lines.health(tag)
                 now = clock.now()
-                self._send(tag, Probe(tag, now), probe, now + self.shared.config.dial_timeout)
+                self._send(tag, Probe(tag, now), probe, now + self.context.config.dial_timeout)
 
     def spoiled(self, message: ToCache) -> None:
         """An exception left an attempt half handled."""
@@ -107,11 +112,11 @@
         other: bool,
     ) -> None:
         """Its connection ended, one of several addresses: on over another, or told as it is."""
-        assert self.way is not None
+        assert self.route is not None
         denied = isinstance(what, OpenAttempt) and find_denial(what, clock.now()) is not None
         recalled = self.leaving or denied
-        most = len(self.way.book.entries) if command is not None else 0
-        ending = self.way.fate(begun, absent, recalled, self.moves.get(what, 0), most)
+        most = len(self.route.book.entries) if command is not None else 0
+        ending = self.route.fate(begun, absent, recalled, self.moves.get(what, 0), most)
         connection = self._connection(id) if ending is None else None
         if ending is not None or connection is None or command is None:
             self.ended(what, ending or AttemptOutcome.NOT_PROCESSED, clock.now(), other)
@@ -130,7 +135,7 @@
         for c in reversed(self.connections):  # those used last are at the end
             if c.idle and not c.doubtful and id not in c.ghosts and not self._rests(c):
                 return c
-        now, streams = clock.now(), self.shared.config.streams
+        now, streams = clock.now(), self.context.config.streams
         able = [c for c in self.connections if not (c.lost or c.doubtful or id in c.ghosts or c.stalled(now))]
         able = [c for c in able if not c.unheeded]
         coming = [c for c in able if c.sock is None]
@@ -138,32 +143,32 @@
             ride = min(coming, key=lambda c: len(c.open))
             if len(ride.open) < streams and id not in ride.open:
                 return ride
-        if len(self.connections) >= self.shared.share() or not self.shared.descriptor():
+        if len(self.connections) >= self.context.share() or not self.context.descriptor():
             busy = [c for c in able if len(c.open) < streams and id not in c.open]
             if busy:
                 return min(busy, key=lambda c: (len(c.open), c.sock is None))
-            if not self.shared.descriptor():
+            if not self.context.descriptor():
                 return None
-        self.shared.descriptors.cache(1)
+        self.context.descriptors.cache(1)
         connection = Connection(self)
         self.connections.append(connection)
-        self.shared.connected.add(self)
-        self.shared.by_use[connection] = None
+        self.context.connected.add(self)
+        self.context.by_use[connection] = None
         connection.task = self.spawn(connection.run())
         return connection
 
     def _rests(self, connection: Connection) -> bool:
         """Whether its address is set aside while another is not."""
-        address, way = connection.address, self.way
+        address, way = connection.address, self.route
         return address is not None and way is not None and way.resting(address)
 
     def dropped(self, connection: Connection) -> None:
         """It has ended."""
-        self.shared.by_use.pop(connection, None)
+        self.context.by_use.pop(connection, None)
         if connection in self.connections:
             self.connections.remove(connection)
         if not self.connections:
-            self.shared.connected.discard(self)
+            self.context.connected.discard(self)
 
     def freed(self, connection: Connection) -> None:
         """It has nothing out: what waits for a dial goes over it; else the next attempt takes it first, and
@@ -224,21 +229,21 @@
         """Without an answer."""
         self._over(what)
         if isinstance(what, Probe):
-            self.shared.module.push(Checked(self.number, ending, at - what.at, ()))
+            self.context.module.push(Checked(self.number, ending, at - what.at, ()))
         elif self.checks.must(not what.is_ended, "attempt_completes_once"):
             what.is_ended = True
-            self.shared.module.push(Ended(what, ending, at, another_way=another_way))
+            self.context.module.push(Ended(what, ending, at, another_way=another_way))
 
     def answered(self, what: OpenAttempt | Probe, head: lines.Head, body: PooledBody | None, at: int) -> None:
         self._over(what)
-        report = report_of(head, self.shared.config.report_fields)
+        report = report_of(head, self.context.config.report_fields)
         if isinstance(what, Probe):
-            self.shared.module.push(Checked(self.number, PROBE_WORDS[head.word], at - what.at, report))
+            self.context.module.push(Checked(self.number, PROBE_WORDS[head.word], at - what.at, report))
         elif self.checks.must(not what.is_ended, "attempt_completes_once"):
             what.is_ended = True
             still = head.word == "unchanged"
             end = Ended(what, ENDINGS[head.word], at, note_of(head), waited_of(head), report, body, still)
-            self.shared.module.push(end)
+            self.context.module.push(end)
 
     def cancel(self) -> None:
         self.leaving = True  # nothing goes on elsewhere
@@ -246,21 +251,21 @@
 
     def sweep(self, now: int, late: bool) -> None:
         """Close what has been idle for as long as the settings say, less a second to be the first."""
-        idle = max(self.shared.config.idle - clock.SECOND, self.shared.config.idle // 2)
+        idle = max(self.context.config.idle - clock.SECOND, self.context.config.idle // 2)
         used_before = now + 1 if self.leaving else now - idle
         for connection in self.connections:  # a close takes effect in a later turn
             is_done = (connection.used < used_before or connection.doubtful) and connection.unused
             if is_done or (connection.may_stall and not late and connection.stalled(now)):
-                if not connection.between and now - connection.heard > self.shared.config.dial_timeout:
+                if not connection.between and now - connection.heard > self.context.config.dial_timeout:
                     connection.against("half an answer, then nothing")
                     self.checks.event("cache_response_stalled", self.host)
                 connection.close()
 
     def move(self, address: tuple[str, int] | None, dials: tuple[str, ...], anew: bool = False) -> None:
         """The list tells the host's addresses: new connections go there, those to others end once idle."""
-        if self.way is not None:
-            if anew or dials != self.way.dials:
-                left = self.way.replace(dials)
+        if self.route is not None:
+            if anew or dials != self.route.dials:
+                left = self.route.replace(dials)
                 for connection in self.connections:
                     connection.doubtful = connection.doubtful or connection.address in left
         elif address is not None and address != self.address:
--- a/quincepier/net/shared.py
+++ b/quincepier/net/cache_connection_context.py
@@ -18,7 +18,7 @@
     from quincepier.net.dialer import Dialer  # imported only where machines have several addresses
 
 
-class Shared:
+class CacheConnectionContext:
     """What all cache actors use, and who waits for buffers."""
 
     def __init__(self, means: Means, make_room: Callable[[], None]) -> None:
--- a/quincepier/net/cache_fleet.py
+++ b/quincepier/net/cache_fleet.py
@@ -9,7 +9,7 @@
 
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.net.cache import CacheActor
-from quincepier.net.shared import Shared
+from quincepier.net.cache_connection_context import CacheConnectionContext
 from quincepier.wire.changelog import HostRecord
 
 
@@ -17,14 +17,16 @@
     """An actor for every machine on the list; those of machines off it end when nothing is open.
 
     Args:
-        shared: What all the actors use; their table is kept there.
+        context: What all the actors use; their table is kept there.
         directory: The listed machines.
         askers: How many fronts may ask a machine of that site.
     """
 
-    def __init__(self, shared: Shared, directory: MachineDirectory, askers: Callable[[str], int]) -> None:
-        self._shared, self._directory, self._askers = shared, directory, askers
-        self._actors = shared.actors
+    def __init__(
+        self, context: CacheConnectionContext, directory: MachineDirectory, askers: Callable[[str], int]
+    ) -> None:
+        self._context, self._directory, self._askers = context, directory, askers
+        self._actors = context.actors
         self._leaving: set[int] = set()  # off the list, kept until nothing is open there
 
     def follow_all(self, anew: bool = False) -> None:
@@ -48,7 +50,7 @@
         actor = self._actors.get(number)
         if actor is None:
             askers = self._askers(record.site)
-            actor = CacheActor(self._shared, number, record.host, record.address, askers)
+            actor = CacheActor(self._context, number, record.host, record.address, askers)
             self._actors[number] = actor
             actor.start()
         actor.move(record.address, record.dials, anew)
@@ -66,7 +68,7 @@
             now: The time, ns.
             late: The front itself stood still since the last sweep: no connection counts as stalled.
         """
-        for actor in list(self._shared.connected):
+        for actor in list(self._context.connected):
             actor.sweep(now, late)
         for number in list(self._leaving):
             self._end_if_done(number)
@@ -80,5 +82,5 @@
         actor.cancel()
         del self._actors[number]
         self._leaving.discard(number)
-        if self._shared.dialer is not None:
-            self._shared.dialer.forget(number)
+        if self._context.dialer is not None:
+            self._context.dialer.forget(number)
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -39,11 +39,11 @@
     """One connection: what is out on it, which ids are given up, and what ends with it."""
 
     def __init__(self, actor: CacheActor) -> None:
-        self.actor, self.shared = actor, actor.shared
+        self.actor, self.context = actor, actor.context
         self.sock: socket.socket | None = None
         self.open: dict[str, OpenAttempt | Probe] = {}
         self.ghosts: OrderedDict[str, None] = OrderedDict()
-        self.writer = CommandWriter(self, self.shared.means.pauses)
+        self.writer = CommandWriter(self, self.context.means.pauses)
         self.started: set[OpenAttempt | Probe] = set()  # those of whose command a byte may have been read
         self.lost = self.doubtful = self.absent = self.begun = False
         self.heard = 0
@@ -67,8 +67,8 @@
     def touch(self, now: int) -> None:
         """Note that it is used now, ns."""
         self.used = now
-        if self in self.shared.by_use:  # else it has ended
-            self.shared.by_use.move_to_end(self)
+        if self in self.context.by_use:  # else it has ended
+            self.context.by_use.move_to_end(self)
 
     def send(self, id: str, what: OpenAttempt | Probe, command: ServeCommand | bytes) -> None:
         """Queue a command; it goes out as soon as the connection is up and its socket takes it."""
@@ -91,7 +91,7 @@
         attempt.on_cancelled()
         # Nothing heard since it went out: the peer may have lost this connection. New ones try it.
         now = clock.now()
-        silent = self.heard < attempt.started_at_ns < now - self.shared.config.dial_timeout and not self.lost
+        silent = self.heard < attempt.started_at_ns < now - self.context.config.dial_timeout and not self.lost
         self.touch(now)
         self.writer.cancel(None if self.lost else self.sock, attempt, outcome)
         if attempt.request.is_finished and not attempt.is_ended:
@@ -109,7 +109,7 @@
     def _remove(self, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
         """Take an attempt back of which no byte went out."""
         self.writer.remove(attempt)
-        if self.sock is None and not self.open and self.actor.way is not None:
+        if self.sock is None and not self.open and self.actor.route is not None:
             self.close()  # nobody waits for its race
         self.actor.ended(attempt, outcome, clock.now())
 
@@ -144,8 +144,8 @@
     def against(self, why: str, owed: bool = False) -> None:
         """A sign against its address and not the machine: no answer where one was owed, or none ever."""
         sign = owed or self.started or not self.proved
-        if self.address is not None and self.actor.way is not None and sign:
-            self.actor.way.broke(self.address, self.up_at, why)
+        if self.address is not None and self.actor.route is not None and sign:
+            self.actor.route.broke(self.address, self.up_at, why)
 
     @property
     def unused(self) -> bool:
@@ -177,7 +177,7 @@
 
         Each for as long as a connection may take to come up: the settings say that one is of no use then.
         """
-        most = self.shared.config.dial_timeout
+        most = self.context.config.dial_timeout
         endless = self.unheeded and now - self.since > most
         silent = not self.between and now - self.heard > most
         return endless or silent or self.writer.is_stalled(now, most)
@@ -197,11 +197,11 @@
             self.against("ended")
         except ProtocolError as error:
             self.against("an answer that can't be read")
-            self.shared.checks.event("cache_protocol_error", f"{self.actor.host}: {error}")
+            self.context.checks.event("cache_protocol_error", f"{self.actor.host}: {error}")
         except CommandStalledError:  # the front may be at fault itself
-            self.shared.checks.count("cache_connections_closed_command_stalled")
+            self.context.checks.count("cache_connections_closed_command_stalled")
         except OSError:  # ETIMEDOUT too, which is the built-in TimeoutError; told by how its attempts end
-            self.shared.checks.count("cache_connections_reset")
+            self.context.checks.count("cache_connections_reset")
             self.against("reset")
         finally:
             for task in work:
@@ -211,7 +211,7 @@
             finally:  # also where `close` cancels this task as it waits for the other two
                 if self.sock is not None:
                     end_now(self.sock)
-                self.shared.descriptors.cache(-1)
+                self.context.descriptors.cache(-1)
                 self._drop()
 
     async def _come_up(self) -> bool:
@@ -219,19 +219,19 @@
         try:
             await self._connect()
         except OSError as error:
-            self.absent = note_connect_failure(error, self.shared.checks, self.actor.host)
+            self.absent = note_connect_failure(error, self.context.checks, self.actor.host)
             return False
         self.actor.ramp.up()
         return True
 
     async def _connect(self) -> None:
-        if self.actor.way is not None:
-            self.sock, self.address = await self.actor.way.connect()
+        if self.actor.route is not None:
+            self.sock, self.address = await self.actor.route.connect()
             self.up_at = clock.now()
         else:
             assert self.actor.address is not None
-            timeout = self.shared.config.dial_timeout / clock.SECOND
-            self.sock = await connect(self.actor.address, timeout, self.shared.checks)
+            timeout = self.context.config.dial_timeout / clock.SECOND
+            self.sock = await connect(self.actor.address, timeout, self.context.checks)
 
     def _drop(self) -> None:
         """The connection is gone: what no byte was taken of never ran, of the rest nothing is known.
@@ -246,7 +246,7 @@
         if self.body is not None:
             self.body.release()
             self.body = None
-        way, open = self.actor.way, dict(self.open)
+        way, open = self.actor.route, dict(self.open)
         unwritten = dict(self.outgoing)
         self.open.clear()
         for id, what in open.items():
@@ -274,7 +274,7 @@
         if denial is None:
             assert isinstance(command, ServeCommand)
             return command.encode(wait_ms(what, clock.now()))
-        self.shared.checks.count(f"attempts_denied_{denial.value}")
+        self.context.checks.count(f"attempts_denied_{denial.value}")
         if self.outgoing and self.outgoing[0][0] is what:  # else it was given up as its client was looked at
             self.outgoing.popleft()
             self.open.pop(what.request.job_id, None)
@@ -283,7 +283,7 @@
 
     def _find_denial(self, attempt: OpenAttempt) -> Denial | None:
         """What forbids its first byte now; its client is looked at where it was not heard of lately."""
-        stale = self.shared.stale
+        stale = self.context.stale
         denial = find_denial(attempt, clock.now(), stale is not None and stale())
         if denial is not None:
             return denial
@@ -296,7 +296,7 @@
         idle connections would use the pool up, and no new one could hear its answer. It is read until nothing
         is left before it is waited for: the loop stops looking at a socket that was reset with bytes unread.
         """
-        loop, decoder, pool, row = asyncio.get_running_loop(), lines.Decoder(), self.shared.pool, 0
+        loop, decoder, pool, row = asyncio.get_running_loop(), lines.Decoder(), self.context.pool, 0
         await self._readable(loop, sock)
         try:
             while True:
@@ -374,18 +374,18 @@
         if isinstance(what, OpenAttempt) and head.word == "unchanged" and not what.request.known_version:
             raise ProtocolError("unchanged, though no copy was named")
         if isinstance(what, OpenAttempt) and head.word == "data":
-            self.body = await self.shared.room(head.length)
+            self.body = await self.context.room(head.length)
 
     def _whole(self, at: int) -> None:
         head, body, self.head, self.body, self.since = self.head, self.body, None, None, 0
         assert head is not None
-        if self.address is not None and not self.proved and self.actor.way is not None:
+        if self.address is not None and not self.proved and self.actor.route is not None:
             self.proved = True
-            self.actor.way.heard(self.address)
+            self.actor.route.heard(self.address)
         what = None if self.surplus else self.open.pop(head.id, None)
         if what is None:  # or given up before its answer was whole
             known = head.id in self.ghosts
-            self.shared.checks.count("late_responses_dropped" if known else "unsolicited_responses_dropped")
+            self.context.checks.count("late_responses_dropped" if known else "unsolicited_responses_dropped")
             if body is not None:
                 body.release()
         else:
--- a/quincepier/net/dialer.py
+++ b/quincepier/net/dialer.py
@@ -97,7 +97,7 @@
             await asyncio.sleep(BACKLOG_FULL_PAUSE)
 
 
-class Way:
+class Route:
     """The way to one machine: connections over whichever of its addresses is up first."""
 
     def __init__(self, dialer: Dialer, host: str, seed: int) -> None:
@@ -247,17 +247,17 @@
         self.means, self.checks = means, means.checks
         self.section, self.preference = section, section.preference
         self.account = Account(section.limits.dials_all, spare)
-        self.ways: dict[int, Way] = {}
+        self.route_by_number: dict[int, Route] = {}
         self.sharing = False
 
-    def way(self, number: int, host: str) -> Way:
+    def get_route(self, number: int, host: str) -> Route:
         """The way to a machine, kept until it is forgotten. Chance of each follows from the front's seed."""
-        if number not in self.ways:
-            self.ways[number] = Way(self, host, self.means.config.seed ^ number)
-        return self.ways[number]
+        if number not in self.route_by_number:
+            self.route_by_number[number] = Route(self, host, self.means.config.seed ^ number)
+        return self.route_by_number[number]
 
     def forget(self, number: int) -> None:
-        way = self.ways.pop(number, None)
+        way = self.route_by_number.pop(number, None)
         if way is not None:
             way.close()
             self.account.waiting.pop(way, None)
@@ -266,7 +266,7 @@
         """The operators' file was read again: from the next dial on; what is up stays."""
         self.section, self.preference = section, section.preference
         self.account.most = section.limits.dials_all
-        for way in self.ways.values():
+        for way in self.route_by_number.values():
             way.book.limits, way.book.preference = section.limits, self.preference
 
     def addresses(self, host: str, dials: Iterable[str]) -> list[Address]:
@@ -285,7 +285,7 @@
     def aside(self) -> Iterable[tuple[str, str, int, int]]:
         """Addresses that are set aside, with their host; see Book.aside."""
         now = clock.now()
-        return [(way.host, *told) for way in self.ways.values() for told in way.book.aside(now)]
+        return [(way.host, *told) for way in self.route_by_number.values() for told in way.book.aside(now)]
 
     def recall(self, aside: Iterable[tuple[str, str, int, int]]) -> int:
         """Take those of an earlier start; how many still rest."""
@@ -293,7 +293,7 @@
         for host, address, failures, left in aside:
             by_host.setdefault(host, []).append((address, failures, left))
         now = clock.now()
-        return sum(way.book.recall(by_host.get(way.host, ()), now) for way in self.ways.values())
+        return sum(way.book.recall(by_host.get(way.host, ()), now) for way in self.route_by_number.values())
 
     def share_room(self) -> None:
         """Let machines look again that found no room in the account, each once a turn."""
@@ -303,7 +303,7 @@
         try:
             for _ in range(len(self.account.waiting)):
                 way = self.account.next()
-                if not isinstance(way, Way):
+                if not isinstance(way, Route):
                     break
                 way.perform(way.races.tick(clock.now()))
         finally:
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -37,7 +37,7 @@
     Send,
     ToModule,
 )
-from quincepier.net.shared import Shared
+from quincepier.net.cache_connection_context import CacheConnectionContext
 from quincepier.net.sockets import Descriptors
 from quincepier.policy import Router
 from quincepier.recovery import fronts_that_ask
@@ -70,12 +70,12 @@
         super().__init__(checks, MAILBOX_MOST)
         self.config = config
         self.means = Means(config, checks, pool, descriptors, self.mailbox, budget)
-        self.shared = Shared(self.means, make_room)
+        self.context = CacheConnectionContext(self.means, make_room)
         self.dates = EventDates(config)
         self.directory = MachineDirectory(config.zones, config.kinds, self.dates.start_of)
-        self.fleet = CacheFleet(self.shared, self.directory, self._askers)
+        self.fleet = CacheFleet(self.context, self.directory, self._askers)
         self.requests = OpenRequestTable(budget.max_open_requests)
-        self.caches: dict[int, CacheActor] = self.shared.actors
+        self.caches: dict[int, CacheActor] = self.context.actors
         self.timers: Wheel[tuple[int, int]] = Wheel(clock.now(), clock.MS)  # token, the request it is about
         self.alarm: asyncio.TimerHandle | None = None
         self.alarm_at = 0
@@ -287,8 +287,8 @@
 
     def follow_addresses(self, section: AddressesSection) -> None:
         """The operators tell other addresses or limits: they hold from the next dial on."""
-        if self.shared.dialer is not None:
-            self.shared.dialer.configure(section)
+        if self.context.dialer is not None:
+            self.context.dialer.configure(section)
             self.fleet.follow_all(anew=True)
 
     def _askers(self, site: str) -> int:
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -112,7 +112,7 @@
         )
 
     def _restore_address_backoffs(self, state: LearnedState, age_ns: int) -> None:
-        dialer = self.module.shared.dialer
+        dialer = self.module.context.dialer
         if dialer is None:
             return
         backoffs = [
@@ -171,8 +171,8 @@
             builder.add(fact)
             if count % FACTS_PER_SLICE == 0:
                 await asyncio.sleep(0)
-        if self.module.shared.dialer is not None:
-            for host, address, failure_count, remaining_ns in self.module.shared.dialer.aside():
+        if self.module.context.dialer is not None:
+            for host, address, failure_count, remaining_ns in self.module.context.dialer.aside():
                 builder.add_address_backoff(AddressBackoffRecord(host, address, failure_count, remaining_ns))
         return builder
 
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -21,7 +21,7 @@
 from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.cache import CacheActor
-from quincepier.net.dialer import Dialer, Way
+from quincepier.net.dialer import Dialer, Route
 from quincepier.net.messages import Came, Left, News
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors
@@ -78,7 +78,7 @@
         descriptors = Descriptors(sockets)
         self.module = ModuleActor(self.config(order), checks, pool, descriptors, lambda: None, BUDGET)
         self.module.means.judge = parse
-        self.module.shared.dialer = Dialer(self.module.means, self.section, self.module.shared.descriptor)
+        self.module.context.dialer = Dialer(self.module.means, self.section, self.module.context.descriptor)
         self.module.begin()
 
     @property
@@ -87,14 +87,14 @@
 
     @property
     def dialer(self) -> Dialer:
-        assert self.module.shared.dialer is not None
-        return self.module.shared.dialer
+        assert self.module.context.dialer is not None
+        return self.module.context.dialer
 
     def cache(self, name: str) -> CacheActor:
         return self.module.caches[self.module.directory.assign_number(name)]
 
-    def way(self, name: str) -> Way:
-        way = self.cache(name).way
+    def way(self, name: str) -> Route:
+        way = self.cache(name).route
         assert way is not None
         return way
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -148,10 +148,10 @@
     attempt: OpenAttempt = actor.requests.start_attempt(request, 5, clock.now())
     actor.safely(Left(request))
     attempt.is_ended = True
-    body = PooledBody.allocate(actor.shared.pool, 40_000)
-    assert body is not None and actor.shared.pool.used == 3
+    body = PooledBody.allocate(actor.context.pool, 40_000)
+    assert body is not None and actor.context.pool.used == 3
     actor.safely(Ended(attempt, AttemptOutcome.OK, clock.now(), body=body))
-    assert actor.shared.pool.used == 0 and inbox.got == []
+    assert actor.context.pool.used == 0 and inbox.got == []
     event = router.events[-1]
     assert isinstance(event, io.AttemptCompleted) and event.last
 
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -121,7 +121,7 @@
 
 def out_of_descriptors(inside: Inside, connection: Connection, wire: Wire) -> None:
     inside.descriptors.caches_most = inside.descriptors.caches
-    assert connection.shared.descriptor()
+    assert connection.context.descriptor()
     inside.descriptors.caches_most = 500
 
 
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -129,7 +129,7 @@
             n.endpoint.cache for n in inside.module.router.placement.table.by_id.values() if n.is_ejected
         }
         machine.set("ipv4", Script())  # set aside or not, what is listed is tried
-        await inside.cache("s-1").way.connect()  # type: ignore[union-attr]
+        await inside.cache("s-1").route.connect()  # type: ignore[union-attr]
         await inside.close()
 
     play(scenario)
@@ -477,7 +477,7 @@
         asked = [inside.ask(cls, n) for n in range(60) for cls in (SAFE, UNSAFE)]
         seen = [0, 0]
         while not all(inbox.got for _, inbox, _ in asked):
-            ways = [len(way.tasks) for way in inside.dialer.ways.values()]
+            ways = [len(way.tasks) for way in inside.dialer.route_by_number.values()]
             seen = [max(seen[0], *ways), max(seen[1], sum(ways))]
             await asyncio.sleep(0.0005)
         assert seen[0] <= 4 and seen[1] <= 6 and inside.dialer.account.peak <= 6
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -459,7 +459,7 @@
         config=config,
         directory=MachineDirectory((), ()),
         router=Bench().router,
-        shared=SimpleNamespace(dialer=None),
+        context=SimpleNamespace(dialer=None),
     )
 
     async def run() -> None:
