--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -68,10 +68,10 @@
     def forget(self) -> None:
         """As though the address had never failed, and no connection were up."""
         way = self.inside.way("s-1")
-        for entry in way.book.entries.values():
-            entry.due = entry.failures = entry.trial = 0
+        for entry in way.book.state_by_address.values():
+            entry.backoff_until = entry.failures = entry.trial_dial = 0
         for connection in list(self.inside.cache("s-1").connections):
-            if connection.idle:
+            if connection.is_idle:
                 connection.close()
 
     async def connect(self) -> float:
--- a/quincepier/addresses/__init__.py
+++ b/quincepier/addresses/__init__.py
@@ -6,34 +6,43 @@
 docs/addresses.md tells the whole.
 """
 
-from quincepier.addresses.address import ADDRESSES_MOST, Address, Family
-from quincepier.addresses.book import Book, Limits
-from quincepier.addresses.fate import after_break
+from quincepier.addresses.address import MAX_ADDRESSES, Address, Family
+from quincepier.addresses.address_book import AddressBook, Limits
+from quincepier.addresses.break_outcome import outcome_after_break
 from quincepier.addresses.grammar import AddressError, parse
-from quincepier.addresses.order import Candidate, ordered
+from quincepier.addresses.order import Candidate, order_candidates
 from quincepier.addresses.preference import Preference, Term, parse_term
-from quincepier.addresses.race import Account, Cause, Dial, Hang, Lost, Races, Wake, Won
+from quincepier.addresses.race import (
+    CancelDial,
+    Cause,
+    DialLimiter,
+    RaceLost,
+    Races,
+    RaceWon,
+    ScheduleTick,
+    StartDial,
+)
 
 __all__ = [
-    "ADDRESSES_MOST",
-    "Account",
+    "MAX_ADDRESSES",
     "Address",
+    "AddressBook",
     "AddressError",
-    "Book",
+    "CancelDial",
     "Candidate",
     "Cause",
-    "Dial",
+    "DialLimiter",
     "Family",
-    "Hang",
     "Limits",
-    "Lost",
     "Preference",
+    "RaceLost",
+    "RaceWon",
     "Races",
+    "ScheduleTick",
+    "StartDial",
     "Term",
-    "Wake",
-    "Won",
-    "after_break",
-    "ordered",
+    "order_candidates",
+    "outcome_after_break",
     "parse",
     "parse_term",
 ]
--- a/quincepier/addresses/address.py
+++ b/quincepier/addresses/address.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-ADDRESSES_MOST = 16  # of one machine; what is listed past it is passed over and told
+MAX_ADDRESSES = 16  # of one machine; what is listed past it is passed over and told
 
 
 class Family(Enum):
--- a/quincepier/addresses/fate.py
+++ b/quincepier/addresses/break_outcome.py
@@ -9,7 +9,9 @@
 from quincepier.interface import AttemptOutcome
 
 
-def after_break(begun: bool, absent: bool, recalled: bool, moves: int, most: int) -> AttemptOutcome | None:
+def outcome_after_break(
+    begun: bool, absent: bool, recalled: bool, moves: int, most: int
+) -> AttemptOutcome | None:
     """How the attempt ended; None where it goes on over another connection.
 
     `begun`: a byte of it may have been taken by the socket. `absent`: no connection came up, and every
--- a/quincepier/addresses/grammar.py
+++ b/quincepier/addresses/grammar.py
@@ -14,9 +14,11 @@
 from quincepier.addresses.address import Address, Family
 from quincepier.errors import QuincepierError
 
-TEXT_MOST = 256  # characters of an address; nothing longer is looked at
-SUN_PATH = 108  # bytes, unix(7): a path ends in a NUL byte, a name of the abstract space begins with one
-PORT_MOST = 65535
+MAX_TEXT_LENGTH = 256  # characters of an address; nothing longer is looked at
+MAX_UNIX_PATH_BYTES = (
+    108  # bytes, unix(7): a path ends in a NUL byte, a name of the abstract space begins with one
+)
+MAX_PORT = 65535
 
 
 class AddressError(QuincepierError, ValueError):
@@ -28,7 +30,7 @@
     def __init__(self, text: str, column: int, wanted: str) -> None:
         shown = text if len(text) <= 60 else text[:57] + "..."
         super().__init__(f"{shown!r}, column {column}: {wanted}")
-        self.text, self.column, self.wanted = text, column, wanted
+        self.text, self.column, self.expected = text, column, wanted
 
 
 class _ParseError(Exception):
@@ -36,7 +38,7 @@
 
     def __init__(self, index: int, wanted: str) -> None:
         super().__init__(wanted)
-        self.index, self.wanted = index, wanted
+        self.index, self.expected = index, wanted
 
 
 _octet = regex(r"0|[1-9][0-9]{0,2}").desc("a number from 0 to 255 without leading zeros")
@@ -78,8 +80,8 @@
     yield string(":").desc("':' and the port")
     at = yield index
     port = int((yield regex(r"[0-9]{1,5}").desc("a port")))
-    if not 0 < port <= PORT_MOST:
-        raise _ParseError(at, f"a port from 1 to {PORT_MOST}")
+    if not 0 < port <= MAX_PORT:
+        raise _ParseError(at, f"a port from 1 to {MAX_PORT}")
     return Address(family, host, port)
 
 
@@ -92,8 +94,8 @@
         size = len(path.encode()) + (not path.startswith("@"))
     except UnicodeEncodeError:
         raise _ParseError(at, "a path that can be written as UTF-8") from None
-    if size > SUN_PATH:
-        raise _ParseError(at, f"a path that fits into {SUN_PATH} bytes (this one has {size})")
+    if size > MAX_UNIX_PATH_BYTES:
+        raise _ParseError(at, f"a path that fits into {MAX_UNIX_PATH_BYTES} bytes (this one has {size})")
     return Address(Family.UNIX, path=path)
 
 
@@ -117,15 +119,15 @@
 def _run(parser: Parser, text: object, what: str) -> object:
     if not isinstance(text, str):
         raise AddressError(str(text), 1, f"{what} is a text")
-    if len(text) > TEXT_MOST:
-        raise AddressError(text, TEXT_MOST + 1, f"no more than {TEXT_MOST} characters")
+    if len(text) > MAX_TEXT_LENGTH:
+        raise AddressError(text, MAX_TEXT_LENGTH + 1, f"no more than {MAX_TEXT_LENGTH} characters")
     try:
         return parser.parse(text)
     except ParseError as error:
         wanted = " or ".join(sorted(error.expected))
         raise AddressError(text, error.index + 1, f"{wanted} is wanted") from None
     except _ParseError as error:
-        raise AddressError(text, error.index + 1, error.wanted + " is wanted") from None
+        raise AddressError(text, error.index + 1, error.expected + " is wanted") from None
 
 
 def parse(text: object) -> Address:
--- a/quincepier/addresses/order.py
+++ b/quincepier/addresses/order.py
@@ -18,7 +18,7 @@
 from quincepier.addresses.address import Address, Family
 
 # RFC 6724, section 2.1: the precedences of the default policy table.
-_POLICY = tuple(
+_PRECEDENCE_TABLE = tuple(
     (netaddr.IPNetwork(prefix), precedence)
     for prefix, precedence in (
         ("::1/128", 50),
@@ -31,19 +31,22 @@
         ("::/0", 40),
     )
 )
-_IPV4, _UNIX = 35, 60  # ::ffff:0:0/96 of the same table; a Unix socket goes before all that needs a network
+_IPV4_PRECEDENCE, _UNIX_PRECEDENCE = (
+    35,
+    60,
+)  # ::ffff:0:0/96 of the same table; a Unix socket goes before all that needs a network
 
 
 def precedence(address: Address) -> int:
     """Of RFC 6724's table; more goes first."""
     match address.family:
         case Family.UNIX:
-            return _UNIX
+            return _UNIX_PRECEDENCE
         case Family.IP4:
-            return _IPV4
+            return _IPV4_PRECEDENCE
         case Family.IP6:
             ip = netaddr.IPAddress(address.host)
-            return next(value for network, value in _POLICY if ip in network)
+            return next(value for network, value in _PRECEDENCE_TABLE if ip in network)
 
 
 @dataclass(slots=True, frozen=True)
@@ -53,11 +56,11 @@
     address: Address
     precedence: int
     grade: int  # by the operators' preference, 0 first
-    aside: int = 0  # set aside until then, in nanoseconds; 0 where it is not
-    worked: int = 0  # rises with every answer that proved an address of this machine; 0: never
+    backoff_until: int = 0  # set aside until then, in nanoseconds; 0 where it is not
+    last_response: int = 0  # rises with every answer that proved an address of this machine; 0: never
 
 
-def _turns(candidates: Iterable[Candidate]) -> list[Candidate]:
+def _alternate_families(candidates: Iterable[Candidate]) -> list[Candidate]:
     """Families in turn, each in the order of its best precedence."""
     queues: dict[Family, deque[Candidate]] = {}
     for c in sorted(candidates, key=lambda c: -c.precedence):  # stable: the listed order among equals
@@ -71,15 +74,15 @@
     return found
 
 
-def ordered(candidates: Sequence[Candidate]) -> list[Candidate]:
+def order_candidates(candidates: Sequence[Candidate]) -> list[Candidate]:
     """All candidates, in the order in which they are to be tried."""
-    ready = [c for c in candidates if not c.aside]
+    ready = [c for c in candidates if not c.backoff_until]
     found: list[Candidate] = []
     for grade in sorted({c.grade for c in ready}):
-        equals = _turns(c for c in ready if c.grade == grade)
-        best = max(equals, key=lambda c: c.worked)
-        if best.worked:
+        equals = _alternate_families(c for c in ready if c.grade == grade)
+        best = max(equals, key=lambda c: c.last_response)
+        if best.last_response:
             equals.remove(best)
             equals.insert(0, best)
         found += equals
-    return found + sorted((c for c in candidates if c.aside), key=lambda c: c.aside)
+    return found + sorted((c for c in candidates if c.backoff_until), key=lambda c: c.backoff_until)
--- a/quincepier/addresses/preference.py
+++ b/quincepier/addresses/preference.py
@@ -16,12 +16,12 @@
     """A family, or a network in its canonical form."""
 
     text: str
-    what: Family | netaddr.IPNetwork
+    matcher: Family | netaddr.IPNetwork
 
-    def holds(self, address: Address) -> bool:
-        if isinstance(self.what, Family):
-            return address.family is self.what
-        return address.family is not Family.UNIX and netaddr.IPAddress(address.host) in self.what
+    def matches(self, address: Address) -> bool:
+        if isinstance(self.matcher, Family):
+            return address.family is self.matcher
+        return address.family is not Family.UNIX and netaddr.IPAddress(address.host) in self.matcher
 
 
 def parse_term(text: object) -> Term:
@@ -34,15 +34,19 @@
     """Grades of addresses. Networks that are forbidden are one set, so that many of them cost no more."""
 
     def __init__(self, prefer: Iterable[Term] = (), forbid: Iterable[Term] = ()) -> None:
-        self.prefer, forbidden = tuple(prefer), tuple(forbid)
-        self.families = frozenset(t.what for t in forbidden if isinstance(t.what, Family))
-        self.networks = netaddr.IPSet(t.what for t in forbidden if not isinstance(t.what, Family))
-
-    def admits(self, address: Address) -> bool:
-        if address.family in self.families:
+        self.preferred, forbidden = tuple(prefer), tuple(forbid)
+        self.forbidden_families = frozenset(t.matcher for t in forbidden if isinstance(t.matcher, Family))
+        self.forbidden_networks = netaddr.IPSet(
+            t.matcher for t in forbidden if not isinstance(t.matcher, Family)
+        )
+
+    def is_allowed(self, address: Address) -> bool:
+        if address.family in self.forbidden_families:
             return False
-        return address.family is Family.UNIX or netaddr.IPAddress(address.host) not in self.networks
+        return address.family is Family.UNIX or netaddr.IPAddress(address.host) not in self.forbidden_networks
 
     def grade(self, address: Address) -> int:
         """The place of the first term that holds for it; what no term names comes after all of them."""
-        return next((n for n, term in enumerate(self.prefer) if term.holds(address)), len(self.prefer))
+        return next(
+            (n for n, term in enumerate(self.preferred) if term.matches(address)), len(self.preferred)
+        )
--- a/quincepier/addresses/section.py
+++ b/quincepier/addresses/section.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from quincepier.addresses.address import ADDRESSES_MOST, Address
-from quincepier.addresses.book import MS, Limits
+from quincepier.addresses.address import MAX_ADDRESSES, Address
+from quincepier.addresses.address_book import MS, Limits
 from quincepier.addresses.grammar import parse
 from quincepier.addresses.preference import Preference, Term, parse_term
 
 Ms = Annotated[float, msgspec.Meta(gt=0, le=60_000)]
-HOSTS_MOST, TERMS_MOST = 20_000, 1_000
+MAX_MACHINES, MAX_TERMS = 20_000, 1_000
 
 
 class Stagger(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -54,11 +54,11 @@
     """Several addresses a machine. `machines` adds to what the change log tells, by host id."""
 
     machines: Annotated[
-        dict[str, Annotated[tuple[Address, ...], msgspec.Meta(max_length=ADDRESSES_MOST)]],
-        msgspec.Meta(max_length=HOSTS_MOST),
+        dict[str, Annotated[tuple[Address, ...], msgspec.Meta(max_length=MAX_ADDRESSES)]],
+        msgspec.Meta(max_length=MAX_MACHINES),
     ] = {}
-    prefer: Annotated[tuple[Term, ...], msgspec.Meta(max_length=TERMS_MOST)] = ()
-    forbid: Annotated[tuple[Term, ...], msgspec.Meta(max_length=TERMS_MOST)] = ()
+    prefer: Annotated[tuple[Term, ...], msgspec.Meta(max_length=MAX_TERMS)] = ()
+    forbid: Annotated[tuple[Term, ...], msgspec.Meta(max_length=MAX_TERMS)] = ()
     stagger_ms: Stagger = Stagger()
     aside_ms: Aside = Aside()
     dials: Dials = Dials()
@@ -68,13 +68,13 @@
     @property
     def limits(self) -> Limits:
         return Limits(
-            stagger_first=int(self.stagger_ms.first * MS),
-            stagger_least=int(self.stagger_ms.least * MS),
-            stagger_most=int(self.stagger_ms.most * MS),
-            aside_first=int(self.aside_ms.first * MS),
-            aside_most=int(self.aside_ms.most * MS),
-            dials_each=self.dials.machine,
-            dials_all=self.dials.front,
+            initial_stagger=int(self.stagger_ms.first * MS),
+            min_stagger=int(self.stagger_ms.least * MS),
+            max_stagger=int(self.stagger_ms.most * MS),
+            initial_backoff=int(self.aside_ms.first * MS),
+            max_backoff=int(self.aside_ms.most * MS),
+            max_dials_per_machine=self.dials.machine,
+            max_dials=self.dials.front,
         )
 
     @property
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -22,7 +22,7 @@
 from quincepier.net.clients import ConnectionManager
 from quincepier.net.listener import Listener
 from quincepier.net.module import ModuleActor
-from quincepier.net.sockets import Descriptors, listen_once_possible
+from quincepier.net.sockets import Descriptors, listen_with_retries
 from quincepier.net.watch import Watch
 
 if TYPE_CHECKING:  # imported only where an operators' file is named
@@ -44,7 +44,7 @@
         self.config, self.path, self.checks, self.operators = config, path, Checks(), operators
         budget = divide_memory(config.memory_mb, resident_bytes(), config.max_open)
         self.descriptors = Descriptors(config.sockets)
-        reserve = self.descriptors.clients_most + self.descriptors.caches_most
+        reserve = self.descriptors.max_clients + self.descriptors.max_caches
         self.pool = BufferPool(budget.max_buffers, min(reserve, budget.max_buffers // 2))
         self.module = ModuleActor(config, self.checks, self.pool, self.descriptors, self._make_room, budget)
         if operators is not None:
@@ -64,7 +64,7 @@
     async def serve(self) -> None:
         """Until a SIGTERM or SIGINT has been drained. OSError or PeersError where an address can't be had."""
         loop = asyncio.get_running_loop()
-        sock = await listen_once_possible(self.config.listen, self.checks)
+        sock = await listen_with_retries(self.config.listen, self.checks)
         listener = Listener(self.manager, sock)
         signals.tell(lambda: loop.call_soon_threadsafe(self._signalled))
         self.module.begin()
--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -87,7 +87,7 @@
             from quincepier.net.dialer import Dialer
 
             module.means.judge = self.judge
-            module.context.dialer = Dialer(module.means, section, module.context.descriptor)
+            module.context.dialer = Dialer(module.means, section, module.context.ensure_descriptor)
 
     def keeper(self, module: ModuleActor) -> StatePersistence | None:
         """Who keeps what was learned over starts."""
--- a/quincepier/net/cache_fleet.py
+++ b/quincepier/net/cache_fleet.py
@@ -25,40 +25,40 @@
     def __init__(
         self, context: CacheConnectionContext, directory: MachineDirectory, askers: Callable[[str], int]
     ) -> None:
-        self._context, self._directory, self._askers = context, directory, askers
-        self._actors = context.actors
+        self._context, self._directory, self._front_count = context, directory, askers
+        self._actor_by_number = context.actor_by_number
         self._leaving: set[int] = set()  # off the list, kept until nothing is open there
 
-    def follow_all(self, anew: bool = False) -> None:
+    def update_all(self, force: bool = False) -> None:
         """Follow the whole list; `anew`: the operators tell other addresses or limits."""
         listed = dict(self._directory.listed_hosts())
         for number, record in listed.items():
-            self._follow(number, record, anew)
-        for number in self._actors.keys() - listed.keys():
-            self._let_leave(number)
+            self._update_actor(number, record, force)
+        for number in self._actor_by_number.keys() - listed.keys():
+            self._mark_leaving(number)
 
-    def follow_changes(self, numbers: Iterable[int]) -> None:
+    def update_changed(self, numbers: Iterable[int]) -> None:
         """Follow the list for the machines that a change of it names."""
         for number in numbers:
             entry = self._directory.find_entry(number)
             if entry is not None:
-                self._follow(number, entry.record)
-            elif number in self._actors:
-                self._let_leave(number)
+                self._update_actor(number, entry.record)
+            elif number in self._actor_by_number:
+                self._mark_leaving(number)
 
-    def _follow(self, number: int, record: HostRecord, anew: bool = False) -> None:
-        actor = self._actors.get(number)
+    def _update_actor(self, number: int, record: HostRecord, force: bool = False) -> None:
+        actor = self._actor_by_number.get(number)
         if actor is None:
-            askers = self._askers(record.site)
+            askers = self._front_count(record.site)
             actor = CacheActor(self._context, number, record.host, record.address, askers)
-            self._actors[number] = actor
+            self._actor_by_number[number] = actor
             actor.start()
-        actor.move(record.address, record.dials, anew)
-        actor.leaving = False  # at once: a message could be read after it is listed again
+        actor.set_addresses(record.address, record.dials, force)
+        actor.is_leaving = False  # at once: a message could be read after it is listed again
         self._leaving.discard(number)
 
-    def _let_leave(self, number: int) -> None:
-        self._actors[number].leaving = True
+    def _mark_leaving(self, number: int) -> None:
+        self._actor_by_number[number].is_leaving = True
         self._leaving.add(number)
 
     def sweep(self, now: int, late: bool) -> None:
@@ -68,19 +68,19 @@
             now: The time, ns.
             late: The front itself stood still since the last sweep: no connection counts as stalled.
         """
-        for actor in list(self._context.connected):
+        for actor in list(self._context.connected_actors):
             actor.sweep(now, late)
         for number in list(self._leaving):
             self._end_if_done(number)
         if self._directory.has_unlisted:
-            self._directory.forget_unlisted(self._actors.keys())
+            self._directory.forget_unlisted(self._actor_by_number.keys())
 
     def _end_if_done(self, number: int) -> None:
-        actor = self._actors[number]
-        if actor.out or actor.connections or len(actor.mailbox):
+        actor = self._actor_by_number[number]
+        if actor.in_flight or actor.connections or len(actor.mailbox):
             return
         actor.cancel()
-        del self._actors[number]
+        del self._actor_by_number[number]
         self._leaving.discard(number)
         if self._context.dialer is not None:
-            self._context.dialer.forget(number)
+            self._context.dialer.remove_route(number)
--- a/quincepier/net/client.py
+++ b/quincepier/net/client.py
@@ -135,7 +135,7 @@
 
     def _shut(self, linger: bool = False) -> None:
         self.manager.connections.discard(self)
-        self.manager.descriptors.client(-1)
+        self.manager.descriptors.add_clients(-1)
         if linger:
             self.manager.lingering.add(self.sock)
         else:
--- a/quincepier/net/clients.py
+++ b/quincepier/net/clients.py
@@ -51,7 +51,7 @@
         # who does not take what it is owed: when bytes last went, and since when by the active clock
         self.stalled: dict[ClientConnection, tuple[int, int]] = {}
         self.places = places
-        most = self.descriptors.clients_most
+        most = self.descriptors.max_clients
         caps = Caps(most) if places is None else places.caps(most)
         self.registry: ConnectionRegistry[ClientConnection] = ConnectionRegistry(caps)
         self.bodies, self.bodies_most = 0, means.budget.max_body_bytes
@@ -73,7 +73,7 @@
     def follow(self, places: Places | None) -> None:
         """The operators tell other limits: they hold for who comes from now on, and for who rests."""
         self.places = places
-        most = self.descriptors.clients_most
+        most = self.descriptors.max_clients
         self.registry.caps = Caps(most) if places is None else places.caps(most)
 
     def network(self, host: str) -> tuple[Hashable, int]:
@@ -97,7 +97,7 @@
         for other in gone:
             self.checks.event("idle_client_closed_descriptor_limit")
             other.close(linger=True)
-        self.descriptors.client(1)
+        self.descriptors.add_clients(1)
         self.lingering.make_room()
         self.connections.add(connection)
         try:
--- a/quincepier/net/command_writer.py
+++ b/quincepier/net/command_writer.py
@@ -14,7 +14,7 @@
 from quincepier.memory.open_requests import AttemptState, OpenAttempt
 from quincepier.net.probe import Probe
 from quincepier.net.process_pause import PauseDetector
-from quincepier.net.sockets import MOMENTARY_PAUSE, is_momentary, resolve, until_writable
+from quincepier.net.sockets import TRANSIENT_ERROR_PAUSE_S, is_transient, resolve, wait_until_writable
 from quincepier.policy.send_permission import half_sent_until
 from quincepier.wire import lines
 from quincepier.wire.lines import ServeCommand
@@ -44,9 +44,9 @@
 class WriterEvents(Protocol):
     """What a writer asks of its connection, and tells it."""
 
-    lost: bool
+    is_closing: bool
 
-    def permit(self, what: OpenAttempt | Probe, command: ServeCommand | bytes) -> bytes | None:
+    def encode_if_permitted(self, what: OpenAttempt | Probe, command: ServeCommand | bytes) -> bytes | None:
         """Return the bytes of the next command as they go out now, None where it must not begin."""
 
     def on_first_byte(self, what: OpenAttempt | Probe, now_ns: int) -> None:
@@ -116,7 +116,7 @@
 
     async def run(self, sock: socket.socket) -> None:
         """Write until the connection is lost; OSError where the socket is broken."""
-        while not self._events.lost:
+        while not self._events.is_closing:
             try:
                 if self._send(sock):
                     continue
@@ -124,9 +124,9 @@
                 await self._until_writable(sock)
                 continue
             except OSError as error:
-                if not is_momentary(error):
+                if not is_transient(error):
                     raise
-                await asyncio.sleep(MOMENTARY_PAUSE)
+                await asyncio.sleep(TRANSIENT_ERROR_PAUSE_S)
                 continue
             if self.queue:
                 await self._pauses.settled.wait()  # what came in the pause is heard before
@@ -162,7 +162,7 @@
     def _begin(self, sock: socket.socket) -> None:
         """Write the first command of the queue, or what the socket takes of it."""
         what, command = self.queue[0]
-        data = self._events.permit(what, command)
+        data = self._events.encode_if_permitted(what, command)
         if data is None:
             return
         now = clock.now()
@@ -176,11 +176,11 @@
         """Wait until the socket takes bytes; CommandStalledError where it does not take a begun command."""
         attempt = self.queue[0][0] if self._unsent else None
         if not isinstance(attempt, OpenAttempt) or attempt.state is not AttemptState.SENT:
-            await until_writable(sock)
+            await wait_until_writable(sock)
             return
         try:
             async with asyncio.timeout(max(half_sent_until(attempt) - clock.now(), 0) / clock.SECOND):
-                await until_writable(sock)
+                await wait_until_writable(sock)
         except TimeoutError:
             if attempt.state is AttemptState.SENT:  # else its cancel follows the rest
                 raise CommandStalledError from None
--- a/quincepier/net/connect_failures.py
+++ b/quincepier/net/connect_failures.py
@@ -6,7 +6,7 @@
 from quincepier.net.sockets import LOCAL_ERRORS, UNREACHABLE_ERRORS, ConnectFailedError
 
 
-def note_connect_failure(error: OSError, checks: Checks, host: str) -> bool:
+def count_connect_failure(error: OSError, checks: Checks, host: str) -> bool:
     """Count a failed connect; return whether it says that the machine is not there.
 
     Args:
@@ -17,7 +17,7 @@
     match error:
         case ConnectFailedError():
             checks.count("cache_connections_failed_all_addresses")
-            return error.absent
+            return error.is_absent
         case TimeoutError():
             checks.count("cache_connect_timeouts")
             return True
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -98,7 +98,7 @@
 
     async def start(self) -> None:
         """Take part, and wait a little for the committed version: it may say what not to send to."""
-        self._module.context.stale = self.effects.are_decisions_stale
+        self._module.context.are_decisions_stale = self.effects.are_decisions_stale
         thread = WorkerThread("version-store")
         self.effects.stored_version = await self._load_stored_version(thread)
         writer = VersionWriter(self._version_store, thread, lambda: self.follower.version, self.checks)
--- a/quincepier/net/lingering.py
+++ b/quincepier/net/lingering.py
@@ -34,12 +34,12 @@
         loop = asyncio.get_running_loop()
         self.open[sock] = loop.call_later(LINGERS_FOR, self._close, sock)
         loop.add_reader(sock.fileno(), self._read, sock)
-        self.descriptors.lingers(1)
+        self.descriptors.add_lingering(1)
         self.make_room()
 
     def make_room(self) -> None:
         """Descriptors that clients need are not kept for those who have been told to go."""
-        room = self.descriptors.clients_most - self.descriptors.clients + SPARE_LINGERING
+        room = self.descriptors.max_clients - self.descriptors.clients + SPARE_LINGERING
         while len(self.open) > max(room, 0):
             self.checks.count("lingering_clients_closed_descriptor_limit")
             self._close(next(iter(self.open)))
@@ -67,4 +67,4 @@
         self.open.pop(sock).cancel()
         asyncio.get_running_loop().remove_reader(sock.fileno())
         sock.close()
-        self.descriptors.lingers(-1)
+        self.descriptors.add_lingering(-1)
--- a/quincepier/net/listener.py
+++ b/quincepier/net/listener.py
@@ -8,7 +8,7 @@
 
 from quincepier import clock
 from quincepier.net.clients import ConnectionManager
-from quincepier.net.sockets import no_delay
+from quincepier.net.sockets import set_no_delay
 
 ACCEPTS = 8  # new clients in a row: the others get their turn in a storm of them
 ACCEPTS_AT_MOST = 256  # in a row once some may have waited long: their time counts from the first of them
@@ -95,7 +95,7 @@
                 self.again = loop.call_later(FAILED_PAUSE, self.start)
             return Accepted.FAILED
         sock.setblocking(False)
-        no_delay(sock)
+        set_no_delay(sock)
         waited_ns = self._waited_ns()
         connection = self.manager.admit(sock, address[0])
         if connection is None:
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -20,6 +20,7 @@
 from quincepier.memory.open_requests import OpenAttempt, OpenRequest, OpenRequestTable
 from quincepier.net.actor import Actor
 from quincepier.net.cache import CacheActor
+from quincepier.net.cache_connection_context import CacheConnectionContext
 from quincepier.net.cache_fleet import CacheFleet
 from quincepier.net.event_dates import EventDates
 from quincepier.net.first_byte_checks import check_first_byte
@@ -37,7 +38,6 @@
     Send,
     ToModule,
 )
-from quincepier.net.cache_connection_context import CacheConnectionContext
 from quincepier.net.sockets import Descriptors
 from quincepier.policy import Router
 from quincepier.recovery import fronts_that_ask
@@ -75,7 +75,7 @@
         self.directory = MachineDirectory(config.zones, config.kinds, self.dates.start_of)
         self.fleet = CacheFleet(self.context, self.directory, self._askers)
         self.requests = OpenRequestTable(budget.max_open_requests)
-        self.caches: dict[int, CacheActor] = self.context.actors
+        self.caches: dict[int, CacheActor] = self.context.actor_by_number
         self.timers: Wheel[tuple[int, int]] = Wheel(clock.now(), clock.MS)  # token, the request it is about
         self.alarm: asyncio.TimerHandle | None = None
         self.alarm_at = 0
@@ -240,9 +240,9 @@
             self.standing = self.standing or event.whole
             self._list_changed(news)
             if event.whole:
-                self.fleet.follow_all()
+                self.fleet.update_all()
             else:
-                self.fleet.follow_changes(machine.cache for machine in news.machines)
+                self.fleet.update_changed(machine.cache for machine in news.machines)
         elif isinstance(event, BadRecord):
             self.checks.event("change_log_record_invalid", event.why)
 
@@ -289,7 +289,7 @@
         """The operators tell other addresses or limits: they hold from the next dial on."""
         if self.context.dialer is not None:
             self.context.dialer.configure(section)
-            self.fleet.follow_all(anew=True)
+            self.fleet.update_all(force=True)
 
     def _askers(self, site: str) -> int:
         settings = self.config.settings
--- a/quincepier/net/probe.py
+++ b/quincepier/net/probe.py
@@ -4,11 +4,11 @@
 
 from quincepier.interface import AttemptOutcome
 
-PROBE_WORDS = {"well": AttemptOutcome.OK, "ill": AttemptOutcome.ERROR}  # answers to it
+OUTCOME_BY_PROBE_RESPONSE = {"well": AttemptOutcome.OK, "ill": AttemptOutcome.ERROR}  # answers to it
 
 
 class Probe:
     """One that is out: its tag, and when it was begun, ns."""
 
     def __init__(self, tag: str, at: int) -> None:
-        self.tag, self.at = tag, at
+        self.tag, self.started_at = tag, at
--- a/quincepier/net/reading.py
+++ b/quincepier/net/reading.py
@@ -8,7 +8,7 @@
 from quincepier import clock
 from quincepier.net.messages import Came, Left
 from quincepier.net.session import Session, cgi_head
-from quincepier.net.sockets import MOMENTARY_PAUSE, is_momentary
+from quincepier.net.sockets import TRANSIENT_ERROR_PAUSE_S, is_transient
 from quincepier.net.writing import Writing
 from quincepier.translate import PING, BadRequestError, open_request
 from quincepier.wire import fastcgi
@@ -99,9 +99,9 @@
             self.queued_at = self.earliest_arrival = 0
             self.emptied_at = clock.now()
         except OSError as error:
-            if is_momentary(error):
+            if is_transient(error):
                 self._mark_waiting()
-                asyncio.get_running_loop().call_later(MOMENTARY_PAUSE, self._receive_later)
+                asyncio.get_running_loop().call_later(TRANSIENT_ERROR_PAUSE_S, self._receive_later)
             else:
                 self._break_off(error)
         except Exception as error:
@@ -119,7 +119,7 @@
         self.moved = now
         session = self.session
         if session is None:
-            session = self.session = Session(manager.descriptors.clients_most)
+            session = self.session = Session(manager.descriptors.max_clients)
             manager.in_session.add(self.itself)
         read_closed, decoder = self.read_closed, session.decoder
         # behind a fault it is read on only to hear of a close
--- a/quincepier/net/sockets.py
+++ b/quincepier/net/sockets.py
@@ -9,44 +9,51 @@
 
 from quincepier.checks import Checks
 
-SPARE = 24  # descriptors of the loop, the listener, the log and the like (11), and of those about to close
+RESERVED_DESCRIPTORS = (
+    24  # descriptors of the loop, the listener, the log and the like (11), and of those about to close
+)
 
 
 # What a connect fails with for want of the front's own, or of its machine's: it says nothing of the server.
 RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 LOCAL_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
 # What a read or write fails with for a moment: the connection is as it was.
-MOMENTARY_ERRORS = frozenset((errno.ENOBUFS, errno.ENOMEM))
-MOMENTARY_PAUSE = 0.005  # seconds until it is tried again
-LISTEN_WITHIN = 10.0  # seconds; a front is to be ready within 30
+TRANSIENT_ERRORS = frozenset((errno.ENOBUFS, errno.ENOMEM))
+TRANSIENT_ERROR_PAUSE_S = 0.005  # seconds until it is tried again
+LISTEN_TIMEOUT_S = 10.0  # seconds; a front is to be ready within 30
 UNREACHABLE_ERRORS = frozenset((errno.EHOSTUNREACH, errno.EHOSTDOWN))  # of a connect: nobody is there
-LOCAL_PAUSE, MAX_LOCAL_PAUSE = 0.01, 0.16  # seconds until such a connect is tried again, doubled each time
-NO_BUFFER_PAUSE = 0.005  # seconds between looks for a buffer to read into, where even the reserve is used up
+MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = (
+    0.01,
+    0.16,
+)  # seconds until such a connect is tried again, doubled each time
+NO_BUFFER_PAUSE_S = (
+    0.005  # seconds between looks for a buffer to read into, where even the reserve is used up
+)
 
 
 class Descriptors:
     """The front's own account of its sockets: half for clients, the rest for caches and the change log."""
 
     def __init__(self, limit: int) -> None:
-        usable = max(limit - SPARE, 8)
-        self.clients_most = usable // 2
-        self.caches_most = usable - self.clients_most
+        usable = max(limit - RESERVED_DESCRIPTORS, 8)
+        self.max_clients = usable // 2
+        self.max_caches = usable - self.max_clients
         self.clients = self.caches = self.lingering = self.peak = 0
 
-    def client(self, by: int) -> None:
+    def add_clients(self, by: int) -> None:
         self.clients += by
-        self._mark()
+        self._update_peak()
 
-    def cache(self, by: int) -> None:
+    def add_caches(self, by: int) -> None:
         self.caches += by
-        self._mark()
+        self._update_peak()
 
-    def lingers(self, by: int) -> None:
+    def add_lingering(self, by: int) -> None:
         """Clients' sockets that were closed for writing and are read to their end."""
         self.lingering += by
-        self._mark()
+        self._update_peak()
 
-    def _mark(self) -> None:
+    def _update_peak(self) -> None:
         self.peak = max(self.peak, self.clients + self.caches + self.lingering)
 
 
@@ -56,7 +63,7 @@
     return sock
 
 
-def no_delay(sock: socket.socket) -> None:
+def set_no_delay(sock: socket.socket) -> None:
     """Hold no small write back; a socket on which that can't be set is of use all the same."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -74,10 +81,10 @@
     return sock
 
 
-async def listen_once_possible(address: tuple[str, int], checks: Checks) -> socket.socket:
+async def listen_with_retries(address: tuple[str, int], checks: Checks) -> socket.socket:
     """A listening socket; tried again where none can be had for a moment, else OSError."""
     loop = asyncio.get_running_loop()
-    until, pause = loop.time() + LISTEN_WITHIN, LOCAL_PAUSE
+    until, pause = loop.time() + LISTEN_TIMEOUT_S, MIN_RETRY_PAUSE_S
     while True:
         try:
             return listen(address)
@@ -86,7 +93,7 @@
                 raise
         checks.count("listens_retried_local_resources")
         await asyncio.sleep(pause)
-        pause = min(2 * pause, MAX_LOCAL_PAUSE)
+        pause = min(2 * pause, MAX_RETRY_PAUSE_S)
 
 
 async def connect(address: tuple[str, int], timeout: float, checks: Checks) -> socket.socket:
@@ -95,7 +102,7 @@
     What fails for want of the front's own is tried again within that time.
     """
     loop = asyncio.get_running_loop()
-    until, pause = loop.time() + timeout, LOCAL_PAUSE
+    until, pause = loop.time() + timeout, MIN_RETRY_PAUSE_S
     while True:
         try:
             return await _connect_once(address, until - loop.time())
@@ -104,20 +111,20 @@
                 raise
         checks.count("connects_retried_local_resources")
         await asyncio.sleep(pause)
-        pause = min(2 * pause, MAX_LOCAL_PAUSE)
+        pause = min(2 * pause, MAX_RETRY_PAUSE_S)
 
 
 async def _connect_once(address: tuple[str, int], timeout: float) -> socket.socket:
     sock = make_socket()
     try:
-        await connect_within(sock, address, timeout)
+        await connect_with_timeout(sock, address, timeout)
     except BaseException:
         sock.close()
         raise
     return sock
 
 
-async def connect_within(sock: socket.socket, address: object, timeout: float) -> None:
+async def connect_with_timeout(sock: socket.socket, address: object, timeout: float) -> None:
     """Connect it; OSError where it is refused, TimeoutError where it is not up after so many seconds.
 
     After a standstill of the front the time is up before the loop has told of a connection that came up
@@ -131,12 +138,12 @@
             sock.getpeername()
         except OSError:
             raise TimeoutError from None
-    no_delay(sock)
+    set_no_delay(sock)
 
 
-def is_momentary(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """Whether a read or write that failed so is to be tried again on the same connection."""
-    return error.errno in MOMENTARY_ERRORS
+    return error.errno in TRANSIENT_ERRORS
 
 
 def resolve(waiter: asyncio.Future[None] | None) -> bool:
@@ -147,7 +154,7 @@
     return True
 
 
-async def until_writable(sock: socket.socket) -> None:
+async def wait_until_writable(sock: socket.socket) -> None:
     """Wait until a socket takes bytes again."""
     loop = asyncio.get_running_loop()
     ready: asyncio.Future[None] = loop.create_future()
@@ -165,20 +172,20 @@
         try:
             left = left[sock.send(left) :]
         except (BlockingIOError, InterruptedError):
-            await until_writable(sock)
+            await wait_until_writable(sock)
         except OSError as error:
-            if not is_momentary(error):
+            if not is_transient(error):
                 raise
-            await asyncio.sleep(MOMENTARY_PAUSE)
+            await asyncio.sleep(TRANSIENT_ERROR_PAUSE_S)
 
 
-def let_go(sock: socket.socket) -> None:
+def close_at_once(sock: socket.socket) -> None:
     """Close a socket now, of which the loop may have a reader; else it stays open until that one is gone."""
     asyncio.get_running_loop().remove_reader(sock)
     sock.close()
 
 
-def end_now(sock: socket.socket) -> None:
+def shutdown_and_close(sock: socket.socket) -> None:
     """Close a socket so that its peer sees the end in this turn of the loop.
 
     The loop may hold the descriptor of a closed socket until its next turn; a shutdown does not wait.
@@ -193,4 +200,4 @@
 
     def __init__(self, absent: bool, why: str) -> None:
         super().__init__(why)
-        self.absent = absent
+        self.is_absent = absent
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -119,7 +119,7 @@
             (record.host, record.address, record.failure_count, record.remaining_ns - age_ns)
             for record in state.address_backoffs
         ]
-        self.checks.count("state_addresses_restored", dialer.recall(backoffs))
+        self.checks.count("state_addresses_restored", dialer.restore_backoffs(backoffs))
 
     def _name_mapping(self) -> NameMapping:
         directory = self.module.directory
@@ -172,7 +172,7 @@
             if count % FACTS_PER_SLICE == 0:
                 await asyncio.sleep(0)
         if self.module.context.dialer is not None:
-            for host, address, failure_count, remaining_ns in self.module.context.dialer.aside():
+            for host, address, failure_count, remaining_ns in self.module.context.dialer.list_backoffs():
                 builder.add_address_backoff(AddressBackoffRecord(host, address, failure_count, remaining_ns))
         return builder
 
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -203,7 +203,7 @@
         sock, self.kept = self.kept, None
         if sock is not None:
             sock.close()
-            self.descriptors.cache(-1)
+            self.descriptors.add_caches(-1)
 
     def _take(self, last: int, events: tuple[ChangeEvent, ...]) -> None:
         """Pass on what is new, once, in order; at a gap or a bad record ask again, a few times."""
--- a/quincepier/net/watch_poll.py
+++ b/quincepier/net/watch_poll.py
@@ -84,7 +84,7 @@
         host, port = self.means.config.changelog
         if self.sock is None:
             self.sock = await connect((host, port), MAX_LIFETIME, self.means.checks)
-            self.means.descriptors.cache(1)
+            self.means.descriptors.add_caches(1)
         self.asked = loop.time()
         ask = f"GET {self.target()} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
         async with asyncio.timeout_at(until):
@@ -135,4 +135,4 @@
         self.task.cancel()
         if (sock := self.take_connection()) is not None:
             sock.close()
-            self.means.descriptors.cache(-1)
+            self.means.descriptors.add_caches(-1)
--- a/quincepier/net/writing.py
+++ b/quincepier/net/writing.py
@@ -15,7 +15,7 @@
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.messages import Answer
 from quincepier.net.session import Outgoing, Session, cgi_head
-from quincepier.net.sockets import is_momentary, send_all
+from quincepier.net.sockets import is_transient, send_all
 from quincepier.timers import Timer
 from quincepier.wire import fastcgi
 from quincepier.wire.errors import ProtocolError
@@ -157,7 +157,7 @@
             except (BlockingIOError, InterruptedError):
                 sent = 0
             except OSError as error:
-                if not is_momentary(error):
+                if not is_transient(error):
                     raise
                 sent = 0
             self.moved = clock.now() if sent else self.moved
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -78,7 +78,9 @@
         descriptors = Descriptors(sockets)
         self.module = ModuleActor(self.config(order), checks, pool, descriptors, lambda: None, BUDGET)
         self.module.means.judge = parse
-        self.module.context.dialer = Dialer(self.module.means, self.section, self.module.context.descriptor)
+        self.module.context.dialer = Dialer(
+            self.module.means, self.section, self.module.context.ensure_descriptor
+        )
         self.module.begin()
 
     @property
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -261,7 +261,7 @@
             connection.close()
         await until(lambda: not self.connections(), "the connections are gone")
         assert (self.descriptors.caches, self.pool.used) == (0, 0)
-        assert not [c for cache in self.module.caches.values() for c in (cache.out or cache.timers)]
+        assert not [c for cache in self.module.caches.values() for c in (cache.in_flight or cache.timers)]
         assert not [
             kind
             for kind in self.checks.counts
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -152,8 +152,8 @@
         if attempt not in self.started or attempt.request.allows_second_copy:
             plain(self, id, attempt, outcome)
             return
-        self.open.pop(id, None)
-        self.actor.ended(attempt, outcome, clock.now())
+        self.awaited_by_id.pop(id, None)
+        self.actor.complete_without_response(attempt, outcome, clock.now())
         self.started.discard(attempt)
         later = Probe("later", clock.now()), lines.cancel(id)
         asyncio.get_running_loop().call_later(0.3, self.writer.add, *later)
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -12,22 +12,22 @@
 from hypothesis import strategies as st
 
 from quincepier.addresses import (
-    Account,
     Address,
+    AddressBook,
     AddressError,
-    Book,
+    CancelDial,
     Candidate,
     Cause,
-    Dial,
-    Hang,
+    DialLimiter,
     Limits,
-    Lost,
     Preference,
+    RaceLost,
     Races,
-    Wake,
-    Won,
-    after_break,
-    ordered,
+    RaceWon,
+    ScheduleTick,
+    StartDial,
+    order_candidates,
+    outcome_after_break,
     parse,
     parse_term,
 )
@@ -65,7 +65,7 @@
     try:
         address = parse(text)
     except AddressError as error:
-        assert 1 <= error.column <= len(str(text)) + 1 and error.wanted
+        assert 1 <= error.column <= len(str(text)) + 1 and error.expected
     else:
         assert parse(str(address)) == address
 
@@ -100,9 +100,9 @@
         [parse_term("10.0.0.0/8"), parse_term("unix")], [parse_term("10.9.0.0/16"), parse_term("ipv6")]
     )
     assert [preference.grade(a) for a in (FAR, UNIX, V4)] == [0, 1, 2]
-    admitted = [preference.admits(parse(t)) for t in ("10.8.0.1:1", "10.9.1.1:1", "[::1]:1", "unix:/s")]
+    admitted = [preference.is_allowed(parse(t)) for t in ("10.8.0.1:1", "10.9.1.1:1", "[::1]:1", "unix:/s")]
     assert admitted == [True, False, False, True]
-    assert not Preference(forbid=[parse_term("unix")]).admits(UNIX)
+    assert not Preference(forbid=[parse_term("unix")]).is_allowed(UNIX)
     for text in ("ipv5", "10.0.0.0/33", "unix:/s", ""):
         with pytest.raises(AddressError):
             parse_term(text)
@@ -115,10 +115,10 @@
 def test_order_is_grade_then_what_worked_then_families_in_turn_and_last_what_rests() -> None:
     six = [parse(f"[2001:db8::{n}]:1") for n in range(1, 4)]
     four = [parse(f"192.0.2.{n}:1") for n in range(1, 3)]
-    plain = ordered([candidate(a) for a in (*four, *six, UNIX)])
+    plain = order_candidates([candidate(a) for a in (*four, *six, UNIX)])
     assert [c.address for c in plain] == [UNIX, six[0], four[0], six[1], four[1], six[2]]
     local = parse("[fd00::1]:1")  # RFC 6724: unique local addresses come after IPv4
-    assert [c.address for c in ordered([candidate(local), candidate(four[0])])] == [four[0], local]
+    assert [c.address for c in order_candidates([candidate(local), candidate(four[0])])] == [four[0], local]
     mixed = [
         candidate(six[0], grade=1),
         candidate(four[0], grade=0, aside=9),
@@ -126,94 +126,100 @@
         candidate(UNIX, grade=0, aside=5),
         candidate(six[1], grade=0),
     ]
-    assert [c.address for c in ordered(mixed)] == [six[1], four[1], six[0], UNIX, four[0]]
+    assert [c.address for c in order_candidates(mixed)] == [six[1], four[1], six[0], UNIX, four[0]]
 
 
 # The book
 
 
-def make_book(*addresses: Address, **limits: int) -> Book:
-    book = Book(Limits(**limits), Preference(), 7)
-    book.replace(addresses)
+def make_book(*addresses: Address, **limits: int) -> AddressBook:
+    book = AddressBook(Limits(**limits), Preference(), 7)
+    book.replace_addresses(addresses)
     return book
 
 
 def test_a_failed_address_rests_longer_each_time_and_comes_back_by_itself() -> None:
     book, now, waits = make_book(V4, V6), 1000 * MS, []
     for _ in range(8):
-        assert book.failed(V4, now, now)
-        assert book.resting(V4, now) and book.another(V4, now) and book.order(now)[0].address == V6
-        waits.append(book.entries[V4].due - now)
-        now = book.entries[V4].due
-        assert not book.resting(V4, now)
+        assert book.on_failure(V4, now, now)
+        assert (
+            book.is_backing_off(V4, now)
+            and book.has_alternative(V4, now)
+            and book.order(now)[0].address == V6
+        )
+        waits.append(book.state_by_address[V4].backoff_until - now)
+        now = book.state_by_address[V4].backoff_until
+        assert not book.is_backing_off(V4, now)
     assert all(0.7 * 200 * MS * 2**n <= wait <= 1.3 * 200 * MS * 2**n for n, wait in enumerate(waits[:5]))
     assert max(waits) <= 1.25 * 10_000 * MS
-    book.heard(V4)
-    book.failed(V4, now + 1, now + 1)
-    assert book.entries[V4].due - now < 300 * MS  # an answer makes it good again
+    book.on_response(V4)
+    book.on_failure(V4, now + 1, now + 1)
+    assert book.state_by_address[V4].backoff_until - now < 300 * MS  # an answer makes it good again
 
 
 def test_many_dials_under_way_that_fail_together_are_one_failure() -> None:
     book = make_book(V4, V6)
-    assert [book.failed(V4, 5 * MS, 10 * MS + n) for n in range(50)] == [True] + [False] * 49
-    assert book.entries[V4].failures == 1
+    assert [book.on_failure(V4, 5 * MS, 10 * MS + n) for n in range(50)] == [True] + [False] * 49
+    assert book.state_by_address[V4].failures == 1
 
 
 def test_what_rests_is_recalled_after_a_start_for_no_longer_and_that_one_worked_is_not() -> None:
     book, now = make_book(V4, V6, UNIX), 1000 * MS
     for _ in range(4):
-        book.failed(V4, book.entries[V4].due or now, book.entries[V4].due or now)
-    now = book.entries[V4].since
-    book.heard(V6)
-    (told,) = book.aside(now)
+        book.on_failure(
+            V4, book.state_by_address[V4].backoff_until or now, book.state_by_address[V4].backoff_until or now
+        )
+    now = book.state_by_address[V4].backoff_began_at
+    book.on_response(V6)
+    (told,) = book.list_backoffs(now)
     left = told[2]
-    assert told[1] == 4 and left == book.entries[V4].due - now
+    assert told[1] == 4 and left == book.state_by_address[V4].backoff_until - now
     for old, rests in ((100 * MS, True), (left, False), (60_000 * MS, False)):
         new = make_book(V4, V6, UNIX)
-        assert new.recall([(told[0], told[1], left - old)], 5 * MS) == rests
-        assert new.resting(V4, 5 * MS) == rests and not new.resting(V6, 5 * MS)
+        assert new.restore_backoffs([(told[0], told[1], left - old)], 5 * MS) == rests
+        assert new.is_backing_off(V4, 5 * MS) == rests and not new.is_backing_off(V6, 5 * MS)
         assert new.order(5 * MS)[0].address in (V6, UNIX) or not rests
-        assert all(not e.worked for e in new.entries.values())
-    held = make_book(V4, aside_most=500)
-    held.recall([(told[0], 4, 10**15)], 0)
-    assert held.entries[V4].due <= 500  # never longer than the operators allow
+        assert all(not e.last_response for e in new.state_by_address.values())
+    held = make_book(V4, max_backoff=500)
+    held.restore_backoffs([(told[0], 4, 10**15)], 0)
+    assert held.state_by_address[V4].backoff_until <= 500  # never longer than the operators allow
 
 
 def test_an_address_that_only_accepts_is_not_proved_and_rests_on() -> None:
     book, now = make_book(V4, V6), 1000 * MS
-    book.failed(V4, now, now)
-    now = book.entries[V4].due
-    assert book.tried(V4, 1, now) and book.resting(V4, now)  # on trial: nobody else takes it
-    book.over(V4, 1)
-    book.up(V4, MS, now)
-    assert book.resting(V4, now)
-    book.failed(V4, now + 1, now + 1)
-    assert book.entries[V4].failures == 2
-    book.heard(V4)
-    assert not book.resting(V4, now)
+    book.on_failure(V4, now, now)
+    now = book.state_by_address[V4].backoff_until
+    assert book.on_dial_started(V4, 1, now) and book.is_backing_off(V4, now)  # on trial: nobody else takes it
+    book.on_dial_ended(V4, 1)
+    book.on_connected(V4, MS, now)
+    assert book.is_backing_off(V4, now)
+    book.on_failure(V4, now + 1, now + 1)
+    assert book.state_by_address[V4].failures == 2
+    book.on_response(V4)
+    assert not book.is_backing_off(V4, now)
 
 
 def test_the_stagger_is_learnt_and_bounded_at_both_ends() -> None:
     book = make_book(V4)
     assert book.stagger == 30 * MS
     for _ in range(50):
-        book.up(V4, MS // 10, 0)
+        book.on_connected(V4, MS // 10, 0)
     assert book.stagger == 10 * MS
     for _ in range(50):
-        book.up(V4, 20 * MS, 0)
+        book.on_connected(V4, 20 * MS, 0)
     assert 20 * MS <= book.stagger <= 60 * MS
     for _ in range(50):
-        book.up(V4, 400 * MS, 0)
+        book.on_connected(V4, 400 * MS, 0)
     assert book.stagger == 60 * MS
 
 
 def test_a_new_list_keeps_what_is_known_of_the_addresses_that_stay() -> None:
     book = make_book(V4, V6)
-    book.failed(V4, 1, 1)
-    assert book.replace([V4, UNIX, UNIX]) == {V6}
-    assert book.resting(V4, 2) and list(book.entries) == [V4, UNIX]
-    assert book.failed(V6, 1, 1) is False  # it left the list: nothing is kept of it
-    assert book.replace([]) == {V4, UNIX} and book.order(5) == []
+    book.on_failure(V4, 1, 1)
+    assert book.replace_addresses([V4, UNIX, UNIX]) == {V6}
+    assert book.is_backing_off(V4, 2) and list(book.state_by_address) == [V4, UNIX]
+    assert book.on_failure(V6, 1, 1) is False  # it left the list: nothing is kept of it
+    assert book.replace_addresses([]) == {V4, UNIX} and book.order(5) == []
 
 
 @settings(derandomize=True, max_examples=200)
@@ -225,20 +231,20 @@
         address, now = addresses[which], now + wait * MS
         match what:
             case 0 | 1:
-                book.failed(address, now - what * MS, now)
+                book.on_failure(address, now - what * MS, now)
             case 2:
-                book.heard(address)
+                book.on_response(address)
             case 3:
-                book.up(address, wait * MS, now)
+                book.on_connected(address, wait * MS, now)
             case 4:
-                book.tried(address, 9, now)
+                book.on_dial_started(address, 9, now)
             case 5:
-                book.over(address, 9)
+                book.on_dial_ended(address, 9)
         order = book.order(now)
         assert sorted(str(c.address) for c in order) == sorted(map(str, addresses))
-        rests = [bool(c.aside) for c in order]
+        rests = [bool(c.backoff_until) for c in order]
         assert rests == sorted(rests)  # what may be tried comes first
-        assert all(entry.due <= now + 12_500 * MS for entry in book.entries.values())
+        assert all(entry.backoff_until <= now + 12_500 * MS for entry in book.state_by_address.values())
         assert 10 * MS <= book.stagger <= 60 * MS
 
 
@@ -279,17 +285,17 @@
     def end(self, dial: int, cause: Cause | None) -> None:
         race, address = self.dials.pop(dial)
         if cause is None:
-            self.take(self.races.up(dial, self.now))
+            self.take(self.races.on_connected(dial, self.now))
             return
-        trial = self.races.book.entries[address].trial == dial
+        trial = self.races.book.state_by_address[address].trial_dial == dial
         for other in self.live if trial else {race}:
             self.failed[other].add(address)
-        self.take(self.races.failed(dial, cause, self.now))
+        self.take(self.races.on_dial_failed(dial, cause, self.now))
 
     def drop(self, race: int) -> None:
         self.live.discard(race)
         self.over[race] = "dropped"
-        self.take(self.races.drop(race, self.now))
+        self.take(self.races.cancel(race, self.now))
 
     def tick(self) -> None:
         self.now, self.wake = max(self.now, self.wake), 0
@@ -299,45 +305,66 @@
         book = self.races.book
         for action in actions:
             match action:
-                case Dial(race, dial, address):
-                    assert race in self.live and address in book.entries
+                case StartDial(race, dial, address):
+                    assert race in self.live and address in book.state_by_address
                     assert address not in self.dialled[race], "an address is dialled once a race"
                     self.dialled[race].append(address)
                     self.dials[dial] = race, address
-                case Hang(dial):
+                case CancelDial(dial):
                     self.dials.pop(dial, None)
-                case Won(race, dial, address):
+                case RaceWon(race, dial, address):
                     assert race in self.live
                     self.live.remove(race)
                     self.over[race] = "won"
-                case Lost(race):
+                case RaceLost(race):
                     assert race in self.live
-                    assert set(book.entries) <= self.failed[race], "every address has failed for it"
+                    assert set(book.state_by_address) <= self.failed[race], "every address has failed for it"
                     self.live.remove(race)
                     self.over[race] = "lost"
-                case Wake(at):
+                case ScheduleTick(at):
                     self.wake = at
-        assert len(self.dials) <= book.limits.dials_each
+        assert len(self.dials) <= book.limits.max_dials_per_machine
         assert {race for race, _ in self.dials.values()} <= self.live, "nothing is dialled for nobody"
-        assert self.races.account.used == len(self.dials)
-        assert set(self.races.races) == self.live
-        for entry in book.entries.values():
-            assert not entry.trial or entry.trial in self.dials
+        assert self.races.limiter.in_use == len(self.dials)
+        assert set(self.races.race_by_number) == self.live
+        for entry in book.state_by_address.values():
+            assert not entry.trial_dial or entry.trial_dial in self.dials
         for race in self.live - {race for race, _ in self.dials.values()}:
-            full = len(self.dials) >= max(book.limits.dials_each // 2, 1)
-            assert full or any(e.trial for e in book.entries.values()), f"race {race} waits for nothing"
+            full = len(self.dials) >= max(book.limits.max_dials_per_machine // 2, 1)
+            assert full or any(
+                e.trial_dial for e in book.state_by_address.values()
+            ), f"race {race} waits for nothing"
 
     def key(self) -> object:
         """What decides all that can follow, numbers and times made relative."""
-        book, races = self.races.book, self.races.races.values()
+        book, races = self.races.book, self.races.race_by_number.values()
         order, now = {race.number: n for n, race in enumerate(races)}, self.now
         entries = [
-            (str(e.address), e.failures, max(e.due - now, 0) if e.due else -1, bool(e.trial), e.since - now)
-            for e in book.entries.values()
+            (
+                str(e.address),
+                e.failures,
+                max(e.backoff_until - now, 0) if e.backoff_until else -1,
+                bool(e.trial_dial),
+                e.backoff_began_at - now,
+            )
+            for e in book.state_by_address.values()
         ]
-        flying = sorted((order[r], str(a), self.races.dials[d].at - now) for d, (r, a) in self.dials.items())
-        running = [(sorted(map(str, r.failed)), max(r.next_at - now, 0), r.stuck, r.blameless) for r in races]
-        return repr((entries, flying, running, max(self.wake - now, 0), len(self.over), self.races.numbers))
+        flying = sorted(
+            (order[r], str(a), self.races.dial_by_number[d].started_at - now)
+            for d, (r, a) in self.dials.items()
+        )
+        running = [
+            (
+                sorted(map(str, r.cause_by_address)),
+                max(r.next_dial_at - now, 0),
+                r.awaits_trials,
+                r.is_timing_unreliable,
+            )
+            for r in races
+        ]
+        return repr(
+            (entries, flying, running, max(self.wake - now, 0), len(self.over), self.races.race_count)
+        )
 
 
 class Even(random.Random):
@@ -362,15 +389,17 @@
         after = copy.deepcopy(world)
         after.tick()
         yield after
-    if world.races.numbers < more:
+    if world.races.race_count < more:
         after = copy.deepcopy(world)
         after.start()
         yield after
-    if gone and len(world.races.book.entries) > 1 and world.live:  # the list loses an address in the middle
+    if (
+        gone and len(world.races.book.state_by_address) > 1 and world.live
+    ):  # the list loses an address in the middle
         after = copy.deepcopy(world)
-        first = next(iter(after.races.book.entries))
-        after.races.book.replace([a for a in after.races.book.entries if a != first])
-        after.take(after.races.moved(after.now))
+        first = next(iter(after.races.book.state_by_address))
+        after.races.book.replace_addresses([a for a in after.races.book.state_by_address if a != first])
+        after.take(after.races.on_addresses_replaced(after.now))
         yield after
 
 
@@ -380,14 +409,14 @@
 )
 def test_every_ordering_of_small_races(addresses: int, races: int, each: int, gone: bool) -> None:
     """Depth first over all orders of dials ending, time, new races, clients leaving and a changed list."""
-    book = make_book(*(V4, V6, UNIX)[:addresses], dials_each=each)
+    book = make_book(*(V4, V6, UNIX)[:addresses], max_dials_per_machine=each)
     book.random = Even()
-    first = World(Races(book, Account(64)))
+    first = World(Races(book, DialLimiter(64)))
     first.start()
     seen, left, ends = {first.key()}, [first], 0
     while left:
         world = left.pop()
-        if not world.live and world.races.numbers == races:
+        if not world.live and world.races.race_count == races:
             assert not world.dials and len(world.over) == races
             ends += 1
             continue
@@ -416,8 +445,10 @@
 
 
 def test_hundreds_of_connections_share_at_once_that_an_address_refuses() -> None:
-    world = World(Races(make_book(V4, V6), Account(64)))
-    world.races.book.entries[V4].worked = world.races.book.answers = 1  # until now all went there
+    world = World(Races(make_book(V4, V6), DialLimiter(64)))
+    world.races.book.state_by_address[V4].last_response = world.races.book.response_count = (
+        1  # until now all went there
+    )
     for _ in range(300):
         world.start()
     settle(world, {V6})
@@ -426,63 +457,66 @@
 
 
 def test_hundreds_of_connections_share_at_once_that_an_address_is_silent() -> None:
-    world = World(Races(make_book(UNIX, V6), Account(64)))  # the first takes no dial and refuses none
+    world = World(Races(make_book(UNIX, V6), DialLimiter(64)))  # the first takes no dial and refuses none
     for _ in range(300):
         world.start()
     settle(world, {V6})
     silent = sum(a == UNIX for dialled in world.dialled.values() for a in dialled)
     assert set(world.over.values()) == {"won"} and silent <= 4, silent
-    assert world.races.book.resting(UNIX, world.now)
+    assert world.races.book.is_backing_off(UNIX, world.now)
 
 
 def test_a_machine_that_is_gone_costs_hundreds_of_connections_a_handful_of_dials() -> None:
-    world = World(Races(make_book(V4), Account(64)))
+    world = World(Races(make_book(V4), DialLimiter(64)))
     for _ in range(300):
         world.start()
     settle(world, set())
-    assert set(world.over.values()) == {"lost"} and world.races.dialled <= 12
+    assert set(world.over.values()) == {"lost"} and world.races.dial_count <= 12
 
 
 def test_who_comes_up_second_is_hung_up_and_blamed_only_after_a_whole_stagger() -> None:
-    world = World(Races(make_book(V4, V6), Account(64)))
+    world = World(Races(make_book(V4, V6), DialLimiter(64)))
     world.start()
     world.tick()
     slow, quick = sorted(world.dials)
     world.end(quick, None)
     assert world.over == {1: "won"} and not world.dials
-    assert world.races.up(slow, world.now) == [Hang(slow)]  # both came up in one turn
-    assert world.races.book.resting(V6, world.now)
-    late = World(Races(make_book(V4, V6), Account(64)))
+    assert world.races.on_connected(slow, world.now) == [CancelDial(slow)]  # both came up in one turn
+    assert world.races.book.is_backing_off(V6, world.now)
+    late = World(Races(make_book(V4, V6), DialLimiter(64)))
     late.start()
     late.now = late.wake + 2000 * MS  # the front stood still: nobody is slower for that
     late.tick()
     late.end(max(late.dials), None)
-    assert not late.races.book.resting(V6, late.now)
+    assert not late.races.book.is_backing_off(V6, late.now)
 
 
 def test_no_descriptor_more_no_dial_beside_another() -> None:
-    account = Account(64, lambda: False)
+    account = DialLimiter(64, lambda: False)
     world = World(Races(make_book(V4, V6), account))
     world.start()
     world.tick()
-    assert len(world.dials) == 1 and world.races.extras == 0 and account.next() is world.races
+    assert len(world.dials) == 1 and world.races.extra_dials == 0 and account.pop_waiting() is world.races
     world.end(next(iter(world.dials)), Cause.TIMED_OUT)
     assert len(world.dials) == 1  # the next one, in its place
     world.end(next(iter(world.dials)), None)
-    assert world.over == {1: "won"} and account.used == 0
+    assert world.over == {1: "won"} and account.in_use == 0
 
 
 def test_the_front_keeps_to_its_dials_and_leaves_some_to_those_that_fall_back() -> None:
-    account = Account(4)
+    account = DialLimiter(4)
     worlds = [World(Races(make_book(V4, V6), account)) for _ in range(6)]
     for world in worlds:
         world.races.start(world.now)
-    assert account.used == 3 and len(account.waiting) == 3  # one of four is kept for a second dial
+    assert account.in_use == 3 and len(account.waiting) == 3  # one of four is kept for a second dial
     first = worlds[0].races
-    assert [type(a) for a in first.tick(worlds[0].now + 40 * MS)] == [Dial, Wake] and account.used == 4
-    assert account.next() is None
-    first.drop(1, worlds[0].now)
-    assert account.used == 2 and account.next() is worlds[3].races
+    assert [type(a) for a in first.tick(worlds[0].now + 40 * MS)] == [
+        StartDial,
+        ScheduleTick,
+    ] and account.in_use == 4
+    assert account.pop_waiting() is None
+    first.cancel(1, worlds[0].now)
+    assert account.in_use == 2 and account.pop_waiting() is worlds[3].races
 
 
 def test_a_race_is_lost_as_absent_only_where_nobody_is_there() -> None:
@@ -492,22 +526,22 @@
         ((Cause.REFUSED, Cause.RESET), False),
         ((Cause.LOCAL_RESOURCES, Cause.REFUSED), False),
     ):
-        races, now = Races(make_book(V4, V6), Account(8)), 1000 * MS
+        races, now = Races(make_book(V4, V6), DialLimiter(8)), 1000 * MS
         _, actions = races.start(now)
         for cause in causes:
-            (dial,) = [a.dial for a in actions if isinstance(a, Dial)]
-            actions = races.failed(dial, cause, now)
-        assert [a.absent for a in actions if isinstance(a, Lost)] == [absent]
-        entries = sorted(races.book.entries.values(), key=lambda e: -e.precedence)
+            (dial,) = [a.dial for a in actions if isinstance(a, StartDial)]
+            actions = races.on_dial_failed(dial, cause, now)
+        assert [a.is_absent for a in actions if isinstance(a, RaceLost)] == [absent]
+        entries = sorted(races.book.state_by_address.values(), key=lambda e: -e.precedence)
         blamed = [entry.failures > 0 for entry in entries]
         assert blamed == [cause is not Cause.LOCAL_RESOURCES for cause in causes]
 
 
 def test_machine_without_an_allowed_address_is_lost_at_once() -> None:
-    book = Book(Limits(), Preference(forbid=[parse_term("ipv4")]), 1)
-    book.replace([V4])
-    _, actions = Races(book, Account(8)).start(0)
-    assert [type(a) for a in actions] == [Lost]
+    book = AddressBook(Limits(), Preference(forbid=[parse_term("ipv4")]), 1)
+    book.replace_addresses([V4])
+    _, actions = Races(book, DialLimiter(8)).start(0)
+    assert [type(a) for a in actions] == [RaceLost]
 
 
 # One attempt: every ordering of what may happen to it, with drain, purge and client-left between two steps
@@ -535,7 +569,7 @@
             case "racing":
                 after.append(("up", moves, recalled, read, late))
                 for absent in (True, False):
-                    fate = after_break(False, absent, recalled, moves, 0)
+                    fate = outcome_after_break(False, absent, recalled, moves, 0)
                     after.append((f"ended {fate}", moves, recalled, read, late))
             case "up" if recalled:  # looked at right before the first byte
                 after.append((f"ended {AttemptOutcome.NOT_PROCESSED}", moves, recalled, read, late))
@@ -545,7 +579,7 @@
             case "unsent" | "part out" | "out":
                 if where == "out":
                     after.append(("ended answered", moves, recalled, read, late))
-                fate = after_break(where != "unsent", False, recalled, moves, most)
+                fate = outcome_after_break(where != "unsent", False, recalled, moves, most)
                 after.append(("racing", moves + 1, recalled, read, late) if fate is None else
                              (f"ended {fate}", moves, recalled, read, late))  # fmt: skip
         for state in after:
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -104,7 +104,7 @@
 
 
 def idle_for_long(inside: Inside, connection: Connection, wire: Wire) -> None:
-    connection.used -= inside.config.idle
+    connection.last_used_at -= inside.config.idle
     inside.sweep()
 
 
@@ -120,9 +120,9 @@
 
 
 def out_of_descriptors(inside: Inside, connection: Connection, wire: Wire) -> None:
-    inside.descriptors.caches_most = inside.descriptors.caches
-    assert connection.context.descriptor()
-    inside.descriptors.caches_most = 500
+    inside.descriptors.max_caches = inside.descriptors.caches
+    assert connection.context.ensure_descriptor()
+    inside.descriptors.max_caches = 500
 
 
 def not_taken_for_too_long(inside: Inside, connection: Connection, wire: Wire) -> None:
@@ -197,7 +197,7 @@
         with monkeypatch.context() as patched:
             patched.setattr(CommandWriter, "cancel", broken)
             if is_timeout:
-                cache._timed_out(attempt)
+                cache._on_deadline(attempt)
             else:
                 cache.mailbox.push(CallOff(attempt))
             await until(lambda: ended != [], "its outcome is told")
@@ -216,7 +216,7 @@
         connection.writer.cancels[0].since_ns -= 2 * inside.config.dial_timeout
         inside.module.sweep(clock.now(), late=True)
         await turns()
-        assert not connection.lost
+        assert not connection.is_closing
         bound(connection, None)
         await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "it is closed")
         inside.left(request)
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -202,7 +202,7 @@
         known = {
             module.directory.host_by_number.get(number) for number in module.router.placement.table.by_id
         }
-        assert known == {"s-9", "p-1", "o-1"} and module.caches[new].out == {}
+        assert known == {"s-9", "p-1", "o-1"} and module.caches[new].in_flight == {}
         assert len(place.caches["s-1"].asked) == 12, "the new one serves them"
         assert not before & set(place.over("s-1")), "over a connection that was the old one's"
         live = {c.sock.getsockname() for c in module.caches[new].connections if c.sock is not None}
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -133,7 +133,7 @@
         request = inside.ask()
         first = await inside.out(request)
         cache, attempt = inside.cache("s-1"), request.attempts[0]
-        cache._give_up(attempt, AttemptOutcome.NOT_PROCESSED)  # so it goes to the same machine again
+        cache._cancel_exchange(attempt, AttemptOutcome.NOT_PROCESSED)  # so it goes to the same machine again
         second = await inside.out(request, 2)
         assert second is not first
         await until(lambda: inside.cancels(request) == 1, "the first is called off")
@@ -198,21 +198,21 @@
             wire.answer(request.job_id)
             assert await inside.status(request) == 200
             wire.say(endless if whose == "of a second copy" else endless[:20])
-            await until(lambda: not connection.between, "it has begun")
+            await until(lambda: not connection.is_between_responses, "it has begun")
         behind = inside.ask(BID)
         other = await inside.out(behind)
         assert other is not wire
         other.answer(behind.job_id)
         assert await inside.status(behind) == 200
         inside.sweep()
-        assert not connection.lost  # it may still become whole
+        assert not connection.is_closing  # it may still become whole
         for _ in range(3):  # it goes on, a byte at a time
             front_clock.on(inside.config.dial_timeout // 2)
-            heard = connection.heard
+            heard = connection.last_read_at
             wire.say(b"z")
-            await until(lambda heard=heard: connection.heard > heard, "it is read")  # type: ignore[misc]
+            await until(lambda heard=heard: connection.last_read_at > heard, "it is read")  # type: ignore[misc]
         inside.sweep()
-        await until(lambda: inside.connections() == [c for c in inside.connections() if c.idle], "it ends")
+        await until(lambda: inside.connections() == [c for c in inside.connections() if c.is_idle], "it ends")
         assert len(inside.connections()) == 1 and inside.pool.used == 0
         assert await inside.served(BID) is other
         await inside.settled()
@@ -225,9 +225,9 @@
         inside = Inside(ONE)
         wire = await inside.served(BID)
         (connection,) = inside.connections()
-        inside.descriptors.caches_most = 1
+        inside.descriptors.max_caches = 1
         wire.say(answer("0" * 16, b"z" * 100_000)[:300])
-        await until(lambda: not connection.between, "it has begun")
+        await until(lambda: not connection.is_between_responses, "it has begun")
         other = await inside.served(BID)
         assert other is not wire and connection not in inside.connections()
         await inside.settled()
@@ -245,10 +245,10 @@
         wire = await inside.out(request)
         (connection,) = inside.connections()
         wire.say(answer(request.job_id, b"x" * 1000)[:500])
-        await until(lambda: not connection.between, "it has begun")
+        await until(lambda: not connection.is_between_responses, "it has begun")
         front_clock.on(2 * inside.config.dial_timeout)
         inside.module.sweep(clock.now(), late=True)  # a standstill of our own accuses nobody
-        assert not connection.lost
+        assert not connection.is_closing
         inside.sweep()
         if again:
             (await inside.out(request, 2)).answer(request.job_id)
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -236,7 +236,7 @@
             connection.close()
         await until(lambda: not inside.connections(), "nothing is left of it")
         inside.sweep()
-        assert inside.cache("o-1") is cache and not cache.leaving
+        assert inside.cache("o-1") is cache and not cache.is_leaving
         await inside.served(BID)
         await inside.settled()
 
@@ -321,7 +321,7 @@
         cache, attempt = inside.cache("o-1"), request.attempts[0]
         wire.answer(request.job_id)
         wire.reset()
-        cache._give_up(attempt, AttemptOutcome.TIMEOUT)
+        cache._cancel_exchange(attempt, AttemptOutcome.TIMEOUT)
         cache.safely(CallOff(attempt))
         cache.safely(Recall(attempt))
         assert await inside.status(request) == 502
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -22,7 +22,7 @@
 from quincepier.net.client import ClientConnection
 from quincepier.net.clients import READS, ConnectionManager
 from quincepier.net.messages import Answer, Came, Left
-from quincepier.net.sockets import no_delay
+from quincepier.net.sockets import set_no_delay
 from tests.fcgikit import ABORT, Reader, begin, call, params, rec
 from tests.standins import until
 from tests.test_idle import PING, make_manager, on_loop
@@ -39,7 +39,7 @@
             self.sock = socket.create_connection(server.getsockname())
             self.ours, _ = server.accept()
         self.ours.setblocking(False)
-        no_delay(self.ours)
+        set_no_delay(self.ours)
         self.sock.settimeout(20)
         self.manager, self.reader = manager, Reader()
         if first:
@@ -169,7 +169,7 @@
 def test_what_lingers_is_bounded_in_number_and_goes_before_descriptors_are_short() -> None:
     async def scenario() -> None:
         manager = make_manager(64)
-        most, room = manager.descriptors.clients_most, lingering.SPARE_LINGERING
+        most, room = manager.descriptors.max_clients, lingering.SPARE_LINGERING
         peers = [Peer(manager) for _ in range(most)]
         for peer in peers:
             await peer.asked()
--- a/tests/test_crossings_commands.py
+++ b/tests/test_crossings_commands.py
@@ -52,7 +52,7 @@
         wire, connection, request = await in_part(inside)
         inside.left(request)
         await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "given up")
-        assert not connection.idle
+        assert not connection.is_idle
         inside.machines["o-1"].held = False
         other = await inside.served(BID)  # not in the middle of that line
         assert other is not wire
@@ -95,7 +95,7 @@
         _, connection, request = await in_part(inside)
         inside.left(request)
         await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "given up")
-        connection.doubtful = True  # as where nothing was heard over it for long
+        connection.is_retired = True  # as where nothing was heard over it for long
         inside.sweep()
         await until(lambda: not inside.connections(), "its descriptor is free again")
         await inside.settled()
@@ -104,14 +104,14 @@
 
 
 def test_a_connection_whose_end_was_read_in_this_turn_takes_no_write(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain, late = Connection._rung, list[Callable[[Connection], None]]()
+    plain, late = Connection._on_readable, list[Callable[[Connection], None]]()
 
     def rung(self: Connection, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         plain(self, loop, sock)  # its reader will run next; before it does, an attempt takes this connection
         if late:
             late.pop()(self)
 
-    monkeypatch.setattr(Connection, "_rung", rung)
+    monkeypatch.setattr(Connection, "_on_readable", rung)
 
     async def scenario() -> None:
         inside = Inside(ONE)
@@ -120,7 +120,7 @@
         def asked(connection: Connection) -> None:
             requests.append(inside.ask(BID))
             inside.taken("o-1")
-            assert requests[0].job_id in connection.open
+            assert requests[0].job_id in connection.awaited_by_id
 
         late.append(asked)
         wire.close()
@@ -137,7 +137,7 @@
     """A connection that is up and at rest, whose machine reads nothing: its socket takes not a byte more."""
     wire = await inside.served(BID)
     wire.held = True
-    (connection,) = [c for c in inside.connections() if c.idle]
+    (connection,) = [c for c in inside.connections() if c.is_idle]
     sock = connection.sock
     assert sock is not None
     await asyncio.sleep(0)  # what was read of it is done with
@@ -154,7 +154,7 @@
         inside = Inside(ONE)
         wire, connection = await crowded(inside)
         request = inside.ask(BID)
-        await until(lambda: request.job_id in connection.open, "it waits there")
+        await until(lambda: request.job_id in connection.awaited_by_id, "it waits there")
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         if how == "gone":
@@ -237,7 +237,7 @@
         cache = inside.cache("o-1")
         (connection,) = cache.connections
         (attempt,) = request.attempts
-        connection.lost = True  # its end has been read in this turn
+        connection.is_closing = True  # its end has been read in this turn
         cache.safely(CallOff(attempt))
         assert not attempt.is_ended
         wire.close()
--- a/tests/test_crossings_dials.py
+++ b/tests/test_crossings_dials.py
@@ -73,7 +73,7 @@
         second = inside.ask()
         await dials.begun()
         (up,) = (c for c in inside.connections() if c.sock is not None)
-        up.past(second.job_id)  # an answer to this id may still come there
+        up.remember_used_id(second.job_id)  # an answer to this id may still come there
         wire.answer(first.job_id)
         assert await inside.status(first) == 200
         dials.let()
@@ -92,7 +92,7 @@
         inside, first, wire, dials = await one_out(monkeypatch)
         second = inside.ask()
         await dials.begun()
-        monkeypatch.setattr(CacheActor, "_rests", lambda self, connection: True)
+        monkeypatch.setattr(CacheActor, "_is_backing_off", lambda self, connection: True)
         wire.answer(first.job_id)
         assert await inside.status(first) == 200
         dials.let()
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -171,18 +171,18 @@
         request = inside.ask()
         wire = await inside.out(request)
         cache = inside.cache("s-1")
-        (attempt,), (connection,), (time_is_up,) = cache.out, cache.connections, timers
+        (attempt,), (connection,), (time_is_up,) = cache.in_flight, cache.connections, timers
         if size is not None:
             wire.answer(request.job_id, b"b" * size)
         time_is_up()  # the loop has not looked since
         await asyncio.sleep(0)
-        assert attempt not in cache.out, "its end waits for no more than a turn"
+        assert attempt not in cache.in_flight, "its end waits for no more than a turn"
         await until(lambda: bool(inside.endings(request)), "the module hears")
         assert inside.endings(request)[0] is (AttemptOutcome.TIMEOUT if size is None else AttemptOutcome.OK)
         if size is not None:
             assert await inside.status(request) == 200 and not inside.cancels(request)
             assert not inside.checks.counts["late_responses_dropped"]
-            assert cache.connections == [connection] and not connection.doubtful
+            assert cache.connections == [connection] and not connection.is_retired
         inside.left(request)
         await inside.settled()
 
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -333,7 +333,7 @@
     async def scenario() -> None:
         section = ClientsSection(each=0, rest_least_ms=0, slack=1)
         manager = make_manager(64, Places(section))
-        most, few = manager.descriptors.clients_most, list[ClientConnection]()
+        most, few = manager.descriptors.max_clients, list[ClientConnection]()
 
         def come(host: str) -> ClientConnection | None:
             ours, theirs = socket.socketpair()
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -77,7 +77,7 @@
         origin.set("unix", Script(Moment.WHOLE, True))
         job, status = await inside.serve(UNSAFE)
         assert (status, origin.whole[job]) == (502, 1)
-        assert inside.way("o-1").resting(parse(origin.doors["unix"].text))
+        assert inside.way("o-1").is_backing_off(parse(origin.doors["unix"].text))
         again, status = await inside.serve(UNSAFE)
         assert (status, origin.at[-1]) == (200, ("ipv6", again))
         await inside.close()
@@ -118,7 +118,7 @@
         for kind, left in (("unix", 2), ("ipv6", 1)):
             machine.set(kind, Script(Moment.REFUSE))
             await inside.serve(SAFE, left)
-            await until(lambda: not inside.cache("s-1").out, "nothing is out")
+            await until(lambda: not inside.cache("s-1").in_flight, "nothing is out")
         assert set(endings) == {AttemptOutcome.OK}
         machine.set("ipv4", Script(Moment.REFUSE))
         for connection in inside.cache("s-1").connections:
@@ -155,8 +155,11 @@
         await opening
         assert all(machine.whole[job] == 1 for job, _, _ in jobs)
         way = inside.way("s-1")
-        await until(lambda: not (way.races.races or way.tasks or way.up), "no dial is left")
-        assert way.extras == 0 and inside.dialer.account.used == 0
+        await until(
+            lambda: not (way.races.race_by_number or way.task_by_dial or way.socket_by_dial),
+            "no dial is left",
+        )
+        assert way.extra_dials == 0 and inside.dialer.limiter.in_use == 0
         assert inside.module.means.descriptors.caches == sum(
             len(cache.connections) for cache in inside.module.caches.values()
         )
@@ -177,7 +180,7 @@
         for kind in edge.kinds:
             edge.set(kind, Script(Moment.FULL))
         job, inbox, request = inside.ask(SAFE)
-        await until(lambda: bool(inside.way("s-1").tasks), "it dials")
+        await until(lambda: bool(inside.way("s-1").task_by_dial), "it dials")
         (attempt,) = request.attempts
         match news:
             case "purge":
@@ -207,13 +210,13 @@
         await inside.start()
         first, _ = await inside.serve(UNSAFE)
         cache, endings = inside.cache("o-1"), list[AttemptOutcome]()
-        told = cache.ended
+        told = cache.complete_without_response
 
         def ended(what: Any, ending: AttemptOutcome, at: int, another_way: bool = False) -> None:
             endings.append(ending)
             told(what, ending, at, another_way)
 
-        cache.ended = ended  # type: ignore[method-assign]
+        cache.complete_without_response = ended  # type: ignore[method-assign]
         (connection,) = cache.connections
         send = connection.send
 
@@ -237,11 +240,11 @@
         for kind in origin.kinds:
             origin.set(kind, Script(Moment.FULL))
         job, inbox, request = inside.ask(UNSAFE)
-        await until(lambda: bool(inside.way("o-1").tasks), "it dials")
+        await until(lambda: bool(inside.way("o-1").task_by_dial), "it dials")
         inside.leave(request)
-        await until(lambda: not inside.way("o-1").tasks, "nothing is dialled for nobody")
+        await until(lambda: not inside.way("o-1").task_by_dial, "nothing is dialled for nobody")
         await until(lambda: not inside.cache("o-1").connections, "its connection is gone")
-        assert (inside.module.means.descriptors.caches, inside.dialer.account.used) == (0, 0)
+        assert (inside.module.means.descriptors.caches, inside.dialer.limiter.in_use) == (0, 0)
         assert inbox.got == [] and origin.whole[job] == 0
         counts = inside.checks.counts
         assert counts["dials_cancelled"] and not counts["dials_failed_timed_out"]
@@ -267,7 +270,7 @@
         assert all(origin.whole[job] == 1 for job, _, _ in asked)
         refused = inside.checks.counts["dials_failed_refused"] - before.get("dials_failed_refused", 0)
         assert 1 <= refused <= 8, refused
-        assert inside.dialer.account.peak <= 64
+        assert inside.dialer.limiter.peak <= 64
         await inside.close()
 
     play(scenario)
@@ -285,7 +288,7 @@
         while not all(inbox.got for _, inbox, _ in asked):
             most = max(most, descriptors.caches)
             await asyncio.sleep(0.001)
-        assert most <= descriptors.caches_most
+        assert most <= descriptors.max_caches
         assert {inbox.got[0].status for _, inbox, _ in asked} == {200}
         assert all(origin.whole[job] == 1 for job, _, _ in asked)
         await inside.close()
@@ -300,13 +303,13 @@
         await inside.start()
         await inside.serve(SAFE, 1)
         way = inside.way("s-1")
-        way.broke(parse(old.doors["unix"].text), clock.now(), "as a test")
+        way.on_connection_failed(parse(old.doors["unix"].text), clock.now(), "as a test")
         inside.tell(
             inside.record("s-1", old.addresses(), health="DELETED"), inside.record("s-2", old.addresses())
         )
         await until(lambda: "s-2" in inside.module.directory.entry_by_host, "the list is taken")
         new = inside.way("s-2")
-        assert new is not way and not new.resting(parse(old.doors["unix"].text))  # another machine
+        assert new is not way and not new.is_backing_off(parse(old.doors["unix"].text))  # another machine
         inside.tell(inside.record("s-3", old.addresses()))
         for part in range(8):
             assert (await inside.serve(SAFE, part))[1] == 200
@@ -326,22 +329,22 @@
         silent, inbox, _ = inside.ask(UNSAFE)
         await until(lambda: origin.whole[silent] == 1, "it is out")
         inside.tell(inside.record("o-1", [origin.doors["ipv6"].text]))
-        await until(lambda: len(inside.way("o-1").book.entries) == 1, "the list is taken")
+        await until(lambda: len(inside.way("o-1").book.state_by_address) == 1, "the list is taken")
         assert not inbox.got  # what is out stays out over the old address
         job, status = await inside.serve(UNSAFE)
         assert (status, origin.at[-1]) == (200, ("ipv6", job))
         origin.set("ipv6", Script(Moment.FULL))
         for connection in inside.cache("o-1").connections:
-            if connection.idle:
+            if connection.is_idle:
                 connection.close()
         waiting, held, _ = inside.ask(UNSAFE)
-        await until(lambda: bool(inside.way("o-1").tasks), "it dials")
+        await until(lambda: bool(inside.way("o-1").task_by_dial), "it dials")
         section = type(inside.section)(
             **quick(machines={"o-1": (parse(origin.doors["ipv4"].text),)}, forbid=(parse_term("ipv6"),))
         )
         inside.module.follow_addresses(section)  # SIGHUP: the one being dialled is forbidden
         assert await inside.answered(held) == 200 and origin.at[-1] == ("ipv4", waiting)
-        assert [str(a) for a in inside.way("o-1").book.entries] == [origin.doors["ipv4"].text]
+        assert [str(a) for a in inside.way("o-1").book.state_by_address] == [origin.doors["ipv4"].text]
         await inside.close()
 
     play(scenario)
@@ -408,7 +411,7 @@
         for _, inbox, _ in first:
             await inside.answered(inbox)
         edge.set("unix", Script(Moment.SILENT))
-        inside.way("s-1").broke(parse(edge.doors["unix"].text), clock.now(), "silent")
+        inside.way("s-1").on_connection_failed(parse(edge.doors["unix"].text), clock.now(), "silent")
         job, status = await inside.serve(SAFE, 5)
         assert (status, edge.at[-1]) == (200, ("ipv6", job))
         await inside.close()
@@ -477,10 +480,10 @@
         asked = [inside.ask(cls, n) for n in range(60) for cls in (SAFE, UNSAFE)]
         seen = [0, 0]
         while not all(inbox.got for _, inbox, _ in asked):
-            ways = [len(way.tasks) for way in inside.dialer.route_by_number.values()]
+            ways = [len(way.task_by_dial) for way in inside.dialer.route_by_number.values()]
             seen = [max(seen[0], *ways), max(seen[1], sum(ways))]
             await asyncio.sleep(0.0005)
-        assert seen[0] <= 4 and seen[1] <= 6 and inside.dialer.account.peak <= 6
+        assert seen[0] <= 4 and seen[1] <= 6 and inside.dialer.limiter.peak <= 6
         assert {inbox.got[0].status for _, inbox, _ in asked} <= {200, 503}
         assert sum(inbox.got[0].status == 200 for _, inbox, _ in asked) >= 60  # the bids at least
         await inside.close()
