--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -1,7 +1,7 @@
-"""The actor of one cache, parent or the origin: attempts out, endings in, over few connections.
+"""The actor of one machine (cache, parent or origin): sends attempts to it and reports their outcomes.
 
-It opens a connection where none has a free stream, and says how each attempt ended; where to ask and
-whether to ask again is the module's.
+It chooses a connection for each attempt and opens new ones as needed. Which machine to use and whether to
+retry is decided by the router.
 """
 
 from __future__ import annotations
@@ -31,6 +31,26 @@
 
 
 class CacheActor(Actor[ToCache]):
+    """Sends attempts and probes to one machine over a few connections.
+
+    Args:
+        context: What the actors of all machines share.
+        number: The machine's number in the directory.
+        host: Its id in the endpoint list.
+        address: Its address; None where machines may have several addresses, see `route`.
+        fronts: How many fronts send requests to this machine.
+
+    Attributes:
+        ramp: Limits how many connections may be connecting at once.
+        route: The machine's addresses, where machines may have several.
+        move_counts: How often an exchange has been moved to another connection.
+        connections: The connections, the most recently unused one last.
+        in_flight: Exchanges without an outcome, with their id and connection.
+        timers: Their deadlines.
+        is_leaving: The machine is off the endpoint list: nothing new is sent.
+        probe_count: Probes sent so far.
+    """
+
     name = "cache"
 
     def __init__(
@@ -41,7 +61,6 @@
         address: tuple[str, int] | None,
         fronts: int = 1,
     ) -> None:
-        """`fronts` are those that may ask this machine."""
         super().__init__(context.checks, MAX_MAILBOX_LENGTH)
         self.ramp = Ramp(fronts)
         self.context, self.number, self.host, self.address = context, number, host, address
@@ -53,6 +72,7 @@
         self.is_leaving, self.probe_count = False, 0
 
     def handle(self, message: ToCache) -> None:
+        """Handle a message of the router's actor."""
         match message:
             case Send(attempt, command):
                 self._send(attempt.request.job_id, attempt, command, attempt.deadline_ns)
@@ -69,12 +89,12 @@
                 self._send(tag, Probe(tag, now), probe, now + self.context.config.dial_timeout)
 
     def spoiled(self, message: ToCache) -> None:
-        """An exception left an attempt half handled."""
+        """Abandon the attempt whose message raised an exception while it was handled."""
         if isinstance(message, Send | CallOff):
             self._abandon(message.attempt)
 
     def _abandon(self, attempt: OpenAttempt) -> None:
-        """It may have run or not: its connection is closed, and its outcome is told once that is done."""
+        """Close the attempt's connection, as it is unknown whether the attempt ran; then report its outcome."""
         if attempt.is_ended:
             return
         if attempt in self.in_flight:
@@ -84,71 +104,89 @@
         else:
             self.complete_without_response(attempt, AttemptOutcome.RESET, clock.now())
 
-    def _send(self, id: str, what: OpenAttempt | Probe, command: ServeCommand | bytes, deadline: int) -> None:
+    def _send(
+        self, id: str, exchange: OpenAttempt | Probe, command: ServeCommand | bytes, deadline: int
+    ) -> None:
         now = clock.now()
-        if (
-            isinstance(what, OpenAttempt) and find_denial(what, now) is not None
-        ):  # as it waited in the mailbox
-            self.complete_without_response(what, AttemptOutcome.NOT_PROCESSED, now)
+        # What forbids it may have happened while it waited in the mailbox.
+        if isinstance(exchange, OpenAttempt) and find_denial(exchange, now) is not None:
+            self.complete_without_response(exchange, AttemptOutcome.NOT_PROCESSED, now)
             return
         connection = self._choose_connection(id)
         if connection is None:
             self.checks.event("cache_connection_no_descriptor", self.host)
-            self.complete_without_response(what, AttemptOutcome.NOT_PROCESSED, clock.now())
+            self.complete_without_response(exchange, AttemptOutcome.NOT_PROCESSED, clock.now())
             return
-        self.in_flight[what] = id, connection
+        self.in_flight[exchange] = id, connection
         loop = asyncio.get_running_loop()
         wait = max(deadline - now, 0) / clock.SECOND
-        self.timers[what] = loop.call_later(wait, self._on_deadline, what)
-        connection.send(id, what, command)
+        self.timers[exchange] = loop.call_later(wait, self._on_deadline, exchange)
+        connection.send(id, exchange, command)
 
     def move_or_complete(
         self,
         id: str,
-        what: OpenAttempt | Probe,
-        begun: bool,
-        absent: bool,
+        exchange: OpenAttempt | Probe,
+        is_started: bool,
+        is_absent: bool,
         command: ServeCommand | bytes | None,
-        other: bool,
+        has_alternative: bool,
     ) -> None:
-        """Its connection ended, one of several addresses: on over another, or told as it is."""
+        """Move an exchange to another connection, or report its outcome, after its connection has closed.
+
+        Used where the machine has several addresses.
+
+        Args:
+            id: The exchange's id.
+            exchange: The exchange.
+            is_started: The socket took a byte of its command.
+            is_absent: The connect failed at every address and showed that the machine is not there.
+            command: The command, if it was not written completely.
+            has_alternative: Another address of the machine is usable; reported to the router.
+        """
         assert self.route is not None
-        denied = isinstance(what, OpenAttempt) and find_denial(what, clock.now()) is not None
-        recalled = self.is_leaving or denied
-        most = len(self.route.book.state_by_address) if command is not None else 0
-        ending = self.route.outcome_after_break(begun, absent, recalled, self.move_counts.get(what, 0), most)
-        connection = self._choose_connection(id) if ending is None else None
-        if ending is not None or connection is None or command is None:
-            self.complete_without_response(what, ending or AttemptOutcome.NOT_PROCESSED, clock.now(), other)
+        denied = isinstance(exchange, OpenAttempt) and find_denial(exchange, clock.now()) is not None
+        is_revoked = self.is_leaving or denied
+        max_moves = len(self.route.book.state_by_address) if command is not None else 0
+        outcome = self.route.outcome_after_break(
+            is_started, is_absent, is_revoked, self.move_counts.get(exchange, 0), max_moves
+        )
+        connection = self._choose_connection(id) if outcome is None else None
+        if outcome is not None or connection is None or command is None:
+            self.complete_without_response(
+                exchange, outcome or AttemptOutcome.NOT_PROCESSED, clock.now(), has_alternative
+            )
             return
-        self.move_counts[what] = self.move_counts.get(what, 0) + 1
+        self.move_counts[exchange] = self.move_counts.get(exchange, 0) + 1
         self.checks.count("attempts_moved_to_other_connection")
-        self.in_flight[what] = id, connection
-        connection.send(id, what, command)
+        self.in_flight[exchange] = id, connection
+        connection.send(id, exchange, command)
 
     def _choose_connection(self, id: str) -> Connection | None:
-        """One for each while descriptors allow, since a spoilt answer ends all that is out with it.
+        """Return the connection for the next exchange; None if no descriptor is available.
 
-        The idle one used last; else one that is coming up, where no more may be dialled at once yet; else a
-        new one, within this machine's share; else the one with least on it.
+        While descriptors last, each exchange gets a connection of its own, since an invalid response ends
+        all exchanges of its connection. In order: the idle connection that was used last; one that is still
+        connecting, if no more may be dialled at once; a new one, within this machine's share of the
+        descriptors; the one with the fewest exchanges.
         """
-        for c in reversed(self.connections):  # those used last are at the end
+        for c in reversed(self.connections):  # the most recently used ones are at the end
             if c.is_idle and not c.is_retired and id not in c.used_ids and not self._is_backing_off(c):
                 return c
         now, streams = clock.now(), self.context.config.streams
-        able = [
+        usable = [
             c
             for c in self.connections
             if not (c.is_closing or c.is_retired or id in c.used_ids or c.is_stalled(now))
         ]
-        able = [c for c in able if not c.has_unwanted_response]
-        coming = [c for c in able if c.sock is None]
-        if len(coming) >= self.ramp.most:
-            ride = min(coming, key=lambda c: len(c.awaited_by_id))
-            if len(ride.awaited_by_id) < streams and id not in ride.awaited_by_id:
-                return ride
+        usable = [c for c in usable if not c.has_unwanted_response]
+        connecting = [c for c in usable if c.sock is None]
+        if len(connecting) >= self.ramp.most:
+            least_loaded = min(connecting, key=lambda c: len(c.awaited_by_id))
+            if len(least_loaded.awaited_by_id) < streams and id not in least_loaded.awaited_by_id:
+                return least_loaded
         if len(self.connections) >= self.context.connection_limit() or not self.context.ensure_descriptor():
-            busy = [c for c in able if len(c.awaited_by_id) < streams and id not in c.awaited_by_id]
+            busy = [c for c in usable if len(c.awaited_by_id) < streams and id not in c.awaited_by_id]
             if busy:
                 return min(busy, key=lambda c: (len(c.awaited_by_id), c.sock is None))
             if not self.context.ensure_descriptor():
@@ -162,12 +200,12 @@
         return connection
 
     def _is_backing_off(self, connection: Connection) -> bool:
-        """Whether its address is set aside while another is not."""
-        address, way = connection.address, self.route
-        return address is not None and way is not None and way.is_backing_off(address)
+        """Whether the connection's address is in backoff and another address is not."""
+        address, route = connection.address, self.route
+        return address is not None and route is not None and route.is_backing_off(address)
 
     def on_connection_closed(self, connection: Connection) -> None:
-        """It has ended."""
+        """Remove a closed connection."""
         self.context.connections_by_last_use.pop(connection, None)
         if connection in self.connections:
             self.connections.remove(connection)
@@ -175,95 +213,137 @@
             self.context.connected_actors.discard(self)
 
     def on_connection_unused(self, connection: Connection) -> None:
-        """It has nothing out: what waits for a dial goes over it; else the next attempt takes it first, and
+        """Send over this connection what waits for one that is still connecting.
 
-        those left over grow old and close.
+        If nothing waits, the connection becomes the first choice for the next attempt. Connections that are
+        not chosen for long are closed by `sweep`.
         """
         self.connections.remove(connection)
         self.connections.append(connection)
         if not connection.is_idle or connection.is_retired or self._is_backing_off(connection):
             return
-        dials = [c for c in self.connections if c.sock is None and not c.is_closing]
-        waits = next((w for c in dials if (w := c.take_queued(connection)) is not None), None)
-        if waits is not None:
-            id, what, command = waits
-            self.in_flight[what] = id, connection
-            connection.send(id, what, command)
+        connecting = [c for c in self.connections if c.sock is None and not c.is_closing]
+        queued = next((taken for c in connecting if (taken := c.take_queued(connection)) is not None), None)
+        if queued is not None:
+            id, exchange, command = queued
+            self.in_flight[exchange] = id, connection
+            connection.send(id, exchange, command)
 
-    def _on_deadline(self, what: OpenAttempt | Probe) -> None:
-        """In the next turn of the loop, behind one more read.
+    def _on_deadline(self, exchange: OpenAttempt | Probe) -> None:
+        """End an exchange by timeout in the next turn of the loop, after one more read of its connection.
 
-        After a standstill of the front time is up before the loop has looked at the sockets.
+        After a pause of this process, deadlines expire before the loop has looked at the sockets, where a
+        response may be waiting.
         """
-        self.in_flight[what][1].force_read()
-        asyncio.get_running_loop().call_soon(self._complete_by_timeout, what)
+        self.in_flight[exchange][1].force_read()
+        asyncio.get_running_loop().call_soon(self._complete_by_timeout, exchange)
 
-    def _complete_by_timeout(self, what: OpenAttempt | Probe) -> None:
+    def _complete_by_timeout(self, exchange: OpenAttempt | Probe) -> None:
         try:
-            self._cancel_exchange(what, AttemptOutcome.TIMEOUT)
+            self._cancel_exchange(exchange, AttemptOutcome.TIMEOUT)
         except Exception as error:
             self.checks.exception(f"exception_in_{self.name}_actor", error, about="a time-out")
-            if isinstance(what, OpenAttempt):
-                self._abandon(what)
-
-    def _cancel_exchange(self, what: OpenAttempt | Probe, ending: AttemptOutcome) -> None:
-        """Nobody waits for it any more; an attempt has ended once it is closed, see Connection.cancel."""
-        if what in self.in_flight:
-            id, connection = self.in_flight[what]
-            if isinstance(what, OpenAttempt):
-                connection.cancel(id, what, ending)
-                self._remove_in_flight(what)
+            if isinstance(exchange, OpenAttempt):
+                self._abandon(exchange)
+
+    def _cancel_exchange(self, exchange: OpenAttempt | Probe, outcome: AttemptOutcome) -> None:
+        """Stop waiting for an exchange.
+
+        The outcome of an attempt is reported once it is closed, see `Connection.cancel`.
+        """
+        if exchange in self.in_flight:
+            id, connection = self.in_flight[exchange]
+            if isinstance(exchange, OpenAttempt):
+                connection.cancel(id, exchange, outcome)
+                self._remove_in_flight(exchange)
             else:
-                self._remove_in_flight(what)
+                self._remove_in_flight(exchange)
                 connection.awaited_by_id.pop(id, None)
                 connection.remember_used_id(id)
-                self.complete_without_response(what, ending, clock.now())
-        elif isinstance(what, OpenAttempt) and what.request.is_finished and not what.is_ended:
-            self.complete_without_response(
-                what, ending, clock.now()
-            )  # its cancel waits, and now nothing may begin in its place
+                self.complete_without_response(exchange, outcome, clock.now())
+        elif isinstance(exchange, OpenAttempt) and exchange.request.is_finished and not exchange.is_ended:
+            # Its cancel is not written yet, but no other attempt starts for a finished request.
+            self.complete_without_response(exchange, outcome, clock.now())
 
-    def _remove_in_flight(self, what: OpenAttempt | Probe) -> None:
-        self.in_flight.pop(what, None)
-        self.move_counts.pop(what, None)
-        if (timer := self.timers.pop(what, None)) is not None:
+    def _remove_in_flight(self, exchange: OpenAttempt | Probe) -> None:
+        self.in_flight.pop(exchange, None)
+        self.move_counts.pop(exchange, None)
+        if (timer := self.timers.pop(exchange, None)) is not None:
             timer.cancel()
 
     def complete_without_response(
-        self, what: OpenAttempt | Probe, ending: AttemptOutcome, at: int, another_way: bool = False
+        self,
+        exchange: OpenAttempt | Probe,
+        outcome: AttemptOutcome,
+        completed_at: int,
+        has_alternative: bool = False,
     ) -> None:
-        """Without an answer."""
-        self._remove_in_flight(what)
-        if isinstance(what, Probe):
-            self.context.module_mailbox.push(Checked(self.number, ending, at - what.started_at, ()))
-        elif self.checks.must(not what.is_ended, "attempt_completes_once"):
-            what.is_ended = True
-            self.context.module_mailbox.push(Ended(what, ending, at, another_way=another_way))
+        """Report the outcome of an exchange that got no response.
+
+        Args:
+            exchange: The exchange.
+            outcome: Its outcome.
+            completed_at: When it ended, ns.
+            has_alternative: The machine has a usable address besides the one that failed.
+        """
+        self._remove_in_flight(exchange)
+        if isinstance(exchange, Probe):
+            self.context.module_mailbox.push(
+                Checked(self.number, outcome, completed_at - exchange.started_at, ())
+            )
+        elif self.checks.must(not exchange.is_ended, "attempt_completes_once"):
+            exchange.is_ended = True
+            self.context.module_mailbox.push(
+                Ended(exchange, outcome, completed_at, another_way=has_alternative)
+            )
 
     def complete_with_response(
-        self, what: OpenAttempt | Probe, head: lines.Head, body: PooledBody | None, at: int
+        self, exchange: OpenAttempt | Probe, head: lines.Head, body: PooledBody | None, completed_at: int
     ) -> None:
-        self._remove_in_flight(what)
+        """Report the outcome of an exchange whose whole response arrived at `completed_at`, ns."""
+        self._remove_in_flight(exchange)
         report = report_of(head, self.context.config.report_fields)
-        if isinstance(what, Probe):
+        if isinstance(exchange, Probe):
             self.context.module_mailbox.push(
-                Checked(self.number, OUTCOME_BY_PROBE_RESPONSE[head.word], at - what.started_at, report)
+                Checked(
+                    self.number,
+                    OUTCOME_BY_PROBE_RESPONSE[head.word],
+                    completed_at - exchange.started_at,
+                    report,
+                )
             )
-        elif self.checks.must(not what.is_ended, "attempt_completes_once"):
-            what.is_ended = True
-            still = head.word == "unchanged"
-            end = Ended(what, ENDINGS[head.word], at, note_of(head), waited_of(head), report, body, still)
-            self.context.module_mailbox.push(end)
+        elif self.checks.must(not exchange.is_ended, "attempt_completes_once"):
+            exchange.is_ended = True
+            is_unchanged = head.word == "unchanged"
+            result = Ended(
+                exchange,
+                ENDINGS[head.word],
+                completed_at,
+                note_of(head),
+                waited_of(head),
+                report,
+                body,
+                is_unchanged,
+            )
+            self.context.module_mailbox.push(result)
 
     def cancel(self) -> None:
-        self.is_leaving = True  # nothing goes on elsewhere
+        """Cancel the actor's tasks; exchanges are not moved to other connections."""
+        self.is_leaving = True
         super().cancel()
 
     def sweep(self, now: int, late: bool) -> None:
-        """Close what has been idle for as long as the settings say, less a second to be the first."""
-        idle = max(self.context.config.idle - clock.SECOND, self.context.config.idle // 2)
-        used_before = now + 1 if self.is_leaving else now - idle
-        for connection in self.connections:  # a close takes effect in a later turn
+        """Close connections that are idle for too long, retired or stalled.
+
+        The idle limit is a second less than the setting, so that this side closes first.
+
+        Args:
+            now: The time, ns.
+            late: This process was paused since the last sweep: no connection counts as stalled.
+        """
+        max_idle = max(self.context.config.idle - clock.SECOND, self.context.config.idle // 2)
+        used_before = now + 1 if self.is_leaving else now - max_idle
+        for connection in self.connections:  # `close` removes it from the list only in a later turn
             is_done = (
                 connection.last_used_at < used_before or connection.is_retired
             ) and connection.is_unused
@@ -279,15 +359,21 @@
     def set_addresses(
         self, address: tuple[str, int] | None, dials: tuple[str, ...], force: bool = False
     ) -> None:
-        """The list tells the host's addresses: new connections go there, those to others end once idle."""
+        """Use these addresses for new connections; connections to other addresses are closed once unused.
+
+        Args:
+            address: The address from the endpoint list, where machines have one each.
+            dials: All addresses from the endpoint list, where machines may have several.
+            force: Apply `dials` even if they are unchanged, since limits or preferences changed.
+        """
         if self.route is not None:
             if force or dials != self.route.listed_addresses:
-                left = self.route.replace_addresses(dials)
+                removed = self.route.replace_addresses(dials)
                 for connection in self.connections:
-                    connection.is_retired = connection.is_retired or connection.address in left
+                    connection.is_retired = connection.is_retired or connection.address in removed
         elif address is not None and address != self.address:
             self.address = address
             for connection in self.connections:
                 connection.is_retired = True
-                if connection.sock is None:  # what waits for it is for the machine, not for who is there now
+                if connection.sock is None:  # its exchanges are not meant for a machine at the old address
                     connection.close()
--- a/quincepier/net/cache_connection_context.py
+++ b/quincepier/net/cache_connection_context.py
@@ -1,4 +1,4 @@
-"""What the actors of all caches use, and who of them waits for buffers or a descriptor."""
+"""State that the actors of all caches share: connections, descriptors, and the queue for buffers."""
 
 from __future__ import annotations
 
@@ -19,39 +19,58 @@
 
 
 class CacheConnectionContext:
-    """What all cache actors use, and who waits for buffers."""
+    """What the actors of all caches share.
 
-    def __init__(self, means: Means, make_room: Callable[[], None]) -> None:
+    Args:
+        means: What all actors of the front share.
+        free_buffers: Makes buffers available by dropping clients' data, when the pool is exhausted.
+
+    Attributes:
+        module_mailbox: Mailbox of the router's actor.
+        buffer_waiters: Resolved, in order, when buffers are released.
+        actor_by_number: The actors, by machine number.
+        connected_actors: Actors that have a connection. Thousands of machines may be listed, few are in use.
+        connections_by_last_use: All connections, the least recently used first.
+        dialer: Dials machines that have several addresses; None unless the operators' file configures that.
+        are_decisions_stale: Returns whether earlier decisions may no longer hold; None: they always hold.
+    """
+
+    def __init__(self, means: Means, free_buffers: Callable[[], None]) -> None:
         self.means, self.checks, self.pool = means, means.checks, means.pool
-        self.descriptors, self.module_mailbox, self.free_buffers = means.descriptors, means.module, make_room
+        self.descriptors, self.module_mailbox, self.free_buffers = (
+            means.descriptors,
+            means.module,
+            free_buffers,
+        )
         self.buffer_waiters: deque[asyncio.Future[None]] = deque()
         self.actor_by_number: dict[int, CacheActor] = {}
-        self.connected_actors: set[CacheActor] = set()  # those that have connections; thousands may be listed
-        self.connections_by_last_use: OrderedDict[Connection, None] = (
-            OrderedDict()
-        )  # all connections, unused for longest first
-        self.dialer: Dialer | None = None  # where the operators' file has several addresses a machine
-        self.are_decisions_stale: Callable[[], bool] | None = (
-            None  # whether what was decided before may not hold any more
-        )
+        self.connected_actors: set[CacheActor] = set()
+        self.connections_by_last_use: OrderedDict[Connection, None] = OrderedDict()
+        self.dialer: Dialer | None = None
+        self.are_decisions_stale: Callable[[], bool] | None = None
         self.pool.on_release = self.on_buffers_released
 
     @property
     def config(self) -> FrontConfig:
+        """The current configuration."""
         return self.means.config
 
     def on_buffers_released(self) -> None:
+        """Wake everyone who waits for buffers."""
         while self.buffer_waiters:
-            room = self.buffer_waiters.popleft()
-            if not room.done():
-                room.set_result(None)
+            waiter = self.buffer_waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
 
     def connection_limit(self) -> int:
-        """How many connections one machine may have while others have some too."""
+        """Return how many connections one machine may have, as a fair share of the descriptors."""
         return max(self.descriptors.max_caches // (len(self.connected_actors) + 1), 1)
 
     def ensure_descriptor(self) -> bool:
-        """Whether there is one for a connection more; the one unused for longest goes where there is none."""
+        """Return whether a connection may be opened; closes the least recently used one if necessary.
+
+        Only a connection on which no exchange waits is closed.
+        """
         if self.descriptors.caches < self.descriptors.max_caches:
             return True
         oldest = next(
@@ -59,19 +78,19 @@
         )
         if oldest is None:
             return False
-        at_once = oldest.is_idle  # else its writer waits for the socket
+        is_idle = oldest.is_idle  # otherwise its writer waits for the socket
         oldest.close()
-        if at_once and oldest.sock is not None:  # its tasks end after the new one is dialled
+        if is_idle and oldest.sock is not None:  # its task ends only after the new connection is dialled
             oldest.has_reader = False
             close_at_once(oldest.sock)
         return True
 
     async def allocate_body(self, length: int) -> PooledBody:
-        """Buffers for so many bytes; nothing more is read from the connection until they are there."""
+        """Return buffers for `length` bytes; waits until the pool has them."""
         while (body := PooledBody.allocate(self.pool, length)) is None:
             self.checks.count("buffer_waits")
             self.free_buffers()
-            freed = asyncio.get_running_loop().create_future()
-            self.buffer_waiters.append(freed)
-            await freed
+            waiter = asyncio.get_running_loop().create_future()
+            self.buffer_waiters.append(waiter)
+            await waiter
         return body
--- a/quincepier/net/cache_fleet.py
+++ b/quincepier/net/cache_fleet.py
@@ -1,6 +1,6 @@
-"""The actors of all listed machines: made, moved and let go as the endpoint list says.
+"""Creates, updates and removes the actors of machines, following the endpoint list.
 
-Thousands may be listed while a front uses a few: what is done again and again is done for those in use.
+Thousands of machines may be listed while a front uses few: periodic work is done only for those in use.
 """
 
 from __future__ import annotations
@@ -14,23 +14,26 @@
 
 
 class CacheFleet:
-    """An actor for every machine on the list; those of machines off it end when nothing is open.
+    """One actor for each listed machine; the actor of an unlisted machine ends once nothing is open there.
 
     Args:
-        context: What all the actors use; their table is kept there.
+        context: What all the actors share; the table of actors is kept there.
         directory: The listed machines.
-        askers: How many fronts may ask a machine of that site.
+        front_count: Returns how many fronts send requests to a machine, by the machine's site.
     """
 
     def __init__(
-        self, context: CacheConnectionContext, directory: MachineDirectory, askers: Callable[[str], int]
+        self,
+        context: CacheConnectionContext,
+        directory: MachineDirectory,
+        front_count: Callable[[str], int],
     ) -> None:
-        self._context, self._directory, self._front_count = context, directory, askers
+        self._context, self._directory, self._front_count = context, directory, front_count
         self._actor_by_number = context.actor_by_number
-        self._leaving: set[int] = set()  # off the list, kept until nothing is open there
+        self._leaving: set[int] = set()  # machines off the list that still have open connections or attempts
 
     def update_all(self, force: bool = False) -> None:
-        """Follow the whole list; `anew`: the operators tell other addresses or limits."""
+        """Apply the whole list; `force`: also unchanged addresses, as the operators' file has changed."""
         listed = dict(self._directory.listed_hosts())
         for number, record in listed.items():
             self._update_actor(number, record, force)
@@ -38,7 +41,7 @@
             self._mark_leaving(number)
 
     def update_changed(self, numbers: Iterable[int]) -> None:
-        """Follow the list for the machines that a change of it names."""
+        """Apply the list to the machines that a change of it names."""
         for number in numbers:
             entry = self._directory.find_entry(number)
             if entry is not None:
@@ -49,12 +52,12 @@
     def _update_actor(self, number: int, record: HostRecord, force: bool = False) -> None:
         actor = self._actor_by_number.get(number)
         if actor is None:
-            askers = self._front_count(record.site)
-            actor = CacheActor(self._context, number, record.host, record.address, askers)
+            front_count = self._front_count(record.site)
+            actor = CacheActor(self._context, number, record.host, record.address, front_count)
             self._actor_by_number[number] = actor
             actor.start()
         actor.set_addresses(record.address, record.dials, force)
-        actor.is_leaving = False  # at once: a message could be read after it is listed again
+        actor.is_leaving = False  # set directly: a message might be handled only after it is listed again
         self._leaving.discard(number)
 
     def _mark_leaving(self, number: int) -> None:
@@ -62,11 +65,11 @@
         self._leaving.add(number)
 
     def sweep(self, now: int, late: bool) -> None:
-        """Close idle connections and let go of machines that have left.
+        """Close idle connections and end the actors of unlisted machines that have nothing open.
 
         Args:
             now: The time, ns.
-            late: The front itself stood still since the last sweep: no connection counts as stalled.
+            late: This process was paused since the last sweep: no connection counts as stalled.
         """
         for actor in list(self._context.connected_actors):
             actor.sweep(now, late)
--- a/quincepier/net/connect_failures.py
+++ b/quincepier/net/connect_failures.py
@@ -1,4 +1,4 @@
-"""Why a connection to a cache did not come up: what is counted, and whether the machine is away."""
+"""Classifies failed connects to caches: which counter they add to, and whether the machine is absent."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def count_connect_failure(error: OSError, checks: Checks, host: str) -> bool:
-    """Count a failed connect; return whether it says that the machine is not there.
+    """Count a failed connect; return whether it shows that the machine is not there.
 
     Args:
         error: Why the connect failed.
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a cache: what is out on it, what is to be written, and its answers as they come."""
+"""A connection to one cache: queues commands, matches responses to them, and reports how each one ended."""
 
 from __future__ import annotations
 
@@ -31,12 +31,46 @@
     from quincepier.addresses import Address  # imported only where machines have several addresses
     from quincepier.net.cache import CacheActor
 
-MAX_CONSECUTIVE_READS = 8  # in a row
-MAX_USED_IDS = 256  # ids that were out on one connection; none of them goes out there again
+MAX_CONSECUTIVE_READS = 8  # reads of one connection before other tasks of the loop get a turn
+MAX_USED_IDS = 256  # remembered per connection; a remembered id is not sent there again
 
 
 class Connection:
-    """One connection: what is out on it, which ids are given up, and what ends with it."""
+    """One connection to a cache, from its dial to its close.
+
+    An exchange is one command and its response: an attempt or a probe. Several may be under way at once;
+    the id at the head of a response tells which one it belongs to.
+
+    Args:
+        actor: The actor of the cache.
+
+    Attributes:
+        actor: The actor of the cache; it gets the outcome of each exchange.
+        context: What the actors of all caches share.
+        sock: The socket; None until the connection is established.
+        awaited_by_id: Exchanges that still wait for their response.
+        used_ids: Ids of earlier exchanges, oldest first. A late response to one of them may still arrive, so
+            the id is not used again here.
+        writer: Writes the commands and cancels.
+        started: Exchanges of whose command the socket has taken at least one byte.
+        is_closing: The connection is closed or about to be; nothing new is sent.
+        is_retired: No further exchange starts here; the connection is closed once it is unused.
+        is_machine_absent: The connect failed in a way that shows that the machine is not there.
+        is_task_started: The task of `run` has begun to run.
+        last_read_at: When bytes were last read, ns; 0: never.
+        address: The address that was dialled, where the machine has several.
+        connected_at: When that connection was established, ns.
+        has_responded: A whole response has arrived over `address`.
+        last_used_at: When the connection was last written to or read from, ns.
+        is_between_responses: No response is partly read.
+        response_began_at: When the response being read began, ns; 0: none is being read.
+        is_discarding: The response being read belongs to no awaited exchange and is dropped.
+        body: Buffers of the response being read.
+        head: First line of the response being read.
+        task: The task of `run`.
+        readable: Resolved when the socket can be read.
+        has_reader: The event loop watches the socket for reading.
+    """
 
     def __init__(self, actor: CacheActor) -> None:
         self.actor, self.context = actor, actor.context
@@ -44,43 +78,43 @@
         self.awaited_by_id: dict[str, OpenAttempt | Probe] = {}
         self.used_ids: OrderedDict[str, None] = OrderedDict()
         self.writer = CommandWriter(self, self.context.means.pauses)
-        self.started: set[OpenAttempt | Probe] = set()  # those of whose command a byte may have been read
+        self.started: set[OpenAttempt | Probe] = set()
         self.is_closing = self.is_retired = self.is_machine_absent = self.is_task_started = False
         self.last_read_at = 0
-        self.address: Address | None = None  # that of several which came up
-        self.connected_at, self.has_responded = 0, False  # when, and whether an answer has come over it
+        self.address: Address | None = None
+        self.connected_at, self.has_responded = 0, False
         self.last_used_at: int = clock.now()
-        self.is_between_responses = True  # no answer is half read
-        self.response_began_at = 0  # when the answer that is being read began; 0: there is none
-        self.is_discarding = False  # the one being read is passed over
+        self.is_between_responses = True
+        self.response_began_at = 0
+        self.is_discarding = False
         self.body: PooledBody | None = None
         self.head: lines.Head | None = None
         self.task: asyncio.Task[None] | None = None
-        self.readable: asyncio.Future[None] | None = None  # set when there is something to read
+        self.readable: asyncio.Future[None] | None = None
         self.has_reader: bool = False
 
     @property
     def outgoing(self) -> deque[tuple[OpenAttempt | Probe, ServeCommand | bytes]]:
-        """The commands that are not out whole, in their order."""
+        """The commands that have not been written completely, in order."""
         return self.writer.queue
 
     def touch(self, now: int) -> None:
-        """Note that it is used now, ns."""
+        """Note that the connection is used at `now`, ns."""
         self.last_used_at = now
-        if self in self.context.connections_by_last_use:  # else it has ended
+        if self in self.context.connections_by_last_use:  # otherwise it is closed already
             self.context.connections_by_last_use.move_to_end(self)
 
-    def send(self, id: str, what: OpenAttempt | Probe, command: ServeCommand | bytes) -> None:
-        """Queue a command; it goes out as soon as the connection is up and its socket takes it."""
-        self.awaited_by_id[id] = what
+    def send(self, id: str, exchange: OpenAttempt | Probe, command: ServeCommand | bytes) -> None:
+        """Queue a command; it is written once the connection is established and its socket takes bytes."""
+        self.awaited_by_id[id] = exchange
         self.touch(clock.now())
-        self.writer.add(what, command)
+        self.writer.add(exchange, command)
 
     def cancel(self, id: str, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
-        """Nobody waits for an attempt any more: it is not sent if it has not been, else cancelled.
+        """Stop waiting for an attempt: remove its command if no byte was sent, otherwise send a cancel.
 
-        Its outcome is told once it is closed, since another may begin in its place then; at once where its
-        request is over, as nothing begins for that any more.
+        The outcome is reported once the attempt is closed, because another attempt may then start in its
+        place. It is reported at once if the request is finished, as no other attempt starts for it.
         """
         self.awaited_by_id.pop(id, None)
         if attempt not in self.started:
@@ -89,9 +123,10 @@
         self.started.discard(attempt)
         self.remember_used_id(id)
         attempt.on_cancelled()
-        # Nothing heard since it went out: the peer may have lost this connection. New ones try it.
+        # Nothing was read since the command was sent, for longer than a connect may take: the peer may have
+        # lost this connection without a reset reaching us. New attempts use new connections.
         now = clock.now()
-        silent = (
+        is_silent = (
             self.last_read_at < attempt.started_at_ns < now - self.context.config.dial_timeout
             and not self.is_closing
         )
@@ -99,128 +134,146 @@
         self.writer.cancel(None if self.is_closing else self.sock, attempt, outcome)
         if attempt.request.is_finished and not attempt.is_ended:
             self.actor.complete_without_response(attempt, outcome, now)
-        self.is_retired = self.is_retired or silent
-        if silent:
-            self.report_address_failure("silent", owed=True)
+        self.is_retired = self.is_retired or is_silent
+        if is_silent:
+            self.report_address_failure("silent", response_due=True)
 
     def abandon(self, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
-        """Close, as an exception left an attempt half handled; its outcome is told once that is done."""
+        """Close the connection after an exception while `attempt` was handled.
+
+        Its outcome is reported once the connection is closed.
+        """
         if attempt not in self.awaited_by_id.values() and not self.writer.has_cancel(attempt):
             self.writer.add_cancel(attempt, outcome)
         self.close()
 
     def _remove(self, attempt: OpenAttempt, outcome: AttemptOutcome) -> None:
-        """Take an attempt back of which no byte went out."""
+        """Remove an attempt of which no byte was sent, and report its outcome."""
         self.writer.remove(attempt)
         if self.sock is None and not self.awaited_by_id and self.actor.route is not None:
-            self.close()  # nobody waits for its race
+            self.close()  # no exchange needs the race for this connection any more
         self.actor.complete_without_response(attempt, outcome, clock.now())
 
     def on_cancel_sent(self, pending: PendingCancel) -> None:
-        """Its cancel is out whole, or the connection closed: another attempt may begin in its place."""
+        """Close an attempt: its cancel was written completely, or the connection is closed."""
         now = clock.now()
         pending.attempt.on_closed(now)
         if not pending.attempt.is_ended:
             self.actor.complete_without_response(pending.attempt, pending.outcome, now)
 
-    def on_first_byte(self, what: OpenAttempt | Probe, now_ns: int) -> None:
-        """A byte of its command was taken: the cache may have read it."""
-        self.started.add(what)
-        if isinstance(what, OpenAttempt):
-            what.on_first_byte(now_ns)
-
-    def take_queued(self, other: Connection) -> tuple[str, OpenAttempt | Probe, ServeCommand | bytes] | None:
-        """The first that waits for this dial and may go over the other connection: it waits here no more."""
-        for what, command in self.outgoing:
-            id = next((id for id, one in self.awaited_by_id.items() if one is what), None)
-            if id is not None and id not in other.used_ids:
-                self.writer.remove(what)
+    def on_first_byte(self, exchange: OpenAttempt | Probe, now_ns: int) -> None:
+        """Note that the socket took the first byte of a command: the cache may read it from now on."""
+        self.started.add(exchange)
+        if isinstance(exchange, OpenAttempt):
+            exchange.on_first_byte(now_ns)
+
+    def take_queued(self, target: Connection) -> tuple[str, OpenAttempt | Probe, ServeCommand | bytes] | None:
+        """Remove and return the first queued command that `target` may send, with its id; None for none.
+
+        Called while this connection is not established yet.
+        """
+        for exchange, command in self.outgoing:
+            id = next((id for id, awaited in self.awaited_by_id.items() if awaited is exchange), None)
+            if id is not None and id not in target.used_ids:
+                self.writer.remove(exchange)
                 del self.awaited_by_id[id]
-                return id, what, command
+                return id, exchange, command
         return None
 
     def remember_used_id(self, id: str) -> None:
+        """Note that a late response to this id may still arrive, so that the id is not used here again."""
         self.used_ids[id] = None
         if len(self.used_ids) > MAX_USED_IDS:
             self.used_ids.popitem(last=False)
 
-    def report_address_failure(self, why: str, owed: bool = False) -> None:
-        """A sign against its address and not the machine: no answer where one was owed, or none ever."""
-        sign = owed or self.started or not self.has_responded
-        if self.address is not None and self.actor.route is not None and sign:
-            self.actor.route.on_connection_failed(self.address, self.connected_at, why)
+    def report_address_failure(self, reason: str, response_due: bool = False) -> None:
+        """Report a failure of the connection's address, where the machine has several.
+
+        It counts against the address only if a response was due, or if none ever arrived over it.
+
+        Args:
+            reason: What happened, for the log.
+            response_due: A response was due, whatever `started` says.
+        """
+        counts = response_due or self.started or not self.has_responded
+        if self.address is not None and self.actor.route is not None and counts:
+            self.actor.route.on_connection_failed(self.address, self.connected_at, reason)
 
     @property
     def is_unused(self) -> bool:
-        """Nobody waits for anything on it: what is still to go out calls off what a close gives up too."""
+        """Whether the connection is established and no exchange waits for a response.
+
+        Cancels may still have to be written; closing the connection cancels those attempts as well.
+        """
         return self.sock is not None and not self.awaited_by_id and not self.is_closing
 
     @property
     def is_idle(self) -> bool:
-        """The next answer on it would be that of the next command."""
+        """Whether a command sent now is written at once and its response is the next one to arrive."""
         return self.is_unused and self.writer.is_empty and not self.response_began_at
 
     @property
     def has_unwanted_response(self) -> bool:
-        """Nobody waits for the answer that is under way; one to the next command would stand behind it."""
+        """Whether a response arrives that no exchange waits for; a further response would queue behind it."""
         return self.is_unused and self.response_began_at > 0
 
     def close(self) -> None:
+        """Close the connection; `run` ends in a later turn of the loop."""
         self.is_closing = True
-        if (
-            self.task is not None and self.is_task_started
-        ):  # a task that never ran would leave its descriptor counted
+        if self.task is not None and self.is_task_started:  # `run` gives the descriptor back only if it ran
             self.task.cancel()
 
     @property
     def can_stall(self) -> bool:
-        """Whether something stands half done on it: an answer, or a cancel."""
+        """Whether a response is partly read or a cancel partly written."""
         return bool(self.response_began_at or not self.is_between_responses or self.writer.cancels)
 
     def is_stalled(self, now: int) -> bool:
-        """The answer that was begun stands still, goes on though nobody waits for it, or a cancel waits.
+        """Whether a response or a cancel has made no progress, or an unwanted response does not end.
 
-        Each for as long as a connection may take to come up: the settings say that one is of no use then.
+        The limit for each is the connect timeout: the settings declare a connection useless that takes that
+        long to be established.
         """
-        most = self.context.config.dial_timeout
-        endless = self.has_unwanted_response and now - self.response_began_at > most
-        silent = not self.is_between_responses and now - self.last_read_at > most
-        return endless or silent or self.writer.is_stalled(now, most)
+        timeout = self.context.config.dial_timeout
+        is_endless = self.has_unwanted_response and now - self.response_began_at > timeout
+        is_silent = not self.is_between_responses and now - self.last_read_at > timeout
+        return is_endless or is_silent or self.writer.is_stalled(now, timeout)
 
     async def run(self) -> None:
-        work = list[asyncio.Task[None]]()
+        """Connect, then read and write until the connection is closed."""
+        tasks = list[asyncio.Task[None]]()
         self.is_task_started = True
         try:
             if self.is_closing or not await self._establish():
                 return
             assert self.sock is not None
-            parts = self.writer.run(self.sock), self._read(self.sock)
-            work = [asyncio.ensure_future(part) for part in parts]
-            done, _ = await asyncio.wait(work, return_when=asyncio.FIRST_COMPLETED)
+            coroutines = self.writer.run(self.sock), self._read(self.sock)
+            tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
+            done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 task.result()
             self.report_address_failure("ended")
         except ProtocolError as error:
             self.report_address_failure("an answer that can't be read")
             self.context.checks.event("cache_protocol_error", f"{self.actor.host}: {error}")
-        except CommandStalledError:  # the front may be at fault itself
+        except CommandStalledError:  # the front itself may have been too slow: no failure of the address
             self.context.checks.count("cache_connections_closed_command_stalled")
-        except OSError:  # ETIMEDOUT too, which is the built-in TimeoutError; told by how its attempts end
+        except OSError:  # includes ETIMEDOUT, which is the built-in TimeoutError; reported with each attempt
             self.context.checks.count("cache_connections_reset")
             self.report_address_failure("reset")
         finally:
-            for task in work:
+            for task in tasks:
                 task.cancel()
             try:
-                await asyncio.gather(*work, return_exceptions=True)
-            finally:  # also where `close` cancels this task as it waits for the other two
+                await asyncio.gather(*tasks, return_exceptions=True)
+            finally:  # also if `close` cancels this task while it waits for the reader and the writer
                 if self.sock is not None:
                     shutdown_and_close(self.sock)
                 self.context.descriptors.add_caches(-1)
                 self._on_closed()
 
     async def _establish(self) -> bool:
-        """Connect; whether it is up, and else `absent` where that says that the machine is not there."""
+        """Connect. Return whether that succeeded; if not, set `is_machine_absent`."""
         try:
             await self._connect()
         except OSError as error:
@@ -239,10 +292,11 @@
             self.sock = await connect(self.actor.address, timeout, self.context.checks)
 
     def _on_closed(self) -> None:
-        """The connection is gone: what no byte was taken of never ran, of the rest nothing is known.
+        """Complete the exchanges that were under way on the closed connection.
 
-        Only a refusal, or none come up in time, says that the machine is not there. One reset as it was new
-        is no such sign, nor is one that had been up: the next connection will tell.
+        A command of which the socket took no byte did not run; any other may have run. Only a refused or
+        timed-out connect shows that the machine is not there. A connection that was reset, even a new one,
+        does not: the next connect will show it.
         """
         self.is_closing = True
         if self.is_machine_absent:
@@ -251,24 +305,31 @@
         if self.body is not None:
             self.body.release()
             self.body = None
-        way, open = self.actor.route, dict(self.awaited_by_id)
+        route, awaited_by_id = self.actor.route, dict(self.awaited_by_id)
         unwritten = dict(self.outgoing)
         self.awaited_by_id.clear()
-        for id, what in open.items():
-            begun = what in self.started
-            if begun and isinstance(what, OpenAttempt):
-                what.on_closed(clock.now())
-            if way is None:
+        for id, exchange in awaited_by_id.items():
+            is_started = exchange in self.started
+            if is_started and isinstance(exchange, OpenAttempt):
+                exchange.on_closed(clock.now())
+            if route is None:
                 unsent = (
                     AttemptOutcome.CONNECT_FAILED if self.is_machine_absent else AttemptOutcome.NOT_PROCESSED
                 )
                 self.actor.complete_without_response(
-                    what, AttemptOutcome.RESET if begun else unsent, clock.now()
+                    exchange, AttemptOutcome.RESET if is_started else unsent, clock.now()
                 )
             else:
-                other = begun and self.address is not None and way.has_alternative(self.address)
+                has_alternative = (
+                    is_started and self.address is not None and route.has_alternative(self.address)
+                )
                 self.actor.move_or_complete(
-                    id, what, begun, self.is_machine_absent, unwritten.get(what), other
+                    id,
+                    exchange,
+                    is_started,
+                    self.is_machine_absent,
+                    unwritten.get(exchange),
+                    has_alternative,
                 )
         for pending in self.writer.cancels:
             self.on_cancel_sent(pending)
@@ -276,38 +337,47 @@
         self.started.clear()
         self.outgoing.clear()
 
-    def encode_if_permitted(self, what: OpenAttempt | Probe, command: ServeCommand | bytes) -> bytes | None:
-        """Return the bytes of the command that is next, as they go out now; None where it must not begin."""
-        if not isinstance(what, OpenAttempt):
+    def encode_if_permitted(
+        self, exchange: OpenAttempt | Probe, command: ServeCommand | bytes
+    ) -> bytes | None:
+        """Return the bytes of the command at the head of the queue, or None if it must not be sent now."""
+        if not isinstance(exchange, OpenAttempt):
             assert isinstance(command, bytes)
             return command
-        denial = self._find_denial(what)
+        denial = self._find_denial(exchange)
         if denial is None:
             assert isinstance(command, ServeCommand)
-            return command.encode(wait_ms(what, clock.now()))
+            return command.encode(wait_ms(exchange, clock.now()))
         self.context.checks.count(f"attempts_denied_{denial.value}")
-        if self.outgoing and self.outgoing[0][0] is what:  # else it was given up as its client was looked at
+        if self.outgoing and self.outgoing[0][0] is exchange:  # otherwise cancelled by `check_client`
             self.outgoing.popleft()
-            self.awaited_by_id.pop(what.request.job_id, None)
-            self.actor.complete_without_response(what, AttemptOutcome.NOT_PROCESSED, clock.now())
+            self.awaited_by_id.pop(exchange.request.job_id, None)
+            self.actor.complete_without_response(exchange, AttemptOutcome.NOT_PROCESSED, clock.now())
         return None
 
     def _find_denial(self, attempt: OpenAttempt) -> Denial | None:
-        """What forbids its first byte now; its client is looked at where it was not heard of lately."""
-        stale = self.context.are_decisions_stale
-        denial = find_denial(attempt, clock.now(), stale is not None and stale())
+        """Return why the first byte must not be sent now; reads the client's socket unless just done."""
+        are_decisions_stale = self.context.are_decisions_stale
+        denial = find_denial(attempt, clock.now(), are_decisions_stale is not None and are_decisions_stale())
         if denial is not None:
             return denial
         is_read = attempt.request.receiver.check_client(clock.now())
         return find_denial(attempt, clock.now()) or (None if is_read else Denial.CLIENT_UNREAD)
 
     async def _read(self, sock: socket.socket) -> None:
-        """Answers as they come. A buffer is held while bytes are taken in and not while they are waited for:
+        """Read responses until the connection ends.
 
-        idle connections would use the pool up, and no new one could hear its answer. It is read until nothing
-        is left before it is waited for: the loop stops looking at a socket that was reset with bytes unread.
+        A buffer is held only while bytes are processed, not while waiting for them: otherwise idle
+        connections would use up the pool and a new one could not read its response. The socket is read until
+        it has no more bytes before it is waited for: the event loop stops watching a socket that was reset
+        with bytes unread.
         """
-        loop, decoder, pool, row = asyncio.get_running_loop(), lines.Decoder(), self.context.pool, 0
+        loop, decoder, pool, consecutive_reads = (
+            asyncio.get_running_loop(),
+            lines.Decoder(),
+            self.context.pool,
+            0,
+        )
         await self._wait_until_readable(loop, sock)
         try:
             while True:
@@ -319,31 +389,29 @@
                     if not size:
                         break
                     await self._process_bytes(decoder, view[:size])
-                    row += 1
+                    consecutive_reads += 1
                 except (BlockingIOError, InterruptedError):
-                    row = 0
+                    consecutive_reads = 0
                 except OSError as error:
                     if not is_transient(error):
                         raise
-                    row = 0
+                    consecutive_reads = 0
                     await asyncio.sleep(TRANSIENT_ERROR_PAUSE_S)
                 finally:
                     pool.release(buffers)
-                if not row:
+                if not consecutive_reads:
                     await self._wait_until_readable(loop, sock)
-                elif row % MAX_CONSECUTIVE_READS == 0:  # others get their turn
+                elif consecutive_reads % MAX_CONSECUTIVE_READS == 0:
                     await asyncio.sleep(0)
         finally:
-            self.is_closing = (
-                True  # nothing more begins on it, also before the others of this turn have heard
-            )
+            self.is_closing = True  # nothing more is sent, even before `run` gets its turn of the loop
             if self.has_reader:
                 loop.remove_reader(sock)
         if not decoder.between:
-            raise ProtocolError("the connection ends inside an answer")
+            raise ProtocolError("connection closed inside a response")
 
     async def _wait_until_readable(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        """Until there is something to read. The reader of the loop stays, made once a connection."""
+        """Wait until the socket can be read. The reader registered with the loop stays registered."""
         self.readable = loop.create_future()
         if not self.has_reader:
             self.has_reader = True
@@ -351,18 +419,18 @@
         await self.readable
 
     def force_read(self) -> None:
-        """In this turn of the loop, whether it has told that there is something to read or not."""
+        """Read the socket in this turn of the loop, whether or not the loop reported it as readable."""
         resolve(self.readable)
 
     def _on_readable(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        if not resolve(self.readable):  # nobody waits for it now; it would ring in each turn
+        if not resolve(self.readable):  # not waiting to read: the loop would call this in every turn
             self.has_reader = False
             loop.remove_reader(sock)
 
     async def _process_bytes(self, decoder: lines.Decoder, data: memoryview) -> None:
-        at = self.last_read_at = clock.now()
-        self.touch(at)
-        self.is_between_responses = True  # a wait for buffers is no fault of the machine
+        now = self.last_read_at = clock.now()
+        self.touch(now)
+        self.is_between_responses = True  # while waiting for buffers below, the machine is not stalled
         for item in decoder.feed(data):
             match item:
                 case lines.Head():
@@ -370,42 +438,48 @@
                 case lines.Piece(piece) if self.body is not None:
                     self.body.append(piece)
                 case lines.Whole():
-                    self._on_whole(at)
+                    self._on_whole(now)
         self.is_between_responses = decoder.between
         if not self.is_between_responses:
-            self.response_began_at = self.response_began_at or at
+            self.response_began_at = self.response_began_at or now
 
     async def _on_head(self, head: lines.Head) -> None:
-        what = self.awaited_by_id.get(head.id)
+        exchange = self.awaited_by_id.get(head.id)
         self.head, self.response_began_at = head, self.response_began_at or self.last_read_at
-        if what is None or what not in self.started:  # a second copy, a late one, or of an id never asked
+        if exchange is None or exchange not in self.started:  # a duplicate, late or unsolicited response
             self.is_discarding = True
             return
         self.is_discarding = False
-        if isinstance(what, Probe) != (head.word in OUTCOME_BY_PROBE_RESPONSE):
-            raise ProtocolError(f"the answer {head.word} to another command")
-        if isinstance(what, OpenAttempt) and head.word == "unchanged" and not what.request.known_version:
-            raise ProtocolError("unchanged, though no copy was named")
-        if isinstance(what, OpenAttempt) and head.word == "data":
+        if isinstance(exchange, Probe) != (head.word in OUTCOME_BY_PROBE_RESPONSE):
+            raise ProtocolError(f"response '{head.word}' does not match the command")
+        if (
+            isinstance(exchange, OpenAttempt)
+            and head.word == "unchanged"
+            and not exchange.request.known_version
+        ):
+            raise ProtocolError("response 'unchanged' to a command that named no copy")
+        if isinstance(exchange, OpenAttempt) and head.word == "data":
             self.body = await self.context.allocate_body(head.length)
 
-    def _on_whole(self, at: int) -> None:
+    def _on_whole(self, now: int) -> None:
         head, body, self.head, self.body, self.response_began_at = self.head, self.body, None, None, 0
         assert head is not None
         if self.address is not None and not self.has_responded and self.actor.route is not None:
             self.has_responded = True
             self.actor.route.on_response(self.address)
-        what = None if self.is_discarding else self.awaited_by_id.pop(head.id, None)
-        if what is None:  # or given up before its answer was whole
-            known = head.id in self.used_ids
-            self.context.checks.count("late_responses_dropped" if known else "unsolicited_responses_dropped")
+        exchange = None if self.is_discarding else self.awaited_by_id.pop(head.id, None)
+        if exchange is None:  # discarded, or cancelled before the response was complete
+            is_late = head.id in self.used_ids
+            self.context.checks.count(
+                "late_responses_dropped" if is_late else "unsolicited_responses_dropped"
+            )
             if body is not None:
                 body.release()
         else:
-            self.started.discard(what)
-            if isinstance(what, OpenAttempt):
-                what.on_closed(at)
+            self.started.discard(exchange)
+            if isinstance(exchange, OpenAttempt):
+                exchange.on_closed(now)
             self.remember_used_id(head.id)
             if not self.awaited_by_id:
                 self.actor.on_connection_unused(self)
-            self.actor.complete_with_response(what, head, body, at)
+            self.actor.complete_with_response(exchange, head, body, now)
--- a/quincepier/net/probe.py
+++ b/quincepier/net/probe.py
@@ -1,14 +1,19 @@
-"""A probe of a machine: whether it is well, or its report of load."""
+"""Probes: health checks of a machine and requests for its load report."""
 
 from __future__ import annotations
 
 from quincepier.interface import AttemptOutcome
 
-OUTCOME_BY_PROBE_RESPONSE = {"well": AttemptOutcome.OK, "ill": AttemptOutcome.ERROR}  # answers to it
+OUTCOME_BY_PROBE_RESPONSE = {"well": AttemptOutcome.OK, "ill": AttemptOutcome.ERROR}
 
 
 class Probe:
-    """One that is out: its tag, and when it was begun, ns."""
+    """A probe that waits for its response.
 
-    def __init__(self, tag: str, at: int) -> None:
-        self.tag, self.started_at = tag, at
+    Attributes:
+        tag: Its id on the connection.
+        started_at: When it was started, ns.
+    """
+
+    def __init__(self, tag: str, started_at: int) -> None:
+        self.tag, self.started_at = tag, started_at
