--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -94,7 +94,7 @@
             self._abandon(message.attempt)
 
     def _abandon(self, attempt: OpenAttempt) -> None:
-        """Close the attempt's connection, as it is unknown whether the attempt ran; then report its outcome."""
+        """Close the attempt's connection, since it may or may not have run; then report its outcome."""
         if attempt.is_ended:
             return
         if attempt in self.in_flight:
--- a/quincepier/net/dialer.py
+++ b/quincepier/net/dialer.py
@@ -1,7 +1,7 @@
-"""The shell of the package `addresses`: dials, timers and sockets of races, and nothing decided.
+"""Connects to machines that have several addresses: the sockets, tasks and timers behind `addresses.Races`.
 
-One Dialer for the front, one Way for each machine. A Way gives connected sockets; which address each goes to,
-when the next dial starts and who wins is told by `addresses.Races`.
+There is one Dialer in a front and one Route for each machine. A Route returns connected sockets. `Races`
+decides which address is dialled, when the next dial starts and which one wins.
 """
 
 from __future__ import annotations
@@ -54,25 +54,25 @@
     errno.ENFILE: Cause.LOCAL_RESOURCES,
     errno.ENOBUFS: Cause.LOCAL_RESOURCES,
     errno.ENOMEM: Cause.LOCAL_RESOURCES,
-    errno.EADDRNOTAVAIL: Cause.LOCAL_RESOURCES,  # no free port of our own
+    errno.EADDRNOTAVAIL: Cause.LOCAL_RESOURCES,  # no free local port
 }
 SOCKET_FAMILY_BY_FAMILY = {
     Family.UNIX: socket.AF_UNIX,
     Family.IP6: socket.AF_INET6,
     Family.IP4: socket.AF_INET,
 }
-BACKLOG_FULL_PAUSE_S = 0.002  # seconds until a Unix socket whose backlog is full is tried again
+BACKLOG_FULL_PAUSE_S = 0.002  # until the connect to a Unix socket with a full backlog is retried
 
 
 def cause_of(error: OSError) -> Cause:
-    """What a failed dial showed; what has no word of its own counts as unreachable."""
+    """Return the cause of a failed dial; errors that are not listed count as unreachable."""
     if isinstance(error, TimeoutError):
         return Cause.TIMED_OUT
     return CAUSE_BY_ERRNO.get(error.errno or 0, Cause.UNREACHABLE)
 
 
 async def dial(address: Address, timeout: float) -> socket.socket:
-    """A socket connected to the address; OSError where it is not, TimeoutError after so many seconds."""
+    """Return a socket connected to an address within `timeout` seconds; OSError if that fails."""
     sock = socket.socket(SOCKET_FAMILY_BY_FAMILY[address.family], socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
@@ -88,10 +88,10 @@
 
 
 async def _dial_unix(sock: socket.socket, address: Address) -> None:
-    """A Unix socket is up at once or not at all.
+    """Connect a Unix socket, which succeeds or fails at once.
 
-    With a full backlog connect says EAGAIN, which event loops take for a dial under way and then, as its
-    socket counts as writable, for one that is up: so it is asked again here.
+    With a full backlog, connect fails with EAGAIN. Event loops take that for a connect in progress and then,
+    as the socket is writable, for an established connection. So this retries connect itself.
     """
     while True:
         try:
@@ -102,36 +102,53 @@
 
 
 class Route:
-    """The way to one machine: connections over whichever of its addresses is up first."""
+    """The addresses of one machine and their state; connects to whichever address answers first.
+
+    Args:
+        dialer: The front's dialer.
+        host: The machine's id, for the log.
+        seed: Seed of the random backoff times.
+
+    Attributes:
+        book: What is known about each address.
+        races: The connection attempts in progress.
+        listed_addresses: The addresses in the endpoint list, as last applied; None before that.
+        waiter_by_race: Resolved with the socket of the winner, or ConnectFailedError.
+        task_by_dial: Tasks of the dials in progress.
+        socket_by_dial: Connected sockets, until `races` has decided what becomes of them.
+        tick_timer: Calls `tick`.
+        extra_dials: Dials that are counted in the descriptors besides the first one of each race.
+    """
 
     def __init__(self, dialer: Dialer, host: str, seed: int) -> None:
         self.dialer, self.host = dialer, host
         self.book = AddressBook(dialer.section.limits, dialer.preference, seed)
         self.races = Races(self.book, dialer.limiter, self)
-        self.listed_addresses: tuple[str, ...] | None = None  # as the change log told them last
+        self.listed_addresses: tuple[str, ...] | None = None
         self.waiter_by_race: dict[int, asyncio.Future[tuple[socket.socket, Address]]] = {}
         self.task_by_dial: dict[int, asyncio.Task[None]] = {}
-        self.socket_by_dial: dict[int, socket.socket] = {}  # connected, for the winner of the turn
+        self.socket_by_dial: dict[int, socket.socket] = {}
         self.tick_timer: asyncio.TimerHandle | None = None
         self.extra_dials = 0
 
     async def connect(self) -> tuple[socket.socket, Address]:
-        """A connected socket and its address; raises ConnectFailedError where every address has failed."""
+        """Return a connected socket and its address; ConnectFailedError if every address has failed."""
         number, actions = self.races.start(clock.now())
-        won: asyncio.Future[tuple[socket.socket, Address]] = asyncio.get_running_loop().create_future()
-        self.waiter_by_race[number] = won
+        winner: asyncio.Future[tuple[socket.socket, Address]] = asyncio.get_running_loop().create_future()
+        self.waiter_by_race[number] = winner
         self.perform(actions)
         try:
-            return await won
+            return await winner
         except asyncio.CancelledError:
-            if won.done() and not won.cancelled() and won.exception() is None:
-                won.result()[0].close()
+            if winner.done() and not winner.cancelled() and winner.exception() is None:
+                winner.result()[0].close()
             raise
         finally:
             if self.waiter_by_race.pop(number, None) is not None:
                 self.perform(self.races.cancel(number, clock.now()))
 
     def perform(self, actions: Iterable[Action]) -> None:
+        """Perform the actions that `races` has decided on."""
         loop = asyncio.get_running_loop()
         for action in actions:
             match action:
@@ -141,15 +158,15 @@
                 case CancelDial(number):
                     self._cancel_dial(number)
                 case RaceWon(race, number, address):
-                    sock, future = self.socket_by_dial.pop(number), self.waiter_by_race.pop(race, None)
-                    if future is None or future.done():
+                    sock, waiter = self.socket_by_dial.pop(number), self.waiter_by_race.pop(race, None)
+                    if waiter is None or waiter.done():
                         sock.close()
                     else:
-                        future.set_result((sock, address))
-                case RaceLost(race, absent, why):
-                    future = self.waiter_by_race.pop(race, None)
-                    if future is not None and not future.done():
-                        future.set_exception(ConnectFailedError(absent, why))
+                        waiter.set_result((sock, address))
+                case RaceLost(race, is_absent, reason):
+                    waiter = self.waiter_by_race.pop(race, None)
+                    if waiter is not None and not waiter.done():
+                        waiter.set_exception(ConnectFailedError(is_absent, reason))
                 case ScheduleTick(at):
                     if self.tick_timer is not None:
                         self.tick_timer.cancel()
@@ -158,14 +175,15 @@
         self._update_limits()
 
     def _update_limits(self) -> None:
-        """Count descriptors of dials beside a race's first; room that is free goes to who waits longest."""
-        extras = self.races.extra_dials
-        if extras != self.extra_dials:
-            self.dialer.means.descriptors.add_caches(extras - self.extra_dials)
-            self.extra_dials = extras
+        """Count the descriptors of extra dials, and let routes retry that wait for the limit on dials."""
+        extra_dials = self.races.extra_dials
+        if extra_dials != self.extra_dials:
+            self.dialer.means.descriptors.add_caches(extra_dials - self.extra_dials)
+            self.extra_dials = extra_dials
         self.dialer.retry_waiting_routes()
 
     def tick(self) -> None:
+        """Let `races` start or end dials whose time has come."""
         self.tick_timer = None
         self.perform(self.races.tick(clock.now()))
 
@@ -180,7 +198,7 @@
             self.perform(self.races.on_dial_failed(number, cause, clock.now()))
         except asyncio.CancelledError:
             raise
-        except Exception as error:  # whatever it is, it ends this dial alone
+        except Exception as error:  # any other error ends only this dial
             self._remove_task(number)
             self.dialer.checks.exception("exception_in_dial", error)
             self.perform(self.races.on_dial_failed(number, Cause.LOCAL_RESOURCES, clock.now()))
@@ -188,8 +206,8 @@
             self._remove_task(number)
             self.socket_by_dial[number] = sock
             self.perform(self.races.on_connected(number, clock.now()))
-            if (left := self.socket_by_dial.pop(number, None)) is not None:
-                left.close()
+            if (unused := self.socket_by_dial.pop(number, None)) is not None:
+                unused.close()
 
     def _remove_task(self, number: int) -> None:
         self.task_by_dial.pop(number, None)
@@ -201,125 +219,145 @@
             sock.close()
         self.dialer.checks.count("dials_cancelled")
 
-    # What connections show
+    # Events
 
     def replace_addresses(self, dials: tuple[str, ...]) -> set[Address]:
-        """The list or the operators tell other addresses. Returns those that left."""
+        """Use the addresses of the endpoint list and the operators' file. Return those that were removed."""
         self.listed_addresses = dials
         addresses = self.dialer.list_addresses(self.host, dials)
-        left = self.book.replace_addresses(addresses)
+        removed = self.book.replace_addresses(addresses)
         if not self.book.state_by_address:
             self.dialer.checks.event("endpoint_addresses_forbidden", self.host)
         if self.races.race_by_number:
             self.perform(self.races.on_addresses_replaced(clock.now()))
-        return left
+        return removed
 
     def on_response(self, address: Address) -> None:
+        """Note that a response arrived over an address: it works."""
         self.book.on_response(address)
 
-    def on_connection_failed(self, address: Address, up_at: int, why: str) -> None:
-        """A connection ended, or stayed silent, before any answer came over it."""
-        if self.book.on_failure(address, up_at, clock.now()):
-            self.dialer.checks.event("address_backoff", f"{self.host} {address}: {why}")
+    def on_connection_failed(self, address: Address, connected_at: int, reason: str) -> None:
+        """Note that a connection, established at `connected_at` (ns), closed or stalled."""
+        if self.book.on_failure(address, connected_at, clock.now()):
+            self.dialer.checks.event("address_backoff", f"{self.host} {address}: {reason}")
 
     def outcome_after_break(
-        self, begun: bool, absent: bool, recalled: bool, moves: int, most: int
+        self, is_started: bool, is_absent: bool, is_revoked: bool, moves: int, max_moves: int
     ) -> AttemptOutcome | None:
-        """See `addresses.after_break`."""
-        return outcome_after_break(begun, absent, recalled, moves, most)
+        """See `addresses.outcome_after_break`."""
+        return outcome_after_break(is_started, is_absent, is_revoked, moves, max_moves)
 
     def is_backing_off(self, address: Address) -> bool:
-        """Whether it rests while another does not."""
+        """Whether the address is in backoff and another one is not."""
         now = clock.now()
         return self.book.is_backing_off(address, now) and self.book.has_alternative(address, now)
 
     def has_alternative(self, address: Address) -> bool:
+        """Whether the machine has another address that is not in backoff."""
         return self.book.has_alternative(address, clock.now())
 
     def close(self) -> None:
-        """The machine is gone: nothing is dialled any more."""
+        """Cancel all dials: the machine is off the endpoint list."""
         for number in list(self.races.race_by_number):
             self.perform(self.races.cancel(number, clock.now()))
-            if (future := self.waiter_by_race.pop(number, None)) is not None:
-                future.cancel()
+            if (waiter := self.waiter_by_race.pop(number, None)) is not None:
+                waiter.cancel()
         if self.tick_timer is not None:
             self.tick_timer.cancel()
 
 
 class Dialer:
-    """What the ways of all machines share: the operators' section, the account of dials, the descriptors."""
+    """What the routes of all machines share.
+
+    Args:
+        means: What all actors of the front share.
+        section: The section `addresses` of the operators' file.
+        has_spare_descriptor: Returns whether another socket may be opened.
+
+    Attributes:
+        preference: Which addresses are preferred and which are forbidden.
+        limiter: Limits the dials in progress of the whole front.
+        route_by_number: The routes, by machine number.
+        is_retrying: `retry_waiting_routes` is running.
+    """
 
-    def __init__(self, means: Means, section: AddressesSection, spare: Callable[[], bool]) -> None:
+    def __init__(
+        self, means: Means, section: AddressesSection, has_spare_descriptor: Callable[[], bool]
+    ) -> None:
         self.means, self.checks = means, means.checks
         self.section, self.preference = section, section.preference
-        self.limiter = DialLimiter(section.limits.max_dials, spare)
+        self.limiter = DialLimiter(section.limits.max_dials, has_spare_descriptor)
         self.route_by_number: dict[int, Route] = {}
         self.is_retrying = False
 
     def get_route(self, number: int, host: str) -> Route:
-        """The way to a machine, kept until it is forgotten. Chance of each follows from the front's seed."""
+        """Return the route to a machine, created on first use; its randomness follows from the front's seed."""
         if number not in self.route_by_number:
             self.route_by_number[number] = Route(self, host, self.means.config.seed ^ number)
         return self.route_by_number[number]
 
     def remove_route(self, number: int) -> None:
-        way = self.route_by_number.pop(number, None)
-        if way is not None:
-            way.close()
-            self.limiter.waiting.pop(way, None)
+        """Close the route to a machine."""
+        route = self.route_by_number.pop(number, None)
+        if route is not None:
+            route.close()
+            self.limiter.waiting.pop(route, None)
 
     def configure(self, section: AddressesSection) -> None:
-        """The operators' file was read again: from the next dial on; what is up stays."""
+        """Apply a new section from the next dial on; established connections stay."""
         self.section, self.preference = section, section.preference
         self.limiter.max_dials = section.limits.max_dials
-        for way in self.route_by_number.values():
-            way.book.limits, way.book.preference = section.limits, self.preference
+        for route in self.route_by_number.values():
+            route.book.limits, route.book.preference = section.limits, self.preference
 
     def list_addresses(self, host: str, dials: Iterable[str]) -> list[Address]:
-        """Those of the change log first, then the operators'; at most so many."""
-        found: dict[Address, None] = {}
+        """Return a machine's addresses, those of the change log first; at most MAX_ADDRESSES."""
+        addresses: dict[Address, None] = {}
         for text in dials:
             try:
-                found[parse(text)] = None
+                addresses[parse(text)] = None
             except AddressError as error:
                 self.checks.event("endpoint_address_invalid", f"{host}: {error}")
-        found.update(dict.fromkeys(self.section.machines.get(host, ())))
-        if len(found) > MAX_ADDRESSES:
+        addresses.update(dict.fromkeys(self.section.machines.get(host, ())))
+        if len(addresses) > MAX_ADDRESSES:
             self.checks.event("endpoint_addresses_over_limit", f"{host}: {MAX_ADDRESSES} are used")
-        return list(found)[:MAX_ADDRESSES]
+        return list(addresses)[:MAX_ADDRESSES]
 
     def list_backoffs(self) -> Iterable[tuple[str, str, int, int]]:
-        """Addresses that are set aside, with their host; see Book.aside."""
+        """Return the addresses in backoff, each with its host; see AddressBook.list_backoffs."""
         now = clock.now()
         return [
-            (way.host, *told) for way in self.route_by_number.values() for told in way.book.list_backoffs(now)
+            (route.host, *backoff)
+            for route in self.route_by_number.values()
+            for backoff in route.book.list_backoffs(now)
         ]
 
-    def restore_backoffs(self, aside: Iterable[tuple[str, str, int, int]]) -> int:
-        """Take those of an earlier start; how many still rest."""
-        by_host: dict[str, list[tuple[str, int, int]]] = {}
-        for host, address, failures, left in aside:
-            by_host.setdefault(host, []).append((address, failures, left))
+    def restore_backoffs(self, backoffs: Iterable[tuple[str, str, int, int]]) -> int:
+        """Restore the backoffs of an earlier run. Return how many addresses are in backoff now."""
+        backoffs_by_host: dict[str, list[tuple[str, int, int]]] = {}
+        for host, address, failures, remaining in backoffs:
+            backoffs_by_host.setdefault(host, []).append((address, failures, remaining))
         now = clock.now()
         return sum(
-            way.book.restore_backoffs(by_host.get(way.host, ()), now) for way in self.route_by_number.values()
+            route.book.restore_backoffs(backoffs_by_host.get(route.host, ()), now)
+            for route in self.route_by_number.values()
         )
 
     def retry_waiting_routes(self) -> None:
-        """Let machines look again that found no room in the account, each once a turn."""
+        """Let each route that waits for the limit on dials try again, once."""
         if self.is_retrying:
             return
         self.is_retrying = True
         try:
             for _ in range(len(self.limiter.waiting)):
-                way = self.limiter.pop_waiting()
-                if not isinstance(way, Route):
+                route = self.limiter.pop_waiting()
+                if not isinstance(route, Route):
                     break
-                way.perform(way.races.tick(clock.now()))
+                route.perform(route.races.tick(clock.now()))
         finally:
             self.is_retrying = False
 
 
 def validate_address(text: str) -> None:
-    """For the change log's reader: raises ValueError where a text is no address of any kind."""
+    """Raise ValueError if a text is not an address of any kind; for the reader of the change log."""
     parse(text)
--- a/quincepier/net/sockets.py
+++ b/quincepier/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of the front: non-blocking, counted against the descriptor limit."""
+"""Non-blocking sockets: the descriptor limit, connecting, listening, sending and closing."""
 
 from __future__ import annotations
 
@@ -9,30 +9,38 @@
 
 from quincepier.checks import Checks
 
-RESERVED_DESCRIPTORS = (
-    24  # descriptors of the loop, the listener, the log and the like (11), and of those about to close
-)
+# Descriptors that are not available for connections: the event loop, the listener, the log and others use 11,
+# and sockets that are about to close need some.
+RESERVED_DESCRIPTORS = 24
 
-
-# What a connect fails with for want of the front's own, or of its machine's: it says nothing of the server.
+# Errors of a connect that are caused by this process or its machine and say nothing about the server.
 RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 LOCAL_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
-# What a read or write fails with for a moment: the connection is as it was.
+# Errors of a read or write that leave the connection intact.
 TRANSIENT_ERRORS = frozenset((errno.ENOBUFS, errno.ENOMEM))
-TRANSIENT_ERROR_PAUSE_S = 0.005  # seconds until it is tried again
-LISTEN_TIMEOUT_S = 10.0  # seconds; a front is to be ready within 30
-UNREACHABLE_ERRORS = frozenset((errno.EHOSTUNREACH, errno.EHOSTDOWN))  # of a connect: nobody is there
-MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = (
-    0.01,
-    0.16,
-)  # seconds until such a connect is tried again, doubled each time
-NO_BUFFER_PAUSE_S = (
-    0.005  # seconds between looks for a buffer to read into, where even the reserve is used up
-)
+TRANSIENT_ERROR_PAUSE_S = 0.005  # until the read or write is retried
+LISTEN_TIMEOUT_S = 10.0  # a front must be ready within 30 s
+# Errors of a connect that show that the machine is not there.
+UNREACHABLE_ERRORS = frozenset((errno.EHOSTUNREACH, errno.EHOSTDOWN))
+# Pause before a connect or listen that failed with a local error is retried; doubled each time.
+MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.01, 0.16
+NO_BUFFER_PAUSE_S = 0.005  # between tries to get a read buffer while even the reserve is used up
 
 
 class Descriptors:
-    """The front's own account of its sockets: half for clients, the rest for caches and the change log."""
+    """Counts open sockets against the limit: half for clients, the rest for caches and the change log.
+
+    Args:
+        limit: Descriptors that the process may have open.
+
+    Attributes:
+        max_clients: Limit on connections of clients.
+        max_caches: Limit on sockets to caches, the change log and other fronts.
+        clients: Connections of clients that are open.
+        caches: Sockets to caches, the change log and other fronts that are open.
+        lingering: Clients' sockets that are closed for writing and still read, see `add_lingering`.
+        peak: The largest sum of these so far.
+    """
 
     def __init__(self, limit: int) -> None:
         usable = max(limit - RESERVED_DESCRIPTORS, 8)
@@ -41,15 +49,17 @@
         self.clients = self.caches = self.lingering = self.peak = 0
 
     def add_clients(self, by: int) -> None:
+        """Add to the number of open client connections."""
         self.clients += by
         self._update_peak()
 
     def add_caches(self, by: int) -> None:
+        """Add to the number of open sockets to caches, the change log and other fronts."""
         self.caches += by
         self._update_peak()
 
     def add_lingering(self, by: int) -> None:
-        """Clients' sockets that were closed for writing and are read to their end."""
+        """Add to the number of clients' sockets that are closed for writing and still read."""
         self.lingering += by
         self._update_peak()
 
@@ -58,18 +68,20 @@
 
 
 def make_socket() -> socket.socket:
+    """Return a new non-blocking IPv4 TCP socket."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     return sock
 
 
 def set_no_delay(sock: socket.socket) -> None:
-    """Hold no small write back; a socket on which that can't be set is of use all the same."""
+    """Turn off Nagle's algorithm; a socket on which that fails can be used all the same."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def listen(address: tuple[str, int], backlog: int = 1024) -> socket.socket:
+    """Return a socket that listens at an address; OSError if that fails."""
     sock = make_socket()
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -82,14 +94,14 @@
 
 
 async def listen_with_retries(address: tuple[str, int], checks: Checks) -> socket.socket:
-    """A listening socket; tried again where none can be had for a moment, else OSError."""
+    """Return a listening socket; retried while resources are short, for LISTEN_TIMEOUT_S; else OSError."""
     loop = asyncio.get_running_loop()
-    until, pause = loop.time() + LISTEN_TIMEOUT_S, MIN_RETRY_PAUSE_S
+    retry_until, pause = loop.time() + LISTEN_TIMEOUT_S, MIN_RETRY_PAUSE_S
     while True:
         try:
             return listen(address)
         except OSError as error:
-            if error.errno not in RESOURCE_ERRORS or loop.time() + pause >= until:
+            if error.errno not in RESOURCE_ERRORS or loop.time() + pause >= retry_until:
                 raise
         checks.count("listens_retried_local_resources")
         await asyncio.sleep(pause)
@@ -97,17 +109,17 @@
 
 
 async def connect(address: tuple[str, int], timeout: float, checks: Checks) -> socket.socket:
-    """A connected socket; OSError where it is refused or not up in time.
+    """Return a socket connected within `timeout` seconds; OSError if it is refused or times out.
 
-    What fails for want of the front's own is tried again within that time.
+    A connect that fails with a local error is retried until then.
     """
     loop = asyncio.get_running_loop()
-    until, pause = loop.time() + timeout, MIN_RETRY_PAUSE_S
+    retry_until, pause = loop.time() + timeout, MIN_RETRY_PAUSE_S
     while True:
         try:
-            return await _connect_once(address, until - loop.time())
+            return await _connect_once(address, retry_until - loop.time())
         except OSError as error:
-            if error.errno not in LOCAL_ERRORS or loop.time() + pause >= until:
+            if error.errno not in LOCAL_ERRORS or loop.time() + pause >= retry_until:
                 raise
         checks.count("connects_retried_local_resources")
         await asyncio.sleep(pause)
@@ -125,10 +137,10 @@
 
 
 async def connect_with_timeout(sock: socket.socket, address: object, timeout: float) -> None:
-    """Connect it; OSError where it is refused, TimeoutError where it is not up after so many seconds.
+    """Connect a socket; OSError if refused, TimeoutError after `timeout` seconds.
 
-    After a standstill of the front the time is up before the loop has told of a connection that came up
-    meanwhile, so the system has the last word.
+    After a pause of this process the timeout may expire before the event loop has seen that the connection
+    was established, so the state of the socket decides.
     """
     try:
         async with asyncio.timeout(timeout):
@@ -142,12 +154,12 @@
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether a read or write that failed so is to be tried again on the same connection."""
+    """Whether a read or write that failed with this error is retried on the same connection."""
     return error.errno in TRANSIENT_ERRORS
 
 
 def resolve(waiter: asyncio.Future[None] | None) -> bool:
-    """Wake who waits; whether anyone did."""
+    """Resolve a future. Return whether there was one that was not resolved yet."""
     if waiter is None or waiter.done():
         return False
     waiter.set_result(None)
@@ -155,7 +167,7 @@
 
 
 async def wait_until_writable(sock: socket.socket) -> None:
-    """Wait until a socket takes bytes again."""
+    """Wait until a socket can be written to."""
     loop = asyncio.get_running_loop()
     ready: asyncio.Future[None] = loop.create_future()
     loop.add_writer(sock, resolve, ready)
@@ -166,11 +178,14 @@
 
 
 async def send_all(sock: socket.socket, data: bytes | memoryview) -> None:
-    """Send all of it; OSError where the connection is broken. `sock_sendall` ends at momentary errors too."""
-    left = memoryview(data)
-    while left:
+    """Send all of `data`; OSError if the connection is broken.
+
+    Unlike the loop's `sock_sendall` it retries after transient errors.
+    """
+    unsent = memoryview(data)
+    while unsent:
         try:
-            left = left[sock.send(left) :]
+            unsent = unsent[sock.send(unsent) :]
         except (BlockingIOError, InterruptedError):
             await wait_until_writable(sock)
         except OSError as error:
@@ -180,24 +195,32 @@
 
 
 def close_at_once(sock: socket.socket) -> None:
-    """Close a socket now, of which the loop may have a reader; else it stays open until that one is gone."""
+    """Close a socket that the event loop may watch for reading.
+
+    With a reader registered, the descriptor would stay open until the reader is removed.
+    """
     asyncio.get_running_loop().remove_reader(sock)
     sock.close()
 
 
 def shutdown_and_close(sock: socket.socket) -> None:
-    """Close a socket so that its peer sees the end in this turn of the loop.
+    """Close a socket so that its peer sees the end of the stream at once.
 
-    The loop may hold the descriptor of a closed socket until its next turn; a shutdown does not wait.
+    The event loop may hold the descriptor of a closed socket until its next turn; a shutdown takes effect
+    immediately.
     """
-    with contextlib.suppress(OSError):  # it was broken before
+    with contextlib.suppress(OSError):  # the connection was broken already
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
 
 
 class ConnectFailedError(OSError):
-    """No address of a machine came up; `absent` where each of them said that nobody is there."""
+    """No address of a machine could be connected to.
+
+    Attributes:
+        is_absent: The failure at each address shows that the machine is not there.
+    """
 
-    def __init__(self, absent: bool, why: str) -> None:
-        super().__init__(why)
-        self.is_absent = absent
+    def __init__(self, is_absent: bool, reason: str) -> None:
+        super().__init__(reason)
+        self.is_absent = is_absent
