--- a/quincepier/addresses/__init__.py
+++ b/quincepier/addresses/__init__.py
@@ -1,9 +1,9 @@
-"""The several addresses of one machine: which is dialled next, how long after the last, and which rests.
+"""Machines with several addresses: which address is dialled next, how soon, and which is in backoff.
 
-It decides the order of a machine's addresses, the stagger between dials, who is set aside and for how long,
-and which dial of a race wins. It never opens a socket, reads a clock, or says anything about the machine
-behind the addresses: that is the decision module's. Read `order.py` first, then `book.py` and `race.py`;
-docs/addresses.md tells the whole.
+This package decides the order of a machine's addresses, the stagger between dials, which addresses are in
+backoff and for how long, and which dial of a race wins. It opens no socket, reads no clock, and decides
+nothing about the machine itself: the router does that. Read `order.py` first, then `address_book.py` and
+`race.py`; docs/addresses.md has the whole design.
 """
 
 from quincepier.addresses.address import MAX_ADDRESSES, Address, Family
--- a/quincepier/addresses/address.py
+++ b/quincepier/addresses/address.py
@@ -1,15 +1,15 @@
-"""What an address is: a family and what a socket of that family is connected to."""
+"""Addresses of machines: a socket family and the target that a socket of that family connects to."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_ADDRESSES = 16  # of one machine; what is listed past it is passed over and told
+MAX_ADDRESSES = 16  # of one machine; further listed addresses are ignored and logged
 
 
 class Family(Enum):
-    """The kinds of socket. The value is the word that operators write."""
+    """Socket families. The value is the word used in the operators' file."""
 
     UNIX = "unix"
     IP6 = "ipv6"
@@ -18,10 +18,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Address:
-    """One place where a machine listens.
+    """An address at which a machine listens.
 
-    `host` is an IP address in its canonical form, '' for a Unix socket; `port` is 1 to 65535, 0 for a Unix
-    socket; `path` is a path, or a name with '@' before it in the abstract space, '' for IP.
+    Attributes:
+        family: The socket family.
+        host: IP address in canonical form; '' for a Unix socket.
+        port: 1 to 65535; 0 for a Unix socket.
+        path: Path of a Unix socket, or '@' and a name in the abstract namespace; '' for IP.
     """
 
     family: Family
@@ -40,7 +43,7 @@
 
     @property
     def target(self) -> tuple[str, int] | str | bytes:
-        """What the socket's connect call takes."""
+        """The argument of `socket.connect`."""
         if self.family is not Family.UNIX:
             return self.host, self.port
         return b"\0" + self.path[1:].encode() if self.path.startswith("@") else self.path
--- a/quincepier/addresses/break_outcome.py
+++ b/quincepier/addresses/break_outcome.py
@@ -1,7 +1,7 @@
-"""What becomes of an attempt whose connection ended: on over another address, or told to the decision module.
+"""What happens to an attempt whose connection closed: moved to another connection, or reported to the router.
 
-Rule two in one place. What is proved unsent may go on as the same attempt: nobody can have read a byte of it;
-what has begun to go out may have been read and run, so only the decision module may ask again.
+Rule two in one place. An attempt of which no byte was sent may go on as the same attempt, as no machine can
+have read it. One that was partly or wholly sent may have been read and run, so only the router may retry it.
 """
 
 from __future__ import annotations
@@ -10,18 +10,21 @@
 
 
 def outcome_after_break(
-    begun: bool, absent: bool, recalled: bool, moves: int, most: int
+    is_started: bool, is_absent: bool, is_revoked: bool, moves: int, max_moves: int
 ) -> AttemptOutcome | None:
-    """How the attempt ended; None where it goes on over another connection.
+    """Return the outcome of the attempt; None if it moves to another connection.
 
-    `begun`: a byte of it may have been taken by the socket. `absent`: no connection came up, and every
-    address said that nobody is there. `recalled`: a purge or a drain was told since it was decided. `moves`:
-    how often it has gone on already, `most` times at most.
+    Args:
+        is_started: The socket may have taken a byte of its command.
+        is_absent: No connection was established, and each failure shows that the machine is not there.
+        is_revoked: A purge or a drain has arrived since the attempt was decided.
+        moves: How often it has moved to another connection already.
+        max_moves: How often it may do so.
     """
-    if begun:
+    if is_started:
         return AttemptOutcome.RESET
-    if recalled:
+    if is_revoked:
         return AttemptOutcome.NOT_PROCESSED
-    if absent:
+    if is_absent:
         return AttemptOutcome.CONNECT_FAILED
-    return None if moves < most else AttemptOutcome.NOT_PROCESSED
+    return None if moves < max_moves else AttemptOutcome.NOT_PROCESSED
--- a/quincepier/addresses/grammar.py
+++ b/quincepier/addresses/grammar.py
@@ -1,9 +1,9 @@
-"""The one grammar of addresses, and of the terms that prefer or forbid them.
+"""The grammar of addresses, and of the terms that prefer or forbid them.
 
     address = [ "tcp://" ] ( ipv4 | "[" ipv6 "]" ) ":" port  |  "unix:" ( path | "@" name )
     term    = "unix" | "ipv4" | "ipv6" | network
 
-Written with parsy: docs/addresses.md tells why and against what.
+Written with parsy; docs/addresses.md compares the alternatives.
 """
 
 from __future__ import annotations
@@ -14,31 +14,36 @@
 from quincepier.addresses.address import Address, Family
 from quincepier.errors import QuincepierError
 
-MAX_TEXT_LENGTH = 256  # characters of an address; nothing longer is looked at
-MAX_UNIX_PATH_BYTES = (
-    108  # bytes, unix(7): a path ends in a NUL byte, a name of the abstract space begins with one
-)
+MAX_TEXT_LENGTH = 256  # characters of an address; longer texts are rejected unparsed
+# unix(7); the NUL byte counts that ends a path or begins an abstract name.
+MAX_UNIX_PATH_BYTES = 108
 MAX_PORT = 65535
 
 
 class AddressError(QuincepierError, ValueError):
-    """A text that is no address or term. `column` counts from 1 and tells where it stops being one."""
+    """A text that is not a valid address or term.
+
+    Attributes:
+        text: The text.
+        column: Where the error is, counted from 1.
+        expected: What was expected there.
+    """
 
     code = "QP-ADDRESS"
     remedy = "correct the address at the column that it names, in the list or in the operators' file"
 
-    def __init__(self, text: str, column: int, wanted: str) -> None:
+    def __init__(self, text: str, column: int, expected: str) -> None:
         shown = text if len(text) <= 60 else text[:57] + "..."
-        super().__init__(f"{shown!r}, column {column}: {wanted}")
-        self.text, self.column, self.expected = text, column, wanted
+        super().__init__(f"{shown!r}, column {column}: {expected}")
+        self.text, self.column, self.expected = text, column, expected
 
 
 class _ParseError(Exception):
-    """Raised inside the grammar where a word has the right letters and still is none."""
+    """Raised inside the grammar where a text has the right form but an invalid value."""
 
-    def __init__(self, index: int, wanted: str) -> None:
-        super().__init__(wanted)
-        self.index, self.expected = index, wanted
+    def __init__(self, index: int, expected: str) -> None:
+        super().__init__(expected)
+        self.index, self.expected = index, expected
 
 
 _octet = regex(r"0|[1-9][0-9]{0,2}").desc("a number from 0 to 255 without leading zeros")
@@ -46,16 +51,16 @@
 
 @generate
 def _ipv4():  # type: ignore[no-untyped-def]
-    parts = []
+    octets = []
     for n in range(4):
         if n:
             yield string(".").desc("'.' and the next part of an IPv4 address")
         at = yield index
-        part = yield _octet
-        if int(part) > 255:
+        octet = yield _octet
+        if int(octet) > 255:
             raise _ParseError(at, "a number from 0 to 255")
-        parts.append(part)
-    return Family.IP4, ".".join(parts)
+        octets.append(octet)
+    return Family.IP4, ".".join(octets)
 
 
 @generate
@@ -68,7 +73,7 @@
     except (netaddr.AddrFormatError, ValueError):
         raise _ParseError(at, "an IPv6 address") from None
     yield string("]").desc("']' after the IPv6 address (zones such as %eth0 are not taken)")
-    if address.is_ipv4_mapped():  # IPv4 in other clothes would pass by what forbids IPv4
+    if address.is_ipv4_mapped():  # otherwise a mapped address would evade a rule that forbids IPv4
         return Family.IP4, str(address.ipv4())
     return Family.IP6, str(address)
 
@@ -116,29 +121,29 @@
 _term = (_families[0] | _families[1] | _families[2] | _network) << eof.desc("the end")
 
 
-def _run(parser: Parser, text: object, what: str) -> object:
+def _run(parser: Parser, text: object, kind: str) -> object:
     if not isinstance(text, str):
-        raise AddressError(str(text), 1, f"{what} is a text")
+        raise AddressError(str(text), 1, f"{kind} must be a string")
     if len(text) > MAX_TEXT_LENGTH:
         raise AddressError(text, MAX_TEXT_LENGTH + 1, f"no more than {MAX_TEXT_LENGTH} characters")
     try:
         return parser.parse(text)
     except ParseError as error:
-        wanted = " or ".join(sorted(error.expected))
-        raise AddressError(text, error.index + 1, f"{wanted} is wanted") from None
+        expected = " or ".join(sorted(error.expected))
+        raise AddressError(text, error.index + 1, f"{expected} is expected") from None
     except _ParseError as error:
-        raise AddressError(text, error.index + 1, error.expected + " is wanted") from None
+        raise AddressError(text, error.index + 1, error.expected + " is expected") from None
 
 
 def parse(text: object) -> Address:
-    """The address that a text names; raises AddressError. `parse(str(address))` is the address again."""
-    found = _run(_address, text, "an address")
-    assert isinstance(found, Address)
-    return found
+    """Return the address that a text names; AddressError if it is invalid. Inverse of `str(address)`."""
+    address = _run(_address, text, "an address")
+    assert isinstance(address, Address)
+    return address
 
 
 def parse_term_value(text: object) -> Family | netaddr.IPNetwork:
-    """A family or a network; raises AddressError."""
-    found = _run(_term, text, "a family or a network")
-    assert isinstance(found, Family | netaddr.IPNetwork)
-    return found
+    """Return the family or network that a text names; AddressError if it names neither."""
+    value = _run(_term, text, "a family or a network")
+    assert isinstance(value, Family | netaddr.IPNetwork)
+    return value
--- a/quincepier/addresses/order.py
+++ b/quincepier/addresses/order.py
@@ -1,10 +1,10 @@
-"""The order in which the addresses of one machine are tried: one pure function.
+"""The order in which the addresses of one machine are tried, as a pure function.
 
-1. What is not set aside, by the operators' grade; among equals
-2. the address over which an answer came last,
-3. then by the policy table of RFC 6724 (section 2.1) with families taking turns (RFC 8305, section 4); a Unix
-   socket, which needs no network, comes before both, and the listed order decides between what is left.
-4. What is set aside comes after all of it, the one due soonest first.
+1. Addresses that are not in backoff, by the operators' preference; among equally preferred ones
+2. the address over which the last response arrived,
+3. then by the policy table of RFC 6724 (section 2.1) with families alternating (RFC 8305, section 4); a Unix
+   socket, which needs no network, comes first; the listed order decides between equal ones.
+4. Addresses in backoff come last, the one whose backoff ends soonest first.
 """
 
 from __future__ import annotations
@@ -31,14 +31,12 @@
         ("::/0", 40),
     )
 )
-_IPV4_PRECEDENCE, _UNIX_PRECEDENCE = (
-    35,
-    60,
-)  # ::ffff:0:0/96 of the same table; a Unix socket goes before all that needs a network
+# IPv4: the row ::ffff:0:0/96 of the table. A Unix socket needs no network and comes before all others.
+_IPV4_PRECEDENCE, _UNIX_PRECEDENCE = 35, 60
 
 
 def precedence(address: Address) -> int:
-    """Of RFC 6724's table; more goes first."""
+    """Return the precedence by the table of RFC 6724; a higher one is tried first."""
     match address.family:
         case Family.UNIX:
             return _UNIX_PRECEDENCE
@@ -51,38 +49,48 @@
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """An address as its book knows it."""
+    """An address and what decides its place in the order.
+
+    Attributes:
+        address: The address.
+        precedence: By RFC 6724; higher is tried first.
+        grade: By the operators' preference; lower is tried first.
+        backoff_until: When its backoff ends, ns; 0: not in backoff.
+        last_response: Number, among the machine's responses, of the last one over this address; 0: none.
+    """
 
     address: Address
     precedence: int
-    grade: int  # by the operators' preference, 0 first
-    backoff_until: int = 0  # set aside until then, in nanoseconds; 0 where it is not
-    last_response: int = 0  # rises with every answer that proved an address of this machine; 0: never
+    grade: int
+    backoff_until: int = 0
+    last_response: int = 0
 
 
 def _alternate_families(candidates: Iterable[Candidate]) -> list[Candidate]:
-    """Families in turn, each in the order of its best precedence."""
+    """Return the candidates with families alternating, the family with the best precedence first."""
     queues: dict[Family, deque[Candidate]] = {}
-    for c in sorted(candidates, key=lambda c: -c.precedence):  # stable: the listed order among equals
+    for c in sorted(
+        candidates, key=lambda c: -c.precedence
+    ):  # a stable sort: equal ones stay in the listed order
         queues.setdefault(c.address.family, deque()).append(c)
-    found = []
+    alternated = []
     while queues:
         for family in list(queues):
-            found.append(queues[family].popleft())
+            alternated.append(queues[family].popleft())
             if not queues[family]:
                 del queues[family]
-    return found
+    return alternated
 
 
 def order_candidates(candidates: Sequence[Candidate]) -> list[Candidate]:
-    """All candidates, in the order in which they are to be tried."""
-    ready = [c for c in candidates if not c.backoff_until]
-    found: list[Candidate] = []
-    for grade in sorted({c.grade for c in ready}):
-        equals = _alternate_families(c for c in ready if c.grade == grade)
+    """Return all candidates in the order in which they are to be tried."""
+    usable = [c for c in candidates if not c.backoff_until]
+    ordered: list[Candidate] = []
+    for grade in sorted({c.grade for c in usable}):
+        equals = _alternate_families(c for c in usable if c.grade == grade)
         best = max(equals, key=lambda c: c.last_response)
         if best.last_response:
             equals.remove(best)
             equals.insert(0, best)
-        found += equals
-    return found + sorted((c for c in candidates if c.backoff_until), key=lambda c: c.backoff_until)
+        ordered += equals
+    return ordered + sorted((c for c in candidates if c.backoff_until), key=lambda c: c.backoff_until)
--- a/quincepier/addresses/race.py
+++ b/quincepier/addresses/race.py
@@ -1,8 +1,9 @@
-"""Races: how connections to one machine come up over its addresses. Events in, actions out; no I/O, no clock.
+"""Races: which addresses of a machine are dialled to establish a connection (like RFC 8305, Happy Eyeballs).
 
-A race is for one connection. It dials the first address of the order; when that has not come up after the
-stagger, or has failed, the next one too; the first that is up wins and the others are hung up. All races of a
-machine go by one book, looked at anew before each dial, so what one learnt the others use at once.
+Events go in and actions come out; there is no I/O and no clock. A race establishes one connection. It dials
+the first address of the order. If that has not connected after the stagger, or has failed, it also dials the
+next one. The first dial that connects wins, the others are cancelled. All races of a machine share one
+address book, which is consulted before each dial, so that what one race learns is used by the others at once.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class Cause(Enum):
-    """How a dial failed."""
+    """Why a dial failed. The name is part of a counter's name, the value is the text of the error."""
 
     REFUSED = "refused"
     TIMED_OUT = "not up in time"
@@ -25,14 +26,16 @@
     MISSING = "no such socket"
     FORBIDDEN = "forbidden"
     RESET = "reset as it came up"
-    LOCAL_RESOURCES = "the front's own want"  # of descriptors, ports or memory: no sign against any address
+    LOCAL_RESOURCES = "the front's own want"  # descriptors, ports or memory; says nothing about the address
 
 
-ABSENT_CAUSES = frozenset(Cause) - {Cause.RESET, Cause.LOCAL_RESOURCES}  # these say that nobody is there
+ABSENT_CAUSES = frozenset(Cause) - {Cause.RESET, Cause.LOCAL_RESOURCES}  # show that the machine is not there
 
 
 @dataclass(slots=True, frozen=True)
 class StartDial:
+    """Dial an address for a race."""
+
     race: int
     dial: int
     address: Address
@@ -40,13 +43,15 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelDial:
-    """End a dial, up or not."""
+    """Cancel a dial, and close its socket if it has connected."""
 
     dial: int
 
 
 @dataclass(slots=True, frozen=True)
 class RaceWon:
+    """Give the socket of a connected dial to its race, which has ended."""
+
     race: int
     dial: int
     address: Address
@@ -54,7 +59,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RaceLost:
-    """Every address has failed; `absent` where each failure said that nobody is there."""
+    """Fail a race, as every address has failed.
+
+    Attributes:
+        race: Number of the race.
+        is_absent: Each failure shows that the machine is not there.
+        reason: The last failure, as text.
+    """
 
     race: int
     is_absent: bool
@@ -63,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScheduleTick:
-    """Tell the time again then; a later one replaces it."""
+    """Call `Races.tick` at the time `at`, ns; replaces an earlier request."""
 
     at: int
 
@@ -72,38 +83,64 @@
 
 
 class DialLimiter:
-    """Dials at once of the whole front. A race's first dial leaves a part of them to those that fall back."""
-
-    def __init__(self, most: int, spare: Callable[[], bool] = lambda: True) -> None:
-        self.max_dials, self.has_spare_descriptor, self.in_use, self.peak = most, spare, 0, 0
-        self.waiting: OrderedDict[object, bool] = OrderedDict()  # no room, and whether for a first dial
-
-    def _has_capacity(self, first: bool) -> bool:
-        return self.in_use < (max(self.max_dials - self.max_dials // 4, 1) if first else self.max_dials)
-
-    def try_acquire(self, who: object, first: bool) -> bool:
-        """Room for a dial; one beside another of the same race needs a descriptor more than the race has."""
-        if not self._has_capacity(first) or not (first or self.has_spare_descriptor()):
-            self.waiting.setdefault(who, first)
+    """Limits the dials in progress of the whole front.
+
+    The first dial of a race may use only three quarters of them: the rest is left to races whose first dial
+    is slow or has failed.
+
+    Args:
+        max_dials: The limit.
+        has_spare_descriptor: Returns whether another socket may be opened.
+
+    Attributes:
+        in_use: Dials in progress.
+        peak: The largest number so far.
+        waiting: Owners that were refused a dial, in order, and whether it was the first of a race.
+    """
+
+    def __init__(self, max_dials: int, has_spare_descriptor: Callable[[], bool] = lambda: True) -> None:
+        self.max_dials, self.has_spare_descriptor, self.in_use, self.peak = (
+            max_dials,
+            has_spare_descriptor,
+            0,
+            0,
+        )
+        self.waiting: OrderedDict[object, bool] = OrderedDict()
+
+    def _has_capacity(self, is_first: bool) -> bool:
+        return self.in_use < (max(self.max_dials - self.max_dials // 4, 1) if is_first else self.max_dials)
+
+    def try_acquire(self, owner: object, is_first: bool) -> bool:
+        """Count a dial and return True, or return False and let the owner wait.
+
+        The first dial of a race uses the descriptor that the race has; any further one needs another.
+        """
+        if not self._has_capacity(is_first) or not (is_first or self.has_spare_descriptor()):
+            self.waiting.setdefault(owner, is_first)
             return False
         self.in_use += 1
         self.peak = max(self.peak, self.in_use)
         return True
 
     def release(self) -> None:
+        """Note that a dial has ended."""
         self.in_use -= 1
 
     def pop_waiting(self) -> object | None:
-        """Who has waited longest of those for whom there is room now; None where there is none for anyone."""
+        """Remove and return the owner that has waited longest and may dial now; None if there is none."""
         if not self.waiting or not self._has_capacity(False):
             return None
-        who = next((who for who, first in self.waiting.items() if self._has_capacity(first)), None)
-        self.waiting.pop(who, None)
-        return who
+        owner = next(
+            (owner for owner, is_first in self.waiting.items() if self._has_capacity(is_first)), None
+        )
+        self.waiting.pop(owner, None)
+        return owner
 
 
 @dataclass(slots=True)
 class _PendingDial:
+    """A dial in progress; `started_at` in ns."""
+
     race: int
     address: Address
     started_at: int
@@ -111,21 +148,46 @@
 
 @dataclass(slots=True)
 class _Race:
+    """A connection that is wanted.
+
+    Attributes:
+        number: Its number.
+        address_by_dial: Its dials in progress.
+        cause_by_address: The addresses that have failed for it.
+        next_dial_at: When it may start another dial besides those in progress, ns.
+        last_cause: Why the last dial failed.
+        awaits_trials: All remaining addresses are on trial by other races, whose failures count for this one.
+        is_timing_unreliable: This process was late: a dial that connects second was not necessarily slower.
+    """
+
     number: int
     address_by_dial: dict[int, Address] = field(default_factory=dict)
     cause_by_address: dict[Address, Cause] = field(default_factory=dict)
-    next_dial_at: int = 0  # when another dial may start beside those out
+    next_dial_at: int = 0
     last_cause: Cause | None = None
-    awaits_trials: bool = False  # all that is left is being tried by others: their outcome counts here too
-    is_timing_unreliable: bool = False  # the front was late: who comes up second is no slower for it
+    awaits_trials: bool = False
+    is_timing_unreliable: bool = False
 
 
 class Races:
-    """All races of one machine."""
-
-    def __init__(self, book: AddressBook, account: DialLimiter, owner: object = None) -> None:
-        self.book, self.limiter = book, account
-        self.owner = self if owner is None else owner  # by whom the account knows this machine
+    """All races of one machine.
+
+    Args:
+        book: The machine's addresses.
+        limiter: Limits the dials of the whole front.
+        owner: Identifies this machine to the limiter; this object by default.
+
+    Attributes:
+        race_by_number: The races in progress.
+        dial_by_number: The dials in progress.
+        race_count: Races started so far; the last one's number.
+        dial_count: Dials started so far; the last one's number.
+        actions: Actions that the current event has led to.
+    """
+
+    def __init__(self, book: AddressBook, limiter: DialLimiter, owner: object = None) -> None:
+        self.book, self.limiter = book, limiter
+        self.owner = self if owner is None else owner
         self.race_by_number: dict[int, _Race] = {}
         self.dial_by_number: dict[int, _PendingDial] = {}
         self.race_count = self.dial_count = 0
@@ -133,63 +195,63 @@
 
     @property
     def extra_dials(self) -> int:
-        """Dials beside the first of their race: descriptors over those that each race has anyhow."""
+        """Dials besides the first one of each race; they need descriptors of their own."""
         return sum(max(len(race.address_by_dial) - 1, 0) for race in self.race_by_number.values())
 
     # Events
 
     def start(self, now: int) -> tuple[int, list[Action]]:
-        """A connection is wanted: its number, by which it is won or lost, and what to do."""
+        """Start a race for a connection. Return its number and the actions to perform."""
         self.race_count += 1
         self.race_by_number[self.race_count] = _Race(self.race_count, next_dial_at=now)
         return self.race_count, self._advance(now)
 
     def on_connected(self, dial: int, now: int) -> list[Action]:
-        """A dial is connected. One that was hung up or lost its race just before is hung up again."""
-        found = self.dial_by_number.get(dial)
-        if found is None:
+        """Handle a dial that has connected. If it is no longer in progress, it is cancelled again."""
+        pending = self.dial_by_number.get(dial)
+        if pending is None:
             return [CancelDial(dial)]
-        race = self.race_by_number[found.race]
-        self._end_dial(dial, found, race)
-        self.book.on_connected(found.address, now - found.started_at, now)
-        self.actions.append(RaceWon(race.number, dial, found.address))
+        race = self.race_by_number[pending.race]
+        self._end_dial(dial, pending, race)
+        self.book.on_connected(pending.address, now - pending.started_at, now)
+        self.actions.append(RaceWon(race.number, dial, pending.address))
         stagger = self.book.stagger
         for other in list(race.address_by_dial):
-            began = self.dial_by_number[other].started_at
-            if (
-                not race.is_timing_unreliable and found.started_at - began >= stagger
-            ):  # it had a whole stagger and was overtaken
-                self.book.on_failure(self.dial_by_number[other].address, began, now)
+            began_at = self.dial_by_number[other].started_at
+            # A dial that was overtaken although it had a whole stagger of advance counts as failed.
+            if not race.is_timing_unreliable and pending.started_at - began_at >= stagger:
+                self.book.on_failure(self.dial_by_number[other].address, began_at, now)
             self._cancel_dial(other, race)
         del self.race_by_number[race.number]
         return self._advance(now)
 
     def on_dial_failed(self, dial: int, cause: Cause, now: int) -> list[Action]:
-        found = self.dial_by_number.get(dial)
-        if found is None:
+        """Handle a dial that has failed."""
+        pending = self.dial_by_number.get(dial)
+        if pending is None:
             return []
-        race, entry = self.race_by_number[found.race], self.book.state_by_address.get(found.address)
-        trial = entry is not None and entry.trial_dial == dial
-        self._end_dial(dial, found, race)
-        race.cause_by_address[found.address] = race.last_cause = cause
-        race.next_dial_at = now  # nothing to wait for
+        race, state = self.race_by_number[pending.race], self.book.state_by_address.get(pending.address)
+        is_trial = state is not None and state.trial_dial == dial
+        self._end_dial(dial, pending, race)
+        race.cause_by_address[pending.address] = race.last_cause = cause
+        race.next_dial_at = now  # the next dial starts without a stagger
         if cause is not Cause.LOCAL_RESOURCES:
-            self.book.on_failure(found.address, found.started_at, now)
-        if trial:
+            self.book.on_failure(pending.address, pending.started_at, now)
+        if is_trial:
             for other in self.race_by_number.values():
-                if other.awaits_trials and found.address not in other.cause_by_address:
-                    other.cause_by_address[found.address] = other.last_cause = cause
+                if other.awaits_trials and pending.address not in other.cause_by_address:
+                    other.cause_by_address[pending.address] = other.last_cause = cause
         return self._advance(now)
 
     def tick(self, now: int) -> list[Action]:
-        """The time has come that a Wake named, or there is room in the account."""
+        """Handle the time of a ScheduleTick, or capacity that the limiter has again."""
         for race in self.race_by_number.values():
             if race.address_by_dial and now - race.next_dial_at > self.book.stagger:
-                race.is_timing_unreliable = True  # we are late ourselves
+                race.is_timing_unreliable = True  # this call is late
         return self._advance(now)
 
     def cancel(self, number: int, now: int) -> list[Action]:
-        """Nobody wants that connection any more."""
+        """Cancel a race: its connection is not needed any more."""
         race = self.race_by_number.pop(number, None)
         if race is None:
             return []
@@ -198,17 +260,17 @@
         return self._advance(now)
 
     def on_addresses_replaced(self, now: int) -> list[Action]:
-        """The book has another list: dials to addresses that left it are over."""
-        for dial, found in list(self.dial_by_number.items()):
-            if found.address not in self.book.state_by_address:
-                self._cancel_dial(dial, self.race_by_number[found.race])
+        """Cancel dials to addresses that are no longer in the book."""
+        for dial, pending in list(self.dial_by_number.items()):
+            if pending.address not in self.book.state_by_address:
+                self._cancel_dial(dial, self.race_by_number[pending.race])
         return self._advance(now)
 
-    # What follows
+    # Decisions
 
-    def _end_dial(self, dial: int, found: _PendingDial, race: _Race) -> None:
+    def _end_dial(self, dial: int, pending: _PendingDial, race: _Race) -> None:
         del self.dial_by_number[dial], race.address_by_dial[dial]
-        self.book.on_dial_ended(found.address, dial)
+        self.book.on_dial_ended(pending.address, dial)
         self.limiter.release()
 
     def _cancel_dial(self, dial: int, race: _Race) -> None:
@@ -216,46 +278,52 @@
         self.actions.append(CancelDial(dial))
 
     def _advance(self, now: int) -> list[Action]:
-        """Start what may start, end what is lost, say when to look again."""
-        most = self.book.limits.max_dials_per_machine
-        wake = 0
+        """Start dials that may start, end races that have failed, and schedule the next tick."""
+        max_dials = self.book.limits.max_dials_per_machine
+        tick_at = 0
         if self.race_by_number:
             order = [c.address for c in self.book.order(now)]
             for race in list(self.race_by_number.values()):
-                if len(self.dial_by_number) >= most:
+                if len(self.dial_by_number) >= max_dials:
                     break
                 if race.address_by_dial and now < race.next_dial_at:
-                    wake = min(wake or race.next_dial_at, race.next_dial_at)
+                    tick_at = min(tick_at or race.next_dial_at, race.next_dial_at)
                     continue
-                if not race.address_by_dial and len(self.dial_by_number) >= max(most - most // 2, 1):
-                    continue  # room is left for those that fall back
+                if not race.address_by_dial and len(self.dial_by_number) >= max(
+                    max_dials - max_dials // 2, 1
+                ):
+                    continue  # half of the dials are left to races whose first dial is slow or has failed
                 address = self._next_address(race, order, now)
                 if address is not None and self.limiter.try_acquire(self.owner, not race.address_by_dial):
                     self._start_dial(race, address, now)
                     order = [c.address for c in self.book.order(now)]
-                    wake = min(wake or race.next_dial_at, race.next_dial_at)
-        if wake:
-            self.actions.append(ScheduleTick(wake))
+                    tick_at = min(tick_at or race.next_dial_at, race.next_dial_at)
+        if tick_at:
+            self.actions.append(ScheduleTick(tick_at))
         actions, self.actions = self.actions, []
         return actions
 
     def _next_address(self, race: _Race, order: list[Address], now: int) -> Address | None:
-        """The address that a race dials now; None where it waits, or is lost by this."""
-        left = [a for a in order if a not in race.cause_by_address and a not in race.address_by_dial.values()]
-        free = [a for a in left if not self.book.is_backing_off(a, now)]
+        """Return the address that a race dials now; None if it waits, or has failed and was removed."""
+        remaining = [
+            a for a in order if a not in race.cause_by_address and a not in race.address_by_dial.values()
+        ]
+        usable = [a for a in remaining if not self.book.is_backing_off(a, now)]
         race.awaits_trials = False
-        if free:
-            return free[0]
-        if race.address_by_dial:  # what rests is tried when nothing else is out
+        if usable:
+            return usable[0]
+        if race.address_by_dial:  # addresses in backoff are tried only when no dial is in progress
             return None
-        if left:
-            untried = [a for a in left if not self.book.state_by_address[a].trial_dial]
+        if remaining:
+            untried = [a for a in remaining if not self.book.state_by_address[a].trial_dial]
             race.awaits_trials = not untried
             return untried[0] if untried else None
         causes = race.cause_by_address.values()
-        absent = all(cause in ABSENT_CAUSES for cause in causes)
-        why = race.last_cause.value if race.last_cause else "no address that the operators allow"
-        self.actions.append(RaceLost(race.number, absent, why))
+        is_absent = all(cause in ABSENT_CAUSES for cause in causes)
+        reason = (
+            race.last_cause.value if race.last_cause else "the operators allow no address of this machine"
+        )
+        self.actions.append(RaceLost(race.number, is_absent, reason))
         del self.race_by_number[race.number]
         return None
 
--- a/quincepier/addresses/section.py
+++ b/quincepier/addresses/section.py
@@ -1,4 +1,4 @@
-"""The section `addresses` of the operators' file, and what becomes of it."""
+"""The section `addresses` of the operators' file."""
 
 from __future__ import annotations
 
@@ -17,7 +17,13 @@
 
 
 class Stagger(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Milliseconds between the starts of two dials of one race."""
+    """Milliseconds between the starts of two dials of one race.
+
+    Attributes:
+        first: Until connect times are known.
+        least: Lower limit.
+        most: Upper limit.
+    """
 
     first: Ms = 30
     least: Ms = 10
@@ -29,7 +35,12 @@
 
 
 class Aside(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Milliseconds for which an address that failed rests: at first, and at most."""
+    """Backoff of an address that failed, milliseconds.
+
+    Attributes:
+        first: After the first failure; doubled with each further one.
+        most: Upper limit.
+    """
 
     first: Ms = 200
     most: Ms = 10_000
@@ -40,7 +51,12 @@
 
 
 class Dials(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Connections coming up at once: to one machine, and of the front."""
+    """Limits on dials in progress at once.
+
+    Attributes:
+        machine: To one machine.
+        front: Of the whole front.
+    """
 
     machine: Annotated[int, msgspec.Meta(ge=1, le=1_000)] = 8
     front: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 64
@@ -51,7 +67,17 @@
 
 
 class AddressesSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Several addresses a machine. `machines` adds to what the change log tells, by host id."""
+    """Settings for machines with several addresses.
+
+    Attributes:
+        machines: Addresses by host id, in addition to those in the change log.
+        prefer: Families and networks that are tried first, in this order.
+        forbid: Families and networks that are never dialled.
+        stagger_ms: Time between two dials of one race.
+        aside_ms: Backoff of addresses that failed.
+        dials: Limits on dials in progress.
+        MADE: How values of types other than those of msgspec are parsed.
+    """
 
     machines: Annotated[
         dict[str, Annotated[tuple[Address, ...], msgspec.Meta(max_length=MAX_ADDRESSES)]],
@@ -67,6 +93,7 @@
 
     @property
     def limits(self) -> Limits:
+        """The limits in nanoseconds."""
         return Limits(
             initial_stagger=int(self.stagger_ms.first * MS),
             min_stagger=int(self.stagger_ms.least * MS),
@@ -79,4 +106,5 @@
 
     @property
     def preference(self) -> Preference:
+        """Which addresses are preferred and which are forbidden."""
         return Preference(self.prefer, self.forbid)
--- a/quincepier/net/dialer.py
+++ b/quincepier/net/dialer.py
@@ -291,7 +291,7 @@
         self.is_retrying = False
 
     def get_route(self, number: int, host: str) -> Route:
-        """Return the route to a machine, created on first use; its randomness follows from the front's seed."""
+        """Return the route to a machine, created on first use; the front's seed determines its jitter."""
         if number not in self.route_by_number:
             self.route_by_number[number] = Route(self, host, self.means.config.seed ^ number)
         return self.route_by_number[number]
@@ -311,7 +311,7 @@
             route.book.limits, route.book.preference = section.limits, self.preference
 
     def list_addresses(self, host: str, dials: Iterable[str]) -> list[Address]:
-        """Return a machine's addresses, those of the change log first; at most MAX_ADDRESSES."""
+        """Return a machine's addresses, the change log's first; at most MAX_ADDRESSES."""
         addresses: dict[Address, None] = {}
         for text in dials:
             try:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -116,10 +116,10 @@
     commands: dict[OpenAttempt, ServeCommand] = {}
     plain_send, plain_leave = connection.Connection.send, module.ModuleActor._leave
 
-    def send(self: connection.Connection, id: str, what: Any, command: Any) -> None:
+    def send(self: connection.Connection, id: str, exchange: Any, command: Any) -> None:
         if isinstance(command, ServeCommand):
-            commands[what] = command
-        plain_send(self, id, what, command)
+            commands[exchange] = command
+        plain_send(self, id, exchange, command)
 
     def again(self: module.ModuleActor, attempt: OpenAttempt) -> None:
         for one in self.caches[attempt.cache].connections[:1]:
@@ -141,7 +141,7 @@
     vars(cache)["find_denial"] = lambda attempt, now_ns: None
     vars(module)["check_first_byte"] = lambda attempt, checks: None
     vars(connection)["wait_ms"] = lambda attempt, now_ns: 1
-    CommandWriter.remove = lambda self, what: None  # type: ignore[method-assign]
+    CommandWriter.remove = lambda self, exchange: None  # type: ignore[method-assign]
 
 
 def ends_before_its_cancel() -> None:
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -212,18 +212,20 @@
         cache, endings = inside.cache("o-1"), list[AttemptOutcome]()
         told = cache.complete_without_response
 
-        def ended(what: Any, ending: AttemptOutcome, at: int, another_way: bool = False) -> None:
-            endings.append(ending)
-            told(what, ending, at, another_way)
+        def ended(
+            exchange: Any, outcome: AttemptOutcome, completed_at: int, has_alternative: bool = False
+        ) -> None:
+            endings.append(outcome)
+            told(exchange, outcome, completed_at, has_alternative)
 
         cache.complete_without_response = ended  # type: ignore[method-assign]
         (connection,) = cache.connections
         send = connection.send
 
-        def tell(id: str, what: Any, command: Any) -> None:
-            send(id, what, command)
+        def tell(id: str, exchange: Any, command: Any) -> None:
+            send(id, exchange, command)
             if not endings:
-                what.is_revoked = True  # told in the same turn, after the command was queued
+                exchange.is_revoked = True  # told in the same turn, after the command was queued
 
         connection.send = tell  # type: ignore[method-assign]
         second, status = await inside.serve(UNSAFE)
