--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -33,7 +33,7 @@
 
 from quincepier.addresses import parse_term
 from quincepier.lab.scripted import Moment, Script
-from tests.addresskit import SAFE, Inside, Machine, play
+from tests.addresskit import SAFE, AddressHarness, Machine, run_on_uvloop
 
 HIGHEST = 10_000_000  # microseconds
 GATE = 10  # requests at once: below the module's gate on fills, so that none is held or refused
@@ -62,20 +62,20 @@
         self.machine = Machine(folder)
         self.kind = kind
         machines = {"s-1": self.machine, "p-1": Machine(folder), "o-1": Machine(folder)}
-        self.inside = Inside(folder, machines, **{"prefer": (parse_term(kind),)})
+        self.harness = AddressHarness(folder, machines, **{"prefer": (parse_term(kind),)})
         self.part = 0
 
     def forget(self) -> None:
         """As though the address had never failed, and no connection were up."""
-        way = self.inside.way("s-1")
+        way = self.harness.route("s-1")
         for entry in way.book.state_by_address.values():
             entry.backoff_until = entry.failures = entry.trial_dial = 0
-        for connection in list(self.inside.cache("s-1").connections):
+        for connection in list(self.harness.cache("s-1").connections):
             if connection.is_idle:
                 connection.close()
 
     async def connect(self) -> float:
-        way, began = self.inside.way("s-1"), time.perf_counter()
+        way, began = self.harness.route("s-1"), time.perf_counter()
         sock, _ = await way.connect()
         took = time.perf_counter() - began
         sock.close()
@@ -83,12 +83,12 @@
 
     async def request(self) -> float:
         self.part += 1
-        self.inside.module.router.retries.budget.tokens = (
+        self.harness.module.router.retries.budget.tokens = (
             40.0  # the budget of further attempts is not what is measured
         )
         came: asyncio.Future[tuple[float, Any]] = asyncio.get_running_loop().create_future()
         began = time.perf_counter()
-        _, inbox, _ = self.inside.ask(SAFE, self.part % 60_000)
+        _, inbox, _ = self.harness.submit(SAFE, self.part % 60_000)
         inbox.push = lambda answer: came.set_result((time.perf_counter(), answer))  # type: ignore[method-assign]
         at, answer = await came
         if answer.status != 200:
@@ -109,12 +109,12 @@
 async def row(label: str, kind: str, script: Script, mode: str, count: int, burst: int) -> str:
     with tempfile.TemporaryDirectory() as folder:
         rig = Rig(Path(folder), kind)
-        await rig.inside.start()
+        await rig.harness.start()
         what = rig.connect if mode == "connect" else rig.request
         await sample(rig, what, 50, 1)  # warm: the stagger is learnt
         usual = statistics.median(await sample(rig, what, 200, burst))
         rig.machine.set(kind, Script(script.moment, script.rst, script.bytes))
-        counts = rig.inside.checks.counts
+        counts = rig.harness.checks.counts
         before = counts["dials"]
         times = await sample(rig, what, count, burst)
         histogram = HdrHistogram(1, HIGHEST, 3)
@@ -124,7 +124,7 @@
         ran = script.moment in (Moment.WHOLE, Moment.ANSWER)  # then a read may be asked again
         twice = 0 if ran else sum(n > 1 for n in rig.machine.whole.values())
         dials = (counts["dials"] - before) / len(times)
-        await rig.inside.close()
+        await rig.harness.close()
     if twice:
         raise RuntimeError("a command was received whole twice though it was dropped before")
     shown = " | ".join(f"{q:.1f}" for q in quantiles)
@@ -145,7 +145,7 @@
     rows = [("connect", *item) for item in CONNECT.items()] + [("request", *item) for item in REQUEST.items()]
     for mode, label, (kind, script) in rows:
         for at_once in (1, burst if mode == "connect" else min(burst, GATE)):
-            play(partial(show, label, kind, script, mode, count, at_once))
+            run_on_uvloop(partial(show, label, kind, script, mode, count, at_once))
 
 
 if __name__ == "__main__":
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -50,20 +50,20 @@
                     raise
 
 
-class Inside:
+class AddressHarness:
     """Machines by host id; requests go in by `ask`, answers are in the inbox that it gives back."""
 
     def __init__(self, folder: Path, machines: dict[str, Machine], **section: Any) -> None:
-        self.folder, self.machines, self.asked, self.seq = folder, machines, 0, 1
+        self.folder, self.machines, self.request_count, self.seq = folder, machines, 0, 1
         self.section = AddressesSection(**section)
         self.module: ModuleActor = None  # type: ignore[assignment]
 
-    def record(self, name: str, addresses: list[str], **changes: Any) -> dict[str, Any]:
+    def host_record(self, name: str, addresses: list[str], **changes: Any) -> dict[str, Any]:
         first, *more = addresses
         return host(name, first, KINDS[name[0]], dials=more, **changes)
 
     def config(self, order: tuple[str, ...] | None) -> FrontConfig:
-        hosts = [self.record(name, machine.addresses(order)) for name, machine in self.machines.items()]
+        hosts = [self.host_record(name, machine.addresses(order)) for name, machine in self.machines.items()]
         raw = raw_config(
             known={"seq": 1, "results": [{"seq": 1, "fleet": {"seq": 0, "whole": True, "hosts": hosts}}]}
         )
@@ -95,20 +95,20 @@
     def cache(self, name: str) -> CacheActor:
         return self.module.caches[self.module.directory.assign_number(name)]
 
-    def way(self, name: str) -> Route:
+    def route(self, name: str) -> Route:
         way = self.cache(name).route
         assert way is not None
         return way
 
-    def ask(self, cls: int, part: int = 0) -> tuple[str, Inbox, OpenRequest]:
+    def submit(self, cls: int, part: int = 0) -> tuple[str, Inbox, OpenRequest]:
         inbox = Inbox()
-        self.asked += 1
-        job = f"{self.asked:016x}"
+        self.request_count += 1
+        job = f"{self.request_count:016x}"
         request = open_request(inbox, cls, job, part=part, received_at_ns=clock.now())
         self.module.mailbox.push(Came(request))
         return job, inbox, request
 
-    async def answered(self, inbox: Inbox) -> int:
+    async def wait_for_status(self, inbox: Inbox) -> int:
         await until(lambda: bool(inbox.got), "a final answer comes")
         status: int = inbox.got[0].status
         if inbox.got[0].body is not None:
@@ -116,13 +116,13 @@
         return status
 
     async def serve(self, cls: int, part: int = 0) -> tuple[str, int]:
-        job, inbox, _ = self.ask(cls, part)
-        return job, await self.answered(inbox)
+        job, inbox, _ = self.submit(cls, part)
+        return job, await self.wait_for_status(inbox)
 
-    def leave(self, request: Any) -> None:
+    def disconnect_client(self, request: Any) -> None:
         self.module.mailbox.push(Left(request))
 
-    def tell(self, *hosts: dict[str, Any], **event: Any) -> None:
+    def apply_event(self, *hosts: dict[str, Any], **event: Any) -> None:
         """News of the change log."""
         self.seq += 1
         body = event or {"fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
@@ -131,7 +131,7 @@
         assert not isinstance(record, BadRecord), record
         self.module.mailbox.urge(News(record))
 
-    async def quiet(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Nothing is out and nobody waits for an answer."""
         await until(lambda: not self.module.requests.request_by_number, "nothing is open")
 
@@ -144,13 +144,13 @@
             await machine.close()
 
 
-def quick(**changes: Any) -> dict[str, Any]:
+def long_backoff_section(**changes: Any) -> dict[str, Any]:
     """A section with waits long enough that nothing comes back in the middle of a test by itself."""
     aside = Aside(first=5000, most=10_000)
     return {"stagger_ms": Stagger(), "aside_ms": aside, "dials": Dials()} | changes
 
 
-def play(scenario: Callable[[], Awaitable[None]]) -> None:
+def run_on_uvloop(scenario: Callable[[], Awaitable[None]]) -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
 
         async def run() -> None:
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -36,7 +36,7 @@
 LARGE = b"b" * 48_000
 
 
-def on_loop(scenario: Callable[[], Awaitable[None]]) -> None:
+def run_on_uvloop(scenario: Callable[[], Awaitable[None]]) -> None:
     """On the loop of the service."""
 
     async def run() -> None:
@@ -50,36 +50,36 @@
     """One connection as a machine holds it: read as the test looks, unless it is held."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.text, self.held, self.ended = sock, b"", False, False
+        self.sock, self.received, self.is_reading_paused, self.is_closed = sock, b"", False, False
         sock.setblocking(False)
 
-    def look(self) -> None:
-        while not (self.held or self.ended):
+    def poll(self) -> None:
+        while not (self.is_reading_paused or self.is_closed):
             try:
                 data = self.sock.recv(65536)
             except BlockingIOError:
                 return
             except OSError:
                 data = b""
-            self.text += data
-            self.ended = not data
+            self.received += data
+            self.is_closed = not data
 
-    def say(self, text: bytes) -> None:
+    def send(self, text: bytes) -> None:
         assert self.sock.send(text) == len(text)
 
-    def answer(self, job: str, body: bytes = b"bytes", word: str = "data") -> None:
-        self.say(answer(job, body, word))
+    def respond(self, job: str, body: bytes = b"bytes", word: str = "data") -> None:
+        self.send(encode_response(job, body, word))
 
     def reset(self) -> None:
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
 
     def close(self) -> None:
-        self.ended = True
+        self.is_closed = True
         self.sock.close()
 
 
-def answer(job: str, body: bytes = b"bytes", word: str = "data") -> bytes:
+def encode_response(job: str, body: bytes = b"bytes", word: str = "data") -> bytes:
     fields = "tag=4be0c1927d55a6f3,minted=1764576000123,how=local" if word == "data" else "-"
     return f"{job} {word} {fields} {len(body)}\r\n".encode() + body + b"\r\n"
 
@@ -95,24 +95,24 @@
         self.sock.listen(64)
         self.sock.setblocking(False)
         self.wires: list[Wire] = []
-        self.held = False  # so are connections that come from now on
+        self.is_reading_paused = False  # so are connections that come from now on
 
     @property
     def address(self) -> str:
         return "{}:{}".format(*self.sock.getsockname())
 
-    def look(self) -> None:
+    def poll(self) -> None:
         while True:
             try:
                 self.wires.append(Wire(self.sock.accept()[0]))
-                self.wires[-1].held = self.held
+                self.wires[-1].is_reading_paused = self.is_reading_paused
             except BlockingIOError:
                 break
         for wire in self.wires:
-            wire.look()
+            wire.poll()
 
 
-class Inside:
+class FrontHarness:
     """The actors, as a front has them, between clients that are an inbox each and these machines."""
 
     def __init__(
@@ -139,12 +139,12 @@
             results.append({"seq": seq, "invalidate": {"bucket": 17, "time": at}})
         known = {"seq": len(results), "results": results}
         self.config: FrontConfig = make_config(settings=settings, known=known)
-        self.checks, self.pool, self.seq, self.asked = Checks(), BufferPool(100), len(results), 0
+        self.checks, self.pool, self.seq, self.request_count = Checks(), BufferPool(100), len(results), 0
         budget = MemoryBudget(max_buffers=100, max_body_bytes=1 << 20, max_open_requests=4096)
         self.descriptors = sockets.Descriptors(1024)
         self.module = ModuleActor(self.config, self.checks, self.pool, self.descriptors, lambda: None, budget)
         self.events: list[io.Event] = []
-        self.told: dict[str, list[Wire]] = {}  # over which connections a request went, as the test was told
+        self.wires_by_job: dict[str, list[Wire]] = {}
         plain = self.module.router.handle
 
         def handle(now: int, event: io.Event) -> list[io.Action]:
@@ -157,23 +157,23 @@
     def host(self, name: str, **changes: Any) -> dict[str, Any]:
         return host(name, self.machines[name].address, KINDS.get(name[0], "std"), **changes)
 
-    def listed(self, *hosts: dict[str, Any]) -> None:
+    def apply_hosts(self, *hosts: dict[str, Any]) -> None:
         """News of the list, taken in this turn."""
         self.seq += 1
         record = {"seq": self.seq, "fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
         (event,) = read_changes({"seq": self.seq, "results": [record]})[1]
         self.module._news(event, io.UpdateScope.CHANGES)
 
-    def ask(self, cls: int = IMAGE, **changes: Any) -> OpenRequest:
+    def submit(self, cls: int = IMAGE, **changes: Any) -> OpenRequest:
         """Into the module's mailbox; its owner keeps what it is answered."""
-        self.asked += 1
-        job, now = f"{self.asked:016x}", clock.now()
+        self.request_count += 1
+        job, now = f"{self.request_count:016x}", clock.now()
         values: dict[str, Any] = {"received_at_ns": now, "allowed_ns": 30 * clock.SECOND} | changes
         request = open_request(Inbox(), cls, job, **values)
         assert self.module.mailbox.add(Came(request))
         return request
 
-    def taken(self, name: str) -> None:
+    def handle_next(self, name: str) -> None:
         """The module and this machine's actor get to what came last, in this turn."""
         came = self.module.mailbox.take()
         assert came is not None
@@ -182,43 +182,43 @@
         assert sent is not None
         self.cache(name).safely(sent)
 
-    def left(self, request: OpenRequest) -> None:
+    def disconnect_client(self, request: OpenRequest) -> None:
         """As its client's connection does, the mark first and the message when the module gets to it."""
         request.cancel(clock.now())
         self.module.mailbox.push(Left(request))
 
-    def look(self) -> None:
+    def poll(self) -> None:
         for machine in self.machines.values():
-            machine.look()
+            machine.poll()
 
-    def read(self, wire: Wire) -> bytes:
+    def received(self, wire: Wire) -> bytes:
         """What has come over it up to now."""
-        self.look()
-        return wire.text
+        self.poll()
+        return wire.received
 
-    def serves(self, request: OpenRequest) -> list[Wire]:
+    def serve_wires(self, request: OpenRequest) -> list[Wire]:
         """The connections over which it came, one for each `serve` line with its id."""
-        self.look()
+        self.poll()
         line = f"serve {request.job_id} ".encode()
         wires = [wire for machine in self.machines.values() for wire in machine.wires]
-        return [wire for wire in wires for _ in range(wire.text.count(line))]
+        return [wire for wire in wires for _ in range(wire.received.count(line))]
 
-    def cancels(self, request: OpenRequest) -> int:
-        self.look()
+    def count_cancels(self, request: OpenRequest) -> int:
+        self.poll()
         line = f"cancel {request.job_id}\r\n".encode()
-        return sum(wire.text.count(line) for machine in self.machines.values() for wire in machine.wires)
+        return sum(wire.received.count(line) for machine in self.machines.values() for wire in machine.wires)
 
-    async def out(self, request: OpenRequest, times: int = 1) -> Wire:
+    async def wait_for_command(self, request: OpenRequest, times: int = 1) -> Wire:
         """The connection over which it came now, once it has come so often; each time over another."""
-        await until(lambda: len(self.serves(request)) >= times, "it goes out")
-        found = self.serves(request)
+        await until(lambda: len(self.serve_wires(request)) >= times, "it goes out")
+        found = self.serve_wires(request)
         assert len(found) == times, "it went out too often"
-        known = self.told.setdefault(request.job_id, [])
+        known = self.wires_by_job.setdefault(request.job_id, [])
         (new,) = [wire for wire in found if not any(wire is each for each in known)]
         known.append(new)
         return new
 
-    async def status(self, request: OpenRequest) -> int:
+    async def wait_for_status(self, request: OpenRequest) -> int:
         got: list[Any] = request.receiver.got  # type: ignore[attr-defined]
         await until(lambda: bool(got), "it is answered")
         assert len(got) == 1, "one final answer"
@@ -227,15 +227,15 @@
             got[0].body = None
         return int(got[0].status)
 
-    async def served(self, cls: int = IMAGE) -> Wire:
+    async def serve_one(self, cls: int = IMAGE) -> Wire:
         """One more request, answered as it should: whatever was to go out before it has by then."""
-        request = self.ask(cls)
-        wire = await self.out(request)
-        wire.answer(request.job_id)
-        assert await self.status(request) == 200
+        request = self.submit(cls)
+        wire = await self.wait_for_command(request)
+        wire.respond(request.job_id)
+        assert await self.wait_for_status(request) == 200
         return wire
 
-    def endings(self, request: OpenRequest) -> list[io.AttemptOutcome]:
+    def outcomes(self, request: OpenRequest) -> list[io.AttemptOutcome]:
         return [
             e.ending
             for e in self.events
@@ -251,7 +251,7 @@
     def sweep(self) -> None:
         self.module.sweep(clock.now(), late=False)
 
-    async def settled(self) -> None:
+    async def assert_settled(self) -> None:
         """Nothing is open and nothing is left: no attempt, no descriptor, no buffer; nothing went wrong."""
         await until(
             lambda: not self.module.requests.request_by_number,
@@ -276,44 +276,44 @@
                 wire.close()
 
 
-class Dials:
+class HeldDials:
     """Connections that are up for the system and let through to the front as the test says."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.waiting: list[asyncio.Future[None]] = []
-        self.plain, self.held = sockets.connect, True
+        self.gates: list[asyncio.Future[None]] = []
+        self.connect_plainly, self.is_holding = sockets.connect, True
         monkeypatch.setattr("quincepier.net.connection.connect", self.connect)
 
     async def connect(self, address: tuple[str, int], timeout: float, checks: Checks) -> socket.socket:
-        sock = await self.plain(address, timeout, checks)
+        sock = await self.connect_plainly(address, timeout, checks)
         gate = asyncio.get_running_loop().create_future()
         try:
-            if self.held:
-                self.waiting.append(gate)
+            if self.is_holding:
+                self.gates.append(gate)
                 await gate
         except BaseException:
             sock.close()
             raise
         return sock
 
-    async def begun(self, count: int = 1) -> None:
-        await until(lambda: len(self.waiting) >= count, "it is dialled")
+    async def wait_for_dials(self, count: int = 1) -> None:
+        await until(lambda: len(self.gates) >= count, "it is dialled")
 
-    def let(self, error: Exception | None = None) -> None:
+    def release(self, error: Exception | None = None) -> None:
         """All of them through, or to this end; what comes later is not held."""
-        self.held = False
-        for gate in self.waiting:
+        self.is_holding = False
+        for gate in self.gates:
             if not gate.done():
                 gate.set_result(None) if error is None else gate.set_exception(error)
-        self.waiting.clear()
+        self.gates.clear()
 
 
-class Clock:
+class AdjustableClock:
     """The front's clock, which goes on as the test says beside its own pace."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.ahead = 0
-        monkeypatch.setattr(clock, "now", lambda: time.monotonic_ns() + self.ahead)
+        self.offset_ns = 0
+        monkeypatch.setattr(clock, "now", lambda: time.monotonic_ns() + self.offset_ns)
 
-    def on(self, span: int) -> None:
-        self.ahead += span
+    def advance(self, span: int) -> None:
+        self.offset_ns += span
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -23,7 +23,7 @@
 from quincepier.net.first_byte_checks import check_first_byte
 from quincepier.net.messages import CallOff, Ended
 from quincepier.policy.send_permission import Denial, find_denial
-from tests.attemptkit import BID, IMAGE, Inside, Wire, on_loop
+from tests.attemptkit import BID, IMAGE, FrontHarness, Wire, run_on_uvloop
 from tests.frontkit import Inbox, open_request
 from tests.standins import until
 
@@ -66,68 +66,68 @@
 
 
 async def cancelled(
-    inside: Inside, takes: int = 0, cls: int = IMAGE, **changes: Any
+    harness: FrontHarness, takes: int = 0, cls: int = IMAGE, **changes: Any
 ) -> tuple[OpenRequest, Connection, Wire]:
     """A request whose attempt is cancelled behind a socket that takes so many bytes more."""
-    request = inside.ask(cls, **changes)
-    wire = await inside.out(request)
+    request = harness.submit(cls, **changes)
+    wire = await harness.wait_for_command(request)
     attempt = request.attempts[0]
-    cache = inside.module.caches[attempt.cache]
+    cache = harness.module.caches[attempt.cache]
     (connection,) = cache.connections
     bound(connection, takes)
     cache.mailbox.push(CallOff(attempt))
     await turns()
-    assert attempt.state is AttemptState.CANCELLED and inside.endings(request) == []
+    assert attempt.state is AttemptState.CANCELLED and harness.outcomes(request) == []
     return request, connection, wire
 
 
 def test_a_cancel_of_which_a_part_is_out_closes_its_attempt_once_the_rest_is() -> None:
     async def scenario() -> None:
-        inside = Inside(TWO)
-        request, connection, _ = await cancelled(inside, takes=9)
-        assert inside.cancels(request) == 0
+        harness = FrontHarness(TWO)
+        request, connection, _ = await cancelled(harness, takes=9)
+        assert harness.count_cancels(request) == 0
         bound(connection, None)
-        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "it is closed")
-        assert inside.cancels(request) == 1
-        inside.left(request)
-        await inside.settled()
+        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "it is closed")
+        assert harness.count_cancels(request) == 1
+        harness.disconnect_client(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
-def closed_by_server(inside: Inside, connection: Connection, wire: Wire) -> None:
+def closed_by_server(harness: FrontHarness, connection: Connection, wire: Wire) -> None:
     wire.close()
 
 
-def reset_by_server(inside: Inside, connection: Connection, wire: Wire) -> None:
+def reset_by_server(harness: FrontHarness, connection: Connection, wire: Wire) -> None:
     wire.reset()
 
 
-def idle_for_long(inside: Inside, connection: Connection, wire: Wire) -> None:
-    connection.last_used_at -= inside.config.idle
-    inside.sweep()
+def idle_for_long(harness: FrontHarness, connection: Connection, wire: Wire) -> None:
+    connection.last_used_at -= harness.config.idle
+    harness.sweep()
 
 
-def drained(inside: Inside, connection: Connection, wire: Wire) -> None:
+def drained(harness: FrontHarness, connection: Connection, wire: Wire) -> None:
     name = connection.actor.host
-    inside.listed(inside.host(name, health="DELETED"))
-    inside.sweep()
+    harness.apply_hosts(harness.host(name, health="DELETED"))
+    harness.sweep()
 
 
-def moved(inside: Inside, connection: Connection, wire: Wire) -> None:
-    inside.listed(inside.host(connection.actor.host, dial="127.0.0.1:9"))
-    inside.sweep()
+def moved(harness: FrontHarness, connection: Connection, wire: Wire) -> None:
+    harness.apply_hosts(harness.host(connection.actor.host, dial="127.0.0.1:9"))
+    harness.sweep()
 
 
-def out_of_descriptors(inside: Inside, connection: Connection, wire: Wire) -> None:
-    inside.descriptors.max_caches = inside.descriptors.caches
+def out_of_descriptors(harness: FrontHarness, connection: Connection, wire: Wire) -> None:
+    harness.descriptors.max_caches = harness.descriptors.caches
     assert connection.context.ensure_descriptor()
-    inside.descriptors.max_caches = 500
+    harness.descriptors.max_caches = 500
 
 
-def not_taken_for_too_long(inside: Inside, connection: Connection, wire: Wire) -> None:
-    connection.writer.cancels[0].since_ns -= inside.config.dial_timeout
-    inside.sweep()
+def not_taken_for_too_long(harness: FrontHarness, connection: Connection, wire: Wire) -> None:
+    connection.writer.cancels[0].since_ns -= harness.config.dial_timeout
+    harness.sweep()
 
 
 BY_SERVER = (closed_by_server, reset_by_server)
@@ -136,30 +136,30 @@
 
 @pytest.mark.parametrize("close", [*BY_SERVER, *BY_FRONT])
 def test_a_close_of_the_connection_closes_the_attempt_whose_cancel_waits(
-    monkeypatch: pytest.MonkeyPatch, close: Callable[[Inside, Connection, Wire], None]
+    monkeypatch: pytest.MonkeyPatch, close: Callable[[FrontHarness, Connection, Wire], None]
 ) -> None:
     """And its server sees the end of the connection by then, not a turn of the loop later."""
     plain, has_ended = OpenAttempt.on_closed, list[bool]()
 
     async def scenario() -> None:
-        inside = Inside(TWO)
-        request, connection, wire = await cancelled(inside)
+        harness = FrontHarness(TWO)
+        request, connection, wire = await cancelled(harness)
 
         def on_closed(attempt: OpenAttempt, now_ns: int) -> None:
-            wire.look()
-            has_ended.append(wire.ended)
+            wire.poll()
+            has_ended.append(wire.is_closed)
             plain(attempt, now_ns)
 
         monkeypatch.setattr(OpenAttempt, "on_closed", on_closed)
         (attempt,) = request.attempts
-        close(inside, connection, wire)
+        close(harness, connection, wire)
         await until(lambda: attempt.state is AttemptState.CLOSED, "it is closed")
         assert has_ended[0]
-        await until(lambda: inside.endings(request)[:1] == [AttemptOutcome.CANCELLED], "that is told")
-        inside.left(request)
-        await inside.settled()
+        await until(lambda: harness.outcomes(request)[:1] == [AttemptOutcome.CANCELLED], "that is told")
+        harness.disconnect_client(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("is_timeout", [False, True])
@@ -179,21 +179,21 @@
         raise ZeroDivisionError
 
     async def scenario() -> None:
-        inside = Inside(TWO)
-        request = inside.ask(IMAGE)
-        wire = await inside.out(request)
+        harness = FrontHarness(TWO)
+        request = harness.submit(IMAGE)
+        wire = await harness.wait_for_command(request)
         (attempt,) = request.attempts
-        cache = inside.module.caches[attempt.cache]
+        cache = harness.module.caches[attempt.cache]
         (connection,) = cache.connections
         bound(connection, 0)
-        told, ended = inside.module._ended, list[bool]()
+        told, ended = harness.module._ended, list[bool]()
 
         def on_ended(end: Ended) -> None:
-            wire.look()
-            ended.append(wire.ended and attempt.state is AttemptState.CLOSED)
+            wire.poll()
+            ended.append(wire.is_closed and attempt.state is AttemptState.CLOSED)
             told(end)
 
-        monkeypatch.setattr(inside.module, "_ended", on_ended)
+        monkeypatch.setattr(harness.module, "_ended", on_ended)
         with monkeypatch.context() as patched:
             patched.setattr(CommandWriter, "cancel", broken)
             if is_timeout:
@@ -202,94 +202,94 @@
                 cache.mailbox.push(CallOff(attempt))
             await until(lambda: ended != [], "its outcome is told")
         assert ended == [True], "once, after its connection was closed"
-        assert inside.checks.counts.pop("exception_in_cache_actor") == 1
-        inside.left(request)
-        await inside.settled()
+        assert harness.checks.counts.pop("exception_in_cache_actor") == 1
+        harness.disconnect_client(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_cancel_that_waits_as_the_front_itself_stood_still_closes_nothing() -> None:
     async def scenario() -> None:
-        inside = Inside(TWO)
-        request, connection, _ = await cancelled(inside)
-        connection.writer.cancels[0].since_ns -= 2 * inside.config.dial_timeout
-        inside.module.sweep(clock.now(), late=True)
+        harness = FrontHarness(TWO)
+        request, connection, _ = await cancelled(harness)
+        connection.writer.cancels[0].since_ns -= 2 * harness.config.dial_timeout
+        harness.module.sweep(clock.now(), late=True)
         await turns()
         assert not connection.is_closing
         bound(connection, None)
-        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "it is closed")
-        inside.left(request)
-        await inside.settled()
+        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "it is closed")
+        harness.disconnect_client(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_the_final_answer_comes_in_time_though_the_socket_never_takes_the_cancel() -> None:
     async def scenario() -> None:
-        inside = Inside(TWO)
+        harness = FrontHarness(TWO)
         began = clock.now()
-        request, _, _ = await cancelled(inside, allowed_ns=600 * clock.MS)
-        assert await inside.status(request) == 502
+        request, _, _ = await cancelled(harness, allowed_ns=600 * clock.MS)
+        assert await harness.wait_for_status(request) == 502
         assert clock.now() - began < 1100 * clock.MS, "half a second past its time it would be lost"
-        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "it has ended with it")
-        await inside.settled()
+        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "it has ended with it")
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_client_that_leaves_as_the_cancel_of_its_attempt_waits_ends_it_at_once() -> None:
     async def scenario() -> None:
-        inside = Inside(TWO)
-        request, _, _ = await cancelled(inside)
-        inside.left(request)
-        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "nothing begins for it")
-        assert request.number not in inside.module.requests.request_by_number
-        await inside.settled()
+        harness = FrontHarness(TWO)
+        request, _, _ = await cancelled(harness)
+        harness.disconnect_client(request)
+        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "nothing begins for it")
+        assert request.number not in harness.module.requests.request_by_number
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_the_cancel_of_a_half_sent_command_follows_its_rest() -> None:
     async def scenario() -> None:
-        inside = Inside(TWO)
+        harness = FrontHarness(TWO)
         BoundedSocket.of_next = 30
-        request = inside.ask(IMAGE)
+        request = harness.submit(IMAGE)
         await until(lambda: any(a.state is AttemptState.SENT for a in request.attempts), "a part is out")
-        (connection,) = inside.connections()
-        inside.module.caches[request.attempts[0].cache].mailbox.push(CallOff(request.attempts[0]))
+        (connection,) = harness.connections()
+        harness.module.caches[request.attempts[0].cache].mailbox.push(CallOff(request.attempts[0]))
         await turns()
-        assert inside.endings(request) == [] and request.attempts[0].state is AttemptState.CANCELLED
+        assert harness.outcomes(request) == [] and request.attempts[0].state is AttemptState.CANCELLED
         BoundedSocket.of_next = None
         bound(connection, None)
-        await until(lambda: inside.endings(request)[:1] == [AttemptOutcome.CANCELLED], "it is closed")
-        assert inside.cancels(request) == 1
-        inside.left(request)
-        await inside.settled()
+        await until(lambda: harness.outcomes(request)[:1] == [AttemptOutcome.CANCELLED], "it is closed")
+        assert harness.count_cancels(request) == 1
+        harness.disconnect_client(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_command_whose_rest_waits_past_the_slack_of_its_deadline_ends_with_its_connection() -> None:
     """The deadline was told with its first byte: 0.15 s later it is more than the client has left."""
 
     async def scenario() -> None:
-        inside = Inside(TWO)
+        harness = FrontHarness(TWO)
         BoundedSocket.of_next = 30
-        request = inside.ask(IMAGE)
+        request = harness.submit(IMAGE)
         await until(lambda: any(a.state is AttemptState.SENT for a in request.attempts), "a part is out")
         BoundedSocket.of_next = None
-        await until(lambda: inside.endings(request)[:1] == [AttemptOutcome.RESET], "it has ended")
+        await until(lambda: harness.outcomes(request)[:1] == [AttemptOutcome.RESET], "it has ended")
         first = request.attempts[0]
         assert first.closed_at_ns - first.first_byte_at_ns >= 100 * clock.MS, "not at once"
-        assert inside.checks.counts["cache_connections_closed_command_stalled"] == 1
-        await until(lambda: len(inside.serves(request)) == 2, "it goes to another connection, whole")
-        (second,) = [wire for wire in inside.serves(request) if not wire.ended]
-        second.answer(request.job_id)
-        assert await inside.status(request) == 200
-        await inside.settled()
+        assert harness.checks.counts["cache_connections_closed_command_stalled"] == 1
+        await until(lambda: len(harness.serve_wires(request)) == 2, "it goes to another connection, whole")
+        (second,) = [wire for wire in harness.serve_wires(request) if not wire.is_closed]
+        second.respond(request.job_id)
+        assert await harness.wait_for_status(request) == 200
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("cls", [IMAGE, BID])
@@ -297,23 +297,23 @@
     """Whatever connection or server it goes to. A bid is not sent again at all."""
 
     async def scenario() -> None:
-        inside = Inside(TWO, limits={"may_duplicate": False})
-        request, connection, first = await cancelled(inside, cls=cls)
+        harness = FrontHarness(TWO, limits={"may_duplicate": False})
+        request, connection, first = await cancelled(harness, cls=cls)
         assert not request.allows_second_copy
         await turns(200)
-        assert len(inside.serves(request)) == 1
+        assert len(harness.serve_wires(request)) == 1
         bound(connection, None)
         if cls == BID:
-            assert await inside.status(request) == 502
-            assert len(inside.serves(request)) == 1
+            assert await harness.wait_for_status(request) == 502
+            assert len(harness.serve_wires(request)) == 1
         else:
-            second = await inside.out(request, times=2)
-            assert inside.cancels(request) == 1 and second is not first
-            second.answer(request.job_id)
-            assert await inside.status(request) == 200
-        await inside.settled()
+            second = await harness.wait_for_command(request, times=2)
+            assert harness.count_cancels(request) == 1 and second is not first
+            second.respond(request.job_id)
+            assert await harness.wait_for_status(request) == 200
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def attempts(allows_second_copy: bool) -> tuple[OpenAttempt, OpenAttempt]:
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -11,7 +11,7 @@
 from quincepier.interface import AttemptOutcome
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.messages import CallOff
-from tests.attemptkit import BID, IMAGE, Clock, Inside, Wire, answer, on_loop
+from tests.attemptkit import BID, IMAGE, AdjustableClock, FrontHarness, Wire, encode_response, run_on_uvloop
 from tests.rig import SECOND
 from tests.standins import until
 
@@ -24,9 +24,9 @@
 
 def cut(wire: Wire, request: OpenRequest, how: str) -> None:
     """The machine dies in the middle of its answer, of its line, or of its work."""
-    whole = answer(request.job_id, b"x" * 1000)
+    whole = encode_response(request.job_id, b"x" * 1000)
     if how != "no byte":
-        wire.say(whole[: 20 if how == "half a line" else 500])
+        wire.send(whole[: 20 if how == "half a line" else 500])
     if how == "end":
         wire.close()
     else:
@@ -51,49 +51,49 @@
     monkeypatch: pytest.MonkeyPatch, classes: dict[int, dict[str, object]], later: int, again: bool, how: str
 ) -> None:
     async def scenario() -> None:
-        front_clock, inside = Clock(monkeypatch), Inside(TWO, classes)
-        request = inside.ask()
-        wire = await inside.out(request)
-        front_clock.on(later * SECOND)
+        front_clock, harness = AdjustableClock(monkeypatch), FrontHarness(TWO, classes)
+        request = harness.submit()
+        wire = await harness.wait_for_command(request)
+        front_clock.advance(later * SECOND)
         cut(wire, request, how)
         if again:
-            (await inside.out(request, 2)).answer(request.job_id)
-        assert await inside.status(request) == (200 if again else 503 if classes is KEYED else 502)
-        assert len(inside.serves(request)) == 1 + again
-        await inside.settled()
+            (await harness.wait_for_command(request, 2)).respond(request.job_id)
+        assert await harness.wait_for_status(request) == (200 if again else 503 if classes is KEYED else 502)
+        assert len(harness.serve_wires(request)) == 1 + again
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize(("group", "again"), [("zone", True), ("cell", False)])
 def test_what_a_cell_alone_would_drop_does_not_run_in_another(group: str, again: bool) -> None:
     async def scenario() -> None:
-        inside = Inside(TWO, ZONED if group == "zone" else CELLS)
-        inside.listed(inside.host("s-2", block=2))
-        request = inside.ask()
-        (await inside.out(request)).reset()
+        harness = FrontHarness(TWO, ZONED if group == "zone" else CELLS)
+        harness.apply_hosts(harness.host("s-2", block=2))
+        request = harness.submit()
+        (await harness.wait_for_command(request)).reset()
         if again:
-            (await inside.out(request, 2)).answer(request.job_id)
-        assert await inside.status(request) == (200 if again else 502)
-        assert len(inside.serves(request)) == 1 + again
-        await inside.settled()
+            (await harness.wait_for_command(request, 2)).respond(request.job_id)
+        assert await harness.wait_for_status(request) == (200 if again else 502)
+        assert len(harness.serve_wires(request)) == 1 + again
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_two_breaks_in_a_row_then_an_answer() -> None:
     async def scenario() -> None:
-        inside = Inside(("s-1", "s-2", "s-3", "o-1"), KEYED)
-        request = inside.ask()
+        harness = FrontHarness(("s-1", "s-2", "s-3", "o-1"), KEYED)
+        request = harness.submit()
         for times in (1, 2):
-            cut(await inside.out(request, times), request, "half an answer")
-        (await inside.out(request, 3)).answer(request.job_id)
-        assert await inside.status(request) == 200
-        assert inside.endings(request) == [AttemptOutcome.RESET, AttemptOutcome.RESET, AttemptOutcome.OK]
-        assert len({id(wire) for wire in inside.serves(request)}) == 3
-        await inside.settled()
+            cut(await harness.wait_for_command(request, times), request, "half an answer")
+        (await harness.wait_for_command(request, 3)).respond(request.job_id)
+        assert await harness.wait_for_status(request) == 200
+        assert harness.outcomes(request) == [AttemptOutcome.RESET, AttemptOutcome.RESET, AttemptOutcome.OK]
+        assert len({id(wire) for wire in harness.serve_wires(request)}) == 3
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 # Twice, or late
@@ -102,24 +102,24 @@
 @pytest.mark.parametrize("when", ["in one piece", "behind the next command", "before the next"])
 def test_a_second_answer_is_passed_over_and_its_connection_goes_on(when: str) -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        first = inside.ask(BID)
-        wire, second = await inside.out(first), answer(first.job_id, b"other bytes")
-        wire.say(answer(first.job_id) + (second if when == "in one piece" else b""))
-        assert await inside.status(first) == 200
+        harness = FrontHarness(ONE)
+        first = harness.submit(BID)
+        wire, second = await harness.wait_for_command(first), encode_response(first.job_id, b"other bytes")
+        wire.send(encode_response(first.job_id) + (second if when == "in one piece" else b""))
+        assert await harness.wait_for_status(first) == 200
         if when == "before the next":
-            wire.say(second)
-            await until(lambda: inside.checks.counts["late_responses_dropped"] == 1, "it is read past")
-        request = inside.ask(BID)
-        assert await inside.out(request) is wire
+            wire.send(second)
+            await until(lambda: harness.checks.counts["late_responses_dropped"] == 1, "it is read past")
+        request = harness.submit(BID)
+        assert await harness.wait_for_command(request) is wire
         if when == "behind the next command":
-            wire.say(second)
-        wire.answer(request.job_id)
-        assert await inside.status(request) == 200
-        assert inside.checks.counts["late_responses_dropped"] == 1
-        await inside.settled()
+            wire.send(second)
+        wire.respond(request.job_id)
+        assert await harness.wait_for_status(request) == 200
+        assert harness.checks.counts["late_responses_dropped"] == 1
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("late", ["before the second's", "behind the second's"])
@@ -129,51 +129,51 @@
     """The first attempt was given up over a connection that goes on; the same id is out over another."""
 
     async def scenario() -> None:
-        inside = Inside(("s-1", "o-1"))
-        request = inside.ask()
-        first = await inside.out(request)
-        cache, attempt = inside.cache("s-1"), request.attempts[0]
+        harness = FrontHarness(("s-1", "o-1"))
+        request = harness.submit()
+        first = await harness.wait_for_command(request)
+        cache, attempt = harness.cache("s-1"), request.attempts[0]
         cache._cancel_exchange(attempt, AttemptOutcome.NOT_PROCESSED)  # so it goes to the same machine again
-        second = await inside.out(request, 2)
+        second = await harness.wait_for_command(request, 2)
         assert second is not first
-        await until(lambda: inside.cancels(request) == 1, "the first is called off")
+        await until(lambda: harness.count_cancels(request) == 1, "the first is called off")
         if late == "before the second's":
-            first.say(answer(request.job_id, b"of the first"))
-            await until(lambda: inside.checks.counts["late_responses_dropped"] == 1, "dropped")
+            first.send(encode_response(request.job_id, b"of the first"))
+            await until(lambda: harness.checks.counts["late_responses_dropped"] == 1, "dropped")
             assert not request.is_finished
-        second.answer(request.job_id, b"of the second")
+        second.respond(request.job_id, b"of the second")
         got = request.receiver.got  # type: ignore[attr-defined]
         await until(lambda: bool(got), "it is answered")
         assert [bytes(chunk) for chunk in got[0].body.chunks()] == [b"of the second"]
-        assert await inside.status(request) == 200
+        assert await harness.wait_for_status(request) == 200
         if late == "behind the second's":
-            first.say(answer(request.job_id, b"of the first"))
-            await until(lambda: inside.checks.counts["late_responses_dropped"] == 1, "dropped")
-        await inside.settled()
+            first.send(encode_response(request.job_id, b"of the first"))
+            await until(lambda: harness.checks.counts["late_responses_dropped"] == 1, "dropped")
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("order", ["answer, cancel", "cancel, answer"])
 def test_an_answer_and_its_cancel_in_one_turn_end_the_attempt_once(order: str) -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask(BID)
-        wire = await inside.out(request)
-        cache, attempt = inside.cache("o-1"), request.attempts[0]
+        harness = FrontHarness(ONE)
+        request = harness.submit(BID)
+        wire = await harness.wait_for_command(request)
+        cache, attempt = harness.cache("o-1"), request.attempts[0]
         if order == "answer, cancel":
-            wire.answer(request.job_id, b"y" * 100_000)  # it can be read; it has not been
+            wire.respond(request.job_id, b"y" * 100_000)  # it can be read; it has not been
         cache.safely(CallOff(attempt))
         if order == "cancel, answer":
-            wire.answer(request.job_id, b"y" * 100_000)
-        assert await inside.status(request) == 502
-        assert inside.endings(request) == [AttemptOutcome.CANCELLED]
-        await until(lambda: inside.checks.counts["late_responses_dropped"] == 1, "dropped")
-        assert inside.pool.used == 0
-        assert await inside.served(BID) is wire
-        await inside.settled()
+            wire.respond(request.job_id, b"y" * 100_000)
+        assert await harness.wait_for_status(request) == 502
+        assert harness.outcomes(request) == [AttemptOutcome.CANCELLED]
+        await until(lambda: harness.checks.counts["late_responses_dropped"] == 1, "dropped")
+        assert harness.pool.used == 0
+        assert await harness.serve_one(BID) is wire
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 # Never whole
@@ -184,55 +184,57 @@
     monkeypatch: pytest.MonkeyPatch, whose: str
 ) -> None:
     async def scenario() -> None:
-        front_clock, inside = Clock(monkeypatch), Inside(ONE)
-        request = inside.ask(BID)
-        wire = await inside.out(request)
-        (connection,) = inside.connections()
-        endless = answer(request.job_id, b"z" * 100_000)[:300]
+        front_clock, harness = AdjustableClock(monkeypatch), FrontHarness(ONE)
+        request = harness.submit(BID)
+        wire = await harness.wait_for_command(request)
+        (connection,) = harness.connections()
+        endless = encode_response(request.job_id, b"z" * 100_000)[:300]
         if whose == "given up":
-            wire.say(endless)
+            wire.send(endless)
             await until(lambda: connection.body is not None, "it has begun")
-            inside.left(request)
-            await until(lambda: bool(inside.endings(request)), "given up")
+            harness.disconnect_client(request)
+            await until(lambda: bool(harness.outcomes(request)), "given up")
         else:
-            wire.answer(request.job_id)
-            assert await inside.status(request) == 200
-            wire.say(endless if whose == "of a second copy" else endless[:20])
+            wire.respond(request.job_id)
+            assert await harness.wait_for_status(request) == 200
+            wire.send(endless if whose == "of a second copy" else endless[:20])
             await until(lambda: not connection.is_between_responses, "it has begun")
-        behind = inside.ask(BID)
-        other = await inside.out(behind)
+        behind = harness.submit(BID)
+        other = await harness.wait_for_command(behind)
         assert other is not wire
-        other.answer(behind.job_id)
-        assert await inside.status(behind) == 200
-        inside.sweep()
+        other.respond(behind.job_id)
+        assert await harness.wait_for_status(behind) == 200
+        harness.sweep()
         assert not connection.is_closing  # it may still become whole
         for _ in range(3):  # it goes on, a byte at a time
-            front_clock.on(inside.config.dial_timeout // 2)
+            front_clock.advance(harness.config.dial_timeout // 2)
             heard = connection.last_read_at
-            wire.say(b"z")
+            wire.send(b"z")
             await until(lambda heard=heard: connection.last_read_at > heard, "it is read")  # type: ignore[misc]
-        inside.sweep()
-        await until(lambda: inside.connections() == [c for c in inside.connections() if c.is_idle], "it ends")
-        assert len(inside.connections()) == 1 and inside.pool.used == 0
-        assert await inside.served(BID) is other
-        await inside.settled()
+        harness.sweep()
+        await until(
+            lambda: harness.connections() == [c for c in harness.connections() if c.is_idle], "it ends"
+        )
+        assert len(harness.connections()) == 1 and harness.pool.used == 0
+        assert await harness.serve_one(BID) is other
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_an_answer_that_never_ends_gives_its_descriptor_to_the_next_attempt() -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire = await inside.served(BID)
-        (connection,) = inside.connections()
-        inside.descriptors.max_caches = 1
-        wire.say(answer("0" * 16, b"z" * 100_000)[:300])
+        harness = FrontHarness(ONE)
+        wire = await harness.serve_one(BID)
+        (connection,) = harness.connections()
+        harness.descriptors.max_caches = 1
+        wire.send(encode_response("0" * 16, b"z" * 100_000)[:300])
         await until(lambda: not connection.is_between_responses, "it has begun")
-        other = await inside.served(BID)
-        assert other is not wire and connection not in inside.connections()
-        await inside.settled()
+        other = await harness.serve_one(BID)
+        assert other is not wire and connection not in harness.connections()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize(("classes", "again"), [({}, True), (UNSAFE, False)], ids=["safe", "unsafe"])
@@ -240,73 +242,75 @@
     monkeypatch: pytest.MonkeyPatch, classes: dict[int, dict[str, object]], again: bool
 ) -> None:
     async def scenario() -> None:
-        front_clock, inside = Clock(monkeypatch), Inside(TWO, classes)
-        request = inside.ask()
-        wire = await inside.out(request)
-        (connection,) = inside.connections()
-        wire.say(answer(request.job_id, b"x" * 1000)[:500])
+        front_clock, harness = AdjustableClock(monkeypatch), FrontHarness(TWO, classes)
+        request = harness.submit()
+        wire = await harness.wait_for_command(request)
+        (connection,) = harness.connections()
+        wire.send(encode_response(request.job_id, b"x" * 1000)[:500])
         await until(lambda: not connection.is_between_responses, "it has begun")
-        front_clock.on(2 * inside.config.dial_timeout)
-        inside.module.sweep(clock.now(), late=True)  # a standstill of our own accuses nobody
+        front_clock.advance(2 * harness.config.dial_timeout)
+        harness.module.sweep(clock.now(), late=True)  # a standstill of our own accuses nobody
         assert not connection.is_closing
-        inside.sweep()
+        harness.sweep()
         if again:
-            (await inside.out(request, 2)).answer(request.job_id)
-        assert await inside.status(request) == (200 if again else 502)
-        assert len(inside.serves(request)) == 1 + again
-        await inside.settled()
+            (await harness.wait_for_command(request, 2)).respond(request.job_id)
+        assert await harness.wait_for_status(request) == (200 if again else 502)
+        assert len(harness.serve_wires(request)) == 1 + again
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("what", ["half a line", "half an answer", "a whole answer"])
 @pytest.mark.parametrize("first", ["the bytes", "the close"])
 def test_bytes_that_come_in_the_turn_of_our_close_harm_nothing(what: str, first: str) -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire = await inside.served(BID)
-        (connection,) = inside.connections()
-        request = inside.ask(BID)
-        text = answer(request.job_id if what == "a whole answer" else "0" * 16, b"x" * 1000)
+        harness = FrontHarness(ONE)
+        wire = await harness.serve_one(BID)
+        (connection,) = harness.connections()
+        request = harness.submit(BID)
+        text = encode_response(request.job_id if what == "a whole answer" else "0" * 16, b"x" * 1000)
         text = text if what == "a whole answer" else text[: 20 if what == "half a line" else 500]
         if first == "the bytes":
-            wire.say(text)
+            wire.send(text)
         connection.close()
-        inside.taken("o-1")  # before the connection has got to its end
+        harness.handle_next("o-1")  # before the connection has got to its end
         if first == "the close":
-            wire.say(text)
-        again = await inside.out(request)
-        assert again is not wire and connection not in inside.connections()
-        again.answer(request.job_id)
-        assert await inside.status(request) == 200 and inside.endings(request) == [AttemptOutcome.OK]
-        await inside.settled()
+            wire.send(text)
+        again = await harness.wait_for_command(request)
+        assert again is not wire and connection not in harness.connections()
+        again.respond(request.job_id)
+        assert await harness.wait_for_status(request) == 200 and harness.outcomes(request) == [
+            AttemptOutcome.OK
+        ]
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_an_answer_that_is_whole_counts_though_its_connection_ends_behind_it(how: str) -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask(BID)
-        wire = await inside.out(request)
-        wire.answer(request.job_id, b"y" * 1000)  # all of it is over there before the end is
+        harness = FrontHarness(ONE)
+        request = harness.submit(BID)
+        wire = await harness.wait_for_command(request)
+        wire.respond(request.job_id, b"y" * 1000)  # all of it is over there before the end is
         if how == "end":
             wire.close()
         else:
             wire.reset()
-        assert await inside.status(request) == 200
-        assert inside.endings(request) == [AttemptOutcome.OK]
-        await inside.settled()
+        assert await harness.wait_for_status(request) == 200
+        assert harness.outcomes(request) == [AttemptOutcome.OK]
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_connection_closed_as_it_ends_by_itself_leaves_no_descriptor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """`close` comes between the end of its reader and the end of its writer, which are waited for."""
-    plain, opened = asyncio.gather, list[Inside]()
+    plain, opened = asyncio.gather, list[FrontHarness]()
 
     def closed_meanwhile(*parts: Any, **how: Any) -> Any:
         waiting = plain(*parts, **how)
@@ -315,16 +319,16 @@
         return waiting
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        opened.append(inside)
-        request = inside.ask(BID)
-        wire = await inside.out(request)
-        wire.answer(request.job_id, b"whole")
-        assert await inside.status(request) == 200
+        harness = FrontHarness(ONE)
+        opened.append(harness)
+        request = harness.submit(BID)
+        wire = await harness.wait_for_command(request)
+        wire.respond(request.job_id, b"whole")
+        assert await harness.wait_for_status(request) == 200
         monkeypatch.setattr(asyncio, "gather", closed_meanwhile)
         wire.close()
-        await until(lambda: not inside.connections(), "the connection is gone")
+        await until(lambda: not harness.connections(), "the connection is gone")
         monkeypatch.undo()
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
--- a/tests/test_crossings_commands.py
+++ b/tests/test_crossings_commands.py
@@ -15,7 +15,7 @@
 from quincepier.net import sockets
 from quincepier.net.connection import Connection
 from quincepier.net.messages import CallOff
-from tests.attemptkit import BID, LARGE, Inside, Wire, on_loop
+from tests.attemptkit import BID, LARGE, FrontHarness, Wire, run_on_uvloop
 from tests.standins import until
 
 ONE = ("s-1", "o-1")
@@ -34,34 +34,34 @@
     monkeypatch.setattr("quincepier.net.connection.connect", connect)
 
 
-async def in_part(inside: Inside) -> tuple[Wire, Connection, OpenRequest]:
+async def in_part(harness: FrontHarness) -> tuple[Wire, Connection, OpenRequest]:
     """A bid whose command is out to a part; its machine reads no more."""
-    inside.machines["o-1"].held = True
-    request = inside.ask(BID, body=LARGE)
-    await until(lambda: any(c.started for c in inside.connections()), "it has begun")
-    (connection,) = inside.connections()
-    inside.look()
-    (wire,) = inside.machines["o-1"].wires
+    harness.machines["o-1"].is_reading_paused = True
+    request = harness.submit(BID, body=LARGE)
+    await until(lambda: any(c.started for c in harness.connections()), "it has begun")
+    (connection,) = harness.connections()
+    harness.poll()
+    (wire,) = harness.machines["o-1"].wires
     return wire, connection, request
 
 
 @pytest.mark.usefixtures("slim")
 def test_a_command_given_up_in_the_middle_goes_out_whole_then_its_cancel() -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire, connection, request = await in_part(inside)
-        inside.left(request)
-        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "given up")
+        harness = FrontHarness(ONE)
+        wire, connection, request = await in_part(harness)
+        harness.disconnect_client(request)
+        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "given up")
         assert not connection.is_idle
-        inside.machines["o-1"].held = False
-        other = await inside.served(BID)  # not in the middle of that line
+        harness.machines["o-1"].is_reading_paused = False
+        other = await harness.serve_one(BID)  # not in the middle of that line
         assert other is not wire
-        wire.held = False
+        wire.is_reading_paused = False
         tail = LARGE[-10:] + b"\r\ncancel %b\r\n" % request.job_id.encode()
-        await until(lambda: inside.read(wire).endswith(tail), "whole, then the cancel")
-        await inside.settled()
+        await until(lambda: harness.received(wire).endswith(tail), "whole, then the cancel")
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.usefixtures("slim")
@@ -76,31 +76,31 @@
         monkeypatch.setattr(Connection, "_read", never)
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire, _, request = await in_part(inside)
-        inside.machines["o-1"].held = False
+        harness = FrontHarness(ONE)
+        wire, _, request = await in_part(harness)
+        harness.machines["o-1"].is_reading_paused = False
         wire.reset()
-        assert await inside.status(request) == 502
-        assert inside.endings(request) == [AttemptOutcome.RESET]
-        assert len(inside.machines["o-1"].wires) == 1
-        await inside.settled()
+        assert await harness.wait_for_status(request) == 502
+        assert harness.outcomes(request) == [AttemptOutcome.RESET]
+        assert len(harness.machines["o-1"].wires) == 1
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.usefixtures("slim")
 def test_a_connection_on_which_only_cancels_wait_is_closed() -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        _, connection, request = await in_part(inside)
-        inside.left(request)
-        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "given up")
+        harness = FrontHarness(ONE)
+        _, connection, request = await in_part(harness)
+        harness.disconnect_client(request)
+        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "given up")
         connection.is_retired = True  # as where nothing was heard over it for long
-        inside.sweep()
-        await until(lambda: not inside.connections(), "its descriptor is free again")
-        await inside.settled()
+        harness.sweep()
+        await until(lambda: not harness.connections(), "its descriptor is free again")
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_connection_whose_end_was_read_in_this_turn_takes_no_write(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -114,30 +114,30 @@
     monkeypatch.setattr(Connection, "_on_readable", rung)
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire, requests = await inside.served(BID), list[OpenRequest]()
+        harness = FrontHarness(ONE)
+        wire, requests = await harness.serve_one(BID), list[OpenRequest]()
 
         def asked(connection: Connection) -> None:
-            requests.append(inside.ask(BID))
-            inside.taken("o-1")
+            requests.append(harness.submit(BID))
+            harness.handle_next("o-1")
             assert requests[0].job_id in connection.awaited_by_id
 
         late.append(asked)
         wire.close()
         await until(lambda: bool(requests), "the end can be read")
-        (await inside.out(requests[0])).answer(requests[0].job_id)
-        assert await inside.status(requests[0]) == 200
-        assert inside.endings(requests[0]) == [AttemptOutcome.NOT_PROCESSED, AttemptOutcome.OK]
-        await inside.settled()
+        (await harness.wait_for_command(requests[0])).respond(requests[0].job_id)
+        assert await harness.wait_for_status(requests[0]) == 200
+        assert harness.outcomes(requests[0]) == [AttemptOutcome.NOT_PROCESSED, AttemptOutcome.OK]
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
-async def crowded(inside: Inside) -> tuple[Wire, Connection]:
+async def crowded(harness: FrontHarness) -> tuple[Wire, Connection]:
     """A connection that is up and at rest, whose machine reads nothing: its socket takes not a byte more."""
-    wire = await inside.served(BID)
-    wire.held = True
-    (connection,) = [c for c in inside.connections() if c.is_idle]
+    wire = await harness.serve_one(BID)
+    wire.is_reading_paused = True
+    (connection,) = [c for c in harness.connections() if c.is_idle]
     sock = connection.sock
     assert sock is not None
     await asyncio.sleep(0)  # what was read of it is done with
@@ -151,25 +151,25 @@
 @pytest.mark.parametrize("how", ["gone", "called off"])
 def test_nothing_begins_behind_a_socket_that_took_nothing_until_its_client_had_left(how: str) -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire, connection = await crowded(inside)
-        request = inside.ask(BID)
+        harness = FrontHarness(ONE)
+        wire, connection = await crowded(harness)
+        request = harness.submit(BID)
         await until(lambda: request.job_id in connection.awaited_by_id, "it waits there")
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         if how == "gone":
             request.cancel(clock.now())  # its Left stands behind
         else:
-            inside.left(request)
-            await until(lambda: inside.endings(request) != [], "it is called off")
-        wire.held = False
-        await until(lambda: bool(inside.read(wire)) and not connection.outgoing, "it takes bytes again")
-        await inside.served(BID)
-        assert not inside.serves(request) and not inside.cancels(request)
-        inside.left(request)
-        await inside.settled()
+            harness.disconnect_client(request)
+            await until(lambda: harness.outcomes(request) != [], "it is called off")
+        wire.is_reading_paused = False
+        await until(lambda: bool(harness.received(wire)) and not connection.outgoing, "it takes bytes again")
+        await harness.serve_one(BID)
+        assert not harness.serve_wires(request) and not harness.count_cancels(request)
+        harness.disconnect_client(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 class Unwilling(socket.socket):
@@ -191,50 +191,50 @@
     monkeypatch.setattr(socket, "socket", Unwilling)
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask(BID)
-        wire = await inside.out(request)
+        harness = FrontHarness(ONE)
+        request = harness.submit(BID)
+        wire = await harness.wait_for_command(request)
         monkeypatch.setattr(Unwilling, "takes_nothing", True)
-        inside.cache("o-1").mailbox.push(CallOff(request.attempts[0]))
+        harness.cache("o-1").mailbox.push(CallOff(request.attempts[0]))
         for _ in range(20):
             await asyncio.sleep(0)
-        assert inside.endings(request) == []
+        assert harness.outcomes(request) == []
         if end == "closed":
             wire.close()
         else:
             monkeypatch.setattr(Unwilling, "takes_nothing", False)
-        await until(lambda: bool(inside.endings(request)), "it has ended")
-        assert inside.endings(request) == [AttemptOutcome.CANCELLED]
+        await until(lambda: bool(harness.outcomes(request)), "it has ended")
+        assert harness.outcomes(request) == [AttemptOutcome.CANCELLED]
         monkeypatch.setattr(Unwilling, "takes_nothing", False)
-        assert inside.cancels(request) == (end == "written")
-        await inside.status(request)
-        await inside.settled()
+        assert harness.count_cancels(request) == (end == "written")
+        await harness.wait_for_status(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_the_cancel_of_an_attempt_is_out_in_the_turn_in_which_it_ends() -> None:
     """What is sent in its place, over whatever connection, comes after it."""
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask(BID)
-        await inside.out(request)
-        cache = inside.cache("o-1")
+        harness = FrontHarness(ONE)
+        request = harness.submit(BID)
+        await harness.wait_for_command(request)
+        cache = harness.cache("o-1")
         cache.safely(CallOff(request.attempts[0]))
-        assert request.attempts[0].is_ended and inside.cancels(request) == 1
-        await inside.status(request)
-        await inside.settled()
+        assert request.attempts[0].is_ended and harness.count_cancels(request) == 1
+        await harness.wait_for_status(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_an_attempt_called_off_as_its_connection_closes_has_ended_once_it_is_closed() -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask(BID)
-        wire = await inside.out(request)
-        cache = inside.cache("o-1")
+        harness = FrontHarness(ONE)
+        request = harness.submit(BID)
+        wire = await harness.wait_for_command(request)
+        cache = harness.cache("o-1")
         (connection,) = cache.connections
         (attempt,) = request.attempts
         connection.is_closing = True  # its end has been read in this turn
@@ -243,9 +243,9 @@
         wire.close()
         await until(lambda: attempt.is_ended, "it has ended")
         assert connection.sock is not None and connection.sock.fileno() < 0, "the socket was closed before"
-        await until(lambda: bool(inside.endings(request)), "it is told")
-        assert inside.endings(request) == [AttemptOutcome.CANCELLED]
-        await inside.status(request)
-        await inside.settled()
+        await until(lambda: bool(harness.outcomes(request)), "it is told")
+        assert harness.outcomes(request) == [AttemptOutcome.CANCELLED]
+        await harness.wait_for_status(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
--- a/tests/test_crossings_dials.py
+++ b/tests/test_crossings_dials.py
@@ -7,101 +7,101 @@
 from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.cache import CacheActor
-from tests.attemptkit import Dials, Inside, Wire, on_loop
+from tests.attemptkit import FrontHarness, HeldDials, Wire, run_on_uvloop
 from tests.rig import MS, Bench, attempts
 from tests.standins import until
 
 ONE = ("s-1", "o-1")
 
 
-async def one_out(patch: pytest.MonkeyPatch) -> tuple[Inside, OpenRequest, Wire, Dials]:
+async def one_out(patch: pytest.MonkeyPatch) -> tuple[FrontHarness, OpenRequest, Wire, HeldDials]:
     """One request is out over the one connection that is up; whatever is dialled from now on is held."""
-    inside = Inside(ONE)
-    first = inside.ask()
-    wire = await inside.out(first)
-    return inside, first, wire, Dials(patch)
+    harness = FrontHarness(ONE)
+    first = harness.submit()
+    wire = await harness.wait_for_command(first)
+    return harness, first, wire, HeldDials(patch)
 
 
 def test_what_waits_for_a_dial_goes_over_the_connection_that_is_free_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        inside, first, wire, dials = await one_out(monkeypatch)
-        second, third = inside.ask(), inside.ask()
-        await dials.begun(2)
-        wire.answer(first.job_id)
-        assert await inside.status(first) == 200
-        assert await inside.out(second) is wire  # in the order in which they came
-        assert not inside.serves(third)
-        dials.let()
-        other = await inside.out(third)
+        harness, first, wire, dials = await one_out(monkeypatch)
+        second, third = harness.submit(), harness.submit()
+        await dials.wait_for_dials(2)
+        wire.respond(first.job_id)
+        assert await harness.wait_for_status(first) == 200
+        assert await harness.wait_for_command(second) is wire  # in the order in which they came
+        assert not harness.serve_wires(third)
+        dials.release()
+        other = await harness.wait_for_command(third)
         assert other is not wire
         for request, over in ((second, wire), (third, other)):
-            over.answer(request.job_id)
-            assert await inside.status(request) == 200
-            assert inside.endings(request) == [AttemptOutcome.OK]
-        await inside.settled()
+            over.respond(request.job_id)
+            assert await harness.wait_for_status(request) == 200
+            assert harness.outcomes(request) == [AttemptOutcome.OK]
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_what_has_gone_over_another_connection_is_not_ended_by_its_dial(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        inside, first, wire, dials = await one_out(monkeypatch)
-        second = inside.ask()
-        await dials.begun()
-        wire.answer(first.job_id)
-        assert await inside.status(first) == 200
-        assert await inside.out(second) is wire
-        dials.let(TimeoutError())
-        await until(lambda: len(inside.cache("s-1").connections) == 1, "the dial has failed")
-        assert not second.is_finished and not inside.endings(second)
-        wire.answer(second.job_id)
-        assert await inside.status(second) == 200
-        await inside.settled()
-
-    on_loop(scenario)
+        harness, first, wire, dials = await one_out(monkeypatch)
+        second = harness.submit()
+        await dials.wait_for_dials()
+        wire.respond(first.job_id)
+        assert await harness.wait_for_status(first) == 200
+        assert await harness.wait_for_command(second) is wire
+        dials.release(TimeoutError())
+        await until(lambda: len(harness.cache("s-1").connections) == 1, "the dial has failed")
+        assert not second.is_finished and not harness.outcomes(second)
+        wire.respond(second.job_id)
+        assert await harness.wait_for_status(second) == 200
+        await harness.assert_settled()
+
+    run_on_uvloop(scenario)
 
 
 def test_what_waits_stays_where_its_id_is_a_ghost_on_the_free_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        inside, first, wire, dials = await one_out(monkeypatch)
-        second = inside.ask()
-        await dials.begun()
-        (up,) = (c for c in inside.connections() if c.sock is not None)
+        harness, first, wire, dials = await one_out(monkeypatch)
+        second = harness.submit()
+        await dials.wait_for_dials()
+        (up,) = (c for c in harness.connections() if c.sock is not None)
         up.remember_used_id(second.job_id)  # an answer to this id may still come there
-        wire.answer(first.job_id)
-        assert await inside.status(first) == 200
-        dials.let()
-        assert await inside.out(second) is not wire
-        inside.told[second.job_id][0].answer(second.job_id)
-        assert await inside.status(second) == 200
-        await inside.settled()
+        wire.respond(first.job_id)
+        assert await harness.wait_for_status(first) == 200
+        dials.release()
+        assert await harness.wait_for_command(second) is not wire
+        harness.wires_by_job[second.job_id][0].respond(second.job_id)
+        assert await harness.wait_for_status(second) == 200
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_what_waits_stays_where_the_address_of_the_free_connection_rests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        inside, first, wire, dials = await one_out(monkeypatch)
-        second = inside.ask()
-        await dials.begun()
+        harness, first, wire, dials = await one_out(monkeypatch)
+        second = harness.submit()
+        await dials.wait_for_dials()
         monkeypatch.setattr(CacheActor, "_is_backing_off", lambda self, connection: True)
-        wire.answer(first.job_id)
-        assert await inside.status(first) == 200
-        dials.let()
-        assert await inside.out(second) is not wire
-        inside.told[second.job_id][0].answer(second.job_id)
-        assert await inside.status(second) == 200
-        await inside.settled()
-
-    on_loop(scenario)
+        wire.respond(first.job_id)
+        assert await harness.wait_for_status(first) == 200
+        dials.release()
+        assert await harness.wait_for_command(second) is not wire
+        harness.wires_by_job[second.job_id][0].respond(second.job_id)
+        assert await harness.wait_for_status(second) == 200
+        await harness.assert_settled()
+
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("answers", [False, True])
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -24,7 +24,7 @@
 from quincepier.net.probe import Probe
 from quincepier.net.watch import POLL_GRACE, POLL_MS
 from quincepier.wire import lines
-from tests.attemptkit import Inside, answer, on_loop
+from tests.attemptkit import FrontHarness, encode_response, run_on_uvloop
 from tests.fcgikit import call, params
 from tests.standins import until
 from tests.test_idle import Peer, make_manager
@@ -87,7 +87,7 @@
         assert connection.sock.fileno() < 0, "its socket is closed"
         assert not manager.connections and manager.descriptors.clients == 0 and manager.pool.used == 1
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 class Standstill(socket.socket):
@@ -124,7 +124,7 @@
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             sock.close()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("begin", [over_one, in_a_race])
@@ -148,7 +148,7 @@
             for sock in fill:
                 sock.close()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("size", [5, 48_000, None])
@@ -167,26 +167,26 @@
             return plain(delay, callback, *args, **rest)
 
         loop.call_later = call_later  # type: ignore[assignment]
-        inside = Inside(ONE)
-        request = inside.ask()
-        wire = await inside.out(request)
-        cache = inside.cache("s-1")
+        harness = FrontHarness(ONE)
+        request = harness.submit()
+        wire = await harness.wait_for_command(request)
+        cache = harness.cache("s-1")
         (attempt,), (connection,), (time_is_up,) = cache.in_flight, cache.connections, timers
         if size is not None:
-            wire.answer(request.job_id, b"b" * size)
+            wire.respond(request.job_id, b"b" * size)
         time_is_up()  # the loop has not looked since
         await asyncio.sleep(0)
         assert attempt not in cache.in_flight, "its end waits for no more than a turn"
-        await until(lambda: bool(inside.endings(request)), "the module hears")
-        assert inside.endings(request)[0] is (AttemptOutcome.TIMEOUT if size is None else AttemptOutcome.OK)
+        await until(lambda: bool(harness.outcomes(request)), "the module hears")
+        assert harness.outcomes(request)[0] is (AttemptOutcome.TIMEOUT if size is None else AttemptOutcome.OK)
         if size is not None:
-            assert await inside.status(request) == 200 and not inside.cancels(request)
-            assert not inside.checks.counts["late_responses_dropped"]
+            assert await harness.wait_for_status(request) == 200 and not harness.count_cancels(request)
+            assert not harness.checks.counts["late_responses_dropped"]
             assert cache.connections == [connection] and not connection.is_retired
-        inside.left(request)
-        await inside.settled()
+        harness.disconnect_client(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("there", ["all", "half", "nothing"])
@@ -215,17 +215,17 @@
     size: int,
 ) -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask()
-        wire = await inside.out(request)
-        (connection,) = inside.cache("s-1").connections
+        harness = FrontHarness(ONE)
+        request = harness.submit()
+        wire = await harness.wait_for_command(request)
+        (connection,) = harness.cache("s-1").connections
         assert connection.sock is not None
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2 * size + 4096)
-        text = answer(request.job_id, b"b" * size)
+        text = encode_response(request.job_id, b"b" * size)
         there = list[int]()
 
         def cross(sock: socket.socket) -> None:
-            wire.say(text)
+            wire.send(text)
             wire.reset()
             there.append(len(sock.recv(2 * size + 4096, socket.MSG_PEEK)))
 
@@ -233,8 +233,8 @@
         connection.writer.add(
             Probe("behind", clock.now()), lines.cancel("f" * 16)
         )  # goes out right behind it, in the same turn
-        assert await inside.status(request) == 200
-        assert inside.endings(request) == [AttemptOutcome.OK] and there == [len(text)]
-        await inside.settled()
+        assert await harness.wait_for_status(request) == 200
+        assert harness.outcomes(request) == [AttemptOutcome.OK] and there == [len(text)]
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -17,7 +17,7 @@
 from quincepier.interface import AttemptOutcome
 from quincepier.lab.scripted import Moment, Script
 from quincepier.net import dialer as dialing
-from tests.addresskit import KEYED, SAFE, UNSAFE, Inside, Machine, play, quick
+from tests.addresskit import KEYED, SAFE, UNSAFE, AddressHarness, Machine, long_backoff_section, run_on_uvloop
 from tests.standins import until
 
 ORDERS = (("ipv4", "ipv6", "unix"), ("unix", "ipv4", "ipv6"), ("ipv6", "unix", "ipv4"))
@@ -45,16 +45,16 @@
         for order in ORDERS:
             machines = {name: Machine(tmp_path) for name in ("s-1", "p-1", "o-1")}
             prefer = tuple(parse_term(kind) for kind in order)
-            inside = Inside(tmp_path, machines, **quick(prefer=prefer))
-            await inside.start(order)
+            harness = AddressHarness(tmp_path, machines, **long_backoff_section(prefer=prefer))
+            await harness.start(order)
             for machine in machines.values():
                 machine.set(order[0], Script(script.moment, script.rst, script.bytes))
             inboxes, served = [], {}
             for cls in (SAFE, KEYED, UNSAFE):
-                job, inbox, _ = inside.ask(cls, part=cls)
-                served[cls] = await inside.answered(inbox), job
+                job, inbox, _ = harness.submit(cls, part=cls)
+                served[cls] = await harness.wait_for_status(inbox), job
                 inboxes.append(inbox)
-            await inside.quiet()
+            await harness.wait_until_idle()
             received = {cls: sum(m.whole[job] for m in machines.values()) for cls, (_, job) in served.items()}
             assert received[UNSAFE] <= 1, "a bid arrives once at most"
             assert [len(inbox.got) for inbox in inboxes] == [1, 1, 1], "one final answer each"
@@ -65,74 +65,76 @@
             elif script.moment is not Moment.BEFORE:
                 assert served[UNSAFE][0] in (200, 502)
                 assert (served[UNSAFE][0] == 200) <= (received[UNSAFE] == 1)
-            await inside.close()
+            await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_bid_whose_command_was_begun_fails_and_the_next_goes_over_another_address(tmp_path: Path) -> None:
     async def scenario() -> None:
-        inside = Inside(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **quick())
-        await inside.start()
+        harness = AddressHarness(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **long_backoff_section())
+        await harness.start()
         origin.set("unix", Script(Moment.WHOLE, True))
-        job, status = await inside.serve(UNSAFE)
+        job, status = await harness.serve(UNSAFE)
         assert (status, origin.whole[job]) == (502, 1)
-        assert inside.way("o-1").is_backing_off(parse(origin.doors["unix"].text))
-        again, status = await inside.serve(UNSAFE)
+        assert harness.route("o-1").is_backing_off(parse(origin.doors["unix"].text))
+        again, status = await harness.serve(UNSAFE)
         assert (status, origin.at[-1]) == (200, ("ipv6", again))
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_video_part_is_asked_again_at_the_same_machine_over_another_address(tmp_path: Path) -> None:
     async def scenario() -> None:
         machines = {"s-1": Machine(tmp_path), "s-2": Machine(tmp_path), "p-1": Machine(tmp_path)}
-        inside = Inside(tmp_path, machines, **quick())
-        await inside.start()
+        harness = AddressHarness(tmp_path, machines, **long_backoff_section())
+        await harness.start()
         for machine in machines.values():
             machine.set("unix", Script(Moment.WHOLE, True))
         for part in range(6):
-            job, status = await inside.serve(SAFE, part)
+            job, status = await harness.serve(SAFE, part)
             assert status == 200
             (home,) = [m for m in machines.values() if m.whole[job]]  # the hashed cache, and no other
             assert [kind for kind, id in home.at if id == job][-1] == "ipv6"
-        assert not any(node.is_ejected for node in inside.module.router.placement.table.by_id.values())
-        await inside.close()
+        assert not any(node.is_ejected for node in harness.module.router.placement.table.by_id.values())
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_machine_is_lost_to_the_module_only_when_every_address_has_failed(tmp_path: Path) -> None:
     async def scenario() -> None:
         machine, endings = Machine(tmp_path), list[AttemptOutcome]()
-        inside = Inside(tmp_path, {"s-1": machine, "o-1": Machine(tmp_path)}, **quick())
-        await inside.start()
-        told = inside.module._ended
+        harness = AddressHarness(
+            tmp_path, {"s-1": machine, "o-1": Machine(tmp_path)}, **long_backoff_section()
+        )
+        await harness.start()
+        told = harness.module._ended
 
         def ended(end: Any) -> None:
             endings.append(end.ending)
             told(end)
 
-        inside.module._ended = ended  # type: ignore[method-assign]
+        harness.module._ended = ended  # type: ignore[method-assign]
         for kind, left in (("unix", 2), ("ipv6", 1)):
             machine.set(kind, Script(Moment.REFUSE))
-            await inside.serve(SAFE, left)
-            await until(lambda: not inside.cache("s-1").in_flight, "nothing is out")
+            await harness.serve(SAFE, left)
+            await until(lambda: not harness.cache("s-1").in_flight, "nothing is out")
         assert set(endings) == {AttemptOutcome.OK}
         machine.set("ipv4", Script(Moment.REFUSE))
-        for connection in inside.cache("s-1").connections:
+        for connection in harness.cache("s-1").connections:
             connection.close()
-        await until(lambda: not inside.cache("s-1").connections, "the old connections are gone")
-        await inside.serve(SAFE, 9)
-        assert AttemptOutcome.CONNECT_FAILED in endings and inside.cache("s-1").number in {
-            n.endpoint.cache for n in inside.module.router.placement.table.by_id.values() if n.is_ejected
+        await until(lambda: not harness.cache("s-1").connections, "the old connections are gone")
+        await harness.serve(SAFE, 9)
+        assert AttemptOutcome.CONNECT_FAILED in endings and harness.cache("s-1").number in {
+            n.endpoint.cache for n in harness.module.router.placement.table.by_id.values() if n.is_ejected
         }
         machine.set("ipv4", Script())  # set aside or not, what is listed is tried
-        await inside.cache("s-1").route.connect()  # type: ignore[union-attr]
-        await inside.close()
+        await harness.cache("s-1").route.connect()  # type: ignore[union-attr]
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_both_up_at_once_one_is_used_and_the_other_closed(tmp_path: Path) -> None:
@@ -140,8 +142,10 @@
 
     async def scenario() -> None:
         machine = Machine(tmp_path)
-        inside = Inside(tmp_path, {"s-1": machine, "o-1": Machine(tmp_path)}, **quick())
-        await inside.start()
+        harness = AddressHarness(
+            tmp_path, {"s-1": machine, "o-1": Machine(tmp_path)}, **long_backoff_section()
+        )
+        await harness.start()
         machine.set("unix", Script(Moment.FULL))
 
         async def opens() -> None:
@@ -149,23 +153,23 @@
             machine.set("unix", Script())
 
         opening = asyncio.create_task(opens())
-        jobs = [inside.ask(SAFE, part) for part in range(20)]
+        jobs = [harness.submit(SAFE, part) for part in range(20)]
         for _, inbox, _ in jobs:
-            assert await inside.answered(inbox) == 200
+            assert await harness.wait_for_status(inbox) == 200
         await opening
         assert all(machine.whole[job] == 1 for job, _, _ in jobs)
-        way = inside.way("s-1")
+        way = harness.route("s-1")
         await until(
             lambda: not (way.races.race_by_number or way.task_by_dial or way.socket_by_dial),
             "no dial is left",
         )
-        assert way.extra_dials == 0 and inside.dialer.limiter.in_use == 0
-        assert inside.module.means.descriptors.caches == sum(
-            len(cache.connections) for cache in inside.module.caches.values()
+        assert way.extra_dials == 0 and harness.dialer.limiter.in_use == 0
+        assert harness.module.means.descriptors.caches == sum(
+            len(cache.connections) for cache in harness.module.caches.values()
         )
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("news", ["drain", "gone", "source drains", "purge"])
@@ -174,42 +178,44 @@
 
     async def scenario() -> None:
         machines = {"s-1": Machine(tmp_path), "p-1": Machine(tmp_path), "o-1": Machine(tmp_path)}
-        inside = Inside(tmp_path, machines, **quick())
-        await inside.start()
+        harness = AddressHarness(tmp_path, machines, **long_backoff_section())
+        await harness.start()
         edge = machines["s-1"]
         for kind in edge.kinds:
             edge.set(kind, Script(Moment.FULL))
-        job, inbox, request = inside.ask(SAFE)
-        await until(lambda: bool(inside.way("s-1").task_by_dial), "it dials")
+        job, inbox, request = harness.submit(SAFE)
+        await until(lambda: bool(harness.route("s-1").task_by_dial), "it dials")
         (attempt,) = request.attempts
         match news:
             case "purge":
-                inside.tell(invalidate={"object": f"{request.object_id:016x}", "time": 1})
+                harness.apply_event(invalidate={"object": f"{request.object_id:016x}", "time": 1})
             case "source drains":
-                inside.tell(inside.record("p-1", machines["p-1"].addresses(), health="DRAINING"))
+                harness.apply_event(
+                    harness.host_record("p-1", machines["p-1"].addresses(), health="DRAINING")
+                )
             case _:
                 state = "DRAINING" if news == "drain" else "DELETED"
-                inside.tell(inside.record("s-1", edge.addresses(), health=state))
+                harness.apply_event(harness.host_record("s-1", edge.addresses(), health=state))
         await until(lambda: attempt.is_revoked and attempt.is_ended, "the attempt went back")
         for kind in edge.kinds:
             edge.set(kind, Script())
-        assert await inside.answered(inbox) == 200
+        assert await harness.wait_for_status(inbox) == 200
         if news in ("drain", "gone"):
             assert edge.whole[job] == 0
         assert sum(machine.whole[job] for machine in machines.values()) == 1
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_recalled_attempt_is_stopped_right_before_its_first_byte(tmp_path: Path) -> None:
     """The connection is up and the command queued when the news comes: the flag alone must hold it."""
 
     async def scenario() -> None:
-        inside = Inside(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **quick())
-        await inside.start()
-        first, _ = await inside.serve(UNSAFE)
-        cache, endings = inside.cache("o-1"), list[AttemptOutcome]()
+        harness = AddressHarness(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **long_backoff_section())
+        await harness.start()
+        first, _ = await harness.serve(UNSAFE)
+        cache, endings = harness.cache("o-1"), list[AttemptOutcome]()
         told = cache.complete_without_response
 
         def ended(
@@ -228,64 +234,66 @@
                 exchange.is_revoked = True  # told in the same turn, after the command was queued
 
         connection.send = tell  # type: ignore[method-assign]
-        second, status = await inside.serve(UNSAFE)
+        second, status = await harness.serve(UNSAFE)
         assert (endings, status, origin.whole[second]) == ([AttemptOutcome.NOT_PROCESSED], 200, 1)
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_client_that_leaves_in_the_middle_of_a_race_ends_it(tmp_path: Path) -> None:
     async def scenario() -> None:
-        inside = Inside(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **quick())
-        await inside.start()
+        harness = AddressHarness(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **long_backoff_section())
+        await harness.start()
         for kind in origin.kinds:
             origin.set(kind, Script(Moment.FULL))
-        job, inbox, request = inside.ask(UNSAFE)
-        await until(lambda: bool(inside.way("o-1").task_by_dial), "it dials")
-        inside.leave(request)
-        await until(lambda: not inside.way("o-1").task_by_dial, "nothing is dialled for nobody")
-        await until(lambda: not inside.cache("o-1").connections, "its connection is gone")
-        assert (inside.module.means.descriptors.caches, inside.dialer.limiter.in_use) == (0, 0)
+        job, inbox, request = harness.submit(UNSAFE)
+        await until(lambda: bool(harness.route("o-1").task_by_dial), "it dials")
+        harness.disconnect_client(request)
+        await until(lambda: not harness.route("o-1").task_by_dial, "nothing is dialled for nobody")
+        await until(lambda: not harness.cache("o-1").connections, "its connection is gone")
+        assert (harness.module.means.descriptors.caches, harness.dialer.limiter.in_use) == (0, 0)
         assert inbox.got == [] and origin.whole[job] == 0
-        counts = inside.checks.counts
+        counts = harness.checks.counts
         assert counts["dials_cancelled"] and not counts["dials_failed_timed_out"]
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_hundreds_of_attempts_when_the_first_address_has_just_died(tmp_path: Path) -> None:
     async def scenario() -> None:
-        inside = Inside(tmp_path, {"o-1": (origin := Machine(tmp_path, ("ipv4", "ipv6")))}, **quick())
-        await inside.start()
-        await inside.serve(UNSAFE)
+        harness = AddressHarness(
+            tmp_path, {"o-1": (origin := Machine(tmp_path, ("ipv4", "ipv6")))}, **long_backoff_section()
+        )
+        await harness.start()
+        await harness.serve(UNSAFE)
         assert origin.at[0][0] == "ipv6"
         origin.set("ipv6", Script(Moment.REFUSE))
-        for connection in inside.cache("o-1").connections:
+        for connection in harness.cache("o-1").connections:
             connection.close()
-        await until(lambda: not inside.cache("o-1").connections, "the old connection is gone")
-        before = dict(inside.checks.counts)
-        asked = [inside.ask(UNSAFE) for _ in range(300)]
+        await until(lambda: not harness.cache("o-1").connections, "the old connection is gone")
+        before = dict(harness.checks.counts)
+        asked = [harness.submit(UNSAFE) for _ in range(300)]
         for _, inbox, _ in asked:
-            assert await inside.answered(inbox) == 200
+            assert await harness.wait_for_status(inbox) == 200
         assert all(origin.whole[job] == 1 for job, _, _ in asked)
-        refused = inside.checks.counts["dials_failed_refused"] - before.get("dials_failed_refused", 0)
+        refused = harness.checks.counts["dials_failed_refused"] - before.get("dials_failed_refused", 0)
         assert 1 <= refused <= 8, refused
-        assert inside.dialer.limiter.peak <= 64
-        await inside.close()
+        assert harness.dialer.limiter.peak <= 64
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_every_descriptor_in_use_dials_one_address_after_the_other(tmp_path: Path) -> None:
     async def scenario() -> None:
-        inside = Inside(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **quick())
-        await inside.start(sockets=32)
-        descriptors = inside.module.means.descriptors
+        harness = AddressHarness(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **long_backoff_section())
+        await harness.start(sockets=32)
+        descriptors = harness.module.means.descriptors
         for kind in ("unix", "ipv6"):
             origin.set(kind, Script(Moment.REFUSE))
-        asked = [inside.ask(UNSAFE) for _ in range(40)]
+        asked = [harness.submit(UNSAFE) for _ in range(40)]
         most = 0
         while not all(inbox.got for _, inbox, _ in asked):
             most = max(most, descriptors.caches)
@@ -293,63 +301,66 @@
         assert most <= descriptors.max_caches
         assert {inbox.got[0].status for _, inbox, _ in asked} == {200}
         assert all(origin.whole[job] == 1 for job, _, _ in asked)
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_new_id_at_an_old_address_and_two_ids_that_share_one(tmp_path: Path) -> None:
     async def scenario() -> None:
         old = Machine(tmp_path)
-        inside = Inside(tmp_path, {"s-1": old, "o-1": Machine(tmp_path)}, **quick())
-        await inside.start()
-        await inside.serve(SAFE, 1)
-        way = inside.way("s-1")
+        harness = AddressHarness(tmp_path, {"s-1": old, "o-1": Machine(tmp_path)}, **long_backoff_section())
+        await harness.start()
+        await harness.serve(SAFE, 1)
+        way = harness.route("s-1")
         way.on_connection_failed(parse(old.doors["unix"].text), clock.now(), "as a test")
-        inside.tell(
-            inside.record("s-1", old.addresses(), health="DELETED"), inside.record("s-2", old.addresses())
+        harness.apply_event(
+            harness.host_record("s-1", old.addresses(), health="DELETED"),
+            harness.host_record("s-2", old.addresses()),
         )
-        await until(lambda: "s-2" in inside.module.directory.entry_by_host, "the list is taken")
-        new = inside.way("s-2")
+        await until(lambda: "s-2" in harness.module.directory.entry_by_host, "the list is taken")
+        new = harness.route("s-2")
         assert new is not way and not new.is_backing_off(parse(old.doors["unix"].text))  # another machine
-        inside.tell(inside.record("s-3", old.addresses()))
+        harness.apply_event(harness.host_record("s-3", old.addresses()))
         for part in range(8):
-            assert (await inside.serve(SAFE, part))[1] == 200
-        used = {name: len(inside.cache(name).connections) for name in ("s-2", "s-3")}
+            assert (await harness.serve(SAFE, part))[1] == 200
+        used = {name: len(harness.cache(name).connections) for name in ("s-2", "s-3")}
         assert all(used.values()), used
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_addresses_changed_by_the_list_and_by_the_operators_while_attempts_are_out(tmp_path: Path) -> None:
     async def scenario() -> None:
         origin = Machine(tmp_path)
-        inside = Inside(tmp_path, {"o-1": origin}, **quick())
-        await inside.start(("unix", "ipv6"))
+        harness = AddressHarness(tmp_path, {"o-1": origin}, **long_backoff_section())
+        await harness.start(("unix", "ipv6"))
         origin.set("unix", Script(Moment.SILENT))
-        silent, inbox, _ = inside.ask(UNSAFE)
+        silent, inbox, _ = harness.submit(UNSAFE)
         await until(lambda: origin.whole[silent] == 1, "it is out")
-        inside.tell(inside.record("o-1", [origin.doors["ipv6"].text]))
-        await until(lambda: len(inside.way("o-1").book.state_by_address) == 1, "the list is taken")
+        harness.apply_event(harness.host_record("o-1", [origin.doors["ipv6"].text]))
+        await until(lambda: len(harness.route("o-1").book.state_by_address) == 1, "the list is taken")
         assert not inbox.got  # what is out stays out over the old address
-        job, status = await inside.serve(UNSAFE)
+        job, status = await harness.serve(UNSAFE)
         assert (status, origin.at[-1]) == (200, ("ipv6", job))
         origin.set("ipv6", Script(Moment.FULL))
-        for connection in inside.cache("o-1").connections:
+        for connection in harness.cache("o-1").connections:
             if connection.is_idle:
                 connection.close()
-        waiting, held, _ = inside.ask(UNSAFE)
-        await until(lambda: bool(inside.way("o-1").task_by_dial), "it dials")
-        section = type(inside.section)(
-            **quick(machines={"o-1": (parse(origin.doors["ipv4"].text),)}, forbid=(parse_term("ipv6"),))
+        waiting, held, _ = harness.submit(UNSAFE)
+        await until(lambda: bool(harness.route("o-1").task_by_dial), "it dials")
+        section = type(harness.section)(
+            **long_backoff_section(
+                machines={"o-1": (parse(origin.doors["ipv4"].text),)}, forbid=(parse_term("ipv6"),)
+            )
         )
-        inside.module.follow_addresses(section)  # SIGHUP: the one being dialled is forbidden
-        assert await inside.answered(held) == 200 and origin.at[-1] == ("ipv4", waiting)
-        assert [str(a) for a in inside.way("o-1").book.state_by_address] == [origin.doors["ipv4"].text]
-        await inside.close()
+        harness.module.follow_addresses(section)  # SIGHUP: the one being dialled is forbidden
+        assert await harness.wait_for_status(held) == 200 and origin.at[-1] == ("ipv4", waiting)
+        assert [str(a) for a in harness.route("o-1").book.state_by_address] == [origin.doors["ipv4"].text]
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -375,7 +386,7 @@
         may = {cause, Cause.TIMED_OUT} if cause is Cause.UNREACHABLE else {cause}
         assert dialing.cause_of(caught.value) in may
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_errors_of_the_system_have_their_causes() -> None:
@@ -401,24 +412,24 @@
             await dialing.dial(parse(machine.doors["unix"].text), 0.05)
         await machine.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_silent_address_rests_and_what_is_idle_there_is_not_used(tmp_path: Path) -> None:
     async def scenario() -> None:
         edge = Machine(tmp_path)
-        inside = Inside(tmp_path, {"s-1": edge, "o-1": Machine(tmp_path)}, **quick())
-        await inside.start()
-        first = [inside.ask(SAFE, part) for part in range(3)]  # some connections over the first address
+        harness = AddressHarness(tmp_path, {"s-1": edge, "o-1": Machine(tmp_path)}, **long_backoff_section())
+        await harness.start()
+        first = [harness.submit(SAFE, part) for part in range(3)]  # some connections over the first address
         for _, inbox, _ in first:
-            await inside.answered(inbox)
+            await harness.wait_for_status(inbox)
         edge.set("unix", Script(Moment.SILENT))
-        inside.way("s-1").on_connection_failed(parse(edge.doors["unix"].text), clock.now(), "silent")
-        job, status = await inside.serve(SAFE, 5)
+        harness.route("s-1").on_connection_failed(parse(edge.doors["unix"].text), clock.now(), "silent")
+        job, status = await harness.serve(SAFE, 5)
         assert (status, edge.at[-1]) == (200, ("ipv6", job))
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_cold_machine_gets_no_command_more_by_racing_and_falling_back(tmp_path: Path) -> None:
@@ -427,94 +438,102 @@
     async def scenario() -> None:
         edge = Machine(tmp_path)
         machines = {"s-1": edge, "p-1": Machine(tmp_path), "o-1": Machine(tmp_path)}
-        inside = Inside(tmp_path, machines, **quick(aside_ms=Aside(first=20, most=40)))
-        await inside.start()
-        born = inside.record("s-1", edge.addresses(), born_ms=time.time_ns() // clock.MS - 1000)
-        inside.tell(born)
+        harness = AddressHarness(
+            tmp_path, machines, **long_backoff_section(aside_ms=Aside(first=20, most=40))
+        )
+        await harness.start()
+        born = harness.host_record("s-1", edge.addresses(), born_ms=time.time_ns() // clock.MS - 1000)
+        harness.apply_event(born)
         await until(
-            lambda: inside.module.router.placement.table.by_id[inside.cache("s-1").number].started_at > 0,
+            lambda: harness.module.router.placement.table.by_id[harness.cache("s-1").number].started_at > 0,
             "it is cold",
         )
         sent = []
-        perform = inside.module._send
-        number = inside.cache("s-1").number
+        perform = harness.module._send
+        number = harness.cache("s-1").number
 
         def send(action: Any, now: int) -> None:
             sent.append(action.cache == number)
             perform(action, now)
 
-        inside.module._send = send  # type: ignore[method-assign]
+        harness.module._send = send  # type: ignore[method-assign]
         scripts = [Script(Moment.REFUSE), Script(), Script(Moment.ACCEPT, True), Script(Moment.FULL)]
         for n in range(40):
             edge.set("unix", scripts[n % 4])
             edge.set("ipv6", scripts[(n + 1) % 4])
-            await inside.serve(SAFE, n)
+            await harness.serve(SAFE, n)
         assert 0 < sum(edge.whole.values()) <= sum(sent)
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_forbidden_addresses_are_never_dialled_and_bad_ones_cost_no_others(tmp_path: Path) -> None:
     async def scenario() -> None:
         origin = Machine(tmp_path)
-        inside = Inside(tmp_path, {"o-1": origin}, **quick(forbid=(parse_term("unix"), parse_term("::1"))))
-        await inside.start()
-        job, status = await inside.serve(UNSAFE)
+        harness = AddressHarness(
+            tmp_path, {"o-1": origin}, **long_backoff_section(forbid=(parse_term("unix"), parse_term("::1")))
+        )
+        await harness.start()
+        job, status = await harness.serve(UNSAFE)
         assert (status, origin.at) == (200, [("ipv4", job)])
-        inside.tell(inside.record("o-1", [origin.doors["ipv4"].text, "nonsense", "[::1]:0"]))
-        await until(lambda: inside.checks.counts["endpoint_address_invalid"] >= 2, "they are told")
-        assert (await inside.serve(UNSAFE))[1] == 200
+        harness.apply_event(harness.host_record("o-1", [origin.doors["ipv4"].text, "nonsense", "[::1]:0"]))
+        await until(lambda: harness.checks.counts["endpoint_address_invalid"] >= 2, "they are told")
+        assert (await harness.serve(UNSAFE))[1] == 200
         assert origin.doors["unix"].accepted == origin.doors["ipv6"].accepted == 0
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_the_bound_on_dials_at_once_holds_for_the_machine_and_the_front(tmp_path: Path) -> None:
     async def scenario() -> None:
         machines = {"s-1": Machine(tmp_path), "o-1": Machine(tmp_path)}
-        inside = Inside(tmp_path, machines, **quick(dials=Dials(machine=4, front=6)))
-        await inside.start()
+        harness = AddressHarness(tmp_path, machines, **long_backoff_section(dials=Dials(machine=4, front=6)))
+        await harness.start()
         for machine in machines.values():
             for kind in ("unix", "ipv6"):
                 machine.set(kind, Script(Moment.FULL))
-        asked = [inside.ask(cls, n) for n in range(60) for cls in (SAFE, UNSAFE)]
+        asked = [harness.submit(cls, n) for n in range(60) for cls in (SAFE, UNSAFE)]
         seen = [0, 0]
         while not all(inbox.got for _, inbox, _ in asked):
-            ways = [len(way.task_by_dial) for way in inside.dialer.route_by_number.values()]
+            ways = [len(way.task_by_dial) for way in harness.dialer.route_by_number.values()]
             seen = [max(seen[0], *ways), max(seen[1], sum(ways))]
             await asyncio.sleep(0.0005)
-        assert seen[0] <= 4 and seen[1] <= 6 and inside.dialer.limiter.peak <= 6
+        assert seen[0] <= 4 and seen[1] <= 6 and harness.dialer.limiter.peak <= 6
         assert {inbox.got[0].status for _, inbox, _ in asked} <= {200, 503}
         assert sum(inbox.got[0].status == 200 for _, inbox, _ in asked) >= 60  # the bids at least
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_machine_with_all_addresses_forbidden_is_told_and_fails_at_once(tmp_path: Path) -> None:
     async def scenario() -> None:
         origin = Machine(tmp_path, ("ipv4",))
-        inside = Inside(tmp_path, {"o-1": origin}, **quick(forbid=(parse_term("127.0.0.0/8"),)))
-        await inside.start()
-        assert inside.checks.counts["endpoint_addresses_forbidden"] == 1
-        job, status = await inside.serve(UNSAFE)
+        harness = AddressHarness(
+            tmp_path, {"o-1": origin}, **long_backoff_section(forbid=(parse_term("127.0.0.0/8"),))
+        )
+        await harness.start()
+        assert harness.checks.counts["endpoint_addresses_forbidden"] == 1
+        job, status = await harness.serve(UNSAFE)
         assert status == 503 and origin.whole[job] == 0
-        await inside.close()
+        await harness.close()
 
-    play(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_preference_of_the_operators_is_followed(tmp_path: Path) -> None:
     async def scenario() -> None:
         for kind in ("ipv4", "ipv6", "unix"):
             origin = Machine(tmp_path)
-            inside = Inside(tmp_path, {"o-1": origin}, **quick(prefer=(parse_term(kind),)))
-            await inside.start()
-            await inside.serve(UNSAFE)
+            harness = AddressHarness(
+                tmp_path, {"o-1": origin}, **long_backoff_section(prefer=(parse_term(kind),))
+            )
+            await harness.start()
+            await harness.serve(UNSAFE)
             assert [door for door, _ in origin.at] == [kind]
-            await inside.close()
+            await harness.close()
         assert Preference([parse_term("::/0")]).grade(Address(parse("[::1]:1").family, "::1", 1)) == 0
 
-    play(scenario)
+    run_on_uvloop(scenario)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -13,7 +13,7 @@
 import pytest
 
 from quincepier.interface import AttemptOutcome
-from tests.attemptkit import BID, IMAGE, Inside, on_loop
+from tests.attemptkit import BID, IMAGE, FrontHarness, run_on_uvloop
 from tests.faulty_front import Call, Plan, Rule
 from tests.standins import Asked, Behaviour, Client, Front, play, until
 
@@ -71,27 +71,27 @@
     monkeypatch.setattr(socket, "socket", Breaking)
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire = await inside.served(BID)
-        cache = inside.cache("o-1")
+        harness = FrontHarness(ONE)
+        wire = await harness.serve_one(BID)
+        cache = harness.cache("o-1")
         at_once = cache.ramp.most
         assert at_once > cache.ramp.first
         monkeypatch.setattr(Breaking, "takes_nothing", True)
-        request = inside.ask(BID)
-        await until(lambda: any(c.outgoing for c in inside.connections()), "it waits for its socket")
+        request = harness.submit(BID)
+        await until(lambda: any(c.outgoing for c in harness.connections()), "it waits for its socket")
         monkeypatch.setattr(Breaking, "error", number)
         os.write(wire.sock.fileno(), b"x")  # there is something to read
-        await until(lambda: bool(inside.endings(request)), "it ends")
+        await until(lambda: bool(harness.outcomes(request)), "it ends")
         monkeypatch.setattr(Breaking, "error", 0)
         monkeypatch.setattr(Breaking, "takes_nothing", False)
-        assert inside.endings(request)[0] is AttemptOutcome.NOT_PROCESSED
+        assert harness.outcomes(request)[0] is AttemptOutcome.NOT_PROCESSED
         assert cache.ramp.most >= at_once
-        again = await inside.out(request)
-        again.answer(request.job_id)
-        assert await inside.status(request) == 200
-        await inside.settled()
+        again = await harness.wait_for_command(request)
+        again.respond(request.job_id)
+        assert await harness.wait_for_status(request) == 200
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH])
@@ -120,20 +120,20 @@
 
     async def scenario() -> None:
         nonlocal fails
-        inside = Inside(ONE)
+        harness = FrontHarness(ONE)
         monkeypatch.setattr(socket, "socket", Failing)
-        request = inside.ask(IMAGE)
+        request = harness.submit(IMAGE)
         await asyncio.sleep(0.1)
         assert 2 <= len(tries) <= 20, "with pauses"
-        assert not inside.endings(request), "no attempt is used up"
+        assert not harness.outcomes(request), "no attempt is used up"
         fails = False
-        wire = await inside.out(request)
-        wire.answer(request.job_id)
-        assert await inside.status(request) == 200
+        wire = await harness.wait_for_command(request)
+        wire.respond(request.job_id)
+        assert await harness.wait_for_status(request) == 200
         monkeypatch.undo()
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.fleet(6)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,7 @@
 from quincepier import interface as io
 from quincepier.policy.event_age import EventAges
 from quincepier.wire.changelog import read_changes
-from tests.attemptkit import IMAGE, Inside, on_loop
+from tests.attemptkit import IMAGE, FrontHarness, run_on_uvloop
 
 ONE = ("s-1", "p-1", "o-1")
 HOUR = 3600 * clock.SECOND
@@ -40,21 +40,21 @@
         return (time.time_ns() + self.passed) // clock.MS
 
 
-def read_log(inside: Inside, **record: Any) -> None:
+def read_log(harness: FrontHarness, **record: Any) -> None:
     """One event of the change log, as its watch passes it on."""
-    inside.seq += 1
-    (event,) = read_changes({"seq": inside.seq, "results": [{"seq": inside.seq} | record]})[1]
-    inside.module._news(event, io.UpdateScope.CHANGES)
+    harness.seq += 1
+    (event,) = read_changes({"seq": harness.seq, "results": [{"seq": harness.seq} | record]})[1]
+    harness.module._news(event, io.UpdateScope.CHANGES)
 
 
-async def age_asked_for(inside: Inside) -> int:
+async def age_asked_for(harness: FrontHarness) -> int:
     """How old a copy may be that a request takes, as the cache is told; milliseconds."""
-    request = inside.ask(IMAGE)
-    wire = await inside.out(request)
-    found = re.search(rf"serve {request.job_id} \S*fresh=(\d+)", wire.text.decode())
+    request = harness.submit(IMAGE)
+    wire = await harness.wait_for_command(request)
+    found = re.search(rf"serve {request.job_id} \S*fresh=(\d+)", wire.received.decode())
     assert found is not None, "an age is named"
-    wire.answer(request.job_id)
-    assert await inside.status(request) == 200
+    wire.respond(request.job_id)
+    assert await harness.wait_for_status(request) == 200
     return int(found[1])
 
 
@@ -63,16 +63,16 @@
     clocks = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        await inside.served()
+        harness = FrontHarness(ONE)
+        await harness.serve_one()
         clocks.step = step
         purged_at = clock.now()
-        read_log(inside, invalidate={"bucket": 17, "time": clocks.world_ms()})
+        read_log(harness, invalidate={"bucket": 17, "time": clocks.world_ms()})
         clocks.passed += clock.SECOND
-        assert await age_asked_for(inside) <= (clock.now() - purged_at) / clock.MS
-        await inside.settled()
+        assert await age_asked_for(harness) <= (clock.now() - purged_at) / clock.MS
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -80,16 +80,16 @@
     clocks = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
-        inside = Inside((*ONE, "s-2"))
+        harness = FrontHarness((*ONE, "s-2"))
         clocks.step = step
         before = clock.now()
-        inside.listed(inside.host("s-2", born_ms=clocks.world_ms()))
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness.apply_hosts(harness.host("s-2", born_ms=clocks.world_ms()))
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         assert before - 10 * clock.MS <= upstream.started_at <= clock.now()
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -102,11 +102,11 @@
 
     async def scenario() -> None:
         purged_at, newest = clock.now() - clock.SECOND, clocks.world_ms()
-        inside = Inside(ONE, purged_ms=(newest - 30_000, newest - 1000, newest))
-        assert await age_asked_for(inside) <= (clock.now() - purged_at) / clock.MS
-        await inside.settled()
+        harness = FrontHarness(ONE, purged_ms=(newest - 30_000, newest - 1000, newest))
+        assert await age_asked_for(harness) <= (clock.now() - purged_at) / clock.MS
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -118,13 +118,13 @@
 
     async def scenario() -> None:
         before = clock.now()
-        inside = Inside((*ONE, "s-2"), born_ms=clocks.world_ms())
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness = FrontHarness((*ONE, "s-2"), born_ms=clocks.world_ms())
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         assert before - 10 * clock.MS <= upstream.started_at <= clock.now()
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -136,16 +136,16 @@
     clocks.step = step
 
     async def scenario() -> None:
-        inside = Inside((*ONE, "s-2"))
+        harness = FrontHarness((*ONE, "s-2"))
         clocks.passed += 60 * clock.SECOND
         before = clock.now()
-        inside.listed(inside.host("s-2", born_ms=clocks.world_ms()))
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness.apply_hosts(harness.host("s-2", born_ms=clocks.world_ms()))
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         assert before - 10 * clock.MS <= upstream.started_at <= clock.now()
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -161,17 +161,17 @@
 
     async def scenario() -> None:
         now = clock.now()
-        inside = Inside((*ONE, "s-2"), born_ms=clocks.world_ms() - 3600 * 1000)
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness = FrontHarness((*ONE, "s-2"), born_ms=clocks.world_ms() - 3600 * 1000)
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         assert upstream.started_at >= now - 10 * clock.MS, "its start is the newest date"
-        read_log(inside, invalidate={"bucket": 17, "time": clocks.world_ms()})
+        read_log(harness, invalidate={"bucket": 17, "time": clocks.world_ms()})
         age = clock.now() - upstream.started_at
         assert age <= HOUR + clock.SECOND
         assert age >= HOUR + min(step, 0) - clock.SECOND
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_restart_found_by_its_failing_keeps_its_date_as_the_log_tells_a_later_one() -> None:
@@ -179,15 +179,15 @@
 
     async def scenario() -> None:
         hour_ago = time.time_ns() // clock.MS - 3600 * 1000
-        inside = Inside((*ONE, "s-2"), born_ms=hour_ago)
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness = FrontHarness((*ONE, "s-2"), born_ms=hour_ago)
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         upstream.started_at = restarted_at = clock.now()
-        read_log(inside, invalidate={"bucket": 17, "time": time.time_ns() // clock.MS})
+        read_log(harness, invalidate={"bucket": 17, "time": time.time_ns() // clock.MS})
         assert upstream.started_at == restarted_at
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_purge_long_before_the_newest_of_the_first_list_is_as_old_as_the_log_says() -> None:
