--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -1,4 +1,8 @@
-"""A front's module, caches and dialer in this process, before scripted machines. On uvloop, as in service."""
+"""Harness for tests of machines with several addresses.
+
+The router's actor, the caches' actors and the dialer run in this process, on uvloop as in production, against
+scripted stand-in machines.
+"""
 
 from __future__ import annotations
 
@@ -32,26 +36,29 @@
 
 BUDGET = MemoryBudget(max_buffers=4000, max_body_bytes=1 << 24, max_open_requests=8192)
 KINDS = {"s": "std", "p": "parent", "o": "origin"}
-SAFE, KEYED, UNSAFE = 1, 0, 2  # the classes, by their number
+SAFE, KEYED, UNSAFE = 1, 0, 2  # request classes, by index
 
 
 class Machine(scripted.Machine):
-    """Its doors are shut and opened again, so their ports are its own."""
+    """A scripted stand-in whose ports are reserved for it, since its listeners are closed and reopened."""
 
     def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
-        left = EACH
+        tries_left = EACH
         if text or kind == "unix":
             return super()._listen(kind, text, backlog)
-        while True:  # all of them are ours, yet one may still be held by a test that failed
+        while True:  # a reserved port may still be in use by a test that failed
             try:
                 return super()._listen(kind, f"{kind}:{own_port()}", backlog)
             except OSError as error:
-                if error.errno != errno.EADDRINUSE or not (left := left - 1):
+                if error.errno != errno.EADDRINUSE or not (tries_left := tries_left - 1):
                     raise
 
 
 class AddressHarness:
-    """Machines by host id; requests go in by `ask`, answers are in the inbox that it gives back."""
+    """A front's actors with stand-in machines by host id.
+
+    `submit` sends a request; its response is in the inbox that it returns.
+    """
 
     def __init__(self, folder: Path, machines: dict[str, Machine], **section: Any) -> None:
         self.folder, self.machines, self.request_count, self.seq = folder, machines, 0, 1
@@ -96,9 +103,9 @@
         return self.module.caches[self.module.directory.assign_number(name)]
 
     def route(self, name: str) -> Route:
-        way = self.cache(name).route
-        assert way is not None
-        return way
+        route = self.cache(name).route
+        assert route is not None
+        return route
 
     def submit(self, cls: int, part: int = 0) -> tuple[str, Inbox, OpenRequest]:
         inbox = Inbox()
@@ -109,7 +116,7 @@
         return job, inbox, request
 
     async def wait_for_status(self, inbox: Inbox) -> int:
-        await until(lambda: bool(inbox.got), "a final answer comes")
+        await until(lambda: bool(inbox.got), "the request is answered")
         status: int = inbox.got[0].status
         if inbox.got[0].body is not None:
             inbox.got[0].body.release()
@@ -123,7 +130,7 @@
         self.module.mailbox.push(Left(request))
 
     def apply_event(self, *hosts: dict[str, Any], **event: Any) -> None:
-        """News of the change log."""
+        """Deliver an event of the change log."""
         self.seq += 1
         body = event or {"fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
         changes = {"seq": self.seq, "results": [{"seq": self.seq} | body]}
@@ -132,8 +139,8 @@
         self.module.mailbox.urge(News(record))
 
     async def wait_until_idle(self) -> None:
-        """Nothing is out and nobody waits for an answer."""
-        await until(lambda: not self.module.requests.request_by_number, "nothing is open")
+        """Wait until no request is open."""
+        await until(lambda: not self.module.requests.request_by_number, "no request is open")
 
     async def close(self) -> None:
         self.module.cancel()
@@ -145,9 +152,9 @@
 
 
 def long_backoff_section(**changes: Any) -> dict[str, Any]:
-    """A section with waits long enough that nothing comes back in the middle of a test by itself."""
-    aside = Aside(first=5000, most=10_000)
-    return {"stagger_ms": Stagger(), "aside_ms": aside, "dials": Dials()} | changes
+    """Return settings with backoffs that outlast a test."""
+    backoff = Aside(first=5000, most=10_000)
+    return {"stagger_ms": Stagger(), "aside_ms": backoff, "dials": Dials()} | changes
 
 
 def run_on_uvloop(scenario: Callable[[], Awaitable[None]]) -> None:
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -1,4 +1,4 @@
-"""The module's actor and its caches' actors over real sockets, with machines that move as a test says."""
+"""Harness for tests of attempts: a front's actors against stand-in machines over real sockets."""
 
 from __future__ import annotations
 
@@ -29,15 +29,14 @@
 from tests.frontkit import SETTINGS, Inbox, host, make_config, open_request
 from tests.standins import until
 
-VIDEO, IMAGE, BID = range(
-    3
-)  # the classes of the configuration; a bid may not be repeated, its place the origin
+# Request classes of the configuration; a bid must not be retried and goes to the origin.
+VIDEO, IMAGE, BID = range(3)
 KINDS = {"p": "parent", "o": "origin"}
 LARGE = b"b" * 48_000
 
 
 def run_on_uvloop(scenario: Callable[[], Awaitable[None]]) -> None:
-    """On the loop of the service."""
+    """Run a scenario on uvloop, as in production."""
 
     async def run() -> None:
         await scenario()
@@ -47,7 +46,7 @@
 
 
 class Wire:
-    """One connection as a machine holds it: read as the test looks, unless it is held."""
+    """A stand-in's end of one connection, read only by `poll`, and not while reading is paused."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.received, self.is_reading_paused, self.is_closed = sock, b"", False, False
@@ -85,7 +84,7 @@
 
 
 class Machine:
-    """A listener whose connections are taken as the test looks; `slim`: their receive buffers are small."""
+    """A stand-in machine that accepts connections in `poll`; `slim`: their receive buffers are small."""
 
     def __init__(self, slim: bool = False) -> None:
         self.sock = socket.socket()
@@ -95,7 +94,7 @@
         self.sock.listen(64)
         self.sock.setblocking(False)
         self.wires: list[Wire] = []
-        self.is_reading_paused = False  # so are connections that come from now on
+        self.is_reading_paused = False  # for connections accepted from now on
 
     @property
     def address(self) -> str:
@@ -113,7 +112,7 @@
 
 
 class FrontHarness:
-    """The actors, as a front has them, between clients that are an inbox each and these machines."""
+    """A front's actors with stand-in machines; each client is an inbox."""
 
     def __init__(
         self,
@@ -123,9 +122,14 @@
         purged_ms: tuple[int, ...] = (),
         born_ms: int = 0,
     ) -> None:
-        """`purged_ms`: Unix milliseconds of purges of group 17 that the log tells at the start.
-
-        `born_ms`: when it says that the last of the machines started.
+        """Start the actors.
+
+        Args:
+            names: Host ids of the machines.
+            classes: Changes to the settings of classes.
+            limits: Changes to the limits.
+            purged_ms: Times of purges of group 17 in the change log at the start, Unix ms.
+            born_ms: Start time of the last machine in the list, Unix ms.
         """
         self.machines = {name: Machine(slim=name == "o-1") for name in names}
         settings: dict[str, Any] = copy.deepcopy(SETTINGS)
@@ -145,11 +149,11 @@
         self.module = ModuleActor(self.config, self.checks, self.pool, self.descriptors, lambda: None, budget)
         self.events: list[io.Event] = []
         self.wires_by_job: dict[str, list[Wire]] = {}
-        plain = self.module.router.handle
+        handle_plainly = self.module.router.handle
 
         def handle(now: int, event: io.Event) -> list[io.Action]:
             self.events.append(event)
-            return plain(now, event)
+            return handle_plainly(now, event)
 
         self.module.router.handle = handle  # type: ignore[method-assign]
         self.module.begin()
@@ -158,14 +162,14 @@
         return host(name, self.machines[name].address, KINDS.get(name[0], "std"), **changes)
 
     def apply_hosts(self, *hosts: dict[str, Any]) -> None:
-        """News of the list, taken in this turn."""
+        """Apply a change of the endpoint list at once."""
         self.seq += 1
         record = {"seq": self.seq, "fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
         (event,) = read_changes({"seq": self.seq, "results": [record]})[1]
         self.module._news(event, io.UpdateScope.CHANGES)
 
     def submit(self, cls: int = IMAGE, **changes: Any) -> OpenRequest:
-        """Into the module's mailbox; its owner keeps what it is answered."""
+        """Queue a request for the router's actor; its receiver is an inbox that keeps the responses."""
         self.request_count += 1
         job, now = f"{self.request_count:016x}", clock.now()
         values: dict[str, Any] = {"received_at_ns": now, "allowed_ns": 30 * clock.SECOND} | changes
@@ -174,16 +178,16 @@
         return request
 
     def handle_next(self, name: str) -> None:
-        """The module and this machine's actor get to what came last, in this turn."""
-        came = self.module.mailbox.take()
-        assert came is not None
-        self.module.safely(came)
-        sent = self.cache(name).mailbox.take()
-        assert sent is not None
-        self.cache(name).safely(sent)
+        """Let the router's actor and this machine's actor handle their next message at once."""
+        message = self.module.mailbox.take()
+        assert message is not None
+        self.module.safely(message)
+        command = self.cache(name).mailbox.take()
+        assert command is not None
+        self.cache(name).safely(command)
 
     def disconnect_client(self, request: OpenRequest) -> None:
-        """As its client's connection does, the mark first and the message when the module gets to it."""
+        """Cancel a request as its client's connection does: mark it, then queue the message."""
         request.cancel(clock.now())
         self.module.mailbox.push(Left(request))
 
@@ -192,12 +196,12 @@
             machine.poll()
 
     def received(self, wire: Wire) -> bytes:
-        """What has come over it up to now."""
+        """Return the bytes received up to now."""
         self.poll()
         return wire.received
 
     def serve_wires(self, request: OpenRequest) -> list[Wire]:
-        """The connections over which it came, one for each `serve` line with its id."""
+        """Return the connections over which the request arrived, one for each `serve` line with its id."""
         self.poll()
         line = f"serve {request.job_id} ".encode()
         wires = [wire for machine in self.machines.values() for wire in machine.wires]
@@ -209,10 +213,10 @@
         return sum(wire.received.count(line) for machine in self.machines.values() for wire in machine.wires)
 
     async def wait_for_command(self, request: OpenRequest, times: int = 1) -> Wire:
-        """The connection over which it came now, once it has come so often; each time over another."""
-        await until(lambda: len(self.serve_wires(request)) >= times, "it goes out")
+        """Wait until the request has arrived `times` times; return the connection of the last one."""
+        await until(lambda: len(self.serve_wires(request)) >= times, "the command arrives")
         found = self.serve_wires(request)
-        assert len(found) == times, "it went out too often"
+        assert len(found) == times, "the command arrived too often"
         known = self.wires_by_job.setdefault(request.job_id, [])
         (new,) = [wire for wire in found if not any(wire is each for each in known)]
         known.append(new)
@@ -220,7 +224,7 @@
 
     async def wait_for_status(self, request: OpenRequest) -> int:
         got: list[Any] = request.receiver.got  # type: ignore[attr-defined]
-        await until(lambda: bool(got), "it is answered")
+        await until(lambda: bool(got), "the request is answered")
         assert len(got) == 1, "one final answer"
         if got[0].body is not None:
             got[0].body.release()
@@ -228,7 +232,7 @@
         return int(got[0].status)
 
     async def serve_one(self, cls: int = IMAGE) -> Wire:
-        """One more request, answered as it should: whatever was to go out before it has by then."""
+        """Serve one more request: whatever was to be sent before it has been sent by then."""
         request = self.submit(cls)
         wire = await self.wait_for_command(request)
         wire.respond(request.job_id)
@@ -252,14 +256,14 @@
         self.module.sweep(clock.now(), late=False)
 
     async def assert_settled(self) -> None:
-        """Nothing is open and nothing is left: no attempt, no descriptor, no buffer; nothing went wrong."""
+        """Check that no attempt, descriptor or buffer is left and no error was counted; then close all."""
         await until(
             lambda: not self.module.requests.request_by_number,
-            "all requests are over and their attempts ended",
+            "all requests and their attempts have ended",
         )
         for connection in self.connections():
             connection.close()
-        await until(lambda: not self.connections(), "the connections are gone")
+        await until(lambda: not self.connections(), "the connections are closed")
         assert (self.descriptors.caches, self.pool.used) == (0, 0)
         assert not [c for cache in self.module.caches.values() for c in (cache.in_flight or cache.timers)]
         assert not [
@@ -277,7 +281,7 @@
 
 
 class HeldDials:
-    """Connections that are up for the system and let through to the front as the test says."""
+    """Connects that succeed at once but are returned to the front only when the test releases them."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.gates: list[asyncio.Future[None]] = []
@@ -297,10 +301,10 @@
         return sock
 
     async def wait_for_dials(self, count: int = 1) -> None:
-        await until(lambda: len(self.gates) >= count, "it is dialled")
+        await until(lambda: len(self.gates) >= count, "the front dials")
 
     def release(self, error: Exception | None = None) -> None:
-        """All of them through, or to this end; what comes later is not held."""
+        """Let all held connects succeed, or fail with `error`; later ones are not held."""
         self.is_holding = False
         for gate in self.gates:
             if not gate.done():
@@ -309,7 +313,7 @@
 
 
 class AdjustableClock:
-    """The front's clock, which goes on as the test says beside its own pace."""
+    """The front's clock, which a test can advance."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.offset_ns = 0
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,4 +1,4 @@
-"""The pure half of several addresses: grammar, preference, order, book, and every ordering of small races."""
+"""The package addresses, without I/O: grammar, preference, order, address book, all orders of small races."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 def test_forms_that_mean_one_address_are_one() -> None:
     assert parse("[0:0:0:0:0:0:0:1]:80") == parse("tcp://[::1]:80")
-    assert parse("[::ffff:10.0.0.1]:80") == parse("10.0.0.1:80")  # IPv4 in other clothes is forbidden as IPv4
+    assert parse("[::ffff:10.0.0.1]:80") == parse("10.0.0.1:80")  # a mapped address is forbidden as IPv4
     assert parse("unix:/" + "p" * 106).target == "/" + "p" * 106
     assert parse("unix:@name").target == b"\0name"
 
@@ -108,8 +108,8 @@
             parse_term(text)
 
 
-def candidate(address: Address, grade: int = 0, aside: int = 0, worked: int = 0) -> Candidate:
-    return Candidate(address, precedence(address), grade, aside, worked)
+def candidate(address: Address, grade: int = 0, backoff_until: int = 0, last_response: int = 0) -> Candidate:
+    return Candidate(address, precedence(address), grade, backoff_until, last_response)
 
 
 def test_order_is_grade_then_what_worked_then_families_in_turn_and_last_what_rests() -> None:
@@ -121,9 +121,9 @@
     assert [c.address for c in order_candidates([candidate(local), candidate(four[0])])] == [four[0], local]
     mixed = [
         candidate(six[0], grade=1),
-        candidate(four[0], grade=0, aside=9),
-        candidate(four[1], grade=1, worked=3),
-        candidate(UNIX, grade=0, aside=5),
+        candidate(four[0], grade=0, backoff_until=9),
+        candidate(four[1], grade=1, last_response=3),
+        candidate(UNIX, grade=0, backoff_until=5),
         candidate(six[1], grade=0),
     ]
     assert [c.address for c in order_candidates(mixed)] == [six[1], four[1], six[0], UNIX, four[0]]
@@ -154,7 +154,7 @@
     assert max(waits) <= 1.25 * 10_000 * MS
     book.on_response(V4)
     book.on_failure(V4, now + 1, now + 1)
-    assert book.state_by_address[V4].backoff_until - now < 300 * MS  # an answer makes it good again
+    assert book.state_by_address[V4].backoff_until - now < 300 * MS  # a response resets the backoff
 
 
 def test_many_dials_under_way_that_fail_together_are_one_failure() -> None:
@@ -163,7 +163,7 @@
     assert book.state_by_address[V4].failures == 1
 
 
-def test_what_rests_is_recalled_after_a_start_for_no_longer_and_that_one_worked_is_not() -> None:
+def test_what_rests_is_is_revoked_after_a_start_for_no_longer_and_that_one_worked_is_not() -> None:
     book, now = make_book(V4, V6, UNIX), 1000 * MS
     for _ in range(4):
         book.on_failure(
@@ -171,25 +171,27 @@
         )
     now = book.state_by_address[V4].backoff_began_at
     book.on_response(V6)
-    (told,) = book.list_backoffs(now)
-    left = told[2]
-    assert told[1] == 4 and left == book.state_by_address[V4].backoff_until - now
-    for old, rests in ((100 * MS, True), (left, False), (60_000 * MS, False)):
+    (backoff,) = book.list_backoffs(now)
+    remaining = backoff[2]
+    assert backoff[1] == 4 and remaining == book.state_by_address[V4].backoff_until - now
+    for age, is_restored in ((100 * MS, True), (remaining, False), (60_000 * MS, False)):
         new = make_book(V4, V6, UNIX)
-        assert new.restore_backoffs([(told[0], told[1], left - old)], 5 * MS) == rests
-        assert new.is_backing_off(V4, 5 * MS) == rests and not new.is_backing_off(V6, 5 * MS)
-        assert new.order(5 * MS)[0].address in (V6, UNIX) or not rests
+        assert new.restore_backoffs([(backoff[0], backoff[1], remaining - age)], 5 * MS) == is_restored
+        assert new.is_backing_off(V4, 5 * MS) == is_restored and not new.is_backing_off(V6, 5 * MS)
+        assert new.order(5 * MS)[0].address in (V6, UNIX) or not is_restored
         assert all(not e.last_response for e in new.state_by_address.values())
-    held = make_book(V4, max_backoff=500)
-    held.restore_backoffs([(told[0], 4, 10**15)], 0)
-    assert held.state_by_address[V4].backoff_until <= 500  # never longer than the operators allow
+    limited = make_book(V4, max_backoff=500)
+    limited.restore_backoffs([(backoff[0], 4, 10**15)], 0)
+    assert limited.state_by_address[V4].backoff_until <= 500  # never longer than the operators allow
 
 
 def test_an_address_that_only_accepts_is_not_proved_and_rests_on() -> None:
     book, now = make_book(V4, V6), 1000 * MS
     book.on_failure(V4, now, now)
     now = book.state_by_address[V4].backoff_until
-    assert book.on_dial_started(V4, 1, now) and book.is_backing_off(V4, now)  # on trial: nobody else takes it
+    assert book.on_dial_started(V4, 1, now) and book.is_backing_off(
+        V4, now
+    )  # on trial: no other dial may use it
     book.on_dial_ended(V4, 1)
     book.on_connected(V4, MS, now)
     assert book.is_backing_off(V4, now)
@@ -227,11 +229,11 @@
 def test_no_address_is_lost_and_none_rests_for_ever(steps: list[tuple[int, int, int]]) -> None:
     addresses = (V4, V6, UNIX)
     book, now = make_book(*addresses), 1000 * MS
-    for what, which, wait in steps:
-        address, now = addresses[which], now + wait * MS
-        match what:
+    for event, index, wait in steps:
+        address, now = addresses[index], now + wait * MS
+        match event:
             case 0 | 1:
-                book.on_failure(address, now - what * MS, now)
+                book.on_failure(address, now - event * MS, now)
             case 2:
                 book.on_response(address)
             case 3:
@@ -242,8 +244,8 @@
                 book.on_dial_ended(address, 9)
         order = book.order(now)
         assert sorted(str(c.address) for c in order) == sorted(map(str, addresses))
-        rests = [bool(c.backoff_until) for c in order]
-        assert rests == sorted(rests)  # what may be tried comes first
+        is_backing_off = [bool(c.backoff_until) for c in order]
+        assert is_backing_off == sorted(is_backing_off)  # addresses in backoff come last
         assert all(entry.backoff_until <= now + 12_500 * MS for entry in book.state_by_address.values())
         assert 10 * MS <= book.stagger <= 60 * MS
 
@@ -253,14 +255,16 @@
 
 @dataclass
 class World:
-    """Races, what they were told and what they did; checks each action as it comes."""
+    """Simulates races: keeps the events and actions, and checks each action."""
 
     races: Races
     now: int = 1000 * MS
     live: set[int] = field(default_factory=set)
-    over: dict[int, str] = field(default_factory=dict)
-    dials: dict[int, tuple[int, Address]] = field(default_factory=dict)  # in flight: their race and address
-    failed: dict[int, set[Address]] = field(default_factory=dict)  # by race: its own, or others' trials
+    result_by_race: dict[int, str] = field(default_factory=dict)
+    dials: dict[int, tuple[int, Address]] = field(default_factory=dict)  # in progress: their race and address
+    failed: dict[int, set[Address]] = field(
+        default_factory=dict
+    )  # by race: its own failures, and those of trials
     dialled: dict[int, list[Address]] = field(default_factory=dict)
     wake: int = 0
 
@@ -269,7 +273,7 @@
         for same in (book.limits, book.preference, book.random, V4, V6, UNIX, *Cause):
             memo[id(same)] = same
         races = copy.deepcopy(self.races, memo)
-        other = World(races, self.now, set(self.live), dict(self.over), dict(self.dials))
+        other = World(races, self.now, set(self.live), dict(self.result_by_race), dict(self.dials))
         other.failed = {race: set(addresses) for race, addresses in self.failed.items()}
         other.dialled = {race: list(addresses) for race, addresses in self.dialled.items()}
         other.wake = self.wake
@@ -294,7 +298,7 @@
 
     def drop(self, race: int) -> None:
         self.live.discard(race)
-        self.over[race] = "dropped"
+        self.result_by_race[race] = "dropped"
         self.take(self.races.cancel(race, self.now))
 
     def tick(self) -> None:
@@ -307,7 +311,7 @@
             match action:
                 case StartDial(race, dial, address):
                     assert race in self.live and address in book.state_by_address
-                    assert address not in self.dialled[race], "an address is dialled once a race"
+                    assert address not in self.dialled[race], "a race dials an address once"
                     self.dialled[race].append(address)
                     self.dials[dial] = race, address
                 case CancelDial(dial):
@@ -315,16 +319,18 @@
                 case RaceWon(race, dial, address):
                     assert race in self.live
                     self.live.remove(race)
-                    self.over[race] = "won"
+                    self.result_by_race[race] = "won"
                 case RaceLost(race):
                     assert race in self.live
-                    assert set(book.state_by_address) <= self.failed[race], "every address has failed for it"
+                    assert (
+                        set(book.state_by_address) <= self.failed[race]
+                    ), "every address has failed for the race"
                     self.live.remove(race)
-                    self.over[race] = "lost"
+                    self.result_by_race[race] = "lost"
                 case ScheduleTick(at):
                     self.wake = at
         assert len(self.dials) <= book.limits.max_dials_per_machine
-        assert {race for race, _ in self.dials.values()} <= self.live, "nothing is dialled for nobody"
+        assert {race for race, _ in self.dials.values()} <= self.live, "dials belong to live races"
         assert self.races.limiter.in_use == len(self.dials)
         assert set(self.races.race_by_number) == self.live
         for entry in book.state_by_address.values():
@@ -333,10 +339,10 @@
             full = len(self.dials) >= max(book.limits.max_dials_per_machine // 2, 1)
             assert full or any(
                 e.trial_dial for e in book.state_by_address.values()
-            ), f"race {race} waits for nothing"
+            ), f"race {race} waits, but for nothing"
 
     def key(self) -> object:
-        """What decides all that can follow, numbers and times made relative."""
+        """Return the state that decides all that can follow, with relative numbers and times."""
         book, races = self.races.book, self.races.race_by_number.values()
         order, now = {race.number: n for n, race in enumerate(races)}, self.now
         entries = [
@@ -349,7 +355,7 @@
             )
             for e in book.state_by_address.values()
         ]
-        flying = sorted(
+        in_progress = sorted(
             (order[r], str(a), self.races.dial_by_number[d].started_at - now)
             for d, (r, a) in self.dials.items()
         )
@@ -363,25 +369,32 @@
             for r in races
         ]
         return repr(
-            (entries, flying, running, max(self.wake - now, 0), len(self.over), self.races.race_count)
+            (
+                entries,
+                in_progress,
+                running,
+                max(self.wake - now, 0),
+                len(self.result_by_race),
+                self.races.race_count,
+            )
         )
 
 
-class Even(random.Random):
-    """No chance: what follows is decided by the order alone."""
+class MeanRandom(random.Random):
+    """Returns the mean, so that only the order of events matters."""
 
     def uniform(self, a: float, b: float) -> float:
         return (a + b) / 2
 
 
-def outcomes(world: World, more: int, gone: bool) -> Iterator[World]:
-    """Every world that one more event leads to."""
+def outcomes(world: World, max_races: int, is_removed: bool) -> Iterator[World]:
+    """Return every state that one more event leads to."""
     for dial in list(world.dials):
         for cause in (None, Cause.REFUSED, Cause.RESET, Cause.LOCAL_RESOURCES):
             after = copy.deepcopy(world)
             after.end(dial, cause)
             yield after
-    for race in list(world.live):  # the client left, or the attempt was recalled by a drain or a purge
+    for race in list(world.live):  # the client disconnected, or a drain or a purge revoked the attempt
         after = copy.deepcopy(world)
         after.drop(race)
         yield after
@@ -389,13 +402,12 @@
         after = copy.deepcopy(world)
         after.tick()
         yield after
-    if world.races.race_count < more:
+    if world.races.race_count < max_races:
         after = copy.deepcopy(world)
         after.start()
         yield after
-    if (
-        gone and len(world.races.book.state_by_address) > 1 and world.live
-    ):  # the list loses an address in the middle
+    # The endpoint list loses an address during a race.
+    if is_removed and len(world.races.book.state_by_address) > 1 and world.live:
         after = copy.deepcopy(world)
         first = next(iter(after.races.book.state_by_address))
         after.races.book.replace_addresses([a for a in after.races.book.state_by_address if a != first])
@@ -404,35 +416,35 @@
 
 
 @pytest.mark.parametrize(
-    ("addresses", "races", "each", "gone"),
+    ("addresses", "races", "max_dials", "is_removed"),
     [(1, 2, 8, False), (2, 2, 8, True), (3, 1, 8, True), (3, 2, 2, False), (2, 3, 1, False)],
 )
-def test_every_ordering_of_small_races(addresses: int, races: int, each: int, gone: bool) -> None:
-    """Depth first over all orders of dials ending, time, new races, clients leaving and a changed list."""
-    book = make_book(*(V4, V6, UNIX)[:addresses], max_dials_per_machine=each)
-    book.random = Even()
+def test_every_ordering_of_small_races(addresses: int, races: int, max_dials: int, is_removed: bool) -> None:
+    """Searches all orders of dials that end, time, new races, disconnecting clients and list changes."""
+    book = make_book(*(V4, V6, UNIX)[:addresses], max_dials_per_machine=max_dials)
+    book.random = MeanRandom()
     first = World(Races(book, DialLimiter(64)))
     first.start()
-    seen, left, ends = {first.key()}, [first], 0
-    while left:
-        world = left.pop()
+    seen, pending, ends = {first.key()}, [first], 0
+    while pending:
+        world = pending.pop()
         if not world.live and world.races.race_count == races:
-            assert not world.dials and len(world.over) == races
+            assert not world.dials and len(world.result_by_race) == races
             ends += 1
             continue
-        for after in outcomes(world, races, gone):
+        for after in outcomes(world, races, is_removed):
             if (key := after.key()) not in seen:
                 seen.add(key)
-                left.append(after)
+                pending.append(after)
     assert ends and len(seen) > 20
 
 
-def settle(world: World, up: set[Address], most: int = 2000) -> None:
-    """Let every dial end as its address does, those that neither refuse nor accept never."""
-    for _ in range(most):
+def settle(world: World, reachable: set[Address], max_steps: int = 2000) -> None:
+    """Let dials to V4 be refused and those to reachable addresses connect; all others never end."""
+    for _ in range(max_steps):
         if not world.live:
             return
-        ready = [d for d, (_, a) in world.dials.items() if a in up]
+        ready = [d for d, (_, a) in world.dials.items() if a in reachable]
         refused = [d for d, (_, a) in world.dials.items() if a == V4]
         if refused:
             world.end(refused[0], Cause.REFUSED)
@@ -441,28 +453,27 @@
             world.end(ready[0], None)
         else:
             world.tick()
-    raise AssertionError("it does not end")
+    raise AssertionError("the races do not end")
 
 
 def test_hundreds_of_connections_share_at_once_that_an_address_refuses() -> None:
     world = World(Races(make_book(V4, V6), DialLimiter(64)))
-    world.races.book.state_by_address[V4].last_response = world.races.book.response_count = (
-        1  # until now all went there
-    )
+    # All connections have used V4 so far.
+    world.races.book.state_by_address[V4].last_response = world.races.book.response_count = 1
     for _ in range(300):
         world.start()
     settle(world, {V6})
     refused = sum(a == V4 for dialled in world.dialled.values() for a in dialled)
-    assert set(world.over.values()) == {"won"} and refused <= 4, refused
+    assert set(world.result_by_race.values()) == {"won"} and refused <= 4, refused
 
 
 def test_hundreds_of_connections_share_at_once_that_an_address_is_silent() -> None:
-    world = World(Races(make_book(UNIX, V6), DialLimiter(64)))  # the first takes no dial and refuses none
+    world = World(Races(make_book(UNIX, V6), DialLimiter(64)))  # UNIX neither accepts nor refuses
     for _ in range(300):
         world.start()
     settle(world, {V6})
     silent = sum(a == UNIX for dialled in world.dialled.values() for a in dialled)
-    assert set(world.over.values()) == {"won"} and silent <= 4, silent
+    assert set(world.result_by_race.values()) == {"won"} and silent <= 4, silent
     assert world.races.book.is_backing_off(UNIX, world.now)
 
 
@@ -471,7 +482,7 @@
     for _ in range(300):
         world.start()
     settle(world, set())
-    assert set(world.over.values()) == {"lost"} and world.races.dial_count <= 12
+    assert set(world.result_by_race.values()) == {"lost"} and world.races.dial_count <= 12
 
 
 def test_who_comes_up_second_is_hung_up_and_blamed_only_after_a_whole_stagger() -> None:
@@ -480,43 +491,43 @@
     world.tick()
     slow, quick = sorted(world.dials)
     world.end(quick, None)
-    assert world.over == {1: "won"} and not world.dials
+    assert world.result_by_race == {1: "won"} and not world.dials
     assert world.races.on_connected(slow, world.now) == [CancelDial(slow)]  # both came up in one turn
     assert world.races.book.is_backing_off(V6, world.now)
     late = World(Races(make_book(V4, V6), DialLimiter(64)))
     late.start()
-    late.now = late.wake + 2000 * MS  # the front stood still: nobody is slower for that
+    late.now = late.wake + 2000 * MS  # the process was paused: that does not count against an address
     late.tick()
     late.end(max(late.dials), None)
     assert not late.races.book.is_backing_off(V6, late.now)
 
 
 def test_no_descriptor_more_no_dial_beside_another() -> None:
-    account = DialLimiter(64, lambda: False)
-    world = World(Races(make_book(V4, V6), account))
+    limiter = DialLimiter(64, lambda: False)
+    world = World(Races(make_book(V4, V6), limiter))
     world.start()
     world.tick()
-    assert len(world.dials) == 1 and world.races.extra_dials == 0 and account.pop_waiting() is world.races
+    assert len(world.dials) == 1 and world.races.extra_dials == 0 and limiter.pop_waiting() is world.races
     world.end(next(iter(world.dials)), Cause.TIMED_OUT)
-    assert len(world.dials) == 1  # the next one, in its place
+    assert len(world.dials) == 1  # the next address, in its place
     world.end(next(iter(world.dials)), None)
-    assert world.over == {1: "won"} and account.in_use == 0
+    assert world.result_by_race == {1: "won"} and limiter.in_use == 0
 
 
 def test_the_front_keeps_to_its_dials_and_leaves_some_to_those_that_fall_back() -> None:
-    account = DialLimiter(4)
-    worlds = [World(Races(make_book(V4, V6), account)) for _ in range(6)]
+    limiter = DialLimiter(4)
+    worlds = [World(Races(make_book(V4, V6), limiter)) for _ in range(6)]
     for world in worlds:
         world.races.start(world.now)
-    assert account.in_use == 3 and len(account.waiting) == 3  # one of four is kept for a second dial
+    assert limiter.in_use == 3 and len(limiter.waiting) == 3  # one of four is kept for a second dial
     first = worlds[0].races
     assert [type(a) for a in first.tick(worlds[0].now + 40 * MS)] == [
         StartDial,
         ScheduleTick,
-    ] and account.in_use == 4
-    assert account.pop_waiting() is None
+    ] and limiter.in_use == 4
+    assert limiter.pop_waiting() is None
     first.cancel(1, worlds[0].now)
-    assert account.in_use == 2 and account.pop_waiting() is worlds[3].races
+    assert limiter.in_use == 2 and limiter.pop_waiting() is worlds[3].races
 
 
 def test_a_race_is_lost_as_absent_only_where_nobody_is_there() -> None:
@@ -544,51 +555,58 @@
     assert [type(a) for a in actions] == [RaceLost]
 
 
-# One attempt: every ordering of what may happen to it, with drain, purge and client-left between two steps
+# One attempt: all orders of events, with a drain, purge or disconnected client between any two steps
 
 
 def test_every_ordering_of_one_attempt_sends_it_whole_at_most_once() -> None:
-    """Its connection comes up or not; its bytes go out not at all, in part or whole; it breaks or not.
+    """Its connection is established or not; its bytes are sent not at all, in part or whole; it may break.
 
-    A state is (where it is, moves, told to go back, whole commands the machine read, begun after being told).
+    A state is (step, moves, revoked, whole commands that the machine read, sent although revoked).
     """
-    most, ends = 3, set()
-    left = [("racing", 0, False, 0, False)]
-    seen = set(left)
-    while left:
-        where, moves, recalled, read, late = left.pop()
-        assert read <= 1 and not late, "one command whole at most, and none begun after a drain or purge"
+    max_moves, ends = 3, set()
+    pending = [("racing", 0, False, 0, False)]
+    seen = set(pending)
+    while pending:
+        step, moves, is_revoked, read, late = pending.pop()
+        assert read <= 1 and not late, "at most one whole command, and none sent after a drain or purge"
         after: list[tuple[str, int, bool, int, bool]] = []
-        if where.startswith("ended"):
-            ends.add((where, read))
+        if step.startswith("ended"):
+            ends.add((step, read))
             continue
-        if not recalled:  # a drain, a gone or a purge is told: unsent it goes back, sent it stays
-            after.append((where, moves, True, read, late))
-        after.append(("ended left", moves, recalled, read, late))  # the client leaves
-        match where:
+        if not is_revoked:  # a drain, a deletion or a purge arrives
+            after.append((step, moves, True, read, late))
+        after.append(("ended left", moves, is_revoked, read, late))  # the client disconnects
+        match step:
             case "racing":
-                after.append(("up", moves, recalled, read, late))
+                after.append(("up", moves, is_revoked, read, late))
                 for absent in (True, False):
-                    fate = outcome_after_break(False, absent, recalled, moves, 0)
-                    after.append((f"ended {fate}", moves, recalled, read, late))
-            case "up" if recalled:  # looked at right before the first byte
-                after.append((f"ended {AttemptOutcome.NOT_PROCESSED}", moves, recalled, read, late))
+                    outcome = outcome_after_break(False, absent, is_revoked, moves, 0)
+                    after.append((f"ended {outcome}", moves, is_revoked, read, late))
+            case "up" if is_revoked:  # checked right before the first byte
+                after.append((f"ended {AttemptOutcome.NOT_PROCESSED}", moves, is_revoked, read, late))
             case "up":
-                after += [("part out", moves, recalled, read, late), ("out", moves, recalled, read + 1, late)]
-                after.append(("unsent", moves, recalled, read, late))
+                after += [
+                    ("part out", moves, is_revoked, read, late),
+                    ("out", moves, is_revoked, read + 1, late),
+                ]
+                after.append(("unsent", moves, is_revoked, read, late))
             case "unsent" | "part out" | "out":
-                if where == "out":
-                    after.append(("ended answered", moves, recalled, read, late))
-                fate = outcome_after_break(where != "unsent", False, recalled, moves, most)
-                after.append(("racing", moves + 1, recalled, read, late) if fate is None else
-                             (f"ended {fate}", moves, recalled, read, late))  # fmt: skip
+                if step == "out":
+                    after.append(("ended answered", moves, is_revoked, read, late))
+                outcome = outcome_after_break(step != "unsent", False, is_revoked, moves, max_moves)
+                after.append(("racing", moves + 1, is_revoked, read, late) if outcome is None else
+                             (f"ended {outcome}", moves, is_revoked, read, late))  # fmt: skip
         for state in after:
             if state not in seen:
                 seen.add(state)
-                left.append(state)
-    whole = {where for where, read in ends if read}
-    assert whole == {"ended left", "ended answered", f"ended {AttemptOutcome.RESET}"}, "what ran is told so"
-    assert {where for where, read in ends if not read} >= {
+                pending.append(state)
+    whole = {step for step, read in ends if read}
+    assert whole == {
+        "ended left",
+        "ended answered",
+        f"ended {AttemptOutcome.RESET}",
+    }, "an attempt that may have run is reported so"
+    assert {step for step, read in ends if not read} >= {
         f"ended {AttemptOutcome.RESET}",
         f"ended {AttemptOutcome.NOT_PROCESSED}",
         f"ended {AttemptOutcome.CONNECT_FAILED}",
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -1,8 +1,8 @@
-"""An attempt is cancelled when nobody waits for it any more, and closed once its server knows.
+"""An attempt is cancelled when nobody waits for it any more, and closed once its server can no longer run it.
 
-Between the two its server may run it: nothing may begin in its place where no second copy is allowed. Seen as
-a request that ran twice (quick of quarry-prints, herd+mass); the cause was that "ended" stood for both, and
-an attempt had ended as soon as its cancel was queued, also behind a socket that took nothing.
+Between the two its server may run it, so no other attempt may start in its place where no second copy is
+allowed. Guards against a request that ran twice (experiment quick of quarry-prints, herd+mass): an attempt
+counted as completed as soon as its cancel was queued, even if the socket took no bytes.
 """
 
 from __future__ import annotations
@@ -31,52 +31,55 @@
 
 
 class BoundedSocket(socket.socket):
-    """Takes so many bytes more; `of_next`: what sockets made from now on take, None: all."""
+    """A socket that takes a limited number of bytes; None: no limit.
 
-    of_next: int | None = None
+    `next_limit` is the limit of sockets created from now on.
+    """
+
+    next_limit: int | None = None
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        self.takes = BoundedSocket.of_next
+        self.bytes_left = BoundedSocket.next_limit
 
     def send(self, data: Any, flags: int = 0) -> int:
-        if self.takes is None:
+        if self.bytes_left is None:
             return super().send(data, flags)
-        if self.takes <= 0:
+        if self.bytes_left <= 0:
             raise BlockingIOError
-        sent = super().send(memoryview(data)[: self.takes], flags)
-        self.takes -= sent
+        sent = super().send(memoryview(data)[: self.bytes_left], flags)
+        self.bytes_left -= sent
         return sent
 
 
 @pytest.fixture(autouse=True)
 def _bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(socket, "socket", BoundedSocket)
-    monkeypatch.setattr(BoundedSocket, "of_next", None)
+    monkeypatch.setattr(BoundedSocket, "next_limit", None)
 
 
-def bound(connection: Connection, takes: int | None) -> None:
+def limit_socket(connection: Connection, bytes_left: int | None) -> None:
     assert isinstance(connection.sock, BoundedSocket)
-    connection.sock.takes = takes
+    connection.sock.bytes_left = bytes_left
 
 
-async def turns(count: int = 20) -> None:
+async def run_turns(count: int = 20) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def cancelled(
-    harness: FrontHarness, takes: int = 0, cls: int = IMAGE, **changes: Any
+async def cancelled_attempt(
+    harness: FrontHarness, bytes_left: int = 0, cls: int = IMAGE, **changes: Any
 ) -> tuple[OpenRequest, Connection, Wire]:
-    """A request whose attempt is cancelled behind a socket that takes so many bytes more."""
+    """Cancel an attempt whose socket takes only `bytes_left` more bytes."""
     request = harness.submit(cls, **changes)
     wire = await harness.wait_for_command(request)
     attempt = request.attempts[0]
     cache = harness.module.caches[attempt.cache]
     (connection,) = cache.connections
-    bound(connection, takes)
+    limit_socket(connection, bytes_left)
     cache.mailbox.push(CallOff(attempt))
-    await turns()
+    await run_turns()
     assert attempt.state is AttemptState.CANCELLED and harness.outcomes(request) == []
     return request, connection, wire
 
@@ -84,10 +87,10 @@
 def test_a_cancel_of_which_a_part_is_out_closes_its_attempt_once_the_rest_is() -> None:
     async def scenario() -> None:
         harness = FrontHarness(TWO)
-        request, connection, _ = await cancelled(harness, takes=9)
+        request, connection, _ = await cancelled_attempt(harness, bytes_left=9)
         assert harness.count_cancels(request) == 0
-        bound(connection, None)
-        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "it is closed")
+        limit_socket(connection, None)
+        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "the attempt is closed")
         assert harness.count_cancels(request) == 1
         harness.disconnect_client(request)
         await harness.assert_settled()
@@ -138,24 +141,26 @@
 def test_a_close_of_the_connection_closes_the_attempt_whose_cancel_waits(
     monkeypatch: pytest.MonkeyPatch, close: Callable[[FrontHarness, Connection, Wire], None]
 ) -> None:
-    """And its server sees the end of the connection by then, not a turn of the loop later."""
-    plain, has_ended = OpenAttempt.on_closed, list[bool]()
+    """The server sees the end of the connection by then, not a turn of the loop later."""
+    plain_on_closed, was_closed = OpenAttempt.on_closed, list[bool]()
 
     async def scenario() -> None:
         harness = FrontHarness(TWO)
-        request, connection, wire = await cancelled(harness)
+        request, connection, wire = await cancelled_attempt(harness)
 
         def on_closed(attempt: OpenAttempt, now_ns: int) -> None:
             wire.poll()
-            has_ended.append(wire.is_closed)
-            plain(attempt, now_ns)
+            was_closed.append(wire.is_closed)
+            plain_on_closed(attempt, now_ns)
 
         monkeypatch.setattr(OpenAttempt, "on_closed", on_closed)
         (attempt,) = request.attempts
         close(harness, connection, wire)
-        await until(lambda: attempt.state is AttemptState.CLOSED, "it is closed")
-        assert has_ended[0]
-        await until(lambda: harness.outcomes(request)[:1] == [AttemptOutcome.CANCELLED], "that is told")
+        await until(lambda: attempt.state is AttemptState.CLOSED, "the attempt is closed")
+        assert was_closed[0]
+        await until(
+            lambda: harness.outcomes(request)[:1] == [AttemptOutcome.CANCELLED], "its outcome is reported"
+        )
         harness.disconnect_client(request)
         await harness.assert_settled()
 
@@ -167,15 +172,16 @@
 def test_an_attempt_whose_cancel_raises_is_told_once_its_connection_is_closed(
     monkeypatch: pytest.MonkeyPatch, is_queued: bool, is_timeout: bool
 ) -> None:
-    """An exception in the cache's actor, before or after the cancel is queued, asked for or by a time-out.
+    """An exception in the cache's actor, before or after the cancel is queued, for a cancel or a timeout.
 
-    Its outcome, a reset connection, was told with the connection open: another could begin beside it.
+    Guards against reporting the outcome (a reset connection) while the connection is still open, as another
+    attempt could then start besides this one.
     """
-    plain = CommandWriter.cancel
+    plain_cancel = CommandWriter.cancel
 
-    def broken(writer: CommandWriter, *about: Any) -> None:
+    def failing_cancel(writer: CommandWriter, *arguments: Any) -> None:
         if is_queued:
-            plain(writer, *about)
+            plain_cancel(writer, *arguments)
         raise ZeroDivisionError
 
     async def scenario() -> None:
@@ -185,23 +191,23 @@
         (attempt,) = request.attempts
         cache = harness.module.caches[attempt.cache]
         (connection,) = cache.connections
-        bound(connection, 0)
-        told, ended = harness.module._ended, list[bool]()
+        limit_socket(connection, 0)
+        plain_ended, was_closed = harness.module._ended, list[bool]()
 
         def on_ended(end: Ended) -> None:
             wire.poll()
-            ended.append(wire.is_closed and attempt.state is AttemptState.CLOSED)
-            told(end)
+            was_closed.append(wire.is_closed and attempt.state is AttemptState.CLOSED)
+            plain_ended(end)
 
         monkeypatch.setattr(harness.module, "_ended", on_ended)
         with monkeypatch.context() as patched:
-            patched.setattr(CommandWriter, "cancel", broken)
+            patched.setattr(CommandWriter, "cancel", failing_cancel)
             if is_timeout:
                 cache._on_deadline(attempt)
             else:
                 cache.mailbox.push(CallOff(attempt))
-            await until(lambda: ended != [], "its outcome is told")
-        assert ended == [True], "once, after its connection was closed"
+            await until(lambda: was_closed != [], "its outcome is reported")
+        assert was_closed == [True], "once, after its connection was closed"
         assert harness.checks.counts.pop("exception_in_cache_actor") == 1
         harness.disconnect_client(request)
         await harness.assert_settled()
@@ -212,13 +218,13 @@
 def test_a_cancel_that_waits_as_the_front_itself_stood_still_closes_nothing() -> None:
     async def scenario() -> None:
         harness = FrontHarness(TWO)
-        request, connection, _ = await cancelled(harness)
+        request, connection, _ = await cancelled_attempt(harness)
         connection.writer.cancels[0].since_ns -= 2 * harness.config.dial_timeout
         harness.module.sweep(clock.now(), late=True)
-        await turns()
+        await run_turns()
         assert not connection.is_closing
-        bound(connection, None)
-        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "it is closed")
+        limit_socket(connection, None)
+        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "the attempt is closed")
         harness.disconnect_client(request)
         await harness.assert_settled()
 
@@ -229,10 +235,13 @@
     async def scenario() -> None:
         harness = FrontHarness(TWO)
         began = clock.now()
-        request, _, _ = await cancelled(harness, allowed_ns=600 * clock.MS)
+        request, _, _ = await cancelled_attempt(harness, allowed_ns=600 * clock.MS)
         assert await harness.wait_for_status(request) == 502
-        assert clock.now() - began < 1100 * clock.MS, "half a second past its time it would be lost"
-        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "it has ended with it")
+        assert clock.now() - began < 1100 * clock.MS, "a response half a second late counts as lost"
+        await until(
+            lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED],
+            "the attempt has ended with the request",
+        )
         await harness.assert_settled()
 
     run_on_uvloop(scenario)
@@ -241,9 +250,9 @@
 def test_a_client_that_leaves_as_the_cancel_of_its_attempt_waits_ends_it_at_once() -> None:
     async def scenario() -> None:
         harness = FrontHarness(TWO)
-        request, _, _ = await cancelled(harness)
+        request, _, _ = await cancelled_attempt(harness)
         harness.disconnect_client(request)
-        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "nothing begins for it")
+        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "the attempt has ended")
         assert request.number not in harness.module.requests.request_by_number
         await harness.assert_settled()
 
@@ -253,16 +262,21 @@
 def test_the_cancel_of_a_half_sent_command_follows_its_rest() -> None:
     async def scenario() -> None:
         harness = FrontHarness(TWO)
-        BoundedSocket.of_next = 30
+        BoundedSocket.next_limit = 30
         request = harness.submit(IMAGE)
-        await until(lambda: any(a.state is AttemptState.SENT for a in request.attempts), "a part is out")
+        await until(
+            lambda: any(a.state is AttemptState.SENT for a in request.attempts),
+            "a part of the command is sent",
+        )
         (connection,) = harness.connections()
         harness.module.caches[request.attempts[0].cache].mailbox.push(CallOff(request.attempts[0]))
-        await turns()
+        await run_turns()
         assert harness.outcomes(request) == [] and request.attempts[0].state is AttemptState.CANCELLED
-        BoundedSocket.of_next = None
-        bound(connection, None)
-        await until(lambda: harness.outcomes(request)[:1] == [AttemptOutcome.CANCELLED], "it is closed")
+        BoundedSocket.next_limit = None
+        limit_socket(connection, None)
+        await until(
+            lambda: harness.outcomes(request)[:1] == [AttemptOutcome.CANCELLED], "the attempt is closed"
+        )
         assert harness.count_cancels(request) == 1
         harness.disconnect_client(request)
         await harness.assert_settled()
@@ -271,19 +285,25 @@
 
 
 def test_a_command_whose_rest_waits_past_the_slack_of_its_deadline_ends_with_its_connection() -> None:
-    """The deadline was told with its first byte: 0.15 s later it is more than the client has left."""
+    """The deadline was sent with the first byte: 0.15 s later it is later than the client's."""
 
     async def scenario() -> None:
         harness = FrontHarness(TWO)
-        BoundedSocket.of_next = 30
+        BoundedSocket.next_limit = 30
         request = harness.submit(IMAGE)
-        await until(lambda: any(a.state is AttemptState.SENT for a in request.attempts), "a part is out")
-        BoundedSocket.of_next = None
-        await until(lambda: harness.outcomes(request)[:1] == [AttemptOutcome.RESET], "it has ended")
+        await until(
+            lambda: any(a.state is AttemptState.SENT for a in request.attempts),
+            "a part of the command is sent",
+        )
+        BoundedSocket.next_limit = None
+        await until(lambda: harness.outcomes(request)[:1] == [AttemptOutcome.RESET], "the attempt has ended")
         first = request.attempts[0]
         assert first.closed_at_ns - first.first_byte_at_ns >= 100 * clock.MS, "not at once"
         assert harness.checks.counts["cache_connections_closed_command_stalled"] == 1
-        await until(lambda: len(harness.serve_wires(request)) == 2, "it goes to another connection, whole")
+        await until(
+            lambda: len(harness.serve_wires(request)) == 2,
+            "the whole command is sent over another connection",
+        )
         (second,) = [wire for wire in harness.serve_wires(request) if not wire.is_closed]
         second.respond(request.job_id)
         assert await harness.wait_for_status(request) == 200
@@ -294,15 +314,15 @@
 
 @pytest.mark.parametrize("cls", [IMAGE, BID])
 def test_what_takes_the_place_of_a_cancelled_attempt_comes_after_its_cancel(cls: int) -> None:
-    """Whatever connection or server it goes to. A bid is not sent again at all."""
+    """Whichever connection or server it goes to. A bid is not retried at all."""
 
     async def scenario() -> None:
         harness = FrontHarness(TWO, limits={"may_duplicate": False})
-        request, connection, first = await cancelled(harness, cls=cls)
+        request, connection, first = await cancelled_attempt(harness, cls=cls)
         assert not request.allows_second_copy
-        await turns(200)
+        await run_turns(200)
         assert len(harness.serve_wires(request)) == 1
-        bound(connection, None)
+        limit_socket(connection, None)
         if cls == BID:
             assert await harness.wait_for_status(request) == 502
             assert len(harness.serve_wires(request)) == 1
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -1,7 +1,7 @@
-"""Machines that leave, return and take each other's addresses while attempts wait in dials and queues.
+"""Machines that leave the endpoint list, return, or take over addresses while attempts wait in dials.
 
-The front's own module and cache actors over loopback in virtual time; dials are held back and let through
-when the story wants it, and the news of the list comes in between.
+A whole front runs over loopback in virtual time. The tests hold its dials, change the endpoint list
+meanwhile, and then release the dials.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from quincepier.net.actor import Actor
 from quincepier.net.messages import Answer, Came, News
 from quincepier.net.module import ModuleActor
-from quincepier.net.sockets import connect as plain
+from quincepier.net.sockets import connect as plain_connect
 from quincepier.wire.changelog import FleetChange, read_changes
 from tests.frontkit import Inbox, host, open_request, raw_config
 from tests.standins import Asked, Cache, until
@@ -29,23 +29,23 @@
 Hosts = list[dict[str, Any]]
 
 
-class Place:
-    """A front before stand-ins; of each `serve` it is known over which connection it came."""
+class AddressChangeHarness:
+    """A front with stand-in machines that record over which connection each `serve` arrived."""
 
     def __init__(self, patch: pytest.MonkeyPatch, *names: str) -> None:
         self.caches = {name: Cache(Asked.data) for name in names}
         self.inbox, self.number, self.seq = Inbox(), 0, 2
-        self.held: dict[tuple[str, int], list[asyncio.Event]] = {}
-        self.dialled: list[Any] = []  # the front's ends, as the machines see them
+        self.held_dials: dict[tuple[str, int], list[asyncio.Event]] = {}
+        self.connected: list[Any] = []  # the front's ends of its connections
         self.patch = patch
 
     async def connect(self, address: tuple[str, int], timeout: float, checks: Checks) -> Any:
-        if address in self.held:
+        if address in self.held_dials:
             gate = asyncio.Event()
-            self.held[address].append(gate)
+            self.held_dials[address].append(gate)
             await gate.wait()
-        sock = await plain(address, timeout, checks)
-        self.dialled.append(sock.getsockname())
+        sock = await plain_connect(address, timeout, checks)
+        self.connected.append(sock.getsockname())
         return sock
 
     async def start(self) -> None:
@@ -53,7 +53,9 @@
         for cache in self.caches.values():
             await cache.start()
         listed = self.event([self.host(name) for name in self.caches], True, seq=1)
-        purged_ms = unix_ms(asyncio.get_running_loop().time())  # what started before that is older by the log
+        purged_ms = unix_ms(
+            asyncio.get_running_loop().time()
+        )  # machines started earlier are older by the change log
         purge = {"seq": 2, "invalidate": {"bucket": 99, "time": purged_ms}}
         known = {"seq": 2, "results": [listed, purge]}
         self.front = Front(read_front(raw_config(known=known), {}))
@@ -68,15 +70,15 @@
         seq = seq or self.seq
         return {"seq": seq, "fleet": {"seq": seq, "whole": whole, "hosts": hosts}}
 
-    def tell(self, *events: Hosts) -> None:
-        """As one answer of the change log: all of it is in the mailbox before any is handled."""
+    def apply_events(self, *events: Hosts) -> None:
+        """Deliver events as one response of the change log: all are in the mailbox before any is handled."""
         for hosts in events:
             self.seq += 1
             _, (change,) = read_changes({"seq": self.seq, "results": [self.event(hosts)]})
             assert isinstance(change, FleetChange)
             self.front.module.mailbox.urge(News(change))
 
-    def ask(self, times: int) -> None:
+    def submit(self, times: int) -> None:
         for _ in range(times):
             self.number += 1
             job = f"{self.number:016x}"
@@ -85,28 +87,28 @@
             )
             self.front.module.mailbox.push(Came(request))
 
-    def hold(self, name: str) -> list[asyncio.Event]:
+    def hold_dials(self, name: str) -> list[asyncio.Event]:
         address, port = self.caches[name].address.split(":")
-        return self.held.setdefault((address, int(port)), [])
+        return self.held_dials.setdefault((address, int(port)), [])
 
-    def let_through(self) -> None:
-        """All dials, held or to come."""
-        gates = [gate for held in self.held.values() for gate in held]
-        self.held.clear()
+    def release_dials(self) -> None:
+        """Let all held dials go on; later ones are not held."""
+        gates = [gate for held in self.held_dials.values() for gate in held]
+        self.held_dials.clear()
         for gate in gates:
             gate.set()
 
-    async def answered(self, times: int) -> list[Answer]:
+    async def wait_for_responses(self, times: int) -> list[Answer]:
         await until(lambda: len(self.inbox.got) >= times, f"{times} are answered")
-        await asyncio.sleep(0.5)  # of virtual time: whatever else would come has come
+        await asyncio.sleep(0.5)  # of virtual time: further responses would have arrived
         assert len(self.inbox.got) == times
         return self.inbox.got
 
-    def over(self, name: str) -> list[Any]:
-        """By which of the front's ends each `serve` came to a machine."""
+    def serve_connections(self, name: str) -> list[Any]:
+        """Return the front's end of the connection for each `serve` that a machine received."""
         return [asked.writer.get_extra_info("peername") for asked in self.caches[name].asked]
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         self.upkeep.cancel()
         actors: list[Actor[Any]] = [self.front.module, *self.front.module.caches.values()]
         for actor in actors:
@@ -118,64 +120,81 @@
         assert not [kind for kind in self.front.checks.counts if "exception" in kind or "invariant" in kind]
 
 
-def play(
-    patch: pytest.MonkeyPatch, story: Callable[[Place], Awaitable[None]], names: str = "s-1 p-1 o-1"
+def run_scenario(
+    patch: pytest.MonkeyPatch,
+    scenario: Callable[[AddressChangeHarness], Awaitable[None]],
+    names: str = "s-1 p-1 o-1",
 ) -> None:
     async def whole() -> None:
-        place = Place(patch, *names.split())
-        await place.start()
+        harness = AddressChangeHarness(patch, *names.split())
+        await harness.start()
         try:
-            await story(place)
+            await scenario(harness)
         finally:
-            await place.end()
+            await harness.close()
 
     run(whole(), patch)
 
 
-def warm() -> int:
-    """Born after all that is listed, and long warm."""
+def warm_start_ms() -> int:
+    """Return a start time later than that of all listed machines, and long enough ago to be warm."""
     return unix_ms(asyncio.get_running_loop().time()) - 60_000
 
 
-def gone(place: Place, name: str) -> dict[str, Any]:
-    return place.host(name, health="DELETED")
+def deleted(harness: AddressChangeHarness, name: str) -> dict[str, Any]:
+    return harness.host(name, health="DELETED")
 
 
 # A machine that returns under its id
 
-RETURNS: list[Callable[[Place], list[Hosts]]] = [
-    lambda place: [[gone(place, "s-1")], [place.host("s-1", born_ms=warm())]],
-    lambda place: [[gone(place, "s-1"), place.host("s-1", born_ms=warm())]],
-    lambda place: [[place.host("s-1", health="DRAINING")], [place.host("s-1", born_ms=warm())]],
-    lambda place: [[place.host("s-1", born_ms=warm())]],
+RETURNS: list[Callable[[AddressChangeHarness], list[Hosts]]] = [
+    lambda harness: [[deleted(harness, "s-1")], [harness.host("s-1", born_ms=warm_start_ms())]],
+    lambda harness: [[deleted(harness, "s-1"), harness.host("s-1", born_ms=warm_start_ms())]],
+    lambda harness: [
+        [harness.host("s-1", health="DRAINING")],
+        [harness.host("s-1", born_ms=warm_start_ms())],
+    ],
+    lambda harness: [[harness.host("s-1", born_ms=warm_start_ms())]],
 ]
 
 
-@pytest.mark.parametrize("told", RETURNS, ids=["gone_then_anew", "in_one_event", "drains_then_anew", "anew"])
+@pytest.mark.parametrize(
+    "changes", RETURNS, ids=["gone_then_anew", "in_one_event", "drains_then_anew", "anew"]
+)
 def test_a_machine_listed_again_in_the_same_answer_is_asked_again(
-    monkeypatch: pytest.MonkeyPatch, told: Callable[[Place], list[Hosts]]
+    monkeypatch: pytest.MonkeyPatch, changes: Callable[[AddressChangeHarness], list[Hosts]]
 ) -> None:
-    async def story(place: Place) -> None:
-        place.ask(3)
-        await place.answered(3)
-        before = len(place.caches["s-1"].asked)
-        place.tell(*told(place))
-        await asyncio.sleep(1)  # of virtual time: what is off the list is swept away
-        place.ask(5)
-        assert [answer.status for answer in await place.answered(8)] == [200] * 8
-        assert len(place.caches["s-1"].asked) == before + 5
+    async def scenario(harness: AddressChangeHarness) -> None:
+        harness.submit(3)
+        await harness.wait_for_responses(3)
+        before = len(harness.caches["s-1"].asked)
+        harness.apply_events(*changes(harness))
+        await asyncio.sleep(1)  # of virtual time: unlisted machines are removed
+        harness.submit(5)
+        assert [answer.status for answer in await harness.wait_for_responses(8)] == [200] * 8
+        assert len(harness.caches["s-1"].asked) == before + 5
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
 # Another machine at its address
 
-TAKEN: dict[str, Callable[[Place], list[Hosts]]] = {
-    "gone_then_new": lambda place: [[gone(place, "s-1")], [place.host("s-9", "s-1", born_ms=warm())]],
-    "new_then_gone": lambda place: [[place.host("s-9", "s-1", born_ms=warm())], [gone(place, "s-1")]],
-    "one_event": lambda place: [[gone(place, "s-1"), place.host("s-9", "s-1", born_ms=warm())]],
-    "one_event_new_first": lambda place: [[place.host("s-9", "s-1", born_ms=warm()), gone(place, "s-1")]],
-    "new_and_gone_untold": lambda place: [[place.host("s-9", "s-1", born_ms=warm())]],
+TAKEN: dict[str, Callable[[AddressChangeHarness], list[Hosts]]] = {
+    "gone_then_new": lambda harness: [
+        [deleted(harness, "s-1")],
+        [harness.host("s-9", "s-1", born_ms=warm_start_ms())],
+    ],
+    "new_then_gone": lambda harness: [
+        [harness.host("s-9", "s-1", born_ms=warm_start_ms())],
+        [deleted(harness, "s-1")],
+    ],
+    "one_event": lambda harness: [
+        [deleted(harness, "s-1"), harness.host("s-9", "s-1", born_ms=warm_start_ms())]
+    ],
+    "one_event_new_first": lambda harness: [
+        [harness.host("s-9", "s-1", born_ms=warm_start_ms()), deleted(harness, "s-1")]
+    ],
+    "new_and_gone_untold": lambda harness: [[harness.host("s-9", "s-1", born_ms=warm_start_ms())]],
 }
 
 
@@ -183,121 +202,128 @@
 def test_nothing_meant_for_a_machine_reaches_the_one_that_has_its_address_now(
     monkeypatch: pytest.MonkeyPatch, order: str
 ) -> None:
-    async def story(place: Place) -> None:
-        place.ask(1)
-        await place.answered(1)  # a connection rests
-        held = place.hold("s-1")
-        place.caches["s-1"].behaviour = lambda asked: None  # else that connection took one after the other
-        place.ask(8)
-        await until(lambda: bool(held), "attempts wait in dials, and one is out over the connection")
-        place.caches["s-1"].behaviour = Asked.data
-        place.tell(*TAKEN[order](place))
-        place.ask(4)
+    async def scenario(harness: AddressChangeHarness) -> None:
+        harness.submit(1)
+        await harness.wait_for_responses(1)  # leaves an idle connection
+        held = harness.hold_dials("s-1")
+        # No responses: otherwise the idle connection would serve all of them in turn.
+        harness.caches["s-1"].behaviour = lambda asked: None
+        harness.submit(8)
+        await until(lambda: bool(held), "attempts wait in dials, and one is sent over the idle connection")
+        harness.caches["s-1"].behaviour = Asked.data
+        harness.apply_events(*TAKEN[order](harness))
+        harness.submit(4)
         await asyncio.sleep(0.01)
-        before = set(place.dialled)
-        place.caches["s-1"].asked.clear()
-        place.let_through()
-        assert [answer.status for answer in await place.answered(13)] == [200] * 13
-        module, new = place.front.module, place.front.module.directory.assign_number("s-9")
+        old_connections = set(harness.connected)
+        harness.caches["s-1"].asked.clear()
+        harness.release_dials()
+        assert [answer.status for answer in await harness.wait_for_responses(13)] == [200] * 13
+        module, new = harness.front.module, harness.front.module.directory.assign_number("s-9")
         known = {
             module.directory.host_by_number.get(number) for number in module.router.placement.table.by_id
         }
         assert known == {"s-9", "p-1", "o-1"} and module.caches[new].in_flight == {}
-        assert len(place.caches["s-1"].asked) == 12, "the new one serves them"
-        assert not before & set(place.over("s-1")), "over a connection that was the old one's"
+        assert len(harness.caches["s-1"].asked) == 12, "the new machine serves them"
+        assert not old_connections & set(
+            harness.serve_connections("s-1")
+        ), "over a connection to the old machine"
         live = {c.sock.getsockname() for c in module.caches[new].connections if c.sock is not None}
-        assert set(place.over("s-1")) <= live, "over a dial that was the old one's"
+        assert set(harness.serve_connections("s-1")) <= live, "over a dial to the old machine"
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("order", TAKEN)
 def test_the_cold_budget_is_that_of_the_new_one(monkeypatch: pytest.MonkeyPatch, order: str) -> None:
-    async def story(place: Place) -> None:
-        place.ask(1)
-        await place.answered(1)
-        events = TAKEN[order](place)
-        for told in (record for hosts in events for record in hosts if record["host"] == "s-9"):
-            told["born_ms"] = unix_ms(asyncio.get_running_loop().time())
-        place.tell(*events)
+    async def scenario(harness: AddressChangeHarness) -> None:
+        harness.submit(1)
+        await harness.wait_for_responses(1)
+        events = TAKEN[order](harness)
+        for changed in (record for hosts in events for record in hosts if record["host"] == "s-9"):
+            changed["born_ms"] = unix_ms(asyncio.get_running_loop().time())
+        harness.apply_events(*events)
         await asyncio.sleep(0.01)
-        router, new = place.front.module.router, place.front.module.directory.assign_number("s-9")
+        router, new = harness.front.module.router, harness.front.module.directory.assign_number("s-9")
         upstream = router.placement.table.by_id[new]
         assert upstream.started_at > 0 and router.slow_start.warmth(upstream).share < 1
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
 def test_an_answer_over_the_old_ones_connection_is_not_taken_for_the_new_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(place: Place) -> None:
-        cache = place.caches["s-1"]
+    async def scenario(harness: AddressChangeHarness) -> None:
+        cache = harness.caches["s-1"]
         cache.behaviour = lambda asked: None
-        place.ask(1)
-        await until(lambda: len(cache.asked) == 1, "it is out")
-        place.tell([gone(place, "s-1"), place.host("s-9", "s-1", born_ms=warm())])
-        await until(lambda: len(cache.asked) == 2, "it is sent to the new one")
+        harness.submit(1)
+        await until(lambda: len(cache.asked) == 1, "the command is sent")
+        harness.apply_events([deleted(harness, "s-1"), harness.host("s-9", "s-1", born_ms=warm_start_ms())])
+        await until(lambda: len(cache.asked) == 2, "the command is sent to the new machine")
         old, new = cache.asked
         old.data(b"of the old one")
         await asyncio.sleep(0.05)
-        assert not place.inbox.got
+        assert not harness.inbox.got
         new.data(b"of the new one")
-        (answer,) = await place.answered(1)
+        (answer,) = await harness.wait_for_responses(1)
         assert answer.status == 200 and answer.body is not None
         assert b"".join(bytes(piece) for piece in answer.body.chunks()) == b"of the new one"
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
 
 
 def test_an_attempt_in_a_dial_does_not_go_out_where_the_machine_was_before(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story(place: Place) -> None:
-        held = place.hold("s-1")
-        place.ask(4)
+    async def scenario(harness: AddressChangeHarness) -> None:
+        held = harness.hold_dials("s-1")
+        harness.submit(4)
         await until(lambda: bool(held), "attempts wait in dials")
-        place.tell([place.host("s-1", "s-2", born_ms=warm()), gone(place, "s-2")])
+        harness.apply_events([harness.host("s-1", "s-2", born_ms=warm_start_ms()), deleted(harness, "s-2")])
         await asyncio.sleep(0.01)
-        place.let_through()
-        assert [answer.status for answer in await place.answered(4)] == [200] * 4
-        assert not place.caches["s-1"].asked
+        harness.release_dials()
+        assert [answer.status for answer in await harness.wait_for_responses(4)] == [200] * 4
+        assert not harness.caches["s-1"].asked
 
-    play(monkeypatch, story, "s-1 s-2 p-1 o-1")
+    run_scenario(monkeypatch, scenario, "s-1 s-2 p-1 o-1")
 
 
 # Drains
 
 
-def drained(patch: pytest.MonkeyPatch) -> tuple[int, int]:
-    """Drains of a cache and a parent as attempts wait in dials and requests in the queue: how many `serve`
-    went to that cache, and named that parent, after their news."""
+def count_sent_after_drain(patch: pytest.MonkeyPatch) -> tuple[int, int]:
+    """Drain a cache and a parent while attempts wait in dials and requests in the queue.
+
+    Return how many `serve` commands went to the cache, and how many named the parent, after the event.
+    """
     counts = [0, 0]
 
-    async def story(place: Place) -> None:
-        held = place.hold("s-1")
-        place.hold("s-2")
-        place.ask(12)
+    async def scenario(harness: AddressChangeHarness) -> None:
+        held = harness.hold_dials("s-1")
+        harness.hold_dials("s-2")
+        harness.submit(12)
         await until(lambda: bool(held), "attempts wait in dials")
-        place.ask(200)  # the module's queue is long as the news comes
-        place.tell([place.host("s-1", health="DRAINING")], [place.host("p-1", health="DRAINING")])
+        harness.submit(200)  # the router's queue is long when the event arrives
+        harness.apply_events(
+            [harness.host("s-1", health="DRAINING")], [harness.host("p-1", health="DRAINING")]
+        )
         await asyncio.sleep(0.01)
-        place.let_through()
-        await place.answered(212)
-        counts[0] = len(place.caches["s-1"].asked)
-        counts[1] = sum(asked.fields.get("via") == "p-1" for asked in place.caches["s-2"].asked)
+        harness.release_dials()
+        await harness.wait_for_responses(212)
+        counts[0] = len(harness.caches["s-1"].asked)
+        counts[1] = sum(asked.fields.get("via") == "p-1" for asked in harness.caches["s-2"].asked)
 
-    play(patch, story, "s-1 s-2 p-1 p-2 o-1")
+    run_scenario(patch, scenario, "s-1 s-2 p-1 p-2 o-1")
     return counts[0], counts[1]
 
 
 def test_no_first_byte_goes_to_a_machine_once_the_news_of_its_drain_is_there(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    assert drained(monkeypatch) == (0, 0)
+    assert count_sent_after_drain(monkeypatch) == (0, 0)
 
 
 def test_a_front_that_lets_out_what_was_decided_before_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ModuleActor, "_recall_from", lambda self, news: None)
-    to, by = drained(monkeypatch)
-    assert to > 0 and by > 0
+    to_cache, naming_parent = count_sent_after_drain(monkeypatch)
+    assert to_cache > 0 and naming_parent > 0
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -1,4 +1,4 @@
-"""Answers of caches as they cross what ends them: breaks, silence, second copies, repeats, a close."""
+"""Responses of caches that cross with broken connections, stalls, duplicates, retries and closes."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 UNSAFE = {IMAGE: {"effect": "single_shot"}}
 
 
-def cut(wire: Wire, request: OpenRequest, how: str) -> None:
-    """The machine dies in the middle of its answer, of its line, or of its work."""
-    whole = encode_response(request.job_id, b"x" * 1000)
+def break_connection(wire: Wire, request: OpenRequest, how: str) -> None:
+    """The machine dies while it works, inside the first line of its response, or inside its body."""
+    response = encode_response(request.job_id, b"x" * 1000)
     if how != "no byte":
-        wire.send(whole[: 20 if how == "half a line" else 500])
+        wire.send(response[: 20 if how == "half a line" else 500])
     if how == "end":
         wire.close()
     else:
@@ -55,7 +55,7 @@
         request = harness.submit()
         wire = await harness.wait_for_command(request)
         front_clock.advance(later * SECOND)
-        cut(wire, request, how)
+        break_connection(wire, request, how)
         if again:
             (await harness.wait_for_command(request, 2)).respond(request.job_id)
         assert await harness.wait_for_status(request) == (200 if again else 503 if classes is KEYED else 502)
@@ -86,7 +86,7 @@
         harness = FrontHarness(("s-1", "s-2", "s-3", "o-1"), KEYED)
         request = harness.submit()
         for times in (1, 2):
-            cut(await harness.wait_for_command(request, times), request, "half an answer")
+            break_connection(await harness.wait_for_command(request, times), request, "half an answer")
         (await harness.wait_for_command(request, 3)).respond(request.job_id)
         assert await harness.wait_for_status(request) == 200
         assert harness.outcomes(request) == [AttemptOutcome.RESET, AttemptOutcome.RESET, AttemptOutcome.OK]
@@ -96,7 +96,7 @@
     run_on_uvloop(scenario)
 
 
-# Twice, or late
+# Duplicate and late responses
 
 
 @pytest.mark.parametrize("when", ["in one piece", "behind the next command", "before the next"])
@@ -109,7 +109,9 @@
         assert await harness.wait_for_status(first) == 200
         if when == "before the next":
             wire.send(second)
-            await until(lambda: harness.checks.counts["late_responses_dropped"] == 1, "it is read past")
+            await until(
+                lambda: harness.checks.counts["late_responses_dropped"] == 1, "the duplicate is dropped"
+            )
         request = harness.submit(BID)
         assert await harness.wait_for_command(request) is wire
         if when == "behind the next command":
@@ -126,29 +128,35 @@
 def test_the_late_answer_of_a_first_attempt_is_none_of_the_second_s(
     monkeypatch: pytest.MonkeyPatch, late: str
 ) -> None:
-    """The first attempt was given up over a connection that goes on; the same id is out over another."""
+    """The first attempt was cancelled on a connection that stays; the same id is sent over another one."""
 
     async def scenario() -> None:
         harness = FrontHarness(("s-1", "o-1"))
         request = harness.submit()
         first = await harness.wait_for_command(request)
         cache, attempt = harness.cache("s-1"), request.attempts[0]
-        cache._cancel_exchange(attempt, AttemptOutcome.NOT_PROCESSED)  # so it goes to the same machine again
+        cache._cancel_exchange(
+            attempt, AttemptOutcome.NOT_PROCESSED
+        )  # so that it is retried at the same machine
         second = await harness.wait_for_command(request, 2)
         assert second is not first
-        await until(lambda: harness.count_cancels(request) == 1, "the first is called off")
+        await until(lambda: harness.count_cancels(request) == 1, "the first attempt is cancelled")
         if late == "before the second's":
             first.send(encode_response(request.job_id, b"of the first"))
-            await until(lambda: harness.checks.counts["late_responses_dropped"] == 1, "dropped")
+            await until(
+                lambda: harness.checks.counts["late_responses_dropped"] == 1, "the late response is dropped"
+            )
             assert not request.is_finished
         second.respond(request.job_id, b"of the second")
         got = request.receiver.got  # type: ignore[attr-defined]
-        await until(lambda: bool(got), "it is answered")
+        await until(lambda: bool(got), "the request is answered")
         assert [bytes(chunk) for chunk in got[0].body.chunks()] == [b"of the second"]
         assert await harness.wait_for_status(request) == 200
         if late == "behind the second's":
             first.send(encode_response(request.job_id, b"of the first"))
-            await until(lambda: harness.checks.counts["late_responses_dropped"] == 1, "dropped")
+            await until(
+                lambda: harness.checks.counts["late_responses_dropped"] == 1, "the late response is dropped"
+            )
         await harness.assert_settled()
 
     run_on_uvloop(scenario)
@@ -162,13 +170,15 @@
         wire = await harness.wait_for_command(request)
         cache, attempt = harness.cache("o-1"), request.attempts[0]
         if order == "answer, cancel":
-            wire.respond(request.job_id, b"y" * 100_000)  # it can be read; it has not been
+            wire.respond(request.job_id, b"y" * 100_000)  # readable, but not read yet
         cache.safely(CallOff(attempt))
         if order == "cancel, answer":
             wire.respond(request.job_id, b"y" * 100_000)
         assert await harness.wait_for_status(request) == 502
         assert harness.outcomes(request) == [AttemptOutcome.CANCELLED]
-        await until(lambda: harness.checks.counts["late_responses_dropped"] == 1, "dropped")
+        await until(
+            lambda: harness.checks.counts["late_responses_dropped"] == 1, "the late response is dropped"
+        )
         assert harness.pool.used == 0
         assert await harness.serve_one(BID) is wire
         await harness.assert_settled()
@@ -176,7 +186,7 @@
     run_on_uvloop(scenario)
 
 
-# Never whole
+# Responses that never end
 
 
 @pytest.mark.parametrize("whose", ["given up", "of a second copy", "half a line of nobody"])
@@ -191,26 +201,26 @@
         endless = encode_response(request.job_id, b"z" * 100_000)[:300]
         if whose == "given up":
             wire.send(endless)
-            await until(lambda: connection.body is not None, "it has begun")
+            await until(lambda: connection.body is not None, "the response has begun")
             harness.disconnect_client(request)
-            await until(lambda: bool(harness.outcomes(request)), "given up")
+            await until(lambda: bool(harness.outcomes(request)), "the attempt is cancelled")
         else:
             wire.respond(request.job_id)
             assert await harness.wait_for_status(request) == 200
             wire.send(endless if whose == "of a second copy" else endless[:20])
-            await until(lambda: not connection.is_between_responses, "it has begun")
+            await until(lambda: not connection.is_between_responses, "the response has begun")
         behind = harness.submit(BID)
         other = await harness.wait_for_command(behind)
         assert other is not wire
         other.respond(behind.job_id)
         assert await harness.wait_for_status(behind) == 200
         harness.sweep()
-        assert not connection.is_closing  # it may still become whole
-        for _ in range(3):  # it goes on, a byte at a time
+        assert not connection.is_closing  # the response may still end
+        for _ in range(3):  # it makes progress, a byte at a time
             front_clock.advance(harness.config.dial_timeout // 2)
             heard = connection.last_read_at
             wire.send(b"z")
-            await until(lambda heard=heard: connection.last_read_at > heard, "it is read")  # type: ignore[misc]
+            await until(lambda heard=heard: connection.last_read_at > heard, "the byte is read")  # type: ignore[misc]
         harness.sweep()
         await until(
             lambda: harness.connections() == [c for c in harness.connections() if c.is_idle], "it ends"
@@ -229,7 +239,7 @@
         (connection,) = harness.connections()
         harness.descriptors.max_caches = 1
         wire.send(encode_response("0" * 16, b"z" * 100_000)[:300])
-        await until(lambda: not connection.is_between_responses, "it has begun")
+        await until(lambda: not connection.is_between_responses, "the response has begun")
         other = await harness.serve_one(BID)
         assert other is not wire and connection not in harness.connections()
         await harness.assert_settled()
@@ -247,9 +257,9 @@
         wire = await harness.wait_for_command(request)
         (connection,) = harness.connections()
         wire.send(encode_response(request.job_id, b"x" * 1000)[:500])
-        await until(lambda: not connection.is_between_responses, "it has begun")
+        await until(lambda: not connection.is_between_responses, "the response has begun")
         front_clock.advance(2 * harness.config.dial_timeout)
-        harness.module.sweep(clock.now(), late=True)  # a standstill of our own accuses nobody
+        harness.module.sweep(clock.now(), late=True)  # a pause of this process is no fault of the machine
         assert not connection.is_closing
         harness.sweep()
         if again:
@@ -269,14 +279,14 @@
         wire = await harness.serve_one(BID)
         (connection,) = harness.connections()
         request = harness.submit(BID)
-        text = encode_response(request.job_id if what == "a whole answer" else "0" * 16, b"x" * 1000)
-        text = text if what == "a whole answer" else text[: 20 if what == "half a line" else 500]
+        response = encode_response(request.job_id if what == "a whole answer" else "0" * 16, b"x" * 1000)
+        response = response if what == "a whole answer" else response[: 20 if what == "half a line" else 500]
         if first == "the bytes":
-            wire.send(text)
+            wire.send(response)
         connection.close()
-        harness.handle_next("o-1")  # before the connection has got to its end
+        harness.handle_next("o-1")  # before the connection has handled its end
         if first == "the close":
-            wire.send(text)
+            wire.send(response)
         again = await harness.wait_for_command(request)
         assert again is not wire and connection not in harness.connections()
         again.respond(request.job_id)
@@ -294,7 +304,7 @@
         harness = FrontHarness(ONE)
         request = harness.submit(BID)
         wire = await harness.wait_for_command(request)
-        wire.respond(request.job_id, b"y" * 1000)  # all of it is over there before the end is
+        wire.respond(request.job_id, b"y" * 1000)  # all of it arrives before the end of the connection
         if how == "end":
             wire.close()
         else:
@@ -309,25 +319,25 @@
 def test_a_connection_closed_as_it_ends_by_itself_leaves_no_descriptor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """`close` comes between the end of its reader and the end of its writer, which are waited for."""
-    plain, opened = asyncio.gather, list[FrontHarness]()
+    """`close` is called between the end of its reader and the end of its writer, as `run` waits for them."""
+    plain_gather, harnesses = asyncio.gather, list[FrontHarness]()
 
-    def closed_meanwhile(*parts: Any, **how: Any) -> Any:
-        waiting = plain(*parts, **how)
-        for connection in opened[0].connections():
+    def gather_and_close(*awaitables: Any, **options: Any) -> Any:
+        waiting = plain_gather(*awaitables, **options)
+        for connection in harnesses[0].connections():
             connection.close()
         return waiting
 
     async def scenario() -> None:
         harness = FrontHarness(ONE)
-        opened.append(harness)
+        harnesses.append(harness)
         request = harness.submit(BID)
         wire = await harness.wait_for_command(request)
         wire.respond(request.job_id, b"whole")
         assert await harness.wait_for_status(request) == 200
-        monkeypatch.setattr(asyncio, "gather", closed_meanwhile)
+        monkeypatch.setattr(asyncio, "gather", gather_and_close)
         wire.close()
-        await until(lambda: not harness.connections(), "the connection is gone")
+        await until(lambda: not harness.connections(), "the connection is closed")
         monkeypatch.undo()
         await harness.assert_settled()
 
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts as they cross what ends them: a client that goes, a window that passes, a break, the list."""
+"""Attempts that cross with disconnecting clients, retry windows, broken connections and list changes."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 KEYED = {IMAGE: {"effect": "guarded", "group": "all", "window": 2 * SECOND}}
 
 
-# Clients that are gone
+# Disconnected clients
 
 
 def test_nothing_begins_for_a_client_that_left_before_the_module_got_to_its_request() -> None:
     async def scenario() -> None:
         harness = FrontHarness(ONE)
         request = harness.submit()
-        request.cancel(clock.now())  # its Left stands behind
+        request.cancel(clock.now())  # the message for the router is queued later
         await harness.serve_one()
         assert not harness.serve_wires(request) and request.number < 0
         harness.disconnect_client(request)
@@ -47,7 +47,7 @@
             return actions
 
         harness.module.router.handle = handle  # type: ignore[method-assign]
-        await until(lambda: request.is_finished, "the module lets go of it without its Left")
+        await until(lambda: request.is_finished, "the router finishes it before that message")
         harness.module.router.handle = decide  # type: ignore[method-assign]
         await harness.serve_one()
         assert not harness.serve_wires(request) and not request.receiver.got  # type: ignore[attr-defined]
@@ -65,12 +65,12 @@
         dials, harness = HeldDials(monkeypatch), FrontHarness(ONE)
         request = harness.submit()
         await dials.wait_for_dials()
-        request.cancel(clock.now())  # its Left stands behind
+        request.cancel(clock.now())  # the message for the router is queued later
         dials.release()
-        await until(lambda: request.is_finished, "the module lets go of it without its Left")
+        await until(lambda: request.is_finished, "the router finishes it before that message")
         wire = await harness.serve_one()
         assert not harness.serve_wires(request) and not harness.count_cancels(request)
-        assert len(harness.machines["s-1"].wires) == 1 and wire  # the connection is of use to the next
+        assert len(harness.machines["s-1"].wires) == 1 and wire  # the next request uses that connection
         harness.disconnect_client(request)
         await harness.assert_settled()
 
@@ -82,9 +82,9 @@
         harness = FrontHarness(("s-1", "s-2", "o-1"))
         request = harness.submit()
         wire = await harness.wait_for_command(request)
-        request.cancel(clock.now())  # its Left stands behind
+        request.cancel(clock.now())  # the message for the router is queued later
         wire.reset()
-        await until(lambda: request.is_finished, "the module lets go of it without its Left")
+        await until(lambda: request.is_finished, "the router finishes it before that message")
         await harness.serve_one()
         assert len(harness.serve_wires(request)) == 1 and harness.outcomes(request) == [AttemptOutcome.RESET]
         harness.disconnect_client(request)
@@ -94,7 +94,7 @@
     run_on_uvloop(scenario)
 
 
-# Attempts given up as they wait
+# Attempts cancelled while they wait
 
 ORDERS = {
     "cancel, then up": "cancel turn turn turn up",
@@ -153,21 +153,21 @@
         dials, harness = HeldDials(monkeypatch), FrontHarness(ONE)
         request = harness.submit(allowed_ns=300 * MS)
         await dials.wait_for_dials()
-        cache, heard = harness.cache("s-1"), list[ToCache]()
+        cache, unhandled = harness.cache("s-1"), list[ToCache]()
         cache.timers[request.attempts[0]].cancel()
-        cache.handle = heard.append  # type: ignore[method-assign, assignment]  # it gets to nothing any more
-        assert await harness.wait_for_status(request) == 502  # its time is up
+        cache.handle = unhandled.append  # type: ignore[method-assign, assignment]
+        assert await harness.wait_for_status(request) == 502  # its deadline has expired
         dials.release()
-        await until(lambda: harness.outcomes(request) != [], "it ends")
+        await until(lambda: harness.outcomes(request) != [], "the attempt ends")
         del cache.handle
         await harness.serve_one()
-        assert not harness.serve_wires(request) and [type(m) for m in heard] == [CallOff]
+        assert not harness.serve_wires(request) and [type(m) for m in unhandled] == [CallOff]
         await harness.assert_settled()
 
     run_on_uvloop(scenario)
 
 
-# Windows for repeats
+# Retry windows
 
 
 @pytest.mark.parametrize("where", ["dial", "mailbox", "module"])
@@ -180,22 +180,24 @@
         request = harness.submit()
         wire = await harness.wait_for_command(request)
         to_module, to_caches = list[ToModule](), list[tuple[CacheActor, ToCache]]()
-        take, dials = harness.module.mailbox.push, HeldDials(monkeypatch)
+        plain_push, dials = harness.module.mailbox.push, HeldDials(monkeypatch)
         dials.is_holding = where == "dial"
-        if where == "module":  # the end of the first attempt stands in its mailbox
+        if where == "module":  # the outcome of the first attempt waits in its mailbox
             harness.module.mailbox.push = to_module.append  # type: ignore[method-assign, assignment]
         caches = list(harness.module.caches.values()) if where == "mailbox" else []
-        for cache in caches:  # the second attempt in theirs
-            cache.safely = partial(keep, to_caches, cache)  # type: ignore[method-assign]
+        for cache in caches:  # the second attempt waits in theirs
+            cache.safely = partial(keep_message, to_caches, cache)  # type: ignore[method-assign]
         wire.reset()
-        await until(lambda: bool(dials.gates or to_module or to_caches), "it waits")
+        await until(
+            lambda: bool(dials.gates or to_module or to_caches), "the outcome or the second attempt waits"
+        )
         front_clock.advance(3 * SECOND if passed else SECOND // 2)
         dials.release()
-        harness.module.mailbox.push = take  # type: ignore[method-assign]
+        harness.module.mailbox.push = plain_push  # type: ignore[method-assign]
         for cache in caches:
             del cache.safely
         for message in to_module:
-            take(message)
+            plain_push(message)
         for cache, command in to_caches:
             cache.safely(command)
         if passed:
@@ -209,7 +211,7 @@
     run_on_uvloop(scenario)
 
 
-def keep(kept: list[tuple[CacheActor, ToCache]], cache: CacheActor, command: ToCache) -> None:
+def keep_message(kept: list[tuple[CacheActor, ToCache]], cache: CacheActor, command: ToCache) -> None:
     kept.append((cache, command))
 
 
@@ -223,7 +225,7 @@
         assert (first.within, again.within) == (0, within)
 
 
-# The list
+# The endpoint list
 
 
 def test_a_machine_gone_and_back_in_one_turn_can_be_asked() -> None:
@@ -233,10 +235,10 @@
         harness.apply_hosts(harness.host("o-1", health="DELETED"))
         harness.apply_hosts(harness.host("o-1"))
         cache = harness.cache("o-1")
-        await until(lambda: not len(cache.mailbox), "it has heard of both")
+        await until(lambda: not len(cache.mailbox), "both changes are handled")
         for connection in harness.connections():
             connection.close()
-        await until(lambda: not harness.connections(), "nothing is left of it")
+        await until(lambda: not harness.connections(), "its connections are closed")
         harness.sweep()
         assert harness.cache("o-1") is cache and not cache.is_leaving
         await harness.serve_one(BID)
@@ -254,10 +256,10 @@
         for _ in range(cache.mailbox.most):
             cache.mailbox.push(Recall(request.attempts[0]))
         harness.apply_hosts(harness.host("o-1", health="DELETED"))
-        wire.respond(request.job_id)  # what is out is heard to its end
+        wire.respond(request.job_id)  # an attempt under way is still served
         assert await harness.wait_for_status(request) == 200
         harness.sweep()
-        await until(lambda: not harness.connections(), "its connections end")
+        await until(lambda: not harness.connections(), "its connections are closed")
         harness.sweep()
         assert len(harness.module.caches) == 1
         await harness.assert_settled()
@@ -301,7 +303,7 @@
             harness.host("o-1", health="DELETED"), harness.host("o-1", host="o-9", dial=address)
         )
         dials.release()
-        wire = await harness.wait_for_command(waiting)  # for the new one, over a connection of its own
+        wire = await harness.wait_for_command(waiting)  # at the new machine, over a connection of its own
         assert wire is not old and harness.outcomes(waiting) == [AttemptOutcome.NOT_PROCESSED]
         wire.respond(waiting.job_id)
         old.respond(begun.job_id)
@@ -309,7 +311,8 @@
         assert harness.cache("o-9").connections and len(harness.cache("o-9").connections) == 1
         harness.sweep()
         await until(
-            lambda: not harness.cache("o-1").connections, "the old one's end, also the one let through"
+            lambda: not harness.cache("o-1").connections,
+            "the old machine's connections are closed, also the released one",
         )
         await harness.assert_settled()
 
@@ -317,7 +320,7 @@
 
 
 def test_an_attempt_that_ended_ends_no_second_time() -> None:
-    """Its time is up, its cancel comes, its connection breaks and its answer is there, all in one turn."""
+    """Its deadline, its cancel, the break of its connection and its response all come in one turn."""
 
     async def scenario() -> None:
         harness = FrontHarness(ONE)
@@ -330,7 +333,7 @@
         cache.safely(CallOff(attempt))
         cache.safely(Recall(attempt))
         assert await harness.wait_for_status(request) == 502
-        await until(lambda: not harness.connections(), "the break is heard")
+        await until(lambda: not harness.connections(), "the connection is closed")
         assert harness.outcomes(request) == [AttemptOutcome.TIMEOUT]
         await harness.assert_settled()
 
--- a/tests/test_crossings_commands.py
+++ b/tests/test_crossings_commands.py
@@ -1,4 +1,4 @@
-"""Commands as they cross what ends their connection or their attempt, some of their bytes out."""
+"""Partly sent commands that cross with the end of their connection or their attempt."""
 
 from __future__ import annotations
 
@@ -22,49 +22,51 @@
 
 
 @pytest.fixture
-def slim(monkeypatch: pytest.MonkeyPatch) -> None:
+def small_send_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Send buffers that hold a small part of the largest command."""
 
     async def connect(address: tuple[str, int], timeout: float, checks: Checks) -> socket.socket:
-        sock = await plain(address, timeout, checks)
+        sock = await plain_connect(address, timeout, checks)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return sock
 
-    plain = sockets.connect
+    plain_connect = sockets.connect
     monkeypatch.setattr("quincepier.net.connection.connect", connect)
 
 
-async def in_part(harness: FrontHarness) -> tuple[Wire, Connection, OpenRequest]:
-    """A bid whose command is out to a part; its machine reads no more."""
+async def send_part(harness: FrontHarness) -> tuple[Wire, Connection, OpenRequest]:
+    """Send a part of the command of a bid; its machine does not read."""
     harness.machines["o-1"].is_reading_paused = True
     request = harness.submit(BID, body=LARGE)
-    await until(lambda: any(c.started for c in harness.connections()), "it has begun")
+    await until(lambda: any(c.started for c in harness.connections()), "a part of the command is sent")
     (connection,) = harness.connections()
     harness.poll()
     (wire,) = harness.machines["o-1"].wires
     return wire, connection, request
 
 
-@pytest.mark.usefixtures("slim")
+@pytest.mark.usefixtures("small_send_buffers")
 def test_a_command_given_up_in_the_middle_goes_out_whole_then_its_cancel() -> None:
     async def scenario() -> None:
         harness = FrontHarness(ONE)
-        wire, connection, request = await in_part(harness)
+        wire, connection, request = await send_part(harness)
         harness.disconnect_client(request)
-        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "given up")
+        await until(
+            lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "the attempt is cancelled"
+        )
         assert not connection.is_idle
         harness.machines["o-1"].is_reading_paused = False
-        other = await harness.serve_one(BID)  # not in the middle of that line
+        other = await harness.serve_one(BID)  # not inside the partly sent command
         assert other is not wire
         wire.is_reading_paused = False
         tail = LARGE[-10:] + b"\r\ncancel %b\r\n" % request.job_id.encode()
-        await until(lambda: harness.received(wire).endswith(tail), "whole, then the cancel")
+        await until(lambda: harness.received(wire).endswith(tail), "the whole command and its cancel arrive")
         await harness.assert_settled()
 
     run_on_uvloop(scenario)
 
 
-@pytest.mark.usefixtures("slim")
+@pytest.mark.usefixtures("small_send_buffers")
 @pytest.mark.parametrize("first", ["the write", "the read"])
 def test_a_write_whose_command_broke_off_in_the_middle_is_not_sent_again(
     monkeypatch: pytest.MonkeyPatch, first: str
@@ -72,12 +74,12 @@
     async def never(self: Connection, sock: socket.socket) -> None:
         await asyncio.get_running_loop().create_future()
 
-    if first == "the write":  # hears of the break: the reader is held back
+    if first == "the write":  # finds the connection broken, as the reader is held back
         monkeypatch.setattr(Connection, "_read", never)
 
     async def scenario() -> None:
         harness = FrontHarness(ONE)
-        wire, _, request = await in_part(harness)
+        wire, _, request = await send_part(harness)
         harness.machines["o-1"].is_reading_paused = False
         wire.reset()
         assert await harness.wait_for_status(request) == 502
@@ -88,43 +90,46 @@
     run_on_uvloop(scenario)
 
 
-@pytest.mark.usefixtures("slim")
+@pytest.mark.usefixtures("small_send_buffers")
 def test_a_connection_on_which_only_cancels_wait_is_closed() -> None:
     async def scenario() -> None:
         harness = FrontHarness(ONE)
-        _, connection, request = await in_part(harness)
+        _, connection, request = await send_part(harness)
         harness.disconnect_client(request)
-        await until(lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "given up")
-        connection.is_retired = True  # as where nothing was heard over it for long
+        await until(
+            lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "the attempt is cancelled"
+        )
+        connection.is_retired = True  # as if nothing had been read for long
         harness.sweep()
-        await until(lambda: not harness.connections(), "its descriptor is free again")
+        await until(lambda: not harness.connections(), "its descriptor is released")
         await harness.assert_settled()
 
     run_on_uvloop(scenario)
 
 
 def test_a_connection_whose_end_was_read_in_this_turn_takes_no_write(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain, late = Connection._on_readable, list[Callable[[Connection], None]]()
+    plain_on_readable, actions = Connection._on_readable, list[Callable[[Connection], None]]()
 
-    def rung(self: Connection, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        plain(self, loop, sock)  # its reader will run next; before it does, an attempt takes this connection
-        if late:
-            late.pop()(self)
+    def on_readable(self: Connection, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
+        # The reader runs next; before it does, an attempt is queued on this connection.
+        plain_on_readable(self, loop, sock)
+        if actions:
+            actions.pop()(self)
 
-    monkeypatch.setattr(Connection, "_on_readable", rung)
+    monkeypatch.setattr(Connection, "_on_readable", on_readable)
 
     async def scenario() -> None:
         harness = FrontHarness(ONE)
         wire, requests = await harness.serve_one(BID), list[OpenRequest]()
 
-        def asked(connection: Connection) -> None:
+        def queue_attempt(connection: Connection) -> None:
             requests.append(harness.submit(BID))
             harness.handle_next("o-1")
             assert requests[0].job_id in connection.awaited_by_id
 
-        late.append(asked)
+        actions.append(queue_attempt)
         wire.close()
-        await until(lambda: bool(requests), "the end can be read")
+        await until(lambda: bool(requests), "the end of the connection is readable")
         (await harness.wait_for_command(requests[0])).respond(requests[0].job_id)
         assert await harness.wait_for_status(requests[0]) == 200
         assert harness.outcomes(requests[0]) == [AttemptOutcome.NOT_PROCESSED, AttemptOutcome.OK]
@@ -133,14 +138,14 @@
     run_on_uvloop(scenario)
 
 
-async def crowded(harness: FrontHarness) -> tuple[Wire, Connection]:
-    """A connection that is up and at rest, whose machine reads nothing: its socket takes not a byte more."""
+async def fill_send_buffer(harness: FrontHarness) -> tuple[Wire, Connection]:
+    """Return an idle connection whose machine does not read and whose socket takes no more bytes."""
     wire = await harness.serve_one(BID)
     wire.is_reading_paused = True
     (connection,) = [c for c in harness.connections() if c.is_idle]
     sock = connection.sock
     assert sock is not None
-    await asyncio.sleep(0)  # what was read of it is done with
+    await asyncio.sleep(0)  # the reader has finished
     try:
         while True:
             sock.send(b"cancel 0000000000000000\r\n" * 1000)
@@ -152,18 +157,20 @@
 def test_nothing_begins_behind_a_socket_that_took_nothing_until_its_client_had_left(how: str) -> None:
     async def scenario() -> None:
         harness = FrontHarness(ONE)
-        wire, connection = await crowded(harness)
+        wire, connection = await fill_send_buffer(harness)
         request = harness.submit(BID)
-        await until(lambda: request.job_id in connection.awaited_by_id, "it waits there")
+        await until(lambda: request.job_id in connection.awaited_by_id, "the command waits there")
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         if how == "gone":
-            request.cancel(clock.now())  # its Left stands behind
+            request.cancel(clock.now())  # the message for the router is queued later
         else:
             harness.disconnect_client(request)
-            await until(lambda: harness.outcomes(request) != [], "it is called off")
+            await until(lambda: harness.outcomes(request) != [], "the attempt is cancelled")
         wire.is_reading_paused = False
-        await until(lambda: bool(harness.received(wire)) and not connection.outgoing, "it takes bytes again")
+        await until(
+            lambda: bool(harness.received(wire)) and not connection.outgoing, "the socket takes bytes again"
+        )
         await harness.serve_one(BID)
         assert not harness.serve_wires(request) and not harness.count_cancels(request)
         harness.disconnect_client(request)
@@ -172,13 +179,13 @@
     run_on_uvloop(scenario)
 
 
-class Unwilling(socket.socket):
-    """Takes no byte as long as the test says so."""
+class BlockedSocket(socket.socket):
+    """A socket that takes no byte while `takes_nothing` is set."""
 
     takes_nothing = False
 
     def send(self, data: object, flags: int = 0) -> int:
-        if Unwilling.takes_nothing:
+        if BlockedSocket.takes_nothing:
             raise BlockingIOError
         return super().send(data, flags)  # type: ignore[arg-type]
 
@@ -187,14 +194,14 @@
 def test_an_attempt_called_off_has_ended_once_its_cancel_is_out_or_its_connection_closed(
     monkeypatch: pytest.MonkeyPatch, end: str
 ) -> None:
-    """Where no second copy is allowed, none begins before the first has been given up at its machine."""
-    monkeypatch.setattr(socket, "socket", Unwilling)
+    """Where no second copy is allowed, none starts before the first is cancelled at its machine."""
+    monkeypatch.setattr(socket, "socket", BlockedSocket)
 
     async def scenario() -> None:
         harness = FrontHarness(ONE)
         request = harness.submit(BID)
         wire = await harness.wait_for_command(request)
-        monkeypatch.setattr(Unwilling, "takes_nothing", True)
+        monkeypatch.setattr(BlockedSocket, "takes_nothing", True)
         harness.cache("o-1").mailbox.push(CallOff(request.attempts[0]))
         for _ in range(20):
             await asyncio.sleep(0)
@@ -202,10 +209,10 @@
         if end == "closed":
             wire.close()
         else:
-            monkeypatch.setattr(Unwilling, "takes_nothing", False)
-        await until(lambda: bool(harness.outcomes(request)), "it has ended")
+            monkeypatch.setattr(BlockedSocket, "takes_nothing", False)
+        await until(lambda: bool(harness.outcomes(request)), "the attempt has ended")
         assert harness.outcomes(request) == [AttemptOutcome.CANCELLED]
-        monkeypatch.setattr(Unwilling, "takes_nothing", False)
+        monkeypatch.setattr(BlockedSocket, "takes_nothing", False)
         assert harness.count_cancels(request) == (end == "written")
         await harness.wait_for_status(request)
         await harness.assert_settled()
@@ -214,7 +221,7 @@
 
 
 def test_the_cancel_of_an_attempt_is_out_in_the_turn_in_which_it_ends() -> None:
-    """What is sent in its place, over whatever connection, comes after it."""
+    """An attempt that replaces it, over whichever connection, is sent later."""
 
     async def scenario() -> None:
         harness = FrontHarness(ONE)
@@ -237,13 +244,13 @@
         cache = harness.cache("o-1")
         (connection,) = cache.connections
         (attempt,) = request.attempts
-        connection.is_closing = True  # its end has been read in this turn
+        connection.is_closing = True  # the end of the connection was read in this turn
         cache.safely(CallOff(attempt))
         assert not attempt.is_ended
         wire.close()
-        await until(lambda: attempt.is_ended, "it has ended")
+        await until(lambda: attempt.is_ended, "the attempt has ended")
         assert connection.sock is not None and connection.sock.fileno() < 0, "the socket was closed before"
-        await until(lambda: bool(harness.outcomes(request)), "it is told")
+        await until(lambda: bool(harness.outcomes(request)), "its outcome is reported")
         assert harness.outcomes(request) == [AttemptOutcome.CANCELLED]
         await harness.wait_for_status(request)
         await harness.assert_settled()
--- a/tests/test_crossings_dials.py
+++ b/tests/test_crossings_dials.py
@@ -1,4 +1,4 @@
-"""Connections that come up late: what waits for one goes over the next that is free, and blames nobody."""
+"""Connections that are established late: waiting attempts use the next free one; no machine is blamed."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 ONE = ("s-1", "o-1")
 
 
-async def one_out(patch: pytest.MonkeyPatch) -> tuple[FrontHarness, OpenRequest, Wire, HeldDials]:
-    """One request is out over the one connection that is up; whatever is dialled from now on is held."""
+async def send_one(patch: pytest.MonkeyPatch) -> tuple[FrontHarness, OpenRequest, Wire, HeldDials]:
+    """Send one request over the only connection; hold all later dials."""
     harness = FrontHarness(ONE)
     first = harness.submit()
     wire = await harness.wait_for_command(first)
@@ -26,12 +26,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        harness, first, wire, dials = await one_out(monkeypatch)
+        harness, first, wire, dials = await send_one(monkeypatch)
         second, third = harness.submit(), harness.submit()
         await dials.wait_for_dials(2)
         wire.respond(first.job_id)
         assert await harness.wait_for_status(first) == 200
-        assert await harness.wait_for_command(second) is wire  # in the order in which they came
+        assert await harness.wait_for_command(second) is wire  # in the order in which they arrived
         assert not harness.serve_wires(third)
         dials.release()
         other = await harness.wait_for_command(third)
@@ -49,7 +49,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        harness, first, wire, dials = await one_out(monkeypatch)
+        harness, first, wire, dials = await send_one(monkeypatch)
         second = harness.submit()
         await dials.wait_for_dials()
         wire.respond(first.job_id)
@@ -69,11 +69,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        harness, first, wire, dials = await one_out(monkeypatch)
+        harness, first, wire, dials = await send_one(monkeypatch)
         second = harness.submit()
         await dials.wait_for_dials()
         (up,) = (c for c in harness.connections() if c.sock is not None)
-        up.remember_used_id(second.job_id)  # an answer to this id may still come there
+        up.remember_used_id(second.job_id)  # a response to this id may still arrive there
         wire.respond(first.job_id)
         assert await harness.wait_for_status(first) == 200
         dials.release()
@@ -89,7 +89,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        harness, first, wire, dials = await one_out(monkeypatch)
+        harness, first, wire, dials = await send_one(monkeypatch)
         second = harness.submit()
         await dials.wait_for_dials()
         monkeypatch.setattr(CacheActor, "_is_backing_off", lambda self, connection: True)
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -1,4 +1,4 @@
-"""Several addresses on sockets: drops at every moment, races, drains, purges, changes of the list, storms."""
+"""Machines with several addresses, over sockets: broken connections, races, drains, purges, list changes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("script", DROPS, ids=name_of)
 def test_every_drop_every_class_every_order(tmp_path: Path, script: Script) -> None:
-    """The first address in each order drops; one final answer each, a bid received whole at most once."""
+    """The first address in each order breaks; one final response each, a bid received whole at most once."""
 
     async def scenario() -> None:
         for order in ORDERS:
@@ -56,11 +56,13 @@
                 inboxes.append(inbox)
             await harness.wait_until_idle()
             received = {cls: sum(m.whole[job] for m in machines.values()) for cls, (_, job) in served.items()}
-            assert received[UNSAFE] <= 1, "a bid arrives once at most"
-            assert [len(inbox.got) for inbox in inboxes] == [1, 1, 1], "one final answer each"
-            assert served[SAFE][0] == served[KEYED][0] == 200, "another address serves what may be repeated"
-            never_begun = script.moment in (Moment.REFUSE, Moment.FULL, Moment.AFTER)
-            if never_begun:
+            assert received[UNSAFE] <= 1, "a bid arrives at most once"
+            assert [len(inbox.got) for inbox in inboxes] == [1, 1, 1], "one final response each"
+            assert (
+                served[SAFE][0] == served[KEYED][0] == 200
+            ), "another address serves requests that may be retried"
+            is_never_started = script.moment in (Moment.REFUSE, Moment.FULL, Moment.AFTER)
+            if is_never_started:
                 assert served[UNSAFE][0] == 200 and received[UNSAFE] == 1
             elif script.moment is not Moment.BEFORE:
                 assert served[UNSAFE][0] in (200, 502)
@@ -95,7 +97,7 @@
         for part in range(6):
             job, status = await harness.serve(SAFE, part)
             assert status == 200
-            (home,) = [m for m in machines.values() if m.whole[job]]  # the hashed cache, and no other
+            (home,) = [m for m in machines.values() if m.whole[job]]  # only the cache that the key hashes to
             assert [kind for kind, id in home.at if id == job][-1] == "ipv6"
         assert not any(node.is_ejected for node in harness.module.router.placement.table.by_id.values())
         await harness.close()
@@ -105,32 +107,32 @@
 
 def test_a_machine_is_lost_to_the_module_only_when_every_address_has_failed(tmp_path: Path) -> None:
     async def scenario() -> None:
-        machine, endings = Machine(tmp_path), list[AttemptOutcome]()
+        machine, outcomes = Machine(tmp_path), list[AttemptOutcome]()
         harness = AddressHarness(
             tmp_path, {"s-1": machine, "o-1": Machine(tmp_path)}, **long_backoff_section()
         )
         await harness.start()
-        told = harness.module._ended
+        plain_ended = harness.module._ended
 
         def ended(end: Any) -> None:
-            endings.append(end.ending)
-            told(end)
+            outcomes.append(end.ending)
+            plain_ended(end)
 
         harness.module._ended = ended  # type: ignore[method-assign]
         for kind, left in (("unix", 2), ("ipv6", 1)):
             machine.set(kind, Script(Moment.REFUSE))
             await harness.serve(SAFE, left)
-            await until(lambda: not harness.cache("s-1").in_flight, "nothing is out")
-        assert set(endings) == {AttemptOutcome.OK}
+            await until(lambda: not harness.cache("s-1").in_flight, "nothing is in flight")
+        assert set(outcomes) == {AttemptOutcome.OK}
         machine.set("ipv4", Script(Moment.REFUSE))
         for connection in harness.cache("s-1").connections:
             connection.close()
-        await until(lambda: not harness.cache("s-1").connections, "the old connections are gone")
+        await until(lambda: not harness.cache("s-1").connections, "the old connections are closed")
         await harness.serve(SAFE, 9)
-        assert AttemptOutcome.CONNECT_FAILED in endings and harness.cache("s-1").number in {
+        assert AttemptOutcome.CONNECT_FAILED in outcomes and harness.cache("s-1").number in {
             n.endpoint.cache for n in harness.module.router.placement.table.by_id.values() if n.is_ejected
         }
-        machine.set("ipv4", Script())  # set aside or not, what is listed is tried
+        machine.set("ipv4", Script())  # listed addresses are tried even in backoff
         await harness.cache("s-1").route.connect()  # type: ignore[union-attr]
         await harness.close()
 
@@ -138,7 +140,7 @@
 
 
 def test_both_up_at_once_one_is_used_and_the_other_closed(tmp_path: Path) -> None:
-    """The first address comes up only after the stagger; its late connection carries nothing."""
+    """The first address connects only after the stagger; its late connection is not used."""
 
     async def scenario() -> None:
         machine = Machine(tmp_path)
@@ -148,22 +150,22 @@
         await harness.start()
         machine.set("unix", Script(Moment.FULL))
 
-        async def opens() -> None:
+        async def open_later() -> None:
             await asyncio.sleep(0.028)  # about when the second dial starts
             machine.set("unix", Script())
 
-        opening = asyncio.create_task(opens())
+        opening = asyncio.create_task(open_later())
         jobs = [harness.submit(SAFE, part) for part in range(20)]
         for _, inbox, _ in jobs:
             assert await harness.wait_for_status(inbox) == 200
         await opening
         assert all(machine.whole[job] == 1 for job, _, _ in jobs)
-        way = harness.route("s-1")
+        route = harness.route("s-1")
         await until(
-            lambda: not (way.races.race_by_number or way.task_by_dial or way.socket_by_dial),
-            "no dial is left",
+            lambda: not (route.races.race_by_number or route.task_by_dial or route.socket_by_dial),
+            "all dials have ended",
         )
-        assert way.extra_dials == 0 and harness.dialer.limiter.in_use == 0
+        assert route.extra_dials == 0 and harness.dialer.limiter.in_use == 0
         assert harness.module.means.descriptors.caches == sum(
             len(cache.connections) for cache in harness.module.caches.values()
         )
@@ -172,9 +174,9 @@
     run_on_uvloop(scenario)
 
 
-@pytest.mark.parametrize("news", ["drain", "gone", "source drains", "purge"])
-def test_what_is_told_while_a_dial_is_awaited_stops_the_command(tmp_path: Path, news: str) -> None:
-    """No address takes the dial until the news has come; then all do, and the old command is not written."""
+@pytest.mark.parametrize("event", ["drain", "gone", "source drains", "purge"])
+def test_what_is_told_while_a_dial_is_awaited_stops_the_command(tmp_path: Path, event: str) -> None:
+    """No address accepts until the event has arrived; then all do, and the old command is not sent."""
 
     async def scenario() -> None:
         machines = {"s-1": Machine(tmp_path), "p-1": Machine(tmp_path), "o-1": Machine(tmp_path)}
@@ -184,9 +186,9 @@
         for kind in edge.kinds:
             edge.set(kind, Script(Moment.FULL))
         job, inbox, request = harness.submit(SAFE)
-        await until(lambda: bool(harness.route("s-1").task_by_dial), "it dials")
+        await until(lambda: bool(harness.route("s-1").task_by_dial), "the front dials")
         (attempt,) = request.attempts
-        match news:
+        match event:
             case "purge":
                 harness.apply_event(invalidate={"object": f"{request.object_id:016x}", "time": 1})
             case "source drains":
@@ -194,13 +196,13 @@
                     harness.host_record("p-1", machines["p-1"].addresses(), health="DRAINING")
                 )
             case _:
-                state = "DRAINING" if news == "drain" else "DELETED"
+                state = "DRAINING" if event == "drain" else "DELETED"
                 harness.apply_event(harness.host_record("s-1", edge.addresses(), health=state))
-        await until(lambda: attempt.is_revoked and attempt.is_ended, "the attempt went back")
+        await until(lambda: attempt.is_revoked and attempt.is_ended, "the attempt is revoked")
         for kind in edge.kinds:
             edge.set(kind, Script())
         assert await harness.wait_for_status(inbox) == 200
-        if news in ("drain", "gone"):
+        if event in ("drain", "gone"):
             assert edge.whole[job] == 0
         assert sum(machine.whole[job] for machine in machines.values()) == 1
         await harness.close()
@@ -209,33 +211,33 @@
 
 
 def test_a_recalled_attempt_is_stopped_right_before_its_first_byte(tmp_path: Path) -> None:
-    """The connection is up and the command queued when the news comes: the flag alone must hold it."""
+    """The connection is established and the command queued when it is revoked: the flag must stop it."""
 
     async def scenario() -> None:
         harness = AddressHarness(tmp_path, {"o-1": (origin := Machine(tmp_path))}, **long_backoff_section())
         await harness.start()
         first, _ = await harness.serve(UNSAFE)
-        cache, endings = harness.cache("o-1"), list[AttemptOutcome]()
-        told = cache.complete_without_response
+        cache, outcomes = harness.cache("o-1"), list[AttemptOutcome]()
+        plain_complete = cache.complete_without_response
 
         def ended(
             exchange: Any, outcome: AttemptOutcome, completed_at: int, has_alternative: bool = False
         ) -> None:
-            endings.append(outcome)
-            told(exchange, outcome, completed_at, has_alternative)
+            outcomes.append(outcome)
+            plain_complete(exchange, outcome, completed_at, has_alternative)
 
         cache.complete_without_response = ended  # type: ignore[method-assign]
         (connection,) = cache.connections
         send = connection.send
 
-        def tell(id: str, exchange: Any, command: Any) -> None:
+        def send_and_revoke(id: str, exchange: Any, command: Any) -> None:
             send(id, exchange, command)
-            if not endings:
-                exchange.is_revoked = True  # told in the same turn, after the command was queued
+            if not outcomes:
+                exchange.is_revoked = True  # in the same turn, after the command was queued
 
-        connection.send = tell  # type: ignore[method-assign]
+        connection.send = send_and_revoke  # type: ignore[method-assign]
         second, status = await harness.serve(UNSAFE)
-        assert (endings, status, origin.whole[second]) == ([AttemptOutcome.NOT_PROCESSED], 200, 1)
+        assert (outcomes, status, origin.whole[second]) == ([AttemptOutcome.NOT_PROCESSED], 200, 1)
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -248,10 +250,10 @@
         for kind in origin.kinds:
             origin.set(kind, Script(Moment.FULL))
         job, inbox, request = harness.submit(UNSAFE)
-        await until(lambda: bool(harness.route("o-1").task_by_dial), "it dials")
+        await until(lambda: bool(harness.route("o-1").task_by_dial), "the front dials")
         harness.disconnect_client(request)
-        await until(lambda: not harness.route("o-1").task_by_dial, "nothing is dialled for nobody")
-        await until(lambda: not harness.cache("o-1").connections, "its connection is gone")
+        await until(lambda: not harness.route("o-1").task_by_dial, "its dials are cancelled")
+        await until(lambda: not harness.cache("o-1").connections, "its connection is closed")
         assert (harness.module.means.descriptors.caches, harness.dialer.limiter.in_use) == (0, 0)
         assert inbox.got == [] and origin.whole[job] == 0
         counts = harness.checks.counts
@@ -272,7 +274,7 @@
         origin.set("ipv6", Script(Moment.REFUSE))
         for connection in harness.cache("o-1").connections:
             connection.close()
-        await until(lambda: not harness.cache("o-1").connections, "the old connection is gone")
+        await until(lambda: not harness.cache("o-1").connections, "the old connection is closed")
         before = dict(harness.checks.counts)
         asked = [harness.submit(UNSAFE) for _ in range(300)]
         for _, inbox, _ in asked:
@@ -294,11 +296,11 @@
         for kind in ("unix", "ipv6"):
             origin.set(kind, Script(Moment.REFUSE))
         asked = [harness.submit(UNSAFE) for _ in range(40)]
-        most = 0
+        peak = 0
         while not all(inbox.got for _, inbox, _ in asked):
-            most = max(most, descriptors.caches)
+            peak = max(peak, descriptors.caches)
             await asyncio.sleep(0.001)
-        assert most <= descriptors.max_caches
+        assert peak <= descriptors.max_caches
         assert {inbox.got[0].status for _, inbox, _ in asked} == {200}
         assert all(origin.whole[job] == 1 for job, _, _ in asked)
         await harness.close()
@@ -312,15 +314,15 @@
         harness = AddressHarness(tmp_path, {"s-1": old, "o-1": Machine(tmp_path)}, **long_backoff_section())
         await harness.start()
         await harness.serve(SAFE, 1)
-        way = harness.route("s-1")
-        way.on_connection_failed(parse(old.doors["unix"].text), clock.now(), "as a test")
+        route = harness.route("s-1")
+        route.on_connection_failed(parse(old.doors["unix"].text), clock.now(), "for a test")
         harness.apply_event(
             harness.host_record("s-1", old.addresses(), health="DELETED"),
             harness.host_record("s-2", old.addresses()),
         )
-        await until(lambda: "s-2" in harness.module.directory.entry_by_host, "the list is taken")
+        await until(lambda: "s-2" in harness.module.directory.entry_by_host, "the list is applied")
         new = harness.route("s-2")
-        assert new is not way and not new.is_backing_off(parse(old.doors["unix"].text))  # another machine
+        assert new is not route and not new.is_backing_off(parse(old.doors["unix"].text))  # another machine
         harness.apply_event(harness.host_record("s-3", old.addresses()))
         for part in range(8):
             assert (await harness.serve(SAFE, part))[1] == 200
@@ -338,25 +340,25 @@
         await harness.start(("unix", "ipv6"))
         origin.set("unix", Script(Moment.SILENT))
         silent, inbox, _ = harness.submit(UNSAFE)
-        await until(lambda: origin.whole[silent] == 1, "it is out")
+        await until(lambda: origin.whole[silent] == 1, "the command is sent")
         harness.apply_event(harness.host_record("o-1", [origin.doors["ipv6"].text]))
-        await until(lambda: len(harness.route("o-1").book.state_by_address) == 1, "the list is taken")
-        assert not inbox.got  # what is out stays out over the old address
+        await until(lambda: len(harness.route("o-1").book.state_by_address) == 1, "the list is applied")
+        assert not inbox.got  # the attempt stays on the old connection
         job, status = await harness.serve(UNSAFE)
         assert (status, origin.at[-1]) == (200, ("ipv6", job))
         origin.set("ipv6", Script(Moment.FULL))
         for connection in harness.cache("o-1").connections:
             if connection.is_idle:
                 connection.close()
-        waiting, held, _ = harness.submit(UNSAFE)
-        await until(lambda: bool(harness.route("o-1").task_by_dial), "it dials")
+        waiting, held_inbox, _ = harness.submit(UNSAFE)
+        await until(lambda: bool(harness.route("o-1").task_by_dial), "the front dials")
         section = type(harness.section)(
             **long_backoff_section(
                 machines={"o-1": (parse(origin.doors["ipv4"].text),)}, forbid=(parse_term("ipv6"),)
             )
         )
         harness.module.follow_addresses(section)  # SIGHUP: the one being dialled is forbidden
-        assert await harness.wait_for_status(held) == 200 and origin.at[-1] == ("ipv4", waiting)
+        assert await harness.wait_for_status(held_inbox) == 200 and origin.at[-1] == ("ipv4", waiting)
         assert [str(a) for a in harness.route("o-1").book.state_by_address] == [origin.doors["ipv4"].text]
         await harness.close()
 
@@ -374,7 +376,7 @@
     ],
 )
 def test_how_a_dial_fails_is_told_from_other_ways(tmp_path: Path, address: str, cause: Cause) -> None:
-    """Paths missing and stale, IPv6 without a route; where this machine has one, not up in time."""
+    """Missing and stale paths; IPv6 without a route, or a timeout if this machine has one."""
 
     async def scenario() -> None:
         stale = socket.socket(socket.AF_UNIX)
@@ -383,8 +385,8 @@
         (tmp_path / "file").write_text("no socket")
         with pytest.raises(OSError) as caught:
             await dialing.dial(parse(address.format(tmp_path)), 0.2)
-        may = {cause, Cause.TIMED_OUT} if cause is Cause.UNREACHABLE else {cause}
-        assert dialing.cause_of(caught.value) in may
+        allowed = {cause, Cause.TIMED_OUT} if cause is Cause.UNREACHABLE else {cause}
+        assert dialing.cause_of(caught.value) in allowed
 
     run_on_uvloop(scenario)
 
@@ -392,7 +394,7 @@
 def test_errors_of_the_system_have_their_causes() -> None:
     import errno
 
-    told = {
+    cause_by_errno = {
         errno.EACCES: Cause.FORBIDDEN,
         errno.EMFILE: Cause.LOCAL_RESOURCES,
         errno.ENETUNREACH: Cause.UNREACHABLE,
@@ -400,7 +402,9 @@
         errno.EADDRNOTAVAIL: Cause.LOCAL_RESOURCES,
         errno.ENOTSOCK: Cause.MISSING,
     }
-    assert {number: dialing.cause_of(OSError(number, os.strerror(number))) for number in told} == told
+    assert {
+        number: dialing.cause_of(OSError(number, os.strerror(number))) for number in cause_by_errno
+    } == cause_by_errno
 
 
 def test_a_full_unix_backlog_is_not_taken_for_a_connection(tmp_path: Path) -> None:
@@ -433,7 +437,7 @@
 
 
 def test_a_cold_machine_gets_no_command_more_by_racing_and_falling_back(tmp_path: Path) -> None:
-    """Over a machine with failing addresses go as many whole commands as the module sent attempts."""
+    """A machine with failing addresses receives no more whole commands than the router sent attempts."""
 
     async def scenario() -> None:
         edge = Machine(tmp_path)
@@ -446,15 +450,15 @@
         harness.apply_event(born)
         await until(
             lambda: harness.module.router.placement.table.by_id[harness.cache("s-1").number].started_at > 0,
-            "it is cold",
+            "the machine is cold",
         )
         sent = []
-        perform = harness.module._send
+        plain_send = harness.module._send
         number = harness.cache("s-1").number
 
         def send(action: Any, now: int) -> None:
             sent.append(action.cache == number)
-            perform(action, now)
+            plain_send(action, now)
 
         harness.module._send = send  # type: ignore[method-assign]
         scripts = [Script(Moment.REFUSE), Script(), Script(Moment.ACCEPT, True), Script(Moment.FULL)]
@@ -478,7 +482,10 @@
         job, status = await harness.serve(UNSAFE)
         assert (status, origin.at) == (200, [("ipv4", job)])
         harness.apply_event(harness.host_record("o-1", [origin.doors["ipv4"].text, "nonsense", "[::1]:0"]))
-        await until(lambda: harness.checks.counts["endpoint_address_invalid"] >= 2, "they are told")
+        await until(
+            lambda: harness.checks.counts["endpoint_address_invalid"] >= 2,
+            "the invalid addresses are reported",
+        )
         assert (await harness.serve(UNSAFE))[1] == 200
         assert origin.doors["unix"].accepted == origin.doors["ipv6"].accepted == 0
         await harness.close()
@@ -495,12 +502,12 @@
             for kind in ("unix", "ipv6"):
                 machine.set(kind, Script(Moment.FULL))
         asked = [harness.submit(cls, n) for n in range(60) for cls in (SAFE, UNSAFE)]
-        seen = [0, 0]
+        peaks = [0, 0]
         while not all(inbox.got for _, inbox, _ in asked):
-            ways = [len(way.task_by_dial) for way in harness.dialer.route_by_number.values()]
-            seen = [max(seen[0], *ways), max(seen[1], sum(ways))]
+            dial_counts = [len(route.task_by_dial) for route in harness.dialer.route_by_number.values()]
+            peaks = [max(peaks[0], *dial_counts), max(peaks[1], sum(dial_counts))]
             await asyncio.sleep(0.0005)
-        assert seen[0] <= 4 and seen[1] <= 6 and harness.dialer.limiter.peak <= 6
+        assert peaks[0] <= 4 and peaks[1] <= 6 and harness.dialer.limiter.peak <= 6
         assert {inbox.got[0].status for _, inbox, _ in asked} <= {200, 503}
         assert sum(inbox.got[0].status == 200 for _, inbox, _ in asked) >= 60  # the bids at least
         await harness.close()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, in the ways that Linux documents, and what they must not cost."""
+"""System calls that fail for a moment, with errors that Linux documents, and what must not go wrong then."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from tests.standins import Asked, Behaviour, Client, Front, play, until
 
 ONE = ("s-1", "o-1")
-COMERS = 10
+LATE_CLIENTS = 10
 
 
-def hit(asked: Asked) -> None:
+def serve_hit(asked: Asked) -> None:
     asked.data()
 
 
 @pytest.mark.fleet(5)
 @pytest.mark.parametrize("error", ["ENFILE", "ENOBUFS", "EPROTO", "EINTR"])
 def test_who_waits_as_accept_fails_and_the_listener_ends_is_answered(tmp_path: Path, error: str) -> None:
-    """Ten clients come 0.3 s after SIGTERM; accept fails until 0.9 s, the listener stops at 0.75 s."""
+    """Ten clients connect 0.3 s after SIGTERM; accept fails until 0.9 s, the listener closes at 0.75 s."""
     plan = Plan(rules=(Rule("accept", (error,), begin=0.25, end=0.9, since="term"),))
 
     async def scenario(front: Front) -> None:
@@ -37,30 +37,30 @@
         assert (await first.ended(1)).status == 200
         front.signal(signal.SIGTERM)
         await asyncio.sleep(0.3)
-        comers: list[Client] = []
-        for n in range(COMERS):
-            comers.append(await front.client())
-            comers[-1].ask(10 + n)
-        got = [await comer.ended(10 + n) for n, comer in enumerate(comers)]
-        assert {one.status for one in got} <= {200, 503}
+        late_clients: list[Client] = []
+        for n in range(LATE_CLIENTS):
+            late_clients.append(await front.client())
+            late_clients[-1].ask(10 + n)
+        responses = [await client.ended(10 + n) for n, client in enumerate(late_clients)]
+        assert {response.status for response in responses} <= {200, 503}
         assert await front.code() == 0, front.lines
 
-    play(tmp_path, {"s-1": hit, "p-1": hit, "o-1": hit}, scenario, plan=plan.text())
+    play(tmp_path, {"s-1": serve_hit, "p-1": serve_hit, "o-1": serve_hit}, scenario, plan=plan.text())
 
 
-class Breaking(socket.socket):
-    """Takes no byte while `takes_nothing`; a read ends with `error` where there is one."""
+class FailingSocket(socket.socket):
+    """A socket that takes no byte while `takes_nothing`, and whose reads fail with `error` if that is set."""
 
     takes_nothing, error = False, 0
 
     def send(self, data: object, flags: int = 0) -> int:
-        if Breaking.takes_nothing:
+        if FailingSocket.takes_nothing:
             raise BlockingIOError
         return super().send(data, flags)  # type: ignore[arg-type]
 
     def recv_into(self, *args: object, **more: object) -> int:
-        if Breaking.error:
-            raise OSError(Breaking.error, "as the test says")
+        if FailingSocket.error:
+            raise OSError(FailingSocket.error, "simulated")
         return super().recv_into(*args, **more)  # type: ignore[arg-type]
 
 
@@ -68,24 +68,26 @@
 def test_a_connection_long_up_that_ends_with_an_error_says_nothing_of_connects(
     monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
-    monkeypatch.setattr(socket, "socket", Breaking)
+    monkeypatch.setattr(socket, "socket", FailingSocket)
 
     async def scenario() -> None:
         harness = FrontHarness(ONE)
         wire = await harness.serve_one(BID)
         cache = harness.cache("o-1")
-        at_once = cache.ramp.most
-        assert at_once > cache.ramp.first
-        monkeypatch.setattr(Breaking, "takes_nothing", True)
+        dials_before = cache.ramp.most
+        assert dials_before > cache.ramp.first
+        monkeypatch.setattr(FailingSocket, "takes_nothing", True)
         request = harness.submit(BID)
-        await until(lambda: any(c.outgoing for c in harness.connections()), "it waits for its socket")
-        monkeypatch.setattr(Breaking, "error", number)
-        os.write(wire.sock.fileno(), b"x")  # there is something to read
-        await until(lambda: bool(harness.outcomes(request)), "it ends")
-        monkeypatch.setattr(Breaking, "error", 0)
-        monkeypatch.setattr(Breaking, "takes_nothing", False)
+        await until(
+            lambda: any(c.outgoing for c in harness.connections()), "the command waits for its socket"
+        )
+        monkeypatch.setattr(FailingSocket, "error", number)
+        os.write(wire.sock.fileno(), b"x")  # makes the socket readable
+        await until(lambda: bool(harness.outcomes(request)), "the attempt ends")
+        monkeypatch.setattr(FailingSocket, "error", 0)
+        monkeypatch.setattr(FailingSocket, "takes_nothing", False)
         assert harness.outcomes(request)[0] is AttemptOutcome.NOT_PROCESSED
-        assert cache.ramp.most >= at_once
+        assert cache.ramp.most >= dials_before
         again = await harness.wait_for_command(request)
         again.respond(request.job_id)
         assert await harness.wait_for_status(request) == 200
@@ -105,18 +107,18 @@
     class Failing(socket.socket):
         def __init__(self, *args: object, **more: object) -> None:
             if call == "socket" and "fileno" not in more:
-                self.try_one()
+                self.fail_or_pass()
             super().__init__(*args, **more)  # type: ignore[arg-type]
 
         def connect(self, address: object) -> None:
             if call == "connect":
-                self.try_one()
+                self.fail_or_pass()
             super().connect(address)  # type: ignore[arg-type]
 
-        def try_one(self) -> None:
+        def fail_or_pass(self) -> None:
             tries.append(asyncio.get_running_loop().time())
             if fails:
-                raise OSError(number, "as the test says")
+                raise OSError(number, "simulated")
 
     async def scenario() -> None:
         nonlocal fails
@@ -125,7 +127,7 @@
         request = harness.submit(IMAGE)
         await asyncio.sleep(0.1)
         assert 2 <= len(tries) <= 20, "with pauses"
-        assert not harness.outcomes(request), "no attempt is used up"
+        assert not harness.outcomes(request), "the attempt has not ended"
         fails = False
         wire = await harness.wait_for_command(request)
         wire.respond(request.job_id)
@@ -140,7 +142,7 @@
 def test_what_waited_in_the_backlog_as_accept_failed_is_sent_with_the_time_that_is_left(
     tmp_path: Path,
 ) -> None:
-    """A client connects and asks; accept fails for the front's first two seconds."""
+    """A client connects and sends a request; accept fails for the front's first two seconds."""
     plan = Plan(rules=(Rule("accept", ("ENFILE",), end=2.0),))
 
     async def scenario(front: Front) -> None:
@@ -148,25 +150,24 @@
         client.ask(1, "bid", HTTP_X_ALLOW_MS="4000")
         began = time.monotonic()
         origin = front.caches["o-1"]
-        await until(lambda: bool(origin.asked), "it is sent on")
+        await until(lambda: bool(origin.asked), "the command is sent")
         left_ms = 4000 - (time.monotonic() - began) * 1000
-        assert left_ms < 4000 - 500, "it has waited"
+        assert left_ms < 4000 - 500, "the request has waited"
         assert int(origin.asked[0].fields["wait"]) <= left_ms + 150
         assert (await client.ended(1)).status == 200
 
-    play(tmp_path, {"s-1": hit, "p-1": hit, "o-1": hit}, scenario, plan=plan.text())
+    play(tmp_path, {"s-1": serve_hit, "p-1": serve_hit, "o-1": serve_hit}, scenario, plan=plan.text())
 
 
 @pytest.mark.fleet(9)
 def test_who_waits_in_the_backlog_as_accept_fails_is_answered_half_a_second_past_its_time_at_most(
     tmp_path: Path,
 ) -> None:
-    """A client with 40 ms left connects and asks as accept fails, as in the soak's seed 9448 (0.7 s there).
+    """A client with 40 ms left connects and sends a request while accept fails.
 
-    It fails for five seconds from the start of the process on, in which the front comes up.
-
-    There the front logged 49 failures of accept, 11 ms apart, and answered once accept gave the client to it,
-    0.522 s past its time.
+    Accept fails for five seconds from the start of the process, during which the front starts. Guards against
+    what the soak found with seed 9448: accept failed for 0.7 s (49 failures, 11 ms apart), and the front
+    answered only once accept returned the client, 0.522 s after its deadline.
     """
     plan = Plan(rules=(Rule("accept", ("ENFILE",), end=5.0),))
 
@@ -177,7 +178,7 @@
         await client.ended(1)
         assert time.monotonic() - began <= 0.04 + 0.5
 
-    play(tmp_path, {"s-1": hit, "p-1": hit, "o-1": hit}, scenario, plan=plan.text())
+    play(tmp_path, {"s-1": serve_hit, "p-1": serve_hit, "o-1": serve_hit}, scenario, plan=plan.text())
 
 
 @pytest.mark.fleet(4)
@@ -190,7 +191,7 @@
         client.ask(1)
         assert (await client.ended(1)).status == 200
 
-    play(tmp_path, {"s-1": hit, "p-1": hit, "o-1": hit}, scenario, plan=plan.text())
+    play(tmp_path, {"s-1": serve_hit, "p-1": serve_hit, "o-1": serve_hit}, scenario, plan=plan.text())
 
 
 @pytest.mark.fleet(5)
@@ -199,17 +200,21 @@
 def test_a_client_whose_socket_fails_for_a_moment_keeps_its_connection(
     tmp_path: Path, call: Call, error: str
 ) -> None:
-    """Every other call on it fails so, for short and for large answers."""
+    """Every other call on it fails, for short and for large responses."""
     plan = Plan(rules=(Rule(call, (error,), 0.5),))
-    caches: dict[str, Behaviour] = {"s-1": hit, "p-1": hit, "o-1": lambda asked: asked.data(bytes(240_000))}
+    caches: dict[str, Behaviour] = {
+        "s-1": serve_hit,
+        "p-1": serve_hit,
+        "o-1": lambda asked: asked.data(bytes(240_000)),
+    }
 
     async def scenario(front: Front) -> None:
         client, served = await front.client(), 0
         for n in range(1, 31):
             client.ask(n, "bid" if n % 10 == 0 else "lot-image")
-            got = await client.ended(n)
-            assert got.status in (200, 503), "refused where it has waited long for its read"
-            served += got.status == 200 and len(got.body) in (5, 240_000)
+            response = await client.ended(n)
+            assert response.status in (200, 503), "rejected if it waited long for its read"
+            served += response.status == 200 and len(response.body) in (5, 240_000)
         assert served > 20 and not client.closed
 
     play(tmp_path, caches, scenario, plan=plan.text())
