--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -112,7 +112,7 @@
     return Candidate(address, precedence(address), grade, backoff_until, last_response)
 
 
-def test_order_is_grade_then_what_worked_then_families_in_turn_and_last_what_rests() -> None:
+def test_order_is_grade_then_last_response_then_alternating_families_then_backoff() -> None:
     six = [parse(f"[2001:db8::{n}]:1") for n in range(1, 4)]
     four = [parse(f"192.0.2.{n}:1") for n in range(1, 3)]
     plain = order_candidates([candidate(a) for a in (*four, *six, UNIX)])
@@ -138,7 +138,7 @@
     return book
 
 
-def test_a_failed_address_rests_longer_each_time_and_comes_back_by_itself() -> None:
+def test_a_failed_address_backs_off_longer_each_time_and_is_usable_again_afterwards() -> None:
     book, now, waits = make_book(V4, V6), 1000 * MS, []
     for _ in range(8):
         assert book.on_failure(V4, now, now)
@@ -163,7 +163,7 @@
     assert book.state_by_address[V4].failures == 1
 
 
-def test_what_rests_is_is_revoked_after_a_start_for_no_longer_and_that_one_worked_is_not() -> None:
+def test_backoffs_are_restored_after_a_restart_and_earlier_responses_are_not() -> None:
     book, now = make_book(V4, V6, UNIX), 1000 * MS
     for _ in range(4):
         book.on_failure(
@@ -185,7 +185,7 @@
     assert limited.state_by_address[V4].backoff_until <= 500  # never longer than the operators allow
 
 
-def test_an_address_that_only_accepts_is_not_proved_and_rests_on() -> None:
+def test_an_address_that_only_accepts_stays_in_backoff() -> None:
     book, now = make_book(V4, V6), 1000 * MS
     book.on_failure(V4, now, now)
     now = book.state_by_address[V4].backoff_until
@@ -226,7 +226,7 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 2), st.integers(0, 3000)), max_size=60))
-def test_no_address_is_lost_and_none_rests_for_ever(steps: list[tuple[int, int, int]]) -> None:
+def test_no_address_is_lost_and_none_backs_off_for_ever(steps: list[tuple[int, int, int]]) -> None:
     addresses = (V4, V6, UNIX)
     book, now = make_book(*addresses), 1000 * MS
     for event, index, wait in steps:
@@ -485,7 +485,7 @@
     assert set(world.result_by_race.values()) == {"lost"} and world.races.dial_count <= 12
 
 
-def test_who_comes_up_second_is_hung_up_and_blamed_only_after_a_whole_stagger() -> None:
+def test_the_slower_dial_is_cancelled_and_fails_only_after_a_whole_stagger() -> None:
     world = World(Races(make_book(V4, V6), DialLimiter(64)))
     world.start()
     world.tick()
@@ -502,7 +502,7 @@
     assert not late.races.book.is_backing_off(V6, late.now)
 
 
-def test_no_descriptor_more_no_dial_beside_another() -> None:
+def test_without_a_spare_descriptor_a_race_has_one_dial() -> None:
     limiter = DialLimiter(64, lambda: False)
     world = World(Races(make_book(V4, V6), limiter))
     world.start()
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -215,7 +215,7 @@
     run_on_uvloop(scenario)
 
 
-def test_a_cancel_that_waits_as_the_front_itself_stood_still_closes_nothing() -> None:
+def test_a_cancel_that_waits_during_a_process_pause_closes_nothing() -> None:
     async def scenario() -> None:
         harness = FrontHarness(TWO)
         request, connection, _ = await cancelled_attempt(harness)
--- a/tests/test_crossings_dials.py
+++ b/tests/test_crossings_dials.py
@@ -22,7 +22,7 @@
     return harness, first, wire, HeldDials(patch)
 
 
-def test_what_waits_for_a_dial_goes_over_the_connection_that_is_free_first(
+def test_a_waiting_attempt_goes_over_the_connection_that_is_free_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -45,7 +45,7 @@
     run_on_uvloop(scenario)
 
 
-def test_what_has_gone_over_another_connection_is_not_ended_by_its_dial(
+def test_an_attempt_moved_to_another_connection_is_not_ended_by_its_dial(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -65,7 +65,7 @@
     run_on_uvloop(scenario)
 
 
-def test_what_waits_stays_where_its_id_is_a_ghost_on_the_free_connection(
+def test_a_waiting_attempt_stays_where_its_id_was_used_on_the_free_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -85,7 +85,7 @@
     run_on_uvloop(scenario)
 
 
-def test_what_waits_stays_where_the_address_of_the_free_connection_rests(
+def test_a_waiting_attempt_stays_where_the_address_of_the_free_connection_is_in_backoff(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("event", ["drain", "gone", "source drains", "purge"])
-def test_what_is_told_while_a_dial_is_awaited_stops_the_command(tmp_path: Path, event: str) -> None:
+def test_an_event_that_arrives_during_a_dial_stops_the_command(tmp_path: Path, event: str) -> None:
     """No address accepts until the event has arrived; then all do, and the old command is not sent."""
 
     async def scenario() -> None:
@@ -210,7 +210,7 @@
     run_on_uvloop(scenario)
 
 
-def test_a_recalled_attempt_is_stopped_right_before_its_first_byte(tmp_path: Path) -> None:
+def test_a_revoked_attempt_is_stopped_right_before_its_first_byte(tmp_path: Path) -> None:
     """The connection is established and the command queued when it is revoked: the flag must stop it."""
 
     async def scenario() -> None:
@@ -419,7 +419,7 @@
     run_on_uvloop(scenario)
 
 
-def test_a_silent_address_rests_and_what_is_idle_there_is_not_used(tmp_path: Path) -> None:
+def test_a_silent_address_backs_off_and_idle_connections_to_it_are_not_used(tmp_path: Path) -> None:
     async def scenario() -> None:
         edge = Machine(tmp_path)
         harness = AddressHarness(tmp_path, {"s-1": edge, "o-1": Machine(tmp_path)}, **long_backoff_section())
@@ -515,7 +515,7 @@
     run_on_uvloop(scenario)
 
 
-def test_machine_with_all_addresses_forbidden_is_told_and_fails_at_once(tmp_path: Path) -> None:
+def test_machine_with_all_addresses_forbidden_is_reported_and_fails_at_once(tmp_path: Path) -> None:
     async def scenario() -> None:
         origin = Machine(tmp_path, ("ipv4",))
         harness = AddressHarness(
