--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -332,14 +332,14 @@
         self.is_leaving = True
         super().cancel()
 
-    def sweep(self, now: int, late: bool) -> None:
+    def sweep(self, now: int, after_pause: bool) -> None:
         """Close connections that are idle for too long, retired or stalled.
 
         The idle limit is a second less than the setting, so that this side closes first.
 
         Args:
             now: The time, ns.
-            late: This process was paused since the last sweep: no connection counts as stalled.
+            after_pause: This process was paused since the last sweep: no connection counts as stalled.
         """
         max_idle = max(self.context.config.idle - clock.SECOND, self.context.config.idle // 2)
         used_before = now + 1 if self.is_leaving else now - max_idle
@@ -347,7 +347,7 @@
             is_done = (
                 connection.last_used_at < used_before or connection.is_retired
             ) and connection.is_unused
-            if is_done or (connection.can_stall and not late and connection.is_stalled(now)):
+            if is_done or (connection.can_stall and not after_pause and connection.is_stalled(now)):
                 if (
                     not connection.is_between_responses
                     and now - connection.last_read_at > self.context.config.dial_timeout
--- a/quincepier/net/cache_fleet.py
+++ b/quincepier/net/cache_fleet.py
@@ -64,15 +64,15 @@
         self._actor_by_number[number].is_leaving = True
         self._leaving.add(number)
 
-    def sweep(self, now: int, late: bool) -> None:
+    def sweep(self, now: int, after_pause: bool) -> None:
         """Close idle connections and end the actors of unlisted machines that have nothing open.
 
         Args:
             now: The time, ns.
-            late: This process was paused since the last sweep: no connection counts as stalled.
+            after_pause: This process was paused since the last sweep: no connection counts as stalled.
         """
         for actor in list(self._context.connected_actors):
-            actor.sweep(now, late)
+            actor.sweep(now, after_pause)
         for number in list(self._leaving):
             self._end_if_done(number)
         if self._directory.has_unlisted:
