--- a/quincepier/addresses/order.py
+++ b/quincepier/addresses/order.py
@@ -85,12 +85,12 @@
 def order_candidates(candidates: Sequence[Candidate]) -> list[Candidate]:
     """Return all candidates in the order in which they are to be tried."""
     usable = [c for c in candidates if not c.backoff_until]
-    ordered: list[Candidate] = []
+    result: list[Candidate] = []
     for grade in sorted({c.grade for c in usable}):
         equals = _alternate_families(c for c in usable if c.grade == grade)
         best = max(equals, key=lambda c: c.last_response)
         if best.last_response:
             equals.remove(best)
             equals.insert(0, best)
-        ordered += equals
-    return ordered + sorted((c for c in candidates if c.backoff_until), key=lambda c: c.backoff_until)
+        result += equals
+    return result + sorted((c for c in candidates if c.backoff_until), key=lambda c: c.backoff_until)
