--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -108,7 +108,7 @@
         self, id: str, exchange: OpenAttempt | Probe, command: ServeCommand | bytes, deadline: int
     ) -> None:
         now = clock.now()
-        # What forbids it may have happened while it waited in the mailbox.
+        # It may have been revoked or cancelled while it waited in the mailbox.
         if isinstance(exchange, OpenAttempt) and find_denial(exchange, now) is not None:
             self.complete_without_response(exchange, AttemptOutcome.NOT_PROCESSED, now)
             return
--- a/quincepier/net/cache_connection_context.py
+++ b/quincepier/net/cache_connection_context.py
@@ -23,7 +23,7 @@
 
     Args:
         means: What all actors of the front share.
-        free_buffers: Makes buffers available by dropping clients' data, when the pool is exhausted.
+        free_buffers: Frees buffers of the slowest client, by failing its responses or closing its connection.
 
     Attributes:
         module_mailbox: Mailbox of the router's actor.
