--- a/quincepier/addresses/section.py
+++ b/quincepier/addresses/section.py
@@ -1,4 +1,4 @@
-"""The section `addresses` of the operators' file, and what becomes of it."""
+"""The section `addresses` of the operators' file."""
 
 from __future__ import annotations
 
@@ -7,17 +7,23 @@
 
 import msgspec
 
-from quincepier.addresses.address import ADDRESSES_MOST, Address
-from quincepier.addresses.book import MS, Limits
+from quincepier.addresses.address import MAX_ADDRESSES, Address
+from quincepier.addresses.address_book import MS, Limits
 from quincepier.addresses.grammar import parse
 from quincepier.addresses.preference import Preference, Term, parse_term
 
 Ms = Annotated[float, msgspec.Meta(gt=0, le=60_000)]
-HOSTS_MOST, TERMS_MOST = 20_000, 1_000
+MAX_MACHINES, MAX_TERMS = 20_000, 1_000
 
 
 class Stagger(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Milliseconds between the starts of two dials of one race."""
+    """Milliseconds between the starts of two dials of one race.
+
+    Attributes:
+        first: Until connect times are known.
+        least: Lower limit.
+        most: Upper limit.
+    """
 
     first: Ms = 30
     least: Ms = 10
@@ -29,7 +35,12 @@
 
 
 class Aside(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Milliseconds for which an address that failed rests: at first, and at most."""
+    """Backoff of an address that failed, milliseconds.
+
+    Attributes:
+        first: After the first failure; doubled with each further one.
+        most: Upper limit.
+    """
 
     first: Ms = 200
     most: Ms = 10_000
@@ -40,7 +51,12 @@
 
 
 class Dials(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Connections coming up at once: to one machine, and of the front."""
+    """Limits on dials in progress at once.
+
+    Attributes:
+        machine: To one machine.
+        front: Of the whole front.
+    """
 
     machine: Annotated[int, msgspec.Meta(ge=1, le=1_000)] = 8
     front: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 64
@@ -51,14 +67,24 @@
 
 
 class AddressesSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Several addresses a machine. `machines` adds to what the change log tells, by host id."""
+    """Settings for machines with several addresses.
+
+    Attributes:
+        machines: Addresses by host id, in addition to those in the change log.
+        prefer: Families and networks that are tried first, in this order.
+        forbid: Families and networks that are never dialled.
+        stagger_ms: Time between two dials of one race.
+        aside_ms: Backoff of addresses that failed.
+        dials: Limits on dials in progress.
+        MADE: How values of types other than those of msgspec are parsed.
+    """
 
     machines: Annotated[
-        dict[str, Annotated[tuple[Address, ...], msgspec.Meta(max_length=ADDRESSES_MOST)]],
-        msgspec.Meta(max_length=HOSTS_MOST),
+        dict[str, Annotated[tuple[Address, ...], msgspec.Meta(max_length=MAX_ADDRESSES)]],
+        msgspec.Meta(max_length=MAX_MACHINES),
     ] = {}
-    prefer: Annotated[tuple[Term, ...], msgspec.Meta(max_length=TERMS_MOST)] = ()
-    forbid: Annotated[tuple[Term, ...], msgspec.Meta(max_length=TERMS_MOST)] = ()
+    prefer: Annotated[tuple[Term, ...], msgspec.Meta(max_length=MAX_TERMS)] = ()
+    forbid: Annotated[tuple[Term, ...], msgspec.Meta(max_length=MAX_TERMS)] = ()
     stagger_ms: Stagger = Stagger()
     aside_ms: Aside = Aside()
     dials: Dials = Dials()
@@ -67,16 +93,18 @@
 
     @property
     def limits(self) -> Limits:
+        """The limits in nanoseconds."""
         return Limits(
-            stagger_first=int(self.stagger_ms.first * MS),
-            stagger_least=int(self.stagger_ms.least * MS),
-            stagger_most=int(self.stagger_ms.most * MS),
-            aside_first=int(self.aside_ms.first * MS),
-            aside_most=int(self.aside_ms.most * MS),
-            dials_each=self.dials.machine,
-            dials_all=self.dials.front,
+            initial_stagger=int(self.stagger_ms.first * MS),
+            min_stagger=int(self.stagger_ms.least * MS),
+            max_stagger=int(self.stagger_ms.most * MS),
+            initial_backoff=int(self.aside_ms.first * MS),
+            max_backoff=int(self.aside_ms.most * MS),
+            max_dials_per_machine=self.dials.machine,
+            max_dials=self.dials.front,
         )
 
     @property
     def preference(self) -> Preference:
+        """Which addresses are preferred and which are forbidden."""
         return Preference(self.prefer, self.forbid)
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -22,7 +22,7 @@
 from quincepier.net.clients import ConnectionManager
 from quincepier.net.listener import Listener
 from quincepier.net.module import ModuleActor
-from quincepier.net.sockets import Descriptors, listen_once_possible
+from quincepier.net.sockets import Descriptors, listen_with_retries
 from quincepier.net.watch import ChangeLogWatcher
 
 if TYPE_CHECKING:  # imported at run time only if an operator's file is named
@@ -74,7 +74,7 @@
         )
         budget = divide_memory(config.memory_mb, resident_bytes(), config.max_open)
         self.descriptors = Descriptors(config.sockets)
-        reserve = self.descriptors.clients_most + self.descriptors.caches_most
+        reserve = self.descriptors.max_clients + self.descriptors.max_caches
         self.pool = BufferPool(budget.max_buffers, min(reserve, budget.max_buffers // 2))
         self.module = ModuleActor(
             config, self.checks, self.pool, self.descriptors, self._free_buffers, budget
@@ -107,7 +107,7 @@
             PeersError: The address for other fronts is not available.
         """
         loop = asyncio.get_running_loop()
-        sock = await listen_once_possible(self.config.listen, self.checks)
+        sock = await listen_with_retries(self.config.listen, self.checks)
         listener = Listener(self.connection_manager, sock)
         signals.set_listener(lambda: loop.call_soon_threadsafe(self._on_signal))
         self.module.start_with_known_events()
--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -99,7 +99,7 @@
             from quincepier.net.dialer import Dialer
 
             module.dependencies.parse_address = self.parse_address
-            module.shared.dialer = Dialer(module.dependencies, section, module.shared.descriptor)
+            module.context.dialer = Dialer(module.dependencies, section, module.context.ensure_descriptor)
 
     def create_state_persistence(self, module: ModuleActor) -> StatePersistence | None:
         """Return the persistence of learned state; None without the section `state`."""
--- a/quincepier/net/cache_fleet.py
+++ b/quincepier/net/cache_fleet.py
@@ -1,6 +1,6 @@
-"""The actors of all listed machines: made, moved and let go as the endpoint list says.
+"""Creates, updates and removes the actors of machines, following the endpoint list.
 
-Thousands may be listed while a front uses a few: what is done again and again is done for those in use.
+Thousands of machines may be listed while a front uses few: periodic work is done only for those in use.
 """
 
 from __future__ import annotations
@@ -9,76 +9,81 @@
 
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.net.cache import CacheActor
-from quincepier.net.shared import Shared
+from quincepier.net.cache_connection_context import CacheConnectionContext
 from quincepier.wire.changelog import HostRecord
 
 
 class CacheFleet:
-    """An actor for every machine on the list; those of machines off it end when nothing is open.
+    """One actor for each listed machine; the actor of an unlisted machine ends once nothing is open there.
 
     Args:
-        shared: What all the actors use; their table is kept there.
+        context: What all the actors share; the table of actors is kept there.
         directory: The listed machines.
-        askers: How many fronts may ask a machine of that site.
+        front_count: Returns how many fronts send requests to a machine, by the machine's site.
     """
 
-    def __init__(self, shared: Shared, directory: MachineDirectory, askers: Callable[[str], int]) -> None:
-        self._shared, self._directory, self._askers = shared, directory, askers
-        self._actors = shared.actors
-        self._leaving: set[int] = set()  # off the list, kept until nothing is open there
+    def __init__(
+        self,
+        context: CacheConnectionContext,
+        directory: MachineDirectory,
+        front_count: Callable[[str], int],
+    ) -> None:
+        self._context, self._directory, self._front_count = context, directory, front_count
+        self._actor_by_number = context.actor_by_number
+        self._leaving: set[int] = set()  # machines off the list that still have open connections or attempts
 
-    def follow_all(self, anew: bool = False) -> None:
-        """Follow the whole list; `anew`: the operators tell other addresses or limits."""
+    def update_all(self, force: bool = False) -> None:
+        """Apply the whole list; `force`: also unchanged addresses, as the operators' file has changed."""
         listed = dict(self._directory.listed_hosts())
         for number, record in listed.items():
-            self._follow(number, record, anew)
-        for number in self._actors.keys() - listed.keys():
-            self._let_leave(number)
+            self._update_actor(number, record, force)
+        for number in self._actor_by_number.keys() - listed.keys():
+            self._mark_leaving(number)
 
-    def follow_changes(self, numbers: Iterable[int]) -> None:
-        """Follow the list for the machines that a change of it names."""
+    def update_changed(self, numbers: Iterable[int]) -> None:
+        """Apply the list to the machines that a change of it names."""
         for number in numbers:
             entry = self._directory.find_entry(number)
             if entry is not None:
-                self._follow(number, entry.record)
-            elif number in self._actors:
-                self._let_leave(number)
+                self._update_actor(number, entry.record)
+            elif number in self._actor_by_number:
+                self._mark_leaving(number)
 
-    def _follow(self, number: int, record: HostRecord, anew: bool = False) -> None:
-        actor = self._actors.get(number)
+    def _update_actor(self, number: int, record: HostRecord, force: bool = False) -> None:
+        actor = self._actor_by_number.get(number)
         if actor is None:
-            askers = self._askers(record.site)
-            actor = CacheActor(self._shared, number, record.host, record.address, askers)
-            self._actors[number] = actor
+            front_count = self._front_count(record.site)
+            actor = CacheActor(self._context, number, record.host, record.address, front_count)
+            self._actor_by_number[number] = actor
             actor.start()
-        actor.move(record.address, record.dials, anew)
-        actor.leaving = False  # at once: a message could be read after it is listed again
+        actor.set_addresses(record.address, record.dials, force)
+        actor.is_leaving = False  # set directly: a message might be handled only after it is listed again
         self._leaving.discard(number)
 
-    def _let_leave(self, number: int) -> None:
-        self._actors[number].leaving = True
+    def _mark_leaving(self, number: int) -> None:
+        self._actor_by_number[number].is_leaving = True
         self._leaving.add(number)
 
-    def sweep(self, now: int, late: bool) -> None:
-        """Close idle connections and let go of machines that have left.
+    def sweep(self, now: int, after_pause: bool) -> None:
+        """Close idle connections and end the actors of unlisted machines that have nothing open.
 
         Args:
             now: The time, ns.
-            late: The front itself stood still since the last sweep: no connection counts as stalled.
+            after_pause: This process was paused since the last sweep: no connection counts as stalled.
         """
-        for actor in list(self._shared.connected):
-            actor.sweep(now, late)
+        for actor in list(self._context.connected_actors):
+            actor.sweep(now, after_pause)
         for number in list(self._leaving):
             self._end_if_done(number)
         if self._directory.has_unlisted:
-            self._directory.forget_unlisted(self._actors.keys())
+            self._directory.forget_unlisted(self._actor_by_number.keys())
 
     def _end_if_done(self, number: int) -> None:
-        actor = self._actors[number]
-        if actor.out or actor.connections or len(actor.mailbox):
+        actor = self._actor_by_number[number]
+        if actor.in_flight or actor.connections or len(actor.mailbox):
             return
         actor.cancel()
-        del self._actors[number]
+        del self._actor_by_number[number]
         self._leaving.discard(number)
-        if self._shared.dialer is not None:
-            self._shared.dialer.forget(number)
+        if self._context.dialer is not None:
+            self._context.dialer.remove_route(number)
--- a/quincepier/net/connect_failures.py
+++ b/quincepier/net/connect_failures.py
@@ -1,4 +1,4 @@
-"""Why a connection to a cache did not come up: what is counted, and whether the machine is away."""
+"""Classifies failed connects to caches: which counter they add to, and whether the machine is absent."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from quincepier.net.sockets import LOCAL_ERRORS, UNREACHABLE_ERRORS, ConnectFailedError
 
 
-def note_connect_failure(error: OSError, checks: Checks, host: str) -> bool:
-    """Count a failed connect; return whether it says that the machine is not there.
+def count_connect_failure(error: OSError, checks: Checks, host: str) -> bool:
+    """Count a failed connect; return whether it shows that the machine is not there.
 
     Args:
         error: Why the connect failed.
@@ -17,7 +17,7 @@
     match error:
         case ConnectFailedError():
             checks.count("cache_connections_failed_all_addresses")
-            return error.absent
+            return error.is_absent
         case TimeoutError():
             checks.count("cache_connect_timeouts")
             return True
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -25,6 +25,7 @@
 from quincepier.net.actor import Actor
 from quincepier.net.actor_dependencies import ActorDependencies
 from quincepier.net.cache import CacheActor
+from quincepier.net.cache_connection_context import CacheConnectionContext
 from quincepier.net.cache_fleet import CacheFleet
 from quincepier.net.event_dates import EventDates
 from quincepier.net.first_byte_checks import check_first_byte
@@ -41,7 +42,6 @@
     SendCommand,
     ToModule,
 )
-from quincepier.net.shared import Shared
 from quincepier.net.sockets import Descriptors
 from quincepier.policy import Router
 from quincepier.recovery import fronts_that_ask
@@ -100,12 +100,12 @@
         super().__init__(checks, MAX_MAILBOX_MESSAGES)
         self.config = config
         self.dependencies = ActorDependencies(config, checks, pool, descriptors, self.mailbox, budget)
-        self.shared = Shared(self.dependencies, free_buffers)
+        self.context = CacheConnectionContext(self.dependencies, free_buffers)
         self.dates = EventDates(config)
         self.directory = MachineDirectory(config.zones, config.kinds, self.dates.start_time_of)
-        self.fleet = CacheFleet(self.shared, self.directory, self._count_requesting_fronts)
+        self.fleet = CacheFleet(self.context, self.directory, self._count_requesting_fronts)
         self.requests = OpenRequestTable(budget.max_open_requests)
-        self.caches: dict[int, CacheActor] = self.shared.actors
+        self.caches: dict[int, CacheActor] = self.context.actor_by_number
         self.timers: Wheel[tuple[int, int]] = Wheel(clock.now(), clock.MS)
         self.wakeup_timer: asyncio.TimerHandle | None = None
         self.wakeup_at_ns = 0
@@ -274,9 +274,9 @@
             self.has_endpoint_list = self.has_endpoint_list or event.whole
             self._on_endpoint_update(update)
             if event.whole:
-                self.fleet.follow_all()
+                self.fleet.update_all()
             else:
-                self.fleet.follow_changes(machine.cache for machine in update.machines)
+                self.fleet.update_changed(machine.cache for machine in update.machines)
         elif isinstance(event, BadRecord):
             self.checks.event("change_log_record_invalid", event.why)
 
@@ -321,9 +321,9 @@
 
     def apply_address_settings(self, section: AddressesSection) -> None:
         """Apply a changed section `addresses`; it takes effect from the next connect."""
-        if self.shared.dialer is not None:
-            self.shared.dialer.configure(section)
-            self.fleet.follow_all(anew=True)
+        if self.context.dialer is not None:
+            self.context.dialer.configure(section)
+            self.fleet.update_all(force=True)
 
     def _count_requesting_fronts(self, site: str) -> int:
         """Return how many fronts send requests to the machines of a zone, given by its name."""
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -112,14 +112,14 @@
         )
 
     def _restore_address_backoffs(self, state: LearnedState, age_ns: int) -> None:
-        dialer = self.module.shared.dialer
+        dialer = self.module.context.dialer
         if dialer is None:
             return
         backoffs = [
             (record.host, record.address, record.failure_count, record.remaining_ns - age_ns)
             for record in state.address_backoffs
         ]
-        self.checks.count("state_addresses_restored", dialer.recall(backoffs))
+        self.checks.count("state_addresses_restored", dialer.restore_backoffs(backoffs))
 
     def _name_mapping(self) -> NameMapping:
         directory = self.module.directory
@@ -171,8 +171,8 @@
             builder.add(fact)
             if count % FACTS_PER_SLICE == 0:
                 await asyncio.sleep(0)
-        if self.module.shared.dialer is not None:
-            for host, address, failure_count, remaining_ns in self.module.shared.dialer.aside():
+        if self.module.context.dialer is not None:
+            for host, address, failure_count, remaining_ns in self.module.context.dialer.list_backoffs():
                 builder.add_address_backoff(AddressBackoffRecord(host, address, failure_count, remaining_ns))
         return builder
 
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -242,7 +242,7 @@
         sock, self.idle_socket = self.idle_socket, None
         if sock is not None:
             sock.close()
-            self.descriptors.cache(-1)
+            self.descriptors.add_caches(-1)
 
     def _deliver_events(self, last: int, events: tuple[ChangeEvent, ...]) -> None:
         """Pass new events on, each once and in order; ProtocolError at a gap or invalid record, a few times.
--- a/quincepier/net/watch_poll.py
+++ b/quincepier/net/watch_poll.py
@@ -109,7 +109,7 @@
         host, port = self.dependencies.config.changelog
         if self.sock is None:
             self.sock = await connect((host, port), MAX_POLL_DURATION_S, self.dependencies.checks)
-            self.dependencies.descriptors.cache(1)
+            self.dependencies.descriptors.add_caches(1)
         self.requested_at_s = loop.time()
         http_request = f"GET {self.make_target()} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
         async with asyncio.timeout_at(deadline_s):
@@ -160,4 +160,4 @@
         self.task.cancel()
         if (sock := self.take_connection()) is not None:
             sock.close()
-            self.dependencies.descriptors.cache(-1)
+            self.dependencies.descriptors.add_caches(-1)
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -1,4 +1,8 @@
-"""A front's module, caches and dialer in this process, before scripted machines. On uvloop, as in service."""
+"""Harness for tests of machines with several addresses.
+
+The router's actor, the caches' actors and the dialer run in this process, on uvloop as in production, against
+scripted stand-in machines.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.cache import CacheActor
-from quincepier.net.dialer import Dialer, Way
+from quincepier.net.dialer import Dialer, Route
 from quincepier.net.messages import ChangeLogEvent, ClientDisconnected, RequestArrived
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors
@@ -32,38 +36,41 @@
 
 BUDGET = MemoryBudget(max_buffers=4000, max_body_bytes=1 << 24, max_open_requests=8192)
 KINDS = {"s": "std", "p": "parent", "o": "origin"}
-SAFE, KEYED, UNSAFE = 1, 0, 2  # the classes, by their number
+SAFE, KEYED, UNSAFE = 1, 0, 2  # request classes, by index
 
 
 class Machine(scripted.Machine):
-    """Its doors are shut and opened again, so their ports are its own."""
+    """A scripted stand-in whose ports are reserved for it, since its listeners are closed and reopened."""
 
     def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
-        left = EACH
+        tries_left = EACH
         if text or kind == "unix":
             return super()._listen(kind, text, backlog)
-        while True:  # all of them are ours, yet one may still be held by a test that failed
+        while True:  # a reserved port may still be in use by a test that failed
             try:
                 return super()._listen(kind, f"{kind}:{own_port()}", backlog)
             except OSError as error:
-                if error.errno != errno.EADDRINUSE or not (left := left - 1):
+                if error.errno != errno.EADDRINUSE or not (tries_left := tries_left - 1):
                     raise
 
 
-class Inside:
-    """Machines by host id; requests go in by `ask`, answers are in the inbox that it gives back."""
+class AddressHarness:
+    """A front's actors with stand-in machines by host id.
+
+    `submit` sends a request; its response is in the inbox that it returns.
+    """
 
     def __init__(self, folder: Path, machines: dict[str, Machine], **section: Any) -> None:
-        self.folder, self.machines, self.asked, self.seq = folder, machines, 0, 1
+        self.folder, self.machines, self.request_count, self.seq = folder, machines, 0, 1
         self.section = AddressesSection(**section)
         self.module: ModuleActor = None  # type: ignore[assignment]
 
-    def record(self, name: str, addresses: list[str], **changes: Any) -> dict[str, Any]:
+    def host_record(self, name: str, addresses: list[str], **changes: Any) -> dict[str, Any]:
         first, *more = addresses
         return host(name, first, KINDS[name[0]], dials=more, **changes)
 
     def config(self, order: tuple[str, ...] | None) -> FrontConfig:
-        hosts = [self.record(name, machine.addresses(order)) for name, machine in self.machines.items()]
+        hosts = [self.host_record(name, machine.addresses(order)) for name, machine in self.machines.items()]
         raw = raw_config(
             known={"seq": 1, "results": [{"seq": 1, "fleet": {"seq": 0, "whole": True, "hosts": hosts}}]}
         )
@@ -78,8 +85,8 @@
         descriptors = Descriptors(sockets)
         self.module = ModuleActor(self.config(order), checks, pool, descriptors, lambda: None, BUDGET)
         self.module.dependencies.parse_address = parse
-        self.module.shared.dialer = Dialer(
-            self.module.dependencies, self.section, self.module.shared.descriptor
+        self.module.context.dialer = Dialer(
+            self.module.dependencies, self.section, self.module.context.ensure_descriptor
         )
         self.module.start_with_known_events()
 
@@ -89,41 +96,41 @@
 
     @property
     def dialer(self) -> Dialer:
-        assert self.module.shared.dialer is not None
-        return self.module.shared.dialer
+        assert self.module.context.dialer is not None
+        return self.module.context.dialer
 
     def cache(self, name: str) -> CacheActor:
         return self.module.caches[self.module.directory.assign_number(name)]
 
-    def way(self, name: str) -> Way:
-        way = self.cache(name).way
-        assert way is not None
-        return way
+    def route(self, name: str) -> Route:
+        route = self.cache(name).route
+        assert route is not None
+        return route
 
-    def ask(self, cls: int, part: int = 0) -> tuple[str, Inbox, OpenRequest]:
+    def submit(self, cls: int, part: int = 0) -> tuple[str, Inbox, OpenRequest]:
         inbox = Inbox()
-        self.asked += 1
-        job = f"{self.asked:016x}"
+        self.request_count += 1
+        job = f"{self.request_count:016x}"
         request = open_request(inbox, cls, job, part=part, received_at_ns=clock.now())
         self.module.mailbox.push(RequestArrived(request))
         return job, inbox, request
 
-    async def answered(self, inbox: Inbox) -> int:
-        await until(lambda: bool(inbox.got), "a final answer comes")
+    async def wait_for_status(self, inbox: Inbox) -> int:
+        await until(lambda: bool(inbox.got), "the request is answered")
         status: int = inbox.got[0].status
         if inbox.got[0].body is not None:
             inbox.got[0].body.release()
         return status
 
     async def serve(self, cls: int, part: int = 0) -> tuple[str, int]:
-        job, inbox, _ = self.ask(cls, part)
-        return job, await self.answered(inbox)
+        job, inbox, _ = self.submit(cls, part)
+        return job, await self.wait_for_status(inbox)
 
-    def leave(self, request: Any) -> None:
+    def disconnect_client(self, request: Any) -> None:
         self.module.mailbox.push(ClientDisconnected(request))
 
-    def tell(self, *hosts: dict[str, Any], **event: Any) -> None:
-        """News of the change log."""
+    def apply_event(self, *hosts: dict[str, Any], **event: Any) -> None:
+        """Deliver an event of the change log."""
         self.seq += 1
         body = event or {"fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
         changes = {"seq": self.seq, "results": [{"seq": self.seq} | body]}
@@ -131,9 +138,9 @@
         assert not isinstance(record, BadRecord), record
         self.module.mailbox.push_urgent(ChangeLogEvent(record))
 
-    async def quiet(self) -> None:
-        """Nothing is out and nobody waits for an answer."""
-        await until(lambda: not self.module.requests.request_by_number, "nothing is open")
+    async def wait_until_idle(self) -> None:
+        """Wait until no request is open."""
+        await until(lambda: not self.module.requests.request_by_number, "no request is open")
 
     async def close(self) -> None:
         self.module.cancel()
@@ -144,13 +151,13 @@
             await machine.close()
 
 
-def quick(**changes: Any) -> dict[str, Any]:
-    """A section with waits long enough that nothing comes back in the middle of a test by itself."""
-    aside = Aside(first=5000, most=10_000)
-    return {"stagger_ms": Stagger(), "aside_ms": aside, "dials": Dials()} | changes
+def long_backoff_section(**changes: Any) -> dict[str, Any]:
+    """Return settings with backoffs that outlast a test."""
+    backoff = Aside(first=5000, most=10_000)
+    return {"stagger_ms": Stagger(), "aside_ms": backoff, "dials": Dials()} | changes
 
 
-def play(scenario: Callable[[], Awaitable[None]]) -> None:
+def run_on_uvloop(scenario: Callable[[], Awaitable[None]]) -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
 
         async def run() -> None:
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -1,4 +1,4 @@
-"""The module's actor and its caches' actors over real sockets, with machines that move as a test says."""
+"""Harness for tests of attempts: a front's actors against stand-in machines over real sockets."""
 
 from __future__ import annotations
 
@@ -29,15 +29,14 @@
 from tests.frontkit import SETTINGS, Inbox, host, make_config, open_request
 from tests.standins import until
 
-VIDEO, IMAGE, BID = range(
-    3
-)  # the classes of the configuration; a bid may not be repeated, its place the origin
+# Request classes of the configuration; a bid must not be retried and goes to the origin.
+VIDEO, IMAGE, BID = range(3)
 KINDS = {"p": "parent", "o": "origin"}
 LARGE = b"b" * 48_000
 
 
-def on_loop(scenario: Callable[[], Awaitable[None]]) -> None:
-    """On the loop of the service."""
+def run_on_uvloop(scenario: Callable[[], Awaitable[None]]) -> None:
+    """Run a scenario on uvloop, as in production."""
 
     async def run() -> None:
         await scenario()
@@ -47,45 +46,45 @@
 
 
 class Wire:
-    """One connection as a machine holds it: read as the test looks, unless it is held."""
+    """A stand-in's end of one connection, read only by `poll`, and not while reading is paused."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.text, self.held, self.ended = sock, b"", False, False
+        self.sock, self.received, self.is_reading_paused, self.is_closed = sock, b"", False, False
         sock.setblocking(False)
 
-    def look(self) -> None:
-        while not (self.held or self.ended):
+    def poll(self) -> None:
+        while not (self.is_reading_paused or self.is_closed):
             try:
                 data = self.sock.recv(65536)
             except BlockingIOError:
                 return
             except OSError:
                 data = b""
-            self.text += data
-            self.ended = not data
+            self.received += data
+            self.is_closed = not data
 
-    def say(self, text: bytes) -> None:
+    def send(self, text: bytes) -> None:
         assert self.sock.send(text) == len(text)
 
-    def answer(self, job: str, body: bytes = b"bytes", word: str = "data") -> None:
-        self.say(answer(job, body, word))
+    def respond(self, job: str, body: bytes = b"bytes", word: str = "data") -> None:
+        self.send(encode_response(job, body, word))
 
     def reset(self) -> None:
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
 
     def close(self) -> None:
-        self.ended = True
+        self.is_closed = True
         self.sock.close()
 
 
-def answer(job: str, body: bytes = b"bytes", word: str = "data") -> bytes:
+def encode_response(job: str, body: bytes = b"bytes", word: str = "data") -> bytes:
     fields = "tag=4be0c1927d55a6f3,minted=1764576000123,how=local" if word == "data" else "-"
     return f"{job} {word} {fields} {len(body)}\r\n".encode() + body + b"\r\n"
 
 
 class Machine:
-    """A listener whose connections are taken as the test looks; `slim`: their receive buffers are small."""
+    """A stand-in machine that accepts connections in `poll`; `slim`: their receive buffers are small."""
 
     def __init__(self, slim: bool = False) -> None:
         self.sock = socket.socket()
@@ -95,25 +94,25 @@
         self.sock.listen(64)
         self.sock.setblocking(False)
         self.wires: list[Wire] = []
-        self.held = False  # so are connections that come from now on
+        self.is_reading_paused = False  # for connections accepted from now on
 
     @property
     def address(self) -> str:
         return "{}:{}".format(*self.sock.getsockname())
 
-    def look(self) -> None:
+    def poll(self) -> None:
         while True:
             try:
                 self.wires.append(Wire(self.sock.accept()[0]))
-                self.wires[-1].held = self.held
+                self.wires[-1].is_reading_paused = self.is_reading_paused
             except BlockingIOError:
                 break
         for wire in self.wires:
-            wire.look()
+            wire.poll()
 
 
-class Inside:
-    """The actors, as a front has them, between clients that are an inbox each and these machines."""
+class FrontHarness:
+    """A front's actors with stand-in machines; each client is an inbox."""
 
     def __init__(
         self,
@@ -123,9 +122,14 @@
         purged_ms: tuple[int, ...] = (),
         born_ms: int = 0,
     ) -> None:
-        """`purged_ms`: Unix milliseconds of purges of group 17 that the log tells at the start.
-
-        `born_ms`: when it says that the last of the machines started.
+        """Start the actors.
+
+        Args:
+            names: Host ids of the machines.
+            classes: Changes to the settings of classes.
+            limits: Changes to the limits.
+            purged_ms: Times of purges of group 17 in the change log at the start, Unix ms.
+            born_ms: Start time of the last machine in the list, Unix ms.
         """
         self.machines = {name: Machine(slim=name == "o-1") for name in names}
         settings: dict[str, Any] = copy.deepcopy(SETTINGS)
@@ -139,17 +143,17 @@
             results.append({"seq": seq, "invalidate": {"bucket": 17, "time": at}})
         known = {"seq": len(results), "results": results}
         self.config: FrontConfig = make_config(settings=settings, known=known)
-        self.checks, self.pool, self.seq, self.asked = Checks(), BufferPool(100), len(results), 0
+        self.checks, self.pool, self.seq, self.request_count = Checks(), BufferPool(100), len(results), 0
         budget = MemoryBudget(max_buffers=100, max_body_bytes=1 << 20, max_open_requests=4096)
         self.descriptors = sockets.Descriptors(1024)
         self.module = ModuleActor(self.config, self.checks, self.pool, self.descriptors, lambda: None, budget)
         self.events: list[io.Event] = []
-        self.told: dict[str, list[Wire]] = {}  # over which connections a request went, as the test was told
-        plain = self.module.router.handle
+        self.wires_by_job: dict[str, list[Wire]] = {}
+        handle_plainly = self.module.router.handle
 
         def handle(now: int, event: io.Event) -> list[io.Action]:
             self.events.append(event)
-            return plain(now, event)
+            return handle_plainly(now, event)
 
         self.module.router.handle = handle  # type: ignore[method-assign]
         self.module.start_with_known_events()
@@ -157,85 +161,85 @@
     def host(self, name: str, **changes: Any) -> dict[str, Any]:
         return host(name, self.machines[name].address, KINDS.get(name[0], "std"), **changes)
 
-    def listed(self, *hosts: dict[str, Any]) -> None:
-        """News of the list, taken in this turn."""
+    def apply_hosts(self, *hosts: dict[str, Any]) -> None:
+        """Apply a change of the endpoint list at once."""
         self.seq += 1
         record = {"seq": self.seq, "fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
         (event,) = read_changes({"seq": self.seq, "results": [record]})[1]
         self.module._on_change_log_event(event, io.UpdateScope.CHANGES)
 
-    def ask(self, cls: int = IMAGE, **changes: Any) -> OpenRequest:
-        """Into the module's mailbox; its owner keeps what it is answered."""
-        self.asked += 1
-        job, now = f"{self.asked:016x}", clock.now()
+    def submit(self, cls: int = IMAGE, **changes: Any) -> OpenRequest:
+        """Queue a request for the router's actor; its receiver is an inbox that keeps the responses."""
+        self.request_count += 1
+        job, now = f"{self.request_count:016x}", clock.now()
         values: dict[str, Any] = {"received_at_ns": now, "allowed_ns": 30 * clock.SECOND} | changes
         request = open_request(Inbox(), cls, job, **values)
         assert self.module.mailbox.try_push_new_work(RequestArrived(request))
         return request
 
-    def taken(self, name: str) -> None:
-        """The module and this machine's actor get to what came last, in this turn."""
-        came = self.module.mailbox.take()
-        assert came is not None
-        self.module.handle_safely(came)
-        sent = self.cache(name).mailbox.take()
-        assert sent is not None
-        self.cache(name).handle_safely(sent)
-
-    def left(self, request: OpenRequest) -> None:
-        """As its client's connection does, the mark first and the message when the module gets to it."""
+    def handle_next(self, name: str) -> None:
+        """Let the router's actor and this machine's actor handle their next message at once."""
+        message = self.module.mailbox.take()
+        assert message is not None
+        self.module.handle_safely(message)
+        command = self.cache(name).mailbox.take()
+        assert command is not None
+        self.cache(name).handle_safely(command)
+
+    def disconnect_client(self, request: OpenRequest) -> None:
+        """Cancel a request as its client's connection does: mark it, then queue the message."""
         request.cancel(clock.now())
         self.module.mailbox.push(ClientDisconnected(request))
 
-    def look(self) -> None:
+    def poll(self) -> None:
         for machine in self.machines.values():
-            machine.look()
+            machine.poll()
 
-    def read(self, wire: Wire) -> bytes:
-        """What has come over it up to now."""
-        self.look()
-        return wire.text
+    def received(self, wire: Wire) -> bytes:
+        """Return the bytes received up to now."""
+        self.poll()
+        return wire.received
 
-    def serves(self, request: OpenRequest) -> list[Wire]:
-        """The connections over which it came, one for each `serve` line with its id."""
-        self.look()
+    def serve_wires(self, request: OpenRequest) -> list[Wire]:
+        """Return the connections over which the request arrived, one for each `serve` line with its id."""
+        self.poll()
         line = f"serve {request.job_id} ".encode()
         wires = [wire for machine in self.machines.values() for wire in machine.wires]
-        return [wire for wire in wires for _ in range(wire.text.count(line))]
+        return [wire for wire in wires for _ in range(wire.received.count(line))]
 
-    def cancels(self, request: OpenRequest) -> int:
-        self.look()
+    def count_cancels(self, request: OpenRequest) -> int:
+        self.poll()
         line = f"cancel {request.job_id}\r\n".encode()
-        return sum(wire.text.count(line) for machine in self.machines.values() for wire in machine.wires)
-
-    async def out(self, request: OpenRequest, times: int = 1) -> Wire:
-        """The connection over which it came now, once it has come so often; each time over another."""
-        await until(lambda: len(self.serves(request)) >= times, "it goes out")
-        found = self.serves(request)
-        assert len(found) == times, "it went out too often"
-        known = self.told.setdefault(request.job_id, [])
+        return sum(wire.received.count(line) for machine in self.machines.values() for wire in machine.wires)
+
+    async def wait_for_command(self, request: OpenRequest, times: int = 1) -> Wire:
+        """Wait until the request has arrived `times` times; return the connection of the last one."""
+        await until(lambda: len(self.serve_wires(request)) >= times, "the command arrives")
+        found = self.serve_wires(request)
+        assert len(found) == times, "the command arrived too often"
+        known = self.wires_by_job.setdefault(request.job_id, [])
         (new,) = [wire for wire in found if not any(wire is each for each in known)]
         known.append(new)
         return new
 
-    async def status(self, request: OpenRequest) -> int:
+    async def wait_for_status(self, request: OpenRequest) -> int:
         got: list[Any] = request.receiver.got  # type: ignore[attr-defined]
-        await until(lambda: bool(got), "it is answered")
+        await until(lambda: bool(got), "the request is answered")
         assert len(got) == 1, "one final answer"
         if got[0].body is not None:
             got[0].body.release()
             got[0].body = None
         return int(got[0].status)
 
-    async def served(self, cls: int = IMAGE) -> Wire:
-        """One more request, answered as it should: whatever was to go out before it has by then."""
-        request = self.ask(cls)
-        wire = await self.out(request)
-        wire.answer(request.job_id)
-        assert await self.status(request) == 200
+    async def serve_one(self, cls: int = IMAGE) -> Wire:
+        """Serve one more request: whatever was to be sent before it has been sent by then."""
+        request = self.submit(cls)
+        wire = await self.wait_for_command(request)
+        wire.respond(request.job_id)
+        assert await self.wait_for_status(request) == 200
         return wire
 
-    def endings(self, request: OpenRequest) -> list[io.AttemptOutcome]:
+    def outcomes(self, request: OpenRequest) -> list[io.AttemptOutcome]:
         return [
             e.ending
             for e in self.events
@@ -251,17 +255,17 @@
     def sweep(self) -> None:
         self.module.sweep(clock.now(), late=False)
 
-    async def settled(self) -> None:
-        """Nothing is open and nothing is left: no attempt, no descriptor, no buffer; nothing went wrong."""
+    async def assert_settled(self) -> None:
+        """Check that no attempt, descriptor or buffer is left and no error was counted; then close all."""
         await until(
             lambda: not self.module.requests.request_by_number,
-            "all requests are over and their attempts ended",
+            "all requests and their attempts have ended",
         )
         for connection in self.connections():
             connection.close()
-        await until(lambda: not self.connections(), "the connections are gone")
+        await until(lambda: not self.connections(), "the connections are closed")
         assert (self.descriptors.caches, self.pool.used) == (0, 0)
-        assert not [c for cache in self.module.caches.values() for c in (cache.out or cache.timers)]
+        assert not [c for cache in self.module.caches.values() for c in (cache.in_flight or cache.timers)]
         assert not [
             kind
             for kind in self.checks.counts
@@ -276,44 +280,44 @@
                 wire.close()
 
 
-class Dials:
-    """Connections that are up for the system and let through to the front as the test says."""
+class HeldDials:
+    """Connects that succeed at once but are returned to the front only when the test releases them."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.waiting: list[asyncio.Future[None]] = []
-        self.plain, self.held = sockets.connect, True
+        self.gates: list[asyncio.Future[None]] = []
+        self.connect_plainly, self.is_holding = sockets.connect, True
         monkeypatch.setattr("quincepier.net.connection.connect", self.connect)
 
     async def connect(self, address: tuple[str, int], timeout: float, checks: Checks) -> socket.socket:
-        sock = await self.plain(address, timeout, checks)
+        sock = await self.connect_plainly(address, timeout, checks)
         gate = asyncio.get_running_loop().create_future()
         try:
-            if self.held:
-                self.waiting.append(gate)
+            if self.is_holding:
+                self.gates.append(gate)
                 await gate
         except BaseException:
             sock.close()
             raise
         return sock
 
-    async def begun(self, count: int = 1) -> None:
-        await until(lambda: len(self.waiting) >= count, "it is dialled")
+    async def wait_for_dials(self, count: int = 1) -> None:
+        await until(lambda: len(self.gates) >= count, "the front dials")
 
-    def let(self, error: Exception | None = None) -> None:
-        """All of them through, or to this end; what comes later is not held."""
-        self.held = False
-        for gate in self.waiting:
+    def release(self, error: Exception | None = None) -> None:
+        """Let all held connects succeed, or fail with `error`; later ones are not held."""
+        self.is_holding = False
+        for gate in self.gates:
             if not gate.done():
                 gate.set_result(None) if error is None else gate.set_exception(error)
-        self.waiting.clear()
+        self.gates.clear()
 
 
-class Clock:
-    """The front's clock, which goes on as the test says beside its own pace."""
+class AdjustableClock:
+    """The front's clock, which a test can advance."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.ahead = 0
-        monkeypatch.setattr(clock, "now", lambda: time.monotonic_ns() + self.ahead)
+        self.offset_ns = 0
+        monkeypatch.setattr(clock, "now", lambda: time.monotonic_ns() + self.offset_ns)
 
-    def on(self, span: int) -> None:
-        self.ahead += span
+    def advance(self, span: int) -> None:
+        self.offset_ns += span
--- a/tests/test_crossings_commands.py
+++ b/tests/test_crossings_commands.py
@@ -1,4 +1,4 @@
-"""Commands as they cross what ends their connection or their attempt, some of their bytes out."""
+"""Partly sent commands that cross with the end of their connection or their attempt."""
 
 from __future__ import annotations
 
@@ -15,56 +15,58 @@
 from quincepier.net import sockets
 from quincepier.net.connection import Connection
 from quincepier.net.messages import CancelCommand
-from tests.attemptkit import BID, LARGE, Inside, Wire, on_loop
+from tests.attemptkit import BID, LARGE, FrontHarness, Wire, run_on_uvloop
 from tests.standins import until
 
 ONE = ("s-1", "o-1")
 
 
 @pytest.fixture
-def slim(monkeypatch: pytest.MonkeyPatch) -> None:
+def small_send_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Send buffers that hold a small part of the largest command."""
 
     async def connect(address: tuple[str, int], timeout: float, checks: Checks) -> socket.socket:
-        sock = await plain(address, timeout, checks)
+        sock = await plain_connect(address, timeout, checks)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return sock
 
-    plain = sockets.connect
+    plain_connect = sockets.connect
     monkeypatch.setattr("quincepier.net.connection.connect", connect)
 
 
-async def in_part(inside: Inside) -> tuple[Wire, Connection, OpenRequest]:
-    """A bid whose command is out to a part; its machine reads no more."""
-    inside.machines["o-1"].held = True
-    request = inside.ask(BID, body=LARGE)
-    await until(lambda: any(c.started for c in inside.connections()), "it has begun")
-    (connection,) = inside.connections()
-    inside.look()
-    (wire,) = inside.machines["o-1"].wires
+async def send_part(harness: FrontHarness) -> tuple[Wire, Connection, OpenRequest]:
+    """Send a part of the command of a bid; its machine does not read."""
+    harness.machines["o-1"].is_reading_paused = True
+    request = harness.submit(BID, body=LARGE)
+    await until(lambda: any(c.started for c in harness.connections()), "a part of the command is sent")
+    (connection,) = harness.connections()
+    harness.poll()
+    (wire,) = harness.machines["o-1"].wires
     return wire, connection, request
 
 
-@pytest.mark.usefixtures("slim")
+@pytest.mark.usefixtures("small_send_buffers")
 def test_a_command_given_up_in_the_middle_goes_out_whole_then_its_cancel() -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire, connection, request = await in_part(inside)
-        inside.left(request)
-        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "given up")
-        assert not connection.idle
-        inside.machines["o-1"].held = False
-        other = await inside.served(BID)  # not in the middle of that line
+        harness = FrontHarness(ONE)
+        wire, connection, request = await send_part(harness)
+        harness.disconnect_client(request)
+        await until(
+            lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "the attempt is cancelled"
+        )
+        assert not connection.is_idle
+        harness.machines["o-1"].is_reading_paused = False
+        other = await harness.serve_one(BID)  # not inside the partly sent command
         assert other is not wire
-        wire.held = False
+        wire.is_reading_paused = False
         tail = LARGE[-10:] + b"\r\ncancel %b\r\n" % request.job_id.encode()
-        await until(lambda: inside.read(wire).endswith(tail), "whole, then the cancel")
-        await inside.settled()
+        await until(lambda: harness.received(wire).endswith(tail), "the whole command and its cancel arrive")
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
-@pytest.mark.usefixtures("slim")
+@pytest.mark.usefixtures("small_send_buffers")
 @pytest.mark.parametrize("first", ["the write", "the read"])
 def test_a_write_whose_command_broke_off_in_the_middle_is_not_sent_again(
     monkeypatch: pytest.MonkeyPatch, first: str
@@ -72,75 +74,78 @@
     async def never(self: Connection, sock: socket.socket) -> None:
         await asyncio.get_running_loop().create_future()
 
-    if first == "the write":  # hears of the break: the reader is held back
+    if first == "the write":  # finds the connection broken, as the reader is held back
         monkeypatch.setattr(Connection, "_read", never)
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire, _, request = await in_part(inside)
-        inside.machines["o-1"].held = False
+        harness = FrontHarness(ONE)
+        wire, _, request = await send_part(harness)
+        harness.machines["o-1"].is_reading_paused = False
         wire.reset()
-        assert await inside.status(request) == 502
-        assert inside.endings(request) == [AttemptOutcome.RESET]
-        assert len(inside.machines["o-1"].wires) == 1
-        await inside.settled()
+        assert await harness.wait_for_status(request) == 502
+        assert harness.outcomes(request) == [AttemptOutcome.RESET]
+        assert len(harness.machines["o-1"].wires) == 1
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
-@pytest.mark.usefixtures("slim")
+@pytest.mark.usefixtures("small_send_buffers")
 def test_a_connection_on_which_only_cancels_wait_is_closed() -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        _, connection, request = await in_part(inside)
-        inside.left(request)
-        await until(lambda: inside.endings(request) == [AttemptOutcome.CANCELLED], "given up")
-        connection.doubtful = True  # as where nothing was heard over it for long
-        inside.sweep()
-        await until(lambda: not inside.connections(), "its descriptor is free again")
-        await inside.settled()
+        harness = FrontHarness(ONE)
+        _, connection, request = await send_part(harness)
+        harness.disconnect_client(request)
+        await until(
+            lambda: harness.outcomes(request) == [AttemptOutcome.CANCELLED], "the attempt is cancelled"
+        )
+        connection.is_retired = True  # as if nothing had been read for long
+        harness.sweep()
+        await until(lambda: not harness.connections(), "its descriptor is released")
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_connection_whose_end_was_read_in_this_turn_takes_no_write(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain, late = Connection._rung, list[Callable[[Connection], None]]()
+    plain_on_readable, actions = Connection._on_readable, list[Callable[[Connection], None]]()
 
-    def rung(self: Connection, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        plain(self, loop, sock)  # its reader will run next; before it does, an attempt takes this connection
-        if late:
-            late.pop()(self)
+    def on_readable(self: Connection, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
+        # The reader runs next; before it does, an attempt is queued on this connection.
+        plain_on_readable(self, loop, sock)
+        if actions:
+            actions.pop()(self)
 
-    monkeypatch.setattr(Connection, "_rung", rung)
+    monkeypatch.setattr(Connection, "_on_readable", on_readable)
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire, requests = await inside.served(BID), list[OpenRequest]()
+        harness = FrontHarness(ONE)
+        wire, requests = await harness.serve_one(BID), list[OpenRequest]()
 
-        def asked(connection: Connection) -> None:
-            requests.append(inside.ask(BID))
-            inside.taken("o-1")
-            assert requests[0].job_id in connection.open
+        def queue_attempt(connection: Connection) -> None:
+            requests.append(harness.submit(BID))
+            harness.handle_next("o-1")
+            assert requests[0].job_id in connection.awaited_by_id
 
-        late.append(asked)
+        actions.append(queue_attempt)
         wire.close()
-        await until(lambda: bool(requests), "the end can be read")
-        (await inside.out(requests[0])).answer(requests[0].job_id)
-        assert await inside.status(requests[0]) == 200
-        assert inside.endings(requests[0]) == [AttemptOutcome.NOT_PROCESSED, AttemptOutcome.OK]
-        await inside.settled()
+        await until(lambda: bool(requests), "the end of the connection is readable")
+        (await harness.wait_for_command(requests[0])).respond(requests[0].job_id)
+        assert await harness.wait_for_status(requests[0]) == 200
+        assert harness.outcomes(requests[0]) == [AttemptOutcome.NOT_PROCESSED, AttemptOutcome.OK]
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
-async def crowded(inside: Inside) -> tuple[Wire, Connection]:
-    """A connection that is up and at rest, whose machine reads nothing: its socket takes not a byte more."""
-    wire = await inside.served(BID)
-    wire.held = True
-    (connection,) = [c for c in inside.connections() if c.idle]
+async def fill_send_buffer(harness: FrontHarness) -> tuple[Wire, Connection]:
+    """Return an idle connection whose machine does not read and whose socket takes no more bytes."""
+    wire = await harness.serve_one(BID)
+    wire.is_reading_paused = True
+    (connection,) = [c for c in harness.connections() if c.is_idle]
     sock = connection.sock
     assert sock is not None
-    await asyncio.sleep(0)  # what was read of it is done with
+    await asyncio.sleep(0)  # the reader has finished
     try:
         while True:
             sock.send(b"cancel 0000000000000000\r\n" * 1000)
@@ -151,34 +156,36 @@
 @pytest.mark.parametrize("how", ["gone", "called off"])
 def test_nothing_begins_behind_a_socket_that_took_nothing_until_its_client_had_left(how: str) -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        wire, connection = await crowded(inside)
-        request = inside.ask(BID)
-        await until(lambda: request.job_id in connection.open, "it waits there")
+        harness = FrontHarness(ONE)
+        wire, connection = await fill_send_buffer(harness)
+        request = harness.submit(BID)
+        await until(lambda: request.job_id in connection.awaited_by_id, "the command waits there")
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         if how == "gone":
-            request.cancel(clock.now())  # its Left stands behind
+            request.cancel(clock.now())  # the message for the router is queued later
         else:
-            inside.left(request)
-            await until(lambda: inside.endings(request) != [], "it is called off")
-        wire.held = False
-        await until(lambda: bool(inside.read(wire)) and not connection.outgoing, "it takes bytes again")
-        await inside.served(BID)
-        assert not inside.serves(request) and not inside.cancels(request)
-        inside.left(request)
-        await inside.settled()
+            harness.disconnect_client(request)
+            await until(lambda: harness.outcomes(request) != [], "the attempt is cancelled")
+        wire.is_reading_paused = False
+        await until(
+            lambda: bool(harness.received(wire)) and not connection.outgoing, "the socket takes bytes again"
+        )
+        await harness.serve_one(BID)
+        assert not harness.serve_wires(request) and not harness.count_cancels(request)
+        harness.disconnect_client(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
-class Unwilling(socket.socket):
-    """Takes no byte as long as the test says so."""
+class BlockedSocket(socket.socket):
+    """A socket that takes no byte while `takes_nothing` is set."""
 
     takes_nothing = False
 
     def send(self, data: object, flags: int = 0) -> int:
-        if Unwilling.takes_nothing:
+        if BlockedSocket.takes_nothing:
             raise BlockingIOError
         return super().send(data, flags)  # type: ignore[arg-type]
 
@@ -187,65 +194,65 @@
 def test_an_attempt_called_off_has_ended_once_its_cancel_is_out_or_its_connection_closed(
     monkeypatch: pytest.MonkeyPatch, end: str
 ) -> None:
-    """Where no second copy is allowed, none begins before the first has been given up at its machine."""
-    monkeypatch.setattr(socket, "socket", Unwilling)
+    """Where no second copy is allowed, none starts before the first is cancelled at its machine."""
+    monkeypatch.setattr(socket, "socket", BlockedSocket)
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask(BID)
-        wire = await inside.out(request)
-        monkeypatch.setattr(Unwilling, "takes_nothing", True)
-        inside.cache("o-1").mailbox.push(CancelCommand(request.attempts[0]))
+        harness = FrontHarness(ONE)
+        request = harness.submit(BID)
+        wire = await harness.wait_for_command(request)
+        monkeypatch.setattr(BlockedSocket, "takes_nothing", True)
+        harness.cache("o-1").mailbox.push(CancelCommand(request.attempts[0]))
         for _ in range(20):
             await asyncio.sleep(0)
-        assert inside.endings(request) == []
+        assert harness.outcomes(request) == []
         if end == "closed":
             wire.close()
         else:
-            monkeypatch.setattr(Unwilling, "takes_nothing", False)
-        await until(lambda: bool(inside.endings(request)), "it has ended")
-        assert inside.endings(request) == [AttemptOutcome.CANCELLED]
-        monkeypatch.setattr(Unwilling, "takes_nothing", False)
-        assert inside.cancels(request) == (end == "written")
-        await inside.status(request)
-        await inside.settled()
+            monkeypatch.setattr(BlockedSocket, "takes_nothing", False)
+        await until(lambda: bool(harness.outcomes(request)), "the attempt has ended")
+        assert harness.outcomes(request) == [AttemptOutcome.CANCELLED]
+        monkeypatch.setattr(BlockedSocket, "takes_nothing", False)
+        assert harness.count_cancels(request) == (end == "written")
+        await harness.wait_for_status(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_the_cancel_of_an_attempt_is_out_in_the_turn_in_which_it_ends() -> None:
-    """What is sent in its place, over whatever connection, comes after it."""
+    """An attempt that replaces it, over whichever connection, is sent later."""
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask(BID)
-        await inside.out(request)
-        cache = inside.cache("o-1")
+        harness = FrontHarness(ONE)
+        request = harness.submit(BID)
+        await harness.wait_for_command(request)
+        cache = harness.cache("o-1")
         cache.handle_safely(CancelCommand(request.attempts[0]))
-        assert request.attempts[0].is_completed and inside.cancels(request) == 1
-        await inside.status(request)
-        await inside.settled()
+        assert request.attempts[0].is_completed and harness.count_cancels(request) == 1
+        await harness.wait_for_status(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_an_attempt_called_off_as_its_connection_closes_has_ended_once_it_is_closed() -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask(BID)
-        wire = await inside.out(request)
-        cache = inside.cache("o-1")
+        harness = FrontHarness(ONE)
+        request = harness.submit(BID)
+        wire = await harness.wait_for_command(request)
+        cache = harness.cache("o-1")
         (connection,) = cache.connections
         (attempt,) = request.attempts
-        connection.lost = True  # its end has been read in this turn
+        connection.is_closing = True  # the end of the connection was read in this turn
         cache.handle_safely(CancelCommand(attempt))
         assert not attempt.is_completed
         wire.close()
-        await until(lambda: attempt.is_completed, "it has ended")
+        await until(lambda: attempt.is_completed, "the attempt has ended")
         assert connection.sock is not None and connection.sock.fileno() < 0, "the socket was closed before"
-        await until(lambda: bool(inside.endings(request)), "it is told")
-        assert inside.endings(request) == [AttemptOutcome.CANCELLED]
-        await inside.status(request)
-        await inside.settled()
+        await until(lambda: bool(harness.outcomes(request)), "its outcome is reported")
+        assert harness.outcomes(request) == [AttemptOutcome.CANCELLED]
+        await harness.wait_for_status(request)
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
--- a/tests/test_crossings_process_pause.py
+++ b/tests/test_crossings_process_pause.py
@@ -24,7 +24,7 @@
 from quincepier.net.probe import Probe
 from quincepier.net.watch import POLL_GRACE_S, POLL_TIMEOUT_MS
 from quincepier.wire import lines
-from tests.attemptkit import Inside, answer, on_loop
+from tests.attemptkit import FrontHarness, encode_response, run_on_uvloop
 from tests.fcgikit import call, params
 from tests.standins import until
 from tests.test_idle import Peer, make_manager
@@ -87,7 +87,7 @@
         assert connection.sock.fileno() < 0, "its socket is closed"
         assert not manager.connections and manager.descriptors.clients == 0 and manager.pool.used == 1
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 class PausingSocket(socket.socket):
@@ -124,7 +124,7 @@
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             sock.close()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("connect", [connect_one, connect_race])
@@ -148,7 +148,7 @@
             for sock in fill:
                 sock.close()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("size", [5, 48_000, None])
@@ -167,26 +167,26 @@
             return plain(delay, callback, *args, **rest)
 
         loop.call_later = call_later  # type: ignore[assignment]
-        inside = Inside(ONE)
-        request = inside.ask()
-        wire = await inside.out(request)
+        inside = FrontHarness(ONE)
+        request = inside.submit()
+        wire = await inside.wait_for_command(request)
         cache = inside.cache("s-1")
-        (attempt,), (connection,), (time_out,) = cache.out, cache.connections, timers
+        (attempt,), (connection,), (time_out,) = cache.in_flight, cache.connections, timers
         if size is not None:
-            wire.answer(request.job_id, b"b" * size)
+            wire.respond(request.job_id, b"b" * size)
         time_out()  # the loop has not polled its sockets since
         await asyncio.sleep(0)
-        assert attempt not in cache.out, "the attempt completes within a loop iteration"
-        await until(lambda: bool(inside.endings(request)), "the module is notified")
-        assert inside.endings(request)[0] is (AttemptOutcome.TIMEOUT if size is None else AttemptOutcome.OK)
+        assert attempt not in cache.in_flight, "the attempt completes within a loop iteration"
+        await until(lambda: bool(inside.outcomes(request)), "the module is notified")
+        assert inside.outcomes(request)[0] is (AttemptOutcome.TIMEOUT if size is None else AttemptOutcome.OK)
         if size is not None:
-            assert await inside.status(request) == 200 and not inside.cancels(request)
+            assert await inside.wait_for_status(request) == 200 and not inside.count_cancels(request)
             assert not inside.checks.counts["late_responses_dropped"]
-            assert cache.connections == [connection] and not connection.doubtful
-        inside.left(request)
-        await inside.settled()
+            assert cache.connections == [connection] and not connection.is_retired
+        inside.disconnect_client(request)
+        await inside.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("arrived", ["all", "half", "nothing"])
@@ -215,17 +215,17 @@
     size: int,
 ) -> None:
     async def scenario() -> None:
-        inside = Inside(ONE)
-        request = inside.ask()
-        wire = await inside.out(request)
+        inside = FrontHarness(ONE)
+        request = inside.submit()
+        wire = await inside.wait_for_command(request)
         (connection,) = inside.cache("s-1").connections
         assert connection.sock is not None
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2 * size + 4096)
-        text = answer(request.job_id, b"b" * size)
+        text = encode_response(request.job_id, b"b" * size)
         arrived = list[int]()
 
         def cross(sock: socket.socket) -> None:
-            wire.say(text)
+            wire.send(text)
             wire.reset()
             arrived.append(len(sock.recv(2 * size + 4096, socket.MSG_PEEK)))
 
@@ -233,8 +233,8 @@
         connection.writer.add(
             Probe("behind", clock.now()), lines.cancel("f" * 16)
         )  # goes out right behind it, in the same turn
-        assert await inside.status(request) == 200
-        assert inside.endings(request) == [AttemptOutcome.OK] and arrived == [len(text)]
-        await inside.settled()
+        assert await inside.wait_for_status(request) == 200
+        assert inside.outcomes(request) == [AttemptOutcome.OK] and arrived == [len(text)]
+        await inside.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,7 @@
 from quincepier import interface as io
 from quincepier.policy.event_age import EventAges
 from quincepier.wire.changelog import read_changes
-from tests.attemptkit import IMAGE, Inside, on_loop
+from tests.attemptkit import IMAGE, FrontHarness, run_on_uvloop
 
 ONE = ("s-1", "p-1", "o-1")
 HOUR = 3600 * clock.SECOND
@@ -40,21 +40,21 @@
         return (time.time_ns() + self.passed) // clock.MS
 
 
-def apply_log_event(inside: Inside, **record: Any) -> None:
+def apply_log_event(harness: FrontHarness, **record: Any) -> None:
     """Apply one event of the change log, as its watcher delivers it."""
-    inside.seq += 1
-    (event,) = read_changes({"seq": inside.seq, "results": [{"seq": inside.seq} | record]})[1]
-    inside.module._on_change_log_event(event, io.UpdateScope.CHANGES)
+    harness.seq += 1
+    (event,) = read_changes({"seq": harness.seq, "results": [{"seq": harness.seq} | record]})[1]
+    harness.module._on_change_log_event(event, io.UpdateScope.CHANGES)
 
 
-async def requested_max_age_ms(inside: Inside) -> int:
+async def requested_max_age_ms(harness: FrontHarness) -> int:
     """Send a request; return the largest copy age that its command allows, ms."""
-    request = inside.ask(IMAGE)
-    wire = await inside.out(request)
-    found = re.search(rf"serve {request.job_id} \S*fresh=(\d+)", wire.text.decode())
+    request = harness.submit(IMAGE)
+    wire = await harness.wait_for_command(request)
+    found = re.search(rf"serve {request.job_id} \S*fresh=(\d+)", wire.received.decode())
     assert found is not None, "the command has a largest copy age"
-    wire.answer(request.job_id)
-    assert await inside.status(request) == 200
+    wire.respond(request.job_id)
+    assert await harness.wait_for_status(request) == 200
     return int(found[1])
 
 
@@ -63,16 +63,16 @@
     clocks = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
-        inside = Inside(ONE)
-        await inside.served()
+        harness = FrontHarness(ONE)
+        await harness.serve_one()
         clocks.step = step
         purged_at = clock.now()
-        apply_log_event(inside, invalidate={"bucket": 17, "time": clocks.world_ms()})
+        apply_log_event(harness, invalidate={"bucket": 17, "time": clocks.world_ms()})
         clocks.passed += clock.SECOND
-        assert await requested_max_age_ms(inside) <= (clock.now() - purged_at) / clock.MS
-        await inside.settled()
+        assert await requested_max_age_ms(harness) <= (clock.now() - purged_at) / clock.MS
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -80,16 +80,16 @@
     clocks = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
-        inside = Inside((*ONE, "s-2"))
+        harness = FrontHarness((*ONE, "s-2"))
         clocks.step = step
         before = clock.now()
-        inside.listed(inside.host("s-2", born_ms=clocks.world_ms()))
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness.apply_hosts(harness.host("s-2", born_ms=clocks.world_ms()))
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         assert before - 10 * clock.MS <= upstream.started_at <= clock.now()
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -102,11 +102,11 @@
 
     async def scenario() -> None:
         purged_at, newest = clock.now() - clock.SECOND, clocks.world_ms()
-        inside = Inside(ONE, purged_ms=(newest - 30_000, newest - 1000, newest))
-        assert await requested_max_age_ms(inside) <= (clock.now() - purged_at) / clock.MS
-        await inside.settled()
+        harness = FrontHarness(ONE, purged_ms=(newest - 30_000, newest - 1000, newest))
+        assert await requested_max_age_ms(harness) <= (clock.now() - purged_at) / clock.MS
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -118,13 +118,13 @@
 
     async def scenario() -> None:
         before = clock.now()
-        inside = Inside((*ONE, "s-2"), born_ms=clocks.world_ms())
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness = FrontHarness((*ONE, "s-2"), born_ms=clocks.world_ms())
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         assert before - 10 * clock.MS <= upstream.started_at <= clock.now()
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -136,16 +136,16 @@
     clocks.step = step
 
     async def scenario() -> None:
-        inside = Inside((*ONE, "s-2"))
+        harness = FrontHarness((*ONE, "s-2"))
         clocks.passed += 60 * clock.SECOND
         before = clock.now()
-        inside.listed(inside.host("s-2", born_ms=clocks.world_ms()))
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness.apply_hosts(harness.host("s-2", born_ms=clocks.world_ms()))
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         assert before - 10 * clock.MS <= upstream.started_at <= clock.now()
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -161,17 +161,17 @@
 
     async def scenario() -> None:
         now = clock.now()
-        inside = Inside((*ONE, "s-2"), born_ms=clocks.world_ms() - 3600 * 1000)
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness = FrontHarness((*ONE, "s-2"), born_ms=clocks.world_ms() - 3600 * 1000)
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         assert upstream.started_at >= now - 10 * clock.MS, "its start is the newest date in the log"
-        apply_log_event(inside, invalidate={"bucket": 17, "time": clocks.world_ms()})
+        apply_log_event(harness, invalidate={"bucket": 17, "time": clocks.world_ms()})
         age = clock.now() - upstream.started_at
         assert age <= HOUR + clock.SECOND
         assert age >= HOUR + min(step, 0) - clock.SECOND
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_restart_detected_by_failures_keeps_its_start_time_at_a_later_date_in_the_log() -> None:
@@ -179,15 +179,15 @@
 
     async def scenario() -> None:
         hour_ago = time.time_ns() // clock.MS - 3600 * 1000
-        inside = Inside((*ONE, "s-2"), born_ms=hour_ago)
-        upstream = inside.module.router.placement.table.by_id[inside.module.directory.assign_number("s-2")]
+        harness = FrontHarness((*ONE, "s-2"), born_ms=hour_ago)
+        upstream = harness.module.router.placement.table.by_id[harness.module.directory.assign_number("s-2")]
         upstream.started_at = restarted_at = clock.now()
-        apply_log_event(inside, invalidate={"bucket": 17, "time": time.time_ns() // clock.MS})
+        apply_log_event(harness, invalidate={"bucket": 17, "time": time.time_ns() // clock.MS})
         assert upstream.started_at == restarted_at
         await asyncio.sleep(0)
-        await inside.settled()
+        await harness.assert_settled()
 
-    on_loop(scenario)
+    run_on_uvloop(scenario)
 
 
 def test_a_purge_long_before_the_newest_date_of_the_first_list_has_the_age_by_the_log() -> None:
