--- a/quincepier/clients/__init__.py
+++ b/quincepier/clients/__init__.py
@@ -1,7 +1,7 @@
-"""Who of the clients' connections may stay: caps by network, and who is closed first for a new one.
+"""Admission of client connections: caps by network, and which connections are closed for new ones.
 
-It decides on admission and on who goes; it never closes a socket, reads a clock or judges a request. Read
-`registry.py`; docs/idle.md tells the whole.
+The package decides; it never closes a socket, reads a clock or looks at a request. Start with `registry.py`;
+docs/idle.md describes the whole.
 """
 
 from quincepier.clients.ready_queue import ReadyQueue
--- a/quincepier/clients/ready_queue.py
+++ b/quincepier/clients/ready_queue.py
@@ -1,8 +1,8 @@
-"""Bounded slices: how many of those that are ready are served in one turn of the loop, and who comes next.
+"""A queue that limits how many ready connections are served in one turn of the event loop.
 
-When a great many are ready at once, each turn serves so many; the others wait in line, and whatever else the
-loop has to do (answers of caches, timers, the module) comes between. Nobody is passed over: the line is
-served first.
+When a great many are ready at once, each turn serves a bounded number and the others wait, so that the other
+work of the event loop (responses of caches, timers, the module) runs in between. Waiting connections are
+served first, in the order in which they were queued, so none is starved.
 """
 
 from __future__ import annotations
@@ -15,31 +15,41 @@
 
 
 class ReadyQueue(Generic[K]):
-    def __init__(self, most: int) -> None:
-        self.max_per_turn, self.remaining = most, most
+    """Ready connections, of which `max_per_turn` are served in one turn.
+
+    Attributes:
+        max_per_turn: Connections served in one turn.
+        remaining: Connections that may still be served in this turn.
+        waiting: The connections that wait for a later turn, the next one first.
+        max_length: The largest number that ever waited.
+    """
+
+    def __init__(self, max_per_turn: int) -> None:
+        self.max_per_turn, self.remaining = max_per_turn, max_per_turn
         self.waiting: OrderedDict[K, None] = OrderedDict()
         self.max_length = 0
 
-    def serve_or_enqueue(self, who: K) -> bool:
-        """Whether who is ready is served now; else it stands in line, once."""
+    def serve_or_enqueue(self, connection: K) -> bool:
+        """Return whether a ready connection is to be served now; else it is queued, once."""
         if self.remaining > 0 and not self.waiting:
             self.remaining -= 1
             return True
-        self.enqueue(who)
+        self.enqueue(connection)
         return False
 
-    def enqueue(self, who: K) -> None:
-        """Who has had its part of this turn and is ready still stands in line."""
-        self.waiting[who] = None
+    def enqueue(self, connection: K) -> None:
+        """Queue a connection that has been served in this turn and is still ready."""
+        self.waiting[connection] = None
         self.max_length = max(self.max_length, len(self.waiting))
 
-    def remove(self, who: K) -> None:
-        self.waiting.pop(who, None)
+    def remove(self, connection: K) -> None:
+        """Remove a connection from the queue, if it is in it."""
+        self.waiting.pop(connection, None)
 
     def start_turn(self) -> list[K]:
-        """A new turn of the loop begins: who is served first in it, out of the line."""
-        taken = [
+        """Start a turn of the event loop: return the waiting connections to be served first in it."""
+        served = [
             self.waiting.popitem(last=False)[0] for _ in range(min(self.max_per_turn, len(self.waiting)))
         ]
-        self.remaining = self.max_per_turn - len(taken)
-        return taken
+        self.remaining = self.max_per_turn - len(served)
+        return served
--- a/quincepier/clients/registry.py
+++ b/quincepier/clients/registry.py
@@ -1,9 +1,10 @@
-"""The registry of clients' connections: whom to admit, and who goes where there is no room.
+"""The registry of client connections: which are admitted, and which are closed for new ones.
 
-A connection is new (it has not asked yet), busy (it is owed something) or at rest. For a new one at the limit
-there go, in this order: of the network that holds most connections, who came and never asked within its time;
-then who has rested for longest; then the newest that never asked. So one large network makes room for itself,
-and the few connections of a small one stay. Without networks all are one, and the order is by age alone.
+A connection is new (no request yet), busy (owed a response) or idle. At the limit, the first of these is
+closed for a new connection, in the network that holds most connections: a new one whose time for a first
+request has passed; the one that has been idle longest; the oldest new one. So a large network makes room for
+itself, and the few connections of a small one stay. Without networks all connections are in one, and only age
+decides.
 """
 
 from __future__ import annotations
@@ -18,23 +19,34 @@
 
 
 class AdmissionResult(Enum):
+    """Whether a new connection is admitted."""
+
     ADMITTED = "stays"
-    LIMIT_REACHED = "no room"  # nobody can go for it
+    LIMIT_REACHED = "no room"  # and no connection can be closed for it
     NETWORK_LIMIT_REACHED = "its network is at its cap"
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLimits:
-    """Counts and nanoseconds. The defaults are those without an operators' file."""
-
-    max_connections: int  # connections in all
-    max_per_network: int = 0  # of one network; 0: no cap of its own
-    first_request_grace: int = 500_000_000  # in which one that has not asked is the last to go
-    min_idle_time: int = (
-        0  # who has rested for less is not sent away for a new one: it would come back at once
-    )
-    max_idle_time: int = 0  # who has rested for longer goes; 0: as long as it likes
-    max_closed_at_once: int = 1  # so many go at once when there is no room, so that the next few find some
+    """Limits on connections. The defaults are those without an operators' file.
+
+    Attributes:
+        max_connections: Limit on all connections.
+        max_per_network: Limit on the connections of one network without a cap of its own; 0: none.
+        first_request_grace: Time in which a connection without a request is the last to be closed, ns.
+        min_idle_time: A connection idle for less is not closed for a new one, since its client would
+            reconnect at once; ns.
+        max_idle_time: A connection idle for longer is closed, ns; 0: idle time is not limited.
+        max_closed_at_once: Connections closed at once for a new one at the limit, so that the next new ones
+            find room.
+    """
+
+    max_connections: int
+    max_per_network: int = 0
+    first_request_grace: int = 500_000_000
+    min_idle_time: int = 0
+    max_idle_time: int = 0
+    max_closed_at_once: int = 1
 
 
 class _Network(Generic[K]):
@@ -42,119 +54,140 @@
 
     def __init__(self, cap: int) -> None:
         self.cap, self.size = cap, 0
-        self.new_since_by_connection: OrderedDict[K, int] = OrderedDict()  # since when
+        self.new_since_by_connection: OrderedDict[K, int] = OrderedDict()
         self.idle_since_by_connection: OrderedDict[K, int] = OrderedDict()
 
 
 class ConnectionRegistry(Generic[K]):
-    """All changes take constant time, apart from finding who goes, which looks at one network."""
+    """The admitted connections by network. Times are nanoseconds of one clock.
+
+    All changes take constant time, except the search for a connection to close, which looks at one network.
 
-    def __init__(self, caps: ConnectionLimits) -> None:
-        self.limits = caps
+    Attributes:
+        limits: The limits in force.
+        network_by_name: The networks that hold connections.
+        network_name_by_connection: The network of each connection.
+        network_names_by_size: Names of networks by their number of connections.
+    """
+
+    def __init__(self, limits: ConnectionLimits) -> None:
+        self.limits = limits
         self.network_by_name: dict[Hashable, _Network[K]] = {}
         self.network_name_by_connection: dict[K, Hashable] = {}
-        self.network_names_by_size: dict[
-            int, OrderedDict[Hashable, None]
-        ] = {}  # networks by how many they hold
+        self.network_names_by_size: dict[int, OrderedDict[Hashable, None]] = {}
         self.largest = 0
 
     def __len__(self) -> int:
         return len(self.network_name_by_connection)
 
-    # What happens
-
-    def admit(self, who: K, network: Hashable, now: int, cap: int = 0) -> tuple[AdmissionResult, list[K]]:
-        """Whether a new connection stays, and who goes for it. `cap` goes before that of all networks."""
-        found = self.network_by_name.get(network)
-        most = cap or self.limits.max_per_network
-        gone: list[K] = []
-        if most and found is not None and found.size >= most:
-            if (one := self._find_evictable_of(found, now)) is None:
+    # Events
+
+    def admit(
+        self, connection: K, network_name: Hashable, now: int, cap: int = 0
+    ) -> tuple[AdmissionResult, list[K]]:
+        """Return whether a new connection is admitted, and the connections to close for it.
+
+        These are removed from the registry.
+
+        Args:
+            connection: The new connection.
+            network_name: The network of its client.
+            now: The time.
+            cap: Limit on the network's connections; 0: `max_per_network` applies.
+        """
+        network = self.network_by_name.get(network_name)
+        limit = cap or self.limits.max_per_network
+        evicted: list[K] = []
+        if limit and network is not None and network.size >= limit:
+            if (evictable := self._find_evictable_of(network, now)) is None:
                 return AdmissionResult.NETWORK_LIMIT_REACHED, []
-            gone = [one]
+            evicted = [evictable]
         elif len(self.network_name_by_connection) >= self.limits.max_connections:
-            gone = self._select_evicted(now)
-            if not gone:
+            evicted = self._select_evicted(now)
+            if not evicted:
                 return AdmissionResult.LIMIT_REACHED, []
-        for one in gone:
-            self.remove(one)
-        if network not in self.network_by_name:
-            self.network_by_name[network] = _Network(most)
-        self.network_name_by_connection[who] = network
-        self.network_by_name[network].new_since_by_connection[who] = now
-        self._resize(network, 1)
-        return AdmissionResult.ADMITTED, gone
-
-    def on_request(self, who: K) -> None:
-        """It is busy from now on."""
-        if (network := self._network_of(who)) is not None:
-            network.new_since_by_connection.pop(who, None)
-            network.idle_since_by_connection.pop(who, None)
-
-    def on_idle(self, who: K, now: int) -> None:
-        """It is owed nothing from now on."""
-        if (network := self._network_of(who)) is not None and who not in network.new_since_by_connection:
-            network.idle_since_by_connection[who] = now
-
-    def remove(self, who: K) -> None:
-        if (network := self._network_of(who)) is not None:
-            network.new_since_by_connection.pop(who, None)
-            network.idle_since_by_connection.pop(who, None)
-            self._resize(self.network_name_by_connection.pop(who), -1)
-
-    def idle_deadline(self, who: K) -> int | None:
-        """When it will have rested for too long; None where it is not at rest, or may rest for ever."""
-        network = self._network_of(who)
-        since = network.idle_since_by_connection.get(who) if network is not None else None
+        for evictable in evicted:
+            self.remove(evictable)
+        if network_name not in self.network_by_name:
+            self.network_by_name[network_name] = _Network(limit)
+        self.network_name_by_connection[connection] = network_name
+        self.network_by_name[network_name].new_since_by_connection[connection] = now
+        self._resize(network_name, 1)
+        return AdmissionResult.ADMITTED, evicted
+
+    def on_request(self, connection: K) -> None:
+        """Note that a connection is busy from now on."""
+        if (network := self._network_of(connection)) is not None:
+            network.new_since_by_connection.pop(connection, None)
+            network.idle_since_by_connection.pop(connection, None)
+
+    def on_idle(self, connection: K, now: int) -> None:
+        """Note that a connection is owed nothing from now on."""
+        if (
+            network := self._network_of(connection)
+        ) is not None and connection not in network.new_since_by_connection:
+            network.idle_since_by_connection[connection] = now
+
+    def remove(self, connection: K) -> None:
+        """Remove a closed connection; one that is not in the registry is ignored."""
+        if (network := self._network_of(connection)) is not None:
+            network.new_since_by_connection.pop(connection, None)
+            network.idle_since_by_connection.pop(connection, None)
+            self._resize(self.network_name_by_connection.pop(connection), -1)
+
+    def idle_deadline(self, connection: K) -> int | None:
+        """Return when an idle connection reaches `max_idle_time`; None if it is busy, new or has no limit."""
+        network = self._network_of(connection)
+        since = network.idle_since_by_connection.get(connection) if network is not None else None
         return None if since is None or not self.limits.max_idle_time else since + self.limits.max_idle_time
 
-    # Who goes
+    # Connections to close
 
     def find_evictable(self, now: int) -> K | None:
-        """Who would go now for a new connection; None where nobody can."""
+        """Return the connection that would be closed now for a new one, or None if none can be."""
         for size in sorted(self.network_names_by_size, reverse=True):
             for name in self.network_names_by_size[size]:
-                if (one := self._find_evictable_of(self.network_by_name[name], now)) is not None:
-                    return one
+                if (evictable := self._find_evictable_of(self.network_by_name[name], now)) is not None:
+                    return evictable
         return None
 
     def _find_evictable_of(self, network: _Network[K], now: int) -> K | None:
-        new = next(iter(network.new_since_by_connection.items()), None)
-        if new is not None and new[1] <= now - self.limits.first_request_grace:
-            return new[0]
-        rested = next(iter(network.idle_since_by_connection.items()), None)
-        if rested is not None and rested[1] <= now - self.limits.min_idle_time:
-            return rested[0]
-        return new[0] if new is not None else None
+        oldest_new = next(iter(network.new_since_by_connection.items()), None)
+        if oldest_new is not None and oldest_new[1] <= now - self.limits.first_request_grace:
+            return oldest_new[0]
+        longest_idle = next(iter(network.idle_since_by_connection.items()), None)
+        if longest_idle is not None and longest_idle[1] <= now - self.limits.min_idle_time:
+            return longest_idle[0]
+        return oldest_new[0] if oldest_new is not None else None
 
     def _select_evicted(self, now: int) -> list[K]:
-        """Those who go, the first of them before all; further ones only of those at rest for long enough."""
-        one = self.find_evictable(now)
-        if one is None:
+        """Return the connections to close; all but the first have been idle for `min_idle_time`."""
+        first = self.find_evictable(now)
+        if first is None:
             return []
-        gone, network = [one], self.network_by_name[self.network_name_by_connection[one]]
-        for other, since in network.idle_since_by_connection.items():
-            if len(gone) >= self.limits.max_closed_at_once or since > now - self.limits.min_idle_time:
+        evicted, network = [first], self.network_by_name[self.network_name_by_connection[first]]
+        for connection, since in network.idle_since_by_connection.items():
+            if len(evicted) >= self.limits.max_closed_at_once or since > now - self.limits.min_idle_time:
                 break
-            if other != one:
-                gone.append(other)
-        return gone
+            if connection != first:
+                evicted.append(connection)
+        return evicted
 
-    def _network_of(self, who: K) -> _Network[K] | None:
+    def _network_of(self, connection: K) -> _Network[K] | None:
         return (
-            self.network_by_name.get(self.network_name_by_connection[who])
-            if who in self.network_name_by_connection
+            self.network_by_name.get(self.network_name_by_connection[connection])
+            if connection in self.network_name_by_connection
             else None
         )
 
-    def _resize(self, name: Hashable, by: int) -> None:
+    def _resize(self, name: Hashable, change: int) -> None:
         network = self.network_by_name[name]
         if network.size:
-            peers = self.network_names_by_size[network.size]
-            del peers[name]
-            if not peers:
+            names = self.network_names_by_size[network.size]
+            del names[name]
+            if not names:
                 del self.network_names_by_size[network.size]
-        network.size += by
+        network.size += change
         if network.size:
             self.network_names_by_size.setdefault(network.size, OrderedDict())[name] = None
         else:
--- a/quincepier/clients/section.py
+++ b/quincepier/clients/section.py
@@ -13,11 +13,12 @@
 
 MS = 1_000_000
 Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
-NETWORKS_MOST, HOSTS_KEPT = 10_000, 4096
+MAX_NETWORKS = 10_000
+MAX_CACHED_HOSTS = 4096  # addresses whose network is remembered
 
 
-def network_of(value: object) -> netaddr.IPNetwork:
-    """A network from its text; ValueError where it is none."""
+def parse_network(value: object) -> netaddr.IPNetwork:
+    """Return the network that a text such as 10.0.0.0/8 names; raises ValueError if it names none."""
     if not isinstance(value, str):
         raise ValueError(f"{value!r} is no text of a network such as 10.0.0.0/8")
     try:
@@ -27,14 +28,28 @@
 
 
 class NetworkCap(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The cap of one network."""
+
     network: netaddr.IPNetwork
     connections: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
 
 
 class ClientsSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Caps of connections by network. One that is not listed is told by the first bits of its address."""
-
-    networks: Annotated[tuple[NetworkCap, ...], msgspec.Meta(max_length=NETWORKS_MOST)] = ()
+    """Caps on client connections by network.
+
+    Attributes:
+        networks: Networks with a cap of their own. An address in none of them belongs to the network of its
+            first `prefix_ipv4` or `prefix_ipv6` bits.
+        each: Cap of a network that is not listed; 0: none.
+        prefix_ipv4: Length of such a network's prefix, bits.
+        prefix_ipv6: The same for IPv6.
+        rest_least_ms: A connection idle for less is not closed for a new one.
+        rest_most_s: A connection idle for longer is closed; 0: idle time is not limited.
+        slack: Connections closed at once for a new one at the limit.
+        MADE: Constructors of the types that YAML does not have.
+    """
+
+    networks: Annotated[tuple[NetworkCap, ...], msgspec.Meta(max_length=MAX_NETWORKS)] = ()
     each: Count = 0
     prefix_ipv4: Annotated[int, msgspec.Meta(ge=0, le=32)] = 24
     prefix_ipv6: Annotated[int, msgspec.Meta(ge=0, le=128)] = 56
@@ -42,17 +57,24 @@
     rest_most_s: Annotated[float, msgspec.Meta(ge=0, le=86_400)] = 0
     slack: Annotated[int, msgspec.Meta(ge=1, le=1_000)] = 8
 
-    MADE: ClassVar[dict[type, Callable[[object], object]]] = {netaddr.IPNetwork: network_of}
+    MADE: ClassVar[dict[type, Callable[[object], object]]] = {netaddr.IPNetwork: parse_network}
 
     def __post_init__(self) -> None:
         listed = [item.network for item in self.networks]
-        twice = next((str(n) for n in listed if listed.count(n) > 1), None) if len(listed) < 1000 else None
-        if twice is not None:
-            raise ValueError(f"networks lists {twice} twice")
+        repeated = next((str(n) for n in listed if listed.count(n) > 1), None) if len(listed) < 1000 else None
+        if repeated is not None:
+            raise ValueError(f"networks lists {repeated} twice")
 
 
 class ClientNetworks:
-    """Which network a client's address is of, and its cap. The longest prefix listed goes first."""
+    """Finds the network of a client's address and its cap; the longest listed prefix wins.
+
+    Attributes:
+        section: The operators' section.
+        cap_by_network: Caps of the listed networks.
+        prefix_lengths_by_version: Lengths of the listed prefixes by IP version, the longest first.
+        find_network: `_find_network` with a cache.
+    """
 
     def __init__(self, section: ClientsSection) -> None:
         self.section = section
@@ -61,12 +83,13 @@
             version: sorted({n.prefixlen for n in self.cap_by_network if n.version == version}, reverse=True)
             for version in (4, 6)
         }
-        self.find_network = lru_cache(HOSTS_KEPT)(self._find_network)
+        self.find_network = lru_cache(MAX_CACHED_HOSTS)(self._find_network)
 
-    def make_limits(self, most: int) -> ConnectionLimits:
+    def make_limits(self, max_connections: int) -> ConnectionLimits:
+        """Return the registry's limits by this section and the limit on all connections."""
         section = self.section
         return ConnectionLimits(
-            most,
+            max_connections,
             max_per_network=section.each,
             min_idle_time=int(section.rest_least_ms * MS),
             max_idle_time=int(section.rest_most_s * 1000 * MS),
@@ -74,11 +97,11 @@
         )
 
     def _find_network(self, host: str) -> tuple[str, int]:
-        """Its name, and its cap (0: that of all)."""
+        """Return the name and the cap of an address's network; 0: the cap that applies to all networks."""
         try:
             address = netaddr.IPAddress(host)
         except (netaddr.AddrFormatError, ValueError):
-            return "", 0  # of a Unix socket, or not told
+            return "", 0  # a Unix socket, or no address
         for length in self.prefix_lengths_by_version[address.version]:
             network = netaddr.IPNetwork((address.value, length), version=address.version).cidr
             if network in self.cap_by_network:
--- a/quincepier/net/client_read_side.py
+++ b/quincepier/net/client_read_side.py
@@ -1,4 +1,4 @@
-"""The reading side of a client connection: bytes in, requests and aborts on to the module."""
+"""The read side of a client connection: decodes what arrives and passes requests and aborts to the module."""
 
 from __future__ import annotations
 
@@ -14,32 +14,42 @@
 from quincepier.wire import fastcgi
 from quincepier.wire.errors import ProtocolError
 
-PARTIAL_REQUEST_TIMEOUT_S = 2.0  # seconds that one message may take
-ROW = 4  # reads of one connection in a row
-FAULT_PAUSE, FAULT_PAUSE_MOST = 0.02, 1.0  # seconds not read after a faulty request; doubled at each
-UNTAKEN_MOST = 1024  # short answers behind a socket that takes none; usual clients have 32 requests open
-CHECK_INTERVAL = 50 * clock.MS  # ns; a client heard of this lately is not looked at again
-LISTEN_WITHIN = 0.05  # seconds not read at most while a request is open: its client may leave or abort
+PARTIAL_REQUEST_TIMEOUT_S = 2.0  # from the first byte of a request or record to its last
+MAX_CONSECUTIVE_READS = 4  # reads of one connection before others are served
+# Pause in reading after a bad request; it doubles with each further one, up to the maximum.
+BAD_REQUEST_PAUSE_S, MAX_BAD_REQUEST_PAUSE_S = 0.02, 1.0
+# Short responses queued while the socket takes nothing; ordinary clients have 32 requests open.
+MAX_UNSENT_SHORT_RESPONSES = 1024
+CLIENT_CHECK_INTERVAL_NS = 50 * clock.MS  # a socket found empty this recently is not read again by a check
+# Longest pause in reading while a request is open, since the client may abort it or disconnect.
+MAX_PAUSE_WITH_OPEN_REQUEST_S = 0.05
 
 
 class ClientReadSide(ClientWriteSide):
+    """The read side of a client connection."""
+
     __slots__ = ()
 
-    # Of the other sides
+    # Implemented by the subclass
 
     def _schedule_check(self, seconds: float, resume: bool = False) -> None:
         raise NotImplementedError
 
     def resume_reading(self) -> None:
+        """See ClientConnection."""
         raise NotImplementedError
 
-    def on_readable(self, gone: bool = False) -> None:
-        """There is something to read: now, or as its turn comes. What is paused looks as it resumes.
+    def on_readable(self, is_disconnected: bool = False) -> None:
+        """Read now, or later if this turn of the event loop has no reads left.
+
+        A paused connection reads when it resumes, but a disconnect closes it at once if it has open requests.
 
-        `gone`: the client has closed; where that is not told, it is read.
+        Args:
+            is_disconnected: Whether epoll reported that the client closed its side. Where it did not report
+                that, the read finds it.
         """
         if not self.is_reading:
-            if gone and self.has_open_requests:
+            if is_disconnected and self.has_open_requests:
                 self.close()
             else:
                 self._note_unread_data()
@@ -50,9 +60,9 @@
             self._note_unread_data()
 
     def _note_unread_data(self) -> None:
-        """There is something to read, and it is not read yet: its time counts from here.
+        """Note since when there is data that has not been read; the time of its requests counts from then.
 
-        Until the socket has been empty, all that is read may have been there from the first such moment on.
+        Until the socket has been found empty, everything read from it may have arrived as early as that.
         """
         if not self.readable_since_ns:
             self.readable_since_ns = clock.now()
@@ -60,29 +70,31 @@
             self.earliest_arrival_ns = self.manager.pauses.earliest_arrival(self.readable_since_ns)
 
     def set_earliest_arrival(self, arrival_ns: int) -> None:
-        """What lies in the socket now may have come at that time."""
+        """Note that what is in the socket now may have arrived as early as `arrival_ns`."""
         self.readable_since_ns, self.earliest_arrival_ns = clock.now(), arrival_ns
 
     def check_client(self, now_ns: int) -> bool:
-        """Hear of an abort or a close that lies in the socket, where it was not read to its end lately.
+        """Read an abort or a disconnect that is in the socket, unless it was found empty a short time ago.
 
-        Return False where one may lie there for longer than `CHECK_INTERVAL`, behind what is of no use.
+        Return False if data that is being read slowly, after a bad request or a protocol error, may have
+        hidden an abort for longer than `CLIENT_CHECK_INTERVAL_NS`.
         """
-        if self.is_closed or now_ns - self.socket_empty_at_ns < CHECK_INTERVAL:
+        if self.is_closed or now_ns - self.socket_empty_at_ns < CLIENT_CHECK_INTERVAL_NS:
             return True
         self.is_reading = True
         self.receive()
         is_slowed = bool(self.bad_request_count) or self.is_read_closed
-        unread_since = self.earliest_arrival_ns  # 0: it was read to its end
-        return not (is_slowed and 0 < unread_since <= clock.now() - CHECK_INTERVAL)
+        unread_since = self.earliest_arrival_ns  # 0: the socket is empty
+        return not (is_slowed and 0 < unread_since <= clock.now() - CLIENT_CHECK_INTERVAL_NS)
 
     def receive(self) -> None:
-        """Read and take what came; what goes wrong ends this connection alone.
+        """Read and handle what has arrived; an error closes this connection only.
 
-        Until nothing is left, since it is told once of all that is there.
+        It reads until the socket is empty, since the edge-triggered epoll reports data once. A connection
+        with more data than it may read in one turn is queued to be read on.
         """
         try:
-            for _ in range(ROW):
+            for _ in range(MAX_CONSECUTIVE_READS):
                 if not self.is_reading:  # closed, its read side closed, or paused
                     return
                 size = self.sock.recv_into(self.manager.read_buffer)
@@ -90,7 +102,7 @@
                     self.close()
                     return
                 self._on_received(size)
-                if size == len(self.manager.read_buffer):  # that many requests are its part of a turn
+                if size == len(self.manager.read_buffer):  # a full buffer is all it may read in one turn
                     break
             if self.is_reading:
                 self._note_unread_data()
@@ -108,62 +120,62 @@
             self._close_on_error(error)
 
     def _retry_receive(self) -> None:
-        """In a turn of the loop, what could not be read in an earlier one."""
+        """Queue a read that failed for a moment."""
         if self.is_reading:
             self.manager.enqueue_read(self.client_connection)
 
     def _on_received(self, size: int) -> None:
-        now, faults, manager = clock.now(), self.bad_request_count, self.manager
-        self._note_unread_data()  # what stood in line was there before: its time counts
-        at, earliest, self.readable_since_ns = self.readable_since_ns, self.earliest_arrival_ns, 0
+        now, bad_requests_before, manager = clock.now(), self.bad_request_count, self.manager
+        self._note_unread_data()  # keeps an earlier time if the connection waited to be read
+        received_at, earliest, self.readable_since_ns = self.readable_since_ns, self.earliest_arrival_ns, 0
         self.last_activity_ns = now
         session = self.session
         if session is None:
             session = self.session = ClientSession(manager.descriptors.clients_most)
             manager.busy_connections.add(self.client_connection)
-        read_closed, decoder = self.is_read_closed, session.decoder
-        # behind a fault it is read on only to hear of a close
+        was_read_closed, decoder = self.is_read_closed, session.decoder
+        # After a protocol error data is read only to notice a disconnect.
         for item in decoder.feed(manager.read_buffer[:size]) if decoder.fault is None else ():
             match item:
-                case fastcgi.Call() | fastcgi.Reply() if read_closed:
-                    pass  # only aborts are listened to
+                case fastcgi.Call() | fastcgi.Reply() if was_read_closed:
+                    pass  # only aborts are handled
                 case fastcgi.Call():
-                    self._on_request(session, item, at, earliest)
-                case fastcgi.Aborted(stream):
-                    self._on_abort(session, stream)
+                    self._on_request(session, item, received_at, earliest)
+                case fastcgi.Aborted(stream_id):
+                    self._on_abort(session, stream_id)
                 case fastcgi.Reply(data, closes):
                     session.short_responses.append((0, data))
                     self.closes_when_sent = self.closes_when_sent or closes
                     self.is_read_closed = self.is_read_closed or closes
                     self._schedule_flush()
-        if self.write_task is not None and len(session.short_responses) > UNTAKEN_MOST:
+        if self.write_task is not None and len(session.short_responses) > MAX_UNSENT_SHORT_RESPONSES:
             manager.checks.event("client_closed_short_responses_unread")
             self.close()
             return
-        if decoder.fault is not None and not read_closed:
+        if decoder.fault is not None and not was_read_closed:
             self.stop_reading(decoder.fault)
             return
-        held = decoder.held
-        if held or self.partial_bytes:
-            manager.account_partial_bytes(self.client_connection, held)
+        partial_bytes = decoder.held
+        if partial_bytes or self.partial_bytes:
+            manager.account_partial_bytes(self.client_connection, partial_bytes)
             if self.is_closed:
                 return
         if self._update_partial(session, manager.active_clock.read(now)):
             self._schedule_check(PARTIAL_REQUEST_TIMEOUT_S)
-        if self.is_read_closed or self.bad_request_count != faults:
+        if self.is_read_closed or self.bad_request_count != bad_requests_before:
             self._pause_reading()
         if not self.is_reading and self.has_open_requests:
-            asyncio.get_running_loop().call_later(LISTEN_WITHIN, self.resume_reading)
-        elif (
-            self.bad_request_count != faults and not self.is_read_closed
-        ):  # who sends what can't be used gets little CPU
+            asyncio.get_running_loop().call_later(MAX_PAUSE_WITH_OPEN_REQUEST_S, self.resume_reading)
+        elif self.bad_request_count != bad_requests_before and not self.is_read_closed:
+            # Limits the CPU time spent on a client that sends requests which can't be used.
             self._schedule_check(
-                min(FAULT_PAUSE * 2 ** min(self.bad_request_count, 10), FAULT_PAUSE_MOST), resume=True
+                min(BAD_REQUEST_PAUSE_S * 2 ** min(self.bad_request_count, 10), MAX_BAD_REQUEST_PAUSE_S),
+                resume=True,
             )
         self._update_state()
 
     def stop_reading(self, fault: ProtocolError) -> None:
-        """Nothing that comes is of use any more: it ends once what was asked whole is answered."""
+        """Take no further requests; the connection closes once its complete requests have responses."""
         session = self.session
         if self.is_closed or session is None:
             return
@@ -173,14 +185,16 @@
         self.partial_bytes = 0
         self.is_read_closed = self.closes_when_sent = True
         self._pause_reading()
-        if self.has_open_requests:  # its client may leave
-            asyncio.get_running_loop().call_later(LISTEN_WITHIN, self.resume_reading)
+        if self.has_open_requests:  # resumes to notice a disconnect
+            asyncio.get_running_loop().call_later(MAX_PAUSE_WITH_OPEN_REQUEST_S, self.resume_reading)
         if self.owes_responses or self.is_flush_scheduled:
             self._update_state()
         else:
-            self.close(linger=self.has_requested)  # what it was answered may not have reached it yet
+            self.close(linger=self.has_requested)  # its last response may not have reached the client yet
 
-    def _on_request(self, session: ClientSession, call: fastcgi.Call, at: int, earliest: int) -> None:
+    def _on_request(
+        self, session: ClientSession, call: fastcgi.Call, received_at: int, earliest: int
+    ) -> None:
         manager = self.manager
         session.keep_open_by_stream[call.id] = call.keep
         self.has_requested = True
@@ -189,7 +203,7 @@
             self._queue_response(session, call.id, cgi_head(200 if manager.is_ready() else 503))
             return
         try:
-            request = open_request(call, manager.classes, self, at, earliest)
+            request = open_request(call, manager.classes, self, received_at, earliest)
         except BadRequestError as error:
             self.bad_request_count += 1
             self.is_read_closed = self.is_read_closed or bool(call.fault)
@@ -197,40 +211,46 @@
             self._queue_response(session, call.id, cgi_head(error.status))
             return
         if manager.is_rejecting:
-            self._queue_response(session, call.id, cgi_head(503, wait_ms=manager.draw_retry_after_ms()))
+            self._queue_response(
+                session, call.id, cgi_head(503, retry_after_ms=manager.draw_retry_after_ms())
+            )
             return
         if manager.body_bytes + len(call.body) > manager.max_body_bytes:
             manager.checks.event("request_rejected_body_limit")
-            self._queue_response(session, call.id, cgi_head(503, wait_ms=manager.draw_retry_after_ms()))
+            self._queue_response(
+                session, call.id, cgi_head(503, retry_after_ms=manager.draw_retry_after_ms())
+            )
             return
         if not manager.module.add(Came(request)):
             manager.checks.event("request_rejected_queue_full")
-            self._queue_response(session, call.id, cgi_head(503, wait_ms=manager.draw_retry_after_ms()))
+            self._queue_response(
+                session, call.id, cgi_head(503, retry_after_ms=manager.draw_retry_after_ms())
+            )
             return
         session.request_by_stream[call.id] = request
         manager.body_bytes += len(request.body)
 
-    def _on_abort(self, session: ClientSession, stream: int) -> None:
-        session.keep_open_by_stream.pop(stream, None)
-        for outgoing in [o for o in session.outgoing if o.stream_id == stream]:
+    def _on_abort(self, session: ClientSession, stream_id: int) -> None:
+        session.keep_open_by_stream.pop(stream_id, None)
+        for outgoing in [o for o in session.outgoing if o.stream_id == stream_id]:
             session.outgoing.remove(outgoing)
             outgoing.release()
         if session.short_responses:
-            session.short_responses = deque(item for item in session.short_responses if item[0] != stream)
-        request = session.request_by_stream.pop(stream, None)
+            session.short_responses = deque(item for item in session.short_responses if item[0] != stream_id)
+        request = session.request_by_stream.pop(stream_id, None)
         if request is not None:
             request.cancel(clock.now())
             self._release_body(request)
             self.manager.module.push(Left(request))
 
     def _update_partial(self, session: ClientSession, now: int) -> bool:
-        """Whether something is half-sent; since when is noted as it begins."""
-        unfinished = session.decoder.unfinished
-        if unfinished is None:
+        """Return whether a request or record is incomplete; note when a new one was first seen."""
+        partial = session.decoder.unfinished
+        if partial is None:
             session.partial = None
-        elif unfinished != session.partial:
-            session.partial, session.partial_since = unfinished, now
-        return unfinished is not None
+        elif partial != session.partial:
+            session.partial, session.partial_since = partial, now
+        return partial is not None
 
     def _pause_reading(self) -> None:
         self.is_reading = False
--- a/quincepier/net/client_session.py
+++ b/quincepier/net/client_session.py
@@ -1,4 +1,4 @@
-"""What a client connection holds while it is not at rest: what is half read, owed, and on its way out."""
+"""State of a client connection that is not idle: partly read requests, open requests, unsent responses."""
 
 from __future__ import annotations
 
@@ -13,10 +13,18 @@
 
 
 class OutgoingResponse:
-    """One answer on its way: records, a piece at a time."""
-
-    def __init__(self, stream: int, keep: bool, head: bytes, body: PooledBody | None) -> None:
-        self.stream_id, self.keep_open, self.body, self.is_started = stream, keep, body, False
+    """A response that is being written, as an iterator of FastCGI records.
+
+    Attributes:
+        stream_id: The request's id on its connection.
+        keep_open: Whether the connection stays open after the response.
+        body: The response's body; None once it was released.
+        is_started: Whether a record was taken from `records`.
+        records: The encoded STDOUT records still to be written.
+    """
+
+    def __init__(self, stream_id: int, keep_open: bool, head: bytes, body: PooledBody | None) -> None:
+        self.stream_id, self.keep_open, self.body, self.is_started = stream_id, keep_open, body, False
         self.records = self._encode(head)
 
     def _encode(self, head: bytes) -> Iterator[bytes]:
@@ -31,28 +39,49 @@
             yield fastcgi.record(fastcgi.STDOUT, self.stream_id, chunk)
 
     def release(self) -> None:
+        """Return the body's buffers to the pool."""
         if self.body is not None:
             self.body.release()
             self.body = None
 
     def fail(self) -> None:
-        """Nothing of it has been written: say that it failed, and give the buffers back."""
+        """Replace a response of which nothing was written by a 502 and release its buffers."""
         self.release()
         self.records = self._encode(cgi_head(502))
 
 
 @lru_cache(maxsize=1024)
-def cgi_head(status: int, still: bool = False, wait_ms: int | None = None) -> bytes:
+def cgi_head(status: int, is_unchanged: bool = False, retry_after_ms: int | None = None) -> bytes:
+    """Return the CGI header of a response.
+
+    Args:
+        status: HTTP status.
+        is_unchanged: Whether the copy that the client holds is still valid; sent as X-Still.
+        retry_after_ms: Milliseconds after which the client may retry, if any; sent as X-Wait-Ms.
+    """
     lines = [f"Status: {status}", "Content-Type: application/octet-stream"]
-    if still:
+    if is_unchanged:
         lines.append("X-Still: 1")
-    if wait_ms is not None:
-        lines.append(f"X-Wait-Ms: {wait_ms}")
+    if retry_after_ms is not None:
+        lines.append(f"X-Wait-Ms: {retry_after_ms}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
 class ClientSession:
-    """What a connection needs while it is not at rest."""
+    """What a connection needs while it is not idle.
+
+    Attributes:
+        decoder: Decoder of the client's FastCGI records.
+        request_by_stream: Open requests by their id on the connection.
+        keep_open_by_stream: Whether the connection stays open after the response, for each request id that
+            has no response yet.
+        outgoing: Responses with a body that are not written completely, in the order of their next record.
+        short_responses: Encoded responses without a body and management records, each with the request id, or
+            0 for a management record.
+        inbox: Responses pushed by the module and not yet encoded.
+        partial: The decoder's incomplete request or record; None if there is none.
+        partial_since: When `partial` was first seen, by the manager's active clock, ns.
+    """
 
     __slots__ = (
         "decoder",
@@ -65,21 +94,19 @@
         "short_responses",
     )
 
-    def __init__(self, connections_most: int) -> None:
-        self.decoder = fastcgi.Decoder(connections_most)
+    def __init__(self, max_connections: int) -> None:
+        self.decoder = fastcgi.Decoder(max_connections)
         self.request_by_stream: dict[int, OpenRequest] = {}
         self.keep_open_by_stream: dict[int, bool] = {}
         self.outgoing: deque[OutgoingResponse] = deque()
-        self.short_responses: deque[tuple[int, bytes]] = (
-            deque()
-        )  # whole and short: 0 or the request, and its bytes
+        self.short_responses: deque[tuple[int, bytes]] = deque()
         self.inbox: deque[Answer] = deque()
-        self.partial: object = None  # what is half-sent, and since when by the manager's active clock
+        self.partial: object = None
         self.partial_since = 0
 
     @property
     def is_idle(self) -> bool:
-        """Nothing is owed, on its way or half read."""
+        """Whether no response is owed or unsent and nothing is partly read."""
         decoder = self.decoder
         busy = (
             self.request_by_stream or self.outgoing or self.short_responses or self.inbox or decoder.answering
--- a/quincepier/net/client_write_side.py
+++ b/quincepier/net/client_write_side.py
@@ -1,7 +1,7 @@
-"""The writing side of a client connection: the answers that are owed, and how they go out.
+"""The write side of a client connection: its responses and how they are written.
 
-With it what a connection keeps, as all its sides use that; `reading.py` takes requests in, `client.py` tells
-when it comes and goes.
+It also has the fields that all sides of a connection share; `client_read_side.py` reads requests,
+`client_connection.py` has the lifecycle.
 """
 
 from __future__ import annotations
@@ -20,14 +20,41 @@
 from quincepier.wire import fastcgi
 from quincepier.wire.errors import ProtocolError
 
-if TYPE_CHECKING:  # the manager makes the connections
+if TYPE_CHECKING:  # the manager imports the connections
     from quincepier.net.client_connection import ClientConnection
     from quincepier.net.connection_manager import ConnectionManager
 
-BATCH, BATCHES = 65_536, 4  # bytes written at a time, and so often in one turn
+BATCH_BYTES = 65_536  # bytes collected for one send
+MAX_BATCHES_PER_TURN = 4  # sends of one connection in one turn of the event loop
 
 
 class ClientWriteSide:
+    """The write side of a client connection, and the connection's fields.
+
+    Attributes:
+        manager: The manager of all client connections.
+        sock: The connected socket, non-blocking.
+        session: State of a connection that is not idle; None for an idle one.
+        is_closed: The connection was closed.
+        closes_when_sent: The connection closes once all owed responses are written.
+        is_last_response_queued: A short response without KEEP_CONN is queued: the connection closes after it.
+        has_requested: The client has sent a complete request.
+        is_reading: Whether what arrives is read now; False while reading is paused or has ended.
+        is_flush_scheduled: A call of `_flush` is scheduled.
+        is_read_closed: No further request is taken, since the client has sent something that ends the
+            connection; owed responses are still written.
+        write_task: Writes what the socket did not take at once.
+        last_activity_ns: When bytes were last sent or received.
+        accepted_at: When the connection was admitted, by the manager's active clock, ns.
+        partial_bytes: Bytes of incomplete requests that are counted in the manager's `body_bytes`.
+        bad_request_count: Requests that could not be used.
+        closing_since: When the connection began to close, by the active clock, ns; 0: it did not.
+        readable_since_ns: When data was found that has not been read yet; 0: none is known.
+        earliest_arrival_ns: The earliest time at which unread data may have arrived; 0: the socket was empty.
+        socket_empty_at_ns: When the socket was last read until it was empty.
+        timer: The timer of the next deadline check.
+    """
+
     __slots__ = (
         "accepted_at",
         "bad_request_count",
@@ -57,26 +84,24 @@
         self.is_closed = self.closes_when_sent = self.is_last_response_queued = self.has_requested = (
             self.is_reading
         ) = self.is_flush_scheduled = False
-        self.is_read_closed = (
-            False  # it sent what ends its connection: nothing more is read, what is owed goes out
-        )
-        self.write_task: asyncio.Task[None] | None = None  # what the socket did not take at once
-        self.last_activity_ns = clock.now()  # when bytes last went out or came in
+        self.is_read_closed = False
+        self.write_task: asyncio.Task[None] | None = None
+        self.last_activity_ns = clock.now()
         self.accepted_at = manager.active_clock.time
         self.partial_bytes = self.bad_request_count = self.closing_since = 0
-        self.readable_since_ns = 0  # since when it stands in line to be read
-        self.earliest_arrival_ns = 0  # of what is to be read, ns; 0: its socket was empty
-        self.socket_empty_at_ns = 0  # when it was last read until nothing was left, ns
+        self.readable_since_ns = 0
+        self.earliest_arrival_ns = 0
+        self.socket_empty_at_ns = 0
         self.timer: Timer[tuple[ClientConnection, bool]] | None = None
 
     @property
     def has_open_requests(self) -> bool:
-        """Whether a request of this connection is open, which is to end as its client leaves."""
+        """Whether a request of this connection is open; it is cancelled if the client disconnects."""
         return self.session is not None and bool(self.session.request_by_stream)
 
     @property
     def owes_responses(self) -> bool:
-        """Whether something that was asked here whole is still to be answered, or on its way out."""
+        """Whether a complete request has no response yet, or a response is not written completely."""
         return self.session is not None and bool(
             self.session.request_by_stream
             or self.session.outgoing
@@ -86,7 +111,7 @@
         )
 
     def push(self, answer: Answer) -> None:
-        """Into its mailbox."""
+        """Queue a response for the client; it is released if the connection was closed."""
         if self.is_closed or self.session is None:
             if answer.body is not None:
                 answer.body.release()
@@ -95,30 +120,28 @@
             self._schedule_flush()
 
     def _schedule_flush(self) -> None:
-        """There is something to send, in this connection's own turn: what comes together goes together."""
+        """Schedule a flush, so that responses queued in one turn of the event loop are sent together."""
         if not (self.is_flush_scheduled or self.write_task is not None or self.is_closed):
             self.is_flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _queue_response(
-        self, session: ClientSession, stream: int, head: bytes, body: PooledBody | None = None
+        self, session: ClientSession, stream_id: int, head: bytes, body: PooledBody | None = None
     ) -> None:
-        keep = session.keep_open_by_stream.pop(stream, True)
+        keep_open = session.keep_open_by_stream.pop(stream_id, True)
         if body is None or not body.length:
             if body is not None:
                 body.release()
-            session.short_responses.append((stream, fastcgi.short(stream, head)))
-            session.decoder.close(stream)
-            self.is_last_response_queued = self.is_last_response_queued or not keep
+            session.short_responses.append((stream_id, fastcgi.short(stream_id, head)))
+            session.decoder.close(stream_id)
+            self.is_last_response_queued = self.is_last_response_queued or not keep_open
         else:
-            session.outgoing.append(OutgoingResponse(stream, keep, head, body))
+            session.outgoing.append(OutgoingResponse(stream_id, keep_open, head, body))
         self._schedule_flush()
 
     def _accept_response(self, session: ClientSession, answer: Answer) -> None:
         request = answer.request
-        if (
-            session.request_by_stream.get(request.stream_id) is not request
-        ):  # it was aborted as the answer was made
+        if session.request_by_stream.get(request.stream_id) is not request:  # aborted in the meantime
             if answer.body is not None:
                 answer.body.release()
             return
@@ -129,7 +152,7 @@
         )
 
     def _flush(self) -> None:
-        """Write as much as the socket takes and a turn allows; what goes wrong ends this connection alone."""
+        """Write as much as the socket takes and one turn allows; an error closes this connection only."""
         self.is_flush_scheduled = False
         try:
             self._write_pending()
@@ -137,7 +160,7 @@
             self._close_on_error(error)
 
     def _close_on_error(self, error: Exception) -> None:
-        """What goes wrong ends this connection alone: by its client, the network, or a fault of ours."""
+        """Stop reading after a protocol error; close the connection after any other."""
         if isinstance(error, ProtocolError):
             self.stop_reading(error)
             return
@@ -148,11 +171,11 @@
         self.close()
 
     def _write_pending(self) -> None:
-        """The first bytes go by the call that sock_sendall makes first itself; a task takes what is left."""
+        """Send batches directly, as sock_sendall does first; a task writes what the socket does not take."""
         session = self.session
         if self.is_closed or session is None or self.write_task is not None:
             return
-        for _ in range(BATCHES):
+        for _ in range(MAX_BATCHES_PER_TURN):
             while session.inbox:
                 self._accept_response(session, session.inbox.popleft())
             if not (session.outgoing or session.short_responses):
@@ -171,59 +194,63 @@
                 self.write_task = asyncio.get_running_loop().create_task(self._write_remaining(batch[sent:]))
                 break
         else:
-            self._schedule_flush()  # others get their turn between
+            self._schedule_flush()  # other connections are served in between
         self._update_state()
         if self.manager.is_draining:
             self.close_gracefully()
 
     async def _write_remaining(self, data: bytes) -> None:
-        """Wait until the socket has taken it, then go on."""
-        broken = False
+        """Wait until the socket has taken `data`, then flush again."""
+        is_broken = False
         try:
             await send_all(self.sock, data)
             self.last_activity_ns = clock.now()
         except OSError:
             self.manager.checks.count("client_connections_reset")
-            broken = True
+            is_broken = True
         finally:
             self.write_task = None
         if not self.is_closed:
-            if broken:
+            if is_broken:
                 self.close()
             else:
                 self._flush()
 
     def _next_batch(self, session: ClientSession) -> bytes:
-        """Answers take turns, a record each, so that a large one does not delay the small."""
-        out = bytearray().join(data for _, data in session.short_responses)
+        """Return the next bytes to send: a record of each response in turn, so that large ones delay none."""
+        batch = bytearray().join(data for _, data in session.short_responses)
         session.short_responses.clear()
         self.closes_when_sent = self.closes_when_sent or self.is_last_response_queued
-        while session.outgoing and len(out) < BATCH:
-            outgoing = session.outgoing.popleft()
-            piece = next(outgoing.records, None)
-            if piece is not None:
-                out += piece
-                session.outgoing.append(outgoing)
+        while session.outgoing and len(batch) < BATCH_BYTES:
+            response = session.outgoing.popleft()
+            record = next(response.records, None)
+            if record is not None:
+                batch += record
+                session.outgoing.append(response)
             else:
-                out += fastcgi.finish(outgoing.stream_id)
-                outgoing.release()
-                session.decoder.close(outgoing.stream_id)
-                self.closes_when_sent = self.closes_when_sent or not outgoing.keep_open
-        return bytes(out)
+                batch += fastcgi.finish(response.stream_id)
+                response.release()
+                session.decoder.close(response.stream_id)
+                self.closes_when_sent = self.closes_when_sent or not response.keep_open
+        return bytes(batch)
 
-    # Of the other sides
+    # Implemented by the subclasses
 
     @property
     def client_connection(self) -> ClientConnection:
+        """This connection, typed for the manager."""
         raise NotImplementedError
 
     def close(self, linger: bool = False) -> None:
+        """See ClientConnection."""
         raise NotImplementedError
 
     def close_gracefully(self) -> None:
+        """See ClientConnection."""
         raise NotImplementedError
 
     def stop_reading(self, fault: ProtocolError) -> None:
+        """See ClientReadSide."""
         raise NotImplementedError
 
     def _close_socket(self, linger: bool = False) -> None:
--- a/quincepier/net/lingering_sockets.py
+++ b/quincepier/net/lingering_sockets.py
@@ -1,7 +1,8 @@
-"""Sockets that are closed for writing and read on to their end for a moment, with nothing done to what comes.
+"""Lingering close: sockets that are closed for writing and read until the peer closes, for a short time.
 
-A close over unread bytes resets the connection, and with it goes what the peer has not read yet (RFC 1122,
-4.2.2.13; RFC 2525, 2.17). A half-close tells the peer that nothing more comes, and its own close ends both.
+Closing a socket with unread bytes resets the connection, and the peer loses what it has not read yet
+(RFC 1122, 4.2.2.13; RFC 2525, 2.17). A half-close tells the peer that nothing more will be sent; its own
+close ends both sides. What is received meanwhile is discarded.
 """
 
 from __future__ import annotations
@@ -12,44 +13,51 @@
 from quincepier.checks import Checks
 from quincepier.net.sockets import Descriptors
 
-LINGERS_FOR = 1.0  # seconds given to a peer to close its side
-SPARE_DESCRIPTORS = 8  # descriptors beside those of clients, out of the spare ones
-LOOK_EVERY = 0.005  # seconds between looks whether all have ended
+LINGER_TIMEOUT_S = 1.0  # for the peer to close its side
+SPARE_DESCRIPTORS = 8  # that lingering sockets may use beside those of clients, out of the spare ones
+POLL_INTERVAL_S = 0.005  # between checks whether all sockets are closed
 
 
 class LingeringSockets:
-    """Bounded in number and time; the oldest goes first where descriptors are short."""
+    """Sockets in lingering close, limited in number and time; the oldest is closed first.
 
-    def __init__(self, checks: Checks, descriptors: Descriptors, scratch: memoryview) -> None:
-        self.checks, self.descriptors, self.read_buffer = checks, descriptors, scratch
-        self.open: dict[socket.socket, asyncio.TimerHandle] = {}  # the oldest first
+    Attributes:
+        checks: Counters.
+        descriptors: The count of open descriptors.
+        read_buffer: Buffer for the bytes that are discarded.
+        open: The timer of each socket, the oldest socket first.
+    """
+
+    def __init__(self, checks: Checks, descriptors: Descriptors, read_buffer: memoryview) -> None:
+        self.checks, self.descriptors, self.read_buffer = checks, descriptors, read_buffer
+        self.open: dict[socket.socket, asyncio.TimerHandle] = {}
 
     def add(self, sock: socket.socket) -> None:
-        """End this side of a connection; its socket is let go of once the peer has ended the other."""
+        """Close a socket for writing, and completely once the peer has closed or the time-out has passed."""
         try:
             sock.shutdown(socket.SHUT_WR)
-        except OSError:  # the peer has reset it
+        except OSError:  # the peer has reset the connection
             sock.close()
             return
         loop = asyncio.get_running_loop()
-        self.open[sock] = loop.call_later(LINGERS_FOR, self._close, sock)
+        self.open[sock] = loop.call_later(LINGER_TIMEOUT_S, self._close, sock)
         loop.add_reader(sock.fileno(), self._read, sock)
         self.descriptors.lingers(1)
         self.close_excess()
 
     def close_excess(self) -> None:
-        """Descriptors that clients need are not kept for those who have been told to go."""
-        room = self.descriptors.clients_most - self.descriptors.clients + SPARE_DESCRIPTORS
-        while len(self.open) > max(room, 0):
+        """Close the oldest sockets while they use descriptors that clients need."""
+        limit = self.descriptors.clients_most - self.descriptors.clients + SPARE_DESCRIPTORS
+        while len(self.open) > max(limit, 0):
             self.checks.count("lingering_clients_closed_descriptor_limit")
             self._close(next(iter(self.open)))
 
     async def wait_until_closed(self, seconds: float) -> None:
-        """Until all have ended, for so long; what is left then is closed."""
+        """Wait until all peers have closed, for `seconds` at most; then close the sockets that are left."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while self.open and loop.time() < until:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
         for sock in list(self.open):
             self._close(sock)
 
--- a/quincepier/net/listener.py
+++ b/quincepier/net/listener.py
@@ -1,4 +1,4 @@
-"""The listener: it accepts new clients and hands them to the connection manager."""
+"""The listener: accepts new clients and passes them to the connection manager."""
 
 from __future__ import annotations
 
@@ -10,41 +10,53 @@
 from quincepier.net.connection_manager import ConnectionManager
 from quincepier.net.sockets import no_delay
 
-ACCEPTS = 8  # new clients in a row: the others get their turn in a storm of them
-ACCEPTS_AT_MOST = 256  # in a row once some may have waited long: their time counts from the first of them
-MIN_WAIT, MAX_WAIT = 20 * clock.MS, 250 * clock.MS  # in the backlog: of note; for the usual few in a row
-FAILED_PAUSE = 0.01  # seconds not accepted after a failure, which is mostly one of descriptors
+MAX_ACCEPTS = 8  # clients accepted in one turn of the event loop, so that a burst does not delay others
+# The same once clients may have waited for `MAX_WAIT_NS`: their requests' time has been running.
+MAX_ACCEPTS_AFTER_WAIT = 256
+MIN_WAIT_NS = 20 * clock.MS  # time in the backlog that is counted towards a request's time
+MAX_WAIT_NS = 250 * clock.MS  # time in the backlog up to which `MAX_ACCEPTS` applies
+ACCEPT_RETRY_PAUSE_S = 0.01  # after accept failed, mostly for lack of descriptors
 
 
 class AcceptResult(Enum):
-    """What came of one accept."""
+    """The result of one accept."""
 
-    ACCEPTED = "one"
+    ACCEPTED = "one"  # a client was taken from the backlog, whether it was admitted or not
     BACKLOG_EMPTY = "none left"
-    FAILED = "failed"  # for a moment: others may wait
+    FAILED = "failed"  # temporarily; clients may be waiting
 
 
 class Listener:
-    """Accepts clients, a few in a row; who stays is told by the registry.
-
-    It runs in the loop's own turn, without a task: one that is cancelled could hold a client that is accepted
-    and not handed on yet.
+    """Accepts clients, a bounded number in one turn; the manager decides which are admitted.
+
+    It runs in callbacks of the event loop, without a task: a task that is cancelled could hold a client that
+    was accepted and not passed on yet.
+
+    Attributes:
+        manager: Admits the clients.
+        sock: The listening socket.
+        retry_timer: Restarts the listener after a failed accept.
+        is_stopped: Whether `stop` was called.
+        waiting_since_ns: The earliest time at which a client in the backlog may have connected; 0: the
+            backlog was empty.
     """
 
     def __init__(self, manager: ConnectionManager, sock: socket.socket) -> None:
         self.manager, self.sock = manager, sock
-        self.retry_timer: asyncio.TimerHandle | None = None  # after a failure
+        self.retry_timer: asyncio.TimerHandle | None = None
         self.is_stopped = False
-        self.waiting_since_ns = 0  # from when on whoever is in the backlog may have come; 0: nobody was left
+        self.waiting_since_ns = 0
 
     def start(self) -> None:
+        """Begin to accept clients."""
         self.retry_timer = None
         asyncio.get_running_loop().add_reader(self.sock.fileno(), self._on_readable)
 
     def stop(self) -> bool:
-        """Nobody comes any more. Whom the system has let in already is taken: the close would reset them.
+        """Stop listening, after taking the clients in the backlog: closing the socket would reset them.
 
-        Returns whether all are. Where accept fails nothing is closed: call it again.
+        Return whether the backlog is empty and the socket closed. If accept fails the socket stays open, and
+        `stop` is to be called again.
         """
         if self.sock.fileno() < 0:
             return True
@@ -53,25 +65,25 @@
             if self.retry_timer is not None:
                 self.retry_timer.cancel()
             asyncio.get_running_loop().remove_reader(self.sock.fileno())
-        while (accepted := self._accept()) is AcceptResult.ACCEPTED:
+        while (result := self._accept()) is AcceptResult.ACCEPTED:
             pass
-        if accepted is AcceptResult.BACKLOG_EMPTY:
+        if result is AcceptResult.BACKLOG_EMPTY:
             self.sock.close()
-        return accepted is AcceptResult.BACKLOG_EMPTY
+        return result is AcceptResult.BACKLOG_EMPTY
 
     def close(self) -> None:
-        """The end: who can't be taken even now is reset."""
+        """Stop, and close the socket even if accept fails: the clients left in the backlog are reset."""
         if not self.stop():
             self.manager.checks.event("listener_closed_with_accept_failing")
             self.sock.close()
 
     def _on_readable(self) -> None:
-        for _ in range(ACCEPTS if self._waited_ns() < MAX_WAIT else ACCEPTS_AT_MOST):
+        for _ in range(MAX_ACCEPTS if self._waited_ns() < MAX_WAIT_NS else MAX_ACCEPTS_AFTER_WAIT):
             if self._accept() is not AcceptResult.ACCEPTED:
                 break
 
     def _waited_ns(self) -> int:
-        """How long whoever is accepted now may have waited; the first look at a backlog begins it."""
+        """Return how long a client accepted now may have waited, from the first look at the backlog on."""
         now_ns = clock.now()
         if not self.waiting_since_ns:
             self.waiting_since_ns = self.manager.pauses.earliest_arrival(now_ns)
@@ -85,14 +97,14 @@
             return AcceptResult.BACKLOG_EMPTY
         except InterruptedError:
             return AcceptResult.FAILED
-        except ConnectionAbortedError:  # it left before it was taken
+        except ConnectionAbortedError:  # the client disconnected while it was in the backlog
             return AcceptResult.ACCEPTED
         except OSError as error:
             self.manager.checks.event("accept_failed", str(error))
             if not self.is_stopped:
                 loop = asyncio.get_running_loop()
                 loop.remove_reader(self.sock.fileno())
-                self.retry_timer = loop.call_later(FAILED_PAUSE, self.start)
+                self.retry_timer = loop.call_later(ACCEPT_RETRY_PAUSE_S, self.start)
             return AcceptResult.FAILED
         sock.setblocking(False)
         no_delay(sock)
@@ -100,8 +112,8 @@
         connection = self.manager.admit(sock, address[0])
         if connection is None:
             return AcceptResult.ACCEPTED
-        if waited_ns > MIN_WAIT:
+        if waited_ns > MIN_WAIT_NS:
             connection.set_earliest_arrival(self.waiting_since_ns)
-        if self.is_stopped or waited_ns > MIN_WAIT:
-            connection.receive()  # what it asked before this is asked in time
+        if self.is_stopped or waited_ns > MIN_WAIT_NS:
+            connection.receive()  # the requests it has sent already are read at once
         return AcceptResult.ACCEPTED
--- a/quincepier/timers/__init__.py
+++ b/quincepier/timers/__init__.py
@@ -1,7 +1,7 @@
-"""Timers without I/O or clock: a hierarchical wheel, and a clock that does not count our own standstill.
+"""Timers without I/O: a hierarchical timing wheel, and a clock that does not count process pauses.
 
-They decide what is due, in which order and how much of it at a time. They never read the time, sleep or call
-what a timer is about. Read `wheel.py` first.
+They decide which timers are due and in which order. They never read the time, sleep, or call what a timer is
+for: the caller passes the time and takes the due timers. Start with `wheel.py`.
 """
 
 from quincepier.timers.active_clock import ActiveClock
