--- a/bench/idle.py
+++ b/bench/idle.py
@@ -36,11 +36,11 @@
 from hdrh.histogram import HdrHistogram  # noqa: E402
 
 from bench.measure import cpu_of, resident_of  # noqa: E402
-from tests.fcgikit import call  # noqa: E402
+from tests.fcgikit import encode_request  # noqa: E402
 from tests.standins import Asked, Cache, Client, Front  # noqa: E402
 
 EACH_MOST, CORE, RATE, PORTS = 9800, 0, 8.0, 20_000
-PING = call(1, {"SCRIPT_NAME": "/ping"})
+PING = encode_request(1, {"SCRIPT_NAME": "/ping"})
 QUANTILES = (50, 90, 99, 100)
 SNDBUF = 4096
 
@@ -159,8 +159,8 @@
     async def _read(self) -> None:
         while data := await self.reader.read(65536):
             self.records.feed(data)
-            got = self.records.got
-            for id in [id for id in self.waiting if id in got and got[id].ended is not None]:
+            got = self.records.response_by_request
+            for id in [id for id in self.waiting if id in got and got[id].protocol_status is not None]:
                 self.waiting.pop(id).set_result(None)
                 del got[id]
 
--- a/bench/off.py
+++ b/bench/off.py
@@ -45,8 +45,8 @@
             client.ask(n % 60_000 + 1, HTTP_X_N=str(n % 50), HTTP_X_JOB_ID=f"{n:016x}")
         for n in batch:
             got = await client.ended(n % 60_000 + 1)
-            assert got.ended is not None
-            del client.records.got[n % 60_000 + 1]
+            assert got.protocol_status is not None
+            del client.records.response_by_request[n % 60_000 + 1]
 
 
 async def run(root: Path, requests: int) -> tuple[float, int, int]:
--- a/quincepier/timers/wheel.py
+++ b/quincepier/timers/wheel.py
@@ -14,9 +14,8 @@
 BITS, LEVELS = 8, 4  # bits of the slot index, and levels
 SLOTS = 1 << BITS  # in one level
 MASK = SLOTS - 1
-WHEEL_SPAN = (
-    1 << BITS * LEVELS
-)  # ticks; a later timer waits in the last slot and is inserted again from there
+# Ticks that the wheel covers; a later timer waits in the last slot and is inserted again from there.
+WHEEL_SPAN = 1 << BITS * LEVELS
 
 
 class Timer(Generic[T]):
--- a/tests/fcgikit.py
+++ b/tests/fcgikit.py
@@ -1,4 +1,4 @@
-"""The web server's side of FastCGI, written from its specification for the tests."""
+"""The web server's side of FastCGI for the tests, written from the specification alone."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT = 1, 2, 3, 4, 5, 6
 
 
-def rec(kind: int, request: int, content: bytes = b"", padding: int = 0) -> bytes:
+def encode_record(kind: int, request: int, content: bytes = b"", padding: int = 0) -> bytes:
     return struct.pack(">BBHHBB", 1, kind, request, len(content), padding, 0) + content + bytes(padding)
 
 
-def begin(request: int, role: int = 1, keep: bool = True) -> bytes:
-    return rec(BEGIN, request, struct.pack(">HB5x", role, keep))
+def encode_begin(request: int, role: int = 1, keep: bool = True) -> bytes:
+    return encode_record(BEGIN, request, struct.pack(">HB5x", role, keep))
 
 
-def pairs(values: dict[str, str], long: bool = False) -> bytes:
+def encode_pairs(values: dict[str, str], long: bool = False) -> bytes:
     out = b""
     for name, value in values.items():
-        for part in (name, value):
-            out += struct.pack(">I", len(part) | 1 << 31) if long or len(part) > 127 else bytes([len(part)])
+        for text in (name, value):
+            out += struct.pack(">I", len(text) | 1 << 31) if long or len(text) > 127 else bytes([len(text)])
         out += name.encode() + value.encode()
     return out
 
@@ -38,26 +38,35 @@
     return {name: value for name, value in values.items() if value is not None}
 
 
-def call(
+def encode_request(
     request: int, values: dict[str, str], body: bytes = b"", keep: bool = True, padding: int = 0
 ) -> bytes:
-    raw = pairs(values)
-    out = begin(request, keep=keep) + rec(PARAMS, request, raw, padding) + rec(PARAMS, request)
-    for at in range(0, len(body), 60_000):
-        out += rec(STDIN, request, body[at : at + 60_000], padding)
-    return out + rec(STDIN, request)
+    raw = encode_pairs(values)
+    out = (
+        encode_begin(request, keep=keep)
+        + encode_record(PARAMS, request, raw, padding)
+        + encode_record(PARAMS, request)
+    )
+    for start in range(0, len(body), 60_000):
+        out += encode_record(STDIN, request, body[start : start + 60_000], padding)
+    return out + encode_record(STDIN, request)
 
 
 @dataclass
-class Got:
-    """What came for one request."""
+class ReceivedResponse:
+    """The response to one request, as far as it has arrived.
 
-    out: bytes = b""
-    ended: int | None = None  # the protocol status
+    Attributes:
+        output: Content of its STDOUT records.
+        protocol_status: The protocol status of END_REQUEST; None before it has arrived.
+    """
+
+    output: bytes = b""
+    protocol_status: int | None = None
 
     @property
     def headers(self) -> dict[str, str]:
-        head = self.out.partition(b"\r\n\r\n")[0].decode()
+        head = self.output.partition(b"\r\n\r\n")[0].decode()
         return dict(line.split(": ", 1) for line in head.split("\r\n"))
 
     @property
@@ -66,17 +75,17 @@
 
     @property
     def body(self) -> bytes:
-        return self.out.partition(b"\r\n\r\n")[2]
+        return self.output.partition(b"\r\n\r\n")[2]
 
 
 @dataclass
-class Reader:
-    """Records from the front, by request; a second END or output after it is a fault."""
+class ResponseReader:
+    """Decodes records from the front by request; a record after a request's END_REQUEST fails the test."""
 
     buffer: bytes = b""
-    got: dict[int, Got] = field(default_factory=dict)
-    managed: list[tuple[int, bytes]] = field(default_factory=list)
-    order: list[int] = field(default_factory=list)
+    response_by_request: dict[int, ReceivedResponse] = field(default_factory=dict)
+    management_records: list[tuple[int, bytes]] = field(default_factory=list)
+    completed_requests: list[int] = field(default_factory=list)
 
     def feed(self, data: bytes) -> None:
         self.buffer += data
@@ -88,13 +97,13 @@
             content = self.buffer[8 : 8 + size]
             self.buffer = self.buffer[8 + size + padding :]
             if request == 0:
-                self.managed.append((kind, content))
+                self.management_records.append((kind, content))
                 continue
-            got = self.got.setdefault(request, Got())
-            assert got.ended is None, f"request {request} gets more after its end"
+            response = self.response_by_request.setdefault(request, ReceivedResponse())
+            assert response.protocol_status is None, f"request {request} has a record after END_REQUEST"
             if kind == STDOUT:
-                got.out += content
+                response.output += content
             else:
                 assert kind == END
-                got.ended = content[4]
-                self.order.append(request)
+                response.protocol_status = content[4]
+                self.completed_requests.append(request)
--- a/tests/limitkit.py
+++ b/tests/limitkit.py
@@ -1,4 +1,4 @@
-"""The front as a process with few descriptors, the system's own limit set to the same figure."""
+"""Runs the front as a process with few descriptors; RLIMIT_NOFILE has the same value as its setting."""
 
 from __future__ import annotations
 
@@ -11,30 +11,32 @@
 from pathlib import Path
 from typing import Any
 
-from tests.fcgikit import BEGIN, call, pairs, params, rec
+from tests.fcgikit import BEGIN, encode_pairs, encode_record, encode_request, params
 from tests.frontkit import host
 from tests.standins import Behaviour, Cache, Client, Front, until
 
 KEEP = 1
 
 
-def ping(request: int) -> bytes:
-    """A whole request for /ping."""
-    return call(request, {"SCRIPT_NAME": "/ping"})
+def ping_request(request: int) -> bytes:
+    """Return an encoded request for /ping."""
+    return encode_request(request, {"SCRIPT_NAME": "/ping"})
 
 
-def half(request: int) -> bytes:
-    """A request that has begun and lacks its end."""
-    return rec(BEGIN, request, bytes([0, 1, KEEP, 0, 0, 0, 0, 0])) + rec(4, request, pairs(params("0" * 16)))
+def partial_request(request: int) -> bytes:
+    """Return the first records of a request, without its last ones."""
+    return encode_record(BEGIN, request, bytes([0, 1, KEEP, 0, 0, 0, 0, 0])) + encode_record(
+        4, request, encode_pairs(params("0" * 16))
+    )
 
 
-def item(n: int) -> str:
-    """One object of many."""
+def object_id(n: int) -> str:
+    """Return the id of one of many objects."""
     return f"{n * 0x9E3779B97F4A7C15 % 2**64:016x}"
 
 
-def resident(front: Front) -> int:
-    """Bytes of memory that the process has resident at most so far."""
+def peak_resident_bytes(front: Front) -> int:
+    """Return the peak resident memory of the process, bytes."""
     assert front.process is not None
     status = Path(f"/proc/{front.process.pid}/status").read_text()
     found = re.search(r"VmHWM:\s+(\d+) kB", status)
@@ -42,46 +44,46 @@
     return int(found[1]) * 1024
 
 
-def descriptors(front: Front) -> int:
+def count_open_descriptors(front: Front) -> int:
     assert front.process is not None
     return len(os.listdir(f"/proc/{front.process.pid}/fd"))
 
 
-def counters(front: Front) -> dict[str, int]:
-    """As the front tells them at its end."""
+def read_final_counters(front: Front) -> dict[str, int]:
+    """Return the counters that the front logs at its end."""
     line = next(line for line in front.lines if "counters: " in line and " stopped: " in line)
     text = line.partition("counters: ")[2]
     return {m[1]: int(m[2]) for m in re.finditer(r"(?:^|, )([^,]+?) (\d+)(?=, |$)", text)}
 
 
-async def more_machines(front: Front, count: int) -> None:
-    """The list tells of so many caches more, all at the address of the first."""
+async def add_machines(front: Front, count: int) -> None:
+    """Add `count` caches to the endpoint list, all at the address of the first one."""
     known, address = len(front.log.since), front.caches["s-1"].address
     seq = front.log.add(
         fleet={"seq": 1, "whole": False, "hosts": [host(f"s-{n + 2}", address) for n in range(count)]}
     )
-    await until(lambda: any(since >= seq for since in front.log.since[known:]), "the list is heard")
+    await until(lambda: any(since >= seq for since in front.log.since[known:]), "the endpoint list is read")
 
 
-async def ended(front: Front) -> dict[str, int]:
-    """End the front as a planned restart does; its counters."""
+async def stop_and_read_counters(front: Front) -> dict[str, int]:
+    """Stop the front by SIGTERM and return its counters."""
     front.signal(signal.SIGTERM)
     assert await front.code() == 0, front.lines
-    return counters(front)
+    return read_final_counters(front)
 
 
-async def idle(front: Front, count: int) -> list[Client]:
-    """So many clients that have asked once, were answered, and rest."""
-    found = []
+async def connect_idle_clients(front: Front, count: int) -> list[Client]:
+    """Return `count` idle clients that have each had one response."""
+    clients = []
     for _ in range(count):
-        found.append(await front.client())
-        found[-1].send(ping(1))
-    for client in found:
-        await until(lambda c=client: 1 in c.records.order or c.closed, "a ping is answered")  # type: ignore[misc]
-    return found
+        clients.append(await front.client())
+        clients[-1].send(ping_request(1))
+    for client in clients:
+        await until(lambda c=client: 1 in c.records.completed_requests or c.closed, "the ping has a response")  # type: ignore[misc]
+    return clients
 
 
-def play_at(
+def play_with_descriptors(
     folder: Path,
     caches: dict[str, Behaviour],
     scenario: Callable[[Front], Awaitable[None]],
@@ -89,7 +91,7 @@
     memory_mb: int = 64,
     **changes: Any,
 ) -> None:
-    """Start the front with so many descriptors for its own account and for the system's, play, end it."""
+    """Run a scenario with a front whose own limit and RLIMIT_NOFILE are `sockets` descriptors."""
 
     async def run() -> None:
         front = Front(folder, {name: Cache(behaviour) for name, behaviour in caches.items()}, optimized=True)
@@ -102,7 +104,7 @@
             assert not front.ended, front.lines
             await scenario(front)
         finally:
-            print(*front.lines[-25:], sep="\n")  # shown where the test fails
+            print(*front.lines[-25:], sep="\n")  # shown if the test fails
             await front.stop()
 
     asyncio.run(run())
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -14,7 +14,7 @@
 from typing import Any, Self
 from urllib.parse import parse_qs, urlsplit
 
-from tests.fcgikit import Got, Reader, call, params
+from tests.fcgikit import ReceivedResponse, ResponseReader, encode_request, params
 from tests.frontkit import host, raw_config
 from tests.loopback import own_address
 
@@ -164,7 +164,7 @@
     """One FastCGI connection to the front."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.records, self.closed = reader, writer, Reader(), False
+        self.reader, self.writer, self.records, self.closed = reader, writer, ResponseReader(), False
         self.task = asyncio.create_task(self._read())
 
     @classmethod
@@ -183,12 +183,12 @@
         self.writer.write(data)
 
     def ask(self, request: int, cls: str = "lot-image", body: bytes = b"", **changes: str | None) -> None:
-        self.send(call(request, params(f"{request:016x}", cls, **changes), body))
+        self.send(encode_request(request, params(f"{request:016x}", cls, **changes), body))
 
-    async def ended(self, request: int) -> Got:
-        got = self.records.got.setdefault(request, Got())
-        await until(lambda: got.ended is not None or self.closed, f"request {request} ends")
-        assert got.ended is not None, "the connection ended first"
+    async def ended(self, request: int) -> ReceivedResponse:
+        got = self.records.response_by_request.setdefault(request, ReceivedResponse())
+        await until(lambda: got.protocol_status is not None or self.closed, f"request {request} ends")
+        assert got.protocol_status is not None, "the connection ended first"
         return got
 
     async def close(self) -> None:
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -26,7 +26,7 @@
 from quincepier.net.messages import Came, Ended, Left
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors
-from tests.fcgikit import Reader
+from tests.fcgikit import ResponseReader
 from tests.frontkit import Inbox, host, make_config, open_request, raw_config
 from tests.standins import Cache, until
 
@@ -259,10 +259,14 @@
     outgoing = OutgoingResponse(4, True, cgi_head(200), body)
     assert not outgoing.is_started
     outgoing.fail()
-    reader = Reader()
+    reader = ResponseReader()
     for piece in outgoing.records:
         reader.feed(piece)
-    assert (reader.got[4].status, reader.got[4].body, pool.used) == (502, b"", 0)
+    assert (reader.response_by_request[4].status, reader.response_by_request[4].body, pool.used) == (
+        502,
+        b"",
+        0,
+    )
 
 
 def test_checks_assert_in_debug_and_counters_tell_what_moved() -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Who may stay: caps by network, who goes first, no churn at the limit; slices of those that are ready."""
+"""Admission of clients: caps by network, the order of eviction, no churn at the limit; the ready queue."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 MS = 1_000_000
 
 
-def full_roll(caps: ConnectionLimits, *networks: tuple[str, int]) -> ConnectionRegistry[str]:
-    """Each connection named by its network and number, all at rest, in the order they came."""
+def make_full_registry(caps: ConnectionLimits, *networks: tuple[str, int]) -> ConnectionRegistry[str]:
+    """Return a registry of idle connections, each named by its network and number, in order of admission."""
     registry: ConnectionRegistry[str] = ConnectionRegistry(caps)
     now = 0
     for network, count in networks:
@@ -28,39 +28,36 @@
     return registry
 
 
-def test_by_default_age_alone_decides_as_ever() -> None:
+def test_by_default_age_alone_decides() -> None:
     registry: ConnectionRegistry[str] = ConnectionRegistry(ConnectionLimits(3))
-    for n, who in enumerate(("a", "b", "c")):
-        registry.admit(who, "", n)
+    for n, connection in enumerate(("a", "b", "c")):
+        registry.admit(connection, "", n)
     late = 600 * MS
     registry.on_request("b")
     registry.on_idle("b", 5)
-    assert registry.find_evictable(10) == "b"  # who came just now may be about to ask
-    assert registry.find_evictable(late) == "a"  # who never asked goes first
+    assert registry.find_evictable(10) == "b"  # a new connection has time for its first request
+    assert registry.find_evictable(late) == "a"  # a new one whose time has passed goes first
     registry.on_request("a")
     registry.on_request("c")
     assert registry.admit("d", "", late) == (AdmissionResult.ADMITTED, ["b"])
-    assert registry.admit("e", "", late) == (
-        AdmissionResult.ADMITTED,
-        ["d"],
-    )  # nobody rests: the newest not to ask
+    assert registry.admit("e", "", late) == (AdmissionResult.ADMITTED, ["d"])  # none is idle: the new one
     registry.on_request("e")
-    assert registry.admit("f", "", late) == (AdmissionResult.LIMIT_REACHED, [])  # all are owed something
+    assert registry.admit("f", "", late) == (AdmissionResult.LIMIT_REACHED, [])  # all are busy
 
 
 def test_one_large_network_makes_room_for_itself_and_for_small_ones() -> None:
-    registry = full_roll(ConnectionLimits(100), ("small", 4), ("large", 96))
+    registry = make_full_registry(ConnectionLimits(100), ("small", 4), ("large", 96))
     now = 10_000 * MS
-    gone = [registry.admit(f"more{n}", "large", now + n)[1][0] for n in range(50)]
-    gone += [registry.admit(f"new{n}", f"other{n}", now + 100 + n)[1][0] for n in range(20)]
-    assert not any(who.startswith("small") for who in gone) and len(set(gone)) == 70
+    closed_now = [registry.admit(f"more{n}", "large", now + n)[1][0] for n in range(50)]
+    closed_now += [registry.admit(f"new{n}", f"other{n}", now + 100 + n)[1][0] for n in range(20)]
+    assert not any(connection.startswith("small") for connection in closed_now) and len(set(closed_now)) == 70
 
 
-def test_a_crowd_that_comes_back_at_the_limit_is_turned_away_not_churned() -> None:
-    """Each of 200 clients comes back as it is closed: with a least rest few are closed, else all in turn."""
+def test_clients_that_reconnect_at_the_limit_are_rejected_without_churn() -> None:
+    """200 clients reconnect when closed: with a minimum idle time few are closed, else all in turn."""
     closed = {}
     for least in (0, 5000 * MS):
-        registry, now, shut = (
+        registry, now, closed_count = (
             ConnectionRegistry[int](ConnectionLimits(100, min_idle_time=least, max_closed_at_once=4)),
             0,
             0,
@@ -68,16 +65,16 @@
         waiting = list(range(200))
         for _ in range(2000):
             now += MS
-            who = waiting.pop(0)
-            verdict, gone = registry.admit(who, "crowd", now)
-            if verdict is AdmissionResult.ADMITTED:
-                registry.on_request(who)
-                registry.on_idle(who, now)
+            connection = waiting.pop(0)
+            result, closed_now = registry.admit(connection, "crowd", now)
+            if result is AdmissionResult.ADMITTED:
+                registry.on_request(connection)
+                registry.on_idle(connection, now)
             else:
-                waiting.append(who)
-            waiting += gone
-            shut += len(gone)
-        closed[least] = shut
+                waiting.append(connection)
+            waiting += closed_now
+            closed_count += len(closed_now)
+        closed[least] = closed_count
     assert closed[0] > 1800 and closed[5000 * MS] <= 50, closed
 
 
@@ -88,11 +85,11 @@
     registry.on_request(1)
     assert registry.admit(2, "a", 5)[0] is AdmissionResult.NETWORK_LIMIT_REACHED
     registry.on_idle(0, 6)
-    assert registry.admit(2, "a", 7) == (AdmissionResult.ADMITTED, [0])  # its own makes room
+    assert registry.admit(2, "a", 7) == (AdmissionResult.ADMITTED, [0])  # an idle one of the same network
     assert [registry.admit(n, "b", 8, cap=3)[0] for n in (10, 11, 12)] == [AdmissionResult.ADMITTED] * 3
 
 
-def test_rest_is_bounded_where_the_operators_ask() -> None:
+def test_idle_time_is_limited_by_the_operators_file() -> None:
     registry: ConnectionRegistry[str] = ConnectionRegistry(ConnectionLimits(10, max_idle_time=100))
     registry.admit("a", "", 0)
     assert registry.idle_deadline("a") is None
@@ -105,13 +102,13 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.integers(0, 2**32), st.integers(1, 12), st.integers(0, 5), st.integers(1, 4))
-def test_the_counts_hold_and_who_is_owed_something_stays(seed: int, most: int, each: int, slack: int) -> None:
-    chance = random.Random(seed)
+def test_counts_hold_and_busy_connections_stay(seed: int, most: int, each: int, slack: int) -> None:
+    rng = random.Random(seed)
     registry: ConnectionRegistry[int] = ConnectionRegistry(
         ConnectionLimits(
             most,
             max_per_network=each,
-            min_idle_time=chance.randrange(50),
+            min_idle_time=rng.randrange(50),
             max_closed_at_once=slack,
             first_request_grace=20,
         )
@@ -120,45 +117,45 @@
     busy: set[int] = set()
     for step in range(150):
         now = step * 7
-        what = chance.randrange(5)
-        who = chance.choice(list(inside)) if inside and what else 1000 + step
-        if what == 0 or not inside:
-            network = chance.choice("abc")
-            verdict, gone = registry.admit(who, network, now)
-            assert not set(gone) & busy and set(gone) <= set(inside), "who is owed something stays"
-            for one in gone:
-                del inside[one]
-            if verdict is AdmissionResult.ADMITTED:
-                inside[who] = network
-        elif what == 1:
-            registry.on_request(who)
-            busy.add(who)
-        elif what in (2, 3):
-            registry.on_idle(who, now)
-            busy.discard(who)
+        action = rng.randrange(5)
+        connection = rng.choice(list(inside)) if inside and action else 1000 + step
+        if action == 0 or not inside:
+            network = rng.choice("abc")
+            result, closed_now = registry.admit(connection, network, now)
+            assert not set(closed_now) & busy and set(closed_now) <= set(inside), "busy connections stay"
+            for evicted in closed_now:
+                del inside[evicted]
+            if result is AdmissionResult.ADMITTED:
+                inside[connection] = network
+        elif action == 1:
+            registry.on_request(connection)
+            busy.add(connection)
+        elif action in (2, 3):
+            registry.on_idle(connection, now)
+            busy.discard(connection)
         else:
-            registry.remove(who)
-            del inside[who]
-            busy.discard(who)
+            registry.remove(connection)
+            del inside[connection]
+            busy.discard(connection)
         assert len(registry) == len(inside) <= most
         sizes = {name: list(inside.values()).count(name) for name in set(inside.values())}
         assert {name: n.size for name, n in registry.network_by_name.items()} == sizes
         assert not each or max(sizes.values(), default=0) <= each
 
 
-def test_slices_serve_so_many_a_turn_first_come_first_served() -> None:
+def test_ready_queue_serves_a_bounded_number_per_turn_in_order() -> None:
     turns: ReadyQueue[int] = ReadyQueue(3)
     turns.start_turn()
     served = [n for n in range(10) if turns.serve_or_enqueue(n)]
     assert served == [0, 1, 2] and list(turns.waiting) == list(range(3, 10)) and not turns.serve_or_enqueue(3)
     turns.remove(4)
     assert turns.start_turn() == [3, 5, 6]
-    assert not turns.serve_or_enqueue(20)  # behind those in line
+    assert not turns.serve_or_enqueue(20)  # behind those that wait
     assert turns.start_turn() == [7, 8, 9] and turns.start_turn() == [20]
     assert turns.serve_or_enqueue(21) and turns.max_length == 7
 
 
-def test_the_section_tells_whose_a_connection_is() -> None:
+def test_the_section_finds_the_network_and_cap_of_an_address() -> None:
     file = read("""
 clients:
   networks:
@@ -170,14 +167,19 @@
 """, "op.yaml")  # fmt: skip
     section = file.get(ClientsSection)
     assert section is not None
-    places = ClientNetworks(section)
+    networks = ClientNetworks(section)
     hosts = "10.1.2.3", "10.2.0.1", "192.0.2.9", "2001:db8::1", "::1", ""
-    assert {host: places.find_network(host) for host in hosts} == {
+    assert {host: networks.find_network(host) for host in hosts} == {
         "10.1.2.3": ("10.1.0.0/16", 5), "10.2.0.1": ("10.0.0.0/8", 50), "192.0.2.9": ("192.0.2.0/24", 0),
         "2001:db8::1": ("2001:db8::/32", 7), "::1": ("::/56", 0), "": ("", 0),
     }  # fmt: skip
-    caps = places.make_limits(400)
-    assert (caps.max_connections, caps.max_per_network, caps.max_idle_time, caps.max_closed_at_once) == (
+    limits = networks.make_limits(400)
+    assert (
+        limits.max_connections,
+        limits.max_per_network,
+        limits.max_idle_time,
+        limits.max_closed_at_once,
+    ) == (
         400,
         20,
         60_000 * MS,
--- a/tests/test_crossings_client.py
+++ b/tests/test_crossings_client.py
@@ -1,7 +1,7 @@
-"""Bytes, closes and aborts of clients that come in the very moment in which the front does something else.
+"""Bytes, closes and aborts of clients that cross an action of the front, such as a close of the connection.
 
-The connections are TCP on loopback, in the process of the test: so a client's bytes can be put between the
-last read of a connection and its close, and what the system does with them is seen at the client's end.
+The connections are TCP on loopback within the test's process. So a test can send bytes between the last read
+of a connection and its close, and sees at the client's end what the system does with them.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from quincepier.net.connection_manager import MAX_ACTIVE_READS, ConnectionManager
 from quincepier.net.messages import Answer, Came, Left
 from quincepier.net.sockets import no_delay
-from tests.fcgikit import ABORT, Reader, begin, call, params, rec
+from tests.fcgikit import ABORT, ResponseReader, encode_begin, encode_record, encode_request, params
 from tests.standins import until
 from tests.test_idle import PING, make_manager, on_loop
 
-LATE = call(2, params("2" * 16))  # a whole request
-LINGER = struct.pack("ii", 1, 0)  # a close resets
+SECOND_REQUEST = encode_request(2, params("2" * 16))  # a complete request
+LINGER = struct.pack("ii", 1, 0)  # makes a close reset the connection
 
 
 class Peer:
-    """A client, with its connection at the front."""
+    """A client and its connection at the front."""
 
     def __init__(self, manager: ConnectionManager, first: bytes = b"") -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -41,7 +41,7 @@
         self.ours.setblocking(False)
         no_delay(self.ours)
         self.sock.settimeout(20)
-        self.manager, self.reader = manager, Reader()
+        self.manager, self.reader = manager, ResponseReader()
         if first:
             self.send(first)
         self.connection = manager.admit(self.ours)
@@ -52,12 +52,12 @@
         return self.connection
 
     def send(self, data: bytes) -> None:
-        """Bytes are there for the front when this returns."""
+        """Send bytes and wait until they are in the front's socket."""
         self.sock.sendall(data)
         assert select.select([self.ours], [], [], 20)[0]
 
-    async def to_the_end(self) -> None:
-        """All that comes; ConnectionResetError where the connection does not end as it should."""
+    async def read_to_end(self) -> None:
+        """Read until the front closes the connection; raises ConnectionResetError if it resets it."""
         self.sock.setblocking(False)
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(20):
@@ -65,126 +65,133 @@
                 self.reader.feed(data)
         self.sock.close()
 
-    async def asked(self, data: bytes = PING) -> None:
-        """It has asked, and has an answer that it does not read yet."""
+    async def complete_request(self, data: bytes = PING) -> None:
+        """Send a request and wait until its response is written; the client does not read it yet."""
         self.send(data)
         await until(
-            lambda: self.at_front.has_requested and not self.at_front.owes_responses, "it is answered"
+            lambda: self.at_front.has_requested and not self.at_front.owes_responses,
+            "the response is written",
         )
 
 
-def between(manager: ConnectionManager, cross: Callable[[], None]) -> None:
-    """Once, after the last read of a connection that is being closed."""
+def call_after_last_read(manager: ConnectionManager, action: Callable[[], None]) -> None:
+    """Call `action` once, after the last read of a connection that is being closed."""
     plain = manager.unwatch
 
     def unwatch(connection: ClientConnection) -> None:
         manager.unwatch = plain  # type: ignore[method-assign]
         plain(connection)
-        cross()
+        action()
 
     manager.unwatch = unwatch  # type: ignore[method-assign]
 
 
-def taken(manager: ConnectionManager) -> list[str]:
+def received_job_ids(manager: ConnectionManager) -> list[str]:
     return [message.request.job_id for message in manager.module.last if isinstance(message, Came)]
 
 
-def give(manager: ConnectionManager, request: object, body: bytes) -> None:
-    """The module's answer to what it took up."""
+def push_response(manager: ConnectionManager, request: object, body: bytes) -> None:
+    """Push the module's response to a request."""
     manager.pool.max_buffers = 1000
-    held = PooledBody.allocate(manager.pool, len(body))
-    assert held is not None
-    held.append(body)
-    request.receiver.push(Answer(request, 200, held))  # type: ignore[attr-defined, arg-type]
+    pooled = PooledBody.allocate(manager.pool, len(body))
+    assert pooled is not None
+    pooled.append(body)
+    request.receiver.push(Answer(request, 200, pooled))  # type: ignore[attr-defined, arg-type]
 
 
-async def drained(manager: ConnectionManager, peer: Peer) -> None:
+async def close_by_drain(manager: ConnectionManager, peer: Peer) -> None:
     manager.drain()
 
 
-async def ended(manager: ConnectionManager, peer: Peer) -> None:
+async def close_by_end(manager: ConnectionManager, peer: Peer) -> None:
     await manager.close_all()
 
 
-async def rested(manager: ConnectionManager, peer: Peer) -> None:
+async def close_by_idle_timeout(manager: ConnectionManager, peer: Peer) -> None:
     now = clock.now()
     while peer.at_front in manager.connections:
         now += clock.SECOND // 5
         manager.sweep(now)
 
 
-async def crowded_out(manager: ConnectionManager, peer: Peer) -> None:
+async def close_by_eviction(manager: ConnectionManager, peer: Peer) -> None:
     while peer.at_front in manager.connections:
         other = Peer(manager)
         manager.registry.on_request(other.at_front)
 
 
-@pytest.mark.parametrize("close", [drained, ended, rested, crowded_out])
-def test_a_request_that_crosses_a_close_resets_nothing_and_is_not_taken(
+@pytest.mark.parametrize("close", [close_by_drain, close_by_end, close_by_idle_timeout, close_by_eviction])
+def test_a_request_that_crosses_a_close_causes_no_reset_and_is_not_taken(
     close: Callable[[ConnectionManager, Peer], asyncio.Future[None]],
 ) -> None:
     async def scenario() -> None:
         manager = make_manager(64, ClientNetworks(ClientsSection(rest_least_ms=0, rest_most_s=0.5, slack=1)))
         peer = Peer(manager)
-        await peer.asked()
-        between(manager, lambda: peer.send(LATE))
-        await asyncio.gather(close(manager, peer), peer.to_the_end())
-        assert peer.reader.got[1].status == 200 and not peer.reader.buffer and not taken(manager)
+        await peer.complete_request()
+        call_after_last_read(manager, lambda: peer.send(SECOND_REQUEST))
+        await asyncio.gather(close(manager, peer), peer.read_to_end())
+        assert (
+            peer.reader.response_by_request[1].status == 200
+            and not peer.reader.buffer
+            and not received_job_ids(manager)
+        )
 
     on_loop(scenario)
 
 
-def test_a_request_behind_the_last_one_of_a_connection_takes_no_answer_along() -> None:
-    """Without KEEP_CONN the connection ends behind its answer, which is not read yet, and a request comes."""
+def test_a_request_after_the_last_one_of_a_connection_does_not_destroy_its_response() -> None:
+    """Without KEEP_CONN the front closes after the response; another request arrives before it is read."""
 
     async def scenario() -> None:
         manager, large = make_manager(), os.urandom(40_000) * 6
         peer = Peer(manager)
         peer.ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
-        peer.send(call(1, params("1" * 16), keep=False))
-        await until(lambda: bool(taken(manager)), "it is asked")
-        between(manager, lambda: peer.send(LATE))
+        peer.send(encode_request(1, params("1" * 16), keep=False))
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
+        call_after_last_read(manager, lambda: peer.send(SECOND_REQUEST))
         message = manager.module.take()
         assert isinstance(message, Came)
-        give(manager, message.request, large)
-        await until(lambda: not manager.connections, "its side is closed")
-        await peer.to_the_end()
-        assert peer.reader.got[1].body == large and not taken(manager)
+        push_response(manager, message.request, large)
+        await until(lambda: not manager.connections, "the front has closed its side")
+        await peer.read_to_end()
+        assert peer.reader.response_by_request[1].body == large and not received_job_ids(manager)
 
     on_loop(scenario)
 
 
-def test_whoever_is_not_let_in_is_told_by_an_end_and_not_by_a_reset() -> None:
+def test_a_client_that_is_not_admitted_sees_a_close_and_no_reset() -> None:
     async def scenario() -> None:
         manager = make_manager(64, ClientNetworks(ClientsSection(each=1)))
         Peer(manager)
         manager.registry.find_evictable = lambda now: None  # type: ignore[method-assign]
         manager.registry._find_evictable_of = lambda network, now: None  # type: ignore[method-assign]
-        peer = Peer(manager, first=LATE)
+        peer = Peer(manager, first=SECOND_REQUEST)
         assert peer.connection is None
-        await peer.to_the_end()
-        assert not peer.reader.got and not taken(manager)
+        await peer.read_to_end()
+        assert not peer.reader.response_by_request and not received_job_ids(manager)
 
     on_loop(scenario)
 
 
-def test_what_lingers_is_bounded_in_number_and_goes_before_descriptors_are_short() -> None:
+def test_lingering_sockets_are_bounded_in_number_and_close_before_descriptors_run_out() -> None:
     async def scenario() -> None:
         manager = make_manager(64)
-        most, room = manager.descriptors.clients_most, lingering_sockets.SPARE_DESCRIPTORS
-        peers = [Peer(manager) for _ in range(most)]
+        limit, spare = manager.descriptors.clients_most, lingering_sockets.SPARE_DESCRIPTORS
+        peers = [Peer(manager) for _ in range(limit)]
         for peer in peers:
-            await peer.asked()
+            await peer.complete_request()
         for peer in peers:
             peer.at_front.close_gracefully()
-        assert len(manager.lingering.open) == most and not manager.connections
-        for held in range(1, most + 1):
+        assert len(manager.lingering.open) == limit and not manager.connections
+        for held in range(1, limit + 1):
             Peer(manager)
             open_now = len(manager.lingering.open)
-            assert open_now == manager.descriptors.lingering == min(most, most - held + room)
-        assert manager.descriptors.peak <= most + room + 1  # the one that comes is there before others go
-        assert manager.checks.counts["lingering_clients_closed_descriptor_limit"] == most - room
-        for peer in peers[: most - room]:  # the oldest: closed on both sides
+            assert open_now == manager.descriptors.lingering == min(limit, limit - held + spare)
+        assert (
+            manager.descriptors.peak <= limit + spare + 1
+        )  # a new connection is open before another is closed
+        assert manager.checks.counts["lingering_clients_closed_descriptor_limit"] == limit - spare
+        for peer in peers[: limit - spare]:  # the oldest are closed on both sides
             assert peer.ours.fileno() == -1
         for connection in list(manager.connections):
             connection.close()
@@ -192,80 +199,80 @@
     on_loop(scenario)
 
 
-def test_what_lingers_is_bounded_in_time_and_ends_as_its_client_closes(
+def test_lingering_sockets_are_bounded_in_time_and_close_with_their_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
         manager = make_manager()
         quick, slow = Peer(manager), Peer(manager)
         for peer in (quick, slow):
-            await peer.asked()
+            await peer.complete_request()
         manager.drain()
         quick.sock.close()
-        await until(lambda: quick.ours.fileno() == -1, "its end is heard")
+        await until(lambda: quick.ours.fileno() == -1, "its close is noticed")
         assert slow.ours.fileno() != -1 and manager.descriptors.lingering == 1
         monkeypatch.setattr(lingering_sockets, "LINGER_TIMEOUT_S", 0.02)
         slowest = Peer(manager)
-        await slowest.asked()
+        await slowest.complete_request()
         manager.drain()
-        await until(lambda: slowest.ours.fileno() == -1, "its time is over")
+        await until(lambda: slowest.ours.fileno() == -1, "the linger time-out has passed")
         await manager.lingering.wait_until_closed(0)
         assert slow.ours.fileno() == -1 and manager.descriptors.lingering == 0
 
     on_loop(scenario)
 
 
-def test_a_request_that_becomes_whole_after_the_last_read_is_not_sent_on() -> None:
-    """Half of it is read, the rest comes between that and the close; the connection ends, with no reset."""
+def test_a_request_completed_after_the_last_read_is_not_forwarded() -> None:
+    """Half of it is read, the rest arrives before the close; the connection ends without a reset."""
 
     async def scenario() -> None:
         manager = make_manager()
         peer = Peer(manager)
-        await peer.asked()
-        peer.send(LATE[:-11])
+        await peer.complete_request()
+        peer.send(SECOND_REQUEST[:-11])
         await until(lambda: peer.at_front.session is not None, "half of it is read")
-        between(manager, lambda: peer.send(LATE[-11:]))
+        call_after_last_read(manager, lambda: peer.send(SECOND_REQUEST[-11:]))
         manager.drain()
-        await peer.to_the_end()
-        assert set(peer.reader.got) == {1} and not taken(manager)
+        await peer.read_to_end()
+        assert set(peer.reader.response_by_request) == {1} and not received_job_ids(manager)
 
     on_loop(scenario)
 
 
-def test_a_request_that_becomes_whole_by_the_last_read_is_taken_and_answered() -> None:
+def test_a_request_completed_by_the_last_read_is_taken_and_answered() -> None:
     async def scenario() -> None:
         manager = make_manager()
         peer = Peer(manager)
-        await peer.asked()
-        peer.send(LATE[:-11])
+        await peer.complete_request()
+        peer.send(SECOND_REQUEST[:-11])
         await until(lambda: peer.at_front.session is not None, "half of it is read")
-        peer.send(LATE[-11:])
+        peer.send(SECOND_REQUEST[-11:])
         manager.drain()  # in the same turn
-        assert taken(manager) == ["2" * 16] and not peer.at_front.is_closed
+        assert received_job_ids(manager) == ["2" * 16] and not peer.at_front.is_closed
         message = manager.module.take()
         assert isinstance(message, Came)
-        give(manager, message.request, b"bytes")
-        await peer.to_the_end()
-        assert peer.reader.got[2].body == b"bytes"
+        push_response(manager, message.request, b"bytes")
+        await peer.read_to_end()
+        assert peer.reader.response_by_request[2].body == b"bytes"
 
     on_loop(scenario)
 
 
-def aborts(peer: Peer) -> None:
-    peer.send(rec(ABORT, 1))
+def abort(peer: Peer) -> None:
+    peer.send(encode_record(ABORT, 1))
 
 
-def closes(peer: Peer) -> None:
+def close(peer: Peer) -> None:
     peer.sock.close()
 
 
-def resets(peer: Peer) -> None:
+def reset(peer: Peer) -> None:
     peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
     peer.sock.close()
 
 
-class OnlyReadable:
-    """An epoll that does not tell who has closed."""
+class EpollWithoutDisconnects:
+    """An epoll that does not report disconnects."""
 
     def __init__(self, plain: select.epoll) -> None:
         self.plain, self.unregister = plain, plain.unregister
@@ -273,22 +280,23 @@
     def register(self, sock: socket.socket, mask: int) -> None:
         self.plain.register(sock, mask & ~select.EPOLLRDHUP)
 
-    def poll(self, timeout: float, most: int) -> list[tuple[int, int]]:
-        return [(fd, select.EPOLLIN) for fd, _ in self.plain.poll(timeout, most)]
+    def poll(self, timeout: float, max_events: int) -> list[tuple[int, int]]:
+        return [(fd, select.EPOLLIN) for fd, _ in self.plain.poll(timeout, max_events)]
 
 
-FAULTY = call(3, params("3" * 16, "no-such-class"))
-TOO_LARGE = begin(3) + rec(4, 3, bytes(60_000))  # parameters without end: nothing more is read
+FAULTY = encode_request(3, params("3" * 16, "no-such-class"))
+# parameters over the limit: the front takes no further request
+TOO_LARGE = encode_begin(3) + encode_record(4, 3, bytes(60_000))
 
 
-@pytest.mark.parametrize("leave", [aborts, closes, resets])
-@pytest.mark.parametrize("paused_by", [FAULTY, TOO_LARGE], ids=["a fault", "its end"])
-def test_whoever_leaves_while_its_connection_is_not_read_is_heard(
-    paused_by: bytes, leave: Callable[[Peer], None]
+@pytest.mark.parametrize("disconnect", [abort, close, reset])
+@pytest.mark.parametrize("paused_by", [FAULTY, TOO_LARGE], ids=["a bad request", "a protocol error"])
+def test_a_disconnect_or_abort_is_noticed_while_reading_is_paused(
+    paused_by: bytes, disconnect: Callable[[Peer], None]
 ) -> None:
-    """The pause alone would be up to a second, and after what ends a connection it would last for good.
+    """The pause after bad requests is up to a second, and after a protocol error reading would not resume.
 
-    The timers of the connections stand still here, so whatever hears it does not wait for them.
+    No timer of the connections fires here, so the disconnect must be noticed without them.
     """
 
     async def scenario() -> None:
@@ -296,14 +304,14 @@
         peer = Peer(manager)
         assert manager.epoll is not None
         manager.unwatch(peer.at_front)
-        manager.epoll = OnlyReadable(manager.epoll)  # type: ignore[assignment]
+        manager.epoll = EpollWithoutDisconnects(manager.epoll)  # type: ignore[assignment]
         peer.at_front.start()
         peer.at_front.bad_request_count = 10
-        peer.send(call(1, params("1" * 16)) + paused_by)
-        await until(lambda: bool(taken(manager)), "it is asked")
+        peer.send(encode_request(1, params("1" * 16)) + paused_by)
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
         message = manager.module.take()
         assert isinstance(message, Came) and not peer.at_front.is_reading
-        leave(peer)
+        disconnect(peer)
         async with asyncio.timeout(5):
             while not message.request.is_cancelled:
                 await asyncio.sleep(0.005)
@@ -312,48 +320,54 @@
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("ends", [False, True], ids=["faults", "behind its end"])
-def test_an_attempt_waits_for_no_abort_behind_a_flood_but_does_not_begin_beside_it(ends: bool) -> None:
-    """The connection is read 64 KiB each 50 ms, so an abort behind ten such parts is heard 0.5 s late.
+@pytest.mark.parametrize("is_read_closed", [False, True], ids=["bad requests", "read side closed"])
+def test_an_abort_behind_a_flood_denies_new_attempts_until_it_is_read(is_read_closed: bool) -> None:
+    """The connection is read 64 KiB at a time, every 50 ms: an abort behind ten such reads is 0.5 s late.
 
-    An attempt that begins 0.1 s after the abort was sent is a lost request. So it is asked whether what came
-    0.1 s ago has been read, and the answer is no.
+    An attempt that begins 0.1 s after the abort was sent counts as a lost request. So `check_client` must
+    return False while data that arrived 0.1 s ago has not been read.
     """
 
     async def scenario() -> None:
         manager = make_manager()
         peer = Peer(manager)
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 21)
-        useless = [call(n, params("3" * 16, "no-such-class"), bytes(40_000)) for n in range(3, 18)]
-        peer.send(call(1, params("1" * 16), keep=not ends) + b"".join(useless) + rec(ABORT, 1))
+        bad_requests = [
+            encode_request(n, params("3" * 16, "no-such-class"), bytes(40_000)) for n in range(3, 18)
+        ]
+        peer.send(
+            encode_request(1, params("1" * 16), keep=not is_read_closed)
+            + b"".join(bad_requests)
+            + encode_record(ABORT, 1)
+        )
         aborted_at = clock.now()
-        await until(lambda: bool(taken(manager)), "it is asked")
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
         message = manager.module.take()
         assert isinstance(message, Came)
-        request, denied = message.request, list[bool]()
+        request, denials = message.request, list[bool]()
         while not request.is_cancelled:
             now = clock.now()
-            is_heard = request.receiver.check_client(now)
+            may_start = request.receiver.check_client(now)
             if not request.is_cancelled and now - aborted_at > 100 * clock.MS:
-                denied.append(is_heard is False)
+                denials.append(may_start is False)
             await asyncio.sleep(0.04)
-            assert now - aborted_at < 5 * clock.SECOND, "it is heard in the end"
-        assert denied and all(denied)
+            assert now - aborted_at < 5 * clock.SECOND, "the abort is read in the end"
+        assert denials and all(denials)
         peer.sock.close()
 
     on_loop(scenario)
 
 
-def test_a_close_behind_what_is_not_read_yet_is_heard(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The system tells of it, and the connection's pause does not have to end for that."""
+def test_a_close_behind_unread_data_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The system reports the disconnect, so it is noticed before the connection's pause ends."""
 
     async def scenario() -> None:
         manager = make_manager()
         peer = Peer(manager)
         peer.at_front.bad_request_count = 10
         monkeypatch.setattr(ClientConnection, "resume_reading", lambda self: None)
-        peer.send(call(1, params("1" * 16)) + FAULTY)
-        await until(lambda: bool(taken(manager)), "it is asked")
+        peer.send(encode_request(1, params("1" * 16)) + FAULTY)
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
         message = manager.module.take()
         assert isinstance(message, Came) and not peer.at_front.is_reading
         peer.sock.close()
@@ -365,17 +379,17 @@
     on_loop(scenario)
 
 
-def test_whoever_leaves_while_it_stands_in_line_to_be_read_is_heard_in_a_few_turns() -> None:
+def test_a_disconnect_is_noticed_in_a_few_turns_while_the_connection_waits_to_be_read() -> None:
     async def scenario() -> None:
         manager = make_manager()
         peer, crowd = Peer(manager), [Peer(manager) for _ in range(3 * MAX_ACTIVE_READS)]
-        peer.send(call(1, params("1" * 16)))
-        await until(lambda: bool(taken(manager)), "it is asked")
+        peer.send(encode_request(1, params("1" * 16)))
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
         message = manager.module.take()
         assert isinstance(message, Came)
         for other in crowd:
             other.send(PING)
-        manager.active_queue.remaining = 0  # the others had this turn
+        manager.active_queue.remaining = 0  # no reads are left in this turn
         peer.sock.close()
         turns = 0
         while not message.request.is_cancelled and turns <= 3 * len(crowd) // MAX_ACTIVE_READS:
@@ -386,21 +400,21 @@
     on_loop(scenario)
 
 
-def test_a_client_that_leaves_takes_what_is_open_with_it_at_once() -> None:
-    """Between the read that tells of it and the module's turn the request itself says so."""
+def test_a_disconnect_cancels_open_requests_at_once() -> None:
+    """The request is marked as cancelled by the read, before the module handles the message."""
 
     async def scenario() -> None:
         manager = make_manager()
         peer = Peer(manager)
-        peer.send(call(1, params("1" * 16)) + LATE)
-        await until(lambda: len(taken(manager)) == 2, "both are asked")
+        peer.send(encode_request(1, params("1" * 16)) + SECOND_REQUEST)
+        await until(lambda: len(received_job_ids(manager)) == 2, "both requests are read")
         first, second = (m.request for m in manager.module.last if isinstance(m, Came))
         assert not first.is_cancelled and not second.is_cancelled
-        peer.send(rec(ABORT, 1))
+        peer.send(encode_record(ABORT, 1))
         peer.at_front.receive()
         assert first.is_cancelled and not second.is_cancelled
         peer.sock.close()
-        await until(lambda: peer.at_front.is_closed, "it is heard")
+        await until(lambda: peer.at_front.is_closed, "the disconnect is noticed")
         assert second.is_cancelled
 
     on_loop(scenario)
@@ -410,27 +424,30 @@
 
 
 async def answered_and_closed(manager: ConnectionManager, peer: Peer, job: str) -> None:
-    """The request has its answer, nothing else is sent on, and the connection ends without a reset."""
+    """Check that the request has a response, no other is forwarded, and the connection is not reset."""
     (message,) = manager.module.last
     assert isinstance(message, Came) and message.request.job_id == job
-    message.request.number = 1  # the module has it
+    message.request.number = 1  # taken by the module
     assert not message.request.is_cancelled
-    give(manager, message.request, b"bytes")
-    await peer.to_the_end()
-    assert peer.reader.got[2].body == b"bytes" and peer.reader.got[2].ended == 0
+    push_response(manager, message.request, b"bytes")
+    await peer.read_to_end()
+    assert (
+        peer.reader.response_by_request[2].body == b"bytes"
+        and peer.reader.response_by_request[2].protocol_status == 0
+    )
     assert (not manager.connections and not manager.lingering.open) or not peer.at_front.has_open_requests
 
 
-@pytest.mark.parametrize("apart", [False, True])
-def test_a_whole_request_is_answered_though_what_is_no_record_comes_behind_it(apart: bool) -> None:
-    """In one read, or in a later one as it is open."""
+@pytest.mark.parametrize("in_later_read", [False, True])
+def test_a_complete_request_is_answered_though_invalid_data_follows(in_later_read: bool) -> None:
+    """The invalid data is in the same read, or in a later one while the request is open."""
 
     async def scenario() -> None:
         manager = make_manager()
         peer = Peer(manager)
-        peer.send(LATE if apart else LATE + GARBAGE)
-        await until(lambda: bool(taken(manager)), "it is taken")
-        if apart:
+        peer.send(SECOND_REQUEST if in_later_read else SECOND_REQUEST + GARBAGE)
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
+        if in_later_read:
             peer.send(GARBAGE)
             await asyncio.sleep(0.05)
         await answered_and_closed(manager, peer, "2" * 16)
@@ -439,60 +456,66 @@
     on_loop(scenario)
 
 
-def test_who_goes_for_half_sent_bodies_is_answered_what_it_asked_whole() -> None:
-    """Of all that hold half a body it holds most, and a request of it is open."""
+def test_a_client_stopped_for_partial_bodies_gets_responses_to_its_complete_requests() -> None:
+    """It has the most partial bytes, and one of its requests is open."""
 
     async def scenario() -> None:
         manager = make_manager()
         peer = Peer(manager)
-        peer.send(LATE)
-        await until(lambda: bool(taken(manager)), "it is taken")
+        peer.send(SECOND_REQUEST)
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
         manager.max_body_bytes = 20_000
-        half = call(3, params("3" * 16, "bid"), b"x" * 40_000)[:-100]
+        half = encode_request(3, params("3" * 16, "bid"), b"x" * 40_000)[:-100]
         peer.send(half)
-        await until(lambda: manager.checks.counts["client_closed_partial_request_limit"] > 0, "it goes")
+        await until(
+            lambda: manager.checks.counts["client_closed_partial_request_limit"] > 0, "the client is stopped"
+        )
         assert manager.body_bytes <= 20_000
         await answered_and_closed(manager, peer, "2" * 16)
 
     on_loop(scenario)
 
 
-def test_who_leaves_after_what_is_no_record_is_heard() -> None:
+def test_a_disconnect_after_invalid_data_is_noticed() -> None:
     async def scenario() -> None:
         manager = make_manager()
         peer = Peer(manager)
-        peer.send(LATE + GARBAGE)
-        await until(lambda: bool(taken(manager)), "it is taken")
+        peer.send(SECOND_REQUEST + GARBAGE)
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
         (message,) = manager.module.last
         assert isinstance(message, Came)
         peer.sock.close()
-        await until(lambda: message.request.is_cancelled, "its client is gone")
+        await until(lambda: message.request.is_cancelled, "the disconnect is noticed")
         assert not manager.connections
 
     on_loop(scenario)
 
 
-def test_all_that_is_read_before_a_socket_is_empty_counts_from_when_its_first_byte_may_have_come(
+def test_requests_read_before_a_socket_is_empty_count_from_the_earliest_arrival(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """After a standstill a request is read byte by byte, in many turns of the loop."""
+    """After a process pause a request is read byte by byte, in many turns of the event loop."""
 
     async def scenario() -> None:
         manager = make_manager()
-        before, floors = clock.now(), [clock.now()]
-        monkeypatch.setattr(manager.pauses, "earliest_arrival", lambda now: floors.pop() if floors else now)
+        before, arrivals = clock.now(), [clock.now()]
+        monkeypatch.setattr(
+            manager.pauses, "earliest_arrival", lambda now: arrivals.pop() if arrivals else now
+        )
         manager.read_buffer = manager.read_buffer[:1]
         peer = Peer(manager)
-        peer.send(LATE)
-        await until(lambda: bool(taken(manager)), "it is read")
+        peer.send(SECOND_REQUEST)
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
         (message,) = manager.module.last
         assert isinstance(message, Came) and message.request.earliest_arrival_ns <= clock.now()
         assert before <= message.request.earliest_arrival_ns < message.request.received_at_ns
-        assert not floors
-        peer.send(call(3, params("3" * 16)))
-        await until(lambda: len(taken(manager)) == 2, "so is another")
+        assert not arrivals
+        peer.send(encode_request(3, params("3" * 16)))
+        await until(lambda: len(received_job_ids(manager)) == 2, "the second is read")
         later = manager.module.last[1]
         assert isinstance(later, Came)
-        assert later.request.earliest_arrival_ns > message.request.received_at_ns, "it was empty between"
+        assert (
+            later.request.earliest_arrival_ns > message.request.received_at_ns
+        ), "the socket was empty in between"
 
     on_loop(scenario)
--- a/tests/test_crossings_drain.py
+++ b/tests/test_crossings_drain.py
@@ -1,4 +1,4 @@
-"""The end of a drain: clients that come, ask or take their answers in the moment in which the front ends."""
+"""The end of a drain: clients that connect, send requests or read responses while the front ends."""
 
 from __future__ import annotations
 
@@ -15,23 +15,29 @@
 from quincepier.net.listener import Listener
 from quincepier.net.messages import Came
 from quincepier.net.sockets import listen
-from tests.fcgikit import Reader, begin, call, params
+from tests.fcgikit import ResponseReader, encode_begin, encode_request, params
 from tests.loopback import own_address
 from tests.standins import Asked, Front, play, until
-from tests.test_crossings_client import LATE, Peer, between, give, taken
+from tests.test_crossings_client import (
+    SECOND_REQUEST,
+    Peer,
+    call_after_last_read,
+    push_response,
+    received_job_ids,
+)
 from tests.test_front import fleet
 from tests.test_idle import PING, make_manager, on_loop
 
 
-class Comer:
-    """A client whom the system has let in; the front has not taken it yet."""
+class BacklogClient:
+    """A client in the backlog, which the front has not accepted yet."""
 
     def __init__(self, address: tuple[str, int], first: bytes) -> None:
-        self.sock, self.reader = socket.create_connection(address), Reader()
+        self.sock, self.reader = socket.create_connection(address), ResponseReader()
         self.sock.sendall(first)
         self.sock.setblocking(False)
 
-    async def to_the_end(self) -> None:
+    async def read_to_end(self) -> None:
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(20):
             while data := await loop.sock_recv(self.sock, 65_536):
@@ -39,41 +45,43 @@
         self.sock.close()
 
 
-def listening(manager: ConnectionManager) -> tuple[Listener, tuple[str, int]]:
+def make_listener(manager: ConnectionManager) -> tuple[Listener, tuple[str, int]]:
     sock = listen(own_address())
     return Listener(manager, sock), sock.getsockname()
 
 
-def test_clients_let_in_by_the_system_as_the_listener_stops_are_taken() -> None:
-    """More of them than are taken in a row; what they asked before goes to the module, none is reset."""
+def test_clients_in_the_backlog_as_the_listener_stops_are_accepted() -> None:
+    """There are more than are accepted in one turn; their requests go to the module, and none is reset."""
 
     async def scenario() -> None:
         manager = make_manager()
-        listener, address = listening(manager)
+        listener, address = make_listener(manager)
         listener.start()
         await asyncio.sleep(0)
         jobs = [f"{n:016x}" for n in range(1, 21)]
-        comers = [Comer(address, call(1, params(job))) for job in jobs]
+        waiting_clients = [BacklogClient(address, encode_request(1, params(job))) for job in jobs]
         listener.stop()  # in the same turn
-        assert sorted(taken(manager)) == jobs
+        assert sorted(received_job_ids(manager)) == jobs
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(address)
         while (message := manager.module.take()) is not None:
             assert isinstance(message, Came)
-            message.request.number = 1  # the module has it
-            give(manager, message.request, b"bytes")
-        await asyncio.gather(manager.close_all(), *(comer.to_the_end() for comer in comers))
-        assert [comer.reader.got[1].body for comer in comers] == [b"bytes"] * len(comers)
+            message.request.number = 1  # taken by the module
+            push_response(manager, message.request, b"bytes")
+        await asyncio.gather(manager.close_all(), *(client.read_to_end() for client in waiting_clients))
+        assert [client.reader.response_by_request[1].body for client in waiting_clients] == [b"bytes"] * len(
+            waiting_clients
+        )
 
     on_loop(scenario)
 
 
-def test_all_that_come_hold_no_small_write_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is set before anything else is done with them, so also for one that is closed at once."""
+def test_accepted_sockets_have_nagle_disabled(monkeypatch: pytest.MonkeyPatch) -> None:
+    """TCP_NODELAY is set before admission, so also for a client that is closed at once."""
 
     async def scenario() -> None:
         manager, seen = make_manager(), list[int]()
-        listener, address = listening(manager)
+        listener, address = make_listener(manager)
 
         def admit(sock: socket.socket, host: str = "") -> None:
             seen.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
@@ -81,17 +89,17 @@
 
         monkeypatch.setattr(manager, "admit", admit)
         listener.start()
-        comers = [Comer(address, PING) for _ in range(3)]
-        await until(lambda: len(seen) == len(comers), "all have come")
+        waiting_clients = [BacklogClient(address, PING) for _ in range(3)]
+        await until(lambda: len(seen) == len(waiting_clients), "all clients are accepted")
         assert all(seen)
         listener.stop()
 
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("before", [b"", PING, begin(2)], ids=["new", "at rest", "half through"])
-def test_what_the_last_read_brings_is_refused_and_not_sent_on(before: bytes) -> None:
-    """Of a client that has asked for nothing yet, of one at rest, and of one that is half through another."""
+@pytest.mark.parametrize("before", [b"", PING, encode_begin(2)], ids=["new", "idle", "partial request"])
+def test_a_request_in_the_last_read_is_rejected_and_not_forwarded(before: bytes) -> None:
+    """From a new client, from an idle one, and from one that has sent half of another request."""
 
     async def scenario() -> None:
         manager = make_manager()
@@ -99,98 +107,102 @@
         if before:
             peer.send(before)
             await until(
-                lambda: peer.at_front.has_requested or peer.at_front.session is not None, "it is read"
+                lambda: peer.at_front.has_requested or peer.at_front.session is not None, "the data is read"
             )
-        late = call(3, params("3" * 16))
+        late = encode_request(3, params("3" * 16))
 
-        async def end() -> None:
+        async def close_all() -> None:
             peer.send(late)
             await manager.close_all()  # in the same turn
 
-        await asyncio.gather(end(), peer.to_the_end())
-        assert peer.reader.got[3].status == 503 and not taken(manager)
+        await asyncio.gather(close_all(), peer.read_to_end())
+        assert peer.reader.response_by_request[3].status == 503 and not received_job_ids(manager)
         assert not manager.connections and not manager.lingering.open
 
     on_loop(scenario)
 
 
-def test_what_waits_for_the_module_at_the_end_is_refused_and_not_sent_on() -> None:
-    """The front stood still over its last moments: what was read just before has not had its turn."""
+def test_a_request_not_taken_by_the_module_at_the_end_is_rejected() -> None:
+    """A request was read just before the end and is still in the module's mailbox."""
 
     async def scenario() -> None:
         manager = make_manager()
         peer = Peer(manager)
-        peer.send(LATE)
+        peer.send(SECOND_REQUEST)
         peer.at_front.receive()
         (message,) = manager.module.last
         assert isinstance(message, Came) and not message.request.is_finished
-        await asyncio.gather(manager.close_all(), peer.to_the_end())
-        assert message.request.is_finished and peer.reader.got[2].status == 503
+        await asyncio.gather(manager.close_all(), peer.read_to_end())
+        assert message.request.is_finished and peer.reader.response_by_request[2].status == 503
 
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("end", [False, True])
-def test_an_answer_half_out_goes_out_whole(end: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A writer is at work on it as the drain begins, or the front's end; the client reads on only then."""
+@pytest.mark.parametrize("is_end", [False, True])
+def test_a_partly_written_response_is_written_completely(
+    is_end: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A write task is at work when the drain or the end begins; only then does the client read on."""
 
     async def scenario() -> None:
-        monkeypatch.setattr(connection_manager, "FLUSH_TIMEOUT_S", 20.0)  # however busy the machine is
+        monkeypatch.setattr(connection_manager, "FLUSH_TIMEOUT_S", 20.0)  # long enough on a busy machine
         manager, large = make_manager(), os.urandom(40_000) * 100
         peer = Peer(manager)
         peer.ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
-        peer.send(LATE)
-        await until(lambda: bool(taken(manager)), "it is asked")
+        peer.send(SECOND_REQUEST)
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
         message = manager.module.take()
         assert isinstance(message, Came)
         message.request.number = 1
-        give(manager, message.request, large)
+        push_response(manager, message.request, large)
         await until(lambda: peer.at_front.write_task is not None, "the socket is full")
-        between(manager, lambda: peer.send(call(4, params("4" * 16))))
-        if end:
-            await asyncio.gather(manager.close_all(), peer.to_the_end())
+        call_after_last_read(manager, lambda: peer.send(encode_request(4, params("4" * 16))))
+        if is_end:
+            await asyncio.gather(manager.close_all(), peer.read_to_end())
         else:
             manager.drain()
             assert not peer.at_front.is_closed
-            await peer.to_the_end()
-        assert peer.reader.got[2].body == large and set(peer.reader.got) == {2}
-        assert not manager.connections and not taken(manager)
+            await peer.read_to_end()
+        assert peer.reader.response_by_request[2].body == large and set(peer.reader.response_by_request) == {
+            2
+        }
+        assert not manager.connections and not received_job_ids(manager)
 
     on_loop(scenario)
 
 
-def test_nothing_lingers_past_the_end() -> None:
-    """A client that never closes its side, and one that never reads: both sockets are let go of."""
+def test_no_socket_lingers_after_the_end() -> None:
+    """One client never closes its side and one never reads: both sockets are closed."""
 
     async def scenario() -> None:
         manager, large = make_manager(), os.urandom(40_000) * 6
-        rests, never = Peer(manager), Peer(manager)
-        await rests.asked()
-        never.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        never.ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        never.send(LATE)
-        await until(lambda: bool(taken(manager)), "it is asked")
+        unclosed, unread = Peer(manager), Peer(manager)
+        await unclosed.complete_request()
+        unread.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        unread.ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        unread.send(SECOND_REQUEST)
+        await until(lambda: bool(received_job_ids(manager)), "the request is read")
         message = manager.module.take()
         assert isinstance(message, Came)
-        give(manager, message.request, large)
-        await until(lambda: never.at_front.write_task is not None, "the socket is full")
+        push_response(manager, message.request, large)
+        await until(lambda: unread.at_front.write_task is not None, "the socket is full")
         async with asyncio.timeout(20):
             await manager.close_all()
         assert not manager.connections and not manager.lingering.open
-        await until(lambda: rests.ours.fileno() == never.ours.fileno() == -1, "both are let go of")
+        await until(lambda: unclosed.ours.fileno() == unread.ours.fileno() == -1, "both sockets are closed")
         assert manager.descriptors.clients == manager.descriptors.lingering == 0
 
     on_loop(scenario)
 
 
 def test_a_front_that_drains_stops_accepting_and_finishes_what_is_open(tmp_path: Path) -> None:
-    """Clients come on for a part of a second; later ones find nobody there, and go elsewhere at once."""
+    """Clients are accepted for a part of a second; later ones are refused at once and go elsewhere."""
     held: list[Asked] = []
 
     async def scenario(front: Front) -> None:
         first = await front.client()
         first.ask(1)
-        await until(lambda: len(held) == 1, "it is out")
+        await until(lambda: len(held) == 1, "the command is at the cache")
         front.signal(signal.SIGTERM)
         await until(lambda: front.logged("drain: 1 requests open"), "the front drains")
         async with asyncio.timeout(20):
--- a/tests/test_crossings_standstill.py
+++ b/tests/test_crossings_standstill.py
@@ -25,7 +25,7 @@
 from quincepier.net.watch import POLL_GRACE, POLL_MS
 from quincepier.wire import lines
 from tests.attemptkit import Inside, answer, on_loop
-from tests.fcgikit import call, params
+from tests.fcgikit import encode_request, params
 from tests.standins import until
 from tests.test_idle import Peer, make_manager
 from tests.virtual import VirtualLoop
@@ -54,7 +54,7 @@
         manager.pool.max_buffers = 1000
         peer = Peer(manager)
         connection = peer.connection
-        peer.sock.send(call(1, params("1" * 16)))
+        peer.sock.send(encode_request(1, params("1" * 16)))
         await until(lambda: bool(manager.module.last), "it is asked")
         message = manager.module.take()
         assert isinstance(message, Came)
@@ -80,7 +80,7 @@
         await until(is_closed, "its end is read")
         assert seen == [True]
         if act is sends_what_is_no_record:
-            assert peer.reader.got[1].body == LARGE
+            assert peer.reader.response_by_request[1].body == LARGE
             peer.sock.close()  # the front has ended its side
         for _ in range(TURNS):
             await asyncio.sleep(0)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,4 +1,4 @@
-"""Clients that are no use to anyone, beside such as are: memory, descriptors and answers stay bounded."""
+"""Abusive clients beside ordinary ones: memory, descriptors and unsent responses stay bounded."""
 
 from __future__ import annotations
 
@@ -8,164 +8,187 @@
 
 import pytest
 
-from tests.fcgikit import call, params, rec
-from tests.limitkit import descriptors, half, item, ping, play_at, resident
+from tests.fcgikit import encode_record, encode_request, params
+from tests.limitkit import (
+    count_open_descriptors,
+    object_id,
+    partial_request,
+    peak_resident_bytes,
+    ping_request,
+    play_with_descriptors,
+)
 from tests.standins import PATIENCE, Asked, Behaviour, Client, Front, until
 
 MB = 1024 * 1024
 LARGE = b"x" * 240_000
 
 
-def hit(asked: Asked) -> None:
+def answer_hit(asked: Asked) -> None:
     asked.data()
 
 
-def fleet(edge: Behaviour = hit, origin: Behaviour = hit) -> dict[str, Behaviour]:
-    return {"s-1": edge, "p-1": hit, "o-1": origin}
+def fleet(edge: Behaviour = answer_hit, origin: Behaviour = answer_hit) -> dict[str, Behaviour]:
+    return {"s-1": edge, "p-1": answer_hit, "o-1": origin}
 
 
-def asked_in_all(front: Front) -> int:
+def count_commands(front: Front) -> int:
     return sum(len(cache.asked) for cache in front.caches.values())
 
 
-def never_reads(front: Front, number: int, asks: int) -> socket.socket:
-    """A client that asks for large objects, with next to no room for what comes, and reads nothing."""
+def open_unread_client(front: Front, number: int, asks: int) -> socket.socket:
+    """Return the socket of a client that requests large objects, has a small window and reads nothing."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.connect(front.address)
-    sock.send(b"".join(call(n, params(f"{number:08x}{n:08x}", "bid")) for n in range(1, asks + 1)))
+    sock.send(b"".join(encode_request(n, params(f"{number:08x}{n:08x}", "bid")) for n in range(1, asks + 1)))
     return sock
 
 
-async def usual(client: Client, first: int, count: int) -> int:
-    """How many of so many requests, one after the other, are served."""
+async def count_served(client: Client, first: int, count: int) -> int:
+    """Send `count` requests one after the other and return how many are served."""
     served = 0
     for n in range(first, first + count):
-        client.ask(n, HTTP_X_ITEM=item(n))
+        client.ask(n, HTTP_X_ITEM=object_id(n))
         got = await client.ended(n)
-        served += got.ended == 0 and got.status == 200
+        served += got.protocol_status == 0 and got.status == 200
     return served
 
 
-def test_a_client_comes_in_though_all_that_are_there_read_nothing(tmp_path: Path) -> None:
-    """Twelve descriptors for clients, each held by one whose window is closed; buffers are left."""
+def test_a_client_is_admitted_though_all_others_read_nothing(tmp_path: Path) -> None:
+    """Each of the twelve descriptors for clients is held by one with a closed window; buffers are free."""
 
     async def scenario(front: Front) -> None:
-        stalled = [never_reads(front, n, 20) for n in range(12)]
+        stalled = [open_unread_client(front, n, 20) for n in range(12)]
         origin = front.caches["o-1"]
-        await until(lambda: len({a.id[:8] for a in origin.asked}) == 12, "each is owed an answer")
-        async with asyncio.timeout(PATIENCE):  # by the front's own time it takes two seconds of its sweeps
+        await until(
+            lambda: len({a.id[:8] for a in origin.asked}) == 12, "each client has a request at the origin"
+        )
+        async with asyncio.timeout(PATIENCE):  # takes two seconds of the active clock
             while True:
                 client = await front.client()
-                client.send(ping(1))
-                await until(lambda c=client: c.closed or 1 in c.records.order, "it is heard")  # type: ignore[misc]
-                if 1 in client.records.order:
+                client.send(ping_request(1))
+                await until(
+                    lambda c=client: c.closed or 1 in c.records.completed_requests,  # type: ignore[misc]
+                    "the client has a response or is closed",
+                )
+                if 1 in client.records.completed_requests:
                     break
-                await asyncio.sleep(0.1)  # as clients do that were turned away
-        await until(lambda: front.logged("slow_client_closed_descriptor_limit"), "its line is read")
-        assert descriptors(front) <= 48
+                await asyncio.sleep(0.1)  # a rejected client waits before it reconnects
+        await until(lambda: front.logged("slow_client_closed_descriptor_limit"), "the event is logged")
+        assert count_open_descriptors(front) <= 48
         assert not client.closed and sum("slow_client_closed" in line for line in front.lines) == 1
         for sock in stalled:
             sock.close()
 
-    play_at(tmp_path, fleet(origin=lambda asked: asked.data(LARGE)), scenario, 48, memory_mb=192)
+    play_with_descriptors(
+        tmp_path, fleet(origin=lambda asked: asked.data(LARGE)), scenario, 48, memory_mb=192
+    )
 
 
-def test_who_is_half_way_while_whole_bodies_use_the_room_up_loses_nothing(tmp_path: Path) -> None:
-    """One client's writes fill the room and wait; four others have one open and send more in two parts."""
+def test_partial_requests_survive_while_complete_bodies_exhaust_the_limit(tmp_path: Path) -> None:
+    """One client's open writes use up the body limit; four others each send a request in two parts."""
     held: list[Asked] = []
 
     async def scenario(front: Front) -> None:
         filling, others = await front.client(), [await front.client() for _ in range(4)]
         for at, client in enumerate(others, 1):
             client.ask(at, "bid", HTTP_X_ALLOW_MS="6000")
-        await until(lambda: len(held) == 4, "four are open")
+        await until(lambda: len(held) == 4, "four requests are open")
         for n in range(11, 41):
             filling.ask(n, "bid", b"x" * 48_000, HTTP_X_ALLOW_MS="6000")
-        await until(lambda: len(held) + len(filling.records.order) >= 34, "all came")
+        await until(
+            lambda: len(held) + len(filling.records.completed_requests) >= 34, "all requests are read"
+        )
         rests = []
         for at, client in enumerate(others, 1):
-            sent = call(100 + at, params(f"{100 + at:016x}", "bid"), b"y" * 47_000)
+            sent = encode_request(100 + at, params(f"{100 + at:016x}", "bid"), b"y" * 47_000)
             client.send(sent[:44_000])
             rests.append(sent[44_000:])
         probe = await front.client()
-        probe.send(ping(1))
+        probe.send(ping_request(1))
         await probe.ended(1)
         await until(
-            lambda: front.logged("client_closed_partial_request_limit") or len(probe.records.order) == 1,
-            "parts are read",
+            lambda: front.logged("client_closed_partial_request_limit")
+            or len(probe.records.completed_requests) == 1,
+            "the first parts are read",
         )
         for client, rest in zip(others, rests, strict=True):
             client.send(rest)
-        for at, client in enumerate(others, 1):  # whatever the answer: it is one, and the connection lives
+        for at, client in enumerate(others, 1):  # rejected, and the connection stays open
             assert (await client.ended(100 + at)).status == 503
         for asked in held:
             asked.data()
         for at, client in enumerate(others, 1):
             assert (await client.ended(at)).status == 200
-        assert not front.logged("client_closed_partial_request_limit") and resident(front) < 32 * MB
+        assert (
+            not front.logged("client_closed_partial_request_limit") and peak_resident_bytes(front) < 32 * MB
+        )
 
-    play_at(tmp_path, fleet(origin=held.append), scenario, 64, memory_mb=32)
+    play_with_descriptors(tmp_path, fleet(origin=held.append), scenario, 64, memory_mb=32)
 
 
-def test_half_sent_bodies_end_with_who_sent_most_of_them(tmp_path: Path) -> None:
-    """One connection holds thirty bodies that lack their end; another is half way with its first."""
+def test_partial_bodies_over_the_limit_close_the_largest_sender(tmp_path: Path) -> None:
+    """One connection has sent thirty incomplete bodies; another has sent half of its first."""
     whole = params("00000000000000aa", "bid")
 
     async def scenario(front: Front) -> None:
         flood, decent = await front.client(), await front.client()
-        first, rest = (sent := call(1, whole, b"y" * 40_000))[:20_000], sent[20_000:]
+        first, rest = (sent := encode_request(1, whole, b"y" * 40_000))[:20_000], sent[20_000:]
         decent.send(first)
         for n in range(1, 31):
-            flood.send(call(n, params(f"{n:016x}", "bid"), b"x" * 47_000)[:-8])
-        await until(lambda: flood.closed, "who holds most is closed")
+            flood.send(encode_request(n, params(f"{n:016x}", "bid"), b"x" * 47_000)[:-8])
+        await until(lambda: flood.closed, "the one with most partial bytes is closed")
         assert not decent.closed
         decent.send(rest)
-        assert (await decent.ended(1)).status == 200 and asked_in_all(front) == 1
+        assert (await decent.ended(1)).status == 200 and count_commands(front) == 1
 
-    play_at(tmp_path, fleet(), scenario, 64, memory_mb=32)
+    play_with_descriptors(tmp_path, fleet(), scenario, 64, memory_mb=32)
 
 
 @pytest.mark.parametrize("memory_mb", [32, 64])
-def test_hundreds_that_say_nothing_are_closed_and_leave_nothing(tmp_path: Path, memory_mb: int) -> None:
+def test_hundreds_of_silent_clients_are_closed_and_leave_no_memory_in_use(
+    tmp_path: Path, memory_mb: int
+) -> None:
     async def scenario(front: Front) -> None:
         quiet = [await asyncio.open_connection(*front.address) for _ in range(300)]
         client = await front.client()
-        assert await usual(client, 1, 30) == 30
+        assert await count_served(client, 1, 30) == 30
         for reader, writer in quiet:
             async with asyncio.timeout(10):
                 assert await reader.read(1) == b""
             writer.close()
-        assert resident(front) < memory_mb * MB and asked_in_all(front) == 30
-        assert await usual(client, 100, 5) == 5
+        assert peak_resident_bytes(front) < memory_mb * MB and count_commands(front) == 30
+        assert await count_served(client, 100, 5) == 5
 
-    play_at(tmp_path, fleet(), scenario, 256, memory_mb=memory_mb)
+    play_with_descriptors(tmp_path, fleet(), scenario, 256, memory_mb=memory_mb)
 
 
-def test_many_that_read_nothing_stay_within_the_memory(tmp_path: Path) -> None:
+def test_many_clients_that_read_nothing_stay_within_the_memory_limit(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        stalled = [never_reads(front, n, 16) for n in range(80)]
+        stalled = [open_unread_client(front, n, 16) for n in range(80)]
         client, origin = await front.client(), front.caches["o-1"]
-        await until(lambda: len(origin.asked) >= 80, "answers are under way")
-        for first in range(1, 6001, 30):  # refused ones come again at once
-            if await usual(client, first, 30) >= 20:
+        await until(lambda: len(origin.asked) >= 80, "requests are at the origin")
+        for first in range(1, 6001, 30):  # rejected requests are repeated at once
+            if await count_served(client, first, 30) >= 20:
                 break
         else:
-            raise AssertionError("usual requests are not served")
-        assert resident(front) < 64 * MB
+            raise AssertionError("ordinary requests are not served")
+        assert peak_resident_bytes(front) < 64 * MB
         for sock in stalled:
             sock.close()
 
-    play_at(tmp_path, fleet(origin=lambda asked: asked.data(LARGE)), scenario, 256, memory_mb=64)
+    play_with_descriptors(
+        tmp_path, fleet(origin=lambda asked: asked.data(LARGE)), scenario, 256, memory_mb=64
+    )
 
 
 @pytest.mark.parametrize("flood", ["pings", "requests past the thirty-second", "values"])
-def test_who_asks_without_end_and_reads_nothing_is_closed(tmp_path: Path, flood: str) -> None:
-    """Each is answered at once; what its socket does not take must not pile up."""
+def test_a_client_that_sends_without_end_and_reads_nothing_is_closed(tmp_path: Path, flood: str) -> None:
+    """Each request has a short response at once; what the socket does not take must not accumulate."""
     kinds = {
-        "pings": b"".join(ping(n) for n in range(100, 10_000)),
-        "requests past the thirty-second": rec(1, 40, bytes([0, 1, 1, 0, 0, 0, 0, 0])) * 10_000,
-        "values": (rec(9, 0) * 500 + rec(4, 31, b"\x00\x00")) * 10,
+        "pings": b"".join(ping_request(n) for n in range(100, 10_000)),
+        "requests past the thirty-second": encode_record(1, 40, bytes([0, 1, 1, 0, 0, 0, 0, 0])) * 10_000,
+        "values": (encode_record(9, 0) * 500 + encode_record(4, 31, b"\x00\x00")) * 10,
     }
 
     async def scenario(front: Front) -> None:
@@ -173,24 +196,24 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect(front.address)
         sock.setblocking(False)
-        await loop.sock_sendall(sock, ping(99))
+        await loop.sock_sendall(sock, ping_request(99))
         await loop.sock_recv(sock, 1000)
         if flood != "pings":
-            await loop.sock_sendall(sock, b"".join(half(n) for n in range(1, 33)))
-        before = resident(front)
+            await loop.sock_sendall(sock, b"".join(partial_request(n) for n in range(1, 33)))
+        before = peak_resident_bytes(front)
 
         async def send() -> None:
             while True:
                 await loop.sock_sendall(sock, kinds[flood])
 
         sending = asyncio.create_task(send())
-        await until(lambda: front.logged("client_closed_short_responses_unread"), "it is closed")
+        await until(lambda: front.logged("client_closed_short_responses_unread"), "the connection is closed")
         with pytest.raises(ConnectionError):
             async with asyncio.timeout(10):
                 await sending
         client = await front.client()
-        assert await usual(client, 1000, 5) == 5
-        assert resident(front) - before < 8 * MB
+        assert await count_served(client, 1000, 5) == 5
+        assert peak_resident_bytes(front) - before < 8 * MB
         sock.close()
 
-    play_at(tmp_path, fleet(), scenario, 64, memory_mb=64)
+    play_with_descriptors(tmp_path, fleet(), scenario, 64, memory_mb=64)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The front as a process against stand-ins: peers that are slow, silent, broken or hostile."""
+"""The front as a process with stand-ins for its peers, which are slow, silent, broken or hostile."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.fcgikit import ABORT, begin, call, params, rec
+from tests.fcgikit import ABORT, encode_begin, encode_record, encode_request, params
 from tests.frontkit import host
 from tests.standins import Asked, Behaviour, Front, play, until
 
@@ -19,7 +19,7 @@
 
 
 def silent(asked: Asked) -> None:
-    """Never answers."""
+    """Sends no response."""
 
 
 def fleet(edge: Behaviour = ok, parent: Behaviour = ok, origin: Behaviour = ok) -> dict[str, Behaviour]:
@@ -29,15 +29,15 @@
 def test_serves_reads_and_writes_with_what_was_asked(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
-        client.send(call(1, {"SCRIPT_NAME": "/ping"}))
+        client.send(encode_request(1, {"SCRIPT_NAME": "/ping"}))
         assert (await client.ended(1)).status == 200
         client.ask(2, HTTP_X_N="4")
         got = await client.ended(2)
-        assert (got.status, got.body, got.ended) == (200, b"bytes", 0)
+        assert (got.status, got.body, got.protocol_status) == (200, b"bytes", 0)
         (asked,) = front.caches["s-1"].asked
         assert asked.id == f"{2:016x}" and asked.body == b""
-        want = {"class": "lot-image", "key": "7f3a9c21e0b4d655", "part": "4", "via": "p-1", "tier": "1"}
-        assert want.items() <= asked.fields.items() and 0 < int(asked.fields["wait"]) <= 3000
+        expected = {"class": "lot-image", "key": "7f3a9c21e0b4d655", "part": "4", "via": "p-1", "tier": "1"}
+        assert expected.items() <= asked.fields.items() and 0 < int(asked.fields["wait"]) <= 3000
         written = b"a\r\nb\0" * 9000
         client.ask(3, "bid", written)
         assert (await client.ended(3)).status == 200
@@ -47,7 +47,7 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_large_objects_of_any_bytes_come_whole(tmp_path: Path) -> None:
+def test_large_objects_of_any_bytes_arrive_complete(tmp_path: Path) -> None:
     large = bytes(range(256)) * 937 + b"\r\n1234567890abcdef data - 5\r\n"
     assert 239_000 < len(large) <= 240_000
 
@@ -69,42 +69,45 @@
         client = await front.client()
         for n in (1, 2, 3):
             client.ask(n, HTTP_X_N=str(n))
-        await until(lambda: len(waiting) == 3, "all are out")
-        order = [waiting[n] for n in (2, 0, 1)]
-        for asked, body in zip(order, (b"last first", b"L" * 240_000, b"small"), strict=True):
+        await until(lambda: len(waiting) == 3, "all commands are at the cache")
+        in_order = [waiting[n] for n in (2, 0, 1)]
+        for asked, body in zip(in_order, (b"last first", b"L" * 240_000, b"small"), strict=True):
             asked.data(body)
             assert (await client.ended(int(asked.id, 16))).body == body
-        assert client.records.order == [int(asked.id, 16) for asked in order]
+        assert client.records.completed_requests == [int(asked.id, 16) for asked in in_order]
 
     play(tmp_path, fleet(waiting.append), scenario)
 
 
-def test_slow_answer_comes_whole_and_delays_no_other_machine(tmp_path: Path) -> None:
+def test_a_slow_response_arrives_complete_and_delays_no_other_machine(tmp_path: Path) -> None:
     def half(asked: Asked) -> None:
         asked.writer.write(f"{asked.id} data how=local 8\r\nhalf".encode())
 
     async def scenario(front: Front) -> None:
         client, edge = await front.client(), front.caches["s-1"]
         client.ask(1)
-        await until(lambda: len(edge.asked) == 1, "the slow one is out")
+        await until(lambda: len(edge.asked) == 1, "the slow command is at the cache")
         client.ask(2, "bid", b"offer")
         assert (await client.ended(2)).status == 200
-        assert 1 not in client.records.got or client.records.got[1].out == b""  # nothing of a half answer
+        # nothing is passed on of a partial response
+        assert (
+            1 not in client.records.response_by_request or client.records.response_by_request[1].output == b""
+        )
         edge.asked[0].writer.write(b"done\r\n")
         assert (await client.ended(1)).body == b"halfdone"
 
     play(tmp_path, fleet(half), scenario)
 
 
-def test_thirty_third_open_request_is_overloaded_and_the_others_live(tmp_path: Path) -> None:
+def test_the_thirty_third_open_request_is_overloaded_and_the_others_are_served(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client, origin = await front.client(), front.caches["o-1"]
         for n in range(1, 33):
             client.ask(n, "bid", b"offer")
-        await until(lambda: len(origin.asked) == 32, "all that may be open are out")
+        await until(lambda: len(origin.asked) == 32, "the 32 commands are at the origin")
         client.ask(33, "bid", b"offer")
         got = await client.ended(33)
-        assert (got.out, got.ended) == (b"", 2)
+        assert (got.output, got.protocol_status) == (b"", 2)
         for asked in origin.asked:
             asked.data()
         assert {(await client.ended(n)).status for n in range(1, 33)} == {200}
@@ -113,7 +116,7 @@
     play(tmp_path, fleet(origin=silent), scenario)
 
 
-def test_copy_of_the_client_goes_on_and_still_holds(tmp_path: Path) -> None:
+def test_the_version_that_the_client_holds_is_forwarded_and_confirmed(tmp_path: Path) -> None:
     def edge(asked: Asked) -> None:
         asked.answer("unchanged", b"", f"tag={asked.fields['known']},minted=1,how=local")
 
@@ -127,7 +130,7 @@
     play(tmp_path, fleet(edge), scenario)
 
 
-def test_unchanged_without_a_copy_named_ends_that_connection(tmp_path: Path) -> None:
+def test_unchanged_without_a_known_version_closes_the_cache_connection(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
         client.ask(1)
@@ -137,7 +140,7 @@
     play(tmp_path, fleet(lambda asked: asked.answer("unchanged")), scenario)
 
 
-def lies() -> dict[str, Behaviour]:
+def invalid_responses() -> dict[str, Behaviour]:
     def write(data: bytes, then_close: bool = False) -> Behaviour:
         def behave(asked: Asked) -> None:
             asked.writer.write(data.replace(b"ID", asked.id.encode()))
@@ -147,31 +150,31 @@
         return behave
 
     return {
-        "over the limit": write(b"ID data - 240001\r\n"),
-        "less than promised": write(b"ID data - 100\r\nhalf", True),
-        "more than promised": write(b"ID data - 3\r\nlonger\r\n"),
-        "no sense": write(b"GET / HTTP/1.1\r\n\r\n"),
-        "a probe's word": write(b"ID well - 0\r\n"),
+        "length over the limit": write(b"ID data - 240001\r\n"),
+        "body shorter than its length": write(b"ID data - 100\r\nhalf", True),
+        "body longer than its length": write(b"ID data - 3\r\nlonger\r\n"),
+        "another protocol": write(b"GET / HTTP/1.1\r\n\r\n"),
+        "a health check's response": write(b"ID well - 0\r\n"),
         "reset": Asked.reset,
     }
 
 
-def test_no_lie_of_a_cache_passes_as_an_answer(tmp_path: Path) -> None:
-    for name, lie in lies().items():
+def test_no_invalid_cache_response_is_passed_on(tmp_path: Path) -> None:
+    for name, invalid in invalid_responses().items():
 
-        async def scenario(front: Front, name: str = name, lie: Behaviour = lie) -> None:
+        async def scenario(front: Front, name: str = name, invalid: Behaviour = invalid) -> None:
             client = await front.client()
             client.ask(1)
             got = await client.ended(1)
-            # a reset may have run, so a safe request is asked again elsewhere, an unsafe one is failed
+            # the command may have run: a safe request is retried elsewhere, an unsafe one fails
             assert (got.status, got.body) == (200, b"whole"), name
-            front.caches["o-1"].behaviour = lie
+            front.caches["o-1"].behaviour = invalid
             client.ask(2, "bid", b"offer")
             assert (await client.ended(2)).status == 502, name
             assert len(front.caches["o-1"].asked) == 1, name
 
         (tmp_path / name).mkdir()
-        play(tmp_path / name, fleet(lie, lambda asked: asked.data(b"whole")), scenario)
+        play(tmp_path / name, fleet(invalid, lambda asked: asked.data(b"whole")), scenario)
 
 
 def test_refused_connection_proves_that_a_write_did_not_run(tmp_path: Path) -> None:
@@ -191,15 +194,15 @@
     async def scenario(front: Front) -> None:
         client, edge = await front.client(), front.caches["o-1"]
         client.ask(1, "bid", b"offer", HTTP_X_ALLOW_MS="300")
-        client.ask(2)  # a silent machine delays no other
+        client.ask(2)  # a stalled machine delays no other
         assert (await client.ended(2)).status == 200
         assert (await client.ended(1)).status == 502
-        await until(lambda: edge.cancelled == [f"{1:016x}"], "the attempt is called off")
-        edge.asked[0].data(b"late")  # dropped, and the connection lives on
+        await until(lambda: edge.cancelled == [f"{1:016x}"], "the attempt is cancelled")
+        edge.asked[0].data(b"late")  # dropped, and the connection stays open
         edge.behaviour = ok
         client.ask(3, "bid")
         assert (await client.ended(3)).body == b"bytes"
-        assert client.records.got[1].ended == 0
+        assert client.records.response_by_request[1].protocol_status == 0
 
     play(tmp_path, fleet(origin=silent), scenario)
 
@@ -210,7 +213,7 @@
         client.ask(1, "bid", b"offer", HTTP_X_ALLOW_MS="900")
         assert (await client.ended(1)).status == 502
         client.ask(2, "bid", b"offer")
-        await until(lambda: len(origin.asked) == 2, "the second is out")
+        await until(lambda: len(origin.asked) == 2, "the second command is at the origin")
         assert origin.asked[0].writer is not origin.asked[1].writer
         origin.asked[1].data()
         assert (await client.ended(2)).status == 200
@@ -218,75 +221,77 @@
     play(tmp_path, fleet(origin=silent), scenario)
 
 
-def test_abort_gets_no_answer_and_calls_the_attempt_off(tmp_path: Path) -> None:
+def test_an_abort_gets_no_response_and_cancels_the_attempt(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client, edge = await front.client(), front.caches["s-1"]
         client.ask(1)
-        await until(lambda: len(edge.asked) == 1, "the first is out")
-        client.send(rec(ABORT, 1))
-        await until(lambda: edge.cancelled == [f"{1:016x}"], "it is called off")
+        await until(lambda: len(edge.asked) == 1, "the first command is at the cache")
+        client.send(encode_record(ABORT, 1))
+        await until(lambda: edge.cancelled == [f"{1:016x}"], "it is cancelled")
         edge.asked[0].data(b"late")
         edge.behaviour = ok
         client.ask(2)
         assert (await client.ended(2)).body == b"bytes"
-        assert 1 not in client.records.got or client.records.got[1].out == b""
-        client.send(call(1, params(f"{77:016x}")))  # the number is free again
+        assert (
+            1 not in client.records.response_by_request or client.records.response_by_request[1].output == b""
+        )
+        client.send(encode_request(1, params(f"{77:016x}")))  # the request id is free again
         assert (await client.ended(1)).body == b"bytes"
 
     play(tmp_path, fleet(silent), scenario)
 
 
-def test_broken_client_ends_alone(tmp_path: Path) -> None:
+def test_a_client_protocol_error_affects_no_other_client(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         good, bad, edge = await front.client(), await front.client(), front.caches["s-1"]
         bad.ask(1)
         good.ask(2, HTTP_X_N="2")
-        await until(lambda: len(edge.asked) == 2, "both are out")
-        bad.send(b"\x07 this is no FastCGI" + call(3, params("3" * 16)))
-        await until(lambda: front.logged("client_protocol_error"), "it is found")
+        await until(lambda: len(edge.asked) == 2, "both commands are at the cache")
+        bad.send(b"\x07 this is no FastCGI" + encode_request(3, params("3" * 16)))
+        await until(lambda: front.logged("client_protocol_error"), "the protocol error is logged")
         for asked in edge.asked:
             asked.data()
-        assert (await bad.ended(1)).status == 200, "what was read whole has its answer"
-        await until(lambda: bad.closed, "the broken connection is closed behind it")
+        assert (await bad.ended(1)).status == 200, "the complete request has its response"
+        await until(lambda: bad.closed, "the connection is closed after it")
         assert (await good.ended(2)).status == 200
         assert len(edge.asked) == 2 and not edge.cancelled
 
 
-def test_broken_client_that_leaves_has_what_was_open_called_off(tmp_path: Path) -> None:
+def test_a_disconnect_after_a_protocol_error_cancels_open_requests(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         bad, edge = await front.client(), front.caches["s-1"]
         bad.ask(1)
-        await until(lambda: len(edge.asked) == 1, "it is out")
+        await until(lambda: len(edge.asked) == 1, "the command is at the cache")
         bad.send(b"\x07 this is no FastCGI")
-        await until(lambda: front.logged("client_protocol_error"), "it is found")
+        await until(lambda: front.logged("client_protocol_error"), "the protocol error is logged")
         await bad.close()
-        await until(lambda: edge.cancelled == [f"{1:016x}"], "what was open on it is called off")
+        await until(lambda: edge.cancelled == [f"{1:016x}"], "its open request is cancelled")
 
     play(tmp_path, fleet(silent), scenario)
 
 
-def test_broken_client_with_nothing_open_is_closed_at_once(tmp_path: Path) -> None:
+def test_a_protocol_error_with_no_open_request_closes_the_connection(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         bad = await front.client()
         bad.send(b"\x07 this is no FastCGI")
-        await until(lambda: bad.closed, "the broken connection is closed")
-        await until(lambda: front.logged("client_protocol_error"), "its line is read")
+        await until(lambda: bad.closed, "the connection is closed")
+        await until(lambda: front.logged("client_protocol_error"), "the event is logged")
 
     play(tmp_path, fleet(silent), scenario)
 
     play(tmp_path, fleet(silent), scenario)
 
 
-def test_bad_requests_are_failed_at_once_and_sent_nowhere(tmp_path: Path) -> None:
+def test_bad_requests_fail_at_once_and_are_not_forwarded(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
         client.ask(1, "no-such-class")
         client.ask(2, HTTP_X_ITEM=None)
         client.ask(4, HTTP_X_JOB_ID="spaces in it")
-        client.send(begin(5, role=2))
+        client.send(encode_begin(5, role=2))
         statuses = [(await client.ended(n)).status for n in (1, 2, 4)]
         assert statuses == [404, 400, 400]
-        assert (await client.ended(5)).ended == 3
+        assert (await client.ended(5)).protocol_status == 3
         client.ask(6, "bid", b"x" * 48_000)
         assert (await client.ended(6)).status == 200
         assert sum(len(cache.asked) for cache in front.caches.values()) == 1
@@ -297,14 +302,14 @@
 def test_connection_without_keep_conn_closes_behind_its_answer(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
-        client.send(call(1, params(f"{1:016x}"), keep=False))
+        client.send(encode_request(1, params(f"{1:016x}"), keep=False))
         assert (await client.ended(1)).status == 200
         await until(lambda: client.closed, "the front closes it")
 
     play(tmp_path, fleet(), scenario)
 
 
-def test_attempts_past_the_descriptors_share_connections(tmp_path: Path) -> None:
+def test_attempts_beyond_the_descriptor_limit_share_connections(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         front.signal(signal.SIGKILL)
         await front.code()
@@ -331,10 +336,10 @@
         client, edge = await front.client(), front.caches["s-1"]
         client.ask(1)
         assert (await client.ended(1)).status == 200
-        await until(lambda: edge.open == 0, "the front closes what is idle")
+        await until(lambda: edge.open == 0, "the front closes the idle connection")
         client.ask(2)
         assert (await client.ended(2)).status == 200 and edge.connections == 2
-        edge.asked[-1].writer.close()  # the cache's turn
+        edge.asked[-1].writer.close()  # now the cache closes it
         await until(lambda: edge.open == 0, "the cache closed it")
         client.ask(3)
         assert (await client.ended(3)).status == 200 and edge.connections == 3
@@ -349,14 +354,14 @@
         assert (await client.ended(1)).status == 200
         gone, new = host("s-1", edge.address, health="DELETED"), host("s-2", edge.address)
         front.log.add(fleet={"seq": 1, "whole": False, "hosts": [gone, new]})
-        await until(lambda: edge.open == 0, "connections to the machine off the list close")
+        await until(lambda: edge.open == 0, "connections to the deleted machine close")
         client.ask(2)
         assert (await client.ended(2)).status == 200
         assert (len(edge.asked), edge.connections) == (2, 2)
         drained = host("s-2", edge.address, health="DRAINING")
         seen = len(front.log.since)
         front.log.add(fleet={"seq": 2, "whole": False, "hosts": [drained]})
-        await until(lambda: len(front.log.since) > seen, "the front heard")
+        await until(lambda: len(front.log.since) > seen, "the change log is read")
         client.ask(3)
         assert (await client.ended(3)).status == 200
         assert len(edge.asked) == 2 and len(front.caches["p-1"].asked) == 1
@@ -372,7 +377,7 @@
         assert "fresh" not in edge.asked[0].fields
         seen, purged = len(front.log.since), time.time_ns() // 1_000_000
         front.log.add(invalidate={"object": "7f3a9c21e0b4d655", "time": purged - 1000})
-        await until(lambda: len(front.log.since) > seen, "the front heard")
+        await until(lambda: len(front.log.since) > seen, "the change log is read")
         client.ask(2, "lot-video")
         await client.ended(2)
         now = time.time_ns() // 1_000_000
@@ -384,7 +389,7 @@
 def test_a_purge_missed_between_the_list_of_the_start_and_the_start_holds_for_the_first_request(
     tmp_path: Path,
 ) -> None:
-    """It counts as told once it is in the log, so a front that served first broke the rule on purges."""
+    """A purge is in force once it is in the change log: it must be read before the first request."""
 
     async def scenario(front: Front) -> None:
         edge = front.caches["s-1"]
@@ -401,7 +406,7 @@
         assert int(edge.asked[0].fields["fresh"]) <= time.time_ns() // 1_000_000 - purged
         front.signal(signal.SIGKILL)
         await front.code()
-        front.log.stopped = True  # nothing is heard of it: served all the same
+        front.log.stopped = True  # the change log is unreachable: the front serves without it
         front.lines.clear()
         await front.start()
         client = await front.client()
@@ -411,7 +416,7 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_change_log_may_fail_stall_and_lie_while_serving_goes_on(tmp_path: Path) -> None:
+def test_a_change_log_that_fails_stalls_or_is_invalid_does_not_stop_serving(tmp_path: Path) -> None:
     gap = b'{"seq":9,"results":[{"seq":9,"invalidate":{"bucket":1,"time":1}}]}'
     answers = [
         b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
@@ -424,14 +429,14 @@
     async def scenario(front: Front) -> None:
         client, edge = await front.client(), front.caches["s-1"]
         front.log.broken += answers
-        front.log.add(invalidate={"bucket": 3, "time": 1})  # ends the poll that is out
-        await until(lambda: not front.log.broken, "all of them were sent")
+        front.log.add(invalidate={"bucket": 3, "time": 1})  # ends the open poll
+        await until(lambda: not front.log.broken, "all invalid responses were sent")
         client.ask(1)
         assert (await client.ended(1)).status == 200
         added = front.log.add(
             fleet={"seq": 1, "whole": False, "hosts": [host("s-1", edge.address, health="DELETED")]}
         )
-        await until(lambda: added in front.log.since, "followed again")
+        await until(lambda: added in front.log.since, "the change log is read again")
         client.ask(2)
         assert (await client.ended(2)).status == 200
         assert len(edge.asked) == 1 and front.logged("change_log_poll_failed")
@@ -445,7 +450,7 @@
         bad = host("s-1", "127.0.0.1:1", health="SLEEPING")
         front.log.add(fleet={"seq": 1, "whole": True, "hosts": [bad]})
         added = front.log.add(invalidate={"bucket": 3, "time": 1})
-        await until(lambda: added in front.log.since, "what follows it is taken")
+        await until(lambda: added in front.log.since, "the event after it is read")
         assert front.logged("SLEEPING")
         client.ask(1)
         assert (await client.ended(1)).status == 200 and len(front.caches["s-1"].asked) == 1
@@ -453,16 +458,16 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_sigterm_serves_on_finishes_what_is_open_and_ends_with_0(tmp_path: Path) -> None:
+def test_sigterm_finishes_open_requests_and_exits_with_0(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client, edge = await front.client(), front.caches["s-1"]
         client.ask(1)
-        await until(lambda: len(edge.asked) == 1, "it is out")
+        await until(lambda: len(edge.asked) == 1, "the command is at the cache")
         front.signal(signal.SIGTERM)
         await until(lambda: front.logged("drain: 1 requests open"), "the front drains")
         late = await front.client()
         late.ask(2, HTTP_X_N="2")
-        await until(lambda: len(edge.asked) == 2, "new connections are served too")
+        await until(lambda: len(edge.asked) == 2, "a new connection is served too")
         for asked in edge.asked:
             asked.data()
         assert (await client.ended(1)).status == 200 and (await late.ended(2)).status == 200
@@ -472,11 +477,11 @@
     play(tmp_path, fleet(silent), scenario)
 
 
-def test_sigterm_answers_what_stays_open_before_the_kill(tmp_path: Path) -> None:
+def test_sigterm_answers_open_requests_before_the_kill(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
         client.ask(1, "bid", HTTP_X_ALLOW_MS="6000")
-        await until(lambda: len(front.caches["o-1"].asked) == 1, "it is out")
+        await until(lambda: len(front.caches["o-1"].asked) == 1, "the command is at the cache")
         front.signal(signal.SIGTERM)
         assert (await client.ended(1)).status == 502
         assert await front.code() == 0
@@ -484,7 +489,7 @@
     play(tmp_path, fleet(origin=silent), scenario)
 
 
-def test_killed_front_starts_again_from_nothing(tmp_path: Path) -> None:
+def test_a_killed_front_restarts_without_state(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
         client.ask(1)
@@ -500,7 +505,7 @@
     play(tmp_path, fleet(), scenario)
 
 
-def test_address_in_use_is_one_line_and_1(tmp_path: Path) -> None:
+def test_an_address_in_use_logs_one_line_and_exits_with_1(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         other = Front(tmp_path, front.caches, front.log, front.config, None, front.address)
         await other.start(wait=False)
@@ -510,8 +515,8 @@
     play(tmp_path, fleet(), scenario)
 
 
-def used(process: Any) -> tuple[int, int]:
-    """Resident memory in bytes and open descriptors."""
+def measure_process(process: Any) -> tuple[int, int]:
+    """Return the process's resident memory, bytes, and its number of open descriptors."""
     pages = int(Path(f"/proc/{process.pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE"), len(os.listdir(f"/proc/{process.pid}/fd"))
 
@@ -520,39 +525,41 @@
     async def scenario(front: Front) -> None:
         origin = front.caches["o-1"]
         stalled = []
-        for n in range(24):  # 24 x 32 x 240,000 bytes are asked for and never read: 184 MB
+        for n in range(24):  # 24 x 32 x 240,000 bytes are requested and never read: 184 MB
             reader, writer = await asyncio.open_connection(*front.address, limit=1024)
             stalled.append((reader, writer))
             for k in range(1, 33):
-                writer.write(call(k, params(f"{n * 100 + k:016x}", "bid")))
+                writer.write(encode_request(k, params(f"{n * 100 + k:016x}", "bid")))
         client = await front.client()
         for n in range(1, 21):
             client.ask(n, HTTP_X_N=str(n))
         for n in range(1, 21):
-            assert (await client.ended(n)).ended is not None
-        await until(lambda: front.logged("buffer_limit"), "the buffers were used up")
-        assert len(origin.asked) * 240_000 > 64 * 1024 * 1024  # some clients were closed before their turn
-        memory, descriptors = used(front.process)
+            assert (await client.ended(n)).protocol_status is not None
+        await until(lambda: front.logged("buffer_limit"), "the buffers are exhausted")
+        assert (
+            len(origin.asked) * 240_000 > 64 * 1024 * 1024
+        )  # some clients were closed before their requests were sent
+        memory, descriptors = measure_process(front.process)
         assert memory < 192 * 1024 * 1024 and descriptors < 1024
         for _, writer in stalled:
             writer.transport.abort()
         client.ask(30, HTTP_X_N="30")
-        assert (await client.ended(30)).ended == 0 and not front.ended
+        assert (await client.ended(30)).protocol_status == 0 and not front.ended
 
     play(tmp_path, fleet(ok, ok, lambda asked: asked.data(b"x" * 240_000)), scenario)
 
 
-def test_more_connections_than_the_account_allows(tmp_path: Path) -> None:
+def test_more_connections_than_the_descriptor_limit_allows(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         front.signal(signal.SIGKILL)
         await front.code()
         front.lines.clear()
         await front.start(limits={"cores": 1.0, "memory_mb": 192, "sockets": 128})
         held = [await asyncio.open_connection(*front.address) for _ in range(150)]
-        client = await front.client()  # idle ones made room
+        client = await front.client()  # idle ones were closed for it
         client.ask(1)
         assert (await client.ended(1)).status == 200
-        assert used(front.process)[1] < 128
+        assert measure_process(front.process)[1] < 128
         assert front.logged("idle_client_closed")
         for _, writer in held:
             writer.close()
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -1,4 +1,4 @@
-"""Every descriptor is taken, and the system's limit is the front's own: who is served, and who is heard."""
+"""All descriptors are in use, and RLIMIT_NOFILE equals the front's own limit: what is still served."""
 
 from __future__ import annotations
 
@@ -14,34 +14,42 @@
 import pytest
 
 from tests.frontkit import SETTINGS, host
-from tests.limitkit import descriptors, ended, idle, item, more_machines, ping, play_at
+from tests.limitkit import (
+    add_machines,
+    connect_idle_clients,
+    count_open_descriptors,
+    object_id,
+    ping_request,
+    play_with_descriptors,
+    stop_and_read_counters,
+)
 from tests.standins import Asked, Behaviour, Client, Front, until
 
 
-def hit(asked: Asked) -> None:
+def answer_hit(asked: Asked) -> None:
     asked.data()
 
 
-def fleet(edge: Behaviour = hit) -> dict[str, Behaviour]:
-    return {"s-1": edge, "p-1": hit, "o-1": hit}
+def fleet(edge: Behaviour = answer_hit) -> dict[str, Behaviour]:
+    return {"s-1": edge, "p-1": answer_hit, "o-1": answer_hit}
 
 
-def open_files(limit: int, front: Front) -> None:
-    """What the system allows the running front from now on."""
+def set_descriptor_limit(limit: int, front: Front) -> None:
+    """Set RLIMIT_NOFILE of the running front."""
     assert front.process is not None
     hard = resource.prlimit(front.process.pid, resource.RLIMIT_NOFILE)[1]
     resource.prlimit(front.process.pid, resource.RLIMIT_NOFILE, (limit, hard))
 
 
-def lowest_free(front: Front) -> int:
+def lowest_free_descriptor(front: Front) -> int:
     assert front.process is not None
     used = {int(name) for name in os.listdir(f"/proc/{front.process.pid}/fd")}
     return next(n for n in range(len(used) + 1) if n not in used)
 
 
 @contextmanager
-def hanging() -> Iterator[str]:
-    """An address at which connections neither come up nor are refused: its backlog is full."""
+def hanging_address() -> Iterator[str]:
+    """Yield an address at which connects hang: its backlog is full."""
     with socket.socket() as server:
         server.bind(("127.0.0.1", 0))
         server.listen(0)
@@ -55,41 +63,41 @@
             sock.close()
 
 
-def test_connections_that_go_for_new_ones_are_gone_before_these_come(tmp_path: Path) -> None:
-    """Twenty descriptors for caches, all idle; then as many requests in one turn for machines without one."""
+def test_evicted_connections_are_closed_before_new_ones_are_opened(tmp_path: Path) -> None:
+    """Twenty idle cache connections use all descriptors; then requests go to machines without one."""
 
     async def scenario(front: Front) -> None:
-        await more_machines(front, 59)
-        await idle(front, 19)
+        await add_machines(front, 59)
+        await connect_idle_clients(front, 19)
         client, edge = await front.client(), front.caches["s-1"]
-        for n in range(1, 61):  # each object is a known hit from now on, at a machine of its own
-            client.ask(n, HTTP_X_ITEM=item(n))
+        for n in range(1, 61):  # each object is a known hit from now on, on a machine of its own
+            client.ask(n, HTTP_X_ITEM=object_id(n))
             assert (await client.ended(n)).status == 200
         assert edge.open >= 18
         for n in range(1, 19):
-            client.ask(100 + n, HTTP_X_ITEM=item(n))
+            client.ask(100 + n, HTTP_X_ITEM=object_id(n))
         for n in range(1, 19):
             assert (await client.ended(100 + n)).status == 200
-        counts = await ended(front)
+        counts = await stop_and_read_counters(front)
         assert "cache_connections_reset" not in counts and "accept_failed" not in counts, counts
 
-    play_at(tmp_path, fleet(), scenario, 64)
+    play_with_descriptors(tmp_path, fleet(), scenario, 64)
 
 
 @pytest.mark.parametrize("sockets", [64, 96, 256])
-def test_all_is_taken_while_discovery_is_down_and_a_drain_is_heard_at_its_return(
+def test_with_all_descriptors_used_a_drain_is_received_when_discovery_returns(
     tmp_path: Path, sockets: int
 ) -> None:
-    """Idle clients hold half of the descriptors, dials that hang the rest; the watch still has its own."""
+    """Idle clients hold half of the descriptors, hanging dials the rest; the change log keeps its own."""
     usable = (sockets - 24) // 2
     settings = SETTINGS | {"limits": SETTINGS["limits"] | {"dial_timeout": 1_500_000_000}}
 
     async def scenario(front: Front) -> None:
-        with hanging() as nowhere:
+        with hanging_address() as hanging:
             last = front.log.add(
-                fleet={"seq": 1, "whole": False, "hosts": [host(f"s-{n}", nowhere) for n in range(9, 99)]}
+                fleet={"seq": 1, "whole": False, "hosts": [host(f"s-{n}", hanging) for n in range(9, 99)]}
             )
-            await until(lambda: front.log.since[-1] >= last, "the list is heard")
+            await until(lambda: front.log.since[-1] >= last, "the endpoint list is read")
             port = front.log.address
             assert front.log.server is not None
             front.log.server.close()  # no new connection, and the open one ends at the next poll
@@ -97,19 +105,21 @@
             await until(
                 lambda: front.logged("change_log_poll_failed: ConnectionRefused"), "discovery is down"
             )
-            await idle(front, usable + 5)
+            await connect_idle_clients(front, usable + 5)
             asking = await front.client()
             for n in range(1, 33):
-                asking.ask(n, HTTP_X_ITEM=item(n))
+                asking.ask(n, HTTP_X_ITEM=object_id(n))
             more = [await front.client() for _ in range(3)]
             for at, client in enumerate(more):
                 for n in range(1, 33):
-                    client.ask(n, HTTP_X_ITEM=item(100 * at + n + 50), HTTP_X_JOB_ID=f"{at + 1:08x}{n:08x}")
-            front.signal(signal.SIGHUP)  # it opens a file, with all of these taken
+                    client.ask(
+                        n, HTTP_X_ITEM=object_id(100 * at + n + 50), HTTP_X_JOB_ID=f"{at + 1:08x}{n:08x}"
+                    )
+            front.signal(signal.SIGHUP)  # opens a file while all descriptors are in use
             await until(lambda: front.logged("configuration reloaded"), "the configuration is read")
-            assert descriptors(front) <= sockets
+            assert count_open_descriptors(front) <= sockets
             newest = await front.client()
-            newest.send(ping(1))
+            newest.send(ping_request(1))
             assert (await newest.ended(1)).status == 200
             leaving = front.log.add(
                 fleet={"seq": 2, "whole": False,
@@ -118,37 +128,37 @@
             name, number = port.rsplit(":", 1)
             front.log.server = await asyncio.start_server(front.log._serve, name, int(number))
             loop = asyncio.get_running_loop()
-            back, before = loop.time(), len(front.log.since)
-            for round in range(8):  # dials go on hanging as the watch comes back
-                asking.ask(200 + round, HTTP_X_ITEM=item(400 + round))
-            await until(lambda: front.log.since[before:][-1:] >= [leaving], "the drain is heard")
-            assert loop.time() - back < 4  # the longest pause is 0.75 s; a drain's grace two
+            returned_at, before = loop.time(), len(front.log.since)
+            for round in range(8):  # dials still hang when the change log is read again
+                asking.ask(200 + round, HTTP_X_ITEM=object_id(400 + round))
+            await until(lambda: front.log.since[before:][-1:] >= [leaving], "the drain is read")
+            assert loop.time() - returned_at < 4  # the longest pause is 0.75 s; a drain's grace two
             assert not front.logged("Too many open files") and not front.logged("accept_failed")
-            counts = await ended(front)
+            counts = await stop_and_read_counters(front)
             assert counts["cache_connect_timeouts"] >= 20, counts
 
-    play_at(tmp_path, fleet(), scenario, sockets, settings=settings)
+    play_with_descriptors(tmp_path, fleet(), scenario, sockets, settings=settings)
 
 
-def test_who_waits_to_be_accepted_is_served_once_there_is_a_descriptor(tmp_path: Path) -> None:
-    """The system has none left for a while: the front says so a few times, and nobody is lost."""
+def test_clients_in_the_backlog_are_served_once_a_descriptor_is_free(tmp_path: Path) -> None:
+    """The system has no descriptor for a while: the front logs that a few times and loses no client."""
 
     async def scenario(front: Front) -> None:
         early = await front.client()
-        early.send(ping(1))
+        early.send(ping_request(1))
         assert (await early.ended(1)).status == 200
-        open_files(lowest_free(front), front)
-        waiting = [await Client.to(front.address) for _ in range(5)]  # by the system, in the backlog
+        set_descriptor_limit(lowest_free_descriptor(front), front)
+        waiting = [await Client.to(front.address) for _ in range(5)]  # they stay in the backlog
         front.clients += waiting
         for client in waiting:
-            client.send(ping(1))
+            client.send(ping_request(1))
         await until(lambda: sum("accept_failed" in line for line in front.lines) >= 20, "accepts fail")
-        for n in range(2, 60):  # meanwhile the front serves, and the line is not logged for ever
-            early.send(ping(n))
+        for n in range(2, 60):  # meanwhile the front serves, and the event is not logged without end
+            early.send(ping_request(n))
             assert (await early.ended(n)).status == 200
-        assert sum("accept_failed" in line for line in front.lines) <= 21  # the counters name it once
-        open_files(64, front)
+        assert sum("accept_failed" in line for line in front.lines) <= 21  # the last is in the counters
+        set_descriptor_limit(64, front)
         for client in waiting:
             assert (await client.ended(1)).status == 200
 
-    play_at(tmp_path, fleet(), scenario, 64)
+    play_with_descriptors(tmp_path, fleet(), scenario, 64)
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -1,4 +1,4 @@
-"""Idle connections: at rest next to nothing; storms of wakes and closes, limits, standstill, signals."""
+"""Idle connections: what they hold, bursts of wakes and closes, limits, process pauses, signals."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
 from quincepier.net.means import Means
 from quincepier.net.messages import Answer, Came, ToModule
 from quincepier.net.sockets import Descriptors
-from tests.fcgikit import Reader, begin, call, params, rec
+from tests.fcgikit import ResponseReader, encode_begin, encode_record, encode_request, params
 from tests.frontkit import make_config
 from tests.standins import Cache, Client, Front, play, until
 from tests.test_front import fleet
 
-PING = call(1, {"SCRIPT_NAME": "/ping"})
+PING = encode_request(1, {"SCRIPT_NAME": "/ping"})
 
 
-def make_manager(sockets: int = 1024, places: ClientNetworks | None = None) -> ConnectionManager:
+def make_manager(sockets: int = 1024, networks: ClientNetworks | None = None) -> ConnectionManager:
     checks, pool = Checks(), BufferPool(8)
     module: Mailbox[ToModule] = Mailbox(4096)
     budget = MemoryBudget(max_buffers=8, max_body_bytes=1 << 20, max_open_requests=4096)
     means = Means(make_config(), checks, pool, Descriptors(sockets), module, budget)
-    return ConnectionManager(means, lambda: True, places)
+    return ConnectionManager(means, lambda: True, networks)
 
 
 class Peer:
-    """The other end of a connection of the manager."""
+    """The client's end of a connection of the manager."""
 
     def __init__(self, manager: ConnectionManager) -> None:
         ours, self.sock = socket.socketpair()
         ours.setblocking(False)
         self.sock.setblocking(False)
-        self.reader = Reader()
+        self.reader = ResponseReader()
         connection = manager.admit(ours)
         assert connection is not None
         self.connection: ClientConnection = connection
@@ -60,7 +60,10 @@
 
     def answered(self, request: int) -> bool:
         self.read()
-        return request in self.reader.got and self.reader.got[request].ended is not None
+        return (
+            request in self.reader.response_by_request
+            and self.reader.response_by_request[request].protocol_status is not None
+        )
 
 
 def on_loop(scenario: object) -> None:
@@ -68,17 +71,17 @@
         runner.run(scenario())  # type: ignore[operator]
 
 
-def test_at_rest_a_connection_holds_neither_task_nor_buffer_nor_decoder() -> None:
+def test_an_idle_connection_holds_neither_task_nor_buffer_nor_decoder() -> None:
     async def scenario() -> None:
         manager = make_manager()
         peers = [Peer(manager) for _ in range(200)]
         for peer in peers:
             peer.sock.send(PING)
-        await until(lambda: all(peer.answered(1) for peer in peers), "all are answered")
+        await until(lambda: all(peer.answered(1) for peer in peers), "all have a response")
         assert not manager.busy_connections and all(peer.connection.session is None for peer in peers)
-        assert len(asyncio.all_tasks()) == 1 and manager.pool.used == 1  # the buffer all are read into
+        assert len(asyncio.all_tasks()) == 1 and manager.pool.used == 1  # the read buffer
         manager.sweep(clock.now())
-        for step in range(1, 40):  # the first deadlines pass and none is set again
+        for step in range(1, 40):  # the first deadlines pass, and no timer is scheduled again
             manager.sweep(clock.now() + step * clock.SECOND // 10)
         assert len(manager.timers) == 0 and len(manager.connections) == 200
         for peer in peers:
@@ -88,13 +91,13 @@
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("rested", "slice"), [(False, MAX_ACTIVE_READS), (True, MAX_WAKING_READS)])
-def test_a_storm_is_read_in_slices_and_what_else_the_loop_has_comes_between(rested: bool, slice: int) -> None:
+@pytest.mark.parametrize(("was_idle", "slice"), [(False, MAX_ACTIVE_READS), (True, MAX_WAKING_READS)])
+def test_a_burst_is_read_in_bounded_numbers_per_turn_of_the_loop(was_idle: bool, slice: int) -> None:
     async def scenario() -> None:
         manager = make_manager()
         peers = [Peer(manager) for _ in range(400)]
         for peer in peers:
-            peer.connection.last_activity_ns -= rested * 60 * clock.SECOND
+            peer.connection.last_activity_ns -= was_idle * 60 * clock.SECOND
         await asyncio.sleep(0)
         for peer in peers:
             peer.sock.send(PING)
@@ -106,10 +109,10 @@
                 loop.call_soon(look)
 
         look()
-        await until(lambda: all(peer.answered(1) for peer in peers), "all are answered")
+        await until(lambda: all(peer.answered(1) for peer in peers), "all have a response")
         steps = [b - a for a, b in zip(seen, seen[1:], strict=False)]
         assert max(steps) <= 2 * slice and sum(step > 0 for step in steps) >= len(peers) // (2 * slice)
-        assert (manager.waking_queue if rested else manager.active_queue).max_length > 0
+        assert (manager.waking_queue if was_idle else manager.active_queue).max_length > 0
         assert not manager.waking_queue.waiting and not manager.active_queue.waiting
         for peer in peers:
             peer.connection.close()
@@ -117,37 +120,38 @@
     on_loop(scenario)
 
 
-def test_who_sends_row_after_row_gets_few_buffers_of_it_read_before_others_have_their_turn() -> None:
-    """Else a few that flood keep usual requests waiting for longer than these can wait."""
+def test_a_client_that_floods_has_few_buffers_read_before_others_are_served() -> None:
+    """Otherwise a few clients that flood delay ordinary requests for longer than these can wait."""
 
     async def scenario() -> None:
         manager = make_manager()
-        floods, usual = [Peer(manager) for _ in range(4)], Peer(manager)
-        rows = b"".join(call(n, params(f"{n:016x}")) for n in range(1, 300))  # no more than 32 may be open
-        for flood in floods:
-            flood.sock.send(rows)
-        usual.sock.send(PING)
-        read, before, plain = dict.fromkeys(floods, 0), list[int](), ClientConnection._on_received
-
-        def received(self: ClientConnection, size: int) -> None:
-            for flood in floods:
+        flooding, ordinary = [Peer(manager) for _ in range(4)], Peer(manager)
+        # at most 32 of them may be open
+        requests = b"".join(encode_request(n, params(f"{n:016x}")) for n in range(1, 300))
+        for flood in flooding:
+            flood.sock.send(requests)
+        ordinary.sock.send(PING)
+        read, before, plain = dict.fromkeys(flooding, 0), list[int](), ClientConnection._on_received
+
+        def on_received(self: ClientConnection, size: int) -> None:
+            for flood in flooding:
                 read[flood] += size * (flood.connection is self)
-            if self is usual.connection:
+            if self is ordinary.connection:
                 before.append(max(read.values()))
             plain(self, size)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(ClientConnection, "_on_received", received)
-            await until(lambda: usual.connection.has_requested, "the usual one is read")
-        # who came first in this turn stands before the others in the next
-        assert before[0] <= 2 * len(manager.read_buffer) < len(rows)
-        for peer in (*floods, usual):
+            patch.setattr(ClientConnection, "_on_received", on_received)
+            await until(lambda: ordinary.connection.has_requested, "the ordinary client is read")
+        # the connections read first in this turn are also the first ones queued for the next
+        assert before[0] <= 2 * len(manager.read_buffer) < len(requests)
+        for peer in (*flooding, ordinary):
             peer.connection.close()
 
     on_loop(scenario)
 
 
-def test_who_is_at_work_is_served_before_a_crowd_that_wakes() -> None:
+def test_active_connections_are_served_before_a_crowd_that_wakes() -> None:
     async def scenario() -> None:
         manager = make_manager()
         crowd, few = [Peer(manager) for _ in range(400)], [Peer(manager) for _ in range(3)]
@@ -157,28 +161,30 @@
         for peer in few:
             peer.sock.send(PING)
         while not all(peer.connection.has_requested for peer in few):
-            await asyncio.sleep(0)  # turn by turn: in the pauses of `until` a quick machine reads the crowd
+            # turn by turn: in the pauses of `until` a fast machine would read the crowd
+            await asyncio.sleep(0)
         assert sum(peer.connection.has_requested for peer in crowd) < 40
-        await until(lambda: all(peer.answered(1) for peer in crowd), "the crowd is served as well")
+        await until(lambda: all(peer.answered(1) for peer in crowd), "the crowd is served too")
         for peer in (*crowd, *few):
             peer.connection.close()
 
     on_loop(scenario)
 
 
-def test_the_time_that_a_request_stood_in_line_counts() -> None:
+def test_the_time_that_a_request_waits_to_be_read_counts() -> None:
     async def scenario() -> None:
         manager = make_manager()
         peers = [Peer(manager) for _ in range(3 * MAX_ACTIVE_READS)]
         await asyncio.sleep(0)
         for peer in peers:
-            peer.sock.send(call(1, params("1" * 16)))
+            peer.sock.send(encode_request(1, params("1" * 16)))
         await until(lambda: len(manager.module.last) == len(peers), "all are read")
-        came = [
+        received_at = [
             message.request.received_at_ns for message in manager.module.last if isinstance(message, Came)
         ]
-        assert max(came) - min(came) < clock.now() - min(came)  # those read last were there before
-        first, last = came[MAX_ACTIVE_READS - 1], came[MAX_ACTIVE_READS:]
+        # the ones read last count from an earlier time
+        assert max(received_at) - min(received_at) < clock.now() - min(received_at)
+        first, last = received_at[MAX_ACTIVE_READS - 1], received_at[MAX_ACTIVE_READS:]
         assert sum(at < first + (clock.now() - first) // 2 for at in last) > MAX_ACTIVE_READS
         for peer in peers:
             peer.connection.close()
@@ -191,11 +197,11 @@
         manager = make_manager()
         peers = [Peer(manager) for _ in range(300)]
         for peer in peers[::2]:
-            peer.sock.send(call(1, params("1" * 16)))
+            peer.sock.send(encode_request(1, params("1" * 16)))
             peer.sock.close()
         for peer in peers[1::2]:
             peer.sock.send(PING)
-        await until(lambda: len(manager.connections) == 150, "half are gone")
+        await until(lambda: len(manager.connections) == 150, "half of the connections are closed")
         await until(lambda: all(peer.answered(1) for peer in peers[1::2]), "the others are answered")
         assert manager.descriptors.clients == len(manager.registry) == 150 and not manager.body_bytes
         assert "exception_in_client_actor" not in manager.checks.counts
@@ -205,8 +211,8 @@
     on_loop(scenario)
 
 
-def test_a_client_that_asks_and_resets_is_gone() -> None:
-    """The reset comes with bytes unread: the loop tells of it once, and then no more."""
+def test_a_client_that_sends_a_request_and_resets_is_removed() -> None:
+    """The reset arrives with unread bytes: the event loop reports it once only."""
 
     async def scenario() -> None:
         manager = make_manager()
@@ -218,15 +224,15 @@
                 manager.admit(ours)
                 await asyncio.sleep(0)
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                peer.send(call(1, params("1" * 16)))
+                peer.send(encode_request(1, params("1" * 16)))
                 peer.close()
-        await until(lambda: not manager.connections, "all are gone")
+        await until(lambda: not manager.connections, "all connections are closed")
         assert manager.descriptors.clients == 0
 
     on_loop(scenario)
 
 
-def test_a_pool_used_up_keeps_nobody_from_asking() -> None:
+def test_an_exhausted_pool_does_not_prevent_requests() -> None:
     async def scenario() -> None:
         manager = make_manager()
         assert (
@@ -235,32 +241,32 @@
         )
         peer = Peer(manager)
         peer.sock.send(PING)
-        await until(lambda: peer.answered(1), "it is answered")
+        await until(lambda: peer.answered(1), "the ping has a response")
         peer.connection.close()
 
     on_loop(scenario)
 
 
-def test_half_a_record_then_silence_is_closed_by_time_and_standstill_counts_for_nobody() -> None:
+def test_a_partial_record_times_out_and_process_pauses_do_not_count() -> None:
     async def scenario() -> None:
         manager = make_manager()
-        half, silent, usual = Peer(manager), Peer(manager), Peer(manager)
-        half.sock.send(begin(1) + rec(4, 1)[:5])
-        usual.sock.send(PING)
-        await until(lambda: usual.answered(1) and half.connection.session is not None, "they are read")
+        half, silent, ordinary = Peer(manager), Peer(manager), Peer(manager)
+        half.sock.send(encode_begin(1) + encode_record(4, 1)[:5])
+        ordinary.sock.send(PING)
+        await until(lambda: ordinary.answered(1) and half.connection.session is not None, "both are read")
         now = clock.now()
-        for _ in range(5):  # the front stood still five times for a minute
+        for _ in range(5):  # five process pauses of a minute
             now += 60 * clock.SECOND
             manager.sweep(now)
-        assert {half.connection, silent.connection, usual.connection} == manager.connections
+        assert {half.connection, silent.connection, ordinary.connection} == manager.connections
         for _ in range(12):
             now += clock.SECOND // 5
             manager.sweep(now)
-        assert manager.connections == {usual.connection}
-        assert manager.checks.counts["client_closed_partial_request"] == 0  # it never asked whole
+        assert manager.connections == {ordinary.connection}
+        assert manager.checks.counts["client_closed_partial_request"] == 0  # it never sent a complete request
         assert manager.checks.counts["client_closed_no_request"] == 2
-        usual.sock.send(begin(2) + rec(4, 2)[:5])
-        await until(lambda: usual.connection.session is not None, "it is read")
+        ordinary.sock.send(encode_begin(2) + encode_record(4, 2)[:5])
+        await until(lambda: ordinary.connection.session is not None, "the partial record is read")
         for _ in range(14):
             now += clock.SECOND // 5
             manager.sweep(now)
@@ -269,13 +275,13 @@
     on_loop(scenario)
 
 
-def test_answers_that_the_socket_does_not_take_go_on_later_and_an_untaken_last_one_is_cut() -> None:
+def test_responses_continue_when_the_socket_takes_bytes_and_an_unread_last_one_is_cut_off() -> None:
     async def scenario() -> None:
         manager = make_manager()
         peer, large = Peer(manager), os.urandom(40_000) * 6
         peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        peer.sock.send(b"".join(call(n, params(f"{n:016x}")) for n in range(1, 33)))
-        await until(lambda: len(manager.module.last) == 32, "all are asked")
+        peer.sock.send(b"".join(encode_request(n, params(f"{n:016x}")) for n in range(1, 33)))
+        await until(lambda: len(manager.module.last) == 32, "all requests are read")
         manager.pool.max_buffers = 1000
         while (message := manager.module.take()) is not None:
             assert isinstance(message, Came)
@@ -285,11 +291,14 @@
             message.request.receiver.push(Answer(message.request, 200, body))
         await until(lambda: peer.connection.write_task is not None, "the socket is full")
         assert peer.connection.owes_responses
-        await until(lambda: all(peer.answered(n) for n in range(1, 33)), "all are taken in the end")
-        assert all(got.body == large for got in peer.reader.got.values()) and manager.pool.used == 1
-        await until(lambda: peer.connection.session is None, "it rests")
-        peer.sock.send(call(40, params("f" * 16), keep=False))
-        await until(lambda: bool(manager.module.last), "the last is asked")
+        await until(lambda: all(peer.answered(n) for n in range(1, 33)), "all responses arrive")
+        assert (
+            all(got.body == large for got in peer.reader.response_by_request.values())
+            and manager.pool.used == 1
+        )
+        await until(lambda: peer.connection.session is None, "the connection is idle")
+        peer.sock.send(encode_request(40, params("f" * 16), keep=False))
+        await until(lambda: bool(manager.module.last), "the last request is read")
         message = manager.module.take()
         assert isinstance(message, Came)
         body = PooledBody.allocate(manager.pool, len(large))
@@ -301,59 +310,59 @@
         while not peer.connection.is_closed:
             now += clock.SECOND // 5
             manager.sweep(now)
-        await until(lambda: not manager.connections, "its socket is closed behind its writer")
+        await until(lambda: not manager.connections, "the socket is closed after the write task")
         assert manager.pool.used == 1 and manager.descriptors.clients == 0
 
     on_loop(scenario)
 
 
-def test_a_large_answer_that_is_there_first_takes_turns_with_small_ones() -> None:
+def test_a_large_response_takes_turns_with_small_ones() -> None:
     async def scenario() -> None:
         manager = make_manager()
         manager.pool.max_buffers = 1000
         peer, sizes = Peer(manager), {1: 240_000, 2: 5, 3: 70_000, 4: 5}
-        peer.sock.send(b"".join(call(n, params(f"{n:016x}")) for n in sizes))
-        await until(lambda: len(manager.module.last) == 4, "all are asked")
-        while (message := manager.module.take()) is not None:  # all in one turn, the largest first
+        peer.sock.send(b"".join(encode_request(n, params(f"{n:016x}")) for n in sizes))
+        await until(lambda: len(manager.module.last) == 4, "all requests are read")
+        while (message := manager.module.take()) is not None:  # all responses in one turn, the largest first
             assert isinstance(message, Came)
             size = sizes[message.request.stream_id]
             body = PooledBody.allocate(manager.pool, size)
             assert body is not None
             body.append(bytes(size))
             message.request.receiver.push(Answer(message.request, 200, body))
-        await until(lambda: all(peer.answered(n) for n in sizes), "all are answered")
-        assert peer.reader.order == [2, 4, 3, 1]
-        assert [len(peer.reader.got[n].body) for n in sizes] == [*sizes.values()]
+        await until(lambda: all(peer.answered(n) for n in sizes), "all have a response")
+        assert peer.reader.completed_requests == [2, 4, 3, 1]
+        assert [len(peer.reader.response_by_request[n].body) for n in sizes] == [*sizes.values()]
         peer.connection.close()
 
     on_loop(scenario)
 
 
-def test_at_the_limit_a_crowd_of_one_network_does_not_push_out_another() -> None:
+def test_at_the_limit_a_crowd_of_one_network_does_not_evict_another() -> None:
     async def scenario() -> None:
         section = ClientsSection(each=0, rest_least_ms=0, slack=1)
         manager = make_manager(64, ClientNetworks(section))
-        most, few = manager.descriptors.clients_most, list[ClientConnection]()
+        limit, few = manager.descriptors.clients_most, list[ClientConnection]()
 
-        def come(host: str) -> ClientConnection | None:
+        def connect(host: str) -> ClientConnection | None:
             ours, theirs = socket.socketpair()
             ours.setblocking(False)
-            kept.append(theirs)
+            client_sockets.append(theirs)
             return manager.admit(ours, host)
 
-        kept: list[socket.socket] = []
+        client_sockets: list[socket.socket] = []
         for n in range(4):
-            connection = come(f"192.0.2.{n}")
+            connection = connect(f"192.0.2.{n}")
             assert connection is not None
             few.append(connection)
             manager.registry.on_request(connection)
             manager.registry.on_idle(connection, 0)
-        for n in range(5 * most):
-            connection = come(f"198.51.100.{n % 200}")
+        for n in range(5 * limit):
+            connection = connect(f"198.51.100.{n % 200}")
             if connection is not None:
                 manager.registry.on_request(connection)
                 manager.registry.on_idle(connection, n)
-        assert len(manager.connections) == most == manager.descriptors.clients
+        assert len(manager.connections) == limit == manager.descriptors.clients
         assert not any(connection.is_closed for connection in few)
         for connection in list(manager.connections):
             connection.close()
@@ -361,13 +370,12 @@
     on_loop(scenario)
 
 
-def test_what_the_front_itself_refuses_is_told_different_times_to_come_back() -> None:
+def test_clients_rejected_by_the_front_get_different_retry_times() -> None:
     manager = make_manager()
-    told = {manager.draw_retry_after_ms() for _ in range(50)}
-    assert len(told) > 20 and all(w is not None and 0.6 * 500 <= w <= 500 for w in told)
-    assert {make_manager().draw_retry_after_ms() for _ in range(3)} == {
-        make_manager().draw_retry_after_ms()
-    }  # from the front's seed
+    retry_times = {manager.draw_retry_after_ms() for _ in range(50)}
+    assert len(retry_times) > 20 and all(w is not None and 0.6 * 500 <= w <= 500 for w in retry_times)
+    # drawn from the seed of the configuration
+    assert {make_manager().draw_retry_after_ms() for _ in range(3)} == {make_manager().draw_retry_after_ms()}
 
 
 async def idle(front: Front, count: int) -> list[Client]:
@@ -379,7 +387,7 @@
     return clients
 
 
-def test_all_of_them_wake_while_the_active_few_are_served(tmp_path: Path) -> None:
+def test_all_idle_clients_wake_while_an_active_one_is_served(tmp_path: Path) -> None:
     async def scenario() -> None:
         front = Front(tmp_path, {name: Cache(behaviour) for name, behaviour in fleet().items()})
         try:
@@ -387,11 +395,14 @@
             clients = await idle(front, 100)
             few = await front.client()
             front.signal(signal.SIGHUP)
-            await until(lambda: front.logged("configuration reloaded"), "SIGHUP with all of them idle")
+            await until(
+                lambda: front.logged("configuration reloaded"), "SIGHUP is handled while all clients are idle"
+            )
             for n, client in enumerate(clients):
-                client.send(call(2, params(f"{n + 100:016x}", HTTP_X_N=str(n % 5))))
+                client.send(encode_request(2, params(f"{n + 100:016x}", HTTP_X_N=str(n % 5))))
             for n in range(2, 12):
-                few.ask(n, "bid", b"offer", HTTP_X_JOB_ID=f"{n + 900:016x}")  # the highest tier goes on
+                # the most important class is served
+                few.ask(n, "bid", b"offer", HTTP_X_JOB_ID=f"{n + 900:016x}")
                 assert (await few.ended(n)).status == 200
             statuses = [(await client.ended(2)).status for client in clients]
             assert set(statuses) <= {200, 503} and not any(client.closed for client in clients)
@@ -404,27 +415,27 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("stand", [0.0, 2.2])
-def test_a_standstill_of_the_process_ends_nobody(tmp_path: Path, stand: float) -> None:
+@pytest.mark.parametrize("pause_s", [0.0, 2.2])
+def test_a_process_pause_closes_no_connection(tmp_path: Path, pause_s: float) -> None:
     async def scenario(front: Front) -> None:
-        rested = await idle(front, 30)
+        clients = await idle(front, 30)
         half = await front.client()
-        half.send(begin(1) + rec(4, 1, b"")[:5])
+        half.send(encode_begin(1) + encode_record(4, 1, b"")[:5])
         new = await front.client()
-        if stand:
+        if pause_s:
             front.signal(signal.SIGSTOP)
-            await asyncio.sleep(stand)
+            await asyncio.sleep(pause_s)
             front.signal(signal.SIGCONT)
         new.send(PING)
         assert (await new.ended(1)).status == 200
-        assert not half.closed and not any(client.closed for client in rested)
-        rested[0].ask(2)
-        assert (await rested[0].ended(2)).status == 200
+        assert not half.closed and not any(client.closed for client in clients)
+        clients[0].ask(2)
+        assert (await clients[0].ended(2)).status == 200
 
     play(tmp_path, fleet(), scenario)
 
 
-def test_a_close_for_long_rest_that_crosses_a_request_costs_one_new_connection(tmp_path: Path) -> None:
+def test_an_idle_close_that_crosses_a_request_costs_one_new_connection(tmp_path: Path) -> None:
     async def over() -> None:
         operator = tmp_path / "operator.yaml"
         operator.write_text("clients: {rest_most_s: 0.4}\n")
@@ -433,14 +444,14 @@
         try:
             await front.start()
             client = (await idle(front, 1))[0]
-            await until(lambda: client.closed, "it rested for too long")
+            await until(lambda: client.closed, "the idle time is over")
             client.send(PING)  # crosses the close
             again = (await idle(front, 1))[0]
             again.ask(2)
             assert (await again.ended(2)).status == 200
             operator.write_text("clients: {rest_most_s: 0}\n")
             front.signal(signal.SIGHUP)
-            await until(lambda: front.logged("clients changed"), "the new bound holds")
+            await until(lambda: front.logged("clients changed"), "the new limit is in force")
             last = (await idle(front, 1))[0]
             await asyncio.sleep(0.8)
             assert not last.closed
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.fcgikit import call, params
+from tests.fcgikit import encode_request, params
 from tests.loopback import own_address
 from tests.standins import Asked, Cache, ChangeLog, Client, Front, until
 from tests.test_standing_restart import Sender
@@ -32,7 +32,7 @@
     while True:
         with contextlib.suppress(ConnectionError, AssertionError):
             client = await Client.to(front.address)
-            client.send(call(1, {"SCRIPT_NAME": "/ping"}))
+            client.send(encode_request(1, {"SCRIPT_NAME": "/ping"}))
             try:
                 if (await client.ended(1)).status == 200:
                     return time.monotonic() - began
@@ -119,7 +119,9 @@
             assert lost == [], [front.lines for front in fleet.fronts]
             sent = {asked.id for cache in fleet.caches.values() for asked in cache.asked}
             assert sent.isdisjoint(crossed)  # a client may send these again: nothing of them went on
-            statuses = [s.client.records.got[n].status for s in fleet.senders for n in s.got()]
+            statuses = [
+                s.client.records.response_by_request[n].status for s in fleet.senders for n in s.got()
+            ]
             assert set(statuses) <= {200, 503} and statuses.count(503) < 0.2 * len(statuses)
             print(f"ready in {min(took):.2f} to {max(took):.2f} s, {len(statuses)} answers")
         finally:
@@ -151,7 +153,7 @@
         try:
             await front.start(**changes)
             client = await front.client()
-            client.send(call(1, {"SCRIPT_NAME": "/ping"}) + call(2, params(f"{2:016x}")))
+            client.send(encode_request(1, {"SCRIPT_NAME": "/ping"}) + encode_request(2, params(f"{2:016x}")))
             assert [(await client.ended(n)).status for n in (1, 2)] == [200, 200]
             if log == "silent":
                 assert front.log.since, "it was asked"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 import pytest
 
 from quincepier.memory.memory_budget import MB, divide_memory
-from tests.fcgikit import PARAMS, STDIN, begin, call, pairs, params, rec
+from tests.fcgikit import PARAMS, STDIN, encode_begin, encode_pairs, encode_record, encode_request, params
 from tests.frontkit import host
 from tests.standins import Asked, Behaviour, Cache, ChangeLog, Front, play, until
 
@@ -142,26 +142,26 @@
         seen = len(front.log.since)
         await until(lambda: len(front.log.since) > seen, "another connection asks")
         client = await front.client()
-        client.send(call(1, {"SCRIPT_NAME": "/ping"}))
+        client.send(encode_request(1, {"SCRIPT_NAME": "/ping"}))
         assert (await client.ended(1)).status == 200
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_hostile_clients_get_an_answer_or_a_close_and_reach_no_cache(tmp_path: Path) -> None:
-    whole = pairs(params("0" * 16))
+    whole = encode_pairs(params("0" * 16))
     sends = {
         "nothing": b"",
         "half a header": b"\x01\x01",
-        "half a request": begin(1) + rec(PARAMS, 1, whole),
+        "half a request": encode_begin(1) + encode_record(PARAMS, 1, whole),
         "another protocol": b"GET / HTTP/1.1\r\n\r\n",
-        "a stream without end": begin(1)
-        + rec(PARAMS, 1, whole)
-        + rec(PARAMS, 1)
-        + rec(STDIN, 1, b"x" * 9999) * 900,
-        "parameters without end": begin(1) + rec(PARAMS, 1, b"x" * 9999) * 900,
-        "records of no request": rec(STDIN, 9, b"x" * 100) * 5000,
-        "one number twice": begin(1) + begin(1),
+        "a stream without end": encode_begin(1)
+        + encode_record(PARAMS, 1, whole)
+        + encode_record(PARAMS, 1)
+        + encode_record(STDIN, 1, b"x" * 9999) * 900,
+        "parameters without end": encode_begin(1) + encode_record(PARAMS, 1, b"x" * 9999) * 900,
+        "records of no request": encode_record(STDIN, 9, b"x" * 100) * 5000,
+        "one number twice": encode_begin(1) + encode_begin(1),
     }
 
     async def scenario(front: Front) -> None:
@@ -200,7 +200,7 @@
 def test_half_sent_requests_do_not_hold_up_a_drain(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
-        client.send(begin(1))
+        client.send(encode_begin(1))
         front.signal(signal.SIGTERM)
         assert await front.code() == 0
         assert not front.logged("drain deadline reached")
@@ -233,7 +233,7 @@
         client, edge = await front.client(), front.caches["s-1"]
         for n in (2, 1, 3):
             client.ask(n, HTTP_X_N=str(n))
-            await until(lambda: len(edge.asked) > len(client.records.got) - 1, "it is out")
+            await until(lambda: len(edge.asked) > len(client.records.response_by_request) - 1, "it is out")
         assert (await client.ended(1)).status == 200 and len(front.caches["p-1"].asked) >= 1
         for asked in edge.asked:
             if asked.fields["part"] != "1":
--- a/tests/test_standing_restart.py
+++ b/tests/test_standing_restart.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.fcgikit import call, params
+from tests.fcgikit import encode_request, params
 from tests.loopback import own_address
 from tests.standins import Asked, ChangeLog, Client, Front, play, until
 
@@ -39,7 +39,9 @@
         """Rows of requests, each written at once; with row 1 without waiting for what is open."""
         while not self.client.closed:
             row = range(self.sent + 1, self.sent + 1 + self.row)
-            calls = [call(n, params(self.job(n), CLASSES[n % ROW], HTTP_X_N=self.part)) for n in row]
+            calls = [
+                encode_request(n, params(self.job(n), CLASSES[n % ROW], HTTP_X_N=self.part)) for n in row
+            ]
             self.client.send(b"".join(calls))
             self.sent += self.row
             if self.row == 1:
@@ -51,7 +53,9 @@
         return self.client.closed or self.got() >= {*row}
 
     def got(self) -> set[int]:
-        return {n for n, got in self.client.records.got.items() if got.ended is not None}
+        return {
+            n for n, got in self.client.records.response_by_request.items() if got.protocol_status is not None
+        }
 
     def left(self, jobs: set[str]) -> tuple[list[str], list[str]]:
         """What has no answer as the connection has ended: what the front had taken, and what crossed the end.
@@ -82,9 +86,9 @@
     lost, crossed = zip(*(s.left(jobs) for s in senders), strict=True)
     anew = await second.client()
     for n, job in enumerate(sum(crossed, []), 1):  # what crossed a close goes to the other front, once
-        anew.send(call(n, params(job)))
+        anew.send(encode_request(n, params(job)))
         assert (await anew.ended(n)).status == 200
-    got = [s.client.records.got[n].status for s in senders for n in s.got()]
+    got = [s.client.records.response_by_request[n].status for s in senders for n in s.got()]
     return sum(lost, []), got
 
 
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""The wheel against a sorted list: never early, never lost, never twice, in order; and the patient clock."""
+"""The timer wheel against a sorted list: none early, lost, taken twice or out of order; the active clock."""
 
 from __future__ import annotations
 
@@ -29,57 +29,59 @@
 
 
 class Model:
-    """A wheel beside a sorted list of what is set; each step is checked."""
+    """A wheel and a sorted list of the same timers, compared after each step."""
 
     def __init__(self, now: int) -> None:
         self.now, self.wheel = now, TimerWheel[int](now, GRAIN)
-        self.set: dict[int, Timer[int]] = {}
-        self.over: list[Timer[int]] = []
+        self.scheduled: dict[int, Timer[int]] = {}
+        self.taken: list[Timer[int]] = []
         self.count = 0
 
     def due(self) -> list[tuple[int, int]]:
-        """Due times and order of all that must have come by the last whole tick, and of all that may have."""
-        return sorted((t.due, t.order) for t in self.set.values())
+        """Return due time and order of the scheduled timers, the earliest first."""
+        return sorted((t.due, t.order) for t in self.scheduled.values())
 
     def add(self, wait: int) -> None:
         self.count += 1
-        self.set[self.count] = self.wheel.schedule(self.now + wait, self.count)
+        self.scheduled[self.count] = self.wheel.schedule(self.now + wait, self.count)
 
-    def cancel(self, which: int) -> None:
-        if self.set:
-            number = sorted(self.set)[which % len(self.set)]
-            timer = self.set.pop(number)
+    def cancel(self, index: int) -> None:
+        if self.scheduled:
+            number = sorted(self.scheduled)[index % len(self.scheduled)]
+            timer = self.scheduled.pop(number)
             assert self.wheel.cancel(timer) and not self.wheel.cancel(timer)
-        for timer in self.over:
-            assert not self.wheel.cancel(timer), "what was taken can't be cancelled"
+        for timer in self.taken:
+            assert not self.wheel.cancel(timer), "a taken timer can't be cancelled"
 
-    def take(self, most: int) -> None:
-        for _ in range(most):
+    def take(self, max_count: int) -> None:
+        for _ in range(max_count):
             timer = self.wheel.take_due(self.now)
             whole = self.now // GRAIN * GRAIN
             if timer is None:
-                assert not self.set or self.due()[0][0] > whole, "what is due is handed out"
+                assert not self.scheduled or self.due()[0][0] > whole, "a due timer is taken"
                 return
-            assert timer.due <= self.now, "never early"
-            assert self.set.pop(timer.payload) is timer, "never twice"
-            assert all(timer.due <= due for due, _ in self.due() if due <= whole), "by due time"
-            self.over.append(timer)
+            assert timer.due <= self.now, "not early"
+            assert self.scheduled.pop(timer.payload) is timer, "not taken twice"
+            assert all(timer.due <= due for due, _ in self.due() if due <= whole), "in order of due time"
+            self.taken.append(timer)
 
     def check(self) -> None:
-        assert len(self.wheel) == len(self.set)
+        assert len(self.wheel) == len(self.scheduled)
         ahead = self.wheel.next_due()
-        assert (ahead is None) == (not self.set), "something is ahead exactly while something is set"
+        assert (ahead is None) == (
+            not self.scheduled
+        ), "there is a next tick while a timer is scheduled, and only then"
         if ahead is not None:
             first = max(self.due()[0][0], self.now)
-            assert ahead <= first + GRAIN, "who sleeps until then misses nothing"
+            assert ahead <= first + GRAIN, "a caller that sleeps until then is not late"
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.integers(0, 10**9), steps)
-def test_against_a_sorted_list(start: int, script: list[tuple[str, int]]) -> None:
+def test_the_wheel_agrees_with_a_sorted_list(start: int, script: list[tuple[str, int]]) -> None:
     model = Model(start)
-    for what, number in script:
-        match what:
+    for action, number in script:
+        match action:
             case "set":
                 model.add(number)
             case "cancel":
@@ -91,22 +93,22 @@
         model.check()
     model.now += 3 * GRAIN * WHEEL_SPAN
     model.take(10**6)
-    assert not model.set and not len(model.wheel), "none is lost"
+    assert not model.scheduled and not len(model.wheel), "no timer is lost"
     assert all(slot is None for slot in model.wheel.slots) and model.wheel.used_slots_by_level == [0] * 4
 
 
-def test_ten_thousand_in_one_tick_come_in_slices_in_order_less_those_cancelled_meanwhile() -> None:
+def test_ten_thousand_timers_of_one_tick_are_taken_in_order_except_cancelled_ones() -> None:
     wheel = TimerWheel[int](0, 1000)
     timers = [wheel.schedule(50_000 + n % 7, n) for n in range(10_000)]
     taken: list[int] = []
     while (timer := wheel.take_due(60_000)) is not None:
         taken.append(timer.payload)
-        if len(taken) == 100:  # in the middle of the slice: the rest of one due time goes
+        if len(taken) == 100:  # in the middle: cancels all timers of one due time
             assert sum(wheel.cancel(t) for t in timers if t.due == 50_006) == 10_000 // 7
     assert [n % 7 for n in taken] == sorted(n % 7 for n in taken) and len(taken) == 10_000 - 10_000 // 7
     assert wheel.max_lateness == 10_000 and wheel.taken_count == len(taken)
     same = [n for n in taken if n % 7 == 3]
-    assert same == sorted(same)  # of one due time in the order they were set
+    assert same == sorted(same)  # timers of one due time in the order of scheduling
 
 
 def test_a_jump_far_ahead_costs_no_walk_over_empty_time() -> None:
@@ -117,12 +119,12 @@
     assert timer is not None and timer.payload == "far" and wheel.next_due() is None
 
 
-@pytest.mark.parametrize("gone", [[50] * 10, [2000], [-500, 300], [0, 0, 100]])
-def test_patience_counts_no_standstill_and_never_goes_back(gone: list[int]) -> None:
+@pytest.mark.parametrize("elapsed_steps", [[50] * 10, [2000], [-500, 300], [0, 0, 100]])
+def test_the_active_clock_counts_no_process_pause_and_never_goes_back(elapsed_steps: list[int]) -> None:
     now, active_clock = 1000, ActiveClock(1000, 100)
-    for step in gone:
+    for step in elapsed_steps:
         now += step
         before = active_clock.time
         assert 0 <= active_clock.read(now) - before <= 100
-    assert active_clock.time - 1000 == sum(min(max(step, 0), 100) for step in gone)
-    assert active_clock.uncounted == sum(max(step - 100, 0) for step in gone)
+    assert active_clock.time - 1000 == sum(min(max(step, 0), 100) for step in elapsed_steps)
+    assert active_clock.uncounted == sum(max(step - 100, 0) for step in elapsed_steps)
--- a/tests/test_wire_fastcgi.py
+++ b/tests/test_wire_fastcgi.py
@@ -10,7 +10,17 @@
 
 from quincepier.wire import fastcgi
 from quincepier.wire.errors import ProtocolError
-from tests.fcgikit import ABORT, PARAMS, STDIN, Reader, begin, call, pairs, params, rec
+from tests.fcgikit import (
+    ABORT,
+    PARAMS,
+    STDIN,
+    ResponseReader,
+    encode_begin,
+    encode_pairs,
+    encode_record,
+    encode_request,
+    params,
+)
 
 JOB = "9b1f03aa5c7e2d41"
 Found = list[fastcgi.Call | fastcgi.Aborted | fastcgi.Reply]
@@ -26,7 +36,7 @@
 
 
 def test_request_is_the_same_at_every_cut() -> None:
-    data = call(1, params(JOB), b"a\r\nb" * 9, padding=7)
+    data = encode_request(1, params(JOB), b"a\r\nb" * 9, padding=7)
     whole = feed_cut(data, [])
     assert whole == [fastcgi.Call(1, params(JOB), b"a\r\nb" * 9, True)]
     for cut in range(len(data)):
@@ -37,9 +47,13 @@
 def test_interleaved_requests_in_any_split(data: st.DataObject) -> None:
     bodies = {1: b"x" * 500, 2: b"", 7: b"\0\r\n" * 40}
     queues = [
-        [begin(n), rec(PARAMS, n, pairs(params(JOB), long=n == 2), n), rec(PARAMS, n)]
-        + [rec(STDIN, n, body[at : at + 90]) for at in range(0, len(body), 90)]
-        + [rec(STDIN, n)]
+        [
+            encode_begin(n),
+            encode_record(PARAMS, n, encode_pairs(params(JOB), long=n == 2), n),
+            encode_record(PARAMS, n),
+        ]
+        + [encode_record(STDIN, n, body[at : at + 90]) for at in range(0, len(body), 90)]
+        + [encode_record(STDIN, n)]
         for n, body in bodies.items()
     ]
     stream = b""
@@ -55,10 +69,14 @@
 
 def test_params_cut_over_records_and_long_lengths() -> None:
     values = {"SHORT": "v", "LONG": "x" * 300, "N" * 200: ""}
-    raw = pairs(values)
+    raw = encode_pairs(values)
     for cut in range(1, len(raw)):
         data = (
-            begin(3) + rec(PARAMS, 3, raw[:cut]) + rec(PARAMS, 3, raw[cut:]) + rec(PARAMS, 3) + rec(STDIN, 3)
+            encode_begin(3)
+            + encode_record(PARAMS, 3, raw[:cut])
+            + encode_record(PARAMS, 3, raw[cut:])
+            + encode_record(PARAMS, 3)
+            + encode_record(STDIN, 3)
         )
         (found,) = fastcgi.Decoder().feed(data)
         assert isinstance(found, fastcgi.Call) and found.params == values
@@ -71,51 +89,60 @@
 
 def test_abort_of_what_is_open_only() -> None:
     decoder = fastcgi.Decoder()
-    assert decoder.feed(begin(1) + rec(ABORT, 1)) == [fastcgi.Aborted(1)]
-    assert decoder.feed(rec(ABORT, 1)) == []
-    assert len(decoder.feed(call(1, params(JOB)))) == 1  # the number is free again
-    assert decoder.feed(rec(ABORT, 1)) == [fastcgi.Aborted(1)]
-    decoder.feed(call(1, params(JOB)))
+    assert decoder.feed(encode_begin(1) + encode_record(ABORT, 1)) == [fastcgi.Aborted(1)]
+    assert decoder.feed(encode_record(ABORT, 1)) == []
+    assert len(decoder.feed(encode_request(1, params(JOB)))) == 1  # the number is free again
+    assert decoder.feed(encode_record(ABORT, 1)) == [fastcgi.Aborted(1)]
+    decoder.feed(encode_request(1, params(JOB)))
     decoder.close(1)
-    assert decoder.feed(rec(ABORT, 1)) == []
+    assert decoder.feed(encode_record(ABORT, 1)) == []
 
 
 def test_thirty_third_open_request_is_overloaded() -> None:
     decoder = fastcgi.Decoder()
     for n in range(1, 33):
-        decoder.feed(call(n, params(JOB)))
-    (found,) = decoder.feed(begin(33))
+        decoder.feed(encode_request(n, params(JOB)))
+    (found,) = decoder.feed(encode_begin(33))
     assert found == fastcgi.Reply(fastcgi.end(33, fastcgi.OVERLOADED), False)
     decoder.close(5)
-    assert decoder.feed(begin(34)) == []
+    assert decoder.feed(encode_begin(34)) == []
 
 
 def test_other_roles_and_management_records() -> None:
     decoder = fastcgi.Decoder(100)
-    (role,) = decoder.feed(begin(1, role=3, keep=False))
+    (role,) = decoder.feed(encode_begin(1, role=3, keep=False))
     assert role == fastcgi.Reply(fastcgi.end(1, fastcgi.UNKNOWN_ROLE), True)
-    (values,) = decoder.feed(rec(9, 0, pairs({"FCGI_MPXS_CONNS": "", "FCGI_MAX_CONNS": "", "OTHER": ""})))
+    (values,) = decoder.feed(
+        encode_record(9, 0, encode_pairs({"FCGI_MPXS_CONNS": "", "FCGI_MAX_CONNS": "", "OTHER": ""}))
+    )
     assert isinstance(values, fastcgi.Reply)
-    reader = Reader()
+    reader = ResponseReader()
     reader.feed(values.data)
-    assert reader.managed == [(10, pairs({"FCGI_MPXS_CONNS": "1", "FCGI_MAX_CONNS": "100"}))]
-    (unknown,) = decoder.feed(rec(77, 0, b"what"))
-    assert unknown == fastcgi.Reply(rec(11, 0, bytes([77]) + bytes(7)))
+    assert reader.management_records == [
+        (10, encode_pairs({"FCGI_MPXS_CONNS": "1", "FCGI_MAX_CONNS": "100"}))
+    ]
+    (unknown,) = decoder.feed(encode_record(77, 0, b"what"))
+    assert unknown == fastcgi.Reply(encode_record(11, 0, bytes([77]) + bytes(7)))
 
 
 def test_records_of_requests_not_open_are_passed_over() -> None:
-    assert fastcgi.Decoder().feed(rec(PARAMS, 4, b"x") + rec(STDIN, 4, b"y") + rec(200, 4)) == []
+    assert (
+        fastcgi.Decoder().feed(
+            encode_record(PARAMS, 4, b"x") + encode_record(STDIN, 4, b"y") + encode_record(200, 4)
+        )
+        == []
+    )
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        b"\x02" + begin(1)[1:],
-        begin(1) + begin(1),
-        rec(1, 1, b"abc"),
-        begin(1) + rec(STDIN, 1, b"x"),
-        begin(1) + rec(PARAMS, 1) + rec(PARAMS, 1, b"x"),
-        rec(9, 0, b"\x05"),
+        b"\x02" + encode_begin(1)[1:],
+        encode_begin(1) + encode_begin(1),
+        encode_record(1, 1, b"abc"),
+        encode_begin(1) + encode_record(STDIN, 1, b"x"),
+        encode_begin(1) + encode_record(PARAMS, 1) + encode_record(PARAMS, 1, b"x"),
+        encode_record(9, 0, b"\x05"),
     ],
 )
 def test_broken_records_raise(data: bytes) -> None:
@@ -123,17 +150,25 @@
     with pytest.raises(ProtocolError):
         decoder.feed(data)
     with pytest.raises(ProtocolError):
-        decoder.feed(call(2, params(JOB)))  # for good
+        decoder.feed(encode_request(2, params(JOB)))  # for good
 
 
-@pytest.mark.parametrize("broken", [begin(1), b"\x02" + begin(1)[1:], rec(1, 1, b"abc"), rec(9, 0, b"\x05")])
+@pytest.mark.parametrize(
+    "broken",
+    [
+        encode_begin(1),
+        b"\x02" + encode_begin(1)[1:],
+        encode_record(1, 1, b"abc"),
+        encode_record(9, 0, b"\x05"),
+    ],
+)
 def test_what_is_whole_before_a_broken_record_is_told_and_nothing_after_it(broken: bytes) -> None:
     decoder = fastcgi.Decoder()
-    (whole,) = decoder.feed(call(1, params(JOB)) + broken + call(2, params(JOB)))
+    (whole,) = decoder.feed(encode_request(1, params(JOB)) + broken + encode_request(2, params(JOB)))
     assert isinstance(whole, fastcgi.Call) and whole.id == 1
     assert decoder.fault is not None and decoder.held == 0
     with pytest.raises(ProtocolError):
-        decoder.feed(call(2, params(JOB)))
+        decoder.feed(encode_request(2, params(JOB)))
 
 
 @pytest.mark.parametrize(
@@ -142,11 +177,17 @@
         (b"\x05\x01ab", b"", "parameter"),
         (b"\x80", b"", "parameter"),
         (b"x" * 17_000, b"", "parameters over"),
-        (pairs(params(JOB)), b"x" * 48_001, "body over 48000"),
+        (encode_pairs(params(JOB)), b"x" * 48_001, "body over 48000"),
     ],
 )
 def test_unusable_requests_come_whole_with_their_fault(raw: bytes, body: bytes, word: str) -> None:
-    data = begin(1) + rec(PARAMS, 1, raw) + rec(PARAMS, 1) + rec(STDIN, 1, body) * bool(body) + rec(STDIN, 1)
+    data = (
+        encode_begin(1)
+        + encode_record(PARAMS, 1, raw)
+        + encode_record(PARAMS, 1)
+        + encode_record(STDIN, 1, body) * bool(body)
+        + encode_record(STDIN, 1)
+    )
     (found,) = fastcgi.Decoder().feed(data)
     assert isinstance(found, fastcgi.Call) and word in found.fault and found.params == {}
 
@@ -165,15 +206,17 @@
 
 def test_kept_bytes_of_a_request_are_bounded() -> None:
     decoder = fastcgi.Decoder()
-    decoder.feed(begin(1))
-    decoder.feed(rec(PARAMS, 1, b"x" * 16_000))
+    decoder.feed(encode_begin(1))
+    decoder.feed(encode_record(PARAMS, 1, b"x" * 16_000))
     assert 16_000 <= decoder.held <= 16_100 and decoder.unfinished is not None
-    (fault,) = decoder.feed(rec(PARAMS, 1, b"x" * 60_000)[:8])  # its head alone says that it is too much
+    (fault,) = decoder.feed(
+        encode_record(PARAMS, 1, b"x" * 60_000)[:8]
+    )  # its head alone says that it is too much
     assert isinstance(fault, fastcgi.Call) and "parameters over" in fault.fault and not fault.keep
     for _ in range(50):
         assert not decoder.feed(b"x" * 1200) and decoder.held == 0
-    decoder.feed(begin(2) + rec(PARAMS, 2))
-    found = [item for _ in range(50) for item in decoder.feed(rec(STDIN, 2, b"x" * 30_000))]
+    decoder.feed(encode_begin(2) + encode_record(PARAMS, 2))
+    found = [item for _ in range(50) for item in decoder.feed(encode_record(STDIN, 2, b"x" * 30_000))]
     assert len(found) == 1 and "a body over" in found[0].fault and decoder.held == 0  # type: ignore[union-attr]
 
 
@@ -181,25 +224,34 @@
     decoder = fastcgi.Decoder()
     with pytest.raises(ProtocolError, match="records of no request"):
         for _ in range(fastcgi.STRAY_MOST + 1):
-            decoder.feed(rec(STDIN, 7, b"x"))
+            decoder.feed(encode_record(STDIN, 7, b"x"))
     assert decoder.held <= 9
 
 
 def test_what_is_half_sent_stays_the_same_until_it_is_whole() -> None:
     decoder = fastcgi.Decoder()
     assert decoder.unfinished is None
-    decoder.feed(begin(1))
+    decoder.feed(encode_begin(1))
     first = decoder.unfinished
-    decoder.feed(begin(2) + rec(PARAMS, 2, pairs(params(JOB))) + rec(PARAMS, 2) + rec(STDIN, 2))
+    decoder.feed(
+        encode_begin(2)
+        + encode_record(PARAMS, 2, encode_pairs(params(JOB)))
+        + encode_record(PARAMS, 2)
+        + encode_record(STDIN, 2)
+    )
     assert first is not None and decoder.unfinished is first
-    decoder.feed(rec(PARAMS, 1) + rec(STDIN, 1))
+    decoder.feed(encode_record(PARAMS, 1) + encode_record(STDIN, 1))
     assert decoder.unfinished is None
     decoder.feed(b"\x01")
     assert decoder.unfinished is not None
 
 
 def test_finish_closes_stdout_and_ends_once() -> None:
-    reader = Reader()
+    reader = ResponseReader()
     reader.feed(fastcgi.record(fastcgi.STDOUT, 6, b"Status: 200\r\n\r\nabc") + fastcgi.finish(6))
-    assert (reader.got[6].status, reader.got[6].body, reader.got[6].ended) == (200, b"abc", 0)
+    assert (
+        reader.response_by_request[6].status,
+        reader.response_by_request[6].body,
+        reader.response_by_request[6].protocol_status,
+    ) == (200, b"abc", 0)
     assert struct.unpack(">IB3x", fastcgi.end(6)[8:]) == (0, 0)
