--- a/quincepier/net/client_read_side.py
+++ b/quincepier/net/client_read_side.py
@@ -91,7 +91,7 @@
         """Read and handle what has arrived; an error closes this connection only.
 
         It reads until the socket is empty, since the edge-triggered epoll reports data once. A connection
-        with more data than it may read in one turn is queued to be read on.
+        with more data than it may read in one turn is queued for a later one.
         """
         try:
             for _ in range(MAX_CONSECUTIVE_READS):
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -23,8 +23,8 @@
 LARGE = b"x" * 240_000
 
 
-def answer_hit(asked: Asked) -> None:
-    asked.data()
+def answer_hit(command: Asked) -> None:
+    command.data()
 
 
 def fleet(edge: Behaviour = answer_hit, origin: Behaviour = answer_hit) -> dict[str, Behaviour]:
@@ -81,7 +81,7 @@
             sock.close()
 
     play_with_descriptors(
-        tmp_path, fleet(origin=lambda asked: asked.data(LARGE)), scenario, 48, memory_mb=192
+        tmp_path, fleet(origin=lambda command: command.data(LARGE)), scenario, 48, memory_mb=192
     )
 
 
@@ -116,8 +116,8 @@
             client.send(rest)
         for at, client in enumerate(others, 1):  # rejected, and the connection stays open
             assert (await client.ended(100 + at)).status == 503
-        for asked in held:
-            asked.data()
+        for command in held:
+            command.data()
         for at, client in enumerate(others, 1):
             assert (await client.ended(at)).status == 200
         assert (
@@ -178,7 +178,7 @@
             sock.close()
 
     play_with_descriptors(
-        tmp_path, fleet(origin=lambda asked: asked.data(LARGE)), scenario, 256, memory_mb=64
+        tmp_path, fleet(origin=lambda command: command.data(LARGE)), scenario, 256, memory_mb=64
     )
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -14,11 +14,11 @@
 from tests.standins import Asked, Behaviour, Front, play, until
 
 
-def ok(asked: Asked) -> None:
-    asked.data()
+def ok(command: Asked) -> None:
+    command.data()
 
 
-def silent(asked: Asked) -> None:
+def silent(command: Asked) -> None:
     """Sends no response."""
 
 
@@ -34,10 +34,10 @@
         client.ask(2, HTTP_X_N="4")
         got = await client.ended(2)
         assert (got.status, got.body, got.protocol_status) == (200, b"bytes", 0)
-        (asked,) = front.caches["s-1"].asked
-        assert asked.id == f"{2:016x}" and asked.body == b""
+        (command,) = front.caches["s-1"].asked
+        assert command.id == f"{2:016x}" and command.body == b""
         expected = {"class": "lot-image", "key": "7f3a9c21e0b4d655", "part": "4", "via": "p-1", "tier": "1"}
-        assert expected.items() <= asked.fields.items() and 0 < int(asked.fields["wait"]) <= 3000
+        assert expected.items() <= command.fields.items() and 0 < int(command.fields["wait"]) <= 3000
         written = b"a\r\nb\0" * 9000
         client.ask(3, "bid", written)
         assert (await client.ended(3)).status == 200
@@ -59,7 +59,7 @@
             got = await client.ended(n)
             assert got.status == 200 and got.body == large
 
-    play(tmp_path, fleet(lambda asked: asked.data(large)), scenario)
+    play(tmp_path, fleet(lambda command: command.data(large)), scenario)
 
 
 def test_answers_in_any_order(tmp_path: Path) -> None:
@@ -71,17 +71,17 @@
             client.ask(n, HTTP_X_N=str(n))
         await until(lambda: len(waiting) == 3, "all commands are at the cache")
         in_order = [waiting[n] for n in (2, 0, 1)]
-        for asked, body in zip(in_order, (b"last first", b"L" * 240_000, b"small"), strict=True):
-            asked.data(body)
-            assert (await client.ended(int(asked.id, 16))).body == body
-        assert client.records.completed_requests == [int(asked.id, 16) for asked in in_order]
+        for command, body in zip(in_order, (b"last first", b"L" * 240_000, b"small"), strict=True):
+            command.data(body)
+            assert (await client.ended(int(command.id, 16))).body == body
+        assert client.records.completed_requests == [int(command.id, 16) for command in in_order]
 
     play(tmp_path, fleet(waiting.append), scenario)
 
 
 def test_a_slow_response_arrives_complete_and_delays_no_other_machine(tmp_path: Path) -> None:
-    def half(asked: Asked) -> None:
-        asked.writer.write(f"{asked.id} data how=local 8\r\nhalf".encode())
+    def half(command: Asked) -> None:
+        command.writer.write(f"{command.id} data how=local 8\r\nhalf".encode())
 
     async def scenario(front: Front) -> None:
         client, edge = await front.client(), front.caches["s-1"]
@@ -108,8 +108,8 @@
         client.ask(33, "bid", b"offer")
         got = await client.ended(33)
         assert (got.output, got.protocol_status) == (b"", 2)
-        for asked in origin.asked:
-            asked.data()
+        for command in origin.asked:
+            command.data()
         assert {(await client.ended(n)).status for n in range(1, 33)} == {200}
         assert len(origin.asked) == 32
 
@@ -117,8 +117,8 @@
 
 
 def test_the_version_that_the_client_holds_is_forwarded_and_confirmed(tmp_path: Path) -> None:
-    def edge(asked: Asked) -> None:
-        asked.answer("unchanged", b"", f"tag={asked.fields['known']},minted=1,how=local")
+    def edge(command: Asked) -> None:
+        command.answer("unchanged", b"", f"tag={command.fields['known']},minted=1,how=local")
 
     async def scenario(front: Front) -> None:
         client = await front.client()
@@ -137,15 +137,15 @@
         assert (await client.ended(1)).status == 200
         assert front.logged("cache_protocol_error") and len(front.caches["p-1"].asked) == 1
 
-    play(tmp_path, fleet(lambda asked: asked.answer("unchanged")), scenario)
+    play(tmp_path, fleet(lambda command: command.answer("unchanged")), scenario)
 
 
 def invalid_responses() -> dict[str, Behaviour]:
     def write(data: bytes, then_close: bool = False) -> Behaviour:
-        def behave(asked: Asked) -> None:
-            asked.writer.write(data.replace(b"ID", asked.id.encode()))
+        def behave(command: Asked) -> None:
+            command.writer.write(data.replace(b"ID", command.id.encode()))
             if then_close:
-                asked.writer.close()
+                command.writer.close()
 
         return behave
 
@@ -174,7 +174,7 @@
             assert len(front.caches["o-1"].asked) == 1, name
 
         (tmp_path / name).mkdir()
-        play(tmp_path / name, fleet(invalid, lambda asked: asked.data(b"whole")), scenario)
+        play(tmp_path / name, fleet(invalid, lambda command: command.data(b"whole")), scenario)
 
 
 def test_refused_connection_proves_that_a_write_did_not_run(tmp_path: Path) -> None:
@@ -249,8 +249,8 @@
         await until(lambda: len(edge.asked) == 2, "both commands are at the cache")
         bad.send(b"\x07 this is no FastCGI" + encode_request(3, params("3" * 16)))
         await until(lambda: front.logged("client_protocol_error"), "the protocol error is logged")
-        for asked in edge.asked:
-            asked.data()
+        for command in edge.asked:
+            command.data()
         assert (await bad.ended(1)).status == 200, "the complete request has its response"
         await until(lambda: bad.closed, "the connection is closed after it")
         assert (await good.ended(2)).status == 200
@@ -468,8 +468,8 @@
         late = await front.client()
         late.ask(2, HTTP_X_N="2")
         await until(lambda: len(edge.asked) == 2, "a new connection is served too")
-        for asked in edge.asked:
-            asked.data()
+        for command in edge.asked:
+            command.data()
         assert (await client.ended(1)).status == 200 and (await late.ended(2)).status == 200
         assert await front.code() == 0
         assert front.logged("stopped") and front.logged("requests 2")
@@ -546,7 +546,7 @@
         client.ask(30, HTTP_X_N="30")
         assert (await client.ended(30)).protocol_status == 0 and not front.ended
 
-    play(tmp_path, fleet(ok, ok, lambda asked: asked.data(b"x" * 240_000)), scenario)
+    play(tmp_path, fleet(ok, ok, lambda command: command.data(b"x" * 240_000)), scenario)
 
 
 def test_more_connections_than_the_descriptor_limit_allows(tmp_path: Path) -> None:
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -26,8 +26,8 @@
 from tests.standins import Asked, Behaviour, Client, Front, until
 
 
-def answer_hit(asked: Asked) -> None:
-    asked.data()
+def answer_hit(command: Asked) -> None:
+    command.data()
 
 
 def fleet(edge: Behaviour = answer_hit) -> dict[str, Behaviour]:
