--- a/quincepier/clients/section.py
+++ b/quincepier/clients/section.py
@@ -20,11 +20,11 @@
 def parse_network(value: object) -> netaddr.IPNetwork:
     """Return the network that a text such as 10.0.0.0/8 names; raises ValueError if it names none."""
     if not isinstance(value, str):
-        raise ValueError(f"{value!r} is no text of a network such as 10.0.0.0/8")
+        raise ValueError(f"{value!r} is not text that names a network such as 10.0.0.0/8")
     try:
         return netaddr.IPNetwork(value).cidr
     except (netaddr.AddrFormatError, ValueError):
-        raise ValueError(f"{value[:60]!r} is no network such as 10.0.0.0/8") from None
+        raise ValueError(f"{value[:60]!r} is not a network such as 10.0.0.0/8") from None
 
 
 class NetworkCap(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/quincepier/net/connection_manager.py
+++ b/quincepier/net/connection_manager.py
@@ -197,9 +197,7 @@
         if sum(c.partial_bytes for c in self.busy_connections) > self.max_body_bytes * MAX_PARTIAL_SHARE:
             self.checks.event("client_closed_partial_request_limit")
             largest = max(self.busy_connections, key=lambda c: c.partial_bytes)
-            largest.stop_reading(
-                ProtocolError(f"{largest.partial_bytes} bytes of requests that are not whole")
-            )
+            largest.stop_reading(ProtocolError(f"{largest.partial_bytes} bytes of incomplete requests"))
 
     def sweep(self, now: int) -> None:
         """Handle the timers that are due and update `stalled`.
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -15,9 +15,9 @@
 MS = 1_000_000
 
 
-def make_full_registry(caps: ConnectionLimits, *networks: tuple[str, int]) -> ConnectionRegistry[str]:
+def make_full_registry(limits: ConnectionLimits, *networks: tuple[str, int]) -> ConnectionRegistry[str]:
     """Return a registry of idle connections, each named by its network and number, in order of admission."""
-    registry: ConnectionRegistry[str] = ConnectionRegistry(caps)
+    registry: ConnectionRegistry[str] = ConnectionRegistry(limits)
     now = 0
     for network, count in networks:
         for n in range(count):
@@ -56,9 +56,9 @@
 def test_clients_that_reconnect_at_the_limit_are_rejected_without_churn() -> None:
     """200 clients reconnect when closed: with a minimum idle time few are closed, else all in turn."""
     closed = {}
-    for least in (0, 5000 * MS):
+    for min_idle_time in (0, 5000 * MS):
         registry, now, closed_count = (
-            ConnectionRegistry[int](ConnectionLimits(100, min_idle_time=least, max_closed_at_once=4)),
+            ConnectionRegistry[int](ConnectionLimits(100, min_idle_time=min_idle_time, max_closed_at_once=4)),
             0,
             0,
         )
@@ -74,7 +74,7 @@
                 waiting.append(connection)
             waiting += closed_now
             closed_count += len(closed_now)
-        closed[least] = closed_count
+        closed[min_idle_time] = closed_count
     assert closed[0] > 1800 and closed[5000 * MS] <= 50, closed
 
 
@@ -102,31 +102,37 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.integers(0, 2**32), st.integers(1, 12), st.integers(0, 5), st.integers(1, 4))
-def test_counts_hold_and_busy_connections_stay(seed: int, most: int, each: int, slack: int) -> None:
+def test_counts_hold_and_busy_connections_stay(
+    seed: int, max_connections: int, max_per_network: int, max_closed_at_once: int
+) -> None:
     rng = random.Random(seed)
     registry: ConnectionRegistry[int] = ConnectionRegistry(
         ConnectionLimits(
-            most,
-            max_per_network=each,
+            max_connections,
+            max_per_network=max_per_network,
             min_idle_time=rng.randrange(50),
-            max_closed_at_once=slack,
+            max_closed_at_once=max_closed_at_once,
             first_request_grace=20,
         )
     )
-    inside: dict[int, str] = {}
+    network_by_connection: dict[int, str] = {}
     busy: set[int] = set()
     for step in range(150):
         now = step * 7
         action = rng.randrange(5)
-        connection = rng.choice(list(inside)) if inside and action else 1000 + step
-        if action == 0 or not inside:
+        connection = (
+            rng.choice(list(network_by_connection)) if network_by_connection and action else 1000 + step
+        )
+        if action == 0 or not network_by_connection:
             network = rng.choice("abc")
             result, closed_now = registry.admit(connection, network, now)
-            assert not set(closed_now) & busy and set(closed_now) <= set(inside), "busy connections stay"
+            assert not set(closed_now) & busy and set(closed_now) <= set(
+                network_by_connection
+            ), "busy connections stay"
             for evicted in closed_now:
-                del inside[evicted]
+                del network_by_connection[evicted]
             if result is AdmissionResult.ADMITTED:
-                inside[connection] = network
+                network_by_connection[connection] = network
         elif action == 1:
             registry.on_request(connection)
             busy.add(connection)
@@ -135,24 +141,27 @@
             busy.discard(connection)
         else:
             registry.remove(connection)
-            del inside[connection]
+            del network_by_connection[connection]
             busy.discard(connection)
-        assert len(registry) == len(inside) <= most
-        sizes = {name: list(inside.values()).count(name) for name in set(inside.values())}
+        assert len(registry) == len(network_by_connection) <= max_connections
+        sizes = {
+            name: list(network_by_connection.values()).count(name)
+            for name in set(network_by_connection.values())
+        }
         assert {name: n.size for name, n in registry.network_by_name.items()} == sizes
-        assert not each or max(sizes.values(), default=0) <= each
+        assert not max_per_network or max(sizes.values(), default=0) <= max_per_network
 
 
 def test_ready_queue_serves_a_bounded_number_per_turn_in_order() -> None:
-    turns: ReadyQueue[int] = ReadyQueue(3)
-    turns.start_turn()
-    served = [n for n in range(10) if turns.serve_or_enqueue(n)]
-    assert served == [0, 1, 2] and list(turns.waiting) == list(range(3, 10)) and not turns.serve_or_enqueue(3)
-    turns.remove(4)
-    assert turns.start_turn() == [3, 5, 6]
-    assert not turns.serve_or_enqueue(20)  # behind those that wait
-    assert turns.start_turn() == [7, 8, 9] and turns.start_turn() == [20]
-    assert turns.serve_or_enqueue(21) and turns.max_length == 7
+    queue: ReadyQueue[int] = ReadyQueue(3)
+    queue.start_turn()
+    served = [n for n in range(10) if queue.serve_or_enqueue(n)]
+    assert served == [0, 1, 2] and list(queue.waiting) == list(range(3, 10)) and not queue.serve_or_enqueue(3)
+    queue.remove(4)
+    assert queue.start_turn() == [3, 5, 6]
+    assert not queue.serve_or_enqueue(20)  # behind those that wait
+    assert queue.start_turn() == [7, 8, 9] and queue.start_turn() == [20]
+    assert queue.serve_or_enqueue(21) and queue.max_length == 7
 
 
 def test_the_section_finds_the_network_and_cap_of_an_address() -> None:
@@ -185,7 +194,7 @@
         60_000 * MS,
         8,
     )
-    with pytest.raises(OperatorError, match=r"clients\.networks\.0\.network.*no network"):
+    with pytest.raises(OperatorError, match=r"clients\.networks\.0\.network.*is not a network"):
         read("clients: {networks: [{network: ten, connections: 1}]}", "op.yaml")
     with pytest.raises(OperatorError, match="twice"):
         same = "{network: 1.0.0.0/8, connections: 1}, {network: 1.2.0.0/8, connections: 2}"
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -91,8 +91,8 @@
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("was_idle", "slice"), [(False, MAX_ACTIVE_READS), (True, MAX_WAKING_READS)])
-def test_a_burst_is_read_in_bounded_numbers_per_turn_of_the_loop(was_idle: bool, slice: int) -> None:
+@pytest.mark.parametrize(("was_idle", "max_per_turn"), [(False, MAX_ACTIVE_READS), (True, MAX_WAKING_READS)])
+def test_a_burst_is_read_in_bounded_numbers_per_turn_of_the_loop(was_idle: bool, max_per_turn: int) -> None:
     async def scenario() -> None:
         manager = make_manager()
         peers = [Peer(manager) for _ in range(400)]
@@ -103,15 +103,17 @@
             peer.sock.send(PING)
         seen, loop = list[int](), asyncio.get_running_loop()
 
-        def look() -> None:
+        def sample() -> None:
             seen.append(sum(peer.connection.has_requested for peer in peers))
             if seen[-1] < len(peers):
-                loop.call_soon(look)
+                loop.call_soon(sample)
 
-        look()
+        sample()
         await until(lambda: all(peer.answered(1) for peer in peers), "all have a response")
         steps = [b - a for a, b in zip(seen, seen[1:], strict=False)]
-        assert max(steps) <= 2 * slice and sum(step > 0 for step in steps) >= len(peers) // (2 * slice)
+        assert max(steps) <= 2 * max_per_turn and sum(step > 0 for step in steps) >= len(peers) // (
+            2 * max_per_turn
+        )
         assert (manager.waking_queue if was_idle else manager.active_queue).max_length > 0
         assert not manager.waking_queue.waiting and not manager.active_queue.waiting
         for peer in peers:
@@ -250,15 +252,15 @@
 def test_a_partial_record_times_out_and_process_pauses_do_not_count() -> None:
     async def scenario() -> None:
         manager = make_manager()
-        half, silent, ordinary = Peer(manager), Peer(manager), Peer(manager)
-        half.sock.send(encode_begin(1) + encode_record(4, 1)[:5])
+        partial, silent, ordinary = Peer(manager), Peer(manager), Peer(manager)
+        partial.sock.send(encode_begin(1) + encode_record(4, 1)[:5])
         ordinary.sock.send(PING)
-        await until(lambda: ordinary.answered(1) and half.connection.session is not None, "both are read")
+        await until(lambda: ordinary.answered(1) and partial.connection.session is not None, "both are read")
         now = clock.now()
         for _ in range(5):  # five process pauses of a minute
             now += 60 * clock.SECOND
             manager.sweep(now)
-        assert {half.connection, silent.connection, ordinary.connection} == manager.connections
+        assert {partial.connection, silent.connection, ordinary.connection} == manager.connections
         for _ in range(12):
             now += clock.SECOND // 5
             manager.sweep(now)
@@ -378,7 +380,7 @@
     assert {make_manager().draw_retry_after_ms() for _ in range(3)} == {make_manager().draw_retry_after_ms()}
 
 
-async def idle(front: Front, count: int) -> list[Client]:
+async def connect_idle_clients(front: Front, count: int) -> list[Client]:
     clients = [await front.client() for _ in range(count)]
     for client in clients:
         client.send(PING)
@@ -392,7 +394,7 @@
         front = Front(tmp_path, {name: Cache(behaviour) for name, behaviour in fleet().items()})
         try:
             await front.start(limits={"cores": 1.0, "memory_mb": 32, "sockets": 256})
-            clients = await idle(front, 100)
+            clients = await connect_idle_clients(front, 100)
             few = await front.client()
             front.signal(signal.SIGHUP)
             await until(
@@ -418,9 +420,9 @@
 @pytest.mark.parametrize("pause_s", [0.0, 2.2])
 def test_a_process_pause_closes_no_connection(tmp_path: Path, pause_s: float) -> None:
     async def scenario(front: Front) -> None:
-        clients = await idle(front, 30)
-        half = await front.client()
-        half.send(encode_begin(1) + encode_record(4, 1, b"")[:5])
+        clients = await connect_idle_clients(front, 30)
+        partial = await front.client()
+        partial.send(encode_begin(1) + encode_record(4, 1, b"")[:5])
         new = await front.client()
         if pause_s:
             front.signal(signal.SIGSTOP)
@@ -428,7 +430,7 @@
             front.signal(signal.SIGCONT)
         new.send(PING)
         assert (await new.ended(1)).status == 200
-        assert not half.closed and not any(client.closed for client in clients)
+        assert not partial.closed and not any(client.closed for client in clients)
         clients[0].ask(2)
         assert (await clients[0].ended(2)).status == 200
 
@@ -443,16 +445,16 @@
         front.operator = operator
         try:
             await front.start()
-            client = (await idle(front, 1))[0]
+            client = (await connect_idle_clients(front, 1))[0]
             await until(lambda: client.closed, "the idle time is over")
             client.send(PING)  # crosses the close
-            again = (await idle(front, 1))[0]
+            again = (await connect_idle_clients(front, 1))[0]
             again.ask(2)
             assert (await again.ended(2)).status == 200
             operator.write_text("clients: {rest_most_s: 0}\n")
             front.signal(signal.SIGHUP)
             await until(lambda: front.logged("clients changed"), "the new limit is in force")
-            last = (await idle(front, 1))[0]
+            last = (await connect_idle_clients(front, 1))[0]
             await asyncio.sleep(0.8)
             assert not last.closed
         finally:
