--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -19,7 +19,7 @@
 from quincepier.memory.buffer_pool import BufferPool
 from quincepier.memory.memory_budget import divide_memory, resident_bytes
 from quincepier.net.actor import Actor
-from quincepier.net.clients import ConnectionManager
+from quincepier.net.connection_manager import ConnectionManager
 from quincepier.net.listener import Listener
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors, listen_with_retries
@@ -97,7 +97,7 @@
         self.max_loop_lag_ns = 0
 
     def _free_buffers(self) -> None:
-        self.connection_manager.make_room()
+        self.connection_manager.free_buffers()
 
     async def serve(self) -> None:
         """Serve until a SIGTERM or SIGINT and the drain after it.
@@ -208,11 +208,11 @@
             elapsed_s = (clock.now() - started_at_ns) / clock.SECOND
             if elapsed_s >= MIN_DRAIN_S:
                 is_backlog_empty = listener.stop()
-                self.connection_manager.refusing = elapsed_s >= max_drain_s - REFUSAL_PERIOD_S
+                self.connection_manager.is_rejecting = elapsed_s >= max_drain_s - REFUSAL_PERIOD_S
                 self.connection_manager.drain()
                 if (is_backlog_empty and self._is_idle()) or elapsed_s >= max_drain_s:
                     break
-        self.connection_manager.refusing = True  # a request accepted from now on would get no response
+        self.connection_manager.is_rejecting = True  # a request accepted from now on would get no response
         if not self._is_idle():
             open_count = self.module.requests.unanswered
             log = logger.bind(event="drain_deadline_reached", requests=open_count)
@@ -221,7 +221,7 @@
 
     def _is_idle(self) -> bool:
         """Whether every complete request has its response; incomplete ones don't delay a drain."""
-        return not self.module.requests.unanswered and self.connection_manager.quiet()
+        return not self.module.requests.unanswered and self.connection_manager.is_quiescent()
 
     async def _upkeep(self) -> None:
         """Close overdue and idle connections, measure the event loop's lag, log counters that changed."""
--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -13,9 +13,9 @@
 
 if TYPE_CHECKING:
     from quincepier.addresses.section import AddressesSection
-    from quincepier.clients.section import Places
+    from quincepier.clients.section import ClientNetworks
     from quincepier.consistency.section import ConsistencySection
-    from quincepier.net.clients import ConnectionManager
+    from quincepier.net.connection_manager import ConnectionManager
     from quincepier.net.fleet.node import AgreementNode
     from quincepier.net.module import ModuleActor
     from quincepier.net.peers import PeerNetwork
@@ -158,14 +158,14 @@
         node.effects.apply()
 
     @property
-    def client_connection_limits(self) -> Places | None:
+    def client_connection_limits(self) -> ClientNetworks | None:
         """Limits on connections by client network; None without the section `clients`."""
         if self.file.named("clients") is None:
             return None
-        from quincepier.clients.section import ClientsSection, Places
+        from quincepier.clients.section import ClientNetworks, ClientsSection
 
         section = self.file.get(ClientsSection)
-        return None if section is None else Places(section)
+        return None if section is None else ClientNetworks(section)
 
     def read_file(self) -> OperatorFile:
         """Read and check the file again without applying it; raises OperatorError."""
@@ -194,5 +194,5 @@
         if "addresses" in changed and "addresses" not in deferred and section is not None:
             module.apply_address_settings(section)
         if "clients" in changed:
-            manager.follow(self.client_connection_limits)
+            manager.configure(self.client_connection_limits)
         return [name for name in changed if name not in deferred], deferred
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -45,7 +45,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.policy import Router
 from quincepier.recovery import fronts_that_ask
-from quincepier.timers import Wheel
+from quincepier.timers import TimerWheel
 from quincepier.translate import attempt_ended, purged, request_came, serve_fields
 from quincepier.wire.changelog import BadRecord, ChangeEvent, FleetChange, PurgeRecord
 from quincepier.wire.errors import ProtocolError
@@ -106,7 +106,7 @@
         self.fleet = CacheFleet(self.context, self.directory, self._count_requesting_fronts)
         self.requests = OpenRequestTable(budget.max_open_requests)
         self.caches: dict[int, CacheActor] = self.context.actor_by_number
-        self.timers: Wheel[tuple[int, int]] = Wheel(clock.now(), clock.MS)
+        self.timers: TimerWheel[tuple[int, int]] = TimerWheel(clock.now(), clock.MS)
         self.wakeup_timer: asyncio.TimerHandle | None = None
         self.wakeup_at_ns = 0
         self.pending_events: deque[io.Event] = deque()
@@ -159,8 +159,8 @@
     # Time
 
     def _fire_due_timers(self) -> None:
-        while (timer := self.timers.take(clock.now())) is not None:
-            token, number = timer.what
+        while (timer := self.timers.take_due(clock.now())) is not None:
+            token, number = timer.payload
             if number >= 0 and (
                 (request := self.requests.request_by_number.get(number)) is None or request.is_finished
             ):
@@ -169,7 +169,7 @@
 
     def _schedule_wakeup(self) -> None:
         """Have the event loop wake this actor when the next timer is due."""
-        due = self.timers.next()
+        due = self.timers.next_due()
         if due is None:
             return
         if self.wakeup_timer is None or self.wakeup_at_ns > due or self.wakeup_at_ns <= clock.now():
@@ -353,7 +353,7 @@
                 if (request := self._find_unanswered(number)) is not None:
                     self._respond(Response(request, 502))
             case io.SetTimer(wait, token, request_number):
-                self.timers.set(now + max(wait, 0), (token, request_number))
+                self.timers.schedule(now + max(wait, 0), (token, request_number))
             case io.SendHealthCheck(machine):
                 if machine in self.caches:
                     self.caches[machine].mailbox.push(RunHealthCheck(self.config.report_on_probe))
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -21,12 +21,12 @@
 from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.memory.open_requests import OpenAttempt
 from quincepier.net.actor import Mailbox
-from quincepier.net.clients import ConnectionManager
+from quincepier.net.client_session import OutgoingResponse, cgi_head
+from quincepier.net.connection_manager import ConnectionManager
 from quincepier.net.messages import AttemptFinished, ClientDisconnected, RequestArrived
 from quincepier.net.module import ModuleActor
-from quincepier.net.session import Outgoing, cgi_head
 from quincepier.net.sockets import Descriptors
-from tests.fcgikit import Reader
+from tests.fcgikit import ResponseReader
 from tests.frontkit import Inbox, host, make_config, open_request, raw_config
 from tests.standins import Cache, until
 
@@ -256,13 +256,17 @@
     body = PooledBody.allocate(pool, 50_000)
     assert body is not None
     body.append(b"x" * 50_000)
-    outgoing = Outgoing(4, True, cgi_head(200), body)
-    assert not outgoing.begun
+    outgoing = OutgoingResponse(4, True, cgi_head(200), body)
+    assert not outgoing.is_started
     outgoing.fail()
-    reader = Reader()
-    for piece in outgoing.pieces:
+    reader = ResponseReader()
+    for piece in outgoing.records:
         reader.feed(piece)
-    assert (reader.got[4].status, reader.got[4].body, pool.used) == (502, b"", 0)
+    assert (reader.response_by_request[4].status, reader.response_by_request[4].body, pool.used) == (
+        502,
+        b"",
+        0,
+    )
 
 
 def test_checks_assert_in_debug_and_changed_counters_are_reported_once() -> None:
@@ -326,11 +330,11 @@
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         connection = manager.admit(ours)
-        assert connection is not None and manager.registry.first(clock.now()) is connection
+        assert connection is not None and manager.registry.find_evictable(clock.now()) is connection
         connection.close()
         await until(lambda: not manager.connections, "the connection is removed")
         assert (manager.descriptors.clients, ours.fileno(), manager.pool.used) == (0, -1, 1)
-        assert manager.registry.first(clock.now()) is None and not manager.wheel
+        assert manager.registry.find_evictable(clock.now()) is None and not manager.timers
         theirs.close()
 
     asyncio.run(play())
--- a/tests/test_crossings_process_pause.py
+++ b/tests/test_crossings_process_pause.py
@@ -25,7 +25,7 @@
 from quincepier.net.watch import POLL_GRACE_S, POLL_TIMEOUT_MS
 from quincepier.wire import lines
 from tests.attemptkit import FrontHarness, encode_response, run_on_uvloop
-from tests.fcgikit import call, params
+from tests.fcgikit import encode_request, params
 from tests.standins import until
 from tests.test_idle import Peer, make_manager
 from tests.virtual import VirtualLoop
@@ -54,7 +54,7 @@
         manager.pool.max_buffers = 1000
         peer = Peer(manager)
         connection = peer.connection
-        peer.sock.send(call(1, params("1" * 16)))
+        peer.sock.send(encode_request(1, params("1" * 16)))
         await until(lambda: bool(manager.module.new_work), "the request is received")
         message = manager.module.take()
         assert isinstance(message, RequestArrived)
@@ -65,7 +65,7 @@
 
         def cross() -> None:
             """Runs in the loop iteration that could not send all, before the task for the rest starts."""
-            seen.append(connection.writer is not None and not connection.closed)
+            seen.append(connection.write_task is not None and not connection.is_closed)
             act(peer.sock)
             connection.receive()
 
@@ -75,12 +75,12 @@
         def is_closed() -> bool:
             if act is sends_invalid_record:  # the response is sent first, so it must be read here
                 peer.read()
-            return connection.closed
+            return connection.is_closed
 
         await until(is_closed, "the end of its connection is read")
         assert seen == [True]
         if act is sends_invalid_record:
-            assert peer.reader.got[1].body == LARGE
+            assert peer.reader.response_by_request[1].body == LARGE
             peer.sock.close()  # the front has closed its side
         for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
@@ -167,24 +167,24 @@
             return plain(delay, callback, *args, **rest)
 
         loop.call_later = call_later  # type: ignore[assignment]
-        inside = FrontHarness(ONE)
-        request = inside.submit()
-        wire = await inside.wait_for_command(request)
-        cache = inside.cache("s-1")
+        harness = FrontHarness(ONE)
+        request = harness.submit()
+        wire = await harness.wait_for_command(request)
+        cache = harness.cache("s-1")
         (attempt,), (connection,), (time_out,) = cache.in_flight, cache.connections, timers
         if size is not None:
             wire.respond(request.job_id, b"b" * size)
         time_out()  # the loop has not polled its sockets since
         await asyncio.sleep(0)
         assert attempt not in cache.in_flight, "the attempt completes within a loop iteration"
-        await until(lambda: bool(inside.outcomes(request)), "the module is notified")
-        assert inside.outcomes(request)[0] is (AttemptOutcome.TIMEOUT if size is None else AttemptOutcome.OK)
+        await until(lambda: bool(harness.outcomes(request)), "the module is notified")
+        assert harness.outcomes(request)[0] is (AttemptOutcome.TIMEOUT if size is None else AttemptOutcome.OK)
         if size is not None:
-            assert await inside.wait_for_status(request) == 200 and not inside.count_cancels(request)
-            assert not inside.checks.counts["late_responses_dropped"]
+            assert await harness.wait_for_status(request) == 200 and not harness.count_cancels(request)
+            assert not harness.checks.counts["late_responses_dropped"]
             assert cache.connections == [connection] and not connection.is_retired
-        inside.disconnect_client(request)
-        await inside.assert_settled()
+        harness.disconnect_client(request)
+        await harness.assert_settled()
 
     run_on_uvloop(scenario)
 
@@ -215,10 +215,10 @@
     size: int,
 ) -> None:
     async def scenario() -> None:
-        inside = FrontHarness(ONE)
-        request = inside.submit()
-        wire = await inside.wait_for_command(request)
-        (connection,) = inside.cache("s-1").connections
+        harness = FrontHarness(ONE)
+        request = harness.submit()
+        wire = await harness.wait_for_command(request)
+        (connection,) = harness.cache("s-1").connections
         assert connection.sock is not None
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2 * size + 4096)
         text = encode_response(request.job_id, b"b" * size)
@@ -233,8 +233,8 @@
         connection.writer.add(
             Probe("behind", clock.now()), lines.cancel("f" * 16)
         )  # goes out right behind it, in the same turn
-        assert await inside.wait_for_status(request) == 200
-        assert inside.outcomes(request) == [AttemptOutcome.OK] and arrived == [len(text)]
-        await inside.assert_settled()
+        assert await harness.wait_for_status(request) == 200
+        assert harness.outcomes(request) == [AttemptOutcome.OK] and arrived == [len(text)]
+        await harness.assert_settled()
 
     run_on_uvloop(scenario)
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -39,8 +39,8 @@
 # In the order in which a stop reaches them, from the start of the drain to the teardown of the interpreter.
 END_POINTS = (
     f"{FRONT}:Front._drain",
-    f"{NET}.clients:ConnectionManager.drain",
-    f"{NET}.clients:ConnectionManager.close_all",
+    f"{NET}.connection_manager:ConnectionManager.drain",
+    f"{NET}.connection_manager:ConnectionManager.close_all",
     f"{NET}.module:ModuleActor.cancel",
     f"{FRONT}:Front._log_stopped",
     "asyncio:Runner.close",
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -144,14 +144,14 @@
         harness = FrontHarness(ONE)
         request = harness.submit(BID, allowed_ns=ALLOWED)
         await dials.wait_for_dials()
-        harness.module.timers.take = lambda now: None  # type: ignore[method-assign]  # the timer of the request is late
+        harness.module.timers.take_due = lambda now: None  # type: ignore[method-assign]  # the timer of the request is late
         time.advance(ALLOWED)
         dials.release()
         await until(lambda: bool(harness.outcomes(request)), "the attempt ends")
         assert harness.outcomes(request) == [AttemptOutcome.NOT_PROCESSED]
         assert not harness.serve_wires(request)
         await harness.wait_for_status(request)
-        del harness.module.timers.take
+        del harness.module.timers.take_due
         await harness.assert_settled()
 
     run_on_uvloop(scenario)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.fcgikit import call, params
+from tests.fcgikit import encode_request, params
 from tests.loopback import own_address
 from tests.standins import Asked, Cache, ChangeLog, Client, Front, until
 from tests.test_standing_restart import Sender
@@ -32,7 +32,7 @@
     while True:
         with contextlib.suppress(ConnectionError, AssertionError):
             client = await Client.to(front.address)
-            client.send(call(1, {"SCRIPT_NAME": "/ping"}))
+            client.send(encode_request(1, {"SCRIPT_NAME": "/ping"}))
             try:
                 if (await client.ended(1)).status == 200:
                     return time.monotonic() - began
@@ -131,7 +131,9 @@
             assert sent.isdisjoint(
                 maybe_not_received
             )  # a client may send these again: none was forwarded to a cache
-            statuses = [s.client.records.got[n].status for s in fleet.senders for n in s.completed()]
+            statuses = [
+                s.client.records.response_by_request[n].status for s in fleet.senders for n in s.completed()
+            ]
             assert set(statuses) <= {200, 503} and statuses.count(503) < 0.2 * len(statuses)
             print(f"ready in {min(start_times_s):.2f} to {max(start_times_s):.2f} s, {len(statuses)} answers")
         finally:
@@ -163,7 +165,7 @@
         try:
             await front.start(**changes)
             client = await front.client()
-            client.send(call(1, {"SCRIPT_NAME": "/ping"}) + call(2, params(f"{2:016x}")))
+            client.send(encode_request(1, {"SCRIPT_NAME": "/ping"}) + encode_request(2, params(f"{2:016x}")))
             assert [(await client.ended(n)).status for n in (1, 2)] == [200, 200]
             if log == "silent":
                 assert front.log.since, "the log was polled"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 import pytest
 
 from quincepier.memory.memory_budget import MB, divide_memory
-from tests.fcgikit import PARAMS, STDIN, begin, call, pairs, params, rec
+from tests.fcgikit import PARAMS, STDIN, encode_begin, encode_pairs, encode_record, encode_request, params
 from tests.frontkit import host
 from tests.standins import Asked, Behaviour, Cache, ChangeLog, Front, play, until
 
@@ -149,26 +149,26 @@
         seen = len(front.log.since)
         await until(lambda: len(front.log.since) > seen, "another connection polls")
         client = await front.client()
-        client.send(call(1, {"SCRIPT_NAME": "/ping"}))
+        client.send(encode_request(1, {"SCRIPT_NAME": "/ping"}))
         assert (await client.ended(1)).status == 200
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_hostile_clients_get_a_response_or_a_close_and_reach_no_cache(tmp_path: Path) -> None:
-    whole = pairs(params("0" * 16))
+    whole = encode_pairs(params("0" * 16))
     sends = {
         "nothing": b"",
         "half a header": b"\x01\x01",
-        "half a request": begin(1) + rec(PARAMS, 1, whole),
+        "half a request": encode_begin(1) + encode_record(PARAMS, 1, whole),
         "another protocol": b"GET / HTTP/1.1\r\n\r\n",
-        "a stream without end": begin(1)
-        + rec(PARAMS, 1, whole)
-        + rec(PARAMS, 1)
-        + rec(STDIN, 1, b"x" * 9999) * 900,
-        "parameters without end": begin(1) + rec(PARAMS, 1, b"x" * 9999) * 900,
-        "records of no request": rec(STDIN, 9, b"x" * 100) * 5000,
-        "one number twice": begin(1) + begin(1),
+        "a stream without end": encode_begin(1)
+        + encode_record(PARAMS, 1, whole)
+        + encode_record(PARAMS, 1)
+        + encode_record(STDIN, 1, b"x" * 9999) * 900,
+        "parameters without end": encode_begin(1) + encode_record(PARAMS, 1, b"x" * 9999) * 900,
+        "records of no request": encode_record(STDIN, 9, b"x" * 100) * 5000,
+        "one number twice": encode_begin(1) + encode_begin(1),
     }
 
     async def scenario(front: Front) -> None:
@@ -207,7 +207,7 @@
 def test_incomplete_requests_do_not_delay_a_drain(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client = await front.client()
-        client.send(begin(1))
+        client.send(encode_begin(1))
         front.signal(signal.SIGTERM)
         assert await front.code() == 0
         assert not front.logged("drain deadline reached")
@@ -241,7 +241,8 @@
         for n in (2, 1, 3):
             client.ask(n, HTTP_X_N=str(n))
             await until(
-                lambda: len(edge.asked) > len(client.records.got) - 1, "the request is sent to a cache"
+                lambda: len(edge.asked) > len(client.records.response_by_request) - 1,
+                "the request is sent to a cache",
             )
         assert (await client.ended(1)).status == 200 and len(front.caches["p-1"].asked) >= 1
         for command in edge.asked:
--- a/tests/test_standing_restart.py
+++ b/tests/test_standing_restart.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.fcgikit import call, params
+from tests.fcgikit import encode_request, params
 from tests.loopback import own_address
 from tests.standins import Asked, ChangeLog, Client, Front, play, until
 
@@ -39,7 +39,10 @@
         """Write batches of requests; a batch of one does not wait for the responses before it."""
         while not self.client.closed:
             row = range(self.sent_count + 1, self.sent_count + 1 + self.batch_size)
-            calls = [call(n, params(self.job(n), CLASSES[n % BATCH_SIZE], HTTP_X_N=self.part)) for n in row]
+            calls = [
+                encode_request(n, params(self.job(n), CLASSES[n % BATCH_SIZE], HTTP_X_N=self.part))
+                for n in row
+            ]
             self.client.send(b"".join(calls))
             self.sent_count += self.batch_size
             if self.batch_size == 1:
@@ -51,7 +54,9 @@
         return self.client.closed or self.completed() >= {*row}
 
     def completed(self) -> set[int]:
-        return {n for n, got in self.client.records.got.items() if got.ended is not None}
+        return {
+            n for n, got in self.client.records.response_by_request.items() if got.protocol_status is not None
+        }
 
     def find_unanswered(self, jobs: set[str]) -> tuple[list[str], list[str]]:
         """Return the jobs without a response on a closed connection: received and maybe not received ones.
@@ -85,9 +90,9 @@
     unanswered, maybe_not_received = zip(*(s.find_unanswered(jobs) for s in senders), strict=True)
     second_client = await second.client()
     for n, job in enumerate(sum(maybe_not_received, []), 1):  # sent to the other front, once
-        second_client.send(call(n, params(job)))
+        second_client.send(encode_request(n, params(job)))
         assert (await second_client.ended(n)).status == 200
-    got = [s.client.records.got[n].status for s in senders for n in s.completed()]
+    got = [s.client.records.response_by_request[n].status for s in senders for n in s.completed()]
     return sum(unanswered, []), got
 
 
