--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -199,7 +199,7 @@
             was_closed.append(wire.is_closed and attempt.state is AttemptState.CLOSED)
             plain_ended(end)
 
-        monkeypatch.setattr(harness.module, "_ended", on_ended)
+        monkeypatch.setattr(harness.module, "_on_attempt_finished", on_ended)
         with monkeypatch.context() as patched:
             patched.setattr(CommandWriter, "cancel", failing_cancel)
             if is_timeout:
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -324,6 +324,6 @@
 
 
 def test_a_front_that_lets_out_what_was_decided_before_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ModuleActor, "_recall_from", lambda self, news: None)
+    monkeypatch.setattr(ModuleActor, "_revoke_leaving", lambda self, news: None)
     to_cache, naming_parent = count_sent_after_drain(monkeypatch)
     assert to_cache > 0 and naming_parent > 0
