--- a/quincepier/consistency/router_rankings.py
+++ b/quincepier/consistency/router_rankings.py
@@ -9,7 +9,7 @@
 from quincepier.consistency.decision import PARENT_ZONE, ListedEndpoint
 from quincepier.consistency.explain import rank_views
 from quincepier.consistency.router_view import CachedRanking, RouterView
-from quincepier.policy.placement import MAX_RANKED
+from quincepier.policy.placement import MAX_CACHED_RANKS
 
 MAX_CHECKED_RANKINGS = 64
 
@@ -27,7 +27,7 @@
     for group in (router.caches, router.parents):
         ranked = rank_views(group, ranking.key_hash, by_size, True, arithmetic)
         kept = [n for n in ranked if not ranking.is_of_home_shard or n in held]
-        if kept[:MAX_RANKED] == held:  # of longer ones the router keeps the first
+        if kept[:MAX_CACHED_RANKS] == held:  # of longer ones the router keeps the first
             return False
     return True
 
--- a/quincepier/consistency/router_view.py
+++ b/quincepier/consistency/router_view.py
@@ -64,12 +64,12 @@
     @property
     def is_on_trial(self) -> bool:
         """Whether its trial was begun in this turn of the router."""
-        return self._node.trial_at == self._router.now + self._node.ejection_time
+        return self._node.trial_at == self._router.now + self._node.trial_interval
 
     @property
     def is_warming_up(self) -> bool:
         """Whether it started lately and so has a warm-up budget."""
-        return self._router.slow_start.warmth(self._node).multiple < math.inf
+        return self._router.slow_start.warm_up_state(self._node).overload_multiple < math.inf
 
     @property
     def is_budget_checked(self) -> bool:
@@ -95,11 +95,11 @@
         attempt = self._node.in_flight.get((request.id, request.attempts - 1))
         if attempt is None or attempt.sent_at != self._router.now:
             return None
-        return attempt.booked_work
+        return attempt.charged_work
 
     def is_overloaded(self, request: RequestView) -> bool:
         """Whether one more request of that class would be late there."""
-        return self._router.placement.is_crowded(self._node, request.record)
+        return self._router.placement.is_saturated(self._node, request.record)
 
 
 @dataclass(slots=True, frozen=True)
@@ -183,14 +183,14 @@
         """The router's own order of its caches for a key."""
         return [
             node.endpoint.cache
-            for node in self._router.placement.rank_all(self._router.placement.table.caches, key_hash)
+            for node in self._router.placement.rank_uncached(self._router.placement.table.caches, key_hash)
         ]
 
     def rank_parents(self, key_hash: int) -> Sequence[int]:
         """The router's own order of the parents for a key."""
         return [
             node.endpoint.cache
-            for node in self._router.placement.rank_all(self._router.placement.table.parents, key_hash)
+            for node in self._router.placement.rank_uncached(self._router.placement.table.parents, key_hash)
         ]
 
     def cached_rankings(self, limit: int) -> Iterator[CachedRanking]:
--- a/quincepier/context.py
+++ b/quincepier/context.py
@@ -35,8 +35,8 @@
 
     DEADLINE = 0
     QUEUE_TIMEOUT = 1
-    RELEASE = 2
-    RELIST = 3
+    QUEUE_RELEASE = 2
+    ENDPOINT_LIST_RETRY = 3
     OVERDUE_CHECK = 4
 
 
@@ -83,7 +83,7 @@
         """Through a cache, from a source where it has no copy; the cache itself: none."""
         to, by = attempt.upstream.endpoint.cache, source.endpoint.cache
         action = FetchThrough(
-            attempt.request.id, to, timeout, by, rank, max_age, join, renew, attempt.is_held_only
+            attempt.request.id, to, timeout, by, rank, max_age, join, renew, attempt.is_source_cache_only
         )
         action.within = within
         self.actions.append(action)
@@ -98,7 +98,7 @@
         self.actions.append(SetTimer(int(wait), token, -1 if request is None else request))
 
 
-class Part:
+class RouterComponent:
     """A part of a router, with short ways to what all of them share."""
 
     def __init__(self, context: Context) -> None:
@@ -139,13 +139,13 @@
         self.context, self.kind, self.interval = context, kind, interval
         self.is_set, self.due_at = False, context.now
 
-    def set_if(self, wanted: object) -> None:
+    def set_if_needed(self, wanted: object) -> None:
         """Of no effect while it is set, or where nothing is there to look at."""
         if wanted and not self.is_set:
             self.is_set, self.due_at = True, self.context.now + self.interval
             self.context.set_timer(self.interval, self.kind)
 
-    def fired(self) -> int:
+    def on_fired(self) -> int:
         """How late it is, ns."""
         self.is_set = False
         return self.context.now - self.due_at
--- a/quincepier/lab/front.py
+++ b/quincepier/lab/front.py
@@ -10,7 +10,7 @@
 from quincepier.interface import AttemptOutcome, CacheStatus, UpdateScope
 from quincepier.lab.experiment import MS, SECOND, Disk, Variant
 from quincepier.policy import Router
-from quincepier.recovery import first_poll
+from quincepier.recovery import draw_first_poll_wait_ms
 from quincepier.recovery.learned_facts import export_facts, restore_facts
 
 if TYPE_CHECKING:  # the world makes the fronts
@@ -79,7 +79,7 @@
         chance = random.Random((world.seed * 1000 + self.number) * 100 + self.starts)
         if self.every:
             world.after(self.every * (self.number + 1) // (len(world.fronts) + 1), self.keep, self.starts)
-        self.poll(self.starts, first_poll(chance, POLL // MS) * MS)
+        self.poll(self.starts, draw_first_poll_wait_ms(chance, POLL // MS) * MS)
 
     def recall(self, at: int, facts: list[io.Learned]) -> None:
         """Of machines that are still the same; the list was told before."""
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -19,7 +19,7 @@
 from quincepier.net.probe import PROBE_WORDS, Probe
 from quincepier.net.shared import Shared
 from quincepier.policy.send_permission import find_denial
-from quincepier.recovery import Ramp
+from quincepier.recovery import DialLimit
 from quincepier.translate import ENDINGS, note_of, report_of, waited_of
 from quincepier.wire import lines
 from quincepier.wire.lines import ServeCommand
@@ -38,7 +38,7 @@
     ) -> None:
         """`fronts` are those that may ask this machine."""
         super().__init__(shared.checks, MAILBOX_MOST)
-        self.ramp = Ramp(fronts)
+        self.ramp = DialLimit(fronts)
         self.shared, self.number, self.host, self.address = shared, number, host, address
         self.way: Way | None = None if shared.dialer is None else shared.dialer.way(number, host)
         self.moves: dict[OpenAttempt | Probe, int] = {}
@@ -134,7 +134,7 @@
         able = [c for c in self.connections if not (c.lost or c.doubtful or id in c.ghosts or c.stalled(now))]
         able = [c for c in able if not c.unheeded]
         coming = [c for c in able if c.sock is None]
-        if len(coming) >= self.ramp.most:
+        if len(coming) >= self.ramp.max_dials:
             ride = min(coming, key=lambda c: len(c.open))
             if len(ride.open) < streams and id not in ride.open:
                 return ride
--- a/quincepier/net/command_writer.py
+++ b/quincepier/net/command_writer.py
@@ -15,7 +15,7 @@
 from quincepier.net.probe import Probe
 from quincepier.net.process_pause import PauseDetector
 from quincepier.net.sockets import MOMENTARY_PAUSE, is_momentary, resolve, until_writable
-from quincepier.policy.send_permission import half_sent_until
+from quincepier.policy.send_permission import partial_command_deadline
 from quincepier.wire import lines
 from quincepier.wire.lines import ServeCommand
 
@@ -179,7 +179,9 @@
             await until_writable(sock)
             return
         try:
-            async with asyncio.timeout(max(half_sent_until(attempt) - clock.now(), 0) / clock.SECOND):
+            async with asyncio.timeout(
+                max(partial_command_deadline(attempt) - clock.now(), 0) / clock.SECOND
+            ):
                 await until_writable(sock)
         except TimeoutError:
             if attempt.state is AttemptState.SENT:  # else its cancel follows the rest
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -22,7 +22,7 @@
     is_momentary,
     resolve,
 )
-from quincepier.policy.send_permission import Denial, find_denial, wait_ms
+from quincepier.policy.send_permission import Denial, find_denial, server_deadline_ms
 from quincepier.wire import lines
 from quincepier.wire.errors import ProtocolError
 from quincepier.wire.lines import ServeCommand
@@ -221,7 +221,7 @@
         except OSError as error:
             self.absent = note_connect_failure(error, self.shared.checks, self.actor.host)
             return False
-        self.actor.ramp.up()
+        self.actor.ramp.on_connected()
         return True
 
     async def _connect(self) -> None:
@@ -241,7 +241,7 @@
         """
         self.lost = True
         if self.absent:
-            self.actor.ramp.failed()
+            self.actor.ramp.on_connect_failed()
         self.actor.dropped(self)
         if self.body is not None:
             self.body.release()
@@ -273,7 +273,7 @@
         denial = self._find_denial(what)
         if denial is None:
             assert isinstance(command, ServeCommand)
-            return command.encode(wait_ms(what, clock.now()))
+            return command.encode(server_deadline_ms(what, clock.now()))
         self.shared.checks.count(f"attempts_denied_{denial.value}")
         if self.outgoing and self.outgoing[0][0] is what:  # else it was given up as its client was looked at
             self.outgoing.popleft()
@@ -288,7 +288,7 @@
         if denial is not None:
             return denial
         is_read = attempt.request.receiver.check_client(clock.now())
-        return find_denial(attempt, clock.now()) or (None if is_read else Denial.CLIENT_UNREAD)
+        return find_denial(attempt, clock.now()) or (None if is_read else Denial.CLIENT_INPUT_UNREAD)
 
     async def _read(self, sock: socket.socket) -> None:
         """Answers as they come. A buffer is held while bytes are taken in and not while they are waited for:
--- a/quincepier/net/event_dates.py
+++ b/quincepier/net/event_dates.py
@@ -21,10 +21,10 @@
     def observe(self, event: ChangeEvent) -> None:
         """Take the dates that an event of the log tells."""
         if isinstance(event, PurgeRecord):
-            self._ages.observe_log(event.time_ms)
+            self._ages.observe_log_date(event.time_ms)
         elif isinstance(event, FleetChange):
             for host in event.hosts:
-                self._ages.observe_log(host.born_ms)
+                self._ages.observe_log_date(host.born_ms)
 
     def age_of(self, purge: PurgeRecord, unread_before_ns: int) -> int:
         """Return the age of a purge that is told now, ns.
@@ -34,22 +34,22 @@
             unread_before_ns: When the log last answered without it; 0: not known.
         """
         now = clock.now()
-        self._ages.observe(clock.unix(), now)
+        self._ages.observe_clocks(clock.unix(), now)
         if purge.seq <= self._known_seq:
-            return self._ages.age_at_start(purge.time_ms, now)
-        return self._ages.age_of_news(purge.time_ms, now, unread_before_ns)
+            return self._ages.age_of_initial_event(purge.time_ms, now)
+        return self._ages.age_of_new_event(purge.time_ms, now, unread_before_ns)
 
     def start_of(self, born_ms: int) -> int:
         """Return a server's start, Unix milliseconds, as a time of the monotonic clock, ns; 0 stays 0."""
         now = clock.now()
-        self._ages.observe(clock.unix(), now)
-        if not self._ages.is_settled(born_ms, now, self._warm_after_ns):
+        self._ages.observe_clocks(clock.unix(), now)
+        if not self._ages.is_start_final(born_ms, now, self._warm_after_ns):
             self._unsettled_starts_ms.add(born_ms)
-        return self._ages.sure_start_of(born_ms, now)
+        return self._ages.latest_start_of(born_ms, now)
 
     def take_unsettled_starts(self) -> frozenset[int]:
         """Return the starts to be dated again by `start_of`, Unix milliseconds: none without a later date."""
-        if not self._ages.take_date_step():
+        if not self._ages.consume_date_step():
             return frozenset()
         starts = frozenset(self._unsettled_starts_ms)
         self._unsettled_starts_ms.clear()
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -40,7 +40,7 @@
 from quincepier.net.shared import Shared
 from quincepier.net.sockets import Descriptors
 from quincepier.policy import Router
-from quincepier.recovery import fronts_that_ask
+from quincepier.recovery import count_requesting_fronts
 from quincepier.timers import Wheel
 from quincepier.translate import attempt_ended, purged, request_came, serve_fields
 from quincepier.wire.changelog import BadRecord, ChangeEvent, FleetChange, PurgeRecord
@@ -293,7 +293,9 @@
 
     def _askers(self, site: str) -> int:
         settings = self.config.settings
-        return fronts_that_ask(settings.fronts, settings.fronts_by_zone, self.directory.zone_by_name[site])
+        return count_requesting_fronts(
+            settings.fronts, settings.fronts_by_zone, self.directory.zone_by_name[site]
+        )
 
     # Actions
 
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -18,7 +18,7 @@
 from quincepier.net.messages import News
 from quincepier.net.sockets import resolve
 from quincepier.net.watch_poll import Poll
-from quincepier.recovery import first_poll
+from quincepier.recovery import draw_first_poll_wait_ms
 from quincepier.wire.changelog import BadRecord, ChangeEvent, decode_changes
 from quincepier.wire.errors import ProtocolError
 
@@ -55,7 +55,7 @@
         self.nudge: asyncio.Future[None] | None = None  # of the wait for a poll to end
         self.due = 0.0  # the next poll, by the loop's clock in seconds
         self.current = asyncio.Event()  # what the log had as this front started is told
-        self.wait_ms = first_poll(self.random, POLL_MS)  # that the next poll asks for
+        self.wait_ms = draw_first_poll_wait_ms(self.random, POLL_MS)  # that the next poll asks for
         self.answered_at_ns = 0  # when the log answered last: what it tells later was not there by then
 
     @property
--- a/quincepier/policy/admission.py
+++ b/quincepier/policy/admission.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from quincepier.context import Context, Part, TimerKind
+from quincepier.context import Context, RouterComponent, TimerKind
 from quincepier.policy.fetch_limit import FetchLimit
 from quincepier.policy.latency import LatencyEstimates
 from quincepier.policy.periodic_timers import PeriodicTimers
@@ -18,7 +18,7 @@
 from quincepier.structures import FairQueue
 
 LOWEST_TIER = 2
-MAX_HELD_PAST_GATE = 2  # of the lowest tier: what is never fetched no cache holds
+MAX_HELD_LOWEST_TIER = 2  # of the lowest tier: what is never fetched no cache holds
 HOLD_SHARE = 0.15  # longest hold, as part of the wanted time
 SPARE_CACHES = 2  # of a key's order, at which a copy may be made
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Choice:
+class RoutingDecision:
     """What is done with a request now.
 
     Attributes:
@@ -47,10 +47,10 @@
     source: Upstream | None = None
 
 
-HOLD, SHED, GIVE_UP = (Choice(d) for d in (Disposition.HOLD, Disposition.SHED, Disposition.GIVE_UP))
+HOLD, SHED, GIVE_UP = (RoutingDecision(d) for d in (Disposition.HOLD, Disposition.SHED, Disposition.GIVE_UP))
 
 
-class Admission(Part):
+class Admission(RouterComponent):
     """Never lets a fetch begin past the limit, or over a link that is full.
 
     Args:
@@ -102,7 +102,7 @@
             case Disposition.GIVE_UP:
                 self.responder.give_up(request)
 
-    def _choose(self, request: Request, is_released: bool) -> Choice:
+    def _choose(self, request: Request, is_released: bool) -> RoutingDecision:
         placement = self.placement
         is_kept = not request.cls.never_kept
         cache = placement.find_cache(request)
@@ -110,18 +110,18 @@
         origin = self._find_direct_origin(request)
         needs_fetch = cache is None or not placement.is_known_hit(cache, request)
         if origin is not None and not is_kept:  # classes never kept pass untouched
-            return Choice(Disposition.FORWARD, origin)
+            return RoutingDecision(Disposition.FORWARD, origin)
         if is_kept and not is_released:
             if needs_fetch and request.tier == LOWEST_TIER and self.fetch_limit.is_nearly_full:
-                return HOLD if self._may_wait_past_gate() else SHED
+                return HOLD if self._can_hold_lowest_tier() else SHED
             is_behind = needs_fetch and (self.fetch_limit.is_blocked(request) or bool(self.queue))
-            if is_behind or placement.is_crowded(cache, request):
+            if is_behind or placement.is_saturated(cache, request):
                 return HOLD
         direct_source = source if self.context.settings.direct else None
         target = cache or direct_source  # no cache: straight to the parent
         if target is None:
             return GIVE_UP
-        return Choice(Disposition.FORWARD, target, source or target)
+        return RoutingDecision(Disposition.FORWARD, target, source or target)
 
     def _find_direct_origin(self, request: Request) -> Upstream | None:
         if not self.context.settings.direct:
@@ -129,9 +129,9 @@
         origins = self.placement.table.origins
         return next((origin for origin in origins if self.placement.is_usable(origin, request)), None)
 
-    def _may_wait_past_gate(self) -> bool:
+    def _can_hold_lowest_tier(self) -> bool:
         """Whether one more of the lowest tier may wait with the others."""
-        return bool(self.queue) and self.queue.depths[LOWEST_TIER] < MAX_HELD_PAST_GATE
+        return bool(self.queue) and self.queue.depths[LOWEST_TIER] < MAX_HELD_LOWEST_TIER
 
     def _forward(self, request: Request, upstream: Upstream, source: Upstream | None) -> None:
         if not self.sender.send(request, upstream, source):
@@ -144,7 +144,7 @@
         self.context.set_timer(longest, TimerKind.QUEUE_TIMEOUT, request.id)
         self.timers.schedule()
 
-    def end_hold(self, request: Request) -> None:
+    def on_hold_expired(self, request: Request) -> None:
         """Shed a request that was held for as long as it may be."""
         self.queue.discard(request)
         self.shed(request, was_held=True)
@@ -154,9 +154,13 @@
         placement = self.placement
         cache = placement.find_cache(request)
         spare = self._find_spare(request) if was_held else None
-        if spare is not None and self.fetch_limit.has_spare and not self.fetch_limit.is_blocked(request):
+        if (
+            spare is not None
+            and self.fetch_limit.has_spare_capacity
+            and not self.fetch_limit.is_blocked(request)
+        ):
             self._forward(request, spare, placement.find_source(request) or spare)
-        elif cache is None or request.attempts_sent or placement.is_crowded(cache, request):
+        elif cache is None or request.attempts_sent or placement.is_saturated(cache, request):
             self.responder.give_up(request)
         else:
             self._forward(request, cache, cache)
@@ -166,19 +170,19 @@
         placement = self.placement
         ranked = placement.rank(placement.table.caches, request.key, request.home)
         for cache in ranked[:SPARE_CACHES]:
-            if placement.is_usable(cache, request) and not placement.is_crowded(cache, request):
+            if placement.is_usable(cache, request) and not placement.is_saturated(cache, request):
                 return cache
         return None
 
     def release(self) -> None:
         """Route held requests as long as one may leave."""
         self.timers.schedule()
-        while (request := self.queue.pop(self.context.now, self.may_leave)) is not None:
+        while (request := self.queue.pop(self.context.now, self.can_release)) is not None:
             self.route(request, is_released=True)
 
-    def may_leave(self, request: Request) -> bool:
+    def can_release(self, request: Request) -> bool:
         """Whether a held request may be forwarded now."""
         cache = self.placement.find_cache(request)
         is_hit = cache is not None and self.placement.is_known_hit(cache, request)
-        is_crowded = self.placement.is_crowded(cache, request)
-        return not is_crowded and (is_hit or not self.fetch_limit.is_blocked(request))
+        is_saturated = self.placement.is_saturated(cache, request)
+        return not is_saturated and (is_hit or not self.fetch_limit.is_blocked(request))
--- a/quincepier/policy/early_refusal.py
+++ b/quincepier/policy/early_rejection.py
@@ -6,7 +6,7 @@
 does CoDel (RFC 8289, section 3.2), which looks at the least delay of an interval.
 """
 
-from quincepier.context import Context, Part
+from quincepier.context import Context, RouterComponent
 from quincepier.interface import RequestReceived
 from quincepier.records import MS
 
@@ -15,7 +15,7 @@
 INTERVAL = 100 * MS  # ns; for so long the queue stands before anything is refused (RFC 8289, section 4.3)
 
 
-class EarlyRefusal(Part):
+class EarlyRejection(RouterComponent):
     """Whether a request is refused as the front is behind.
 
     Args:
--- a/quincepier/policy/event_age.py
+++ b/quincepier/policy/event_age.py
@@ -26,11 +26,11 @@
         self._newest_ms = 0  # the newest date that the log has told
         self._dated_by_ms = 0  # the newest date as starts were dated last
 
-    def observe_log(self, unix_ms: int) -> None:
+    def observe_log_date(self, unix_ms: int) -> None:
         """Take a date that the log tells: by its own clock it is that late."""
         self._newest_ms = max(self._newest_ms, unix_ms)
 
-    def observe(self, unix_ns: int, now_ns: int) -> None:
+    def observe_clocks(self, unix_ns: int, now_ns: int) -> None:
         """Take both clocks as they are now."""
         self._lowest_offset_ns = min(self._lowest_offset_ns, unix_ns - now_ns)
 
@@ -41,7 +41,7 @@
         """
         return max(now_ns + self._lowest_offset_ns - (unix_ms + 1) * MS, 0)
 
-    def age_at_start(self, unix_ms: int, now_ns: int) -> int:
+    def age_of_initial_event(self, unix_ms: int, now_ns: int) -> int:
         """Return the age of an event that the log told at the start, ns: by both clocks, the lower one."""
         return min(self.age_of(unix_ms, now_ns), self._age_by_log(unix_ms))
 
@@ -49,7 +49,7 @@
         """Return how long before the newest date of the log an event was, ns."""
         return max(self._newest_ms - unix_ms, 0) * MS
 
-    def age_of_news(self, unix_ms: int, now_ns: int, unread_before_ns: int) -> int:
+    def age_of_new_event(self, unix_ms: int, now_ns: int, unread_before_ns: int) -> int:
         """Return the age of an event that the log did not tell yet as it answered at `unread_before_ns`.
 
         One that claims to be older than that was dated by another clock than ours: it counts from now.
@@ -67,12 +67,12 @@
         age = max(now_ns + self._lowest_offset_ns - unix_ms * MS, 0)
         return max(now_ns - age, 1)
 
-    def sure_start_of(self, unix_ms: int, now_ns: int) -> int:
+    def latest_start_of(self, unix_ms: int, now_ns: int) -> int:
         """Return a server's start as `start_of` does, or later: no earlier than the log's own dates show."""
         start = self.start_of(unix_ms, now_ns)
         return start and max(start, now_ns - self._age_by_log(unix_ms))
 
-    def is_settled(self, unix_ms: int, now_ns: int, warm_after_ns: int) -> bool:
+    def is_start_final(self, unix_ms: int, now_ns: int, warm_after_ns: int) -> bool:
         """Whether no later date of the log can change what a server's start means.
 
         Args:
@@ -81,11 +81,11 @@
             warm_after_ns: Age from which a server is no longer in slow start.
         """
         is_old = self._age_by_log(unix_ms) >= warm_after_ns
-        return is_old or self.sure_start_of(unix_ms, now_ns) == self.start_of(unix_ms, now_ns)
+        return is_old or self.latest_start_of(unix_ms, now_ns) == self.start_of(unix_ms, now_ns)
 
-    def take_date_step(self) -> bool:
+    def consume_date_step(self) -> bool:
         """Whether the newest date has moved on by `DATE_STEP_MS` since this was last true."""
-        has_moved = self._newest_ms - self._dated_by_ms >= DATE_STEP_MS
-        if has_moved:
+        has_advanced = self._newest_ms - self._dated_by_ms >= DATE_STEP_MS
+        if has_advanced:
             self._dated_by_ms = self._newest_ms
-        return has_moved
+        return has_advanced
--- a/quincepier/policy/fetch_limit.py
+++ b/quincepier/policy/fetch_limit.py
@@ -4,10 +4,10 @@
 go badly. Beside it stand the load of the zone's link, and a pause between fetches while sources refuse them.
 """
 
-from quincepier.context import Context, Part
+from quincepier.context import Context, RouterComponent
 from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.policy.latency import LatencyEstimates
-from quincepier.records import MS, SECOND, Attempt, Completion, LinkReport, Request
+from quincepier.records import MS, SECOND, Attempt, Completion, LinkLoad, Request
 from quincepier.recovery import RecoveryTracker
 from quincepier.structures import Backoff
 
@@ -24,7 +24,7 @@
 BAD_OUTCOMES = (AttemptOutcome.OVERLOADED, AttemptOutcome.TIMEOUT)
 
 
-class FetchLimit(Part):
+class FetchLimit(RouterComponent):
     """Never lets more fetches begin than the limit, or any over a link that is full.
 
     Args:
@@ -48,8 +48,8 @@
         self.limit = INITIAL_LIMIT
         self.in_flight = 0
         self.backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF, BACKOFF_EASE, MIN_BACKOFF / 2)
-        self.next_at = context.now
-        self.link = LinkReport(settings, LINK_HALF_LIFE)
+        self.next_retry_at = context.now
+        self.link_load = LinkLoad(settings, LINK_HALF_LIFE)
         listed_fronts = settings.fronts_by_zone[settings.zone :][:1]
         self._zone_fronts = max(*listed_fronts, 0, 1)  # with this one
         self._min_limit = max(MIN_ZONE_LIMIT // self._zone_fronts, MIN_LIMIT)
@@ -62,12 +62,12 @@
         return self.in_flight >= NEARLY_FULL_SHARE * self.limit
 
     @property
-    def has_spare(self) -> bool:
+    def has_spare_capacity(self) -> bool:
         """Whether a copy may be made of what another cache holds."""
         return self.in_flight < SPARE_SHARE * self.limit
 
     @property
-    def is_paused(self) -> bool:
+    def is_backing_off(self) -> bool:
         """Whether sources refuse fetches: only what they hold is asked of them."""
         return self.backoff.wait > 0
 
@@ -75,9 +75,9 @@
         """Whether no fetch may begin for a request, for the limit or for the zone's link."""
         if self.in_flight >= self.limit:
             return True
-        slowing = self.link.slowing(self.context.now)
+        slowing = self.link_load.current_slowdown(self.context.now)
         share = 1.0
-        if self.context.now - self.link.told_at > 2 * LINK_HALF_LIFE:
+        if self.context.now - self.link_load.reported_at > 2 * LINK_HALF_LIFE:
             # not told: all fronts see it by their fetches, and a link as quick as usual is not full
             slowing = self.latency.fetch_slowness.factor(self.context.now)
             share = LINK_SHARE + (1 - LINK_SHARE) / self._zone_fronts
@@ -94,16 +94,16 @@
         self.in_flight -= attempt.is_fetch
         attempt.is_fetch = False
 
-    def take_turn(self) -> None:
+    def schedule_next_retry(self) -> None:
         """Ask a source anew in a pause; the next may after the whole of it."""
-        self.next_at = self.context.now + int(self.backoff.wait)
+        self.next_retry_at = self.context.now + int(self.backoff.wait)
 
     @property
-    def is_turn_due(self) -> bool:
+    def is_retry_due(self) -> bool:
         """Whether a source may be asked anew in a pause."""
-        return self.context.now >= self.next_at
+        return self.context.now >= self.next_retry_at
 
-    def restart(self) -> None:
+    def on_process_pause(self) -> None:
         """Begin anew after a pause of the process: what was learned is from before."""
         self.limit = min(self.limit, INITIAL_LIMIT)
 
@@ -114,7 +114,7 @@
             completion: The fetch, and how it ended.
             is_awaited: Whether requests are held.
         """
-        self._adapt_pause(completion)
+        self._adapt_backoff(completion)
         is_fetched = completion.is_ok and not completion.is_from_cache
         is_bad = self._is_bad(completion)
         self.in_flight -= 1
@@ -124,15 +124,15 @@
             self._adapt_limit(is_awaited)
             self._good_count = self._bad_count = 0
 
-    def _adapt_pause(self, completion: Completion) -> None:
-        is_held_only = completion.attempt.is_held_only
+    def _adapt_backoff(self, completion: Completion) -> None:
+        is_source_cache_only = completion.attempt.is_source_cache_only
         if completion.outcome is AttemptOutcome.OVERLOADED:  # at once
-            if not is_held_only and completion.status not in FAULTS_OF_SOURCE:
+            if not is_source_cache_only and completion.status not in FAULTS_OF_SOURCE:
                 self.backoff.increase()
                 spread = self.context.random.uniform(*BACKOFF_SPREAD)
-                self.next_at = self.context.now + int(spread * self.backoff.wait)
-        elif completion.is_ok and not completion.is_from_cache and not is_held_only:
-            self.backoff.ease()
+                self.next_retry_at = self.context.now + int(spread * self.backoff.wait)
+        elif completion.is_ok and not completion.is_from_cache and not is_source_cache_only:
+            self.backoff.decrease()
 
     def _is_bad(self, completion: Completion) -> bool:
         """Whether a fetch was refused, came to nothing in time, or was slow for its upstream."""
--- a/quincepier/policy/freshness.py
+++ b/quincepier/policy/freshness.py
@@ -1,6 +1,6 @@
 """Freshness: how old a copy may be that a request is answered with, after purges too."""
 
-from quincepier.context import Context, Part
+from quincepier.context import Context, RouterComponent
 from quincepier.keys import MEMORY_MOST
 from quincepier.records import SECOND, Request
 from quincepier.structures import PurgeLog
@@ -8,7 +8,7 @@
 PURGE_MARGIN = 2 * SECOND  # ns past a purge's settling
 
 
-class Freshness(Part):
+class Freshness(RouterComponent):
     """Rule three: no copy past its age, and none from before a purge.
 
     Attributes:
@@ -22,7 +22,7 @@
     def on_purge(self, group: int, obj: int, ago: int) -> None:
         """Take a purge that was made `ago` ns before; those that have settled are forgotten."""
         now = self.context.now
-        self.purges.purge(group, obj, now - ago, now - self._settled_after)
+        self.purges.record_purge(group, obj, now - ago, now - self._settled_after)
 
     def max_age(self, request: Request, stale: bool) -> int:
         """Return the greatest age of a copy, ns; 0: the class's own.
@@ -32,7 +32,7 @@
             stale: Whether a copy past its fresh time will do, within the class's grace.
         """
         cls = request.cls
-        purged_at = self.purges.last(request.event.group, request.event.object)
+        purged_at = self.purges.last_purge_at(request.event.group, request.event.object)
         age = cls.fresh + cls.grace if stale and cls.fresh else 0
         since_purge = self.context.now - purged_at
         if purged_at < 0 or since_purge > self._settled_after:
--- a/quincepier/policy/latency.py
+++ b/quincepier/policy/latency.py
@@ -2,7 +2,7 @@
 
 import math
 
-from quincepier.context import Context, Part
+from quincepier.context import Context, RouterComponent
 from quincepier.interface import AttemptOutcome
 from quincepier.records import MS, SECOND, BaselineKey, Completion, Request
 from quincepier.structures import Baseline, DecayingMean, RunningMeans
@@ -17,7 +17,7 @@
 UNANSWERED = (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
 
 
-class LatencyEstimates(Part):
+class LatencyEstimates(RouterComponent):
     """What answers take. It never ejects an upstream: a slow one is still of use."""
 
     slow_factor = SLOW  # for who keeps it over a start
@@ -33,7 +33,7 @@
 
     def transfer_time(self, request: Request) -> float:
         """Its own where told, else its class's mean, ns."""
-        return max(request.told_transfer_time or self.transfer_times.means[request.event.cls], MS)
+        return max(request.known_transfer_time or self.transfer_times.means[request.event.cls], MS)
 
     def objective(self, request: Request) -> float:
         """The latency wanted, ns; what even an idle upstream can't do is not aimed for."""
@@ -43,7 +43,7 @@
     def learn_transfer_time(self, completion: Completion, slowdown: float) -> None:
         """From a hit, which is transfer alone, stretched by what shares its link."""
         request = completion.attempt.request
-        observed = request.told_transfer_time or completion.event.elapsed / slowdown
+        observed = request.known_transfer_time or completion.event.elapsed / slowdown
         self.transfer_times.add(request.event.cls, observed)
 
     def learn_slowness(self, completion: Completion) -> None:
@@ -54,7 +54,7 @@
         if not (completion.is_ok or is_overdue):
             return
         is_cached = not attempt.is_fetch or completion.is_from_cache
-        told = request.told_transfer_time
+        told = request.known_transfer_time
         key = BaselineKey(request.event.cls, is_cached, told > 0)
         baseline = self.baselines.get(key) or Baseline(updated_at=now)
         sample = math.log(max(elapsed, 1) / (told or MS))
--- a/quincepier/policy/outliers.py
+++ b/quincepier/policy/outliers.py
@@ -4,22 +4,22 @@
 from collections.abc import Iterable
 from itertools import takewhile
 
-from quincepier.context import Context, LimitedLog, Part
+from quincepier.context import Context, LimitedLog, RouterComponent
 from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.policy.latency import LatencyEstimates
-from quincepier.records import SECOND, Abandon, Attempt, Completion, Upstream
+from quincepier.records import SECOND, AbandonUpstream, Attempt, Completion, Upstream
 
-EJECTION_TIME, MAX_EJECTION_TIME = SECOND, 8 * SECOND  # ns until a trial, doubled at each failure
+INITIAL_TRIAL_INTERVAL, MAX_TRIAL_INTERVAL = SECOND, 8 * SECOND  # ns until a trial, doubled at each failure
 FAILURES = 4.0  # resets in a row that eject; so does a connection that failed while none other answered
 MIN_OVERDUE = 2  # overdue attempts that eject: one may be a large object
 MAX_LOG_LINES = 40  # of one run
 PROVES_UP = (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.OVERLOADED, AttemptOutcome.MISS)
 
 
-class OutlierDetection(Part):
+class OutlierDetection(RouterComponent):
     """Ejects upstreams, and lets one request at a time try an ejected one."""
 
-    def __init__(self, context: Context, latency: LatencyEstimates, abandon: Abandon) -> None:
+    def __init__(self, context: Context, latency: LatencyEstimates, abandon: AbandonUpstream) -> None:
         super().__init__(context)
         self.latency = latency
         self.abandon = abandon
@@ -33,32 +33,40 @@
         elif outcome is AttemptOutcome.RESET and not completion.event.another_way:
             self.on_failure(upstream, "lost", 1)
         elif outcome is AttemptOutcome.CONNECT_FAILED and not completion.event.another_way:
-            self.on_failure(upstream, "lost", 1 if upstream.heard_at > attempt.sent_at else FAILURES)
+            self.on_failure(upstream, "lost", 1 if upstream.last_response_at > attempt.sent_at else FAILURES)
         if attempt.source is not None:
             self._on_source(completion, attempt.source)
 
     def _on_source(self, completion: Completion, source: Upstream) -> None:
         attempt, outcome, status = completion.attempt, completion.outcome, completion.status
-        gave = AttemptOutcome.MISS if attempt.is_held_only else AttemptOutcome.OK
+        gave = AttemptOutcome.MISS if attempt.is_source_cache_only else AttemptOutcome.OK
         if status is CacheStatus.SOURCE_REFUSED:  # a dead process refuses, a full one too
             self.on_failure(source, "broken as source", FAILURES / 2)
         elif status is CacheStatus.SOURCE_BROKEN:
             self.on_failure(source, "broken as source")
-        elif attempt.is_held_only and outcome is AttemptOutcome.OVERLOADED and status is CacheStatus.NONE:
-            if source.refused_by is not attempt.upstream:  # one cache by itself may have no place for a fetch
+        elif (
+            attempt.is_source_cache_only
+            and outcome is AttemptOutcome.OVERLOADED
+            and status is CacheStatus.NONE
+        ):
+            if (
+                source.last_refused_cache is not attempt.upstream
+            ):  # one cache by itself may have no place for a fetch
                 self.on_failure(source, "gives nothing", FAILURES / 2)
-            source.refused_by = attempt.upstream
+            source.last_refused_cache = attempt.upstream
         elif outcome is gave and not completion.is_from_cache:
             self.on_success(source)
 
     def on_success(self, upstream: Upstream) -> None:
         """It works: forget its failures, and take it back where it was ejected."""
-        upstream.heard_at = self.context.now
+        upstream.last_response_at = self.context.now
         upstream.failures = 0
-        upstream.refused_by = None
+        upstream.last_refused_cache = None
         if upstream.is_ejected:
             upstream.is_ejected = False
-            if upstream.ejection_time > 2 * EJECTION_TIME:  # a trial failed: it was away and starts anew
+            if (
+                upstream.trial_interval > 2 * INITIAL_TRIAL_INTERVAL
+            ):  # a trial failed: it was away and starts anew
                 upstream.started_at = self.context.now
             self.log.write(f"machine {upstream.endpoint.cache} answers again")
 
@@ -69,20 +77,20 @@
             return
         if not upstream.is_ejected:
             self.log.write(f"machine {upstream.endpoint.cache} set aside: {why}")
-            self.eject(upstream, EJECTION_TIME)
+            self.eject(upstream, INITIAL_TRIAL_INTERVAL)
         self.abandon(upstream)
 
     def eject(self, upstream: Upstream, trial_in: int = 0) -> None:
         """One request tries it after `trial_in` ns."""
         upstream.is_ejected = True
-        upstream.ejection_time = EJECTION_TIME
+        upstream.trial_interval = INITIAL_TRIAL_INTERVAL
         upstream.trial_at = self.context.now + trial_in
 
     def on_sent(self, upstream: Upstream) -> None:
         """Where this is its trial, the next waits twice as long."""
         if upstream.is_ejected:
-            upstream.ejection_time = min(2 * upstream.ejection_time, MAX_EJECTION_TIME)
-            upstream.trial_at = self.context.now + upstream.ejection_time
+            upstream.trial_interval = min(2 * upstream.trial_interval, MAX_TRIAL_INTERVAL)
+            upstream.trial_at = self.context.now + upstream.trial_interval
 
     def check_overdue(self, attempts: Iterable[Attempt]) -> None:
         """Blame those that nothing was heard of since; the oldest come first."""
@@ -92,7 +100,7 @@
             wanted = self.latency.objective(attempt.request) * (slowness if attempt.is_fetch else 1)
             if attempt.sent_at <= self.context.now - wanted and not attempt.request.has_response_started:
                 suspects = attempt.upstreams if attempt.is_fetch else [attempt.upstream]
-                silent = [u for u in suspects if u.heard_at <= attempt.sent_at]
+                silent = [u for u in suspects if u.last_response_at <= attempt.sent_at]
                 overdue.update(silent[:1])  # one, not both
         for upstream, count in overdue.items():
             if count >= MIN_OVERDUE or upstream.is_ejected:
--- a/quincepier/policy/periodic_timers.py
+++ b/quincepier/policy/periodic_timers.py
@@ -20,10 +20,10 @@
     def __init__(self, context: Context, queue: FairQueue[Request], attempts: AttemptTable) -> None:
         self._queue = queue
         self._attempts = attempts
-        self.release = IntervalTimer(context, TimerKind.RELEASE, RELEASE_INTERVAL)
+        self.release = IntervalTimer(context, TimerKind.QUEUE_RELEASE, RELEASE_INTERVAL)
         self.overdue = IntervalTimer(context, TimerKind.OVERDUE_CHECK, OVERDUE_INTERVAL)
 
     def schedule(self) -> None:
         """Set those that are wanted."""
-        self.release.set_if(self._queue)
-        self.overdue.set_if(self._attempts)
+        self.release.set_if_needed(self._queue)
+        self.overdue.set_if_needed(self._attempts)
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -3,7 +3,7 @@
 import math
 from itertools import islice
 
-from quincepier.context import Context, Part
+from quincepier.context import Context, RouterComponent
 from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, HomeShard
 from quincepier.keys import MEMORY_MOST, mix
 from quincepier.policy.latency import HALF_LIFE, PRIOR, SLOW, LatencyEstimates
@@ -12,19 +12,19 @@
 from quincepier.structures import DecayingMean, RecencyMap, RendezvousGroup
 from quincepier.upstream_table import TableChange, UpstreamTable
 
-CROWDED_SHARE = 0.6  # of the slowing that a class stands
+SATURATION_SHARE = 0.6  # of the slowing that a class stands
 FETCH_LOAD = 0.5  # of a transfer; a fetch at a quick cache waits for its source
-MIN_CROWDED_LOAD = 2  # transfers; less is no crowd, however small the cache
+MIN_SATURATION_LOAD = 2  # transfers; less is no crowd, however small the cache
 HOT_REQUESTS, HOT_SHARE = (
     32,
     0.25,
 )  # last requests of a cache; from this share of them an object has two caches
 WEIGHT_STEPS = 4  # of a weight that is halved by two steps: slowness counts by its square
-MAX_RANKED = 8  # of an order kept, as thousands may be listed; hardly ever may none of these be asked
+MAX_CACHED_RANKS = 8  # of an order kept, as thousands may be listed; hardly ever may none of these be asked
 HIT_LIFETIME = 5 * SECOND  # how long a seen hit keeps an attempt from counting as a fetch (design)
 
 
-class Placement(Part):
+class Placement(RouterComponent):
     """Caches and sources by hash. Never names an upstream that may not be asked.
 
     Attributes:
@@ -46,10 +46,10 @@
     def update(self, update: EndpointUpdate) -> TableChange:
         """Take the endpoint list; return what changed."""
         change = self.table.apply(update, self.context.settings)
-        for upstream, previous in change.listed_again:
+        for upstream, previous in change.updated:
             self._on_listed_again(upstream, previous)
-        if change.has_moved:
-            self.forget_rankings()
+        if change.has_ranking_changed:
+            self.clear_rankings()
         return change
 
     def _new_upstream(self, endpoint: Endpoint) -> Upstream | None:
@@ -73,7 +73,7 @@
             upstream.started_at = max(upstream.started_at, up_since)
             upstream.is_ejected = False
 
-    def forget_rankings(self) -> None:
+    def clear_rankings(self) -> None:
         """Upstreams came, went, or have other weights."""
         self.rankings = {}
         self.groups = {}
@@ -84,10 +84,10 @@
         if at not in self.rankings:
             if len(self.rankings) >= MEMORY_MOST:
                 self.rankings = {}
-            self.rankings[at] = self.rank_all(group, key, home, MAX_RANKED)
+            self.rankings[at] = self.rank_uncached(group, key, home, MAX_CACHED_RANKS)
         return self.rankings[at]
 
-    def rank_all(
+    def rank_uncached(
         self, group: list[Upstream], key: int, home: HomeShard | None = None, count: int | None = None
     ) -> list[Upstream]:
         """A key's order, whole or its first `count`."""
@@ -106,19 +106,19 @@
             group = [u for u in group if u.endpoint.cache in members]
         return RendezvousGroup(weights, {u: u.endpoint.cache for u in group})
 
-    def usable(self, group: list[Upstream], key: int, request: Request, count: int) -> list[Upstream]:
+    def find_usable(self, group: list[Upstream], key: int, request: Request, count: int) -> list[Upstream]:
         """The first `count` that may be asked; beyond the kept part of the order where it has too few."""
         ranked = self.rank(group, key, request.home)
         found = self._first_usable(ranked, request, count)
-        if len(found) < count and len(ranked) == MAX_RANKED:
-            ranked = self.rank_all(group, key, request.home)
+        if len(found) < count and len(ranked) == MAX_CACHED_RANKS:
+            ranked = self.rank_uncached(group, key, request.home)
             found = self._first_usable(ranked, request, count)
         return found
 
     def _first_usable(self, ranked: list[Upstream], request: Request, count: int) -> list[Upstream]:
         return list(islice((u for u in ranked if self.is_usable(u, request)), count))
 
-    def reweigh(self) -> None:
+    def update_weights(self) -> None:
         """Halve the weight of slow upstreams: each keeps its part by the square of its slowness."""
         for group in (self.table.caches, self.table.parents):
             seen = [u for u in group if u.slowness.weight]  # of thousands that are listed a few
@@ -128,7 +128,7 @@
                 step = int(WEIGHT_STEPS * math.log2(max(factor / (SLOW * best), 1.0)))
                 if step != upstream.weight_step:
                     upstream.weight_step = step
-                    self.forget_rankings()
+                    self.clear_rankings()
 
     def is_usable(self, upstream: Upstream, request: Request) -> bool:
         """Whether a request may be sent there: listed as ready, not failing, and within its budget."""
@@ -139,11 +139,11 @@
             return False
         if upstream.is_ejected and now < upstream.trial_at:
             return False
-        return self.slow_start.has_room(upstream)
+        return self.slow_start.has_budget(upstream)
 
     def find_cache(self, request: Request) -> Upstream | None:
         """Return the first cache by hash that may be asked; of a hot object the idler one of two."""
-        found = self.usable(self.table.caches, request.key, request, 2)
+        found = self.find_usable(self.table.caches, request.key, request, 2)
         if not found:
             return None
         if len(found) > 1 and self._is_hot(found[0], request.event.object):
@@ -156,26 +156,28 @@
 
     def find_source(self, request: Request) -> Upstream | None:
         """Return the first parent by hash that may be asked, else an origin."""
-        parents = self.usable(self.table.parents, mix(request.event.object), request, 1)
+        parents = self.find_usable(self.table.parents, mix(request.event.object), request, 1)
         sources = parents + self.table.origins
         return next((source for source in sources if self.is_usable(source, request)), None)
 
-    def is_crowded(self, cache: Upstream | None, request: Request) -> bool:
+    def is_saturated(self, cache: Upstream | None, request: Request) -> bool:
         """Whether one more transfer of a cache would come late."""
         if cache is None:
             return False
-        sharers = self.slow_start.sharers(cache)
+        count_fronts = self.slow_start.count_fronts(cache)
         objective = self.latency.objective(request)
         transfer_time = self.latency.transfer_time(request)
         slowness = cache.slowness.factor(self.context.now)
-        share = CROWDED_SHARE + (1 - CROWDED_SHARE) / sharers  # more fronts leave more room
+        share = SATURATION_SHARE + (1 - SATURATION_SHARE) / count_fronts  # more fronts leave more room
         if slowness * transfer_time > share * objective:
             return True
         size = cache.endpoint.size
         if not self.context.settings.sizes_compare or size <= 0:
             return False  # what a kind was seen to bear is no limit
         load = self._load(cache, slowness) + 1
-        return load > max(CROWDED_SHARE * objective / transfer_time * size / sharers, MIN_CROWDED_LOAD)
+        return load > max(
+            SATURATION_SHARE * objective / transfer_time * size / count_fronts, MIN_SATURATION_LOAD
+        )
 
     @staticmethod
     def _load(cache: Upstream, slowness: float) -> float:
--- a/quincepier/policy/responses.py
+++ b/quincepier/policy/responses.py
@@ -1,6 +1,6 @@
 """Final answers: each request gets one, and what is still out for it is cancelled."""
 
-from quincepier.context import Context, Part
+from quincepier.context import Context, RouterComponent
 from quincepier.interface import DeduplicationScope, Idempotency
 from quincepier.policy.latency import LatencyEstimates
 from quincepier.policy.sending import AttemptSender
@@ -8,10 +8,10 @@
 from quincepier.recovery import RecoveryTracker
 from quincepier.structures import FairQueue
 
-LEAST_RETRY_AFTER = 0.8  # of the longest time that a client is told; clients do not come back in step
+MIN_RETRY_AFTER_SHARE = 0.8  # of the longest time that a client is told; clients do not come back in step
 
 
-class Responder(Part):
+class Responder(RouterComponent):
     """Rule one: never two final answers.
 
     Args:
@@ -43,7 +43,7 @@
     def reject(self, request: int) -> None:
         """Answer that the client may try again."""
         settings = self.context.settings
-        share = self.context.random.uniform(LEAST_RETRY_AFTER, 1) if settings.retry_after else 0
+        share = self.context.random.uniform(MIN_RETRY_AFTER_SHARE, 1) if settings.retry_after else 0
         self.context.reject(request, int(share * settings.max_retry_after))
 
     def give_up(self, request: Request) -> None:
--- a/quincepier/policy/retries.py
+++ b/quincepier/policy/retries.py
@@ -1,6 +1,6 @@
 """Retries: whether a request whose attempt failed is sent again, and where."""
 
-from quincepier.context import Context, Part
+from quincepier.context import Context, RouterComponent
 from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.policy.admission import Admission
 from quincepier.policy.fetch_limit import FetchLimit
@@ -26,7 +26,7 @@
 )
 
 
-class Retries(Part):
+class Retries(RouterComponent):
     """A budget over all requests bounds retries.
 
     Args:
@@ -60,18 +60,18 @@
 
     def on_request(self) -> None:
         """Earn a part of a retry."""
-        self.budget.put(RETRY_SHARE)
+        self.budget.add(RETRY_SHARE)
 
     def on_failure(self, completion: Completion) -> None:
         """Send a request again whose last open attempt failed, or give it up."""
         attempt = completion.attempt
         request = attempt.request
-        lacking = self._find_lacking_source(completion)
+        lacking = self._find_source_without_copy(completion)
         if lacking is None:
             self._exclude(completion)
         is_useless = self._is_useless(completion)
-        if lacking is not None and self._may_ask_anew(attempt, lacking):
-            self.fetch_limit.take_turn()
+        if lacking is not None and self._can_retry_source(attempt, lacking):
+            self.fetch_limit.schedule_next_retry()
             if not self.sender.send(request, attempt.upstream, lacking, in_pause=True):
                 self.responder.give_up(request)
         elif lacking is not None or is_useless or not self.budget.take():
@@ -79,11 +79,11 @@
         else:
             self.admission.route(request)
 
-    def _find_lacking_source(self, completion: Completion) -> Upstream | None:
+    def _find_source_without_copy(self, completion: Completion) -> Upstream | None:
         """Return the source that was asked for what it holds, and lacks it."""
         attempt = completion.attempt
         is_miss = completion.outcome is AttemptOutcome.MISS
-        return attempt.source if attempt.is_held_only and is_miss else None
+        return attempt.source if attempt.is_source_cache_only and is_miss else None
 
     def _exclude(self, completion: Completion) -> None:
         """Have the request try other upstreams, while there are some; the upstream may not be at fault."""
@@ -105,9 +105,9 @@
         is_lacking = attempt.is_cache_only and completion.outcome is AttemptOutcome.MISS
         return is_late or is_lacking or request.attempts_sent > MAX_RETRIES
 
-    def _may_ask_anew(self, attempt: Attempt, source: Upstream) -> bool:
+    def _can_retry_source(self, attempt: Attempt, source: Upstream) -> bool:
         """Whether a source may be asked, in a pause, for what it does not hold."""
-        if not self.fetch_limit.is_turn_due:
+        if not self.fetch_limit.is_retry_due:
             return False
         request: Request = attempt.request
         is_usable = self.placement.is_usable
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 
 from quincepier import interface as io
-from quincepier.context import TIMER_KIND_BITS, Context, HomeLookup, Part, TimerKind
+from quincepier.context import TIMER_KIND_BITS, Context, HomeLookup, RouterComponent, TimerKind
 from quincepier.policy.admission import Admission
-from quincepier.policy.early_refusal import EarlyRefusal
+from quincepier.policy.early_rejection import EarlyRejection
 from quincepier.policy.fetch_limit import FetchLimit
 from quincepier.policy.freshness import Freshness
 from quincepier.policy.latency import LatencyEstimates
@@ -24,8 +24,8 @@
 BOOST_EVERY = 10  # held requests for one object that add one to its weight (design)
 FLOOR_INTERVAL = SECOND  # ns; a tier that none left for so long goes first (design)
 SCAN_LIMIT = 16  # held objects of a tier that are looked through
-FIRST_ANSWERS = 8  # of all classes
-PROCESS_PAUSE = 2 * SECOND  # ns that the process stood still, after which all is found anew
+MIN_FIRST_RESPONSES = 8  # of all classes
+MIN_PROCESS_PAUSE = 2 * SECOND  # ns that the process stood still, after which all is found anew
 NEVER_RAN = frozenset(  # outcomes that prove it
     (
         io.AttemptOutcome.OVERLOADED,
@@ -36,7 +36,7 @@
 )
 
 
-class Router(Part):
+class Router(RouterComponent):
     """Decides on requests by the events that it is told, and never by another way than its parts.
 
     Args:
@@ -53,7 +53,7 @@
         super().__init__(Context(settings, seed, now))
         context = self.context
         self.recovery = RecoveryTracker(now)
-        self.answers = Coverage(FIRST_ANSWERS)
+        self.response_coverage = Coverage(MIN_FIRST_RESPONSES)
         self.queue = FairQueue[Request](TIER_WEIGHTS, now, BOOST_EVERY, FLOOR_INTERVAL, SCAN_LIMIT)
         self.attempts = AttemptTable()
         self.timers = PeriodicTimers(context, self.queue, self.attempts)
@@ -96,7 +96,7 @@
         )
         tier_by_worth = tiers({c.worth for c in settings.classes if not c.never_kept}, len(TIER_WEIGHTS))
         self.tiers = [tier_by_worth.get(c.worth, 0) for c in settings.classes]
-        self.early_refusal = EarlyRefusal(context, self.tiers)
+        self.early_rejection = EarlyRejection(context, self.tiers)
         self.find_home: HomeLookup | None = None
         self.expiries = list[tuple[int, Callable[[], None]]]()
 
@@ -130,8 +130,8 @@
         context = self.context
         settings = context.settings
         cls = settings.classes[event.cls]
-        self.answers.asked.add(event.cls)
-        is_behind = self.early_refusal.is_due(event)
+        self.response_coverage.expected.add(event.cls)
+        is_behind = self.early_rejection.is_due(event)
         if is_behind or event.time_left <= settings.step:
             self.responder.reject(event.request)
             context.log(self.recovery.on_request_finished(context.now, cls.worth, False))
@@ -149,7 +149,7 @@
     def on_endpoint_update(self, update: io.EndpointUpdate) -> None:
         """Take the endpoint list, or that it could not be read."""
         if update.scope is io.UpdateScope.FAILED:
-            self.context.set_timer(SECOND, TimerKind.RELIST)
+            self.context.set_timer(SECOND, TimerKind.ENDPOINT_LIST_RETRY)
         if update.scope is io.UpdateScope.RESTORED and self.context.settings.list_on_request:
             self.context.watch_endpoints()
         for upstream in self.placement.update(update).removed:
@@ -171,10 +171,12 @@
         completion = Completion(attempt, event)
         request = attempt.request
         self._learn(completion)
-        if completion.is_ok and self.answers.add(request.event.cls):  # each class asked for was answered
-            self.context.log(self.recovery.on_first_responses(self.context.now, self.answers.count))
+        if completion.is_ok and self.response_coverage.add(
+            request.event.cls
+        ):  # each class asked for was answered
+            self.context.log(self.recovery.on_first_responses(self.context.now, self.response_coverage.count))
         first = request.first_execution
-        if event.ending not in NEVER_RAN and (first is None or attempt.sent_at < first.at):
+        if event.ending not in NEVER_RAN and (first is None or attempt.sent_at < first.sent_at):
             request.first_execution = Execution(attempt.sent_at, attempt.upstream.endpoint)
         if self.requests.get(event.request) is request:
             if event.last:
@@ -188,7 +190,7 @@
         self.slow_start.refund_source(completion)
         if completion.is_ok:
             self.slow_start.on_served(completion)
-        self.fetch_limit.link.take(self.context.now, completion)
+        self.fetch_limit.link_load.on_completed(self.context.now, completion)
         self.latency.learn_slowness(completion)
         if completion.is_from_cache:
             self.placement.on_hit(completion)
@@ -207,26 +209,26 @@
                     self.context.fail(request_id)
             case TimerKind.QUEUE_TIMEOUT:
                 if request is not None and request.is_queued:
-                    self.admission.end_hold(request)
-            case TimerKind.RELIST:
+                    self.admission.on_hold_expired(request)
+            case TimerKind.ENDPOINT_LIST_RETRY:
                 self.context.watch_endpoints()
-            case TimerKind.RELEASE:
-                self.timers.release.fired()
+            case TimerKind.QUEUE_RELEASE:
+                self.timers.release.on_fired()
                 self.admission.release()
             case TimerKind.OVERDUE_CHECK:
-                self.check_overdue(self.timers.overdue.fired())
+                self.check_overdue(self.timers.overdue.on_fired())
 
     def check_overdue(self, delay: int) -> None:
         """Look at what is overdue, so many ns late; after a long pause of the process begin anew."""
         now = self.context.now
-        if delay >= PROCESS_PAUSE and self.answers.is_complete:
-            self.answers.restart()
-            self.fetch_limit.restart()
+        if delay >= MIN_PROCESS_PAUSE and self.response_coverage.is_complete:
+            self.response_coverage.restart()
+            self.fetch_limit.on_process_pause()
             self.context.log(self.recovery.on_process_pause(now, delay))
         if not self.queue:
             self.context.log(self.recovery.on_limit_idle(now))
         self.slow_start.learn_sizes(self.placement.table.by_kind)
-        self.placement.reweigh()
+        self.placement.update_weights()
         if delay <= OVERDUE_INTERVAL:  # else answers are still to come, as we stood still ourselves
             self.outliers.check_overdue(self.attempts.values())
         self.timers.schedule()
--- a/quincepier/policy/send_permission.py
+++ b/quincepier/policy/send_permission.py
@@ -21,38 +21,38 @@
 class Denial(Enum):
     """Why the first byte of an attempt must not be sent."""
 
-    CLIENT_LEFT = "client_left"
-    CLIENT_UNREAD = "client_unread"  # what it sent is not read yet, and may be an abort
-    ANSWERED = "answered"
+    CLIENT_DISCONNECTED = "client_left"
+    CLIENT_INPUT_UNREAD = "client_unread"  # what it sent is not read yet, and may be an abort
+    REQUEST_FINISHED = "answered"
     REVOKED = "revoked"  # by a purge, or as its server or source leaves
-    WINDOW_PASSED = "window_passed"  # a repeat now might do harm
-    DEADLINE_PASSED = "deadline_passed"
-    SECOND_COPY = "second_copy"  # an earlier attempt may still run, and none may run beside it
+    RETRY_WINDOW_EXPIRED = "window_passed"  # a repeat now might do harm
+    DEADLINE_EXPIRED = "deadline_passed"
+    CONCURRENT_ATTEMPT = "second_copy"  # an earlier attempt may still run, and none may run beside it
     LEASE_EXPIRED = "lease_expired"  # what it was decided by may not hold any more
 
 
 def find_denial(attempt: OpenAttempt, now_ns: int, is_lease_expired: bool = False) -> Denial | None:
     """Return why the attempt must not begin at `now_ns`, or None where it may."""
     if attempt.request.is_cancelled:
-        return Denial.CLIENT_LEFT
+        return Denial.CLIENT_DISCONNECTED
     if attempt.request.is_finished:
-        return Denial.ANSWERED
+        return Denial.REQUEST_FINISHED
     if attempt.is_revoked:
         return Denial.REVOKED
     if 0 < attempt.first_byte_deadline_ns <= now_ns:
-        return Denial.WINDOW_PASSED
+        return Denial.RETRY_WINDOW_EXPIRED
     if attempt.deadline_ns - now_ns < MIN_TIME_LEFT:
-        return Denial.DEADLINE_PASSED
+        return Denial.DEADLINE_EXPIRED
     if not attempt.request.allows_second_copy and any(other.may_run for other in attempt.request.attempts):
-        return Denial.SECOND_COPY
+        return Denial.CONCURRENT_ATTEMPT
     return Denial.LEASE_EXPIRED if is_lease_expired else None
 
 
-def wait_ms(attempt: OpenAttempt, now_ns: int) -> int:
+def server_deadline_ms(attempt: OpenAttempt, now_ns: int) -> int:
     """Return the deadline that the server is told, in milliseconds from `now_ns`."""
     return max((attempt.deadline_ns - now_ns) // MS, 1)
 
 
-def half_sent_until(attempt: OpenAttempt) -> int:
+def partial_command_deadline(attempt: OpenAttempt) -> int:
     """Return until when the rest of a command may wait whose first byte told the server's deadline, in ns."""
     return attempt.first_byte_at_ns + MAX_DEADLINE_ERROR
--- a/quincepier/policy/sending.py
+++ b/quincepier/policy/sending.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from quincepier.context import AttemptObserver, Context, Part
+from quincepier.context import AttemptObserver, Context, RouterComponent
 from quincepier.interface import DeduplicationScope, Idempotency
 from quincepier.policy.fetch_limit import FetchLimit
 from quincepier.policy.freshness import Freshness
@@ -13,7 +13,7 @@
 from quincepier.records import Attempt, AttemptTable, Request, Upstream
 
 
-class AttemptSender(Part):
+class AttemptSender(RouterComponent):
     """Rule two: nothing is sent that may run twice and do harm.
 
     Args:
@@ -62,7 +62,7 @@
         """
         settings = self.context.settings
         time_left = request.deadline - self.context.now
-        if request.attempts_sent >= settings.attempts or not self.may_send(request, to):
+        if request.attempts_sent >= settings.attempts or not self.can_send(request, to):
             return False
         if time_left <= settings.step:
             return False
@@ -80,11 +80,11 @@
         is_held = request.cls.never_kept or self.placement.is_known_hit(to, request)
         attempt.is_fetch = not (attempt.is_cache_only or is_held)
         # while fetches are paused the parents give what they hold; what they lack is asked for once a pause
-        is_paused = self.fetch_limit.is_paused and not in_pause
-        attempt.is_held_only = attempt.is_fetch and source is not None and is_paused
+        is_backing_off = self.fetch_limit.is_backing_off and not in_pause
+        attempt.is_source_cache_only = attempt.is_fetch and source is not None and is_backing_off
         self.fetch_limit.on_sent(attempt)
         self.attempts.open(attempt)
-        self.slow_start.book(attempt)
+        self.slow_start.charge(attempt)
         for upstream in attempt.upstreams:
             self.outliers.on_sent(upstream)
         return attempt
@@ -106,16 +106,16 @@
         first = request.first_execution
         if first is None or request.cls.effect is not Idempotency.KEYED:
             return 0
-        return first.at + request.cls.window - self.context.now
+        return first.sent_at + request.cls.window - self.context.now
 
-    def may_send(self, request: Request, upstream: Upstream) -> bool:
+    def can_send(self, request: Request, upstream: Upstream) -> bool:
         """Whether what ran of a request allows it to be sent there."""
         cls, first = request.cls, request.first_execution
         if cls.effect is Idempotency.SAFE or not request.may_have_run:
             return self.context.settings.second_copies or not request.open_attempts
         if cls.effect is Idempotency.UNSAFE or first is None or request.open_attempts:
             return False
-        if self.context.now - first.at >= cls.window:
+        if self.context.now - first.sent_at >= cls.window:
             return False
         if cls.group is DeduplicationScope.ALL:
             return True
--- a/quincepier/records.py
+++ b/quincepier/records.py
@@ -31,7 +31,7 @@
 class Execution:
     """When and where an attempt was sent that may have run."""
 
-    at: int
+    sent_at: int
     endpoint: Endpoint
 
 
@@ -40,14 +40,14 @@
 
     cls: int
     is_cached: bool
-    is_told: bool
+    is_size_known: bool
 
 
-class Warmth(NamedTuple):
+class WarmUpState(NamedTuple):
     """The part of its size that an upstream surely does, and how often that it stands in a window."""
 
-    share: float
-    multiple: float  # infinite: it is warm
+    capacity_share: float
+    overload_multiple: float  # infinite: it is warm
 
 
 class Upstream:
@@ -56,12 +56,12 @@
     def __init__(self, endpoint: Endpoint, slowness: DecayingMean, recent_objects: int) -> None:
         self.endpoint = endpoint
         self.started_at = endpoint.up_since  # as told, or as guessed from its failing
-        self.heard_at, self.failures = 0, 0.0  # its last sign of work, and the failures since
-        self.refused_by: Upstream | None = None  # the cache by which it gave nothing last
-        self.is_ejected, self.trial_at, self.ejection_time = False, 0, 0
+        self.last_response_at, self.failures = 0, 0.0  # its last sign of work, and the failures since
+        self.last_refused_cache: Upstream | None = None  # the cache by which it gave nothing last
+        self.is_ejected, self.trial_at, self.trial_interval = False, 0, 0
         self.draining_until = 0
         # slow-start budget: work that may be sent, as of when, and when it was begun
-        self.credit, self.credited_at, self.budget_since = 0.0, -1, -1
+        self.credit, self.credited_at, self.budget_started_at = 0.0, -1, -1
         self.slowness = slowness
         self.weight_step = 0  # its hash weight is halved by two steps
         self.in_flight: dict[tuple[int, int], Attempt] = {}
@@ -80,7 +80,7 @@
         self.key = mix(event.object, event.part)
         self.deadline = now + event.time_left
         kb = settings.client_kb_per_s
-        self.told_transfer_time = event.size_kb / kb * SECOND if kb else 0.0  # 0: not told
+        self.known_transfer_time = event.size_kb / kb * SECOND if kb else 0.0  # 0: not told
         self.attempts_sent, self.is_queued, self.has_response_started = 0, False, False
         self.first_execution: Execution | None = None
         self.excluded: list[Upstream] = []
@@ -101,8 +101,11 @@
         self.request, self.number, self.sent_at = request, number, sent_at
         self.upstream, self.source = upstream, source
         self.is_fetch = False  # counts against the fetch limit
-        self.is_cache_only, self.is_held_only = False, False  # of the cache's, of the source's own copies
-        self.booked_work = 0.0  # taken from slow-start budgets, ns
+        self.is_cache_only, self.is_source_cache_only = (
+            False,
+            False,
+        )  # of the cache's, of the source's own copies
+        self.charged_work = 0.0  # taken from slow-start budgets, ns
 
     @property
     def upstreams(self) -> list[Upstream]:
@@ -110,7 +113,7 @@
         return [self.upstream] if self.source is None else [self.upstream, self.source]
 
 
-Abandon = Callable[[Upstream], None]  # gives back what is in flight there
+AbandonUpstream = Callable[[Upstream], None]  # gives back what is in flight there
 
 
 class AttemptTable(dict[tuple[int, int], Attempt]):
@@ -136,23 +139,23 @@
         return attempt
 
 
-class LinkReport:
+class LinkLoad:
     """How much a zone's link slows transfers, as load reports told it; half counts after `half_life` ns."""
 
     def __init__(self, settings: Settings, half_life: int) -> None:
         self.zone, self.half_life = settings.zone, half_life
-        self.field = [*settings.reports, "link"].index("link")  # of a load report
-        self.told, self.told_at = 0.0, 0
+        self.report_index = [*settings.reports, "link"].index("link")  # of a load report
+        self.reported_slowdown, self.reported_at = 0.0, 0
 
-    def take(self, now: int, completion: Completion) -> None:
+    def on_completed(self, now: int, completion: Completion) -> None:
         """Of effect where a report of the zone tells of it."""
         report, zone = completion.event.report, completion.attempt.upstream.endpoint.zone
-        if len(report) > self.field and zone == self.zone:
-            self.told, self.told_at = report[self.field], now
+        if len(report) > self.report_index and zone == self.zone:
+            self.reported_slowdown, self.reported_at = report[self.report_index], now
 
-    def slowing(self, now: int) -> float:
+    def current_slowdown(self, now: int) -> float:
         """What is left of what was told."""
-        return self.told * math.exp2((self.told_at - now) / self.half_life)
+        return self.reported_slowdown * math.exp2((self.reported_at - now) / self.half_life)
 
 
 @dataclass(slots=True, frozen=True)
--- a/quincepier/recovery/__init__.py
+++ b/quincepier/recovery/__init__.py
@@ -5,7 +5,17 @@
 server, reads a clock or does I/O. See docs/recovery.md.
 """
 
-from quincepier.recovery.begin import Ramp, first_poll, fronts_that_ask
+from quincepier.recovery.initial_limits import (
+    DialLimit,
+    count_requesting_fronts,
+    draw_first_poll_wait_ms,
+)
 from quincepier.recovery.phases import RecoveryPhase, RecoveryTracker
 
-__all__ = ["Ramp", "RecoveryPhase", "RecoveryTracker", "first_poll", "fronts_that_ask"]
+__all__ = [
+    "DialLimit",
+    "RecoveryPhase",
+    "RecoveryTracker",
+    "count_requesting_fronts",
+    "draw_first_poll_wait_ms",
+]
--- a/quincepier/recovery/begin.py
+++ b/quincepier/recovery/initial_limits.py
@@ -3,17 +3,17 @@
 import random
 from collections.abc import Sequence
 
-LEAST_FIRST_POLL = 0.3  # of the usual wait; later polls of the fronts are out of step
-MAX_DIALS_OF_ALL = 16  # at once at one machine before one of its connections is up, of all fronts
+MIN_FIRST_POLL_SHARE = 0.3  # of the usual wait; later polls of the fronts are out of step
+MAX_INITIAL_DIALS_ALL_FRONTS = 16  # at once at one machine before one of its connections is up, of all fronts
 MAX_DIALS = 1024  # at once at one machine; as good as no limit
 
 
-def first_poll(chance: random.Random, wait_ms: int) -> int:
+def draw_first_poll_wait_ms(chance: random.Random, wait_ms: int) -> int:
     """Return how long the first poll may wait, ms: drawn, so that no two fronts go on in step."""
-    return max(int(chance.uniform(LEAST_FIRST_POLL, 1) * wait_ms), 1)
+    return max(int(chance.uniform(MIN_FIRST_POLL_SHARE, 1) * wait_ms), 1)
 
 
-def fronts_that_ask(fronts: int, by_zone: Sequence[int], zone: int) -> int:
+def count_requesting_fronts(fronts: int, by_zone: Sequence[int], zone: int) -> int:
     """Return how many fronts ask the machines of a zone: all, where no front stands there.
 
     Args:
@@ -25,7 +25,7 @@
     return own or max(fronts, 1)
 
 
-class Ramp:
+class DialLimit:
     """How many connections to one machine may be dialled at once.
 
     Doubled by each that comes up; the initial share again once one fails.
@@ -38,12 +38,12 @@
     """
 
     def __init__(self, fronts: int) -> None:
-        self.first = self.most = max(MAX_DIALS_OF_ALL // max(fronts, 1), 1)
+        self.initial_max_dials = self.max_dials = max(MAX_INITIAL_DIALS_ALL_FRONTS // max(fronts, 1), 1)
 
-    def up(self) -> None:
+    def on_connected(self) -> None:
         """Note that a connection came up."""
-        self.most = min(2 * self.most, MAX_DIALS)
+        self.max_dials = min(2 * self.max_dials, MAX_DIALS)
 
-    def failed(self) -> None:
+    def on_connect_failed(self) -> None:
         """Note that one did not come up."""
-        self.most = self.first
+        self.max_dials = self.initial_max_dials
--- a/quincepier/structures/backoff.py
+++ b/quincepier/structures/backoff.py
@@ -13,19 +13,19 @@
         end_below: an easing of a wait that is not longer than this ends it, ns.
     """
 
-    __slots__ = ("ease_factor", "end_below", "longest", "shortest", "wait")
+    __slots__ = ("decrease_factor", "max_wait", "min_wait", "reset_below", "wait")
 
     def __init__(self, shortest: int, longest: int, ease_factor: float, end_below: float) -> None:
-        self.shortest = shortest
-        self.longest = longest
-        self.ease_factor = ease_factor
-        self.end_below = end_below
+        self.min_wait = shortest
+        self.max_wait = longest
+        self.decrease_factor = ease_factor
+        self.reset_below = end_below
         self.wait = 0.0
 
     def increase(self) -> None:
         """Double the wait, within the bounds."""
-        self.wait = min(max(2 * self.wait, self.shortest), self.longest)
+        self.wait = min(max(2 * self.wait, self.min_wait), self.max_wait)
 
-    def ease(self) -> None:
+    def decrease(self) -> None:
         """Shorten the wait by the factor, or end it."""
-        self.wait = self.wait * self.ease_factor if self.wait > self.end_below else 0.0
+        self.wait = self.wait * self.decrease_factor if self.wait > self.reset_below else 0.0
--- a/quincepier/structures/coverage.py
+++ b/quincepier/structures/coverage.py
@@ -9,21 +9,26 @@
     """Complete once `min_count` were seen, of each kind that was asked for one at least."""
 
     def __init__(self, min_count: int) -> None:
-        self.min_count, self.asked, self.seen, self.is_complete = min_count, set[int](), Counter[int](), False
+        self.min_count, self.expected, self.counts, self.is_complete = (
+            min_count,
+            set[int](),
+            Counter[int](),
+            False,
+        )
 
     def add(self, kind: int) -> bool:
         """One of that kind was seen; whether it is that which completes."""
         if self.is_complete:
             return False
-        self.seen[kind] += 1
-        self.is_complete = self.count >= self.min_count and self.asked <= self.seen.keys()
+        self.counts[kind] += 1
+        self.is_complete = self.count >= self.min_count and self.expected <= self.counts.keys()
         return self.is_complete
 
     @property
     def count(self) -> int:
         """Of all kinds."""
-        return self.seen.total()
+        return self.counts.total()
 
     def restart(self) -> None:
         """Nothing was asked for or seen."""
-        self.asked, self.seen, self.is_complete = set(), Counter(), False
+        self.expected, self.counts, self.is_complete = set(), Counter(), False
--- a/quincepier/structures/token_bucket.py
+++ b/quincepier/structures/token_bucket.py
@@ -11,7 +11,7 @@
     def __init__(self, tokens: float, capacity: float) -> None:
         self.tokens, self.capacity = tokens, capacity
 
-    def put(self, amount: float) -> None:
+    def add(self, amount: float) -> None:
         """What does not fit is lost."""
         self.tokens = min(self.capacity, self.tokens + amount)
 
--- a/quincepier/upstream_table.py
+++ b/quincepier/upstream_table.py
@@ -20,8 +20,8 @@
     """
 
     removed: list[Upstream] = field(default_factory=list)
-    listed_again: list[tuple[Upstream, Endpoint]] = field(default_factory=list)
-    has_moved: bool = False
+    updated: list[tuple[Upstream, Endpoint]] = field(default_factory=list)
+    has_ranking_changed: bool = False
 
 
 class UpstreamTable:
@@ -31,8 +31,8 @@
         new_upstream: Makes the record of an endpoint that was not listed before; None: it is not kept.
     """
 
-    def __init__(self, new_upstream: Callable[[Endpoint], Upstream | None]) -> None:
-        self.new_upstream = new_upstream
+    def __init__(self, create_upstream: Callable[[Endpoint], Upstream | None]) -> None:
+        self.create_upstream = create_upstream
         self.by_id: dict[int, Upstream] = {}
         self.caches: list[Upstream] = []
         self.parents: list[Upstream] = []
@@ -47,24 +47,24 @@
             gone |= self.by_id.keys() - {e.cache for e in update.machines}
         for cache in sorted(gone & self.by_id.keys()):
             change.removed.append(self.by_id.pop(cache))
-        change.has_moved = bool(change.removed)
+        change.has_ranking_changed = bool(change.removed)
         for endpoint in update.machines:
             if endpoint.cache not in gone:
                 self._apply_endpoint(endpoint, change)
-        if change.has_moved:
+        if change.has_ranking_changed:
             self._group(settings)
         return change
 
     def _apply_endpoint(self, endpoint: Endpoint, change: TableChange) -> None:
         upstream = self.by_id.get(endpoint.cache)
         if upstream is None:
-            upstream = self.new_upstream(endpoint)
+            upstream = self.create_upstream(endpoint)
             if upstream is not None:
                 self.by_id[endpoint.cache] = upstream
-                change.has_moved = True
+                change.has_ranking_changed = True
             return
-        change.listed_again.append((upstream, upstream.endpoint))
-        change.has_moved = change.has_moved or endpoint.size != upstream.endpoint.size
+        change.updated.append((upstream, upstream.endpoint))
+        change.has_ranking_changed = change.has_ranking_changed or endpoint.size != upstream.endpoint.size
         upstream.endpoint = endpoint
 
     def _group(self, settings: Settings) -> None:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -60,7 +60,7 @@
 
 
 def cold() -> None:
-    SlowStart.has_room = lambda self, upstream: True  # type: ignore[method-assign]
+    SlowStart.has_budget = lambda self, upstream: True  # type: ignore[method-assign]
 
 
 def silent() -> None:
@@ -107,8 +107,8 @@
 
 
 def more_than_is_left() -> None:
-    plain = send_permission.wait_ms
-    vars(connection)["wait_ms"] = lambda attempt, now_ns: plain(attempt, now_ns) + 400
+    plain = send_permission.server_deadline_ms
+    vars(connection)["server_deadline_ms"] = lambda attempt, now_ns: plain(attempt, now_ns) + 400
 
 
 def begins_for_who_left() -> None:
@@ -140,7 +140,7 @@
     connection.Connection._find_denial = lambda self, attempt: None  # type: ignore[method-assign]
     vars(cache)["find_denial"] = lambda attempt, now_ns: None
     vars(module)["check_first_byte"] = lambda attempt, checks: None
-    vars(connection)["wait_ms"] = lambda attempt, now_ns: 1
+    vars(connection)["server_deadline_ms"] = lambda attempt, now_ns: 1
     CommandWriter.remove = lambda self, what: None  # type: ignore[method-assign]
 
 
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -328,9 +328,9 @@
     first, second = attempts(allows_second_copy=False)
     assert find_denial(second, 1) is None
     first.on_first_byte(1)
-    assert find_denial(second, 2) is Denial.SECOND_COPY
+    assert find_denial(second, 2) is Denial.CONCURRENT_ATTEMPT
     first.on_cancelled()
-    assert find_denial(second, 3) is Denial.SECOND_COPY
+    assert find_denial(second, 3) is Denial.CONCURRENT_ATTEMPT
     first.on_closed(4)
     assert find_denial(second, 5) is None
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -208,7 +208,7 @@
         bench.wait(100 * MS)
         new = replace(machine(PARENTS[0], PARENT, bench.now), size=1.0)
         bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (new,)))
-        assert not bench.router.slow_start.has_room(
+        assert not bench.router.slow_start.has_budget(
             bench.router.placement.table.by_id[PARENTS[0]]
         )  # it begins in debt
         bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
@@ -227,7 +227,7 @@
     for _ in range(2):  # the last look while it is cold
         bench.wait(7 * SECOND)
         bench.router.context.now = bench.now
-        bench.router.slow_start.has_room(node)
+        bench.router.slow_start.has_budget(node)
     assert node.credit > 0
     bench.wait(3 * SECOND)
     for number in range(1, 61):
@@ -235,26 +235,26 @@
             bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
     again = replace(node.endpoint, up_since=started + 13 * SECOND)
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (again,)))
-    bench.router.slow_start.has_room(node)
+    bench.router.slow_start.has_budget(node)
     assert -WORK * SECOND <= node.credit <= 0, node.credit / SECOND  # one request at most
 
 
 def first_credits_at_once(patch: pytest.MonkeyPatch) -> None:
     """Each front may ask for one as it hears of the start."""
-    plain = SlowStart.has_room
+    plain = SlowStart.has_budget
 
-    def has_room(self: SlowStart, upstream: Upstream) -> bool:
-        new = upstream.budget_since < upstream.started_at
+    def has_budget(self: SlowStart, upstream: Upstream) -> bool:
+        new = upstream.budget_started_at < upstream.started_at
         may = plain(self, upstream)
         if new:
             upstream.credit = 0.0
         return may or new
 
-    patch.setattr(SlowStart, "has_room", has_room)
+    patch.setattr(SlowStart, "has_budget", has_budget)
 
 
 def whole_budget_each(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(SlowStart, "sharers", lambda self, upstream: 1)
+    patch.setattr(SlowStart, "count_fronts", lambda self, upstream: 1)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -223,7 +223,7 @@
         await asyncio.sleep(0.01)
         router, new = place.front.module.router, place.front.module.directory.assign_number("s-9")
         upstream = router.placement.table.by_id[new]
-        assert upstream.started_at > 0 and router.slow_start.warmth(upstream).share < 1
+        assert upstream.started_at > 0 and router.slow_start.warm_up_state(upstream).capacity_share < 1
 
     play(monkeypatch, story)
 
--- a/tests/test_decision_recorder.py
+++ b/tests/test_decision_recorder.py
@@ -141,7 +141,7 @@
     "stale rankings": (Placement, "rank", first_ranking),
     "sizes passed over": (Placement, "rank", unweighted),
     "an ejected endpoint is used": (Placement, "is_usable", always_true),
-    "warm-up budget passed over": (SlowStart, "has_room", always_true),
+    "warm-up budget passed over": (SlowStart, "has_budget", always_true),
 }
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -134,7 +134,7 @@
 
     def __init__(self, *about: Any) -> None:
         super().__init__(*about)
-        self.sender.may_send = lambda request, upstream: True  # type: ignore[method-assign]
+        self.sender.can_send = lambda request, upstream: True  # type: ignore[method-assign]
 
 
 def test_a_module_that_repeats_bids_is_found_by_the_judge(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_largest.py
+++ b/tests/test_large_objects.py
@@ -180,12 +180,12 @@
 
 
 def refuses_large(patch: pytest.MonkeyPatch) -> None:
-    plain = Placement.is_crowded
+    plain = Placement.is_saturated
 
     def crowded(self: Placement, node: Upstream | None, req: Request) -> bool:
         return self.latency.transfer_time(req) > 300 * MS or plain(self, node, req)
 
-    patch.setattr(Placement, "is_crowded", crowded)
+    patch.setattr(Placement, "is_saturated", crowded)
 
 
 def slow_is_silent(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -153,7 +153,7 @@
     ages = EventAges(unix, now)
     event_ms = unix // clock.MS
     later = now + clock.SECOND
-    ages.observe(unix + clock.SECOND + step * clock.SECOND, later)
+    ages.observe_clocks(unix + clock.SECOND + step * clock.SECOND, later)
     assert 0 <= ages.age_of(event_ms, later) <= clock.SECOND
     assert later - clock.SECOND <= ages.start_of(event_ms, later) <= later
 
@@ -162,10 +162,10 @@
     unix, now = 1_764_576_000 * clock.SECOND, 1000 * clock.SECOND
     ages = EventAges(unix + 3600 * clock.SECOND, now)  # stepped before the front started
     event_ms = unix // clock.MS
-    assert ages.age_of_news(event_ms, now, now - clock.SECOND) == 0
+    assert ages.age_of_new_event(event_ms, now, now - clock.SECOND) == 0
     right = EventAges(unix, now)
-    assert right.age_of_news(event_ms - 500, now, now - clock.SECOND) == 499 * clock.MS
-    assert right.age_of_news(event_ms - 500, now, 0) == 499 * clock.MS
+    assert right.age_of_new_event(event_ms - 500, now, now - clock.SECOND) == 499 * clock.MS
+    assert right.age_of_new_event(event_ms - 500, now, 0) == 499 * clock.MS
 
 
 def test_bodies_leave_the_reserved_buffers_to_connections() -> None:
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -16,7 +16,7 @@
 from quincepier.interface import AttemptOutcome, CacheStatus, DeduplicationScope, Idempotency
 from quincepier.keys import MEMORY_MOST
 from quincepier.memory.machine_directory import MachineDirectory
-from quincepier.recovery import fronts_that_ask
+from quincepier.recovery import count_requesting_fronts
 from quincepier.translate import class_table, open_request, serve_fields
 from quincepier.wire.fastcgi import Call
 from quincepier.wire.lines import serve
@@ -97,9 +97,11 @@
             work = (sum(at > self.now - s.cold_window for at in sent) - 1) * min(
                 self.router.latency.transfer_times.means
             )
-            size = m.size if s.sizes_compare else max(self.router.slow_start.sizes.get(m.kind, 1.0), 1.0)
+            size = (
+                m.size if s.sizes_compare else max(self.router.slow_start.learned_sizes.get(m.kind, 1.0), 1.0)
+            )
             stands = multiple * least * size * s.cold_window
-            assert work * fronts_that_ask(s.fronts, s.fronts_by_zone, m.zone) <= stands
+            assert work * count_requesting_fronts(s.fronts, s.fronts_by_zone, m.zone) <= stands
 
     def check_final(self, action: io.Action, request: int) -> None:
         cls = self.site.classes[self.owed[request][0].cls] if request in self.owed else None
--- a/tests/test_policy_parts.py
+++ b/tests/test_policy_components.py
@@ -13,7 +13,7 @@
 from quincepier.interface import AttemptOutcome, CacheStatus, DeduplicationScope, Idempotency
 from quincepier.policy.fetch_limit import INITIAL_LIMIT, LINK_HALF_LIFE, MAX_LIMIT, MIN_BACKOFF, FetchLimit
 from quincepier.policy.freshness import PURGE_MARGIN, Freshness
-from quincepier.policy.responses import LEAST_RETRY_AFTER, Responder
+from quincepier.policy.responses import MIN_RETRY_AFTER_SHARE, Responder
 from quincepier.policy.sending import AttemptSender
 from quincepier.records import AttemptTable, Completion, Execution, Request, Upstream
 from quincepier.structures import DecayingMean, FairQueue
@@ -83,7 +83,7 @@
 
     def fetch(self) -> Any:
         attempt: Any = SimpleNamespace(
-            request=self.request, upstream=CACHE, source=SOURCE, is_fetch=True, is_held_only=False
+            request=self.request, upstream=CACHE, source=SOURCE, is_fetch=True, is_source_cache_only=False
         )
         self.limit.on_sent(attempt)
         return attempt
@@ -137,7 +137,11 @@
 def test_no_fetch_begins_at_the_limit_and_an_abandoned_one_gives_its_slot_back_once() -> None:
     bench = FetchLimitBench()
     attempts = bench.fill()
-    assert bench.limit.is_blocked(bench.request) and bench.limit.is_nearly_full and not bench.limit.has_spare
+    assert (
+        bench.limit.is_blocked(bench.request)
+        and bench.limit.is_nearly_full
+        and not bench.limit.has_spare_capacity
+    )
     for _ in range(2):
         bench.limit.on_abandoned(attempts[0])
     assert bench.limit.in_flight == INITIAL_LIMIT - 1 and not bench.limit.is_blocked(bench.request)
@@ -147,7 +151,7 @@
 def test_no_fetch_begins_over_a_link_that_is_told_to_be_full(slowing: float, is_blocked: bool) -> None:
     """An objective of four transfer times bears a link slowed four times."""
     bench = FetchLimitBench(reports=("link",))
-    bench.limit.link.told, bench.limit.link.told_at = slowing, NOW
+    bench.limit.link_load.reported_slowdown, bench.limit.link_load.reported_at = slowing, NOW
     assert bench.limit.is_blocked(bench.request) is is_blocked
 
 
@@ -165,17 +169,17 @@
 def test_refused_fetches_pause_those_that_follow_and_a_source_that_broke_does_not() -> None:
     bench = FetchLimitBench()
     bench.end(bench.fetch(), AttemptOutcome.OVERLOADED, CacheStatus.SOURCE_BROKEN)
-    assert not bench.limit.is_paused
+    assert not bench.limit.is_backing_off
     bench.end(bench.fetch(), AttemptOutcome.OVERLOADED)
-    assert bench.limit.is_paused and not bench.limit.is_turn_due
-    assert NOW + MIN_BACKOFF // 2 <= bench.limit.next_at <= NOW + 3 * MIN_BACKOFF // 2
-    bench.context.now = bench.limit.next_at
-    assert bench.limit.is_turn_due
-    bench.limit.take_turn()
-    assert not bench.limit.is_turn_due
+    assert bench.limit.is_backing_off and not bench.limit.is_retry_due
+    assert NOW + MIN_BACKOFF // 2 <= bench.limit.next_retry_at <= NOW + 3 * MIN_BACKOFF // 2
+    bench.context.now = bench.limit.next_retry_at
+    assert bench.limit.is_retry_due
+    bench.limit.schedule_next_retry()
+    assert not bench.limit.is_retry_due
     for _ in range(2):
         bench.end(bench.fetch())
-    assert not bench.limit.is_paused
+    assert not bench.limit.is_backing_off
 
 
 def test_ages_are_those_of_the_class_until_a_purge_and_never_from_before_it() -> None:
@@ -213,11 +217,11 @@
 ) -> None:
     settings = make_settings(classes=(make_class(effect=Idempotency.KEYED, group=scope),))
     sender, request = make_sender(settings), make_request(settings)
-    assert all(sender.may_send(request, to) for to in (CACHE, OTHER, ZONE_AWAY))
+    assert all(sender.can_send(request, to) for to in (CACHE, OTHER, ZONE_AWAY))
     request.first_execution = Execution(NOW - 5 * SECOND + 1, CACHE.endpoint)
-    assert [sender.may_send(request, to) for to in (CACHE, OTHER, ZONE_AWAY)] == allowed
+    assert [sender.can_send(request, to) for to in (CACHE, OTHER, ZONE_AWAY)] == allowed
     request.first_execution = Execution(NOW - 5 * SECOND, CACHE.endpoint)
-    assert not any(sender.may_send(request, to) for to in (CACHE, OTHER, ZONE_AWAY))
+    assert not any(sender.can_send(request, to) for to in (CACHE, OTHER, ZONE_AWAY))
 
 
 @pytest.mark.parametrize("effect", list(Idempotency))
@@ -228,7 +232,7 @@
     settings = make_settings(classes=(make_class(effect=effect),), second_copies=second_copies)
     sender, request = make_sender(settings), make_request(settings)
     request.open_attempts[0] = SimpleNamespace()  # type: ignore[assignment]
-    assert sender.may_send(request, OTHER) is (effect is Idempotency.SAFE and second_copies)
+    assert sender.can_send(request, OTHER) is (effect is Idempotency.SAFE and second_copies)
 
 
 @pytest.mark.parametrize(
@@ -257,7 +261,7 @@
     assert log == io.WriteLog("not in time")
     if is_rejected:
         assert isinstance(answer, io.RejectRequest)
-        assert LEAST_RETRY_AFTER * 500 * MS <= answer.retry_after <= 500 * MS
+        assert MIN_RETRY_AFTER_SHARE * 500 * MS <= answer.retry_after <= 500 * MS
     else:
         assert answer == io.FailRequest(1)
     assert not queue and not responder.requests
--- a/tests/test_policy_mechanism.py
+++ b/tests/test_policy_mechanism.py
@@ -10,7 +10,7 @@
 
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome, CacheStatus, UpdateScope
-from quincepier.policy.placement import CROWDED_SHARE
+from quincepier.policy.placement import SATURATION_SHARE
 from quincepier.records import Attempt, Request, Upstream
 from tests.rig import (
     CACHES,
@@ -241,7 +241,7 @@
     bench.end(seen, AttemptOutcome.OK, CacheStatus.HIT)
     bench.router.latency.transfer_times.means[0] = 0.5 * SECOND
     out = [a for n in range(10, 30) for a in attempts(bench.ask(n, obj=7, part=0))]
-    stands = CROWDED_SHARE * (500 / 500 + 2)  # part of the slowing that the class stands
+    stands = SATURATION_SHARE * (500 / 500 + 2)  # part of the slowing that the class stands
     assert len(out) == int(stands * 4 / 2)  # a link of 4 transfers, shared by two fronts
     freed = attempts(bench.end(out[0], AttemptOutcome.OK, CacheStatus.HIT, elapsed=500 * MS))
     assert freed
@@ -317,7 +317,7 @@
 def test_source_that_gives_nothing_of_what_it_holds_is_set_aside() -> None:
     """Where no notes tell whose fault a failed fill was, a parent asked for its own copies alone shows it."""
     bench = Bench()
-    bench.router.fetch_limit.backoff.wait, bench.router.fetch_limit.next_at = (
+    bench.router.fetch_limit.backoff.wait, bench.router.fetch_limit.next_retry_at = (
         float(SECOND),
         bench.now + SECOND,
     )
@@ -458,7 +458,7 @@
 def test_refusals_at_one_cache_are_no_sign_against_the_source() -> None:
     """Where no notes tell, a cache with no place for a fill looks like a parent that gives nothing."""
     bench = Bench()
-    bench.router.fetch_limit.backoff.wait, bench.router.fetch_limit.next_at = (
+    bench.router.fetch_limit.backoff.wait, bench.router.fetch_limit.next_retry_at = (
         float(SECOND),
         bench.now + SECOND,
     )
@@ -504,11 +504,11 @@
     bench = Bench()
     router = bench.router
     order = router.placement.rank(router.placement.table.caches, 5)
-    router.placement.reweigh()
+    router.placement.update_weights()
     assert router.placement.rank(router.placement.table.caches, 5) is order
     for _ in range(9):
         order[0].slowness.add(bench.now, 2.0)
-    router.placement.reweigh()
+    router.placement.update_weights()
     assert router.placement.rank(router.placement.table.caches, 5) is not order and order[0].weight_step > 0
 
 
@@ -535,7 +535,7 @@
     waiting = [a for n in range(100, 140) for a in attempts(bench.ask(n, obj=n))]
     assert len(waiting) > 8
     for a in waiting:  # the caches themselves are heard from
-        bench.router.placement.table.by_id[a.cache].heard_at = bench.now + 1
+        bench.router.placement.table.by_id[a.cache].last_response_at = bench.now + 1
     bench.wait(1700 * MS)
     parents = [bench.router.placement.table.by_id[p].is_ejected for p in PARENTS]
     assert not any(parents) if slow else all(parents)
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -290,9 +290,9 @@
 
 GUARDS: list[tuple[type, str, Callable[..., object]]] = [
     (Freshness, "max_age", no_age),
-    (AttemptSender, "may_send", always),
+    (AttemptSender, "can_send", always),
     (Placement, "is_usable", always),
-    (SlowStart, "has_room", always),
+    (SlowStart, "has_budget", always),
 ]
 
 
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -153,11 +153,11 @@
     bench = Bench()
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (machine(PARENTS[0], 1, up_since=bench.now),)))
     node = bench.router.placement.table.by_id[PARENTS[0]]
-    bench.router.slow_start.has_room(node)  # starts in debt
+    bench.router.slow_start.has_budget(node)  # starts in debt
     bench.router.context.now += SECOND
-    assert bench.router.slow_start.has_room(node)
+    assert bench.router.slow_start.has_budget(node)
     node.credit -= 100.0 * SECOND
-    assert not bench.router.slow_start.has_room(node)
+    assert not bench.router.slow_start.has_budget(node)
 
 
 @pytest.mark.parametrize("fronts", [20, 210])
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -13,7 +13,13 @@
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState, UpdateScope
 from quincepier.policy.fetch_limit import INITIAL_LIMIT
-from quincepier.recovery import Ramp, RecoveryPhase, RecoveryTracker, first_poll, fronts_that_ask
+from quincepier.recovery import (
+    DialLimit,
+    RecoveryPhase,
+    RecoveryTracker,
+    count_requesting_fronts,
+    draw_first_poll_wait_ms,
+)
 from quincepier.recovery.learned_facts import (
     MAX_CLASS_AGE,
     MAX_DRAIN_AGE,
@@ -126,23 +132,26 @@
 
 
 def test_polls_of_fronts_that_start_together_do_not_stay_in_step() -> None:
-    waits = [first_poll(random.Random(seed), 1000) for seed in range(200)]
+    waits = [draw_first_poll_wait_ms(random.Random(seed), 1000) for seed in range(200)]
     assert min(waits) >= 300 and max(waits) <= 1000
     assert max(sum(w <= other < w + 250 for other in waits) for w in waits) <= 0.5 * len(waits)
 
 
 def test_the_dial_limit_of_a_machine_doubles_with_each_established_connection() -> None:
-    ramp = Ramp(fronts_that_ask(180, (0, 8), 0))  # a parent: all fronts ask it
-    assert ramp.most == 1
+    ramp = DialLimit(count_requesting_fronts(180, (0, 8), 0))  # a parent: all fronts ask it
+    assert ramp.max_dials == 1
     for most in (2, 4, 8):
-        ramp.up()
-        assert ramp.most == most
-    ramp.failed()
-    assert ramp.most == 1
-    assert Ramp(fronts_that_ask(180, (0, 8), 1)).most == 2 and Ramp(fronts_that_ask(2, (), 5)).most == 8
+        ramp.on_connected()
+        assert ramp.max_dials == most
+    ramp.on_connect_failed()
+    assert ramp.max_dials == 1
+    assert (
+        DialLimit(count_requesting_fronts(180, (0, 8), 1)).max_dials == 2
+        and DialLimit(count_requesting_fronts(2, (), 5)).max_dials == 8
+    )
     for _ in range(20):
-        ramp.up()
-    assert ramp.most == 1024
+        ramp.on_connected()
+    assert ramp.max_dials == 1024
 
 
 # The first endpoint list
--- a/tests/test_standing_cold.py
+++ b/tests/test_standing_cold.py
@@ -87,7 +87,7 @@
 
 def all_at_once(patch: pytest.MonkeyPatch) -> None:
     """Each front takes the whole budget for its own."""
-    patch.setattr(SlowStart, "sharers", lambda self, upstream: 1)
+    patch.setattr(SlowStart, "count_fronts", lambda self, upstream: 1)
 
 
 def once(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -109,7 +109,7 @@
     bucket = TokenBucket(1.5, 2.0)
     assert bucket.take() and not bucket.take()
     for _ in range(9):
-        bucket.put(0.5)
+        bucket.add(0.5)
     assert bucket.tokens == 2.0
 
 
@@ -120,7 +120,7 @@
         waits.append(backoff.wait)
     assert waits == [100, 200, 350, 350]
     for _ in range(3):
-        backoff.ease()
+        backoff.decrease()
     assert backoff.wait == 0
 
 
@@ -178,16 +178,16 @@
 
 def test_a_purge_of_a_group_counts_for_all_its_objects() -> None:
     log = PurgeLog(16)
-    assert log.last(3, 7) == -1
-    log.purge(3, 7, 10, 0)
-    log.purge(3, 0, 5, 0)
-    log.purge(3, 7, 8, 0)  # told late: the later one stays
-    assert (log.last(3, 7), log.last(3, 8), log.last(4, 8)) == (10, 5, -1)
+    assert log.last_purge_at(3, 7) == -1
+    log.record_purge(3, 7, 10, 0)
+    log.record_purge(3, 0, 5, 0)
+    log.record_purge(3, 7, 8, 0)  # told late: the later one stays
+    assert (log.last_purge_at(3, 7), log.last_purge_at(3, 8), log.last_purge_at(4, 8)) == (10, 5, -1)
 
 
 def test_coverage_is_complete_once_with_one_of_each_kind_asked_for() -> None:
     coverage = Coverage(3)
-    coverage.asked |= {1, 2}
+    coverage.expected |= {1, 2}
     assert [coverage.add(kind) for kind in (1, 1, 1, 2, 2)] == [False, False, False, True, False]
     coverage.restart()
     assert not coverage.is_complete and coverage.count == 0
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -74,8 +74,8 @@
         inside = Inside(ONE)
         wire = await inside.served(BID)
         cache = inside.cache("o-1")
-        at_once = cache.ramp.most
-        assert at_once > cache.ramp.first
+        at_once = cache.ramp.max_dials
+        assert at_once > cache.ramp.initial_max_dials
         monkeypatch.setattr(Breaking, "takes_nothing", True)
         request = inside.ask(BID)
         await until(lambda: any(c.outgoing for c in inside.connections()), "it waits for its socket")
@@ -85,7 +85,7 @@
         monkeypatch.setattr(Breaking, "error", 0)
         monkeypatch.setattr(Breaking, "takes_nothing", False)
         assert inside.endings(request)[0] is AttemptOutcome.NOT_PROCESSED
-        assert cache.ramp.most >= at_once
+        assert cache.ramp.max_dials >= at_once
         again = await inside.out(request)
         again.answer(request.job_id)
         assert await inside.status(request) == 200
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -193,10 +193,10 @@
 def test_a_purge_long_before_the_newest_of_the_first_list_is_as_old_as_the_log_says() -> None:
     """What has settled long ago forbids no copy."""
     ages = EventAges(unix_ns=0, now_ns=0)
-    ages.observe_log(2_000_000)
+    ages.observe_log_date(2_000_000)
     day = 86_400 * clock.SECOND
-    assert ages.age_at_start(1_000_000, day) == 1000 * clock.SECOND
-    assert ages.age_at_start(2_000_000, day) == 0
+    assert ages.age_of_initial_event(1_000_000, day) == 1000 * clock.SECOND
+    assert ages.age_of_initial_event(2_000_000, day) == 0
     assert (
-        ages.age_at_start(1_999_000, 1_999_500 * clock.MS) == 499 * clock.MS
+        ages.age_of_initial_event(1_999_000, 1_999_500 * clock.MS) == 499 * clock.MS
     )  # by the clock, if that is less
