--- a/quincepier/context.py
+++ b/quincepier/context.py
@@ -1,6 +1,7 @@
-"""What the parts of one router share while it handles an event: settings, time, chance, actions.
+"""State that the components of one router share while it handles an event.
 
-Nothing here decides; times are in nanoseconds.
+It holds the settings, the time, the random numbers and the actions. Nothing here makes a decision. Times are
+in nanoseconds.
 """
 
 from __future__ import annotations
@@ -26,12 +27,16 @@
 from quincepier.records import Attempt, Upstream
 
 TIMER_KIND_BITS = 3
-HomeLookup = Callable[[RequestReceived], HomeShard | None]  # None: on any upstream
-AttemptObserver = Callable[[RequestReceived, Upstream, Upstream | None], None]  # with its source
+HomeLookup = Callable[[RequestReceived], HomeShard | None]  # None: any upstream may serve the request
+AttemptObserver = Callable[[RequestReceived, Upstream, Upstream | None], None]  # request, upstream, source
 
 
 class TimerKind(IntEnum):
-    """What a timer is for, in the lowest bits of its token; the rest is the request it is about."""
+    """The purpose of a timer.
+
+    It is stored in the lowest `TIMER_KIND_BITS` bits of the timer's token; the higher bits are the id of the
+    request.
+    """
 
     DEADLINE = 0
     QUEUE_TIMEOUT = 1
@@ -41,7 +46,19 @@
 
 
 class Context:
-    """What the parts of one router share while it handles an event."""
+    """The state that all components of one router share.
+
+    Args:
+        settings: Settings of the deployment.
+        seed: Seed of the random numbers.
+        now: Start time, ns.
+
+    Attributes:
+        settings: The present settings.
+        now: Time of the event that is being handled, ns.
+        random: The only source of random numbers of the router.
+        actions: Actions that the present event has caused so far, in order.
+    """
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.settings, self.now = settings, now
@@ -49,25 +66,31 @@
         self.actions: list[Action] = []
 
     def log(self, lines: Iterable[str]) -> None:
-        """A log line each."""
+        """Write each text as a line to the log."""
         self.actions += map(WriteLog, lines)
 
     def reject(self, request: int, retry_after: int) -> None:
-        """The final answer that the client may try again, after so many ns."""
+        """Reject a request: the client may send it again after `retry_after` ns."""
         self.actions.append(RejectRequest(request, retry_after))
 
     def fail(self, request: int) -> None:
-        """The final answer that the request failed."""
+        """Report to the client that the request has failed."""
         self.actions.append(FailRequest(request))
 
     def cancel(self, attempt: Attempt) -> None:
-        """An attempt that nobody waits for any more."""
+        """Cancel an attempt whose response is no longer needed."""
         self.actions.append(CancelAttempt(attempt.request.id, attempt.number))
 
     def forward(self, attempt: Attempt, timeout: int, within: int) -> None:
-        """To an upstream that answers out of its own."""
-        to = attempt.upstream.endpoint.cache
-        self.actions.append(ForwardRequest(attempt.request.id, to, timeout, within))
+        """Send an attempt to an upstream that answers without fetching from a source.
+
+        Args:
+            attempt: The attempt.
+            timeout: Time until the attempt times out, ns.
+            within: Time within which its first byte may be sent, ns; 0: no limit.
+        """
+        target = attempt.upstream.endpoint.cache
+        self.actions.append(ForwardRequest(attempt.request.id, target, timeout, within))
 
     def fetch(
         self,
@@ -80,38 +103,60 @@
         renew: bool,
         within: int,
     ) -> None:
-        """Through a cache, from a source where it has no copy; the cache itself: none."""
-        to, by = attempt.upstream.endpoint.cache, source.endpoint.cache
+        """Send an attempt to a cache, which fetches the object from a source if it has no usable copy.
+
+        Args:
+            attempt: The attempt.
+            source: The source of the fetch; the cache itself: it must not fetch.
+            rank: Tier of the source in the cache hierarchy, from 1.
+            timeout: Time until the attempt times out, ns.
+            max_age: Maximum age of the copy that is served, ns; 0: that of the request class.
+            join: Whether the attempt may share a fetch of the same object that is already in flight.
+            renew: Whether the cache shall renew a copy that has expired.
+            within: Time within which the first byte of the attempt may be sent, ns; 0: no limit.
+        """
+        target, source_id = attempt.upstream.endpoint.cache, source.endpoint.cache
         action = FetchThrough(
-            attempt.request.id, to, timeout, by, rank, max_age, join, renew, attempt.is_source_cache_only
+            attempt.request.id,
+            target,
+            timeout,
+            source_id,
+            rank,
+            max_age,
+            join,
+            renew,
+            attempt.is_source_cache_only,
         )
         action.within = within
         self.actions.append(action)
 
     def watch_endpoints(self) -> None:
-        """Ask for the endpoint list and its changes."""
+        """Request the endpoint list and its changes."""
         self.actions.append(WatchEndpoints())
 
     def set_timer(self, wait: float, kind: TimerKind, request: int | None = None) -> None:
-        """A timer about a request need not fire once the request is over."""
+        """Set a timer that fires after `wait` ns.
+
+        A timer of a request need not fire once the request has its final response.
+        """
         token = (request or 0) << TIMER_KIND_BITS | kind
         self.actions.append(SetTimer(int(wait), token, -1 if request is None else request))
 
 
 class RouterComponent:
-    """A part of a router, with short ways to what all of them share."""
+    """Base of the components of a router: gives access to the shared state."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
 
     @property
     def now(self) -> int:
-        """When the event came that is handled, ns."""
+        """Time of the event that is being handled, ns."""
         return self.context.now
 
     @property
     def settings(self) -> Settings:
-        """As they are now, for all parts."""
+        """The present settings, shared by all components."""
         return self.context.settings
 
     @settings.setter
@@ -120,32 +165,38 @@
 
 
 class LimitedLog:
-    """Log lines up to a number; what comes then is only counted."""
+    """Writes up to `max_lines` log lines; further lines are only counted."""
 
     def __init__(self, context: Context, max_lines: int) -> None:
         self.context, self.max_lines, self.lines = context, max_lines, 0
 
     def write(self, text: str) -> None:
-        """One line."""
+        """Write a line, unless the limit is reached."""
         if self.lines < self.max_lines:
             self.context.log([text])
         self.lines += 1
 
 
 class IntervalTimer:
-    """A timer of the router's own that is set once at a time."""
+    """A timer that is not bound to a request; it is never set twice at the same time.
+
+    Attributes:
+        interval: Time until it fires, ns.
+        is_set: Whether it is set and has not fired.
+        due_at: Time at which it was to fire last, ns.
+    """
 
     def __init__(self, context: Context, kind: TimerKind, interval: int) -> None:
         self.context, self.kind, self.interval = context, kind, interval
         self.is_set, self.due_at = False, context.now
 
-    def set_if_needed(self, wanted: object) -> None:
-        """Of no effect while it is set, or where nothing is there to look at."""
-        if wanted and not self.is_set:
+    def set_if_needed(self, pending: object) -> None:
+        """Set the timer if `pending` is not empty and the timer is not set yet."""
+        if pending and not self.is_set:
             self.is_set, self.due_at = True, self.context.now + self.interval
             self.context.set_timer(self.interval, self.kind)
 
     def on_fired(self) -> int:
-        """How late it is, ns."""
+        """Note that the timer fired; return its delay, ns."""
         self.is_set = False
         return self.context.now - self.due_at
--- a/quincepier/policy/__init__.py
+++ b/quincepier/policy/__init__.py
@@ -1,4 +1,8 @@
-"""All decisions on a request (docs/design.md): no I/O, no clock, no chance but its seed. See `router.py`."""
+"""The routing policy: all decisions on a request (docs/design.md).
+
+It does no I/O, reads no clock, and draws random numbers from its seed alone, so the same events always give
+the same actions. `router.py` is the entry point.
+"""
 
 from quincepier.policy.router import Router
 
--- a/quincepier/policy/admission.py
+++ b/quincepier/policy/admission.py
@@ -1,7 +1,8 @@
-"""Admission: whether a request is forwarded, held or shed, and when held ones are released.
+"""Admission control: whether a request is forwarded, held or shed, and when held requests are released.
 
-The paper's gate: requests that need a fetch wait in queues by tier, which are released by weights with a
-floor; the lowest tier is shed first, to what caches hold.
+While the fetch limit is reached, requests that need a fetch wait in the hold queue. It has one queue per
+tier; tiers are released by weight, each at a minimum rate. Requests of the lowest tier are shed first: they
+are answered from cached copies only.
 """
 
 from dataclasses import dataclass
@@ -18,13 +19,13 @@
 from quincepier.structures import FairQueue
 
 LOWEST_TIER = 2
-MAX_HELD_LOWEST_TIER = 2  # of the lowest tier: what is never fetched no cache holds
-HOLD_SHARE = 0.15  # longest hold, as part of the wanted time
-SPARE_CACHES = 2  # of a key's order, at which a copy may be made
+MAX_HELD_LOWEST_TIER = 2  # held while it is shed; an object that is never fetched would never be cached
+HOLD_SHARE = 0.15  # longest hold, as a share of the request's objective
+SPARE_CACHES = 2  # first caches in the hash order of a key at which a copy may be made
 
 
 class Disposition(Enum):
-    """What happens to a request that has no answer yet; docs/design.md has the transitions."""
+    """What happens to a request that has no response yet; docs/design.md describes the transitions."""
 
     FORWARD = "forward"
     HOLD = "hold"
@@ -34,12 +35,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RoutingDecision:
-    """What is done with a request now.
+    """The decision on a request.
 
     Attributes:
-        disposition: What happens to it.
-        upstream: Where it is forwarded to; else None.
-        source: Where that fetches what it lacks; the upstream itself: nowhere. None: not a fetch.
+        disposition: What happens to the request.
+        upstream: The upstream it is forwarded to; None if it is not forwarded.
+        source: Where that upstream fetches an object that it does not hold; the upstream itself: it must not
+            fetch. None: the upstream answers by itself.
     """
 
     disposition: Disposition
@@ -51,17 +53,17 @@
 
 
 class Admission(RouterComponent):
-    """Never lets a fetch begin past the limit, or over a link that is full.
+    """Admits requests; lets no fetch begin beyond the fetch limit or over a saturated link.
 
     Args:
-        context: What the parts of a router share.
-        queue: The held requests.
-        latency: What answers take.
-        placement: Which upstreams may be asked.
+        context: State shared by the components of the router.
+        queue: The hold queue.
+        latency: Expected latencies.
+        placement: Which upstreams are usable.
         fetch_limit: Whether a fetch may begin.
-        sender: Sends what is forwarded.
-        responder: Answers what is given up.
-        timers: Set as requests are held.
+        sender: Sends requests that are forwarded.
+        responder: Answers requests that are given up.
+        timers: Timers that run while requests are held.
     """
 
     def __init__(
@@ -87,7 +89,7 @@
     def route(self, request: Request, is_released: bool = False) -> None:
         """Forward, hold, shed or give up a request.
 
-        One that is released is placed anew, and not held again.
+        A request that is released from the hold queue is not held again.
         """
         self.queue.discard(request)
         choice = self._choose(request, is_released)
@@ -109,7 +111,7 @@
         source = placement.find_source(request)
         origin = self._find_direct_origin(request)
         needs_fetch = cache is None or not placement.is_known_hit(cache, request)
-        if origin is not None and not is_kept:  # classes never kept pass untouched
+        if origin is not None and not is_kept:  # never cached: bypasses the caches
             return RoutingDecision(Disposition.FORWARD, origin)
         if is_kept and not is_released:
             if needs_fetch and request.tier == LOWEST_TIER and self.fetch_limit.is_nearly_full:
@@ -118,7 +120,7 @@
             if is_behind or placement.is_saturated(cache, request):
                 return HOLD
         direct_source = source if self.context.settings.direct else None
-        target = cache or direct_source  # no cache: straight to the parent
+        target = cache or direct_source  # no usable cache: directly to the parent
         if target is None:
             return GIVE_UP
         return RoutingDecision(Disposition.FORWARD, target, source or target)
@@ -130,7 +132,7 @@
         return next((origin for origin in origins if self.placement.is_usable(origin, request)), None)
 
     def _can_hold_lowest_tier(self) -> bool:
-        """Whether one more of the lowest tier may wait with the others."""
+        """Whether one more request of the lowest tier may be held although that tier is being shed."""
         return bool(self.queue) and self.queue.depths[LOWEST_TIER] < MAX_HELD_LOWEST_TIER
 
     def _forward(self, request: Request, upstream: Upstream, source: Upstream | None) -> None:
@@ -138,19 +140,22 @@
             self.responder.give_up(request)
 
     def hold(self, request: Request) -> None:
-        """Hold a request until it is released, or its hold ends."""
+        """Hold a request until it is released or its longest hold time has passed."""
         self.queue.push(request)
-        longest = HOLD_SHARE * self.latency.objective(request)
-        self.context.set_timer(longest, TimerKind.QUEUE_TIMEOUT, request.id)
+        max_hold = HOLD_SHARE * self.latency.objective(request)
+        self.context.set_timer(max_hold, TimerKind.QUEUE_TIMEOUT, request.id)
         self.timers.schedule()
 
     def on_hold_expired(self, request: Request) -> None:
-        """Shed a request that was held for as long as it may be."""
+        """Shed a request whose longest hold time has passed."""
         self.queue.discard(request)
         self.shed(request, was_held=True)
 
     def shed(self, request: Request, was_held: bool = False) -> None:
-        """Past the gate: ask for what the cache holds, or for a copy where there is room, or give up."""
+        """Serve a request from a cached copy, or give it up.
+
+        A request that was held may also make a copy at a further cache, if capacity is to spare.
+        """
         placement = self.placement
         cache = placement.find_cache(request)
         spare = self._find_spare(request) if was_held else None
@@ -166,7 +171,7 @@
             self._forward(request, cache, cache)
 
     def _find_spare(self, request: Request) -> Upstream | None:
-        """The first caches of the key that has room."""
+        """Return the first cache of the request's key that is usable and not saturated."""
         placement = self.placement
         ranked = placement.rank(placement.table.caches, request.key, request.home)
         for cache in ranked[:SPARE_CACHES]:
@@ -175,13 +180,13 @@
         return None
 
     def release(self) -> None:
-        """Route held requests as long as one may leave."""
+        """Route held requests until none may be released."""
         self.timers.schedule()
         while (request := self.queue.pop(self.context.now, self.can_release)) is not None:
             self.route(request, is_released=True)
 
     def can_release(self, request: Request) -> bool:
-        """Whether a held request may be forwarded now."""
+        """Whether a held request may be forwarded now: its cache is not saturated, and a fetch may begin."""
         cache = self.placement.find_cache(request)
         is_hit = cache is not None and self.placement.is_known_hit(cache, request)
         is_saturated = self.placement.is_saturated(cache, request)
--- a/quincepier/policy/early_rejection.py
+++ b/quincepier/policy/early_rejection.py
@@ -1,55 +1,57 @@
-"""Early refusal: a front without enough CPU refuses what would wait long, the lowest tier first.
+"""Early rejection: a front that is short of CPU rejects requests that waited long, the lowest tier first.
 
-An exception beside the paper's mechanism, which sheds by the origin's load and not by the front's own. One
-long wait says little: the process was off its core for a moment, and what waited then is served in time.
-Requests are refused where the queue for turns stands: where for an interval none had its turn in time. So
-does CoDel (RFC 8289, section 3.2), which looks at the least delay of an interval.
+This complements admission control, which sheds by the load of the origin and not by that of the front. A
+single long wait is no reason to reject: the process may not have been scheduled for a moment, and the
+requests that waited then are still served in time. Requests are rejected only if for a whole interval every
+request had to wait too long. CoDel decides in the same way, by the minimum delay within an interval (RFC
+8289, section 3.2).
 """
 
 from quincepier.context import Context, RouterComponent
 from quincepier.interface import RequestReceived
 from quincepier.records import MS
 
-MAX_WAIT_SHARE = 0.2  # of the wanted time, over 1 + tier: how long a request may wait for its turn
-MIN_WAIT = 10 * MS  # ns; less is no wait (the design's interval of releases)
-INTERVAL = 100 * MS  # ns; for so long the queue stands before anything is refused (RFC 8289, section 4.3)
+MAX_WAIT_SHARE = 0.2  # of the class's target latency, divided by 1 + tier: how long a request may wait
+MIN_WAIT = 10 * MS  # ns; shorter waits are never too long, as releases from the hold queue take that long
+INTERVAL = 100 * MS  # ns; waits must be too long for this time before a request is rejected (RFC 8289, 4.3)
 
 
 class EarlyRejection(RouterComponent):
-    """Whether a request is refused as the front is behind.
+    """Decides whether to reject a request because the front is overloaded.
 
     Args:
-        context: What the parts of a router share.
-        tiers: The tier of each class, 0 the highest.
+        context: State shared by the components of the router.
+        tiers: The tier of each request class, 0 the highest.
 
     Attributes:
-        standing_since: Since when no request had its turn in time, ns; -1: one had.
-        last_wait_at: When a request last had to wait for long, ns.
+        overloaded_since: Time since which every request has waited too long, ns; -1: the last one has not.
+        last_wait_at: Time at which a request last had waited too long, ns.
     """
 
     def __init__(self, context: Context, tiers: list[int]) -> None:
         super().__init__(context)
-        kept = {n: c for n, c in enumerate(context.settings.classes) if not c.never_kept}
+        cached_classes = {n: c for n, c in enumerate(context.settings.classes) if not c.never_kept}
         self._max_waits = {
-            n: max(int(MAX_WAIT_SHARE * c.on_time / (1 + tiers[n])), MIN_WAIT) for n, c in kept.items()
+            n: max(int(MAX_WAIT_SHARE * c.on_time / (1 + tiers[n])), MIN_WAIT)
+            for n, c in cached_classes.items()
         }
         self._least_max_wait = min(self._max_waits.values(), default=MIN_WAIT)
-        self.standing_since = -1
+        self.overloaded_since = -1
         self.last_wait_at = -1
 
     def is_due(self, event: RequestReceived) -> bool:
-        """Return whether to refuse a request; classes never kept are exempt."""
-        is_standing = self._note_wait(event.waited)
+        """Return whether to reject a request; classes that are never cached are exempt."""
+        is_overloaded = self._note_wait(event.waited)
         max_wait = self._max_waits.get(event.cls)
-        return is_standing and max_wait is not None and event.waited > max_wait
+        return is_overloaded and max_wait is not None and event.waited > max_wait
 
     def _note_wait(self, waited: int) -> bool:
-        """Note how long a request waited; whether the queue has stood for an interval."""
+        """Note the time that a request waited, ns; return whether waits were too long for an interval."""
         now = self.context.now
         if waited <= self._least_max_wait:
-            self.standing_since = -1
+            self.overloaded_since = -1
             return False
-        if self.standing_since < 0 or now - self.last_wait_at > INTERVAL:
-            self.standing_since = now
+        if self.overloaded_since < 0 or now - self.last_wait_at > INTERVAL:
+            self.overloaded_since = now
         self.last_wait_at = now
-        return now - self.standing_since >= INTERVAL
+        return now - self.overloaded_since >= INTERVAL
--- a/quincepier/policy/event_age.py
+++ b/quincepier/policy/event_age.py
@@ -1,66 +1,72 @@
-"""How long ago an event of the change log was, by clocks of which one may be stepped.
+"""Ages of change-log events, safe against steps of the wall clock.
 
-Events are dated by the Unix clock. That of this machine may be stepped under the front, by seconds or by an
-hour; its monotonic clock runs on. An age that is too low is safe (a purge forbids more copies, a server is
-held to its slow start for longer), one that is too high breaks rule four or five.
+Events are dated by the Unix clock. The Unix clock of this machine may be stepped while the front runs, by
+seconds or by an hour; its monotonic clock is not affected. An age that is too low is safe: a purge then
+forbids more copies, and a server stays in slow start for longer. An age that is too high is not: a copy from
+before a purge might be served, or a server in slow start overloaded.
 
-This machine's clock may also be wrong all the time. The dates of the log are those of one clock: an event is
-sure to be as old as it lies before the newest date that the log has told.
+The clock of this machine may also be permanently wrong. The dates in the change log come from one clock, so
+an event is at least as old as its distance from the newest date in the log.
 """
 
 from quincepier.records import MS
 
-DATE_STEP_MS = (
-    1000  # the newest date moves on by so much before starts are dated again: a small part of a slow start
-)
+# Starts of servers are computed again whenever the newest date has advanced by this; a small part of a slow
+# start.
+DATE_STEP_MS = 1000
 
 
 class EventAges:
-    """Ages of dated events, never above the true one because the wall clock was stepped since the start.
+    """Computes ages of dated events; a step of the wall clock since the start never makes an age too high.
 
-    The offset between the two clocks changes by steps alone. The lowest one seen gives the lowest age.
+    The offset between the Unix clock and the monotonic clock changes only by steps. The lowest offset that
+    was observed gives the lowest age.
+
+    Args:
+        unix_ns: The Unix clock now.
+        now_ns: The monotonic clock now.
     """
 
     def __init__(self, unix_ns: int, now_ns: int) -> None:
         self._lowest_offset_ns = unix_ns - now_ns
-        self._newest_ms = 0  # the newest date that the log has told
-        self._dated_by_ms = 0  # the newest date as starts were dated last
+        self._newest_ms = 0  # the newest date in the change log
+        self._dated_by_ms = 0  # the newest date when starts were last computed
 
     def observe_log_date(self, unix_ms: int) -> None:
-        """Take a date that the log tells: by its own clock it is that late."""
+        """Note a date from the change log: its clock has reached that time."""
         self._newest_ms = max(self._newest_ms, unix_ms)
 
     def observe_clocks(self, unix_ns: int, now_ns: int) -> None:
-        """Take both clocks as they are now."""
+        """Note the present values of both clocks."""
         self._lowest_offset_ns = min(self._lowest_offset_ns, unix_ns - now_ns)
 
     def age_of(self, unix_ms: int, now_ns: int) -> int:
-        """Return the age of a Unix millisecond in ns, 0 at least.
+        """Return the age of a Unix time in ns, 0 or more.
 
-        A time in whole milliseconds may have been cut; its end is the safe reading.
+        The time may have been rounded down to whole milliseconds, so the end of the millisecond counts.
         """
         return max(now_ns + self._lowest_offset_ns - (unix_ms + 1) * MS, 0)
 
     def age_of_initial_event(self, unix_ms: int, now_ns: int) -> int:
-        """Return the age of an event that the log told at the start, ns: by both clocks, the lower one."""
+        """Return the age of an event that is read at the start, ns: the lower of the ages by both clocks."""
         return min(self.age_of(unix_ms, now_ns), self._age_by_log(unix_ms))
 
     def _age_by_log(self, unix_ms: int) -> int:
-        """Return how long before the newest date of the log an event was, ns."""
+        """Return how long before the newest date in the log an event was, ns."""
         return max(self._newest_ms - unix_ms, 0) * MS
 
     def age_of_new_event(self, unix_ms: int, now_ns: int, unread_before_ns: int) -> int:
-        """Return the age of an event that the log did not tell yet as it answered at `unread_before_ns`.
+        """Return the age of an event that was not in the log's response at `unread_before_ns`, in ns.
 
-        One that claims to be older than that was dated by another clock than ours: it counts from now.
+        An event with an earlier date was dated by a clock that differs from this machine's: its age is 0.
         """
         age = self.age_of(unix_ms, now_ns)
         return age if not unread_before_ns or age <= now_ns - unread_before_ns else 0
 
     def start_of(self, unix_ms: int, now_ns: int) -> int:
-        """Return a server's start by this machine's clock, a time of the monotonic clock, ns.
+        """Convert a server's start time to a time of the monotonic clock, ns.
 
-        1 at least; 0 (long ago) stays 0.
+        The result is 1 or more, except that 0 (started long ago) stays 0.
         """
         if unix_ms <= 0:
             return 0
@@ -68,23 +74,23 @@
         return max(now_ns - age, 1)
 
     def latest_start_of(self, unix_ms: int, now_ns: int) -> int:
-        """Return a server's start as `start_of` does, or later: no earlier than the log's own dates show."""
+        """Convert a server's start time like `start_of`, but no earlier than the dates in the log prove."""
         start = self.start_of(unix_ms, now_ns)
         return start and max(start, now_ns - self._age_by_log(unix_ms))
 
     def is_start_final(self, unix_ms: int, now_ns: int, warm_after_ns: int) -> bool:
-        """Whether no later date of the log can change what a server's start means.
+        """Whether no later date in the log can change the result of `latest_start_of` in a way that matters.
 
         Args:
-            unix_ms: Its start, Unix milliseconds.
-            now_ns: The monotonic clock.
+            unix_ms: The server's start, Unix time in ms.
+            now_ns: The monotonic clock now.
             warm_after_ns: Age from which a server is no longer in slow start.
         """
         is_old = self._age_by_log(unix_ms) >= warm_after_ns
         return is_old or self.latest_start_of(unix_ms, now_ns) == self.start_of(unix_ms, now_ns)
 
     def consume_date_step(self) -> bool:
-        """Whether the newest date has moved on by `DATE_STEP_MS` since this was last true."""
+        """Whether the newest date has advanced by `DATE_STEP_MS` since this method last returned True."""
         has_advanced = self._newest_ms - self._dated_by_ms >= DATE_STEP_MS
         if has_advanced:
             self._dated_by_ms = self._newest_ms
--- a/quincepier/policy/freshness.py
+++ b/quincepier/policy/freshness.py
@@ -1,18 +1,18 @@
-"""Freshness: how old a copy may be that a request is answered with, after purges too."""
+"""Freshness: the maximum age of the copy that a request may be answered with."""
 
 from quincepier.context import Context, RouterComponent
 from quincepier.keys import MEMORY_MOST
 from quincepier.records import SECOND, Request
 from quincepier.structures import PurgeLog
 
-PURGE_MARGIN = 2 * SECOND  # ns past a purge's settling
+PURGE_MARGIN = 2 * SECOND  # ns; purges are enforced for so long beyond their settling time
 
 
 class Freshness(RouterComponent):
-    """Rule three: no copy past its age, and none from before a purge.
+    """Forbids copies that are too old and copies from before a purge.
 
     Attributes:
-        purges: When objects and groups were purged.
+        purges: Times at which objects and groups were purged, ns.
     """
 
     def __init__(self, context: Context) -> None:
@@ -20,16 +20,22 @@
         self.purges = PurgeLog(MEMORY_MOST)
 
     def on_purge(self, group: int, obj: int, ago: int) -> None:
-        """Take a purge that was made `ago` ns before; those that have settled are forgotten."""
+        """Record a purge that was made `ago` ns ago; discard purges that have settled.
+
+        Args:
+            group: The group of objects.
+            obj: The object; 0: the whole group.
+            ago: Age of the purge, ns.
+        """
         now = self.context.now
         self.purges.record_purge(group, obj, now - ago, now - self._settled_after)
 
     def max_age(self, request: Request, stale: bool) -> int:
-        """Return the greatest age of a copy, ns; 0: the class's own.
+        """Return the maximum age of the copy for a request, ns; 0: the limit of its request class applies.
 
         Args:
             request: The request.
-            stale: Whether a copy past its fresh time will do, within the class's grace.
+            stale: Whether an expired copy within the grace time of the class is accepted.
         """
         cls = request.cls
         purged_at = self.purges.last_purge_at(request.event.group, request.event.object)
@@ -42,5 +48,5 @@
 
     @property
     def _settled_after(self) -> int:
-        """Age from which a purge forbids no copy any more, ns."""
+        """Age from which a purge no longer forbids copies, ns."""
         return self.context.settings.purge_settles + PURGE_MARGIN
--- a/quincepier/policy/outliers.py
+++ b/quincepier/policy/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: upstreams that fail are ejected and tried again; never the origin, never for good."""
+"""Outlier detection: ejects upstreams that fail and tries them again later; never ejects the origin."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,15 +9,23 @@
 from quincepier.policy.latency import LatencyEstimates
 from quincepier.records import SECOND, AbandonUpstream, Attempt, Completion, Upstream
 
-INITIAL_TRIAL_INTERVAL, MAX_TRIAL_INTERVAL = SECOND, 8 * SECOND  # ns until a trial, doubled at each failure
-FAILURES = 4.0  # resets in a row that eject; so does a connection that failed while none other answered
-MIN_OVERDUE = 2  # overdue attempts that eject: one may be a large object
-MAX_LOG_LINES = 40  # of one run
-PROVES_UP = (AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.OVERLOADED, AttemptOutcome.MISS)
+# Time until an ejected upstream is tried, ns, doubled with each trial.
+INITIAL_TRIAL_INTERVAL, MAX_TRIAL_INTERVAL = SECOND, 8 * SECOND
+# Consecutive resets after which an upstream is ejected. A failed connect weighs as much as all of them,
+# unless the upstream has responded since the attempt was sent.
+EJECTION_FAILURES = 4.0
+MIN_OVERDUE = 2  # overdue attempts after which an upstream is ejected: a single one may be a large object
+MAX_LOG_LINES = 40  # per run
+OUTCOMES_PROVING_UP = (
+    AttemptOutcome.OK,
+    AttemptOutcome.ERROR,
+    AttemptOutcome.OVERLOADED,
+    AttemptOutcome.MISS,
+)
 
 
 class OutlierDetection(RouterComponent):
-    """Ejects upstreams, and lets one request at a time try an ejected one."""
+    """Ejects upstreams that fail, and lets one request at a time try an ejected upstream."""
 
     def __init__(self, context: Context, latency: LatencyEstimates, abandon: AbandonUpstream) -> None:
         super().__init__(context)
@@ -26,22 +34,24 @@
         self.log = LimitedLog(context, MAX_LOG_LINES)
 
     def on_completed(self, completion: Completion) -> None:
-        """Blame or clear the upstream and the source."""
+        """Count a completed attempt as a success or a failure of its target and its source."""
         attempt, outcome, upstream = completion.attempt, completion.outcome, completion.attempt.upstream
-        if outcome in PROVES_UP:
+        if outcome in OUTCOMES_PROVING_UP:
             self.on_success(upstream)
         elif outcome is AttemptOutcome.RESET and not completion.event.another_way:
             self.on_failure(upstream, "lost", 1)
         elif outcome is AttemptOutcome.CONNECT_FAILED and not completion.event.another_way:
-            self.on_failure(upstream, "lost", 1 if upstream.last_response_at > attempt.sent_at else FAILURES)
+            self.on_failure(
+                upstream, "lost", 1 if upstream.last_response_at > attempt.sent_at else EJECTION_FAILURES
+            )
         if attempt.source is not None:
             self._on_source(completion, attempt.source)
 
     def _on_source(self, completion: Completion, source: Upstream) -> None:
         attempt, outcome, status = completion.attempt, completion.outcome, completion.status
-        gave = AttemptOutcome.MISS if attempt.is_source_cache_only else AttemptOutcome.OK
-        if status is CacheStatus.SOURCE_REFUSED:  # a dead process refuses, a full one too
-            self.on_failure(source, "broken as source", FAILURES / 2)
+        success = AttemptOutcome.MISS if attempt.is_source_cache_only else AttemptOutcome.OK
+        if status is CacheStatus.SOURCE_REFUSED:  # the source may have crashed, or may only be overloaded
+            self.on_failure(source, "broken as source", EJECTION_FAILURES / 2)
         elif status is CacheStatus.SOURCE_BROKEN:
             self.on_failure(source, "broken as source")
         elif (
@@ -49,16 +59,15 @@
             and outcome is AttemptOutcome.OVERLOADED
             and status is CacheStatus.NONE
         ):
-            if (
-                source.last_refused_cache is not attempt.upstream
-            ):  # one cache by itself may have no place for a fetch
-                self.on_failure(source, "gives nothing", FAILURES / 2)
+            # refusals at a single cache may mean that this cache has no slot for a fetch
+            if source.last_refused_cache is not attempt.upstream:
+                self.on_failure(source, "gives nothing", EJECTION_FAILURES / 2)
             source.last_refused_cache = attempt.upstream
-        elif outcome is gave and not completion.is_from_cache:
+        elif outcome is success and not completion.is_from_cache:
             self.on_success(source)
 
     def on_success(self, upstream: Upstream) -> None:
-        """It works: forget its failures, and take it back where it was ejected."""
+        """Reset the failures of an upstream that works, and end its ejection."""
         upstream.last_response_at = self.context.now
         upstream.failures = 0
         upstream.last_refused_cache = None
@@ -66,42 +75,57 @@
             upstream.is_ejected = False
             if (
                 upstream.trial_interval > 2 * INITIAL_TRIAL_INTERVAL
-            ):  # a trial failed: it was away and starts anew
+            ):  # a trial failed, so it was down: cold restart
                 upstream.started_at = self.context.now
             self.log.write(f"machine {upstream.endpoint.cache} answers again")
 
-    def on_failure(self, upstream: Upstream, why: str, weight: float = FAILURES) -> None:
-        """Eject it at the last of so many failures; of the origin there is one."""
+    def on_failure(self, upstream: Upstream, reason: str, weight: float = EJECTION_FAILURES) -> None:
+        """Count a failure; eject the upstream once its failures weigh `EJECTION_FAILURES` in total.
+
+        Args:
+            upstream: The upstream. An origin is never ejected, as nothing could replace it.
+            reason: The kind of failure, for the log. The recorded streams of the tests contain these texts.
+            weight: Weight of this failure; one reset weighs 1.
+        """
         upstream.failures += weight
-        if upstream.failures < FAILURES or upstream.endpoint.kind == self.context.settings.origin_kind:
+        if (
+            upstream.failures < EJECTION_FAILURES
+            or upstream.endpoint.kind == self.context.settings.origin_kind
+        ):
             return
         if not upstream.is_ejected:
-            self.log.write(f"machine {upstream.endpoint.cache} set aside: {why}")
+            self.log.write(f"machine {upstream.endpoint.cache} set aside: {reason}")
             self.eject(upstream, INITIAL_TRIAL_INTERVAL)
         self.abandon(upstream)
 
     def eject(self, upstream: Upstream, trial_in: int = 0) -> None:
-        """One request tries it after `trial_in` ns."""
+        """Eject an upstream; one request may try it after `trial_in` ns."""
         upstream.is_ejected = True
         upstream.trial_interval = INITIAL_TRIAL_INTERVAL
         upstream.trial_at = self.context.now + trial_in
 
     def on_sent(self, upstream: Upstream) -> None:
-        """Where this is its trial, the next waits twice as long."""
+        """Note that an attempt uses an upstream; if that is a trial, double the time until the next one."""
         if upstream.is_ejected:
             upstream.trial_interval = min(2 * upstream.trial_interval, MAX_TRIAL_INTERVAL)
             upstream.trial_at = self.context.now + upstream.trial_interval
 
     def check_overdue(self, attempts: Iterable[Attempt]) -> None:
-        """Blame those that nothing was heard of since; the oldest come first."""
+        """Count overdue attempts as failures of upstreams that have not responded since.
+
+        Args:
+            attempts: All open attempts, the oldest first.
+        """
         overdue = Counter[Upstream]()
-        slowness = self.latency.fetch_slowness.factor(self.now)  # if all fetches are slow, no source is
+        slowness = self.latency.fetch_slowness.factor(
+            self.now
+        )  # if all fetches are slow, no source is at fault
         for attempt in takewhile(lambda attempt: attempt.sent_at <= self.context.now - SECOND, attempts):
-            wanted = self.latency.objective(attempt.request) * (slowness if attempt.is_fetch else 1)
-            if attempt.sent_at <= self.context.now - wanted and not attempt.request.has_response_started:
+            max_elapsed = self.latency.objective(attempt.request) * (slowness if attempt.is_fetch else 1)
+            if attempt.sent_at <= self.context.now - max_elapsed and not attempt.request.has_response_started:
                 suspects = attempt.upstreams if attempt.is_fetch else [attempt.upstream]
                 silent = [u for u in suspects if u.last_response_at <= attempt.sent_at]
-                overdue.update(silent[:1])  # one, not both
+                overdue.update(silent[:1])  # the target, or else the source; not both
         for upstream, count in overdue.items():
             if count >= MIN_OVERDUE or upstream.is_ejected:
                 self.on_failure(upstream, "silent")
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -1,4 +1,4 @@
-"""Placement: where copies of an object lie, by weighted rendezvous hash, and which of these may be asked."""
+"""Placement: the caches and sources of an object by weighted rendezvous hashing, and which are usable."""
 
 import math
 from itertools import islice
@@ -12,26 +12,29 @@
 from quincepier.structures import DecayingMean, RecencyMap, RendezvousGroup
 from quincepier.upstream_table import TableChange, UpstreamTable
 
-SATURATION_SHARE = 0.6  # of the slowing that a class stands
-FETCH_LOAD = 0.5  # of a transfer; a fetch at a quick cache waits for its source
-MIN_SATURATION_LOAD = 2  # transfers; less is no crowd, however small the cache
-HOT_REQUESTS, HOT_SHARE = (
-    32,
-    0.25,
-)  # last requests of a cache; from this share of them an object has two caches
-WEIGHT_STEPS = 4  # of a weight that is halved by two steps: slowness counts by its square
-MAX_CACHED_RANKS = 8  # of an order kept, as thousands may be listed; hardly ever may none of these be asked
-HIT_LIFETIME = 5 * SECOND  # how long a seen hit keeps an attempt from counting as a fetch (design)
+SATURATION_SHARE = 0.6  # share of a request's objective that the expected latency at a cache may take
+FETCH_LOAD = 0.5  # load of a fetch, in transfers: at a fast cache it mostly waits for its source
+MIN_SATURATION_LOAD = 2  # transfers; a cache with fewer is not saturated, however small it is
+# Recent requests of a cache that are examined, and the share of them from which an object is hot; hot objects
+# have two caches.
+HOT_REQUESTS, HOT_SHARE = 32, 0.25
+WEIGHT_STEPS = 4  # weight steps per doubling of the slowness; two steps halve the weight
+MAX_CACHED_RANKS = (
+    8  # kept per key, as a zone may list thousands of caches; nearly always one of them is usable
+)
+HIT_LIFETIME = (
+    5 * SECOND
+)  # ns; so long after a hit, attempts for the key at that cache don't count as fetches
 
 
 class Placement(RouterComponent):
-    """Caches and sources by hash. Never names an upstream that may not be asked.
+    """Finds caches and sources by hash, and only ones that are usable.
 
     Attributes:
         table: The listed upstreams.
-        hits: When a cache last answered a key out of its own, by cache and key.
-        rankings: The first of each key's order, by key, and by the name of its home.
-        groups: What orders are made of: True, the parents; False, the caches.
+        hits: Time at which a cache last answered a key from its own copy, by cache and key.
+        rankings: The first upstreams in the hash order of each key; by key, or by key and home shard.
+        groups: Upstreams prepared for hashing; True: the parents, False: the caches.
     """
 
     def __init__(self, context: Context, latency: LatencyEstimates, slow_start: SlowStart) -> None:
@@ -44,7 +47,7 @@
         self.groups = dict[bool, RendezvousGroup[Upstream]]()
 
     def update(self, update: EndpointUpdate) -> TableChange:
-        """Take the endpoint list; return what changed."""
+        """Apply an update of the endpoint list; return what it changed."""
         change = self.table.apply(update, self.context.settings)
         for upstream, previous in change.updated:
             self._on_listed_again(upstream, previous)
@@ -53,7 +56,7 @@
         return change
 
     def _new_upstream(self, endpoint: Endpoint) -> Upstream | None:
-        """Make the record of an endpoint; caches of other zones are not kept."""
+        """Create the record of an endpoint; None for caches of other zones, which are never used."""
         settings = self.context.settings
         is_shared = endpoint.kind in (settings.parent_kind, settings.origin_kind)
         if not is_shared and endpoint.zone != settings.zone:
@@ -62,35 +65,38 @@
 
     @staticmethod
     def _on_listed_again(upstream: Upstream, previous: Endpoint) -> None:
-        """Take what the list tells in place of what was found out."""
+        """Replace the state that this front derived by the state in the list."""
         up_since = upstream.endpoint.up_since
-        if 0 < up_since < previous.up_since:  # the same process, its start dated better; no other news
+        if 0 < up_since < previous.up_since:  # same process, more accurate start time; nothing else changed
             if upstream.started_at == previous.up_since:
                 upstream.started_at = up_since
             return
         upstream.draining_until = 0
-        if up_since > previous.up_since:  # another process
+        if up_since > previous.up_since:  # restarted
             upstream.started_at = max(upstream.started_at, up_since)
             upstream.is_ejected = False
 
     def clear_rankings(self) -> None:
-        """Upstreams came, went, or have other weights."""
+        """Discard all cached rankings, as upstreams were added or removed or have changed their weight."""
         self.rankings = {}
         self.groups = {}
 
     def rank(self, group: list[Upstream], key: int, home: HomeShard | None = None) -> list[Upstream]:
-        """The first of a key's order, kept until the list changes: a held request is looked at often."""
-        at = key if home is None else (key, home.name)
-        if at not in self.rankings:
+        """Return the first `MAX_CACHED_RANKS` upstreams in the hash order of a key.
+
+        The result is cached until the ranking changes, as held requests are examined often.
+        """
+        ranking_key = key if home is None else (key, home.name)
+        if ranking_key not in self.rankings:
             if len(self.rankings) >= MEMORY_MOST:
                 self.rankings = {}
-            self.rankings[at] = self.rank_uncached(group, key, home, MAX_CACHED_RANKS)
-        return self.rankings[at]
+            self.rankings[ranking_key] = self.rank_uncached(group, key, home, MAX_CACHED_RANKS)
+        return self.rankings[ranking_key]
 
     def rank_uncached(
         self, group: list[Upstream], key: int, home: HomeShard | None = None, count: int | None = None
     ) -> list[Upstream]:
-        """A key's order, whole or its first `count`."""
+        """Compute the hash order of a key: all upstreams of the group, or the first `count`."""
         if home is not None:
             return self._prepare_group(group, home).rank(key, count)
         is_parents = group is self.table.parents
@@ -101,13 +107,16 @@
     def _prepare_group(self, group: list[Upstream], home: HomeShard | None) -> RendezvousGroup[Upstream]:
         by_size = self.context.settings.sizes_compare and all(u.endpoint.size > 0 for u in group)
         weights = {u: (u.endpoint.size if by_size else 1.0) / 2 ** (u.weight_step / 2) for u in group}
-        if home is not None:  # of all listed the home's, each by the draw that it always has
+        if home is not None:  # only members of the home shard; hashes do not depend on the shard
             members = home.parents if group is self.table.parents else home.caches
             group = [u for u in group if u.endpoint.cache in members]
         return RendezvousGroup(weights, {u: u.endpoint.cache for u in group})
 
     def find_usable(self, group: list[Upstream], key: int, request: Request, count: int) -> list[Upstream]:
-        """The first `count` that may be asked; beyond the kept part of the order where it has too few."""
+        """Return the first `count` usable upstreams in the hash order of a key.
+
+        The whole order is computed if the cached first part of it has too few of them.
+        """
         ranked = self.rank(group, key, request.home)
         found = self._first_usable(ranked, request, count)
         if len(found) < count and len(ranked) == MAX_CACHED_RANKS:
@@ -119,19 +128,24 @@
         return list(islice((u for u in ranked if self.is_usable(u, request)), count))
 
     def update_weights(self) -> None:
-        """Halve the weight of slow upstreams: each keeps its part by the square of its slowness."""
+        """Lower the hash weight of slow upstreams: it falls with the square of their slowness."""
         for group in (self.table.caches, self.table.parents):
-            seen = [u for u in group if u.slowness.weight]  # of thousands that are listed a few
-            factors = [u.slowness.factor(self.context.now) for u in seen]
-            best = 1.0 if len(seen) < len(group) else min(factors, default=1.0)  # unseen ones are as usual
-            for upstream, factor in zip(seen, factors, strict=True):
+            measured = [u for u in group if u.slowness.weight]  # few of the thousands that may be listed
+            factors = [u.slowness.factor(self.context.now) for u in measured]
+            # an upstream without samples counts as one of usual speed
+            best = 1.0 if len(measured) < len(group) else min(factors, default=1.0)
+            for upstream, factor in zip(measured, factors, strict=True):
                 step = int(WEIGHT_STEPS * math.log2(max(factor / (SLOW * best), 1.0)))
                 if step != upstream.weight_step:
                     upstream.weight_step = step
                     self.clear_rankings()
 
     def is_usable(self, upstream: Upstream, request: Request) -> bool:
-        """Whether a request may be sent there: listed as ready, not failing, and within its budget."""
+        """Whether a request may be sent to an upstream.
+
+        It must be listed as ready, not be excluded for the request, not be ejected (unless a trial is due),
+        and have budget left if it is in slow start.
+        """
         now = self.context.now
         if upstream.endpoint.state is not EndpointState.READY or now < upstream.draining_until:
             return False
@@ -142,7 +156,7 @@
         return self.slow_start.has_budget(upstream)
 
     def find_cache(self, request: Request) -> Upstream | None:
-        """Return the first cache by hash that may be asked; of a hot object the idler one of two."""
+        """Return the first usable cache by hash; for a hot object, the less loaded of the first two."""
         found = self.find_usable(self.table.caches, request.key, request, 2)
         if not found:
             return None
@@ -155,43 +169,41 @@
         return cache.recent_objects.count(object_id) > HOT_SHARE * HOT_REQUESTS
 
     def find_source(self, request: Request) -> Upstream | None:
-        """Return the first parent by hash that may be asked, else an origin."""
+        """Return the first usable parent by hash, or a usable origin if there is no such parent."""
         parents = self.find_usable(self.table.parents, mix(request.event.object), request, 1)
         sources = parents + self.table.origins
         return next((source for source in sources if self.is_usable(source, request)), None)
 
     def is_saturated(self, cache: Upstream | None, request: Request) -> bool:
-        """Whether one more transfer of a cache would come late."""
+        """Whether a cache is so loaded or slow that one more transfer would miss the request's objective."""
         if cache is None:
             return False
-        count_fronts = self.slow_start.count_fronts(cache)
+        fronts = self.slow_start.count_fronts(cache)
         objective = self.latency.objective(request)
         transfer_time = self.latency.transfer_time(request)
         slowness = cache.slowness.factor(self.context.now)
-        share = SATURATION_SHARE + (1 - SATURATION_SHARE) / count_fronts  # more fronts leave more room
+        share = SATURATION_SHARE + (1 - SATURATION_SHARE) / fronts  # with more fronts, leave more headroom
         if slowness * transfer_time > share * objective:
             return True
         size = cache.endpoint.size
         if not self.context.settings.sizes_compare or size <= 0:
-            return False  # what a kind was seen to bear is no limit
+            return False  # a size that was learned from served work is no upper limit
         load = self._load(cache, slowness) + 1
-        return load > max(
-            SATURATION_SHARE * objective / transfer_time * size / count_fronts, MIN_SATURATION_LOAD
-        )
+        return load > max(SATURATION_SHARE * objective / transfer_time * size / fronts, MIN_SATURATION_LOAD)
 
     @staticmethod
     def _load(cache: Upstream, slowness: float) -> float:
-        """Return the transfers that a cache has in flight of this front."""
+        """Return the number of transfers that this front has in flight at a cache; fetches count less."""
         fetch_load = FETCH_LOAD if slowness < SLOW else 1
         return sum(fetch_load if attempt.is_fetch else 1 for attempt in cache.in_flight.values())
 
     def is_known_hit(self, cache: Upstream, request: Request) -> bool:
-        """Whether a cache answered the request's key out of its own lately."""
+        """Whether a cache answered the request's key from its own copy within `HIT_LIFETIME`."""
         now = self.context.now
-        seen_at = self.hits.get((cache.endpoint.cache, request.key), now - HIT_LIFETIME)
-        return now - seen_at < HIT_LIFETIME
+        last_hit_at = self.hits.get((cache.endpoint.cache, request.key), now - HIT_LIFETIME)
+        return now - last_hit_at < HIT_LIFETIME
 
     def on_hit(self, completion: Completion) -> None:
-        """Note that a cache answered out of its own."""
+        """Note that a cache answered from its own copy."""
         attempt, now = completion.attempt, self.context.now
         self.hits.record((attempt.upstream.endpoint.cache, attempt.request.key), now, now - HIT_LIFETIME)
--- a/quincepier/policy/responses.py
+++ b/quincepier/policy/responses.py
@@ -1,4 +1,4 @@
-"""Final answers: each request gets one, and what is still out for it is cancelled."""
+"""Final responses: each request gets one, and its open attempts are cancelled."""
 
 from quincepier.context import Context, RouterComponent
 from quincepier.interface import DeduplicationScope, Idempotency
@@ -8,21 +8,23 @@
 from quincepier.recovery import RecoveryTracker
 from quincepier.structures import FairQueue
 
-MIN_RETRY_AFTER_SHARE = 0.8  # of the longest time that a client is told; clients do not come back in step
+# Share of the configured retry time from which the retry time is drawn, so that clients don't retry all at
+# once.
+MIN_RETRY_AFTER_SHARE = 0.8
 
 
 class Responder(RouterComponent):
-    """Rule one: never two final answers.
+    """Gives each request at most one final response.
 
     Args:
-        context: What the parts of a router share.
-        latency: What answers take.
-        recovery: Told how each request went.
-        queue: The held requests.
+        context: State shared by the components of the router.
+        latency: Expected latencies.
+        recovery: Notified of each finished request.
+        queue: The hold queue.
         sender: Cancels attempts.
 
     Attributes:
-        requests: The requests without a final answer, by id.
+        requests: The requests without a final response, by id.
     """
 
     def __init__(
@@ -41,13 +43,17 @@
         self.requests = dict[int, Request]()
 
     def reject(self, request: int) -> None:
-        """Answer that the client may try again."""
+        """Reject a request, so that the client may send it again."""
         settings = self.context.settings
         share = self.context.random.uniform(MIN_RETRY_AFTER_SHARE, 1) if settings.retry_after else 0
         self.context.reject(request, int(share * settings.max_retry_after))
 
     def give_up(self, request: Request) -> None:
-        """Reject a request where that is known to do no harm; else it has failed."""
+        """Close a request and reject it, or fail it if executing it twice might do harm.
+
+        A rejected request is sent again by its client, so it must be safe, keyed with deduplication in all
+        caches, or never executed.
+        """
         cls = request.cls
         is_keyed = cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL
         is_harmless = cls.effect is Idempotency.SAFE or is_keyed or not request.may_have_run
@@ -58,7 +64,12 @@
             self.context.fail(request.id)
 
     def close(self, request: Request, is_served: bool = False) -> None:
-        """End a request; what is still out for it is cancelled."""
+        """Close a request, and cancel its open attempts.
+
+        Args:
+            request: The request.
+            is_served: Whether it was answered successfully.
+        """
         now = self.context.now
         del self.requests[request.id]
         in_time = is_served and now - request.received_at <= self.latency.objective(request)
--- a/quincepier/policy/retries.py
+++ b/quincepier/policy/retries.py
@@ -11,13 +11,11 @@
 from quincepier.records import Attempt, Completion, Request, Upstream
 from quincepier.structures import TokenBucket
 
-MAX_RETRIES = 3  # of one request
-RETRY_SHARE = 0.2  # of a retry, earned by each request
+MAX_RETRIES = 3  # per request
+RETRY_SHARE = 0.2  # retries that each request adds to the budget
 INITIAL_BUDGET, MAX_BUDGET = 8.0, 40.0  # retries; few at the start, as all fronts may start at once
-UNEXPLAINED = (
-    AttemptOutcome.OVERLOADED,
-    AttemptOutcome.TIMEOUT,
-)  # by the cache or by its source, if not told
+# Outcomes that the cache or its source may have caused, if the cache status does not tell which.
+UNEXPLAINED = (AttemptOutcome.OVERLOADED, AttemptOutcome.TIMEOUT)
 SOURCE_FAULTS = (
     CacheStatus.SOURCE_REFUSED,
     CacheStatus.SOURCE_BROKEN,
@@ -27,16 +25,19 @@
 
 
 class Retries(RouterComponent):
-    """A budget over all requests bounds retries.
+    """Retries failed requests, within a retry budget that all requests share.
 
     Args:
-        context: What the parts of a router share.
-        latency: What answers take.
-        placement: Which upstreams may be asked.
-        fetch_limit: When a source that refuses may be asked anew.
-        sender: Sends to a source that may be asked anew.
-        admission: Routes what is tried again.
-        responder: Answers what is given up.
+        context: State shared by the components of the router.
+        latency: Expected latencies.
+        placement: Which upstreams are usable.
+        fetch_limit: When a source that refuses fetches may be tried again.
+        sender: Sends the attempt that tries such a source.
+        admission: Routes requests that are retried.
+        responder: Answers requests that are given up.
+
+    Attributes:
+        budget: The retries that may be made now.
     """
 
     def __init__(
@@ -59,34 +60,34 @@
         self.budget = TokenBucket(INITIAL_BUDGET, MAX_BUDGET)
 
     def on_request(self) -> None:
-        """Earn a part of a retry."""
+        """Add the share of one request to the retry budget."""
         self.budget.add(RETRY_SHARE)
 
     def on_failure(self, completion: Completion) -> None:
-        """Send a request again whose last open attempt failed, or give it up."""
+        """Retry or give up a request whose last open attempt failed."""
         attempt = completion.attempt
         request = attempt.request
-        lacking = self._find_source_without_copy(completion)
-        if lacking is None:
+        source_without_copy = self._find_source_without_copy(completion)
+        if source_without_copy is None:
             self._exclude(completion)
         is_useless = self._is_useless(completion)
-        if lacking is not None and self._can_retry_source(attempt, lacking):
+        if source_without_copy is not None and self._can_retry_source(attempt, source_without_copy):
             self.fetch_limit.schedule_next_retry()
-            if not self.sender.send(request, attempt.upstream, lacking, in_pause=True):
+            if not self.sender.send(request, attempt.upstream, source_without_copy, during_backoff=True):
                 self.responder.give_up(request)
-        elif lacking is not None or is_useless or not self.budget.take():
+        elif source_without_copy is not None or is_useless or not self.budget.take():
             self.responder.give_up(request)
         else:
             self.admission.route(request)
 
     def _find_source_without_copy(self, completion: Completion) -> Upstream | None:
-        """Return the source that was asked for what it holds, and lacks it."""
+        """Return the source if it was asked for a copy that it holds, and holds none."""
         attempt = completion.attempt
         is_miss = completion.outcome is AttemptOutcome.MISS
         return attempt.source if attempt.is_source_cache_only and is_miss else None
 
     def _exclude(self, completion: Completion) -> None:
-        """Have the request try other upstreams, while there are some; the upstream may not be at fault."""
+        """Exclude the upstream or the source that probably caused the failure from the request's retries."""
         attempt, excluded = completion.attempt, completion.attempt.request.excluded
         source = attempt.source
         if completion.status in SOURCE_FAULTS:
@@ -94,19 +95,20 @@
         elif completion.outcome is not AttemptOutcome.NOT_PROCESSED and not completion.event.another_way:
             excluded.append(attempt.upstream)
         is_unexplained = completion.status is CacheStatus.NONE and completion.outcome in UNEXPLAINED
-        if source is not None and is_unexplained:  # not told whose fault it was: change both
+        if source is not None and is_unexplained:  # either may be at fault: exclude both
             excluded.append(source)
 
     def _is_useless(self, completion: Completion) -> bool:
+        """Whether a retry cannot help: too little time or no retries left, or the cache has no copy."""
         attempt = completion.attempt
         request = attempt.request
         time_left = request.deadline - self.context.now
         is_late = time_left < self.latency.transfer_times.means[request.event.cls]
-        is_lacking = attempt.is_cache_only and completion.outcome is AttemptOutcome.MISS
-        return is_late or is_lacking or request.attempts_sent > MAX_RETRIES
+        has_no_copy = attempt.is_cache_only and completion.outcome is AttemptOutcome.MISS
+        return is_late or has_no_copy or request.attempts_sent > MAX_RETRIES
 
     def _can_retry_source(self, attempt: Attempt, source: Upstream) -> bool:
-        """Whether a source may be asked, in a pause, for what it does not hold."""
+        """Whether a source may be asked, during a backoff, for an object that it does not hold."""
         if not self.fetch_limit.is_retry_due:
             return False
         request: Request = attempt.request
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -1,4 +1,4 @@
-"""The router: hears each event and has its parts act, in one order."""
+"""The router: passes each event to its components in a fixed order and collects their actions."""
 
 from collections.abc import Callable
 
@@ -18,15 +18,15 @@
 from quincepier.policy.slow_start import SlowStart
 from quincepier.records import SECOND, AttemptTable, Completion, Execution, Request, Upstream
 from quincepier.recovery import RecoveryTracker
-from quincepier.structures import Coverage, FairQueue, tiers
-
-TIER_WEIGHTS = (80.0, 15.0, 5.0)  # shares of releases, highest tier first (design)
-BOOST_EVERY = 10  # held requests for one object that add one to its weight (design)
-FLOOR_INTERVAL = SECOND  # ns; a tier that none left for so long goes first (design)
-SCAN_LIMIT = 16  # held objects of a tier that are looked through
-MIN_FIRST_RESPONSES = 8  # of all classes
-MIN_PROCESS_PAUSE = 2 * SECOND  # ns that the process stood still, after which all is found anew
-NEVER_RAN = frozenset(  # outcomes that prove it
+from quincepier.structures import Coverage, FairQueue, assign_tiers
+
+TIER_WEIGHTS = (80.0, 15.0, 5.0)  # shares of the releases from the hold queue, highest tier first
+BOOST_EVERY = 10  # number of held requests for one key that raises the weight of its tier by one
+FLOOR_INTERVAL = SECOND  # ns; a tier without a release for this long goes first
+SCAN_LIMIT = 16  # held keys of a tier that are examined per release
+MIN_FIRST_RESPONSES = 8  # successful responses of all classes before the front counts as responding
+MIN_PROCESS_PAUSE = 2 * SECOND  # ns; after a longer process pause the learned limits are discarded
+NEVER_RAN = frozenset(  # outcomes which prove that the attempt was not executed
     (
         io.AttemptOutcome.OVERLOADED,
         io.AttemptOutcome.CONNECT_FAILED,
@@ -37,16 +37,20 @@
 
 
 class Router(RouterComponent):
-    """Decides on requests by the events that it is told, and never by another way than its parts.
+    """Decides on requests. The decisions themselves are made by its components.
 
     Args:
-        settings: Of the deployment.
-        seed: Of all chance.
-        now: The time, ns.
+        settings: Settings of the deployment.
+        seed: Seed of the random numbers.
+        now: Start time, ns.
 
     Attributes:
-        find_home: Asked once for each request where it is at home; None: all are anywhere.
-        expiries: When restored facts expire, in the order of time, and what forgets each.
+        find_home: Called once for each request, returns its home shard; None: no request has a home shard.
+        expiries: Times at which restored facts expire, ns, in ascending order, each with the function that
+            discards the fact.
+        response_coverage: Whether each request class that was requested has had a response since the start.
+        requests: The requests without a final response, by id.
+        tiers: The tier of each request class, 0 the highest.
     """
 
     def __init__(self, settings: io.Settings, seed: int, now: int) -> None:
@@ -94,17 +98,19 @@
             self.admission,
             self.responder,
         )
-        tier_by_worth = tiers({c.worth for c in settings.classes if not c.never_kept}, len(TIER_WEIGHTS))
+        tier_by_worth = assign_tiers(
+            {c.worth for c in settings.classes if not c.never_kept}, len(TIER_WEIGHTS)
+        )
         self.tiers = [tier_by_worth.get(c.worth, 0) for c in settings.classes]
         self.early_rejection = EarlyRejection(context, self.tiers)
         self.find_home: HomeLookup | None = None
         self.expiries = list[tuple[int, Callable[[], None]]]()
 
     def handle(self, now: int, event: io.Event) -> list[io.Action]:
-        """Return what to do as an event is told at a time, ns."""
+        """Handle an event that arrives at `now` (ns); return the actions to take, in order."""
         self.context.now = now
         self.context.actions = []
-        while self.expiries and self.expiries[0][0] <= now:  # before anything rests on it
+        while self.expiries and self.expiries[0][0] <= now:  # before a decision uses an expired fact
             _, forget = self.expiries.pop(0)
             forget()
         match event:
@@ -126,7 +132,7 @@
         return self.context.actions
 
     def on_request(self, event: io.RequestReceived) -> None:
-        """Route a request, or refuse it while that costs little."""
+        """Route a request, or reject it early if it has waited too long or has too little time left."""
         context = self.context
         settings = context.settings
         cls = settings.classes[event.cls]
@@ -147,7 +153,7 @@
             self.admission.route(request)
 
     def on_endpoint_update(self, update: io.EndpointUpdate) -> None:
-        """Take the endpoint list, or that it could not be read."""
+        """Apply an update of the endpoint list; if the list could not be read, request it again later."""
         if update.scope is io.UpdateScope.FAILED:
             self.context.set_timer(SECOND, TimerKind.ENDPOINT_LIST_RETRY)
         if update.scope is io.UpdateScope.RESTORED and self.context.settings.list_on_request:
@@ -157,23 +163,21 @@
         self.context.log(self.recovery.on_list_received(self.context.now))
 
     def on_response_started(self, event: io.ResponseStarted) -> None:
-        """The response of one attempt goes to the client: the others are cancelled."""
+        """Cancel the other attempts of a request whose response has started."""
         request = self.requests.get(event.request)
         if request is not None:
             self.sender.cancel(a for a in request.open_attempts.values() if a.number != event.attempt)
             request.has_response_started = True
 
     def on_attempt_completed(self, event: io.AttemptCompleted) -> None:
-        """Learn from an attempt; its request is answered, sent again or given up."""
+        """Learn from a completed attempt; close, retry or give up its request."""
         attempt = self.attempts.complete(event)
         if attempt is None:
             return
         completion = Completion(attempt, event)
         request = attempt.request
         self._learn(completion)
-        if completion.is_ok and self.response_coverage.add(
-            request.event.cls
-        ):  # each class asked for was answered
+        if completion.is_ok and self.response_coverage.add(request.event.cls):
             self.context.log(self.recovery.on_first_responses(self.context.now, self.response_coverage.count))
         first = request.first_execution
         if event.ending not in NEVER_RAN and (first is None or attempt.sent_at < first.sent_at):
@@ -200,7 +204,7 @@
             self.fetch_limit.on_completed(completion, is_awaited=bool(self.queue))
 
     def on_timer(self, kind: TimerKind, request_id: int) -> None:
-        """A timer is due; `request_id` is of effect for those about a request."""
+        """Handle a timer; `request_id` is used by the kinds of timer that belong to a request."""
         request = self.requests.get(request_id)
         match kind:
             case TimerKind.DEADLINE:
@@ -219,7 +223,11 @@
                 self.check_overdue(self.timers.overdue.on_fired())
 
     def check_overdue(self, delay: int) -> None:
-        """Look at what is overdue, so many ns late; after a long pause of the process begin anew."""
+        """Check for overdue attempts; after a long process pause, discard the learned limits.
+
+        Args:
+            delay: How late the timer of this check fired, ns.
+        """
         now = self.context.now
         if delay >= MIN_PROCESS_PAUSE and self.response_coverage.is_complete:
             self.response_coverage.restart()
@@ -229,7 +237,7 @@
             self.context.log(self.recovery.on_limit_idle(now))
         self.slow_start.learn_sizes(self.placement.table.by_kind)
         self.placement.update_weights()
-        if delay <= OVERDUE_INTERVAL:  # else answers are still to come, as we stood still ourselves
+        if delay <= OVERDUE_INTERVAL:  # after a process pause responses may be waiting to be read
             self.outliers.check_overdue(self.attempts.values())
         self.timers.schedule()
 
--- a/quincepier/policy/sending.py
+++ b/quincepier/policy/sending.py
@@ -1,4 +1,4 @@
-"""Attempts: what is sent to which upstream, and whether a request may be sent again."""
+"""Sending of attempts, and the check whether a request may be sent to an upstream."""
 
 from collections.abc import Iterable
 
@@ -14,20 +14,20 @@
 
 
 class AttemptSender(RouterComponent):
-    """Rule two: nothing is sent that may run twice and do harm.
+    """Sends attempts; never sends a request that might be executed twice with harmful effect.
 
     Args:
-        context: What the parts of a router share.
-        attempts: The open attempts, which this opens.
-        placement: Which caches hold what.
-        slow_start: The budgets that attempts are taken from.
-        outliers: Told of each attempt.
-        freshness: The age of copies.
+        context: State shared by the components of the router.
+        attempts: The open attempts; attempts that are sent are added here.
+        placement: Recent hits and listed caches.
+        slow_start: Budgets that are charged for attempts.
+        outliers: Notified of each attempt.
+        freshness: Maximum age of copies.
         fetch_limit: Counts fetches.
-        timers: Set as there are attempts to look at.
+        timers: Timers that run while there are open attempts.
 
     Attributes:
-        observer: Told of each attempt; None: nobody is.
+        observer: Called for each attempt that is sent; None: no observer.
     """
 
     def __init__(
@@ -51,36 +51,46 @@
         self.timers = timers
         self.observer: AttemptObserver | None = None
 
-    def send(self, request: Request, to: Upstream, source: Upstream | None, in_pause: bool = False) -> bool:
-        """Send a request, unless it may not be sent there or not any more; return whether it was.
+    def send(
+        self, request: Request, target: Upstream, source: Upstream | None, during_backoff: bool = False
+    ) -> bool:
+        """Send a request to a target if that is allowed.
 
         Args:
             request: The request.
-            to: A cache, a parent or the origin.
-            source: Where a cache fetches what it lacks; the cache itself: nowhere. None: not a fetch.
-            in_pause: Whether the source is asked though fetches are paused.
+            target: A cache, a parent or the origin.
+            source: Where the target fetches an object that it does not hold; the target itself: it must not
+                fetch. None: the target answers by itself.
+            during_backoff: Whether the source may fetch even though fetches are backing off.
+
+        Returns:
+            Whether it was sent; False if it must not be sent there, or its attempts or its time are used up.
         """
         settings = self.context.settings
         time_left = request.deadline - self.context.now
-        if request.attempts_sent >= settings.attempts or not self.can_send(request, to):
+        if request.attempts_sent >= settings.attempts or not self.can_send(request, target):
             return False
         if time_left <= settings.step:
             return False
-        attempt = self._open(request, to, source, in_pause)
+        attempt = self._open(request, target, source, during_backoff)
         self._forward(attempt, source, time_left)
         if self.observer is not None:
-            self.observer(request.event, to, attempt.source)
+            self.observer(request.event, target, attempt.source)
         self.timers.schedule()
         return True
 
-    def _open(self, request: Request, to: Upstream, source: Upstream | None, in_pause: bool) -> Attempt:
-        other_source = source if source is not to else None  # a cache as its own source fills nothing
-        attempt = Attempt(request, request.attempts_sent, self.context.now, to, other_source)
-        attempt.is_cache_only = source is to and to in self.placement.table.caches
-        is_held = request.cls.never_kept or self.placement.is_known_hit(to, request)
-        attempt.is_fetch = not (attempt.is_cache_only or is_held)
-        # while fetches are paused the parents give what they hold; what they lack is asked for once a pause
-        is_backing_off = self.fetch_limit.is_backing_off and not in_pause
+    def _open(
+        self, request: Request, target: Upstream, source: Upstream | None, during_backoff: bool
+    ) -> Attempt:
+        other_source = (
+            source if source is not target else None
+        )  # a target that is its own source does not fetch
+        attempt = Attempt(request, request.attempts_sent, self.context.now, target, other_source)
+        attempt.is_cache_only = source is target and target in self.placement.table.caches
+        needs_no_fetch = request.cls.never_kept or self.placement.is_known_hit(target, request)
+        attempt.is_fetch = not (attempt.is_cache_only or needs_no_fetch)
+        # during a backoff parents only give copies that they hold; one other object is fetched per interval
+        is_backing_off = self.fetch_limit.is_backing_off and not during_backoff
         attempt.is_source_cache_only = attempt.is_fetch and source is not None and is_backing_off
         self.fetch_limit.on_sent(attempt)
         self.attempts.open(attempt)
@@ -102,14 +112,21 @@
         self.context.fetch(attempt, source, 1, time_left, max_age, join, renew, window)
 
     def _window_left(self, request: Request) -> int:
-        """Return for how long a keyed request that ran may be repeated, ns; 0: it did not run, or no key."""
+        """Return for how long a keyed request that may have been executed may be repeated, ns.
+
+        0: it was not executed, or it is not keyed, so the window does not apply.
+        """
         first = request.first_execution
         if first is None or request.cls.effect is not Idempotency.KEYED:
             return 0
         return first.sent_at + request.cls.window - self.context.now
 
     def can_send(self, request: Request, upstream: Upstream) -> bool:
-        """Whether what ran of a request allows it to be sent there."""
+        """Whether a request may be sent to an upstream, given its earlier attempts.
+
+        A keyed request that may have been executed is repeated only within its window, and only where its key
+        is deduplicated. An unsafe one is not repeated.
+        """
         cls, first = request.cls, request.first_execution
         if cls.effect is Idempotency.SAFE or not request.may_have_run:
             return self.context.settings.second_copies or not request.open_attempts
@@ -125,13 +142,16 @@
         return here.cell == there.cell
 
     def abandon(self, upstream: Upstream) -> None:
-        """Give the slots of its attempts back; what does no harm is cancelled and goes elsewhere."""
+        """Release the fetch slots of an upstream's attempts, and cancel those of safe requests.
+
+        Cancelled requests are then retried at other upstreams.
+        """
         for attempt in upstream.in_flight.values():
             self.fetch_limit.on_abandoned(attempt)
         self.cancel(a for a in upstream.in_flight.values() if a.request.cls.effect is Idempotency.SAFE)
 
     def cancel(self, attempts: Iterable[Attempt]) -> None:
-        """Cancel attempts that nobody waits for, but for those whose response has started."""
+        """Cancel attempts, except those whose response has started."""
         for attempt in attempts:
             if self.context.settings.cancel and not attempt.request.has_response_started:
                 self.context.cancel(attempt)
--- a/quincepier/records.py
+++ b/quincepier/records.py
@@ -1,6 +1,7 @@
-"""What the decision logic keeps of upstreams, requests and attempts.
+"""The records that the decision logic keeps of upstreams, requests and attempts.
 
-Records only: nothing here decides. Figures such as half-lives are given by the policy. Times are in ns.
+Nothing here makes a decision; parameters such as half-lives are passed in by the policy. Times are in
+nanoseconds.
 """
 
 from __future__ import annotations
@@ -29,14 +30,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Execution:
-    """When and where an attempt was sent that may have run."""
+    """Time and target of an attempt that may have been executed."""
 
     sent_at: int
     endpoint: Endpoint
 
 
 class BaselineKey(NamedTuple):
-    """Answers that can be compared: of one class, cached or fetched, of told size or not."""
+    """Identifies responses whose latencies can be compared with each other.
+
+    Attributes:
+        cls: Index of the request class.
+        is_cached: Whether the cache answered from its own copy, without a fetch.
+        is_size_known: Whether the request gave the size of the response.
+    """
 
     cls: int
     is_cached: bool
@@ -44,32 +51,73 @@
 
 
 class WarmUpState(NamedTuple):
-    """The part of its size that an upstream surely does, and how often that it stands in a window."""
+    """The load that an upstream can carry during its slow start.
+
+    Attributes:
+        capacity_share: Share of its size that it can carry permanently now.
+        overload_multiple: It carries up to so many times that share within one window; infinite: it is warm.
+    """
 
     capacity_share: float
-    overload_multiple: float  # infinite: it is warm
+    overload_multiple: float
 
 
 class Upstream:
-    """A cache, a parent or the origin of the endpoint list."""
+    """A cache, a parent or the origin of the endpoint list.
+
+    Attributes:
+        endpoint: Its entry in the endpoint list.
+        started_at: Start of its process, as listed or as derived from its failures; 0: long ago.
+        last_response_at: Time of the last response that showed that it works.
+        failures: Weighted number of failures since then.
+        last_refused_cache: The cache whose last request for a copy held here was refused.
+        is_ejected: Whether outlier detection has ejected it.
+        trial_at: Time from which one request may try it while it is ejected.
+        trial_interval: Present time between two trials.
+        draining_until: Time until which it drains according to facts that were learned before a restart.
+        credit: Slow-start budget, ns of transfer time that may still be sent; below 0: none.
+        credited_at: Time as of which `credit` holds.
+        budget_started_at: Time at which the present slow-start budget began; -1: never.
+        slowness: Decaying mean of how much slower than usual it is.
+        weight_step: Two steps halve its hash weight.
+        in_flight: Open attempts that use it as the target or as the source.
+        recent_objects: Objects of the last attempts sent to it.
+    """
 
     def __init__(self, endpoint: Endpoint, slowness: DecayingMean, recent_objects: int) -> None:
         self.endpoint = endpoint
-        self.started_at = endpoint.up_since  # as told, or as guessed from its failing
-        self.last_response_at, self.failures = 0, 0.0  # its last sign of work, and the failures since
-        self.last_refused_cache: Upstream | None = None  # the cache by which it gave nothing last
+        self.started_at = endpoint.up_since
+        self.last_response_at, self.failures = 0, 0.0
+        self.last_refused_cache: Upstream | None = None
         self.is_ejected, self.trial_at, self.trial_interval = False, 0, 0
         self.draining_until = 0
-        # slow-start budget: work that may be sent, as of when, and when it was begun
         self.credit, self.credited_at, self.budget_started_at = 0.0, -1, -1
         self.slowness = slowness
-        self.weight_step = 0  # its hash weight is halved by two steps
+        self.weight_step = 0
         self.in_flight: dict[tuple[int, int], Attempt] = {}
         self.recent_objects: deque[int] = deque(maxlen=recent_objects)
 
 
 class Request:
-    """A request from when it was received until its final answer."""
+    """A request, from its arrival until its final response.
+
+    Attributes:
+        event: The event by which it arrived.
+        tier: Its priority tier, 0 the highest.
+        received_at: Time of its arrival.
+        home: The shard whose caches and parents may serve it; None: any.
+        id: Its id.
+        cls: Its request class.
+        key: Hash of its object and part, which determines its caches.
+        deadline: Time by which the client needs a response.
+        known_transfer_time: Transfer time that follows from the response size in the event; 0: size unknown.
+        attempts_sent: Number of attempts sent so far.
+        is_queued: Whether it is in the hold queue.
+        has_response_started: Whether the client has begun to receive a response.
+        first_execution: Its first attempt that may have been executed.
+        excluded: Upstreams that must not be used for it any more.
+        open_attempts: Attempts that have not completed, by attempt number.
+    """
 
     def __init__(
         self, event: RequestReceived, settings: Settings, tier: int, now: int, home: HomeShard | None
@@ -80,7 +128,7 @@
         self.key = mix(event.object, event.part)
         self.deadline = now + event.time_left
         kb = settings.client_kb_per_s
-        self.known_transfer_time = event.size_kb / kb * SECOND if kb else 0.0  # 0: not told
+        self.known_transfer_time = event.size_kb / kb * SECOND if kb else 0.0
         self.attempts_sent, self.is_queued, self.has_response_started = 0, False, False
         self.first_execution: Execution | None = None
         self.excluded: list[Upstream] = []
@@ -88,39 +136,48 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt ran, or is open and may run yet."""
+        """Whether an attempt was executed, or is open and may still be executed."""
         return self.first_execution is not None or bool(self.open_attempts)
 
 
 class Attempt:
-    """One sending of a request to an upstream, until its completion is told."""
+    """One attempt to serve a request, from the moment it is sent until its completion is reported.
+
+    Attributes:
+        request: The request.
+        number: Its number among the attempts of the request, from 0.
+        sent_at: Time at which it was sent.
+        upstream: Its target.
+        source: The upstream from which the target fetches; None: the target does not fetch.
+        is_fetch: Whether it counts against the fetch limit.
+        is_cache_only: Whether the target must answer from its own copies.
+        is_source_cache_only: Whether the source must answer from its own copies.
+        charged_work: Transfer time that was charged to the slow-start budgets, ns.
+    """
 
     def __init__(
         self, request: Request, number: int, sent_at: int, upstream: Upstream, source: Upstream | None
     ) -> None:
         self.request, self.number, self.sent_at = request, number, sent_at
         self.upstream, self.source = upstream, source
-        self.is_fetch = False  # counts against the fetch limit
-        self.is_cache_only, self.is_source_cache_only = (
-            False,
-            False,
-        )  # of the cache's, of the source's own copies
-        self.charged_work = 0.0  # taken from slow-start budgets, ns
+        self.is_fetch = False
+        self.is_cache_only, self.is_source_cache_only = False, False
+        self.charged_work = 0.0
 
     @property
     def upstreams(self) -> list[Upstream]:
-        """The one it was sent to, and its source."""
+        """Its target, and its source if it has one."""
         return [self.upstream] if self.source is None else [self.upstream, self.source]
 
 
-AbandonUpstream = Callable[[Upstream], None]  # gives back what is in flight there
+AbandonUpstream = Callable[[Upstream], None]  # releases the fetch slots of its open attempts
 
 
 class AttemptTable(dict[tuple[int, int], Attempt]):
-    """Open attempts by request and number, the oldest first."""
+    """Open attempts by request id and attempt number, the oldest first."""
 
     def open(self, attempt: Attempt) -> None:
-        """It is sent now."""
+        """Add an attempt that is being sent."""
         request, key = attempt.request, (attempt.request.id, attempt.number)
         request.attempts_sent += 1
         request.open_attempts[attempt.number] = self[key] = attempt
@@ -129,7 +186,7 @@
             upstream.in_flight[key] = attempt
 
     def complete(self, event: AttemptCompleted) -> Attempt | None:
-        """The open attempt that the event completes."""
+        """Remove and return the attempt that the event completes; None: it is not open."""
         key = (event.request, event.attempt)
         attempt = self.pop(key, None)
         if attempt is not None:
@@ -140,47 +197,56 @@
 
 
 class LinkLoad:
-    """How much a zone's link slows transfers, as load reports told it; half counts after `half_life` ns."""
+    """How much the link of this front's zone slows transfers, according to load reports.
+
+    A reported value loses half of its weight per `half_life` ns.
+
+    Attributes:
+        zone: The zone of this front.
+        report_index: Index of the link's value in a load report.
+        reported_slowdown: The last reported value.
+        reported_at: Time of that report, ns; 0: none.
+    """
 
     def __init__(self, settings: Settings, half_life: int) -> None:
         self.zone, self.half_life = settings.zone, half_life
-        self.report_index = [*settings.reports, "link"].index("link")  # of a load report
+        self.report_index = [*settings.reports, "link"].index("link")
         self.reported_slowdown, self.reported_at = 0.0, 0
 
     def on_completed(self, now: int, completion: Completion) -> None:
-        """Of effect where a report of the zone tells of it."""
+        """Take the value over if the response carries a report of the zone's link."""
         report, zone = completion.event.report, completion.attempt.upstream.endpoint.zone
         if len(report) > self.report_index and zone == self.zone:
             self.reported_slowdown, self.reported_at = report[self.report_index], now
 
     def current_slowdown(self, now: int) -> float:
-        """What is left of what was told."""
+        """Return the last reported value, reduced by its age."""
         return self.reported_slowdown * math.exp2((self.reported_at - now) / self.half_life)
 
 
 @dataclass(slots=True, frozen=True)
 class Completion:
-    """An attempt that has completed, and how."""
+    """An attempt that has completed, and the event that reported it."""
 
     attempt: Attempt
     event: AttemptCompleted
 
     @property
     def outcome(self) -> AttemptOutcome:
-        """How it ended."""
+        """The outcome of the attempt."""
         return self.event.ending
 
     @property
     def status(self) -> CacheStatus:
-        """What the cache told of it."""
+        """The cache status of the response."""
         return self.event.note
 
     @property
     def is_ok(self) -> bool:
-        """Whether it was answered."""
+        """Whether the attempt succeeded."""
         return self.event.ending is AttemptOutcome.OK
 
     @property
     def is_from_cache(self) -> bool:
-        """Whether the cache answered out of its own."""
+        """Whether the cache answered from its own copy."""
         return self.is_ok and self.event.note in (CacheStatus.HIT, CacheStatus.STALE)
--- a/quincepier/recovery/__init__.py
+++ b/quincepier/recovery/__init__.py
@@ -1,8 +1,8 @@
-"""Recovery of a front after a start: its phases, its initial limits, and the validity of older facts.
+"""Recovery of a front after a start: its phases, its initial limits, and the facts learned before the start.
 
-`phases` tracks the recovery until service is full, the initial limits bound the first dials and polls, and
-`learned_facts` decides how much of what was learned before a start still counts. Nothing here chooses a
-server, reads a clock or does I/O. See docs/recovery.md.
+`phases` tracks the recovery until service is full, `initial_limits` bounds the first connects and polls, and
+`learned_facts` decides which facts from before the start are restored. Nothing here chooses a server, reads a
+clock or does I/O. See docs/recovery.md.
 """
 
 from quincepier.recovery.initial_limits import (
--- a/quincepier/recovery/learned_facts.py
+++ b/quincepier/recovery/learned_facts.py
@@ -1,12 +1,12 @@
 """Learned facts: what a router has learned, exported one by one, and restored after a restart.
 
-A fact is restored as if it had been learned at its own time, so it decays by its usual half-life. Past its
-maximum age it is not restored, and what was restored expires when that age passes. Facts that protect others
-(cold starts, purges, drains, ejections) only make a front more careful; where their age is unknown they count
-as new. That a machine is well, warm or fast is never restored.
+A fact is restored as if it had been learned at its own time, so it decays with its usual half-life. A fact
+that is older than its maximum age is not restored, and a restored fact expires when it reaches that age.
+Facts that protect other machines (cold starts, purges, drains, ejections) only make a front more careful; if
+their age is unknown they count as new. That a machine is healthy, warm or fast is never restored.
 
-Nor is the fetch limit: what is not known to be cached counts as a fetch, so a limit that was low before a
-restart would shed hits after it (docs/recovery.md).
+The fetch limit is not restored either: after a restart no object is known to be cached, so every request
+counts as a fetch, and a limit that was low before the restart would shed hits (docs/recovery.md).
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 MAX_EJECTION_AGE = 8 * NS_PER_S
 MAX_DRAIN_AGE = 30 * NS_PER_S
 PURGE_AGE_MARGIN = 2 * NS_PER_S  # beyond the time that a purge takes to settle
-# What restored estimates count as, however many samples they were made of.
+# Numbers of samples that restored estimates count as, however many they were made of.
 RESTORED_TRANSFER_SAMPLES = 4
-RESTORED_BASELINE_SAMPLES = 21  # just so many that the minimum counts
+RESTORED_BASELINE_SAMPLES = 21  # the smallest number with which the minimum of a baseline is kept
 MAX_RESTORED_SLOWNESS_WEIGHT = 2.0
 MIN_EXPORTED_SLOWNESS_WEIGHT = 0.1
 OWN_SAMPLES = 50  # own samples after which a restored mean no longer matters
-MIN_WEIGHT = 1e-9  # against division by zero
+MIN_WEIGHT = 1e-9  # avoids a division by zero
 
 
 class LatencyEstimates(Protocol):
@@ -83,7 +83,7 @@
         """Times of purges, by (0, object) or (1, group)."""
 
     def on_purge(self, group: int, obj: int, ago: int) -> None:
-        """Take a purge that was made `ago` nanoseconds before."""
+        """Record a purge that was made `ago` nanoseconds ago."""
 
 
 class LearningRouter(Protocol):
@@ -117,7 +117,7 @@
 
     @property
     def slow_start(self) -> ServedWorkEstimates:
-        """Work served."""
+        """The work that kinds of upstreams served."""
 
     @property
     def placement(self) -> ListedUpstreams:
@@ -171,7 +171,7 @@
     for upstream in list(router.placement.table.by_id.values()):
         endpoint = upstream.endpoint
         slowness = upstream.slowness
-        is_restarted = upstream.started_at > endpoint.up_since  # found by its failing, not listed
+        is_restarted = upstream.started_at > endpoint.up_since  # derived from its failures, not listed
         is_draining = endpoint.state is not EndpointState.READY or upstream.draining_until > now
         is_slowness_known = slowness.weight > MIN_EXPORTED_SLOWNESS_WEIGHT
         if is_slowness_known or is_restarted or upstream.is_ejected or is_draining:
@@ -290,25 +290,25 @@
         return _snapshot(upstream) != before
 
     def _restore_cold_start(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
-        """A start found by failing is restored, but never an earlier one than the list tells."""
+        """Restore a start that was derived from failures, but never one earlier than the listed start."""
         settings = self.router.settings
         age = fact.cold_ago + self._age if self._is_age_known else 0
         if fact.cold_ago >= 0 and age < max(settings.cold_time, settings.parent_cold_time):
             upstream.started_at = max(upstream.started_at, self._now - age, 1)
 
     def _restore_ejection(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
-        """One health-check request is due at once."""
+        """Restore an ejection; one health-check request is due at once."""
         if fact.aside_ago >= 0 and fact.aside_ago + self._age <= MAX_EJECTION_AGE:
             self.router.outliers.eject(upstream)
 
     def _restore_drain(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
-        """It drains until the change log names it anew."""
+        """Restore a drain, which lasts until the change log lists the endpoint again."""
         remaining = MAX_DRAIN_AGE - fact.leaving_ago - self._age
         if fact.leaving_ago >= 0 and remaining > 0:
             upstream.draining_until = self._now + remaining
 
     def _restore_slowness(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
-        """Only that it is slow, and only if the router has no samples of its own."""
+        """Restore that an upstream is slow, if the router has no samples of its own."""
         age = fact.ago + self._age
         slowness = upstream.slowness
         mean = fact.slowed / max(fact.signs, MIN_WEIGHT)
@@ -348,7 +348,7 @@
 
 
 def _forget_slowness(upstream: Upstream, total: float, weight: float, updated_at: int) -> None:
-    """Samples decay alike, so the restored part can be taken out of the sums exactly."""
+    """Remove restored samples; all samples decay alike, so they can be subtracted exactly."""
     slowness = upstream.slowness
     decay = math.exp2((updated_at - slowness.updated_at) / slowness.half_life)
     slowness.total -= total * decay
--- a/quincepier/recovery/phases.py
+++ b/quincepier/recovery/phases.py
@@ -1,7 +1,7 @@
 """Tracks the recovery of a front after its start, phase by phase, until service is full.
 
-A phase ends when its condition holds, never by time alone. A pause of the process leads back to
-LIST_RECEIVED, as what was known of other machines is out of date. There is no clock: callers give the time.
+A phase ends when its condition is met, never by time alone. A process pause leads back to LIST_RECEIVED, as
+the state of other machines is then out of date. There is no clock: callers pass the time.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1000 * NS_PER_MS
-FULL_SERVICE_FRACTION = 0.97  # of the weight asked for that is served in time
-MIN_EVIDENCE_S = 2  # whole seconds that show full service
-MAX_EVIDENCE_S = 10
-MIN_EVIDENCE_REQUESTS = 50  # with fewer, one that is late by chance would decide
+FULL_SERVICE_FRACTION = 0.97  # share of the requested weight that is served in time at full service
+MIN_EVIDENCE_S = 2  # seconds over which full service must be observed
+MAX_EVIDENCE_S = 10  # seconds that are kept for that
+MIN_EVIDENCE_REQUESTS = 50  # with fewer requests, a single late one would decide
 MIN_LIMIT_NS = NS_PER_S // 2  # after the first responses, before the limit can be confirmed
 
 
 class RecoveryPhase(IntEnum):
-    """The phases in their order; each is entered when what it names has been reached."""
+    """The phases, in order; each is entered when its condition is met."""
 
     STARTED = 0
-    LIST_RECEIVED = 1  # the endpoint list
-    FIRST_RESPONSES = 2  # of each request class that was asked for
-    LIMIT_CONFIRMED = 3  # the concurrency limit held over as many fetches, or nothing waits for it
-    FULL_SERVICE = 4
+    LIST_RECEIVED = 1  # the endpoint list was received
+    FIRST_RESPONSES = 2  # each request class that was requested has had a successful response
+    LIMIT_CONFIRMED = 3  # as many fetches as the limit completed without a change of it, or none waits for it
+    FULL_SERVICE = 4  # nearly all requests are served in time
 
 
 PHASE_LABELS = ("started", "list", "first answers", "bound", "as usual")
-"""By phase, as the log has them; the recorded streams of the tests hold these texts."""
+"""Names of the phases in log lines; the recorded streams of the tests contain these texts."""
 
 
 @dataclass(slots=True)
@@ -39,9 +39,9 @@
     """Requests that were finished within one second.
 
     Attributes:
-        due_weight: Sum of their priority weights.
-        served_weight: Sum of the weights of those served in time.
-        request_count: Their number.
+        due_weight: Sum of the priority weights of the requests.
+        served_weight: Sum of the weights of the requests that were served in time.
+        request_count: Number of the requests.
     """
 
     due_weight: float = 0.0
@@ -52,8 +52,8 @@
 class RecoveryTracker:
     """The recovery of one start of a front.
 
-    Its handlers return log messages: each phase that is entered and why, and once a start full service. All
-    times are nanoseconds of one monotonic clock.
+    Its handlers return log messages: each phase that is entered and the reason, and full service once per
+    start. All times are nanoseconds of one monotonic clock.
 
     Args:
         now: The time of the start.
@@ -72,28 +72,28 @@
         self._past_seconds: deque[SecondTotals] = deque(maxlen=MAX_EVIDENCE_S)
 
     def on_list_received(self, now: int) -> list[str]:
-        """The front has an endpoint list."""
+        """Note that the endpoint list was received."""
         if self.phase is not RecoveryPhase.STARTED:
             return []
         return self._enter(RecoveryPhase.LIST_RECEIVED, now, "a list is there")
 
     def on_first_responses(self, now: int, response_count: int) -> list[str]:
-        """Machines gave this many responses, at least one of each class that was asked for."""
+        """Note that responses were received, at least one of each class that was requested."""
         if self.phase is not RecoveryPhase.LIST_RECEIVED:
             return []
         reason = f"{response_count} answers, each class asked for among them"
         return self._enter(RecoveryPhase.FIRST_RESPONSES, now, reason)
 
     def on_limit_held(self, now: int) -> list[str]:
-        """As many fetches as the concurrency limit allows have completed well, without demand for more."""
+        """Note that as many fetches as the concurrency limit completed well, without demand for more."""
         return self._confirm_limit(now, "the bound was kept")
 
     def on_limit_idle(self, now: int) -> list[str]:
-        """Nothing waits for the concurrency limit."""
+        """Note that no request waits for the concurrency limit."""
         return self._confirm_limit(now, "nothing waits for the bound")
 
     def on_request_finished(self, now: int, weight: float, is_in_time: bool) -> list[str]:
-        """A request has its final response.
+        """Note that a request has its final response.
 
         Args:
             now: The time.
@@ -107,7 +107,7 @@
         return messages
 
     def on_process_pause(self, now: int, pause: int) -> list[str]:
-        """The process did not run for `pause` nanoseconds: all but the list is out of date."""
+        """Note that the process did not run for `pause` ns; all state except the list is out of date."""
         if self.phase <= RecoveryPhase.LIST_RECEIVED:
             return []
         self._past_seconds.clear()
@@ -129,7 +129,7 @@
         return self._enter(RecoveryPhase.LIMIT_CONFIRMED, now, reason)
 
     def _advance_second(self, now: int) -> list[str]:
-        """Close the current second, and those after it in which nothing was finished."""
+        """Close the current second, and the seconds after it in which no request was finished."""
         second = now // NS_PER_S
         if second == self._current_second:
             return []
@@ -154,7 +154,7 @@
         return messages
 
     def _full_service_seconds(self) -> int:
-        """Return the seconds, back from now, that show full service; 0 if they don't or are too few."""
+        """Return over how many of the last seconds full service was observed; 0: it was not, or too few."""
         total = SecondTotals()
         for evidence_s, second in enumerate(reversed(self._past_seconds), 1):
             total.due_weight += second.due_weight
@@ -166,12 +166,12 @@
 
     @staticmethod
     def _is_full_service(total: SecondTotals) -> bool:
-        """Whether enough weight was served, one request being late by chance."""
+        """Whether enough weight was served; one late request is tolerated as chance."""
         mean_weight = total.due_weight / total.request_count
         return total.served_weight + mean_weight >= FULL_SERVICE_FRACTION * total.due_weight
 
     def _describe_full_service(self, now: int, evidence_s: int) -> str:
-        """Service counts as full from the beginning of the seconds that showed it."""
+        """Return the log message; service counts as full from the beginning of the observed seconds."""
         entered_at = self._entered_at_by_phase
         limit_confirmed_at = entered_at.get(RecoveryPhase.LIMIT_CONFIRMED, now)
         full_at = max(now - evidence_s * NS_PER_S, limit_confirmed_at, self._started_at)
--- a/quincepier/structures/__init__.py
+++ b/quincepier/structures/__init__.py
@@ -1,4 +1,4 @@
-"""Plain data structures: they reckon and keep, and decide nothing; whoever makes one gives its figures."""
+"""Generic data structures and estimators of the routing policy; callers supply all parameters."""
 
 from quincepier.structures.backoff import Backoff
 from quincepier.structures.baseline import Baseline
@@ -10,7 +10,7 @@
 from quincepier.structures.rendezvous import RendezvousGroup, rank
 from quincepier.structures.running_means import RunningMeans
 from quincepier.structures.served_work import ServedWork
-from quincepier.structures.tiers import tiers
+from quincepier.structures.tiers import assign_tiers
 from quincepier.structures.token_bucket import TokenBucket
 
 __all__ = [
@@ -26,6 +26,6 @@
     "RunningMeans",
     "ServedWork",
     "TokenBucket",
+    "assign_tiers",
     "rank",
-    "tiers",
 ]
--- a/quincepier/structures/backoff.py
+++ b/quincepier/structures/backoff.py
@@ -4,13 +4,16 @@
 
 
 class Backoff:
-    """A wait that doubles up to `longest` and is eased by a factor; in ns.
+    """A wait that is doubled up to a maximum, and decreased by a factor; 0: no backoff.
 
     Args:
-        shortest: the first wait, ns.
-        longest: the upper bound, ns.
-        ease_factor: what an easing multiplies the wait by.
-        end_below: an easing of a wait that is not longer than this ends it, ns.
+        min_wait: The first wait, ns.
+        max_wait: The upper bound, ns.
+        decrease_factor: Factor that `decrease` applies to the wait.
+        reset_below: `decrease` ends the backoff if the wait is not longer than this, ns.
+
+    Attributes:
+        wait: The present wait, ns.
     """
 
     __slots__ = ("decrease_factor", "max_wait", "min_wait", "reset_below", "wait")
@@ -27,5 +30,5 @@
         self.wait = min(max(2 * self.wait, self.min_wait), self.max_wait)
 
     def decrease(self) -> None:
-        """Shorten the wait by the factor, or end it."""
+        """Shorten the wait by the factor, or end the backoff."""
         self.wait = self.wait * self.decrease_factor if self.wait > self.reset_below else 0.0
--- a/quincepier/structures/baseline.py
+++ b/quincepier/structures/baseline.py
@@ -1,10 +1,19 @@
-"""A mean of samples and the least that it was."""
+"""A running mean and its minimum."""
 
 from __future__ import annotations
 
 
 class Baseline:
-    """The mean of `count` samples, and its least so far, which rises by a given amount a nanosecond."""
+    """The running mean of samples, and the minimum that it has had.
+
+    The minimum rises slowly over time, so that it follows a lasting change.
+
+    Attributes:
+        mean: The running mean.
+        count: Number of samples.
+        least: The minimum of the mean, as of `updated_at`.
+        updated_at: Time of the last sample, ns.
+    """
 
     __slots__ = ("count", "least", "mean", "updated_at")
 
@@ -12,7 +21,15 @@
         self.mean, self.count, self.least, self.updated_at = mean, count, least, updated_at
 
     def add(self, now: int, sample: float, min_weight: float, min_count: int, rise: float) -> None:
-        """Each sample weighs alike, but `min_weight` at least; the least is kept past `min_count` samples."""
+        """Add a sample.
+
+        Args:
+            now: The time, ns.
+            sample: The sample.
+            min_weight: Minimum weight of the sample in the mean; otherwise all samples weigh the same.
+            min_count: Number of samples up to which the minimum equals the mean.
+            rise: Rise of the minimum per ns.
+        """
         self.mean += (sample - self.mean) * max(min_weight, 1 / (self.count + 1))
         self.count += 1
         risen = self.least + rise * (now - self.updated_at)
--- a/quincepier/structures/coverage.py
+++ b/quincepier/structures/coverage.py
@@ -1,4 +1,4 @@
-"""Whether enough was seen, of each kind that was asked for."""
+"""Tracks whether enough observations were made, with at least one of each expected kind."""
 
 from __future__ import annotations
 
@@ -6,7 +6,13 @@
 
 
 class Coverage:
-    """Complete once `min_count` were seen, of each kind that was asked for one at least."""
+    """Complete once `min_count` observations were made, with at least one of each expected kind.
+
+    Attributes:
+        expected: The kinds that are expected.
+        counts: Number of observations by kind.
+        is_complete: Whether the condition has been met since the last restart.
+    """
 
     def __init__(self, min_count: int) -> None:
         self.min_count, self.expected, self.counts, self.is_complete = (
@@ -17,7 +23,7 @@
         )
 
     def add(self, kind: int) -> bool:
-        """One of that kind was seen; whether it is that which completes."""
+        """Add an observation of a kind; return whether it makes the coverage complete."""
         if self.is_complete:
             return False
         self.counts[kind] += 1
@@ -26,9 +32,9 @@
 
     @property
     def count(self) -> int:
-        """Of all kinds."""
+        """Number of observations of all kinds."""
         return self.counts.total()
 
     def restart(self) -> None:
-        """Nothing was asked for or seen."""
+        """Discard all expectations and observations."""
         self.expected, self.counts, self.is_complete = set(), Counter(), False
--- a/quincepier/structures/recency_map.py
+++ b/quincepier/structures/recency_map.py
@@ -1,4 +1,4 @@
-"""When keys were seen last, of a bounded number of them."""
+"""A bounded map from keys to the times at which they were last seen."""
 
 from __future__ import annotations
 
@@ -6,14 +6,20 @@
 
 
 class RecencyMap(OrderedDict[tuple[int, int], int]):
-    """Times by key, the oldest first; past `capacity` the oldest go."""
+    """Times by key, the least recently recorded first; beyond `capacity` keys, these are removed."""
 
     def __init__(self, capacity: int) -> None:
         super().__init__()
         self.capacity = capacity
 
     def record(self, key: tuple[int, int], at: int, oldest: int) -> None:
-        """`at` is rising; what is from before `oldest` is forgotten."""
+        """Record that a key was seen at a time.
+
+        Args:
+            key: The key.
+            at: The time, ns; it must not be lower than in earlier calls.
+            oldest: Keys with a time before this one are removed, ns.
+        """
         self[key] = at
         self.move_to_end(key)
         while self and (len(self) > self.capacity or next(iter(self.values())) < oldest):
--- a/quincepier/structures/running_means.py
+++ b/quincepier/structures/running_means.py
@@ -1,4 +1,4 @@
-"""Means by index that begin at a guess."""
+"""Running means by index, with initial guesses."""
 
 from __future__ import annotations
 
@@ -6,7 +6,16 @@
 
 
 class RunningMeans:
-    """Each sample weighs alike, but `min_weight` at least; the guess counts until the first one."""
+    """Running means by index.
+
+    Args:
+        initial: Initial guess for each index; the first sample replaces it.
+        min_weight: Minimum weight of a new sample; otherwise all samples weigh the same.
+
+    Attributes:
+        means: The mean of each index.
+        counts: Number of samples of each index.
+    """
 
     def __init__(self, initial: list[float], min_weight: float) -> None:
         self.initial, self.min_weight = initial, min_weight
@@ -14,11 +23,11 @@
         self.counts = Counter[int]()
 
     def add(self, index: int, sample: float) -> None:
-        """One sample more of that index."""
+        """Add a sample for an index."""
         self.counts[index] += 1
         weight = max(self.min_weight, 1 / self.counts[index])
         self.means[index] += weight * (sample - self.means[index])
 
     def reset(self, index: int) -> None:
-        """Back to the guess."""
+        """Discard the samples of an index and return to its initial guess."""
         self.means[index], self.counts[index] = self.initial[index], 0
--- a/quincepier/structures/tiers.py
+++ b/quincepier/structures/tiers.py
@@ -1,4 +1,4 @@
-"""Tiers of weights."""
+"""Assignment of priority weights to tiers."""
 
 from __future__ import annotations
 
@@ -6,8 +6,11 @@
 from collections.abc import Collection
 
 
-def tiers(weights: Collection[float], count: int) -> dict[float, int]:
-    """The tier of each weight: that of the highest is 0, of the lowest the last, of the others by rank."""
+def assign_tiers(weights: Collection[float], count: int) -> dict[float, int]:
+    """Assign each weight to one of `count` tiers, by rank.
+
+    The highest weight has tier 0, the lowest the last tier; a single weight has tier 0.
+    """
     ranked = sorted(weights, reverse=True)
     steps = max(len(ranked) - 1, 1)
     return {weight: math.ceil((count - 1) * n / steps) for n, weight in enumerate(ranked)}
--- a/quincepier/structures/token_bucket.py
+++ b/quincepier/structures/token_bucket.py
@@ -4,7 +4,7 @@
 
 
 class TokenBucket:
-    """Tokens up to `capacity`, put in by amounts and taken one by one."""
+    """A token bucket: tokens are added in fractions up to `capacity` and taken one at a time."""
 
     __slots__ = ("capacity", "tokens")
 
@@ -12,11 +12,11 @@
         self.tokens, self.capacity = tokens, capacity
 
     def add(self, amount: float) -> None:
-        """What does not fit is lost."""
+        """Add tokens; tokens beyond the capacity are lost."""
         self.tokens = min(self.capacity, self.tokens + amount)
 
     def take(self) -> bool:
-        """One token; False where there is no whole one."""
+        """Take one token; return False if there is less than one."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/quincepier/upstream_table.py
+++ b/quincepier/upstream_table.py
@@ -1,4 +1,4 @@
-"""The upstreams that the endpoint list names, by id and by kind. A table only: it chooses none of them."""
+"""Table of the upstreams in the endpoint list, by id and by kind."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 @dataclass(slots=True)
 class TableChange:
-    """What an update of the list changed.
+    """The changes that an endpoint update made.
 
     Attributes:
-        removed: Upstreams that are not listed any more.
-        listed_again: Upstreams that were listed before, and what was listed of each.
-        has_moved: Whether upstreams came, went or have another size: hash orders are no longer right.
+        removed: Upstreams that are no longer listed.
+        updated: Upstreams that were already listed, each with its previous endpoint.
+        has_ranking_changed: Whether upstreams were added or removed or changed their size, so that cached
+            rankings are invalid.
     """
 
     removed: list[Upstream] = field(default_factory=list)
@@ -25,10 +26,17 @@
 
 
 class UpstreamTable:
-    """Caches, parents and origins, as listed.
+    """The listed caches, parents and origins.
 
     Args:
-        new_upstream: Makes the record of an endpoint that was not listed before; None: it is not kept.
+        create_upstream: Creates the record of a new endpoint; returns None if the endpoint is not needed.
+
+    Attributes:
+        by_id: All upstreams, by endpoint id.
+        caches: The upstreams that are neither parents nor origins.
+        parents: The parents.
+        origins: The origins.
+        by_kind: All upstreams, by kind.
     """
 
     def __init__(self, create_upstream: Callable[[Endpoint], Upstream | None]) -> None:
@@ -40,7 +48,7 @@
         self.by_kind: dict[int, list[Upstream]] = {}
 
     def apply(self, update: EndpointUpdate, settings: Settings) -> TableChange:
-        """Take what the list says now."""
+        """Apply an endpoint update, and return what it changed."""
         change = TableChange()
         gone = {e.cache for e in update.machines if e.state is EndpointState.GONE}
         if update.scope in (UpdateScope.FULL, UpdateScope.RESTORED):
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -24,8 +24,8 @@
     RunningMeans,
     ServedWork,
     TokenBucket,
+    assign_tiers,
     rank,
-    tiers,
 )
 
 SECOND = 1_000_000_000
@@ -203,7 +203,7 @@
     ],
 )
 def test_tiers_by_rank(weights: tuple[float, ...], wanted: dict[float, int]) -> None:
-    assert tiers(weights, 3) == wanted
+    assert assign_tiers(weights, 3) == wanted
 
 
 def test_rendezvous_ranks_are_by_weight_and_outlast_who_leaves() -> None:
