--- a/quincepier/policy/admission.py
+++ b/quincepier/policy/admission.py
@@ -21,7 +21,7 @@
 LOWEST_TIER = 2
 MAX_HELD_LOWEST_TIER = 2  # held while it is shed; an object that is never fetched would never be cached
 HOLD_SHARE = 0.15  # longest hold, as a share of the request's objective
-SPARE_CACHES = 2  # first caches in the hash order of a key at which a copy may be made
+MAX_COPY_CACHES = 2  # first caches in the hash order of a key at which a copy may be made
 
 
 class Disposition(Enum):
@@ -92,11 +92,11 @@
         A request that is released from the hold queue is not held again.
         """
         self.queue.discard(request)
-        choice = self._choose(request, is_released)
-        match choice.disposition:
+        decision = self._decide(request, is_released)
+        match decision.disposition:
             case Disposition.FORWARD:
-                assert choice.upstream is not None
-                self._forward(request, choice.upstream, choice.source)
+                assert decision.upstream is not None
+                self._forward(request, decision.upstream, decision.source)
             case Disposition.HOLD:
                 self.hold(request)
             case Disposition.SHED:
@@ -104,20 +104,20 @@
             case Disposition.GIVE_UP:
                 self.responder.give_up(request)
 
-    def _choose(self, request: Request, is_released: bool) -> RoutingDecision:
+    def _decide(self, request: Request, is_released: bool) -> RoutingDecision:
         placement = self.placement
-        is_kept = not request.cls.never_kept
+        is_cacheable = not request.cls.never_kept
         cache = placement.find_cache(request)
         source = placement.find_source(request)
         origin = self._find_direct_origin(request)
         needs_fetch = cache is None or not placement.is_known_hit(cache, request)
-        if origin is not None and not is_kept:  # never cached: bypasses the caches
+        if origin is not None and not is_cacheable:  # bypasses the caches
             return RoutingDecision(Disposition.FORWARD, origin)
-        if is_kept and not is_released:
+        if is_cacheable and not is_released:
             if needs_fetch and request.tier == LOWEST_TIER and self.fetch_limit.is_nearly_full:
                 return HOLD if self._can_hold_lowest_tier() else SHED
-            is_behind = needs_fetch and (self.fetch_limit.is_blocked(request) or bool(self.queue))
-            if is_behind or placement.is_saturated(cache, request):
+            must_wait = needs_fetch and (self.fetch_limit.is_blocked(request) or bool(self.queue))
+            if must_wait or placement.is_saturated(cache, request):
                 return HOLD
         direct_source = source if self.context.settings.direct else None
         target = cache or direct_source  # no usable cache: directly to the parent
@@ -158,23 +158,23 @@
         """
         placement = self.placement
         cache = placement.find_cache(request)
-        spare = self._find_spare(request) if was_held else None
+        other_cache = self._find_unsaturated_cache(request) if was_held else None
         if (
-            spare is not None
+            other_cache is not None
             and self.fetch_limit.has_spare_capacity
             and not self.fetch_limit.is_blocked(request)
         ):
-            self._forward(request, spare, placement.find_source(request) or spare)
+            self._forward(request, other_cache, placement.find_source(request) or other_cache)
         elif cache is None or request.attempts_sent or placement.is_saturated(cache, request):
             self.responder.give_up(request)
         else:
             self._forward(request, cache, cache)
 
-    def _find_spare(self, request: Request) -> Upstream | None:
-        """Return the first cache of the request's key that is usable and not saturated."""
+    def _find_unsaturated_cache(self, request: Request) -> Upstream | None:
+        """Return the first usable cache in the hash order of the request's key that is not saturated."""
         placement = self.placement
         ranked = placement.rank(placement.table.caches, request.key, request.home)
-        for cache in ranked[:SPARE_CACHES]:
+        for cache in ranked[:MAX_COPY_CACHES]:
             if placement.is_usable(cache, request) and not placement.is_saturated(cache, request):
                 return cache
         return None
--- a/quincepier/policy/fetch_limit.py
+++ b/quincepier/policy/fetch_limit.py
@@ -141,17 +141,15 @@
         if completion.outcome in BAD_OUTCOMES:
             return True
         attempt, event = completion.attempt, completion.event
-        usual = attempt.upstream.slowness.factor(self.context.now)
-        objective = self.latency.objective(attempt.request) * usual
+        usual_slowness = attempt.upstream.slowness.factor(self.context.now)
+        objective = self.latency.objective(attempt.request) * usual_slowness
         is_slow = event.waited > attempt.request.cls.on_time or event.elapsed > objective
         return is_slow and not completion.is_from_cache
 
     def _adapt_limit(self, is_awaited: bool) -> None:
         if self._bad_count > BAD_SHARE * (self._good_count + self._bad_count):
             self.limit = max(self.limit // 2, self._min_limit)
-        elif (
-            is_awaited and self.in_flight >= NEARLY_FULL_SHARE * self.limit - 1
-        ):  # the completed one was in flight
+        elif is_awaited and self.in_flight >= NEARLY_FULL_SHARE * self.limit - 1:  # 1: the completed fetch
             self.limit = min(self.limit * 2, MAX_LIMIT)
         else:
             self.context.log(self.recovery.on_limit_held(self.context.now))
--- a/quincepier/policy/outliers.py
+++ b/quincepier/policy/outliers.py
@@ -117,9 +117,8 @@
             attempts: All open attempts, the oldest first.
         """
         overdue = Counter[Upstream]()
-        slowness = self.latency.fetch_slowness.factor(
-            self.now
-        )  # if all fetches are slow, no source is at fault
+        # if all fetches are slow, no single source is at fault
+        slowness = self.latency.fetch_slowness.factor(self.now)
         for attempt in takewhile(lambda attempt: attempt.sent_at <= self.context.now - SECOND, attempts):
             max_elapsed = self.latency.objective(attempt.request) * (slowness if attempt.is_fetch else 1)
             if attempt.sent_at <= self.context.now - max_elapsed and not attempt.request.has_response_started:
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -19,12 +19,10 @@
 # have two caches.
 HOT_REQUESTS, HOT_SHARE = 32, 0.25
 WEIGHT_STEPS = 4  # weight steps per doubling of the slowness; two steps halve the weight
-MAX_CACHED_RANKS = (
-    8  # kept per key, as a zone may list thousands of caches; nearly always one of them is usable
-)
-HIT_LIFETIME = (
-    5 * SECOND
-)  # ns; so long after a hit, attempts for the key at that cache don't count as fetches
+# Upstreams kept per key, as thousands may be listed; nearly always at least one of them is usable.
+MAX_CACHED_RANKS = 8
+# Time after a hit, ns, during which attempts for the same key at the same cache don't count as fetches.
+HIT_LIFETIME = 5 * SECOND
 
 
 class Placement(RouterComponent):
@@ -42,7 +40,7 @@
         self.latency = latency
         self.slow_start = slow_start
         self.hits = RecencyMap(MEMORY_MOST)
-        self.table = UpstreamTable(self._new_upstream)
+        self.table = UpstreamTable(self._create_upstream)
         self.rankings = dict[int | tuple[int, int], list[Upstream]]()
         self.groups = dict[bool, RendezvousGroup[Upstream]]()
 
@@ -50,12 +48,12 @@
         """Apply an update of the endpoint list; return what it changed."""
         change = self.table.apply(update, self.context.settings)
         for upstream, previous in change.updated:
-            self._on_listed_again(upstream, previous)
+            self._on_endpoint_updated(upstream, previous)
         if change.has_ranking_changed:
             self.clear_rankings()
         return change
 
-    def _new_upstream(self, endpoint: Endpoint) -> Upstream | None:
+    def _create_upstream(self, endpoint: Endpoint) -> Upstream | None:
         """Create the record of an endpoint; None for caches of other zones, which are never used."""
         settings = self.context.settings
         is_shared = endpoint.kind in (settings.parent_kind, settings.origin_kind)
@@ -64,7 +62,7 @@
         return Upstream(endpoint, DecayingMean(HALF_LIFE, PRIOR), HOT_REQUESTS)
 
     @staticmethod
-    def _on_listed_again(upstream: Upstream, previous: Endpoint) -> None:
+    def _on_endpoint_updated(upstream: Upstream, previous: Endpoint) -> None:
         """Replace the state that this front derived by the state in the list."""
         up_since = upstream.endpoint.up_since
         if 0 < up_since < previous.up_since:  # same process, more accurate start time; nothing else changed
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from quincepier import interface as io
+from quincepier import interface
 from quincepier.context import TIMER_KIND_BITS, Context, HomeLookup, RouterComponent, TimerKind
 from quincepier.policy.admission import Admission
 from quincepier.policy.early_rejection import EarlyRejection
@@ -28,10 +28,10 @@
 MIN_PROCESS_PAUSE = 2 * SECOND  # ns; after a longer process pause the learned limits are discarded
 NEVER_RAN = frozenset(  # outcomes which prove that the attempt was not executed
     (
-        io.AttemptOutcome.OVERLOADED,
-        io.AttemptOutcome.CONNECT_FAILED,
-        io.AttemptOutcome.NOT_PROCESSED,
-        io.AttemptOutcome.MISS,
+        interface.AttemptOutcome.OVERLOADED,
+        interface.AttemptOutcome.CONNECT_FAILED,
+        interface.AttemptOutcome.NOT_PROCESSED,
+        interface.AttemptOutcome.MISS,
     )
 )
 
@@ -53,7 +53,7 @@
         tiers: The tier of each request class, 0 the highest.
     """
 
-    def __init__(self, settings: io.Settings, seed: int, now: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int, now: int) -> None:
         super().__init__(Context(settings, seed, now))
         context = self.context
         self.recovery = RecoveryTracker(now)
@@ -106,7 +106,7 @@
         self.find_home: HomeLookup | None = None
         self.expiries = list[tuple[int, Callable[[], None]]]()
 
-    def handle(self, now: int, event: io.Event) -> list[io.Action]:
+    def handle(self, now: int, event: interface.Event) -> list[interface.Action]:
         """Handle an event that arrives at `now` (ns); return the actions to take, in order."""
         self.context.now = now
         self.context.actions = []
@@ -114,31 +114,31 @@
             _, forget = self.expiries.pop(0)
             forget()
         match event:
-            case io.RequestReceived():
+            case interface.RequestReceived():
                 self.on_request(event)
-            case io.AttemptCompleted():
+            case interface.AttemptCompleted():
                 self.on_attempt_completed(event)
-            case io.TimerFired(token):
+            case interface.TimerFired(token):
                 self.on_timer(TimerKind(token & (1 << TIMER_KIND_BITS) - 1), token >> TIMER_KIND_BITS)
-            case io.EndpointUpdate():
+            case interface.EndpointUpdate():
                 self.on_endpoint_update(event)
-            case io.ObjectPurged(group, obj, ago):
+            case interface.ObjectPurged(group, obj, ago):
                 self.freshness.on_purge(group, obj, ago)
-            case io.ResponseStarted():
+            case interface.ResponseStarted():
                 self.on_response_started(event)
-            case io.ClientDisconnected(request_id):
+            case interface.ClientDisconnected(request_id):
                 if (request := self.requests.get(request_id)) is not None:
                     self.responder.close(request)
         return self.context.actions
 
-    def on_request(self, event: io.RequestReceived) -> None:
+    def on_request(self, event: interface.RequestReceived) -> None:
         """Route a request, or reject it early if it has waited too long or has too little time left."""
         context = self.context
         settings = context.settings
         cls = settings.classes[event.cls]
         self.response_coverage.expected.add(event.cls)
-        is_behind = self.early_rejection.is_due(event)
-        if is_behind or event.time_left <= settings.step:
+        is_overloaded = self.early_rejection.is_due(event)
+        if is_overloaded or event.time_left <= settings.step:
             self.responder.reject(event.request)
             context.log(self.recovery.on_request_finished(context.now, cls.worth, False))
             return
@@ -147,29 +147,29 @@
         self.requests[event.request] = request
         self.retries.on_request()
         context.set_timer(event.time_left - settings.step, TimerKind.DEADLINE, event.request)
-        if home is not None and home.closed and cls.effect is not io.Idempotency.SAFE:
+        if home is not None and home.closed and cls.effect is not interface.Idempotency.SAFE:
             self.responder.give_up(request)
         else:
             self.admission.route(request)
 
-    def on_endpoint_update(self, update: io.EndpointUpdate) -> None:
+    def on_endpoint_update(self, update: interface.EndpointUpdate) -> None:
         """Apply an update of the endpoint list; if the list could not be read, request it again later."""
-        if update.scope is io.UpdateScope.FAILED:
+        if update.scope is interface.UpdateScope.FAILED:
             self.context.set_timer(SECOND, TimerKind.ENDPOINT_LIST_RETRY)
-        if update.scope is io.UpdateScope.RESTORED and self.context.settings.list_on_request:
+        if update.scope is interface.UpdateScope.RESTORED and self.context.settings.list_on_request:
             self.context.watch_endpoints()
         for upstream in self.placement.update(update).removed:
             self.sender.abandon(upstream)
         self.context.log(self.recovery.on_list_received(self.context.now))
 
-    def on_response_started(self, event: io.ResponseStarted) -> None:
+    def on_response_started(self, event: interface.ResponseStarted) -> None:
         """Cancel the other attempts of a request whose response has started."""
         request = self.requests.get(event.request)
         if request is not None:
             self.sender.cancel(a for a in request.open_attempts.values() if a.number != event.attempt)
             request.has_response_started = True
 
-    def on_attempt_completed(self, event: io.AttemptCompleted) -> None:
+    def on_attempt_completed(self, event: interface.AttemptCompleted) -> None:
         """Learn from a completed attempt; close, retry or give up its request."""
         attempt = self.attempts.complete(event)
         if attempt is None:
--- a/quincepier/policy/slow_start.py
+++ b/quincepier/policy/slow_start.py
@@ -98,8 +98,8 @@
         age = self.context.now - upstream.started_at - settings.cold_window
         if age >= cold_time:
             return WARM
-        least = settings.parent_cold_from if is_parent else settings.cold_from
-        share = least + (1 - least) * max(age, 0) / max(cold_time, 1)
+        initial_share = settings.parent_cold_from if is_parent else settings.cold_from
+        share = initial_share + (1 - initial_share) * max(age, 0) / max(cold_time, 1)
         return WarmUpState(share, settings.parent_cold_multiple if is_parent else settings.cold_multiple)
 
     def has_budget(self, upstream: Upstream) -> bool:
@@ -113,7 +113,7 @@
         if warm_up_state is WARM:
             return True
         now = self.context.now
-        work = max(*self.latency.transfer_times.means, MS)
+        work = max(*self.latency.transfer_times.means, MS)  # upper estimate for one attempt, ns
         fronts = self.count_fronts(upstream)
         window = max(self.context.settings.cold_window, 1)
         attempts = math.prod(warm_up_state) * self.size(upstream) * window / work  # of all fronts per window
@@ -123,7 +123,7 @@
             upstream.credit = -self.context.random.random() * work
         saved = upstream.credit + earned * (now - upstream.credited_at) / window
         upstream.credited_at = now
-        # an upstream can carry a random excess up to this bound, here one attempt of each front at once
+        # an upstream tolerates a random excess up to this bound, and here one attempt of each front at once
         if fronts <= attempts + 2 * math.sqrt(attempts) + 2:
             upstream.credit = min(saved, BURST_SHARE * earned)
         else:
--- a/quincepier/recovery/learned_facts.py
+++ b/quincepier/recovery/learned_facts.py
@@ -16,7 +16,7 @@
 from functools import partial
 from typing import NamedTuple, Protocol
 
-from quincepier import interface as io
+from quincepier import interface
 from quincepier.interface import EndpointState
 from quincepier.records import BaselineKey, Upstream
 from quincepier.structures import Baseline, DecayingSum, RecencyMap, RunningMeans, ServedWork
@@ -108,7 +108,7 @@
         """The time of the last event, in nanoseconds."""
 
     @property
-    def settings(self) -> io.Settings:
+    def settings(self) -> interface.Settings:
         """The settings."""
 
     @property
@@ -137,36 +137,38 @@
     slowness_weight: float
 
 
-def export_facts(router: LearningRouter) -> Iterator[io.Learned]:
+def export_facts(router: LearningRouter) -> Iterator[interface.Learned]:
     """Yield all facts that may count after a restart.
 
     Each is small, so that the caller can collect them over several turns of its event loop.
     """
-    yield io.LearnedFetchLimit(router.fetch_limit.limit, 0)
+    yield interface.LearnedFetchLimit(router.fetch_limit.limit, 0)
     yield from _export_class_facts(router)
     yield from _export_served_work(router)
     yield from _export_endpoints(router)
     for (is_group, name), at in list(router.freshness.purges.items()):
-        yield io.LearnedPurge(name if is_group else 0, 0 if is_group else name, router.now - at)
+        yield interface.LearnedPurge(name if is_group else 0, 0 if is_group else name, router.now - at)
 
 
-def _export_class_facts(router: LearningRouter) -> Iterator[io.Learned]:
+def _export_class_facts(router: LearningRouter) -> Iterator[interface.Learned]:
     times = router.latency.transfer_times
     for cls, count in list(times.counts.items()):
-        yield io.LearnedTransferTime(cls, times.means[cls], count, 0)
+        yield interface.LearnedTransferTime(cls, times.means[cls], count, 0)
     for (cls, is_cached, is_told), baseline in list(router.latency.baselines.items()):
         age = router.now - baseline.updated_at
-        yield io.LearnedLatency(cls, is_cached, is_told, baseline.mean, baseline.count, baseline.least, age)
+        yield interface.LearnedLatency(
+            cls, is_cached, is_told, baseline.mean, baseline.count, baseline.least, age
+        )
 
 
-def _export_served_work(router: LearningRouter) -> Iterator[io.Learned]:
+def _export_served_work(router: LearningRouter) -> Iterator[interface.Learned]:
     now = router.now
     served = router.slow_start.served
     for kind, work in list(served.sums.items()):
-        yield io.LearnedServedWork(kind, work.total, now - served.since, now - work.updated_at)
+        yield interface.LearnedServedWork(kind, work.total, now - served.since, now - work.updated_at)
 
 
-def _export_endpoints(router: LearningRouter) -> Iterator[io.Learned]:
+def _export_endpoints(router: LearningRouter) -> Iterator[interface.Learned]:
     now = router.now
     for upstream in list(router.placement.table.by_id.values()):
         endpoint = upstream.endpoint
@@ -175,7 +177,7 @@
         is_draining = endpoint.state is not EndpointState.READY or upstream.draining_until > now
         is_slowness_known = slowness.weight > MIN_EXPORTED_SLOWNESS_WEIGHT
         if is_slowness_known or is_restarted or upstream.is_ejected or is_draining:
-            yield io.LearnedEndpoint(
+            yield interface.LearnedEndpoint(
                 endpoint.cache,
                 slowness.total,
                 slowness.weight,
@@ -186,7 +188,7 @@
             )
 
 
-def restore_facts(router: LearningRouter, facts: Iterable[io.Learned], age: int | None) -> int:
+def restore_facts(router: LearningRouter, facts: Iterable[interface.Learned], age: int | None) -> int:
     """Restore facts that were exported before a restart.
 
     Args:
@@ -213,28 +215,28 @@
         self._is_age_known = age is not None
         self._age = age or 0
 
-    def restore(self, fact: io.Learned) -> bool:
+    def restore(self, fact: interface.Learned) -> bool:
         """Restore a fact; returns whether it counts."""
         match fact:
-            case io.LearnedEndpoint():
+            case interface.LearnedEndpoint():
                 return self._restore_endpoint(fact)
-            case io.LearnedPurge():
+            case interface.LearnedPurge():
                 return self._restore_purge(fact)
         if not self._is_age_known:
             return False
         match fact:
-            case io.LearnedTransferTime():
+            case interface.LearnedTransferTime():
                 return self._restore_transfer_time(fact)
-            case io.LearnedLatency():
+            case interface.LearnedLatency():
                 return self._restore_baseline(fact)
-            case io.LearnedServedWork():
+            case interface.LearnedServedWork():
                 return self._restore_served_work(fact)
         return False
 
     def _expire_at_age(self, age: int, max_age: int, undo: Callable[[], None]) -> None:
         self.expiries.append((self._now + max_age - age, undo))
 
-    def _restore_transfer_time(self, fact: io.LearnedTransferTime) -> bool:
+    def _restore_transfer_time(self, fact: interface.LearnedTransferTime) -> bool:
         times = self.router.latency.transfer_times
         age = fact.ago + self._age
         if age >= MAX_CLASS_AGE or fact.cls >= len(times.means) or times.counts[fact.cls]:
@@ -245,7 +247,7 @@
         self._expire_at_age(age, MAX_CLASS_AGE, partial(_forget_transfer_time, times, fact.cls, count))
         return True
 
-    def _restore_baseline(self, fact: io.LearnedLatency) -> bool:
+    def _restore_baseline(self, fact: interface.LearnedLatency) -> bool:
         latency = self.router.latency
         age = fact.ago + self._age
         key = BaselineKey(fact.cls, fact.held, fact.told)
@@ -257,7 +259,7 @@
         self._expire_at_age(age, MAX_CLASS_AGE, partial(_forget_baseline, latency, key, count))
         return True
 
-    def _restore_served_work(self, fact: io.LearnedServedWork) -> bool:
+    def _restore_served_work(self, fact: interface.LearnedServedWork) -> bool:
         served = self.router.slow_start.served
         age = fact.ago + self._age
         if age >= MAX_WORK_AGE or fact.kind in served.sums:
@@ -270,14 +272,14 @@
         self._expire_at_age(age, MAX_WORK_AGE, undo)
         return True
 
-    def _restore_purge(self, fact: io.LearnedPurge) -> bool:
+    def _restore_purge(self, fact: interface.LearnedPurge) -> bool:
         age = fact.ago + self._age
         if age > self.router.settings.purge_settles + PURGE_AGE_MARGIN:
             return False
         self.router.freshness.on_purge(fact.group, fact.object, age if self._is_age_known else 0)
         return True
 
-    def _restore_endpoint(self, fact: io.LearnedEndpoint) -> bool:
+    def _restore_endpoint(self, fact: interface.LearnedEndpoint) -> bool:
         upstream = self.router.placement.table.by_id.get(fact.cache)
         if upstream is None:
             return False
@@ -289,25 +291,25 @@
             self._restore_slowness(upstream, fact)
         return _snapshot(upstream) != before
 
-    def _restore_cold_start(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
+    def _restore_cold_start(self, upstream: Upstream, fact: interface.LearnedEndpoint) -> None:
         """Restore a start that was derived from failures, but never one earlier than the listed start."""
         settings = self.router.settings
         age = fact.cold_ago + self._age if self._is_age_known else 0
         if fact.cold_ago >= 0 and age < max(settings.cold_time, settings.parent_cold_time):
             upstream.started_at = max(upstream.started_at, self._now - age, 1)
 
-    def _restore_ejection(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
+    def _restore_ejection(self, upstream: Upstream, fact: interface.LearnedEndpoint) -> None:
         """Restore an ejection; one health-check request is due at once."""
         if fact.aside_ago >= 0 and fact.aside_ago + self._age <= MAX_EJECTION_AGE:
             self.router.outliers.eject(upstream)
 
-    def _restore_drain(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
+    def _restore_drain(self, upstream: Upstream, fact: interface.LearnedEndpoint) -> None:
         """Restore a drain, which lasts until the change log lists the endpoint again."""
         remaining = MAX_DRAIN_AGE - fact.leaving_ago - self._age
         if fact.leaving_ago >= 0 and remaining > 0:
             upstream.draining_until = self._now + remaining
 
-    def _restore_slowness(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
+    def _restore_slowness(self, upstream: Upstream, fact: interface.LearnedEndpoint) -> None:
         """Restore that an upstream is slow, if the router has no samples of its own."""
         age = fact.ago + self._age
         slowness = upstream.slowness
