--- a/tests/policy_recording.py
+++ b/tests/policy_recording.py
@@ -1,8 +1,9 @@
-"""Records the streams of tests/data/policy from the present logic: `python -m tests.policy_recording`.
+"""Records the streams of tests/data/policy from the present policy: `python -m tests.policy_recording`.
 
-Run only for a deliberate change of behaviour, with the reason in the commit: the streams are what a change
-that should change nothing is compared with. Two sources: fronts of the laboratory in virtual time, and a site
-of random requests, machines and faults that gives every event a Router may hear. The same streams each time.
+Run it only after a deliberate change of behaviour, and give the reason in the commit: refactorings are
+compared with these streams. There are two sources: fronts of the laboratory in virtual time, and simulated
+sites with random requests, machines and faults, which produce every event that a Router can receive.
+Recording is deterministic.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 from quincepier.lab.experiment import load
 from quincepier.lab.world import World
 from tests.policy_stream import RecordingRouter, write
-from tests.rig import CACHES, MS, PARENTS, ROOT, SECOND, make_class, make_settings
+from tests.rig import CACHES, MS, ORIGIN_ID, PARENTS, SECOND, make_class, make_settings
 
-TOP = Path(__file__).parent.parent
-FIRST = 100 * SECOND
-OUTCOMES = (
+REPOSITORY = Path(__file__).parent.parent
+START_TIME = 100 * SECOND
+FAILURE_OUTCOMES = (
     AttemptOutcome.ERROR,
     AttemptOutcome.OVERLOADED,
     AttemptOutcome.RESET,
@@ -41,8 +42,8 @@
     AttemptOutcome.MISS,
     AttemptOutcome.CONNECT_FAILED,
 )
-FILL_NOTES = (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN, CacheStatus.COLLAPSED)
-FAULT_NOTES = (
+FETCH_STATUSES = (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN, CacheStatus.COLLAPSED)
+FAULT_STATUSES = (
     CacheStatus.SOURCE_REFUSED,
     CacheStatus.SOURCE_BROKEN,
     CacheStatus.SOURCE_MISS,
@@ -54,50 +55,68 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One random site. `rate`: requests a second; `quick`: how fast its machines are, 1 as usual."""
+    """Parameters of a simulated site.
+
+    Attributes:
+        seconds: Duration, without the process pauses.
+        request_rate: Requests per second.
+        speed: Speed of the machines; 1 is usual.
+        objects: Number of objects, and of objects that a cache can hold.
+        fault_rate: Random machine faults per second.
+        list_change_rate: Random changes of the endpoint list per second.
+        odd_outcome_share: Share of the attempts with a random failure.
+        has_home_shards: Whether requests of some tenants have a home shard.
+        process_pauses: Time and duration of each process pause, in seconds.
+        initial_faults: Machines that have a fault at the start, the fault, and its duration in seconds.
+        requests_doubling_latency: Number of open attempts that doubles the latency.
+        restart_times: Seconds after which the Router is replaced by a new one that restores the learned
+            facts.
+        has_known_sizes: Whether requests give the size of the response.
+    """
 
     seed: int
     settings: io.Settings
     machines: tuple[io.Endpoint, ...]
     seconds: float = 30.0
-    rate: float = 14.0
-    quick: float = 1.0
+    request_rate: float = 14.0
+    speed: float = 1.0
     objects: int = 60
-    faults: float = 0.25  # a second
-    news: float = 0.2  # changes of the list a second
-    odd: float = 0.04  # of the answers: those with an outcome by chance
-    homes: bool = False
-    stalls: tuple[tuple[float, float], ...] = ()  # when the process stands still, and how long, in seconds
-    begin: tuple[tuple[int, str, float], ...] = ()  # machines that begin with a fault, and for how long
-    strain: float = 12.0  # requests in flight that double the time an answer takes
-    cycle: tuple[float, ...] = ()  # at which what was learned is told, and recalled by a new Router
-    sized: bool = False  # requests tell their size
+    fault_rate: float = 0.25
+    list_change_rate: float = 0.2
+    odd_outcome_share: float = 0.04
+    has_home_shards: bool = False
+    process_pauses: tuple[tuple[float, float], ...] = ()
+    initial_faults: tuple[tuple[int, str, float], ...] = ()
+    requests_doubling_latency: float = 12.0
+    restart_times: tuple[float, ...] = ()
+    has_known_sizes: bool = False
 
 
-class Site:
-    """Plays a plan: each action of the Router is answered by events, as machines and clients would."""
+class SimulatedSite:
+    """Plays a plan: responds to the actions of the Router like machines and clients, with further events."""
 
     def __init__(self, plan: Plan) -> None:
-        self.plan, self.now, self.random = plan, FIRST, random.Random(plan.seed)
-        self.router = RecordingRouter(plan.settings, plan.seed, FIRST)
+        self.plan, self.now, self.random = plan, START_TIME, random.Random(plan.seed)
+        self.router = RecordingRouter(plan.settings, plan.seed, START_TIME)
         self.streams: list[list[str]] = []
-        self.heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.order = self.requests = 0
-        self.open: dict[int, tuple[io.RequestReceived, list[bool]]] = {}  # whether each attempt has ended
-        self.held: dict[int, set[tuple[int, int]]] = {}  # by machine
-        self.fault = {machine: fault for machine, fault, _ in plan.begin}
-        self.listed = {m.cache: m for m in plan.machines}
-        self.busy = 0
-        self.sent: dict[tuple[int, int], tuple[int, int]] = {}  # to which machine, and when
-        self.late: set[tuple[int, int]] = set()  # attempts whose end was told
+        self.scheduled: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.schedule_count = self.request_count = 0
+        # by request id; the list tells of each attempt whether it has completed
+        self.open_requests: dict[int, tuple[io.RequestReceived, list[bool]]] = {}
+        self.cached_keys: dict[int, set[tuple[int, int]]] = {}  # by machine
+        self.fault_by_machine = {machine: fault for machine, fault, _ in plan.initial_faults}
+        self.endpoint_by_id = {m.cache: m for m in plan.machines}
+        self.open_attempt_count = 0
+        self.target_by_attempt: dict[tuple[int, int], tuple[int, int]] = {}  # machine and sending time
+        self.completed_attempts: set[tuple[int, int]] = set()  # attempts whose completion was reported
         self.set_hooks()
 
     def set_hooks(self) -> None:
-        if self.plan.homes:
-            self.router.find_home = self.home
+        if self.plan.has_home_shards:
+            self.router.find_home = self.find_home
             self.router.sender.observer = lambda request, node, source: None
 
-    def home(self, request: io.RequestReceived) -> io.HomeShard | None:
+    def find_home(self, request: io.RequestReceived) -> io.HomeShard | None:
         if request.tenant == 0:
             return None
         parents = frozenset(PARENTS[: request.tenant])
@@ -105,227 +124,246 @@
 
     def play(self) -> list[list[str]]:
         plan = self.plan
-        end = FIRST + int((plan.seconds + sum(span for _, span in plan.stalls)) * SECOND)
-        self.give(io.EndpointUpdate(UpdateScope.RESTORED, plan.machines))
-        self.after(0, self.arrive)
-        for each, rate in ((self.break_one, plan.faults), (self.change_list, plan.news)):
+        end = START_TIME + int((plan.seconds + sum(span for _, span in plan.process_pauses)) * SECOND)
+        self.handle(io.EndpointUpdate(UpdateScope.RESTORED, plan.machines))
+        self.schedule(0, self.receive_request)
+        for change, rate in (
+            (self.break_machine, plan.fault_rate),
+            (self.change_endpoint_list, plan.list_change_rate),
+        ):
             if rate:
-                self.after(int(SECOND / rate), self.by_chance, each, rate)
-        for at, span in plan.stalls:
-            self.after(int(at * SECOND), self.stall, int(span * SECOND))
-        for machine, _, span in plan.begin:
-            self.after(int(span * SECOND), self.mend, machine)
-        for at in plan.cycle:
-            self.after(int(at * SECOND), self.start_anew)
-        while self.heap and self.heap[0][0] <= end:
-            at, _, step, about = heapq.heappop(self.heap)
+                self.schedule(int(SECOND / rate), self.repeat_at_random, change, rate)
+        for at, span in plan.process_pauses:
+            self.schedule(int(at * SECOND), self.pause_process, int(span * SECOND))
+        for machine, _, span in plan.initial_faults:
+            self.schedule(int(span * SECOND), self.repair_machine, machine)
+        for at in plan.restart_times:
+            self.schedule(int(at * SECOND), self.restart_router)
+        while self.scheduled and self.scheduled[0][0] <= end:
+            at, _, step, arguments = heapq.heappop(self.scheduled)
             self.now = max(self.now, at)
-            step(*about)
-        self.router.tell_learned()
+            step(*arguments)
+        self.router.export_learned()
         return [*self.streams, self.router.lines]
 
-    def after(self, wait: int, step: Callable[..., None], *about: Any) -> None:
-        self.order += 1
-        heapq.heappush(self.heap, (self.now + max(wait, 0), self.order, step, about))
+    def schedule(self, wait: int, step: Callable[..., None], *arguments: Any) -> None:
+        self.schedule_count += 1
+        heapq.heappush(self.scheduled, (self.now + max(wait, 0), self.schedule_count, step, arguments))
 
-    def by_chance(self, step: Callable[[], None], rate: float) -> None:
+    def repeat_at_random(self, step: Callable[[], None], rate: float) -> None:
         step()
-        self.after(int(self.random.expovariate(rate) * SECOND), self.by_chance, step, rate)
+        self.schedule(int(self.random.expovariate(rate) * SECOND), self.repeat_at_random, step, rate)
 
     # Clients
 
-    def arrive(self) -> None:
+    def receive_request(self) -> None:
         plan, chance = self.plan, self.random
-        since = (self.now - FIRST) / SECOND
-        rush = 6.0 if since % 10 > 7 else 1.0
-        self.after(int(chance.expovariate(plan.rate * rush) * SECOND), self.arrive)
-        self.requests += 1
+        since = (self.now - START_TIME) / SECOND
+        load_factor = 6.0 if since % 10 > 7 else 1.0
+        self.schedule(int(chance.expovariate(plan.request_rate * load_factor) * SECOND), self.receive_request)
+        self.request_count += 1
         cls = chance.randrange(len(plan.settings.classes))
         deadline = plan.settings.classes[cls].deadline
-        waits = 1.0 if since % 10 > 9 else 0.05  # a second in ten the queue for turns stands
-        waited = int(chance.expovariate(20) * SECOND) if chance.random() < waits else 0
-        left = int(chance.uniform(0.5, 1) * deadline) if chance.random() < 0.97 else chance.randrange(3 * MS)
+        waiting_share = 1.0 if since % 10 > 9 else 0.05  # in one second of ten all requests have waited
+        waited = int(chance.expovariate(20) * SECOND) if chance.random() < waiting_share else 0
+        time_left = (
+            int(chance.uniform(0.5, 1) * deadline) if chance.random() < 0.97 else chance.randrange(3 * MS)
+        )
         request = io.RequestReceived(
-            self.requests,
+            self.request_count,
             cls,
-            round(chance.lognormvariate(5, 1), 3) if plan.sized else 0.0,
-            chance.randrange(4) if plan.homes else 0,
+            round(chance.lognormvariate(5, 1), 3) if plan.has_known_sizes else 0.0,
+            chance.randrange(4) if plan.has_home_shards else 0,
             chance.randrange(4),
             1 + min(int(chance.expovariate(6 / plan.objects)), plan.objects),
             chance.randrange(3),
             chance.random() < 0.1,
-            left,
+            time_left,
             waited,
         )
-        self.open[request.request] = request, []
+        self.open_requests[request.request] = request, []
         if chance.random() < 0.03:
-            self.after(chance.randrange(SECOND), self.leave, request.request)
+            self.schedule(chance.randrange(SECOND), self.disconnect_client, request.request)
         if chance.random() < 0.02:
-            self.give(io.HealthCheckCompleted(CACHES[0], AttemptOutcome.OK, MS, (1.0,)))
-            self.give(io.PeerMessage(1, b"\x00peer"))
-        self.give(request)
+            self.handle(io.HealthCheckCompleted(CACHES[0], AttemptOutcome.OK, MS, (1.0,)))
+            self.handle(io.PeerMessage(1, b"\x00peer"))
+        self.handle(request)
 
-    def leave(self, number: int) -> None:
-        if number in self.open:
-            self.over(number)
-            self.give(io.ClientDisconnected(number))
+    def disconnect_client(self, number: int) -> None:
+        if number in self.open_requests:
+            self.close_request(number)
+            self.handle(io.ClientDisconnected(number))
 
-    def over(self, number: int) -> None:
-        self.open.pop(number, None)
+    def close_request(self, number: int) -> None:
+        self.open_requests.pop(number, None)
 
-    # What the Router says
+    # Actions of the Router
 
-    def give(self, event: io.Event) -> None:
+    def handle(self, event: io.Event) -> None:
         for action in self.router.handle(self.now, event):
             match action:
                 case io.ForwardRequest() | io.FetchThrough():
-                    self.send(action)
+                    self.start_attempt(action)
                 case io.CancelAttempt(number, attempt):
-                    self.after(MS, self.end, number, attempt, AttemptOutcome.CANCELLED, CacheStatus.NONE)
+                    self.schedule(
+                        MS, self.complete_attempt, number, attempt, AttemptOutcome.CANCELLED, CacheStatus.NONE
+                    )
                 case io.RejectRequest(number) | io.FailRequest(number):
-                    self.over(number)
-                case io.SetTimer(wait, token, about):
-                    self.after(wait, self.ring, token, about, len(self.streams))
+                    self.close_request(number)
+                case io.SetTimer(wait, token, request):
+                    self.schedule(wait, self.fire_timer, token, request, len(self.streams))
                 case io.WatchEndpoints():
                     failed = self.random.random() < 0.3
-                    news = io.EndpointUpdate(UpdateScope.FAILED if failed else UpdateScope.FULL, ())
-                    self.after(50 * MS, self.tell_list, news)
+                    update = io.EndpointUpdate(UpdateScope.FAILED if failed else UpdateScope.FULL, ())
+                    self.schedule(50 * MS, self.send_endpoint_update, update)
 
-    def ring(self, token: int, about: int, start: int) -> None:
-        if start == len(self.streams) and (about < 0 or about in self.open):
-            self.give(io.TimerFired(token))
+    def fire_timer(self, token: int, request: int, start: int) -> None:
+        if start == len(self.streams) and (request < 0 or request in self.open_requests):
+            self.handle(io.TimerFired(token))
 
-    def tell_list(self, news: io.EndpointUpdate) -> None:
-        whole = news.scope is UpdateScope.FULL
-        self.give(replace(news, machines=tuple(self.listed.values())) if whole else news)
+    def send_endpoint_update(self, update: io.EndpointUpdate) -> None:
+        is_full = update.scope is UpdateScope.FULL
+        self.handle(replace(update, machines=tuple(self.endpoint_by_id.values())) if is_full else update)
 
-    def send(self, action: io.ForwardRequest | io.FetchThrough) -> None:
+    def start_attempt(self, action: io.ForwardRequest | io.FetchThrough) -> None:
         number, chance = action.request, self.random
-        if number not in self.open:  # its client left while it was handled
+        if number not in self.open_requests:  # its client disconnected meanwhile
             return
-        request, ended = self.open[number]
-        attempt = len(ended)
-        ended.append(False)
-        self.sent[number, attempt] = action.cache, self.now
-        self.busy += 1
-        outcome, note, took = self.answer(action, request)
-        took = min(took, action.timeout) if took else action.timeout
-        outcome = AttemptOutcome.TIMEOUT if took == action.timeout else outcome
+        request, completed = self.open_requests[number]
+        attempt = len(completed)
+        completed.append(False)
+        self.target_by_attempt[number, attempt] = action.cache, self.now
+        self.open_attempt_count += 1
+        outcome, status, duration = self.choose_outcome(action, request)
+        duration = min(duration, action.timeout) if duration else action.timeout
+        outcome = AttemptOutcome.TIMEOUT if duration == action.timeout else outcome
         cls = self.plan.settings.classes[request.cls]
         if cls.stream and outcome is AttemptOutcome.OK and chance.random() < 0.7:
-            self.after(took // 3, self.begin, number, attempt, action.cache)
-            took *= 3
-        self.after(took, self.end, number, attempt, outcome, note)
+            self.schedule(duration // 3, self.start_response, number, attempt, action.cache)
+            duration *= 3
+        self.schedule(duration, self.complete_attempt, number, attempt, outcome, status)
 
-    def answer(
+    def choose_outcome(
         self, action: io.ForwardRequest | io.FetchThrough, request: io.RequestReceived
     ) -> tuple[AttemptOutcome, CacheStatus, int]:
-        """How the attempt ends, and after how long; 0: not by itself."""
+        """Outcome, cache status and duration of an attempt; duration 0: no response."""
         chance, key = self.random, (request.object, request.part)
-        held = self.held.setdefault(action.cache, set())
+        cached = self.cached_keys.setdefault(action.cache, set())
         source = action.source if isinstance(action, io.FetchThrough) else action.cache
-        took = int(
-            chance.lognormvariate(0, 0.4) * 90 * MS * (1 + self.busy / self.plan.strain) / self.plan.quick
+        duration = int(
+            chance.lognormvariate(0, 0.4)
+            * 90
+            * MS
+            * (1 + self.open_attempt_count / self.plan.requests_doubling_latency)
+            / self.plan.speed
         )
-        fault = self.fault.get(action.cache)
+        fault = self.fault_by_machine.get(action.cache)
         if fault == "dead":
             return AttemptOutcome.CONNECT_FAILED, CacheStatus.NONE, MS
         if fault == "silent":
             return AttemptOutcome.TIMEOUT, CacheStatus.NONE, 0
         if fault == "reset":
-            return AttemptOutcome.RESET, CacheStatus.NONE, took // 4 + 1
+            return AttemptOutcome.RESET, CacheStatus.NONE, duration // 4 + 1
         if fault == "full":
-            return AttemptOutcome.OVERLOADED, chance.choice(FAULT_NOTES), MS
-        took = 8 * took if fault == "slow" else took
-        if chance.random() < self.plan.odd:
-            return chance.choice(OUTCOMES), chance.choice(FAULT_NOTES), took
+            return AttemptOutcome.OVERLOADED, chance.choice(FAULT_STATUSES), MS
+        duration = 8 * duration if fault == "slow" else duration
+        if chance.random() < self.plan.odd_outcome_share:
+            return chance.choice(FAILURE_OUTCOMES), chance.choice(FAULT_STATUSES), duration
         if isinstance(action, io.ForwardRequest):
-            return AttemptOutcome.OK, chance.choice((CacheStatus.NONE, CacheStatus.FROM_ORIGIN)), took
-        if key in held:
-            return AttemptOutcome.OK, CacheStatus.STALE if chance.random() < 0.1 else CacheStatus.HIT, took
-        if source == action.cache and source != ROOT:
+            return AttemptOutcome.OK, chance.choice((CacheStatus.NONE, CacheStatus.FROM_ORIGIN)), duration
+        if key in cached:
+            return (
+                AttemptOutcome.OK,
+                CacheStatus.STALE if chance.random() < 0.1 else CacheStatus.HIT,
+                duration,
+            )
+        if source == action.cache and source != ORIGIN_ID:
             return AttemptOutcome.MISS, CacheStatus.NONE, MS
-        behind = self.held.setdefault(source, set())
-        if action.held_only and key not in behind:
+        cached_at_source = self.cached_keys.setdefault(source, set())
+        if action.held_only and key not in cached_at_source:
             return (
                 (AttemptOutcome.MISS, CacheStatus.NONE, 2 * MS)
                 if chance.random() < 0.7
                 else (AttemptOutcome.OVERLOADED, CacheStatus.NONE, MS)
             )
-        if at_source := self.fault.get(source):
-            if at_source == "refuses":
+        if source_fault := self.fault_by_machine.get(source):
+            if source_fault == "refuses":
                 return AttemptOutcome.OVERLOADED, CacheStatus.NONE, 20 * MS
-            if at_source == "silent":
+            if source_fault == "silent":
                 return AttemptOutcome.TIMEOUT, CacheStatus.NONE, 0
-            notes = {
+            status_by_fault = {
                 "dead": CacheStatus.SOURCE_REFUSED,
                 "reset": CacheStatus.SOURCE_BROKEN,
                 "full": CacheStatus.SOURCE_MISS,
             }
-            if at_source in notes:
-                told = notes[at_source] if chance.random() < 0.7 else CacheStatus.NONE
-                return chance.choice((AttemptOutcome.OVERLOADED, AttemptOutcome.ERROR)), told, 5 * MS
-            took *= 6
-        held.add(key)
-        behind.add(key)
-        if len(held) > self.plan.objects:
-            held.clear()
-        return AttemptOutcome.OK, chance.choice(FILL_NOTES), took + 60 * MS
-
-    def begin(self, number: int, attempt: int, cache: int) -> None:
-        if number in self.open and not self.open[number][1][attempt]:
-            self.give(io.ResponseStarted(number, attempt, cache))
-
-    def end(self, number: int, attempt: int, outcome: AttemptOutcome, note: CacheStatus) -> None:
+            if source_fault in status_by_fault:
+                reported = status_by_fault[source_fault] if chance.random() < 0.7 else CacheStatus.NONE
+                return chance.choice((AttemptOutcome.OVERLOADED, AttemptOutcome.ERROR)), reported, 5 * MS
+            duration *= 6
+        cached.add(key)
+        cached_at_source.add(key)
+        if len(cached) > self.plan.objects:
+            cached.clear()
+        return AttemptOutcome.OK, chance.choice(FETCH_STATUSES), duration + 60 * MS
+
+    def start_response(self, number: int, attempt: int, cache: int) -> None:
+        if number in self.open_requests and not self.open_requests[number][1][attempt]:
+            self.handle(io.ResponseStarted(number, attempt, cache))
+
+    def complete_attempt(
+        self, number: int, attempt: int, outcome: AttemptOutcome, status: CacheStatus
+    ) -> None:
         chance = self.random
-        if number not in self.open:
-            if (number, attempt) not in self.late:
-                self.late.add((number, attempt))
-                self.busy -= 1
-                self.give(self.ended(number, attempt, outcome, note, True))
+        if number not in self.open_requests:
+            if (number, attempt) not in self.completed_attempts:
+                self.completed_attempts.add((number, attempt))
+                self.open_attempt_count -= 1
+                self.handle(self.make_completion(number, attempt, outcome, status, True))
             return
-        ended = self.open[number][1]
-        if ended[attempt]:
+        completed = self.open_requests[number][1]
+        if completed[attempt]:
             return
-        ended[attempt] = True
-        self.late.add((number, attempt))
-        self.busy -= 1
+        completed[attempt] = True
+        self.completed_attempts.add((number, attempt))
+        self.open_attempt_count -= 1
         last = chance.random() < (0.995 if outcome is AttemptOutcome.OK else 0.01)
         if last:
-            self.over(number)
-        self.give(self.ended(number, attempt, outcome, note, last))
+            self.close_request(number)
+        self.handle(self.make_completion(number, attempt, outcome, status, last))
 
-    def ended(
-        self, number: int, attempt: int, outcome: AttemptOutcome, note: CacheStatus, last: bool
+    def make_completion(
+        self, number: int, attempt: int, outcome: AttemptOutcome, status: CacheStatus, last: bool
     ) -> io.AttemptCompleted:
         chance, reports = self.random, self.plan.settings.reports
-        cache, sent = self.sent[number, attempt]
-        told = chance.random() < 0.8 and outcome is AttemptOutcome.OK
-        report = tuple(round(chance.expovariate(0.6), 2) for _ in reports) if told else ()
+        cache, sent = self.target_by_attempt[number, attempt]
+        has_report = chance.random() < 0.8 and outcome is AttemptOutcome.OK
+        report = tuple(round(chance.expovariate(0.6), 2) for _ in reports) if has_report else ()
         waited = chance.randrange(300 * MS) if chance.random() < 0.1 else 0
-        other = outcome in (AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED) and chance.random() < 0.2
+        has_other_address = (
+            outcome in (AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED) and chance.random() < 0.2
+        )
         elapsed = max(self.now - sent, 0)
         return io.AttemptCompleted(
-            number, attempt, cache, outcome, elapsed, last, note, waited, report, other
+            number, attempt, cache, outcome, elapsed, last, status, waited, report, has_other_address
         )
 
-    # What befalls machines and the front
+    # Faults and changes of machines and the front
 
-    def break_one(self) -> None:
+    def break_machine(self) -> None:
         chance = self.random
         fault = chance.choice(("dead", "silent", "reset", "full", "slow", "slow"))
-        struck = chance.choice([*CACHES, *CACHES, *PARENTS, *PARENTS, ROOT])
-        self.fault[struck] = fault
-        self.after(int(chance.uniform(1, 6) * SECOND), self.mend, struck)
+        machine = chance.choice([*CACHES, *CACHES, *PARENTS, *PARENTS, ORIGIN_ID])
+        self.fault_by_machine[machine] = fault
+        self.schedule(int(chance.uniform(1, 6) * SECOND), self.repair_machine, machine)
         if chance.random() < 0.3:
             obj = chance.randrange(2) and 1 + chance.randrange(self.plan.objects)
-            self.give(io.ObjectPurged(chance.randrange(4), obj, chance.randrange(2 * SECOND)))
+            self.handle(io.ObjectPurged(chance.randrange(4), obj, chance.randrange(2 * SECOND)))
 
-    def mend(self, struck: int) -> None:
-        self.fault.pop(struck, None)
+    def repair_machine(self, machine: int) -> None:
+        self.fault_by_machine.pop(machine, None)
 
-    def change_list(self) -> None:
-        chance, known = self.random, list(self.listed.values())
+    def change_endpoint_list(self) -> None:
+        chance, known = self.random, list(self.endpoint_by_id.values())
         if not known:
             return
         one = chance.choice(known)
@@ -340,49 +378,49 @@
                 one = replace(one, state=EndpointState.GONE)
             case "cold":
                 one = replace(one, state=EndpointState.READY, up_since=self.now - chance.randrange(SECOND))
-                self.held.pop(one.cache, None)
+                self.cached_keys.pop(one.cache, None)
             case "size":
                 one = replace(one, size=round(chance.uniform(5, 60), 1))
             case "new":
-                gone = [m for m in self.plan.machines if m.cache not in self.listed]
+                gone = [m for m in self.plan.machines if m.cache not in self.endpoint_by_id]
                 one = replace(chance.choice(gone or [replace(known[0], cache=104)]), up_since=self.now)
             case "whole":
-                self.give(io.EndpointUpdate(UpdateScope.FULL, tuple(known)))
+                self.handle(io.EndpointUpdate(UpdateScope.FULL, tuple(known)))
                 return
             case "failed":
-                self.give(io.EndpointUpdate(UpdateScope.FAILED, ()))
+                self.handle(io.EndpointUpdate(UpdateScope.FAILED, ()))
                 return
             case "far":
                 one = replace(known[0], cache=900 + chance.randrange(4), zone=7)
         if one.state is EndpointState.GONE:
-            self.listed.pop(one.cache, None)
+            self.endpoint_by_id.pop(one.cache, None)
         else:
-            self.listed[one.cache] = one
-        self.give(io.EndpointUpdate(UpdateScope.CHANGES, (one,)))
+            self.endpoint_by_id[one.cache] = one
+        self.handle(io.EndpointUpdate(UpdateScope.CHANGES, (one,)))
 
-    def stall(self, span: int) -> None:
-        """Nothing is handled for a while; what came meanwhile is handled late."""
+    def pause_process(self, span: int) -> None:
+        """The process does not run for a while; events that are due meanwhile are handled late."""
         self.now += span
 
-    def start_anew(self) -> None:
-        """A new process recalls what the old one told; its clients are gone."""
-        facts = self.router.tell_learned()
+    def restart_router(self) -> None:
+        """A new process restores the facts that the old one exported; its clients have disconnected."""
+        facts = self.router.export_learned()
         self.streams.append(self.router.lines)
-        self.open.clear()
-        self.busy = 0
+        self.open_requests.clear()
+        self.open_attempt_count = 0
         self.now += int(self.random.uniform(0.3, 3) * SECOND)
         seed = self.plan.seed + len(self.streams)
         self.router = RecordingRouter(self.plan.settings, seed, self.now)
         self.set_hooks()
-        self.give(io.EndpointUpdate(UpdateScope.RESTORED, tuple(self.listed.values())))
+        self.handle(io.EndpointUpdate(UpdateScope.RESTORED, tuple(self.endpoint_by_id.values())))
         age = None if len(self.streams) % 2 else self.random.randrange(5 * SECOND)
-        self.router.take_learned(facts, age)
+        self.router.restore_learned(facts, age)
         fronts = self.plan.settings.fronts + len(self.streams)
-        self.router.take_settings(replace(self.plan.settings, fronts=fronts, attempts=4))
+        self.router.change_settings(replace(self.plan.settings, fronts=fronts, attempts=4))
 
 
 def machines(settings: io.Settings, size: float = 30.0) -> tuple[io.Endpoint, ...]:
-    """Three caches of the zone, two parents, the origin; kinds as the settings number them."""
+    """Three caches of the zone, two parents, the origin; their kinds follow from the settings."""
     edge = next(kind for kind in range(3) if kind not in (settings.parent_kind, settings.origin_kind))
     edges = tuple(io.Endpoint(c, edge, settings.zone, c % 2, size, 0, EndpointState.READY) for c in CACHES)
     parents = tuple(
@@ -390,10 +428,14 @@
         for p in PARENTS
         if settings.parent_kind >= 0
     )
-    return (*edges, *parents, io.Endpoint(ROOT, settings.origin_kind, 0, 0, size, 0, EndpointState.READY))
+    return (
+        *edges,
+        *parents,
+        io.Endpoint(ORIGIN_ID, settings.origin_kind, 0, 0, size, 0, EndpointState.READY),
+    )
 
 
-MANY = tuple(
+EIGHT_CLASSES = tuple(
     make_class(worth=worth, on_time=on_time * MS, **more)
     for worth, on_time, more in (
         (4.0, 700, {"effect": Idempotency.UNSAFE, "never_kept": True}),
@@ -406,7 +448,7 @@
         (0.5, 400, {"fresh": 4 * SECOND, "deadline": 2 * SECOND}),
     )
 )  # fmt: skip
-THREE = (
+THREE_CLASSES = (
     make_class(worth=2.0),
     make_class(on_time=250 * MS, fresh=12 * SECOND, grace=10 * SECOND),
     make_class(worth=0.3, on_time=400 * MS),
@@ -414,51 +456,125 @@
 
 
 def plans() -> dict[str, Plan]:
-    example = load_front({}, str(TOP / "deploy" / "example.json")).settings
-    every = make_settings(classes=MANY, reports=("load", "link"), client_kb_per_s=0.0)
+    example = load_front({}, str(REPOSITORY / "deploy" / "example.json")).settings
+    every = make_settings(classes=EIGHT_CLASSES, reports=("load", "link"), client_kb_per_s=0.0)
     unsized = make_settings(
-        classes=MANY[1:], sizes_compare=False, list_on_request=True, second_copies=False, cancel=False,
-        joins=False, fronts=1, fronts_by_zone=(), client_kb_per_s=0.0,
-    )  # fmt: skip
-    alone = make_settings(fronts=1, fronts_by_zone=(0, 1), classes=THREE)
-    crowd = make_settings(fronts=400, fronts_by_zone=(0, 200), classes=MANY)
-    few = make_settings(fronts=6, fronts_by_zone=(0, 3), classes=THREE)
-    bare = make_settings(parent_kind=-1, direct=False, retry_after=False, classes=MANY[1:])
-    plain = replace(unsized, classes=(make_class(on_time=100 * MS, stretch=0.3), *MANY[5:]))
-    long = tuple(replace(cls, on_time=60 * SECOND, deadline=90 * SECOND) for cls in THREE)
+        classes=EIGHT_CLASSES[1:],
+        sizes_compare=False,
+        list_on_request=True,
+        second_copies=False,
+        cancel=False,
+        joins=False,
+        fronts=1,
+        fronts_by_zone=(),
+        client_kb_per_s=0.0,
+    )
+    alone = make_settings(fronts=1, fronts_by_zone=(0, 1), classes=THREE_CLASSES)
+    crowd = make_settings(fronts=400, fronts_by_zone=(0, 200), classes=EIGHT_CLASSES)
+    few = make_settings(fronts=6, fronts_by_zone=(0, 3), classes=THREE_CLASSES)
+    bare = make_settings(parent_kind=-1, direct=False, retry_after=False, classes=EIGHT_CLASSES[1:])
+    plain = replace(unsized, classes=(make_class(on_time=100 * MS, stretch=0.3), *EIGHT_CLASSES[5:]))
+    long = tuple(replace(cls, on_time=60 * SECOND, deadline=90 * SECOND) for cls in THREE_CLASSES)
     wide = replace(alone, classes=long)
     silent = tuple((cache, "silent", 4.0) for cache in CACHES)
-    refused = (*((source, "refuses", 10.0) for source in (*PARENTS, ROOT)), (CACHES[0], "dead", 34.0))
+    refused = (*((source, "refuses", 10.0) for source in (*PARENTS, ORIGIN_ID)), (CACHES[0], "dead", 34.0))
     return {
-        "classes": Plan(11, every, machines(every), homes=True, seconds=22),
-        "example": Plan(12, example, machines(example), rate=9, stalls=((9, 2.5), (20, 4)), seconds=27),
-        "unsized": Plan(13, unsized, machines(unsized, 1.0), seconds=11, rate=24, objects=20),
-        "alone": Plan(14, alone, machines(alone, 9.0), seconds=14, rate=16, objects=400, sized=True),
-        "crowd": Plan(15, crowd, machines(crowd), seconds=28, rate=4, news=1.0, objects=10),
-        "bare": Plan(16, bare, machines(bare), seconds=14, rate=12, begin=silent),
+        "classes": Plan(11, every, machines(every), has_home_shards=True, seconds=22),
+        "example": Plan(
+            12, example, machines(example), request_rate=9, process_pauses=((9, 2.5), (20, 4)), seconds=27
+        ),
+        "unsized": Plan(13, unsized, machines(unsized, 1.0), seconds=11, request_rate=24, objects=20),
+        "alone": Plan(
+            14, alone, machines(alone, 9.0), seconds=14, request_rate=16, objects=400, has_known_sizes=True
+        ),
+        "crowd": Plan(
+            15, crowd, machines(crowd), seconds=28, request_rate=4, list_change_rate=1.0, objects=10
+        ),
+        "bare": Plan(16, bare, machines(bare), seconds=14, request_rate=12, initial_faults=silent),
         "restart": Plan(
-            17, every, machines(every), seconds=30, rate=9, cycle=(9, 18), stalls=((25, 58), (85, 700))
+            17,
+            every,
+            machines(every),
+            seconds=30,
+            request_rate=9,
+            restart_times=(9, 18),
+            process_pauses=((25, 58), (85, 700)),
+        ),
+        "calm": Plan(
+            18,
+            alone,
+            machines(alone),
+            seconds=10,
+            request_rate=24,
+            objects=5,
+            fault_rate=0,
+            list_change_rate=0,
+            odd_outcome_share=0.0,
         ),
-        "calm": Plan(18, alone, machines(alone), seconds=10, rate=24, objects=5, faults=0, news=0, odd=0.0),
         "wide": Plan(
-            19, wide, machines(wide, 400.0), seconds=10, rate=50, objects=4000, faults=0, news=0, odd=0.07,
-            quick=0.1, strain=1e9,
+            19,
+            wide,
+            machines(wide, 400.0),
+            seconds=10,
+            request_rate=50,
+            objects=4000,
+            fault_rate=0,
+            list_change_rate=0,
+            odd_outcome_share=0.07,
+            speed=0.1,
+            requests_doubling_latency=1e9,
         ),
         "refused": Plan(
-            20, few, machines(few), rate=7, objects=300, faults=0, news=0, begin=refused, seconds=38
+            20,
+            few,
+            machines(few),
+            request_rate=7,
+            objects=300,
+            fault_rate=0,
+            list_change_rate=0,
+            initial_faults=refused,
+            seconds=38,
+        ),
+        "churn": Plan(
+            21,
+            few,
+            machines(few),
+            seconds=44,
+            request_rate=3.5,
+            fault_rate=1.2,
+            list_change_rate=0.3,
+            odd_outcome_share=0.3,
+            objects=9,
+        ),
+        "plain": Plan(
+            22,
+            plain,
+            machines(plain, 1.0),
+            seconds=16,
+            request_rate=10,
+            fault_rate=0,
+            list_change_rate=0.12,
+            odd_outcome_share=0.01,
         ),
-        "churn": Plan(21, few, machines(few), seconds=44, rate=3.5, faults=1.2, news=0.3, odd=0.3, objects=9),
-        "plain": Plan(22, plain, machines(plain, 1.0), seconds=16, rate=10, faults=0, news=0.12, odd=0.01),
         "hot": Plan(
-            23, wide, machines(wide, 400.0), seconds=2.5, rate=180, objects=12, faults=0, news=0, odd=0.02,
-            quick=0.1, strain=1e9,
+            23,
+            wide,
+            machines(wide, 400.0),
+            seconds=2.5,
+            request_rate=180,
+            objects=12,
+            fault_rate=0,
+            list_change_rate=0,
+            odd_outcome_share=0.02,
+            speed=0.1,
+            requests_doubling_latency=1e9,
         ),
-    }  # fmt: skip
+    }
 
 
 def record_lab(name: str, variant: str, seed: int, front: int) -> list[list[str]]:
-    """The streams of one front of an experiment, one for each of its starts."""
-    experiment = load(str(TOP / "experiments" / f"{name}.yaml"))
+    """The streams of one front in an experiment, one for each of its starts."""
+    experiment = load(str(REPOSITORY / "experiments" / f"{name}.yaml"))
     chosen = next(v for v in experiment.variants if v.name == variant)
     made = list[RecordingRouter]()
 
@@ -467,11 +583,11 @@
         return made[-1]
 
     def take(router: RecordingRouter, facts: Iterable[io.Learned], age: int | None) -> int:
-        return router.take_learned(list(facts), age)
+        return router.restore_learned(list(facts), age)
 
     hooks: dict[str, Any] = {
         "Router": make,
-        "export_facts": RecordingRouter.tell_learned,
+        "export_facts": RecordingRouter.export_learned,
         "restore_facts": take,
     }
     with mock.patch.multiple(lab_front, **hooks):
@@ -490,7 +606,7 @@
 
 def main() -> None:
     for name, plan in plans().items():
-        for start, lines in enumerate(Site(plan).play()):
+        for start, lines in enumerate(SimulatedSite(plan).play()):
             write(f"site-{name}-{start}", lines)
     for name, streams, most in (
         ("bad-day", record_bad_day(), 1200),
--- a/tests/policy_stream.py
+++ b/tests/policy_stream.py
@@ -1,8 +1,9 @@
-"""Recorded streams of a Router: how one is written, read and replayed against the present decision logic.
+"""Recorded streams of a Router: writing, reading and replaying them against the present policy.
 
-A stream is xz of JSON lines, each a list that begins with what was done. Objects are stored as a tag of the
-table below with their values in the order of their fields, enums with their value, so that classes and fields
-may be renamed: then this table is adapted and the stored streams stay as they are.
+A stream is a xz-compressed file of JSON lines; each line is a list that begins with the kind of the step.
+Objects are stored as a tag of the table below and the values of their fields in order, enums as a tag and
+their value. Classes and fields may thus be renamed: only this table changes, and the stored streams stay
+valid.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
     "probe": io.SendHealthCheck,
     "follow": io.WatchEndpoints,
     "log": io.WriteLog,
-    # what they hold
+    # values in events and actions
     "settings": io.Settings,
     "class": io.RequestClass,
     "machine": io.Endpoint,
@@ -54,7 +55,7 @@
     "note": io.CacheStatus,
     "state": io.EndpointState,
     "scope": io.UpdateScope,
-    # what was learned
+    # learned facts
     "learned class": io.LearnedTransferTime,
     "learned latency": io.LearnedLatency,
     "learned limit": io.LearnedFetchLimit,
@@ -70,7 +71,7 @@
 
 
 def encode(value: Any) -> Any:
-    """As JSON has it; `decode` gives an equal value back."""
+    """Convert a value to JSON types; `decode` is the inverse."""
     if isinstance(value, Enum):
         return [TAG_BY_CLASS[type(value)], value.value]
     if isinstance(value, tuple):
@@ -92,75 +93,84 @@
 
 
 def to_text(value: Any) -> str:
-    """Tells 1 from 1.0 and from true; floats to their last digit."""
+    """JSON text that distinguishes 1 from 1.0 and true, with floats in full precision."""
     return json.dumps(value, separators=(",", ":"))
 
 
-class Watch:
-    """Notes what a Router asks of its hooks while it handles one event; homes come from `found` in turn."""
+class HookRecorder:
+    """Replaces the hooks of a Router while it handles one event.
 
-    def __init__(self, router: Router, homes: list[io.HomeShard | None] | None, witness: bool) -> None:
+    Home lookups return `homes` in turn; observed attempts are recorded in `attempts`.
+    """
+
+    def __init__(self, router: Router, homes: list[io.HomeShard | None] | None, has_observer: bool) -> None:
         self.homes, self.attempts = list(homes or ()), list[list[int | None]]()
-        router.find_home = self.home if homes is not None else None
-        router.sender.observer = self.witness if witness else None
+        router.find_home = self.find_home if homes is not None else None
+        router.sender.observer = self.on_attempt if has_observer else None
 
-    def home(self, request: io.RequestReceived) -> io.HomeShard | None:
-        assert self.homes, "a home was asked for that was not asked for when it was recorded"
+    def find_home(self, request: io.RequestReceived) -> io.HomeShard | None:
+        assert self.homes, "a home lookup that is not in the recorded stream"
         return self.homes.pop(0)
 
-    def witness(self, request: io.RequestReceived, upstream: Upstream, source: Upstream | None) -> None:
-        self.attempts.append(as_witnessed(request, upstream, source))
+    def on_attempt(self, request: io.RequestReceived, upstream: Upstream, source: Upstream | None) -> None:
+        self.attempts.append(describe_attempt(request, upstream, source))
 
 
-def as_witnessed(
+def describe_attempt(
     request: io.RequestReceived, upstream: Upstream, source: Upstream | None
 ) -> list[int | None]:
     return [request.request, upstream.endpoint.cache, None if source is None else source.endpoint.cache]
 
 
 class RecordingRouter(Router):
-    """A Router that keeps the lines of its stream."""
+    """A Router that records its stream."""
 
     def __init__(self, settings: io.Settings, seed: int, now: int) -> None:
         super().__init__(settings, seed, now)
         self.lines: list[str] = [to_text(["start", encode(settings), seed, now])]
-        self.seed, self.told_at = seed, now
+        self.seed, self.last_event_at = seed, now
 
     def handle(self, now: int, event: io.Event) -> list[io.Action]:
-        given, homes, witness = encode(event), self.find_home, self.sender.observer
-        found, seen = list[io.HomeShard | None](), list[list[int | None]]()
+        encoded_event, find_home, observer = encode(event), self.find_home, self.sender.observer
+        homes, attempts = list[io.HomeShard | None](), list[list[int | None]]()
 
-        def noted_home(request: io.RequestReceived) -> io.HomeShard | None:
-            assert homes is not None
-            found.append(homes(request))
-            return found[-1]
+        def record_home(request: io.RequestReceived) -> io.HomeShard | None:
+            assert find_home is not None
+            homes.append(find_home(request))
+            return homes[-1]
 
-        def noted_attempt(request: io.RequestReceived, upstream: Upstream, source: Upstream | None) -> None:
-            assert witness is not None
-            seen.append(as_witnessed(request, upstream, source))
-            witness(request, upstream, source)
+        def record_attempt(request: io.RequestReceived, upstream: Upstream, source: Upstream | None) -> None:
+            assert observer is not None
+            attempts.append(describe_attempt(request, upstream, source))
+            observer(request, upstream, source)
 
-        self.find_home = noted_home if homes else None
-        self.sender.observer = noted_attempt if witness else None
+        self.find_home = record_home if find_home else None
+        self.sender.observer = record_attempt if observer else None
         actions = super().handle(now, event)
-        self.find_home, self.sender.observer = homes, witness
-        hooks = [encode(tuple(found)) if homes else None, seen if witness else None]
-        line = ["event", now - self.told_at, given, [encode(action) for action in actions], *hooks]
+        self.find_home, self.sender.observer = find_home, observer
+        hooks = [encode(tuple(homes)) if find_home else None, attempts if observer else None]
+        line = [
+            "event",
+            now - self.last_event_at,
+            encoded_event,
+            [encode(action) for action in actions],
+            *hooks,
+        ]
         self.lines.append(to_text(line))
-        self.told_at = now
+        self.last_event_at = now
         return actions
 
-    def tell_learned(self) -> list[io.Learned]:
+    def export_learned(self) -> list[io.Learned]:
         facts = list(export_facts(self))
         self.lines.append(to_text(["learned", [encode(fact) for fact in facts]]))
         return facts
 
-    def take_learned(self, facts: list[io.Learned], age: int | None) -> int:
+    def restore_learned(self, facts: list[io.Learned], age: int | None) -> int:
         count = restore_facts(self, facts, age)
         self.lines.append(to_text(["recall", [encode(fact) for fact in facts], age, count]))
         return count
 
-    def take_settings(self, settings: io.Settings) -> None:
+    def change_settings(self, settings: io.Settings) -> None:
         self.settings = settings
         self.lines.append(to_text(["settings", encode(settings)]))
 
@@ -181,40 +191,40 @@
 
 @dataclass(slots=True)
 class Difference:
-    """Where a replay first differs from its stream."""
+    """The first step at which a replay differs from its stream."""
 
     line: int
     now: int
-    given: str
-    recorded: str
-    present: str
+    event: str
+    expected: str
+    actual: str
 
     def __str__(self) -> str:
-        head = f"line {self.line}, at {self.now} ns: {self.given}"
-        return f"{head}\nrecorded: {self.recorded}\npresent:  {self.present}"
+        head = f"line {self.line}, at {self.now} ns: {self.event}"
+        return f"{head}\nrecorded: {self.expected}\nactual:   {self.actual}"
 
 
 def replay(name: str) -> Difference | None:
-    """The first difference of the present Router to the stream, or None."""
+    """Replay a stream; return the first difference between the present Router and the stream, or None."""
     lines = read(name)
     _, settings, seed, now = next(lines)
     router = Router(decode(settings), seed, now)
     for number, (kind, *values) in enumerate(lines, 2):
-        wanted: Any
-        present: Any
+        expected: Any
+        actual: Any
         if kind == "event":
             wait, event, actions, homes, attempts = values
             now += wait
-            watch = Watch(router, None if homes is None else decode(homes), attempts is not None)
-            done = [encode(action) for action in router.handle(now, decode(event))]
-            wanted, present = [actions, attempts or [], []], [done, watch.attempts, watch.homes]
+            hooks = HookRecorder(router, None if homes is None else decode(homes), attempts is not None)
+            new_actions = [encode(action) for action in router.handle(now, decode(event))]
+            expected, actual = [actions, attempts or [], []], [new_actions, hooks.attempts, hooks.homes]
         elif kind == "settings":
-            router.settings, wanted, present = decode(values[0]), None, None
+            router.settings, expected, actual = decode(values[0]), None, None
         elif kind == "learned":
-            wanted, present = values[0], [encode(fact) for fact in export_facts(router)]
+            expected, actual = values[0], [encode(fact) for fact in export_facts(router)]
         else:
-            facts, age, wanted = values
-            present = restore_facts(router, map(decode, facts), age)
-        if to_text(wanted) != to_text(present):
-            return Difference(number, now, to_text([kind, *values[:2]]), to_text(wanted), to_text(present))
+            facts, age, expected = values
+            actual = restore_facts(router, map(decode, facts), age)
+        if to_text(expected) != to_text(actual):
+            return Difference(number, now, to_text([kind, *values[:2]]), to_text(expected), to_text(actual))
     return None
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""Settings and events for the tests of the decision module; small helpers, no timing."""
+"""Settings, endpoints and a router with a virtual clock, for the tests of the routing policy."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-EDGE, PARENT, ORIGIN = 0, 1, 2
-HUB, HOME = 0, 1
+CACHE_KIND, PARENT, ORIGIN = 0, 1, 2
+PARENT_ZONE, HOME_ZONE = 0, 1
 CACHES = (101, 102, 103)
 PARENTS = (201, 202)
-ROOT = 301
+ORIGIN_ID = 301
 
 
 def make_class(**changes: Any) -> io.RequestClass:
@@ -44,7 +44,7 @@
 
 def make_settings(**changes: Any) -> io.Settings:
     base = io.Settings(
-        zone=HOME,
+        zone=HOME_ZONE,
         fronts=2,
         fronts_by_zone=(0, 2),
         classes=(make_class(worth=2.0), make_class(on_time=250 * MS, fresh=12 * SECOND, grace=10 * SECOND)),
@@ -77,19 +77,26 @@
 
 
 def machine(
-    cache: int, kind: int = EDGE, up_since: int = 0, state: EndpointState = EndpointState.READY
+    cache: int, kind: int = CACHE_KIND, up_since: int = 0, state: EndpointState = EndpointState.READY
 ) -> io.Endpoint:
-    zone = HOME if kind == EDGE else HUB
+    zone = HOME_ZONE if kind == CACHE_KIND else PARENT_ZONE
     return io.Endpoint(cache, kind, zone, cache, 30.0, up_since, state)
 
 
 def fleet() -> tuple[io.Endpoint, ...]:
     edges = tuple(machine(c) for c in CACHES)
-    return edges + tuple(machine(p, PARENT) for p in PARENTS) + (machine(ROOT, ORIGIN),)
+    return edges + tuple(machine(p, PARENT) for p in PARENTS) + (machine(ORIGIN_ID, ORIGIN),)
 
 
-class Bench:
-    """A router with a clock, which keeps what was said and what is out."""
+class RouterBench:
+    """A router with a virtual clock; fires the router's timers and numbers its attempts.
+
+    Attributes:
+        now: The virtual clock, ns.
+        action_log: All actions of the router, each with its time.
+        timers: Timers that are set, as pairs of time and token.
+        attempt_counts: Number of attempts that were sent, by request.
+    """
 
     def __init__(
         self,
@@ -100,58 +107,62 @@
         self.now = 100 * SECOND
         self.settings = settings or make_settings()
         self.router = Router(self.settings, seed, self.now)
-        self.log: list[tuple[int, io.Action]] = []
+        self.action_log: list[tuple[int, io.Action]] = []
         self.timers: list[tuple[int, int]] = []
-        self.sent: dict[int, int] = {}
-        self.give(io.EndpointUpdate(UpdateScope.RESTORED, fleet() if machines is None else machines))
+        self.attempt_counts: dict[int, int] = {}
+        self.handle(io.EndpointUpdate(UpdateScope.RESTORED, fleet() if machines is None else machines))
 
-    def give(self, event: io.Event) -> list[io.Action]:
+    def handle(self, event: io.Event) -> list[io.Action]:
         actions = self.router.handle(self.now, event)
         for action in actions:
-            self.log.append((self.now, action))
+            self.action_log.append((self.now, action))
             if isinstance(action, io.SetTimer):
                 self.timers.append((self.now + action.wait, action.token))
             elif isinstance(action, io.ForwardRequest | io.FetchThrough):
-                self.sent[action.request] = self.sent.get(action.request, 0) + 1
+                self.attempt_counts[action.request] = self.attempt_counts.get(action.request, 0) + 1
         return actions
 
-    def wait(self, span: int) -> list[io.Action]:
-        """Let time pass; timers that come due are given in order."""
-        until, done = self.now + span, []
+    def advance(self, span: int) -> list[io.Action]:
+        """Advance the clock by `span` ns, firing due timers in order; return the resulting actions."""
+        until, actions = self.now + span, []
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            done += self.give(io.TimerFired(due[1]))
+            actions += self.handle(io.TimerFired(due[1]))
         self.now = until
-        return done
+        return actions
 
-    def ask(self, request: int, cls: int = 0, obj: int = 5, part: int = 0, **more: Any) -> list[io.Action]:
+    def send_request(
+        self, request: int, cls: int = 0, obj: int = 5, part: int = 0, **more: Any
+    ) -> list[io.Action]:
         event = io.RequestReceived(
             request, cls, 0.0, 0, 3, obj, part, False, self.settings.classes[cls].deadline
         )
-        return self.give(replace(event, **more))
+        return self.handle(replace(event, **more))
 
-    def end(
+    def complete_attempt(
         self,
         sent: io.ForwardRequest | io.FetchThrough,
-        ending: AttemptOutcome,
-        note: CacheStatus = CacheStatus.NONE,
+        outcome: AttemptOutcome,
+        status: CacheStatus = CacheStatus.NONE,
         **more: Any,
     ) -> list[io.Action]:
-        no, last = self.sent[sent.request] - 1, ending is AttemptOutcome.OK
-        event = io.AttemptCompleted(sent.request, no, sent.cache, ending, 50 * MS, last, note, 0, ())
-        return self.give(replace(event, **more))
+        number, last = self.attempt_counts[sent.request] - 1, outcome is AttemptOutcome.OK
+        event = io.AttemptCompleted(sent.request, number, sent.cache, outcome, 50 * MS, last, status, 0, ())
+        return self.handle(replace(event, **more))
 
 
 def attempts(actions: list[io.Action]) -> list[io.ForwardRequest | io.FetchThrough]:
     return [a for a in actions if isinstance(a, io.ForwardRequest | io.FetchThrough)]
 
 
-def finals(actions: list[io.Action]) -> list[io.RejectRequest | io.FailRequest]:
+def final_responses(actions: list[io.Action]) -> list[io.RejectRequest | io.FailRequest]:
     return [a for a in actions if isinstance(a, io.RejectRequest | io.FailRequest)]
 
 
-def refused(actions: list[io.Action]) -> list[int]:
-    """The requests refused, where each refusal says when to come back."""
-    return [a.request for a in finals(actions) if isinstance(a, io.RejectRequest) and a.retry_after > 0]
+def rejected_requests(actions: list[io.Action]) -> list[int]:
+    """The ids of rejected requests whose rejection has a retry time."""
+    return [
+        a.request for a in final_responses(actions) if isinstance(a, io.RejectRequest) and a.retry_after > 0
+    ]
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -20,7 +20,7 @@
     PARENT,
     PARENTS,
     SECOND,
-    Bench,
+    RouterBench,
     attempts,
     fleet,
     machine,
@@ -65,7 +65,9 @@
         self.begun = [(BEGIN + int(at * SECOND), name or own) for at, name in self.starts]
         self.names = {own} | {name for _, name in self.begun}
         listed = tuple(replace(m, size=self.size) for m in fleet())
-        self.benches = [Bench(self.settings, listed, seed=1000 * self.seed + n) for n in range(self.fronts)]
+        self.benches = [
+            RouterBench(self.settings, listed, seed=1000 * self.seed + n) for n in range(self.fronts)
+        ]
 
     def play(self, span: float) -> Fleet:
         chance = random.Random(self.seed)
@@ -84,15 +86,15 @@
                 self.killed = math.inf
                 self.restart(now, self.fronts * 7 // 10)
             for n, bench in enumerate(self.benches):
-                bench.wait(now - bench.now)
+                bench.advance(now - bench.now)
                 for _ in range((1 + self.leave) * self.demand(chance, (now - BEGIN) / SECOND)):
                     number += 1
-                    for sent in attempts(bench.ask(number, obj=number)):
+                    for sent in attempts(bench.send_request(number, obj=number)):
                         if n in told and self.names & {sent.cache, getattr(sent, "source", -1)}:
                             self.sends.append((now, math.exp(chance.gauss(-0.72, 1.2))))
                         if self.leave:
-                            bench.give(io.ClientDisconnected(number))
-                        bench.end(
+                            bench.handle(io.ClientDisconnected(number))
+                        bench.complete_attempt(
                             sent,
                             AttemptOutcome.CANCELLED if self.leave else AttemptOutcome.OK,
                             CacheStatus.FILLED,
@@ -103,7 +105,7 @@
     def tell(self, n: int, at: int, cache: int) -> None:
         new = replace(machine(cache, self.kind, at), size=self.size)
         gone = [replace(machine(c, self.kind), state=EndpointState.GONE) for c in self.names if c != cache]
-        self.benches[n].give(io.EndpointUpdate(UpdateScope.CHANGES, (new, *gone)))
+        self.benches[n].handle(io.EndpointUpdate(UpdateScope.CHANGES, (new, *gone)))
 
     def restart(self, now: int, count: int) -> None:
         """They find the machine on the list that they begin with."""
@@ -111,7 +113,7 @@
         up = {own: BEGIN}
         listed = tuple(replace(m, size=self.size, up_since=up.get(m.cache, 0)) for m in fleet())
         for n in range(count):
-            self.benches[n] = Bench(self.settings, listed, seed=self.seed + 7777 * (n + 1))
+            self.benches[n] = RouterBench(self.settings, listed, seed=self.seed + 7777 * (n + 1))
             self.benches[n].now = now
 
     def calls(self, at: int, begun: int) -> float:
@@ -202,18 +204,18 @@
     listed = tuple(replace(m, size=1.0) for m in fleet() if m.cache != PARENTS[1])
     early = 0
     for seed in range(30):
-        bench = Bench(settings, listed, seed)
-        (sent,) = attempts(bench.ask(1, obj=5))
+        bench = RouterBench(settings, listed, seed)
+        (sent,) = attempts(bench.send_request(1, obj=5))
         assert isinstance(sent, io.FetchThrough) and sent.source == PARENTS[0]
-        bench.wait(100 * MS)
+        bench.advance(100 * MS)
         new = replace(machine(PARENTS[0], PARENT, bench.now), size=1.0)
-        bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (new,)))
+        bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (new,)))
         assert not bench.router.slow_start.has_budget(
             bench.router.placement.table.by_id[PARENTS[0]]
         )  # it begins in debt
-        bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
-        bench.wait(20 * MS)
-        (after,) = attempts(bench.ask(2, obj=6))
+        bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)
+        bench.advance(20 * MS)
+        (after,) = attempts(bench.send_request(2, obj=6))
         early += isinstance(after, io.FetchThrough) and after.source == PARENTS[0]
     assert early <= 4, f"{early} of 30 fronts ask it at once"  # N is 0.6 calls: 0.6 + 2 x root of 0.6 + 2
 
@@ -221,20 +223,20 @@
 def test_a_start_told_after_it_was_thought_warm_begins_a_budget_and_not_a_debt() -> None:
     """It starts again just before it is warm and all is told when it was: what went out then is not owed."""
     listed = tuple(replace(m, size=1.0) for m in fleet())
-    bench = Bench(make_settings(fronts=1, fronts_by_zone=(0, 1)), listed)
+    bench = RouterBench(make_settings(fronts=1, fronts_by_zone=(0, 1)), listed)
     node, started = bench.router.placement.table.by_id[CACHES[0]], bench.now
-    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (replace(node.endpoint, up_since=started),)))
+    bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (replace(node.endpoint, up_since=started),)))
     for _ in range(2):  # the last look while it is cold
-        bench.wait(7 * SECOND)
+        bench.advance(7 * SECOND)
         bench.router.context.now = bench.now
         bench.router.slow_start.has_budget(node)
     assert node.credit > 0
-    bench.wait(3 * SECOND)
+    bench.advance(3 * SECOND)
     for number in range(1, 61):
-        for sent in attempts(bench.ask(number, obj=number)):
-            bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
+        for sent in attempts(bench.send_request(number, obj=number)):
+            bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED)
     again = replace(node.endpoint, up_since=started + 13 * SECOND)
-    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (again,)))
+    bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (again,)))
     bench.router.slow_start.has_budget(node)
     assert -WORK * SECOND <= node.credit <= 0, node.credit / SECOND  # one request at most
 
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -13,7 +13,7 @@
 from quincepier.net.cache import CacheActor
 from quincepier.net.messages import CallOff, Recall, ToCache, ToModule
 from tests.attemptkit import BID, IMAGE, Clock, Dials, Inside, on_loop
-from tests.rig import MS, SECOND, Bench, attempts, make_class, make_settings
+from tests.rig import MS, SECOND, RouterBench, attempts, make_class, make_settings
 from tests.standins import until
 
 ONE = ("s-1", "o-1")
@@ -213,11 +213,11 @@
 
 def test_the_latest_moment_of_a_repeat_is_that_of_its_window() -> None:
     keyed = make_class(effect=io.Idempotency.KEYED, window=2 * SECOND, deadline=9 * SECOND)
-    bench = Bench(make_settings(classes=(keyed, make_class(deadline=9 * SECOND))))
+    bench = RouterBench(make_settings(classes=(keyed, make_class(deadline=9 * SECOND))))
     for request, cls, within in ((1, 0, 1500 * MS), (2, 1, 0)):
-        (first,) = attempts(bench.ask(request, cls))
+        (first,) = attempts(bench.send_request(request, cls))
         bench.now += 500 * MS
-        (again,) = attempts(bench.end(first, AttemptOutcome.RESET))
+        (again,) = attempts(bench.complete_attempt(first, AttemptOutcome.RESET))
         assert (first.within, again.within) == (0, within)
 
 
--- a/tests/test_crossings_dials.py
+++ b/tests/test_crossings_dials.py
@@ -8,7 +8,7 @@
 from quincepier.memory.open_requests import OpenRequest
 from quincepier.net.cache import CacheActor
 from tests.attemptkit import Dials, Inside, Wire, on_loop
-from tests.rig import MS, Bench, attempts
+from tests.rig import MS, RouterBench, attempts
 from tests.standins import until
 
 ONE = ("s-1", "o-1")
@@ -106,27 +106,27 @@
 
 @pytest.mark.parametrize("answers", [False, True])
 def test_a_dial_not_up_in_time_says_nothing_of_a_machine_that_answered_meanwhile(answers: bool) -> None:
-    bench = Bench()
-    (late,) = attempts(bench.ask(1, obj=7))
-    (other,) = attempts(bench.ask(2, obj=7))
+    bench = RouterBench()
+    (late,) = attempts(bench.send_request(1, obj=7))
+    (other,) = attempts(bench.send_request(2, obj=7))
     assert late.cache == other.cache
-    bench.wait(100 * MS)
+    bench.advance(100 * MS)
     if answers:
-        bench.end(other, AttemptOutcome.OK, CacheStatus.HIT)
-    bench.wait(300 * MS)
-    bench.end(late, AttemptOutcome.CONNECT_FAILED)
+        bench.complete_attempt(other, AttemptOutcome.OK, CacheStatus.HIT)
+    bench.advance(300 * MS)
+    bench.complete_attempt(late, AttemptOutcome.CONNECT_FAILED)
     assert bench.router.placement.table.by_id[late.cache].is_ejected is not answers
 
 
 def test_dials_in_a_row_that_are_not_up_set_aside_a_machine_that_once_answered_beside_them() -> None:
-    bench = Bench()
-    first = [attempts(bench.ask(n, obj=7))[0] for n in range(1, 7)]
+    bench = RouterBench()
+    first = [attempts(bench.send_request(n, obj=7))[0] for n in range(1, 7)]
     node = bench.router.placement.table.by_id[first[0].cache]
     assert {sent.cache for sent in first} == {first[0].cache}
-    bench.wait(100 * MS)
-    bench.end(first[0], AttemptOutcome.OK, CacheStatus.HIT)
+    bench.advance(100 * MS)
+    bench.complete_attempt(first[0], AttemptOutcome.OK, CacheStatus.HIT)
     failed = 0
     while not node.is_ejected:
         failed += 1
-        bench.end(first[failed], AttemptOutcome.CONNECT_FAILED)
+        bench.complete_attempt(first[failed], AttemptOutcome.CONNECT_FAILED)
     assert 1 < failed < len(first) - 1
--- a/tests/test_decision_recorder.py
+++ b/tests/test_decision_recorder.py
@@ -31,13 +31,13 @@
 from quincepier.policy.placement import Placement
 from quincepier.policy.slow_start import SlowStart
 from quincepier.rules import RuleVersion
-from tests.rig import CACHES, PARENTS, Bench, attempts, machine
-from tests.test_policy_properties import SITES, World
+from tests.rig import CACHES, PARENTS, RouterBench, attempts, machine
+from tests.test_policy_properties import SITES, RuleChecker
 
 
 def test_the_rule_is_where_the_router_itself_sends() -> None:
     """All warm and idle: the router's own order is the rule's, and its ranking cache serves the digests."""
-    bench = Bench()
+    bench = RouterBench()
     machines = [node.endpoint for node in bench.router.placement.table.by_id.values()]
     endpoints = tuple(
         ListedEndpoint(f"h{m.cache}", m.cache, m.kind, m.zone, 0, m.size, True) for m in machines
@@ -55,7 +55,7 @@
     assert count_stale_rankings(RouterView(bench.router)) == 1
 
 
-def play(world: World, recorder: DecisionRecorder, seed: int, steps: int) -> None:
+def play(world: RuleChecker, recorder: DecisionRecorder, seed: int, steps: int) -> None:
     """A random run in which each attempt is held against the rule."""
     world.router.sender.observer = recorder
     draw = random.Random(seed)
@@ -64,7 +64,7 @@
 
 
 def record_random_run(site: str, seed: int, steps: int = 90) -> DecisionRecorder:
-    world = World(SITES[site])
+    world = RuleChecker(SITES[site])
     recorder = DecisionRecorder(RouterView(world.router), 1.0, seed)
     play(world, recorder, seed, steps)
     return recorder
@@ -99,7 +99,7 @@
 
 def test_within_home_shards_the_rule_is_the_shards_own() -> None:
     """Objects of two tenants, each with a home shard of some of the caches."""
-    world = World(SITES["mixed"])
+    world = RuleChecker(SITES["mixed"])
     shards = [HomeShard(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
     world.router.find_home = lambda request: shards[request.object % 2]
     recorder = DecisionRecorder(RouterView(world.router), 1.0, 1)
@@ -161,16 +161,16 @@
 
 
 def test_a_drained_endpoint_is_explained_and_a_request_nobody_made_is_not() -> None:
-    bench = Bench()
+    bench = RouterBench()
     recorder = DecisionRecorder(RouterView(bench.router), 1.0, 1)
-    [first] = attempts(bench.ask(1))
+    [first] = attempts(bench.send_request(1))
     nodes = bench.router.placement.table.by_id
     recorder(replace(bench.router.requests[1].event, request=9), nodes[101], nodes[201])
     assert recorder.count_by_reason[Reason.UNEXPLAINED] == 1 and len(recorder.unexplained) == 1
     drained = machine(first.cache, state=EndpointState.DRAINING)
-    bench.give(EndpointUpdate(UpdateScope.CHANGES, (drained,)))
+    bench.handle(EndpointUpdate(UpdateScope.CHANGES, (drained,)))
     bench.router.sender.observer = recorder
-    bench.ask(2)
+    bench.send_request(2)
     assert [record.reason for record in recorder.records] == [Reason.UNEXPLAINED, Reason.DRAINING]
     record = recorder.records[-1]
     assert record.first_by_rules is not None
--- a/tests/test_early_rejection.py
+++ b/tests/test_early_rejection.py
@@ -8,47 +8,53 @@
 from __future__ import annotations
 
 from quincepier.interface import Idempotency
-from tests.rig import MS, SECOND, Bench, make_class, make_settings, refused
+from tests.rig import MS, SECOND, RouterBench, make_class, make_settings, rejected_requests
 
 UNSAFE = make_class(effect=Idempotency.UNSAFE, never_kept=True)
 CLASSES = (make_class(worth=2.0), make_class(on_time=250 * MS), UNSAFE)
 FIRST_TIER, LOWEST_TIER, WRITE = range(3)
 
 
-def refusals(bench: Bench, cls: int, waits: list[int], apart: int = 20 * MS) -> list[bool]:
+def send_waiting(bench: RouterBench, cls: int, waits: list[int], apart: int = 20 * MS) -> list[bool]:
     """Whether each of these requests, which waited so long for their turns, is refused."""
     found = []
     for waited in waits:
-        found.append(bool(refused(bench.ask(len(bench.sent) + 100 * bench.now, cls, waited=waited))))
-        bench.wait(apart)
+        found.append(
+            bool(
+                rejected_requests(
+                    bench.send_request(len(bench.attempt_counts) + 100 * bench.now, cls, waited=waited)
+                )
+            )
+        )
+        bench.advance(apart)
     return found
 
 
 def test_one_long_wait_refuses_nobody() -> None:
     """The process was off its core for a moment: whoever waited has nearly all of its time left."""
-    bench = Bench(make_settings(classes=CLASSES))
-    assert refusals(bench, LOWEST_TIER, [22 * MS] * 2, apart=1) == [False, False]
-    assert refusals(bench, LOWEST_TIER, [SECOND]) == [False]
+    bench = RouterBench(make_settings(classes=CLASSES))
+    assert send_waiting(bench, LOWEST_TIER, [22 * MS] * 2, apart=1) == [False, False]
+    assert send_waiting(bench, LOWEST_TIER, [SECOND]) == [False]
 
 
 def test_what_waits_is_refused_once_the_queue_has_stood_for_an_interval() -> None:
-    bench = Bench(make_settings(classes=CLASSES))
-    assert refusals(bench, LOWEST_TIER, [22 * MS] * 8) == [False] * 5 + [True] * 3
+    bench = RouterBench(make_settings(classes=CLASSES))
+    assert send_waiting(bench, LOWEST_TIER, [22 * MS] * 8) == [False] * 5 + [True] * 3
 
 
 def test_a_request_that_had_its_turn_in_time_begins_the_interval_anew() -> None:
-    bench = Bench(make_settings(classes=CLASSES))
-    assert not any(refusals(bench, LOWEST_TIER, [22 * MS] * 5 + [10 * MS] + [22 * MS] * 5))
+    bench = RouterBench(make_settings(classes=CLASSES))
+    assert not any(send_waiting(bench, LOWEST_TIER, [22 * MS] * 5 + [10 * MS] + [22 * MS] * 5))
 
 
 def test_long_waits_far_from_each_other_are_moments_each() -> None:
-    bench = Bench(make_settings(classes=CLASSES))
-    assert not any(refusals(bench, LOWEST_TIER, [22 * MS] * 8, apart=150 * MS))
+    bench = RouterBench(make_settings(classes=CLASSES))
+    assert not any(send_waiting(bench, LOWEST_TIER, [22 * MS] * 8, apart=150 * MS))
 
 
 def test_each_tier_bears_its_own_wait_to_the_millisecond() -> None:
     def turned_away(cls: int, waited: int) -> bool:
-        return refusals(Bench(make_settings(classes=CLASSES)), cls, [waited] * 7)[-1]
+        return send_waiting(RouterBench(make_settings(classes=CLASSES)), cls, [waited] * 7)[-1]
 
     assert not turned_away(LOWEST_TIER, 16 * MS) and turned_away(LOWEST_TIER, 17 * MS)
     assert not turned_away(FIRST_TIER, 100 * MS) and turned_away(FIRST_TIER, 101 * MS)
@@ -57,6 +63,6 @@
 
 def test_waits_of_one_class_are_told_by_those_of_another() -> None:
     """One queue for all: what stands for the one stands for the other."""
-    bench = Bench(make_settings(classes=CLASSES))
-    refusals(bench, WRITE, [30 * MS] * 6)
-    assert refusals(bench, LOWEST_TIER, [30 * MS]) == [True]
+    bench = RouterBench(make_settings(classes=CLASSES))
+    send_waiting(bench, WRITE, [30 * MS] * 6)
+    assert send_waiting(bench, LOWEST_TIER, [30 * MS]) == [True]
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -18,7 +18,7 @@
 from quincepier.policy import Router
 from quincepier.policy.placement import Placement
 from quincepier.records import Request, Upstream
-from tests.rig import MS, Bench, attempts, make_class, make_settings
+from tests.rig import MS, RouterBench, attempts, make_class, make_settings
 
 TOLD = {"client_kb_per_s": 4000.0}
 CALM, OTHER = 2 / 3, 1 / 2  # of their class's answered share, for the largest
@@ -167,16 +167,16 @@
 def test_the_first_of_a_class_is_sent_whatever_it_stands(stretch: float, fronts: int) -> None:
     """No sending time was seen yet: it counts as what is wanted, and an idle cache was crowded by that."""
     cls = make_class(stretch=stretch)
-    bench = Bench(make_settings(classes=(cls,), fronts=fronts, fronts_by_zone=(0, fronts)))
-    assert len(attempts(bench.ask(1))) == 1
+    bench = RouterBench(make_settings(classes=(cls,), fronts=fronts, fronts_by_zone=(0, fronts)))
+    assert len(attempts(bench.send_request(1))) == 1
 
 
 @pytest.mark.parametrize("seconds", [0.4, 1.0, 2.0, 4.0])
 def test_a_large_object_is_sent_to_an_idle_cache_over_an_idle_link(seconds: float) -> None:
     """Many fronts judge the link by fills alone: as usual is not full, however long the object takes."""
-    bench = Bench(make_settings(fronts=20, fronts_by_zone=(0, 20)))
+    bench = RouterBench(make_settings(fronts=20, fronts_by_zone=(0, 20)))
     kb = seconds * bench.settings.client_kb_per_s
-    assert len(attempts(bench.ask(1, size_kb=kb))) == 1
+    assert len(attempts(bench.send_request(1, size_kb=kb))) == 1
 
 
 def refuses_large(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -21,8 +21,19 @@
 from quincepier.wire.fastcgi import Call
 from quincepier.wire.lines import serve
 from tests.frontkit import SETTINGS, Inbox, raw_config
-from tests.rig import CACHES, MS, SECOND, Bench, attempts, finals, fleet, machine, make_class, make_settings
-from tests.test_policy_properties import STEPS, World
+from tests.rig import (
+    CACHES,
+    MS,
+    SECOND,
+    RouterBench,
+    attempts,
+    final_responses,
+    fleet,
+    machine,
+    make_class,
+    make_settings,
+)
+from tests.test_policy_properties import STEPS, RuleChecker
 
 ROOT = Path(__file__).parent.parent
 RUNS = {"derandomize": True, "deadline": None, "database": None, "phases": [Phase.generate],
@@ -81,11 +92,11 @@
     )
 
 
-class AnyWorld(World):
+class AnyWorld(RuleChecker):
     """The rules as for the usual sites; cold budgets by the fronts of the machine's own zone."""
 
     def check_cold(self, cache: int) -> None:
-        s, m, sent = self.site, self.states[cache], self.cold[cache]
+        s, m, sent = self.settings, self.endpoint_by_id[cache], self.sends_since_start[cache]
         sent.append(self.now)
         upper = m.kind == s.parent_kind
         least, multiple, warm = (
@@ -104,24 +115,28 @@
             assert work * count_requesting_fronts(s.fronts, s.fronts_by_zone, m.zone) <= stands
 
     def check_final(self, action: io.Action, request: int) -> None:
-        cls = self.site.classes[self.owed[request][0].cls] if request in self.owed else None
+        cls = (
+            self.settings.classes[self.open_requests[request][0].cls]
+            if request in self.open_requests
+            else None
+        )
         if cls is not None and cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL:
-            _, deadline = self.owed.pop(
+            _, deadline = self.open_requests.pop(
                 request
             )  # may be refused though it ran: docs/crossings.md has the gap
-            assert request in self.begun or self.now <= deadline
+            assert request in self.streaming or self.now <= deadline
         else:
             super().check_final(action, request)
 
     def finish(self) -> None:
         super().finish()
-        router, classes = self.router, len(self.site.classes)
+        router, classes = self.router, len(self.settings.classes)
         assert (
             max(len(router.placement.hits), len(router.freshness.purges), len(router.placement.rankings))
             <= MEMORY_MOST
         )
         assert len(router.latency.baselines) <= 4 * classes and len(router.placement.table.by_id) <= len(
-            self.states
+            self.endpoint_by_id
         )
         assert not any(router.queue.queues) and router.fetch_limit.limit >= 1
 
@@ -138,7 +153,7 @@
 
 
 def test_the_runs_would_notice_an_effect_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("quincepier.policy.sending.AttemptSender.may_send", lambda *_: True)
+    monkeypatch.setattr("quincepier.policy.sending.AttemptSender.can_send", lambda *_: True)
     with pytest.raises(AssertionError):
         test_the_rules_hold_whatever_the_settings_are()
 
@@ -149,12 +164,14 @@
 @pytest.mark.parametrize("on_time", [0, 1, MS, 20 * MS])
 def test_a_request_is_not_refused_for_a_moment_in_line(on_time: int) -> None:
     """On sockets each request waits some microseconds for its turn."""
-    bench = Bench(make_settings(classes=(make_class(on_time=on_time),) * 3))
-    assert len(attempts(bench.ask(1, waited=MS))) == 1
+    bench = RouterBench(make_settings(classes=(make_class(on_time=on_time),) * 3))
+    assert len(attempts(bench.send_request(1, waited=MS))) == 1
     for request in range(2, 8):
-        bench.ask(request, waited=SECOND)
-        bench.wait(20 * MS)
-    assert finals(bench.ask(8, waited=SECOND))  # that far behind it is refused while that costs little
+        bench.send_request(request, waited=SECOND)
+        bench.advance(20 * MS)
+    assert final_responses(
+        bench.send_request(8, waited=SECOND)
+    )  # that far behind it is refused while that costs little
 
 
 @pytest.mark.parametrize("wanted", [1, 2])
@@ -162,23 +179,23 @@
     bid = make_class(
         effect=Idempotency.UNSAFE, never_kept=True, deadline=3 * SECOND, on_time=wanted * 3 * SECOND
     )
-    bench = Bench(make_settings(classes=(bid,)))
-    (sent,) = attempts(bench.ask(1))
-    bench.wait(MS)
-    assert len(attempts(bench.end(sent, AttemptOutcome.CONNECT_FAILED, elapsed=MS))) == 1
+    bench = RouterBench(make_settings(classes=(bid,)))
+    (sent,) = attempts(bench.send_request(1))
+    bench.advance(MS)
+    assert len(attempts(bench.complete_attempt(sent, AttemptOutcome.CONNECT_FAILED, elapsed=MS))) == 1
 
 
 def test_a_class_wanted_at_once_weighs_on_a_cold_cache() -> None:
     """Nothing is known of its sending time yet: it does not count as nothing."""
-    bench = Bench(
+    bench = RouterBench(
         make_settings(classes=(make_class(on_time=0),)),
         (machine(CACHES[0], up_since=100 * SECOND), *fleet()[3:]),
     )
     sent = 0
     for n in range(60):
-        for attempt in attempts(bench.ask(n, obj=n)):
+        for attempt in attempts(bench.send_request(n, obj=n)):
             sent += attempt.cache == CACHES[0]
-            bench.end(attempt, AttemptOutcome.OK, CacheStatus.FILLED, elapsed=MS)
+            bench.complete_attempt(attempt, AttemptOutcome.OK, CacheStatus.FILLED, elapsed=MS)
     assert sent <= 2
 
 
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -19,12 +19,12 @@
 from quincepier.structures import DecayingMean, FairQueue
 from tests.rig import (
     CACHES,
-    HOME,
+    HOME_ZONE,
     MS,
     ORIGIN,
+    ORIGIN_ID,
     PARENT,
     PARENTS,
-    ROOT,
     SECOND,
     machine,
     make_class,
@@ -35,7 +35,7 @@
 OBJECTIVE, TRANSFER = 400 * MS, 100 * MS
 
 
-class StandIn:
+class StandInEstimates:
     """Latency estimates that are given, and what was told of recovery."""
 
     def __init__(self) -> None:
@@ -63,12 +63,15 @@
     return Request(event, settings, 0, NOW, None)
 
 
-def upstream(endpoint: io.Endpoint) -> Upstream:
+def make_upstream(endpoint: io.Endpoint) -> Upstream:
     return Upstream(endpoint, DecayingMean(SECOND, 1.0), 8)
 
 
-CACHE, OTHER = upstream(machine(CACHES[0])), upstream(machine(CACHES[1]))
-SOURCE, TOP = upstream(machine(PARENTS[0], PARENT)), upstream(machine(ROOT, ORIGIN))
+CACHE, OTHER_CACHE = make_upstream(machine(CACHES[0])), make_upstream(machine(CACHES[1]))
+SOURCE, ORIGIN_UPSTREAM = (
+    make_upstream(machine(PARENTS[0], PARENT)),
+    make_upstream(machine(ORIGIN_ID, ORIGIN)),
+)
 
 
 class FetchLimitBench:
@@ -77,7 +80,7 @@
     def __init__(self, **changes: Any) -> None:
         self.settings = make_settings(**changes)
         self.context = Context(self.settings, 1, NOW)
-        self.about = StandIn()
+        self.about = StandInEstimates()
         self.limit = FetchLimit(self.context, self.about, self.about)  # type: ignore[arg-type]
         self.request = make_request(self.settings)
 
@@ -201,7 +204,7 @@
     return AttemptSender(context, AttemptTable(), nobody, nobody, nobody, nobody, nobody, nobody)
 
 
-ZONE_AWAY = upstream(replace(machine(CACHES[2]), zone=HOME + 1))
+CACHE_OF_OTHER_ZONE = make_upstream(replace(machine(CACHES[2]), zone=HOME_ZONE + 1))
 
 
 @pytest.mark.parametrize(
@@ -217,11 +220,11 @@
 ) -> None:
     settings = make_settings(classes=(make_class(effect=Idempotency.KEYED, group=scope),))
     sender, request = make_sender(settings), make_request(settings)
-    assert all(sender.can_send(request, to) for to in (CACHE, OTHER, ZONE_AWAY))
+    assert all(sender.can_send(request, to) for to in (CACHE, OTHER_CACHE, CACHE_OF_OTHER_ZONE))
     request.first_execution = Execution(NOW - 5 * SECOND + 1, CACHE.endpoint)
-    assert [sender.can_send(request, to) for to in (CACHE, OTHER, ZONE_AWAY)] == allowed
+    assert [sender.can_send(request, to) for to in (CACHE, OTHER_CACHE, CACHE_OF_OTHER_ZONE)] == allowed
     request.first_execution = Execution(NOW - 5 * SECOND, CACHE.endpoint)
-    assert not any(sender.can_send(request, to) for to in (CACHE, OTHER, ZONE_AWAY))
+    assert not any(sender.can_send(request, to) for to in (CACHE, OTHER_CACHE, CACHE_OF_OTHER_ZONE))
 
 
 @pytest.mark.parametrize("effect", list(Idempotency))
@@ -232,7 +235,7 @@
     settings = make_settings(classes=(make_class(effect=effect),), second_copies=second_copies)
     sender, request = make_sender(settings), make_request(settings)
     request.open_attempts[0] = SimpleNamespace()  # type: ignore[assignment]
-    assert sender.can_send(request, OTHER) is (effect is Idempotency.SAFE and second_copies)
+    assert sender.can_send(request, OTHER_CACHE) is (effect is Idempotency.SAFE and second_copies)
 
 
 @pytest.mark.parametrize(
@@ -249,7 +252,7 @@
     effect: Idempotency, scope: DeduplicationScope, ran: bool, is_rejected: bool
 ) -> None:
     settings = make_settings(classes=(make_class(effect=effect, group=scope),))
-    context, about = Context(settings, 1, NOW), StandIn()
+    context, about = Context(settings, 1, NOW), StandInEstimates()
     queue = FairQueue[Request]((1.0,), NOW, 10, SECOND, 16)
     responder = Responder(context, about, about, queue, make_sender(settings))  # type: ignore[arg-type]
     request = responder.requests[1] = make_request(settings)
--- a/tests/test_policy_large_zone.py
+++ b/tests/test_policy_large_zone.py
@@ -6,21 +6,21 @@
 
 from quincepier.interface import EndpointState, EndpointUpdate, UpdateScope
 from quincepier.structures import rank
-from tests.rig import PARENT, ROOT, Bench, attempts, machine
+from tests.rig import ORIGIN_ID, PARENT, RouterBench, attempts, machine
 
 CACHES, KEYS = 3200, 400
 ORIGIN_KIND = 2
 
 
-def vast(caches: int = CACHES) -> Bench:
+def make_large_zone(caches: int = CACHES) -> RouterBench:
     own = tuple(machine(1000 + n) for n in range(caches))
-    return Bench(machines=(*own, machine(201, PARENT), machine(ROOT, ORIGIN_KIND)))
+    return RouterBench(machines=(*own, machine(201, PARENT), machine(ORIGIN_ID, ORIGIN_KIND)))
 
 
 def test_the_hash_orders_of_many_keys_hold_a_bounded_number_of_entries() -> None:
-    bench = vast()
+    bench = make_large_zone()
     for number in range(1, KEYS + 1):
-        bench.ask(number, obj=number)
+        bench.send_request(number, obj=number)
     rankings = bench.router.placement.rankings.values()
     assert len(rankings) >= KEYS
     assert sum(map(len, rankings)) <= 64 * len(rankings)
@@ -29,14 +29,14 @@
 @pytest.mark.parametrize("unusable", [0, 1, 63, 64, 200, CACHES - 1])
 def test_the_choice_is_that_of_the_whole_order_however_many_may_not_be_asked(unusable: int) -> None:
     """The first ones of one key's order begin to drain."""
-    bench = vast()
+    bench = make_large_zone()
     table = bench.router.placement.table
-    (first,) = attempts(bench.ask(1, obj=7))
+    (first,) = attempts(bench.send_request(1, obj=7))
     request = bench.router.requests[1]
     ids = {upstream: upstream.endpoint.cache for upstream in table.caches}
     order = rank(request.key, {u: u.endpoint.size for u in table.caches}, ids)
     assert first.cache == order[0].endpoint.cache
     leaving = tuple(machine(u.endpoint.cache, state=EndpointState.DRAINING) for u in order[:unusable])
-    bench.give(EndpointUpdate(UpdateScope.CHANGES, leaving))
-    (second,) = attempts(bench.ask(2, obj=7))
+    bench.handle(EndpointUpdate(UpdateScope.CHANGES, leaving))
+    (second,) = attempts(bench.send_request(2, obj=7))
     assert second.cache == order[unusable].endpoint.cache
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -1,4 +1,8 @@
-"""Long random runs against the rules that a front can check alone. Derandomized: the same runs every time."""
+"""Long random runs that check the rules which hold for each front by itself; derandomized.
+
+The rules: at most one final response per request and in time; no harmful second execution; no draining
+upstream; no copy from before a purge; no more load on a server in slow start than this front's share.
+"""
 
 from __future__ import annotations
 
@@ -26,11 +30,11 @@
 from quincepier.policy.slow_start import SlowStart
 from tests.rig import (
     CACHES,
-    HOME,
+    HOME_ZONE,
     MS,
     ORIGIN,
+    ORIGIN_ID,
     PARENTS,
-    ROOT,
     SECOND,
     fleet,
     machine,
@@ -38,7 +42,7 @@
     make_settings,
 )
 
-RAN_NOT = (
+NEVER_RAN = (
     AttemptOutcome.OVERLOADED,
     AttemptOutcome.CONNECT_FAILED,
     AttemptOutcome.NOT_PROCESSED,
@@ -65,7 +69,7 @@
     "one front alone": make_settings(
         classes=(make_class(), FRESH, UNSAFE, KEYED), fronts=1, fronts_by_zone=(0, 1)
     ),
-    "seats not told": make_settings(
+    "fronts per zone unknown": make_settings(
         classes=(make_class(), FRESH, UNSAFE, KEYED), fronts=9, fronts_by_zone=()
     ),
 }
@@ -75,25 +79,34 @@
 STEPS = st.tuples(st.integers(0, 11), st.integers(0, 10**6), st.integers(0, 400))
 
 
-class World:
-    """Plays steps against a router and checks every action against the rules."""
+class RuleChecker:
+    """Plays steps against a router and checks every action against the rules.
+
+    Attributes:
+        open_requests: Requests without a final response, each with its deadline, by id.
+        streaming: Requests whose response has started.
+        open_attempts: Open attempts with their sending times, by request and attempt number.
+        attempts_by_request: Sending time, cache and outcome of each attempt; the outcome is None while it is
+            open.
+        sends_since_start: Times of the attempts sent to a restarted server since its start.
+    """
 
     def __init__(self, site: io.Settings) -> None:
-        self.site, self.now = site, 1000 * SECOND
+        self.settings, self.now = site, 1000 * SECOND
         self.router = Router(site, 11, self.now)
-        self.owed: dict[int, tuple[io.RequestReceived, int]] = {}
-        self.begun: set[int] = set()
-        self.out: dict[tuple[int, int], tuple[io.ForwardRequest | io.FetchThrough, int]] = {}
-        self.sends: dict[int, list[tuple[int, int, AttemptOutcome | None]]] = {}
+        self.open_requests: dict[int, tuple[io.RequestReceived, int]] = {}
+        self.streaming: set[int] = set()
+        self.open_attempts: dict[tuple[int, int], tuple[io.ForwardRequest | io.FetchThrough, int]] = {}
+        self.attempts_by_request: dict[int, list[tuple[int, int, AttemptOutcome | None]]] = {}
         self.timers: list[tuple[int, int]] = []
-        self.purged: dict[tuple[int, int], int] = {}
+        self.purge_times: dict[tuple[int, int], int] = {}
         many = LARGE if site.fronts > 100 else ()
-        self.states = {m.cache: m for m in (*fleet(), *many)}
-        self.cold: dict[int, list[int]] = {}
-        self.next = 0
-        self.give(io.EndpointUpdate(UpdateScope.RESTORED, tuple(self.states.values())))
+        self.endpoint_by_id = {m.cache: m for m in (*fleet(), *many)}
+        self.sends_since_start: dict[int, list[int]] = {}
+        self.next_request = 0
+        self.handle(io.EndpointUpdate(UpdateScope.RESTORED, tuple(self.endpoint_by_id.values())))
 
-    def give(self, event: io.Event) -> None:
+    def handle(self, event: io.Event) -> None:
         for action in self.router.handle(self.now, event):
             match action:
                 case io.SetTimer(wait, token):
@@ -104,45 +117,45 @@
                 case io.RejectRequest(request) | io.FailRequest(request):
                     self.check_final(action, request)
                 case io.CancelAttempt(request, attempt):
-                    assert self.site.cancel and attempt < len(self.sends[request])
+                    assert self.settings.cancel and attempt < len(self.attempts_by_request[request])
 
     def check_send(self, sent: io.ForwardRequest | io.FetchThrough) -> None:
-        assert sent.request in self.owed, "sent after the end"
-        came, deadline = self.owed[sent.request]
+        assert sent.request in self.open_requests, "sent after the final response"
+        event, deadline = self.open_requests[sent.request]
         assert self.now < deadline and sent.timeout <= deadline - self.now
-        past = self.sends.setdefault(sent.request, [])
-        cls = self.site.classes[came.cls]
+        earlier = self.attempts_by_request.setdefault(sent.request, [])
+        cls = self.settings.classes[event.cls]
         effect = cls.effect
-        flying = [n for n, (_, _, ending) in enumerate(past) if ending is None]
-        ran = [(at, cache) for at, cache, ending in past if ending not in RAN_NOT]
-        assert self.site.second_copies or not flying
-        assert len(past) < self.site.attempts
-        assert effect is not Idempotency.UNSAFE or not ran
-        if effect is Idempotency.KEYED and ran:
-            here = self.states[sent.cache]
-            for at, cache in ran:
-                first = self.states[cache]
+        still_open = [n for n, (_, _, outcome) in enumerate(earlier) if outcome is None]
+        executed = [(at, cache) for at, cache, outcome in earlier if outcome not in NEVER_RAN]
+        assert self.settings.second_copies or not still_open
+        assert len(earlier) < self.settings.attempts
+        assert effect is not Idempotency.UNSAFE or not executed
+        if effect is Idempotency.KEYED and executed:
+            here = self.endpoint_by_id[sent.cache]
+            for at, cache in executed:
+                first = self.endpoint_by_id[cache]
                 assert self.now - at < cls.window
                 assert cls.group is DeduplicationScope.ALL or first.zone == here.zone
                 assert cls.group is not DeduplicationScope.CELL or first.cell == here.cell
         targets = [sent.cache] + ([sent.source] if isinstance(sent, io.FetchThrough) else [])
         for target in targets:
-            assert self.states[target].state is EndpointState.READY, "drained or gone"
-        assert self.states[sent.cache].zone == HOME or self.site.direct
+            assert self.endpoint_by_id[target].state is EndpointState.READY, "draining or not listed"
+        assert self.endpoint_by_id[sent.cache].zone == HOME_ZONE or self.settings.direct
         if isinstance(sent, io.FetchThrough):
-            told = [self.purged.get((0, came.object), -1), self.purged.get((1, came.group), -1)]
-            if max(told) >= 0 and self.now - max(told) <= self.site.purge_settles:
-                assert 1 <= sent.age <= max(self.now - max(told), 1), "an older copy would do"
+            purges = [self.purge_times.get((0, event.object), -1), self.purge_times.get((1, event.group), -1)]
+            if max(purges) >= 0 and self.now - max(purges) <= self.settings.purge_settles:
+                assert 1 <= sent.age <= max(self.now - max(purges), 1), "allows a copy from before the purge"
         else:
-            assert self.states[sent.cache].kind == ORIGIN
-        if sent.cache in self.cold:
+            assert self.endpoint_by_id[sent.cache].kind == ORIGIN
+        if sent.cache in self.sends_since_start:
             self.check_cold(sent.cache)
-        self.out[sent.request, len(past)] = (sent, self.now)
-        past.append((self.now, sent.cache, None))
+        self.open_attempts[sent.request, len(earlier)] = (sent, self.now)
+        earlier.append((self.now, sent.cache, None))
 
     def check_cold(self, cache: int) -> None:
-        """No window since the start has more from here than this front's part of what the machine stands."""
-        s, m, sent = self.site, self.states[cache], self.cold[cache]
+        """In no window since the start does this front send more than its share of the tolerated load."""
+        s, m, sent = self.settings, self.endpoint_by_id[cache], self.sends_since_start[cache]
         sent.append(self.now)
         first = self.now - s.cold_window
         least, multiple = (
@@ -157,14 +170,14 @@
             assert work * s.fronts <= multiple * least * m.size * s.cold_window
 
     def check_final(self, action: io.Action, request: int) -> None:
-        assert request in self.owed, "a second final answer"
-        came, deadline = self.owed.pop(request)
-        assert request in self.begun or self.now <= deadline
+        assert request in self.open_requests, "a second final response"
+        event, deadline = self.open_requests.pop(request)
+        assert request in self.streaming or self.now <= deadline
         if (
             isinstance(action, io.RejectRequest)
-            and self.site.classes[came.cls].effect is not Idempotency.SAFE
+            and self.settings.classes[event.cls].effect is not Idempotency.SAFE
         ):
-            assert all(ending in RAN_NOT for _, _, ending in self.sends.get(request, []))
+            assert all(outcome in NEVER_RAN for _, _, outcome in self.attempts_by_request.get(request, []))
 
     def advance(self, span: int) -> None:
         until = self.now + span
@@ -172,98 +185,107 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.give(io.TimerFired(due[1]))
-            for request, (_, deadline) in self.owed.items():
-                assert request in self.begun or self.now <= deadline, "no answer in time"
+            self.handle(io.TimerFired(due[1]))
+            for request, (_, deadline) in self.open_requests.items():
+                assert request in self.streaming or self.now <= deadline, "no response in time"
         self.now = until
 
-    def end(self, pick: int, ending: AttemptOutcome, note: CacheStatus) -> None:
-        if not self.out:
+    def complete_attempt(self, pick: int, outcome: AttemptOutcome, status: CacheStatus) -> None:
+        if not self.open_attempts:
             return
-        request, no = sorted(self.out)[pick % len(self.out)]
-        sent, at = self.out.pop((request, no))
-        self.sends[request][no] = (at, sent.cache, ending)
-        if ending is AttemptOutcome.OK:
-            self.owed.pop(request, None)
-        last = request not in self.owed
+        request, number = sorted(self.open_attempts)[pick % len(self.open_attempts)]
+        sent, at = self.open_attempts.pop((request, number))
+        self.attempts_by_request[request][number] = (at, sent.cache, outcome)
+        if outcome is AttemptOutcome.OK:
+            self.open_requests.pop(request, None)
+        last = request not in self.open_requests
         waited = (self.now - at) // 2
-        report = tuple(float(pick % 40) for _ in self.site.reports)  # quiet, full, and far past full
-        self.give(
-            io.AttemptCompleted(request, no, sent.cache, ending, self.now - at, last, note, waited, report)
+        report = tuple(float(pick % 40) for _ in self.settings.reports)  # from idle to far overloaded
+        self.handle(
+            io.AttemptCompleted(
+                request, number, sent.cache, outcome, self.now - at, last, status, waited, report
+            )
         )
 
-    def relist(self, pick: int, state: EndpointState) -> None:
+    def update_endpoint(self, pick: int, state: EndpointState) -> None:
         cache = (*CACHES, *PARENTS)[pick % 5]
-        old = self.states[cache]
-        up = self.now if state is EndpointState.READY else old.up_since
-        size = 8.0 if state is EndpointState.READY else old.size  # a cold budget that can be passed
-        new = replace(old, state=state, up_since=up, size=size)
-        self.states[cache] = new
+        old = self.endpoint_by_id[cache]
+        up_since = self.now if state is EndpointState.READY else old.up_since
+        size = (
+            8.0 if state is EndpointState.READY else old.size
+        )  # small enough to exceed the slow-start budget
+        new = replace(old, state=state, up_since=up_since, size=size)
+        self.endpoint_by_id[cache] = new
         if state is EndpointState.READY:
-            self.cold[cache] = []
-        self.give(io.EndpointUpdate(UpdateScope.CHANGES, (new,)))
+            self.sends_since_start[cache] = []
+        self.handle(io.EndpointUpdate(UpdateScope.CHANGES, (new,)))
 
     def step(self, kind: int, pick: int, span: int) -> None:
         self.advance(span * MS)
         if kind <= 3:
             for n in range(1 + pick % 7):
-                cls = (pick + n) % len(self.site.classes)
-                left = self.site.classes[cls].deadline // (1 + pick % 2)
-                came = io.RequestReceived(self.next, cls, 0.0, 0, pick % 4, pick % 9 + 1, n, False, left)
-                self.owed[self.next] = (came, self.now + left)
-                self.next += 1
-                self.give(came)
+                cls = (pick + n) % len(self.settings.classes)
+                time_left = self.settings.classes[cls].deadline // (1 + pick % 2)
+                event = io.RequestReceived(
+                    self.next_request, cls, 0.0, 0, pick % 4, pick % 9 + 1, n, False, time_left
+                )
+                self.open_requests[self.next_request] = (event, self.now + time_left)
+                self.next_request += 1
+                self.handle(event)
         elif kind <= 6:
             for n in range(1 + pick % 5):
-                self.end(
+                self.complete_attempt(
                     pick + n,
                     AttemptOutcome.OK,
                     (CacheStatus.HIT, CacheStatus.FILLED, CacheStatus.STALE)[pick % 3],
                 )
         elif kind == 7:
             for n in range(1 + pick % 3):
-                endings = [e for e in AttemptOutcome if e is not AttemptOutcome.OK]
-                self.end(pick + n, endings[pick % len(endings)], CacheStatus(pick % 11))
+                failures = [e for e in AttemptOutcome if e is not AttemptOutcome.OK]
+                self.complete_attempt(pick + n, failures[pick % len(failures)], CacheStatus(pick % 11))
         elif kind == 8:
-            self.relist(pick, list(EndpointState)[pick % 3])
+            self.update_endpoint(pick, list(EndpointState)[pick % 3])
         elif kind == 9:
             key = (0, pick % 9 + 1) if pick % 3 else (1, pick % 4)
-            self.purged[key] = max(self.purged.get(key, 0), self.now - span * MS)
-            self.give(io.ObjectPurged(pick % 4, key[1] if key[0] == 0 else 0, span * MS))
-        elif kind == 10 and self.owed:
-            request = sorted(self.owed)[pick % len(self.owed)]
-            if request not in self.begun:
-                del self.owed[request]
-                self.give(io.ClientDisconnected(request))
-        elif kind == 11 and self.out:
-            request, no = sorted(self.out)[pick % len(self.out)]
-            stream = request in self.owed and self.site.classes[self.owed[request][0].cls].stream
-            if stream and request not in self.begun:
-                self.begun.add(request)
-                self.give(io.ResponseStarted(request, no, self.out[request, no][0].cache))
+            self.purge_times[key] = max(self.purge_times.get(key, 0), self.now - span * MS)
+            self.handle(io.ObjectPurged(pick % 4, key[1] if key[0] == 0 else 0, span * MS))
+        elif kind == 10 and self.open_requests:
+            request = sorted(self.open_requests)[pick % len(self.open_requests)]
+            if request not in self.streaming:
+                del self.open_requests[request]
+                self.handle(io.ClientDisconnected(request))
+        elif kind == 11 and self.open_attempts:
+            request, no = sorted(self.open_attempts)[pick % len(self.open_attempts)]
+            stream = (
+                request in self.open_requests
+                and self.settings.classes[self.open_requests[request][0].cls].stream
+            )
+            if stream and request not in self.streaming:
+                self.streaming.add(request)
+                self.handle(io.ResponseStarted(request, no, self.open_attempts[request, no][0].cache))
 
     def finish(self) -> None:
-        while self.out:
-            self.end(0, AttemptOutcome.CANCELLED, CacheStatus.NONE)
-        self.advance(20 * SECOND)  # in which held requests may leave
-        while self.out:
-            while self.out:
-                self.end(0, AttemptOutcome.CANCELLED, CacheStatus.NONE)
+        while self.open_attempts:
+            self.complete_attempt(0, AttemptOutcome.CANCELLED, CacheStatus.NONE)
+        self.advance(20 * SECOND)  # held requests may be released meanwhile
+        while self.open_attempts:
+            while self.open_attempts:
+                self.complete_attempt(0, AttemptOutcome.CANCELLED, CacheStatus.NONE)
             self.advance(20 * SECOND)
-        assert set(self.owed) <= self.begun, "some request never got its answer"
+        assert set(self.open_requests) <= self.streaming, "a request without a final response"
         router = self.router
         assert (
             router.attempts == {} and router.fetch_limit.in_flight == 0 and router.queue.depths == [0, 0, 0]
         )
-        assert set(router.requests) <= self.begun
+        assert set(router.requests) <= self.streaming
         assert not any(node.in_flight for node in router.placement.table.by_id.values())
 
 
 def play(site: io.Settings, steps: list[tuple[int, int, int]]) -> None:
-    world = World(site)
+    checker = RuleChecker(site)
     for kind, pick, span in steps:
-        world.step(kind, pick, span)
-    world.finish()
+        checker.step(kind, pick, span)
+    checker.finish()
 
 
 @pytest.mark.parametrize("site", SITES.values(), ids=list(SITES))
@@ -280,28 +302,28 @@
     play(site, steps)
 
 
-def no_age(self: Freshness, req: object, stale: bool) -> int:
+def unlimited_age(self: Freshness, request: object, stale: bool) -> int:
     return 0
 
 
-def always(self: object, *args: object) -> bool:
+def always_true(self: object, *args: object) -> bool:
     return True
 
 
 GUARDS: list[tuple[type, str, Callable[..., object]]] = [
-    (Freshness, "max_age", no_age),
-    (AttemptSender, "can_send", always),
-    (Placement, "is_usable", always),
-    (SlowStart, "has_budget", always),
+    (Freshness, "max_age", unlimited_age),
+    (AttemptSender, "can_send", always_true),
+    (Placement, "is_usable", always_true),
+    (SlowStart, "has_budget", always_true),
 ]
 
 
-@pytest.mark.parametrize(("part", "name", "broken"), GUARDS, ids=[name for _, name, _ in GUARDS])
+@pytest.mark.parametrize(("component", "name", "broken"), GUARDS, ids=[name for _, name, _ in GUARDS])
 def test_runs_notice_a_guard_taken_out(
-    part: type, name: str, broken: Callable[..., object], monkeypatch: pytest.MonkeyPatch
+    component: type, name: str, broken: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The property runs are worth something only if they fail without each guard."""
-    monkeypatch.setattr(part, name, broken)
+    """The random runs are meaningful only if they fail without each of these checks in the policy."""
+    monkeypatch.setattr(component, name, broken)
     noticed = 0
     for seed in range(24):
         dice = random.Random(seed)
@@ -314,9 +336,9 @@
 
 
 def test_begun_stream_and_lost_root_leave_nothing_behind() -> None:
-    world = World(SITES["mixed"])
-    world.states[ROOT] = replace(machine(ROOT, ORIGIN), state=EndpointState.GONE)
-    world.give(io.EndpointUpdate(UpdateScope.CHANGES, (world.states[ROOT],)))
+    checker = RuleChecker(SITES["mixed"])
+    checker.endpoint_by_id[ORIGIN_ID] = replace(machine(ORIGIN_ID, ORIGIN), state=EndpointState.GONE)
+    checker.handle(io.EndpointUpdate(UpdateScope.CHANGES, (checker.endpoint_by_id[ORIGIN_ID],)))
     for n in range(40):
-        world.step(n % 4, n * 17, 30)
-    world.finish()
+        checker.step(n % 4, n * 17, 30)
+    checker.finish()
--- a/tests/test_policy_recorded.py
+++ b/tests/test_policy_recorded.py
@@ -9,7 +9,7 @@
 
 from quincepier import interface as io
 from tests import policy_stream
-from tests.policy_recording import Site, plans, record_killed_cold
+from tests.policy_recording import SimulatedSite, plans, record_killed_cold
 
 NAMES = policy_stream.names()
 
@@ -62,7 +62,7 @@
 
     monkeypatch.setattr(policy_stream, "read", changed)
     difference = policy_stream.replay(NAMES[0])
-    assert difference is not None and difference.line == 200 and "never said" in difference.recorded
+    assert difference is not None and difference.line == 200 and "never said" in difference.expected
 
 
 @pytest.mark.parametrize("cls", [c for c in policy_stream.CLASS_BY_TAG.values() if hasattr(c, "__slots__")])
@@ -75,6 +75,6 @@
 
 def test_streams_can_be_recorded_anew() -> None:
     """Not that they are the stored ones: machines and clients of the recording may change, those never do."""
-    site, fronts = Site(plans()["restart"]).play(), record_killed_cold()
+    site, fronts = SimulatedSite(plans()["restart"]).play(), record_killed_cold()
     assert [len(site), len(fronts)] == [3, 2] and all(len(lines) > 200 for lines in site + fronts)
     assert all(any('"recall"' in line for line in lines) for lines in (site[1], fronts[1]))
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -31,13 +31,13 @@
 )
 from tests.rig import (
     CACHES,
-    HOME,
+    HOME_ZONE,
     MS,
     PARENTS,
     SECOND,
-    Bench,
+    RouterBench,
     attempts,
-    finals,
+    final_responses,
     fleet,
     machine,
     make_settings,
@@ -117,14 +117,14 @@
 @pytest.mark.parametrize(("classes", "gap", "cut"), [(2, 3, True), (2, 1, False), (1, 3, False)])
 def test_the_fetch_limit_survives_short_process_pauses_only(classes: int, gap: int, cut: bool) -> None:
     """After a long one all is found anew; where a class was never answered, nothing had been found."""
-    bench = Bench()
-    bench.ask(999, cls=1)
+    bench = RouterBench()
+    bench.send_request(999, cls=1)
     for n in range(10):
-        for sent in attempts(bench.ask(n, cls=n % classes, obj=n)):
-            bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
+        for sent in attempts(bench.send_request(n, cls=n % classes, obj=n)):
+            bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)
     bench.router.fetch_limit.limit = 200
     bench.now += gap * SECOND
-    bench.wait(SECOND)
+    bench.advance(SECOND)
     assert bench.router.fetch_limit.limit == (INITIAL_LIMIT if cut else 200)
 
 
@@ -164,9 +164,9 @@
         else replace(m, up_since=now - SECOND) if m.cache == CACHES[1] else m
         for m in fleet()
     )  # fmt: skip
-    bench = Bench(machines=draining)
-    bench.give(io.ObjectPurged(3, 0, 2 * SECOND))
-    sent = [a for n in range(60) for a in attempts(bench.ask(n, obj=n))]
+    bench = RouterBench(machines=draining)
+    bench.handle(io.ObjectPurged(3, 0, 2 * SECOND))
+    sent = [a for n in range(60) for a in attempts(bench.send_request(n, obj=n))]
     fetches = [a for a in sent if isinstance(a, io.FetchThrough)]
     assert fetches and all(0 < a.age <= 2 * SECOND for a in fetches)
     asked = [a.cache for a in sent]
@@ -177,17 +177,17 @@
 # Restored facts
 
 
-def learn_facts(bench: Bench) -> list[io.Learned]:
+def learn_facts(bench: RouterBench) -> list[io.Learned]:
     """Serve hits, fetches, a slow machine, one that failed and a purge; export what was learned."""
     for n in range(200):
         bench.now += 20 * MS
-        for sent in attempts(bench.ask(n, cls=n % 2, obj=n % 37)):
+        for sent in attempts(bench.send_request(n, cls=n % 2, obj=n % 37)):
             slow = 900 * MS if sent.cache == CACHES[0] else 60 * MS
-            bench.end(
+            bench.complete_attempt(
                 sent, AttemptOutcome.OK, CacheStatus.HIT if n > 37 else CacheStatus.FILLED, elapsed=slow
             )
-    bench.give(io.ObjectPurged(5, 0, 100 * MS))
-    bench.give(
+    bench.handle(io.ObjectPurged(5, 0, 100 * MS))
+    bench.handle(
         io.EndpointUpdate(UpdateScope.CHANGES, (replace(machine(CACHES[2]), state=EndpointState.DRAINING),))
     )
     bench.router.outliers.on_failure(bench.router.placement.table.by_id[PARENTS[0]], "lost")
@@ -195,20 +195,20 @@
     return list(export_facts(bench.router))
 
 
-def caches_asked(bench: Bench, first: int) -> set[int]:
+def caches_asked(bench: RouterBench, first: int) -> set[int]:
     """The caches that forty requests are sent to, each answered."""
     found = set[int]()
     for n in range(first, first + 40):
-        for sent in attempts(bench.ask(n, obj=n)):
+        for sent in attempts(bench.send_request(n, obj=n)):
             found.add(sent.cache)
-            bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
+            bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)
     assert found
     return found
 
 
 def test_facts_are_restored_with_the_age_they_have() -> None:
-    facts = learn_facts(Bench())
-    new = Bench()
+    facts = learn_facts(RouterBench())
+    new = RouterBench()
     assert restore_facts(new.router, facts, SECOND) >= 8
     router, upstreams = new.router, new.router.placement.table.by_id
     assert router.latency.transfer_times.means[0] < 250 * MS < router.settings.classes[0].on_time
@@ -219,13 +219,13 @@
     )  # one request checks it
     assert router.freshness.purges[1, 5] == new.now - SECOND - 100 * MS
     assert CACHES[2] not in caches_asked(new, 0)  # draining, whatever an older list says
-    new.give(io.EndpointUpdate(UpdateScope.CHANGES, (machine(CACHES[2]),)))
+    new.handle(io.EndpointUpdate(UpdateScope.CHANGES, (machine(CACHES[2]),)))
     assert CACHES[2] in caches_asked(new, 100)  # the change log has named it anew
 
 
 def test_that_a_machine_is_well_warm_or_fast_is_never_restored() -> None:
     """Facts that say well, warm, fast, or a large limit leave a front as careful as it was."""
-    new, plain = Bench(make_settings(fronts=200, fronts_by_zone=(0, 6))), Bench()
+    new, plain = RouterBench(make_settings(fronts=200, fronts_by_zone=(0, 6))), RouterBench()
     cold = plain.router.placement.table.by_id[CACHES[0]].started_at = plain.now - SECOND
     plain.router.outliers.eject(plain.router.placement.table.by_id[CACHES[0]])
     well: list[io.Learned] = [
@@ -242,8 +242,8 @@
 
 @pytest.mark.parametrize("age", [None, 0])
 def test_with_unknown_age_only_protective_facts_are_restored_and_count_as_new(age: int | None) -> None:
-    facts = learn_facts(Bench())
-    new = Bench()
+    facts = learn_facts(RouterBench())
+    new = RouterBench()
     restore_facts(new.router, facts, age)
     assert (new.router.latency.transfer_times.counts.total() == 0) == (age is None)
     assert new.router.placement.table.by_id[CACHES[1]].started_at == (
@@ -255,7 +255,7 @@
     )
 
 
-def decision_state(bench: Bench) -> tuple[object, ...]:
+def decision_state(bench: RouterBench) -> tuple[object, ...]:
     """All that decisions rest on and restored facts may change."""
     router, now = bench.router, bench.now
     times, served = router.latency.transfer_times, router.slow_start.served
@@ -280,13 +280,13 @@
 
 def test_restored_facts_expire_at_their_maximum_age_also_after_a_process_pause() -> None:
     """Paused for as long between the restore and the first request: no restored fact decides about it."""
-    facts = learn_facts(Bench())
-    new, fresh = Bench(), Bench()
+    facts = learn_facts(RouterBench())
+    new, fresh = RouterBench(), RouterBench()
     restore_facts(new.router, facts, SECOND)
     assert decision_state(new) != decision_state(fresh)
     for bench in (new, fresh):
         bench.now += MAX_CLASS_AGE + MAX_DRAIN_AGE
-        bench.ask(1)
+        bench.send_request(1)
     assert new.router.expiries == []
     new.router.placement.table.by_id[
         PARENTS[0]
@@ -297,9 +297,9 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.one_of(st.integers(0, 700), st.sampled_from([600, 86_400, 400 * 86_400])), st.integers(0, 10**6))
 def test_no_fact_counts_past_its_maximum_age(seconds: int, seed: int) -> None:
-    rng, facts = random.Random(seed), learn_facts(Bench())
+    rng, facts = random.Random(seed), learn_facts(RouterBench())
     aged = [replace(f, ago=f.ago + rng.randrange(0, 700) * SECOND) for f in facts]
-    new = Bench()
+    new = RouterBench()
     restore_facts(new.router, aged, seconds * SECOND)
     now, max_ages = new.now, dict[type, int]()
     max_ages |= {io.LearnedTransferTime: MAX_CLASS_AGE, io.LearnedLatency: MAX_CLASS_AGE}
@@ -321,34 +321,34 @@
 
 
 def test_own_samples_outlast_a_restored_mean() -> None:
-    new = Bench()
+    new = RouterBench()
     restore_facts(new.router, [io.LearnedTransferTime(0, 5.0 * MS, 900, 0)], 0)
     for n in range(60):
-        for sent in attempts(new.ask(n, obj=n)):
-            new.end(sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=80 * MS)
+        for sent in attempts(new.send_request(n, obj=n)):
+            new.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=80 * MS)
     own_mean = new.router.latency.transfer_times.means[0]
     assert own_mean > 60 * MS  # the restored one counted as four samples, however many it was made of
     new.now += MAX_CLASS_AGE
-    new.ask(99)
+    new.send_request(99)
     assert new.router.latency.transfer_times.means[0] == pytest.approx(own_mean) and math.isfinite(own_mean)
 
 
 def test_a_front_with_restored_facts_answers_each_request_once(seed: int = 3) -> None:
-    facts = learn_facts(Bench())
-    new = Bench(seed=seed)
+    facts = learn_facts(RouterBench())
+    new = RouterBench(seed=seed)
     restore_facts(new.router, facts, 2 * SECOND)
     answered = list[int]()
     for n in range(300):
         new.now += 5 * MS
-        actions = new.ask(n, obj=n % 50)
-        answered += [f.request for f in finals(actions)]
+        actions = new.send_request(n, obj=n % 50)
+        answered += [f.request for f in final_responses(actions)]
         for sent in attempts(actions):
             good = n % 3 != 0
-            more = new.end(
+            more = new.complete_attempt(
                 sent,
                 AttemptOutcome.OK if good else AttemptOutcome.TIMEOUT,
                 CacheStatus.HIT if good else CacheStatus.NONE,
             )
-            answered += [sent.request] * good + [f.request for f in finals(more)]
-    answered += [f.request for f in finals(new.wait(10 * SECOND))]
-    assert len(answered) == len(set(answered)) and new.settings.zone == HOME
+            answered += [sent.request] * good + [f.request for f in final_responses(more)]
+    answered += [f.request for f in final_responses(new.advance(10 * SECOND))]
+    assert len(answered) == len(set(answered)) and new.settings.zone == HOME_ZONE
--- a/tests/test_standing_cold.py
+++ b/tests/test_standing_cold.py
@@ -13,7 +13,18 @@
 from quincepier.policy.slow_start import SlowStart
 from quincepier.records import Upstream
 from quincepier.structures import DecayingMean
-from tests.rig import CACHES, MS, PARENT, PARENTS, SECOND, Bench, attempts, fleet, machine, make_settings
+from tests.rig import (
+    CACHES,
+    MS,
+    PARENT,
+    PARENTS,
+    SECOND,
+    RouterBench,
+    attempts,
+    fleet,
+    machine,
+    make_settings,
+)
 
 FRONTS, EVERY, STEP = 24, 120 * MS, 40 * MS  # a front asks one request each so long, at its own moment
 SIZE, WORK = 2.0, 0.5  # the least machine: transfers it carries; seconds of a request, as first guessed
@@ -28,7 +39,7 @@
         self.cold, self.kind = (PARENTS[0], PARENT) if upper else (CACHES[0], 0)
         self.names = {self.cold}  # the ids at its address
         machines = tuple(replace(m, size=SIZE) for m in fleet())
-        self.benches = [Bench(self.settings, machines, seed=n) for n in range(FRONTS)]
+        self.benches = [RouterBench(self.settings, machines, seed=n) for n in range(FRONTS)]
         self.told, self.start, self.number = set(range(told)), 0, 0
         self.sends: list[tuple[int, int]] = []
 
@@ -37,7 +48,7 @@
         new = replace(machine(cache, self.kind, at), size=SIZE)
         gone = [replace(machine(c, self.kind), state=EndpointState.GONE) for c in self.names if c != cache]
         for n in self.told:
-            self.benches[n].give(io.EndpointUpdate(UpdateScope.CHANGES, (new, *gone)))
+            self.benches[n].handle(io.EndpointUpdate(UpdateScope.CHANGES, (new, *gone)))
         self.names.add(cache)
         self.start = at
 
@@ -45,15 +56,15 @@
         until = self.benches[0].now + span
         while self.benches[0].now < until:
             for n, bench in enumerate(self.benches):
-                bench.wait(STEP)
+                bench.advance(STEP)
                 phase = (bench.now // STEP + n) % (EVERY // STEP)
                 # who was not told gets a sixth of the traffic, so that the told ones make up most of it
                 if phase == 0 and (n in self.told or (bench.now // EVERY) % 6 == 0):
                     self.number += 1
-                    for sent in attempts(bench.ask(self.number, obj=self.number)):
+                    for sent in attempts(bench.send_request(self.number, obj=self.number)):
                         if self.names & {sent.cache, getattr(sent, "source", -1)}:
                             self.sends.append((bench.now, n))
-                        bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
+                        bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED)
 
     def stands(self, at: int) -> float:
         """N + 2 x root of N + 2, from the settings."""
--- a/tests/test_standing_floors.py
+++ b/tests/test_standing_floors.py
@@ -16,7 +16,7 @@
 from quincepier.policy.admission import Admission
 from quincepier.records import Request
 from quincepier.structures import FairQueue
-from tests.rig import MS, SECOND, Bench, attempts, make_class, make_settings
+from tests.rig import MS, SECOND, RouterBench, attempts, make_class, make_settings
 
 SEEDS = (1, 2, 3)
 NEVER_UNDER = 0.3  # a class that is hardly served by those who prefer none has no floor
@@ -121,16 +121,16 @@
 def released() -> Counter[int]:
     """What leaves a hold, by tier: a place comes free each 100 ms for four seconds, and all tiers wait."""
     classes = tuple(make_class(worth=w, on_time=60 * SECOND, deadline=90 * SECOND) for w in (3.0, 2.0, 1.0))
-    bench, left = Bench(make_settings(classes=classes)), Counter[int]()
-    out = [a for n in range(16) for a in attempts(bench.ask(n, obj=n))]
+    bench, left = RouterBench(make_settings(classes=classes)), Counter[int]()
+    out = [a for n in range(16) for a in attempts(bench.send_request(n, obj=n))]
     for tier in (0, 1, 2):
         for n in range(60 if tier < 2 else 2):
-            bench.ask(1000 * (tier + 1) + n, tier, obj=1000 * (tier + 1) + n)
+            bench.send_request(1000 * (tier + 1) + n, tier, obj=1000 * (tier + 1) + n)
     for _ in range(40):
         bench.now += 100 * MS
         bench.router.fetch_limit.limit = 16
         bench.router.latency.transfer_times.means = [0.5 * SECOND] * 3
-        for freed in attempts(bench.end(out.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)):
+        for freed in attempts(bench.complete_attempt(out.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)):
             left[freed.request // 1000 - 1] += 1
             out.append(freed)
     return left
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -60,7 +60,7 @@
 from quincepier.state.schema_upgrades import CURRENT_VERSION
 from quincepier.state.section import StateSection
 from quincepier.state.snapshot_store import GENERATION_NAMES, TEMPORARY_NAME
-from tests.rig import Bench
+from tests.rig import RouterBench
 from tests.standins import Asked, Front, play, until
 
 DATA = Path(__file__).parent / "data"
@@ -458,7 +458,7 @@
         checks=checks,
         config=config,
         directory=MachineDirectory((), ()),
-        router=Bench().router,
+        router=RouterBench().router,
         shared=SimpleNamespace(dialer=None),
     )
 
