--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -1,4 +1,4 @@
-"""The largest objects are answered as the rest of their class is, told or not, on quiet days and full."""
+"""Large objects are served like the rest of their class, with sizes known and unknown, at all loads."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from quincepier.records import Request, Upstream
 from tests.rig import MS, RouterBench, attempts, make_class, make_settings
 
-TOLD = {"client_kb_per_s": 4000.0}
-CALM, OTHER = 2 / 3, 1 / 2  # of their class's answered share, for the largest
+SIZES_KNOWN = {"client_kb_per_s": 4000.0}
+MIN_SHARE_LOW_LOAD, MIN_SHARE_FULL_LOAD = 2 / 3, 1 / 2  # minimum for the largest, relative to their class
 THIRDS, TENANTS = 3, 3
-FEW = 400  # requests of a class, under which the largest quarter counts for the largest tenth
+FEW_REQUESTS = 400  # with fewer requests of a class, the largest quarter is compared instead of the tenth
 
 
-class Row(NamedTuple):
-    """A client's request, and whether one of its tries was answered, in time or late."""
+class RequestResult(NamedTuple):
+    """A client's request, and whether one of its attempts was answered, in time or late."""
 
     cls: int
     object: int
-    first: int
+    sent_at: int
     work: float
-    answered: bool
+    is_answered: bool
 
 
-class Counted(World):
-    """A deployment that remembers each request by its object."""
+class RecordingWorld(World):
+    """A simulated deployment that records each request with its object."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -57,7 +57,7 @@
         super().answered(front, request, status, minted, sent, wait)
 
 
-def day(
+def make_experiment(
     *,
     fleet: str,
     load: int,
@@ -68,7 +68,7 @@
     zipf: float = 1.0,
     more: str = "",
 ) -> str:
-    """Three classes of each effect with sizes of a heavy tail, and bids that are never kept."""
+    """An experiment: safe, keyed and unsafe classes with heavy-tailed sizes; bids are never cached."""
     return f"""
 name: sizes
 seconds: 9
@@ -87,38 +87,47 @@
 """
 
 
-def played(text: str, settings: dict[str, Any], seeds: Iterable[int] = (1,)) -> tuple[Experiment, list[Row]]:
-    experiment, rows = read_struct(text, "sizes.yaml", Experiment), list[Row]()
+def run_experiment(
+    text: str, settings: dict[str, Any], seeds: Iterable[int] = (1,)
+) -> tuple[Experiment, list[RequestResult]]:
+    experiment, rows = read_struct(text, "sizes.yaml", Experiment), list[RequestResult]()
     for seed in seeds:
-        world = Counted(experiment, Variant("sizes", settings), seed)
+        world = RecordingWorld(experiment, Variant("sizes", settings), seed)
         assert world.play().result().broken == 0
         rows += [
-            Row(cls, obj, first, experiment.sending(cls, obj), (cls, obj, first) in world.done)
+            RequestResult(cls, obj, first, experiment.sending(cls, obj), (cls, obj, first) in world.done)
             for cls, obj, first in world.first
         ]
     return experiment, rows
 
 
-def share(rows: list[Row]) -> float:
-    return sum(row.answered for row in rows) / len(rows)
+def share(rows: list[RequestResult]) -> float:
+    return sum(row.is_answered for row in rows) / len(rows)
 
 
-def largest(rows: list[Row]) -> tuple[list[Row], list[Row]]:
-    """The tenth of a class's requests with the largest objects (of few the quarter); the next fifth."""
+def largest(rows: list[RequestResult]) -> tuple[list[RequestResult], list[RequestResult]]:
+    """The tenth of a class's requests with the largest objects (the quarter if few), and the next fifth."""
     ordered, n = sorted(rows, key=lambda row: row.work, reverse=True), len(rows)
-    first = n // 10 if n >= FEW else n // 4
+    first = n // 10 if n >= FEW_REQUESTS else n // 4
     return ordered[:first], ordered[first : first + n // 5]
 
 
-def under(text: str, settings: dict[str, Any], floor: float) -> dict[str, tuple[float, float]]:
-    """Which part of a class is answered under that part of the class's share; a class under half of all."""
-    experiment, rows = played(text, settings)
+def find_underserved(text: str, settings: dict[str, Any], floor: float) -> dict[str, tuple[float, float]]:
+    """Find parts of classes that are answered less than `floor` times their class, and classes below 0.5.
+
+    Returns:
+        By name of the part: its answered share, and the share that it is compared with.
+    """
+    experiment, rows = run_experiment(text, settings)
     found = dict[str, tuple[float, float]]()
     for n, cls in enumerate(experiment.classes):
         mine = [row for row in rows if row.cls == n]
-        thirds, tenants = [list[Row]() for _ in range(THIRDS)], [list[Row]() for _ in range(TENANTS)]
+        thirds, tenants = (
+            [list[RequestResult]() for _ in range(THIRDS)],
+            [list[RequestResult]() for _ in range(TENANTS)],
+        )
         for row in mine:
-            thirds[int((row.first - START) * THIRDS / experiment.seconds / SECOND) % THIRDS].append(row)
+            thirds[int((row.sent_at - START) * THIRDS / experiment.seconds / SECOND) % THIRDS].append(row)
             tenants[mix(row.object, 7) % TENANTS].append(row)
         parts = dict(zip(("largest", "next"), largest(mine), strict=True))
         parts |= {f"third {t}": part for t, part in enumerate(thirds)}
@@ -131,16 +140,20 @@
     return found
 
 
-QUIET = {
-    "as usual": day(fleet="fronts: 3, caches: 6", load=90),
-    "nothing more for large ones": day(fleet="fronts: 3, caches: 6", load=90, stretch=0),
-    "wanted sooner than it can be sent": day(fleet="fronts: 3, caches: 6", load=90, stretch=0, wanted=50),
-    "many fronts, large objects": day(fleet="fronts: 20, caches: 20", load=60, longer=3),
+LOW_LOAD = {
+    "as usual": make_experiment(fleet="fronts: 3, caches: 6", load=90),
+    "no more time for large objects": make_experiment(fleet="fronts: 3, caches: 6", load=90, stretch=0),
+    "objective below the transfer time": make_experiment(
+        fleet="fronts: 3, caches: 6", load=90, stretch=0, wanted=50
+    ),
+    "many fronts, large objects": make_experiment(fleet="fronts: 20, caches: 20", load=60, longer=3),
 }
-FULL = {
-    "all caches full": day(fleet="fronts: 3, caches: 3", load=330, zipf=0.5),
-    "few fills": day(fleet="fronts: 3, caches: 4, cache_keeps: 60", load=160, sends=1, zipf=0.5),
-    "caches crash and grow slow": day(
+FULL_LOAD = {
+    "all caches full": make_experiment(fleet="fronts: 3, caches: 3", load=330, zipf=0.5),
+    "few fetches": make_experiment(
+        fleet="fronts: 3, caches: 4, cache_keeps: 60", load=160, sends=1, zipf=0.5
+    ),
+    "caches crash and become slow": make_experiment(
         fleet="fronts: 10, caches: 12",
         load=150,
         more="faults: [{at: 2, kind: crash, part: 0.3, lasts: 3}, {at: 4, kind: slow, part: 0.3, lasts: 4}]",
@@ -148,24 +161,24 @@
 }
 
 
-@pytest.mark.parametrize("told", [{}, TOLD], ids=["untold", "told"])
-@pytest.mark.parametrize("name", QUIET)
-def test_on_a_quiet_day_the_largest_are_answered_like_the_rest(name: str, told: dict[str, Any]) -> None:
-    assert under(QUIET[name], told, CALM) == {}
+@pytest.mark.parametrize("told", [{}, SIZES_KNOWN], ids=["untold", "told"])
+@pytest.mark.parametrize("name", LOW_LOAD)
+def test_at_low_load_large_objects_are_served_like_the_rest(name: str, told: dict[str, Any]) -> None:
+    assert find_underserved(LOW_LOAD[name], told, MIN_SHARE_LOW_LOAD) == {}
 
 
-@pytest.mark.parametrize("name", FULL)
-def test_under_pressure_the_largest_keep_half_of_their_class(name: str) -> None:
-    assert under(FULL[name], {}, OTHER) == {}
+@pytest.mark.parametrize("name", FULL_LOAD)
+def test_at_full_load_large_objects_keep_half_of_their_class_share(name: str) -> None:
+    assert find_underserved(FULL_LOAD[name], {}, MIN_SHARE_FULL_LOAD) == {}
 
 
-# What did it
+# Causes of past failures
 
 
 @pytest.mark.parametrize("fronts", [1, 2, 20])
 @pytest.mark.parametrize("stretch", [0.0, 0.3, 0.6])
-def test_the_first_of_a_class_is_sent_whatever_it_stands(stretch: float, fronts: int) -> None:
-    """No sending time was seen yet: it counts as what is wanted, and an idle cache was crowded by that."""
+def test_the_first_request_of_a_class_is_sent_whatever_its_stretch(stretch: float, fronts: int) -> None:
+    """Guards against an initial guess of the transfer time with which an idle cache counted as saturated."""
     cls = make_class(stretch=stretch)
     bench = RouterBench(make_settings(classes=(cls,), fronts=fronts, fronts_by_zone=(0, fronts)))
     assert len(attempts(bench.send_request(1))) == 1
@@ -173,36 +186,40 @@
 
 @pytest.mark.parametrize("seconds", [0.4, 1.0, 2.0, 4.0])
 def test_a_large_object_is_sent_to_an_idle_cache_over_an_idle_link(seconds: float) -> None:
-    """Many fronts judge the link by fills alone: as usual is not full, however long the object takes."""
+    """Many fronts judge the link by fetches: at usual latency it is not saturated, whatever the size."""
     bench = RouterBench(make_settings(fronts=20, fronts_by_zone=(0, 20)))
     kb = seconds * bench.settings.client_kb_per_s
     assert len(attempts(bench.send_request(1, size_kb=kb))) == 1
 
 
-def refuses_large(patch: pytest.MonkeyPatch) -> None:
+def reject_large_objects(patch: pytest.MonkeyPatch) -> None:
     plain = Placement.is_saturated
 
-    def crowded(self: Placement, node: Upstream | None, req: Request) -> bool:
+    def is_saturated_by_large(self: Placement, node: Upstream | None, req: Request) -> bool:
         return self.latency.transfer_time(req) > 300 * MS or plain(self, node, req)
 
-    patch.setattr(Placement, "is_saturated", crowded)
+    patch.setattr(Placement, "is_saturated", is_saturated_by_large)
 
 
-def slow_is_silent(patch: pytest.MonkeyPatch) -> None:
-    """What takes longer than usual is called off, and again."""
+def cancel_slow_attempts(patch: pytest.MonkeyPatch) -> None:
+    """Attempts that take longer than usual are cancelled, again and again."""
     plain: Callable[[Router, int], None] = Router.check_overdue
 
-    def watch(self: Router, gap: int) -> None:
+    def cancel_slow(self: Router, delay: int) -> None:
         self.sender.cancel([a for a in self.attempts.values() if a.sent_at < self.now - 250 * MS])
-        plain(self, gap)
+        plain(self, delay)
 
-    patch.setattr(Router, "check_overdue", watch)
+    patch.setattr(Router, "check_overdue", cancel_slow)
 
 
-@pytest.mark.parametrize(("mutant", "told"), [(refuses_large, TOLD), (slow_is_silent, {})])
-def test_a_front_that_turns_large_ones_away_is_found(
+@pytest.mark.parametrize(
+    ("mutant", "told"), [(reject_large_objects, SIZES_KNOWN), (cancel_slow_attempts, {})]
+)
+def test_a_policy_that_rejects_large_objects_is_detected(
     monkeypatch: pytest.MonkeyPatch, mutant: Callable[[pytest.MonkeyPatch], None], told: dict[str, Any]
 ) -> None:
     mutant(monkeypatch)
-    found = Counter(name.split(", ")[0] for name in under(QUIET["as usual"], told, CALM))
+    found = Counter(
+        name.split(", ")[0] for name in find_underserved(LOW_LOAD["as usual"], told, MIN_SHARE_LOW_LOAD)
+    )
     assert found["video"]
--- a/tests/test_policy_components.py
+++ b/tests/test_policy_components.py
@@ -1,4 +1,4 @@
-"""Parts of the router by themselves: each with the context and stand-ins for what it asks of the others."""
+"""Single components of the router, each with a context and stand-ins for the other components."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 
 class StandInEstimates:
-    """Latency estimates that are given, and what was told of recovery."""
+    """Latency estimates with fixed values, and a recovery tracker that counts notifications."""
 
     def __init__(self) -> None:
-        self.slowing = 1.0
+        self.fetch_slowdown = 1.0
         self.limits_held = 0
         self.transfer_times = SimpleNamespace(means=[TRANSFER] * 4)
-        self.fetch_slowness = SimpleNamespace(factor=lambda now: self.slowing)
+        self.fetch_slowness = SimpleNamespace(factor=lambda now: self.fetch_slowdown)
 
     def objective(self, request: Request) -> float:
         return OBJECTIVE
@@ -75,13 +75,13 @@
 
 
 class FetchLimitBench:
-    """A fetch limit, and fetches that end as a test says."""
+    """A fetch limit, and fetches with given outcomes."""
 
     def __init__(self, **changes: Any) -> None:
         self.settings = make_settings(**changes)
         self.context = Context(self.settings, 1, NOW)
-        self.about = StandInEstimates()
-        self.limit = FetchLimit(self.context, self.about, self.about)  # type: ignore[arg-type]
+        self.estimates = StandInEstimates()
+        self.limit = FetchLimit(self.context, self.estimates, self.estimates)  # type: ignore[arg-type]
         self.request = make_request(self.settings)
 
     def fetch(self) -> Any:
@@ -106,14 +106,14 @@
         return [self.fetch() for _ in range(self.limit.limit - self.limit.in_flight)]
 
 
-def test_the_fetch_limit_doubles_where_it_is_full_and_waited_for_and_halves_where_fetches_go_badly() -> None:
+def test_the_fetch_limit_doubles_under_demand_and_halves_when_fetches_go_badly() -> None:
     bench = FetchLimitBench()
     open_fetches = bench.fill()
     while bench.limit.limit < MAX_LIMIT:
         before = bench.limit.limit
         for _ in range(before):
             bench.end(open_fetches.pop())
-            open_fetches.append(bench.fetch())  # the next one at once
+            open_fetches.append(bench.fetch())  # replaces the completed one
         assert bench.limit.limit == 2 * before
         open_fetches += bench.fill()
     before = bench.limit.limit
@@ -122,22 +122,24 @@
     assert bench.limit.limit == before // 2
 
 
-def test_the_fetch_limit_holds_while_nothing_waits_for_it() -> None:
+def test_the_fetch_limit_is_unchanged_without_demand() -> None:
     bench = FetchLimitBench()
     for _ in range(3 * INITIAL_LIMIT):
         bench.end(bench.fetch(), is_awaited=False)
-    assert (bench.limit.limit, bench.limit.in_flight, bench.about.limits_held) == (INITIAL_LIMIT, 0, 3)
+    assert (bench.limit.limit, bench.limit.in_flight, bench.estimates.limits_held) == (INITIAL_LIMIT, 0, 3)
 
 
-@pytest.mark.parametrize(("fronts", "least"), [((0, 1), 12), ((0, 2), 6), ((0, 40), 4)])
-def test_the_fetch_limit_never_falls_below_the_share_of_a_front(fronts: tuple[int, int], least: int) -> None:
+@pytest.mark.parametrize(("fronts", "min_limit"), [((0, 1), 12), ((0, 2), 6), ((0, 40), 4)])
+def test_the_fetch_limit_never_falls_below_the_share_of_a_front(
+    fronts: tuple[int, int], min_limit: int
+) -> None:
     bench = FetchLimitBench(fronts_by_zone=fronts)
     for _ in range(100):
         bench.end(bench.fetch(), AttemptOutcome.TIMEOUT)
-    assert bench.limit.limit == least
+    assert bench.limit.limit == min_limit
 
 
-def test_no_fetch_begins_at_the_limit_and_an_abandoned_one_gives_its_slot_back_once() -> None:
+def test_no_fetch_begins_at_the_limit_and_an_abandoned_fetch_releases_its_slot_once() -> None:
     bench = FetchLimitBench()
     attempts = bench.fill()
     assert (
@@ -150,26 +152,26 @@
     assert bench.limit.in_flight == INITIAL_LIMIT - 1 and not bench.limit.is_blocked(bench.request)
 
 
-@pytest.mark.parametrize(("slowing", "is_blocked"), [(3.9, False), (4.1, True)])
-def test_no_fetch_begins_over_a_link_that_is_told_to_be_full(slowing: float, is_blocked: bool) -> None:
-    """An objective of four transfer times bears a link slowed four times."""
+@pytest.mark.parametrize(("slowdown", "is_blocked"), [(3.9, False), (4.1, True)])
+def test_no_fetch_begins_over_a_link_that_is_reported_as_saturated(slowdown: float, is_blocked: bool) -> None:
+    """An objective of four transfer times tolerates a slowdown of the link by a factor of four."""
     bench = FetchLimitBench(reports=("link",))
-    bench.limit.link_load.reported_slowdown, bench.limit.link_load.reported_at = slowing, NOW
+    bench.limit.link_load.reported_slowdown, bench.limit.link_load.reported_at = slowdown, NOW
     assert bench.limit.is_blocked(bench.request) is is_blocked
 
 
-def test_a_link_that_is_not_told_shows_by_slow_fetches_and_sooner_to_many_fronts() -> None:
+def test_without_reports_slow_fetches_show_a_saturated_link_earlier_with_many_fronts() -> None:
     bench = FetchLimitBench(fronts_by_zone=(0, 100))
     bench.context.now += 2 * LINK_HALF_LIFE + 1
-    bench.about.slowing = 1.5
+    bench.estimates.fetch_slowdown = 1.5
     assert bench.limit.is_blocked(bench.request)
     alone = FetchLimitBench(fronts_by_zone=(0, 1))
     alone.context.now = bench.context.now
-    alone.about.slowing = 1.5
+    alone.estimates.fetch_slowdown = 1.5
     assert not alone.limit.is_blocked(alone.request)
 
 
-def test_refused_fetches_pause_those_that_follow_and_a_source_that_broke_does_not() -> None:
+def test_refused_fetches_start_a_backoff_and_a_broken_source_does_not() -> None:
     bench = FetchLimitBench()
     bench.end(bench.fetch(), AttemptOutcome.OVERLOADED, CacheStatus.SOURCE_BROKEN)
     assert not bench.limit.is_backing_off
@@ -185,23 +187,25 @@
     assert not bench.limit.is_backing_off
 
 
-def test_ages_are_those_of_the_class_until_a_purge_and_never_from_before_it() -> None:
+def test_maximum_ages_are_those_of_the_class_and_exclude_copies_from_before_a_purge() -> None:
     settings = make_settings()
     context = Context(settings, 1, NOW)
     freshness = Freshness(context)
-    kept, fresh = make_request(settings), make_request(settings, 1)
-    assert freshness.max_age(fresh, False) == 0 == freshness.max_age(kept, True)
+    unlimited, fresh = make_request(settings), make_request(settings, 1)
+    assert freshness.max_age(fresh, False) == 0 == freshness.max_age(unlimited, True)
     assert freshness.max_age(fresh, True) == 22 * SECOND  # within its grace
-    freshness.on_purge(3, 0, 2 * SECOND)  # the group of both
-    assert [freshness.max_age(r, stale) for r in (kept, fresh) for stale in (False, True)] == [2 * SECOND] * 4
+    freshness.on_purge(3, 0, 2 * SECOND)  # the group of both requests
+    assert [freshness.max_age(r, stale) for r in (unlimited, fresh) for stale in (False, True)] == [
+        2 * SECOND
+    ] * 4
     context.now += settings.purge_settles + PURGE_MARGIN
     assert freshness.max_age(fresh, True) == 22 * SECOND
 
 
 def make_sender(settings: io.Settings) -> AttemptSender:
-    nobody: Any = None
+    unused: Any = None
     context = Context(settings, 1, NOW)
-    return AttemptSender(context, AttemptTable(), nobody, nobody, nobody, nobody, nobody, nobody)
+    return AttemptSender(context, AttemptTable(), unused, unused, unused, unused, unused, unused)
 
 
 CACHE_OF_OTHER_ZONE = make_upstream(replace(machine(CACHES[2]), zone=HOME_ZONE + 1))
@@ -215,7 +219,7 @@
         (DeduplicationScope.CELL, [True, False, False]),
     ],
 )
-def test_a_keyed_request_that_ran_goes_only_where_its_key_is_known_and_within_its_window(
+def test_an_executed_keyed_request_is_sent_only_in_its_deduplication_scope_and_window(
     scope: DeduplicationScope, allowed: list[bool]
 ) -> None:
     settings = make_settings(classes=(make_class(effect=Idempotency.KEYED, group=scope),))
@@ -229,7 +233,7 @@
 
 @pytest.mark.parametrize("effect", list(Idempotency))
 @pytest.mark.parametrize("second_copies", [False, True])
-def test_beside_an_open_attempt_only_what_does_no_harm_is_sent(
+def test_only_safe_requests_are_sent_while_an_attempt_is_open(
     effect: Idempotency, second_copies: bool
 ) -> None:
     settings = make_settings(classes=(make_class(effect=effect),), second_copies=second_copies)
@@ -239,7 +243,7 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "scope", "ran", "is_rejected"),
+    ("effect", "scope", "was_executed", "is_rejected"),
     [
         (Idempotency.SAFE, DeduplicationScope.ALL, True, True),
         (Idempotency.KEYED, DeduplicationScope.ALL, True, True),
@@ -248,23 +252,23 @@
         (Idempotency.UNSAFE, DeduplicationScope.ALL, False, True),
     ],
 )
-def test_what_is_given_up_is_rejected_only_where_that_is_known_to_do_no_harm(
-    effect: Idempotency, scope: DeduplicationScope, ran: bool, is_rejected: bool
+def test_a_given_up_request_is_rejected_only_if_repeating_it_does_no_harm(
+    effect: Idempotency, scope: DeduplicationScope, was_executed: bool, is_rejected: bool
 ) -> None:
     settings = make_settings(classes=(make_class(effect=effect, group=scope),))
-    context, about = Context(settings, 1, NOW), StandInEstimates()
+    context, estimates = Context(settings, 1, NOW), StandInEstimates()
     queue = FairQueue[Request]((1.0,), NOW, 10, SECOND, 16)
-    responder = Responder(context, about, about, queue, make_sender(settings))  # type: ignore[arg-type]
+    responder = Responder(context, estimates, estimates, queue, make_sender(settings))  # type: ignore[arg-type]
     request = responder.requests[1] = make_request(settings)
     queue.push(request)
-    if ran:
+    if was_executed:
         request.first_execution = Execution(NOW, CACHE.endpoint)
     responder.give_up(request)
-    log, answer = context.actions
+    log, response = context.actions
     assert log == io.WriteLog("not in time")
     if is_rejected:
-        assert isinstance(answer, io.RejectRequest)
-        assert MIN_RETRY_AFTER_SHARE * 500 * MS <= answer.retry_after <= 500 * MS
+        assert isinstance(response, io.RejectRequest)
+        assert MIN_RETRY_AFTER_SHARE * 500 * MS <= response.retry_after <= 500 * MS
     else:
-        assert answer == io.FailRequest(1)
+        assert response == io.FailRequest(1)
     assert not queue and not responder.requests
--- a/tests/test_policy_homes.py
+++ b/tests/test_policy_homes.py
@@ -1,6 +1,6 @@
-"""Placement over homes: a request whose key is at home somewhere goes nowhere else, and none means anywhere.
+"""Placement with home shards: a request is served only by its home shard; without one, by any machine.
 
-Each rule's test fails with the mutant of that rule beside it (the last test).
+For each scenario there is a mutant of the policy with which it fails (the last test).
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 def send_requests(bench: RouterBench, count: int = 60, first: int = 0) -> list[tuple[int, int]]:
-    """Cache and source of each request's attempt, by its object; each is answered."""
+    """Send one request per object, answer each; return the cache and the source of each attempt."""
     found = list[tuple[int, int]]()
     for n in range(first, first + count):
         (sent,) = attempts(bench.send_request(n, obj=n % 60))
@@ -59,12 +59,12 @@
 
 
 def only_machines_of_the_home_are_asked() -> None:
-    got = send_requests(make_homed_bench(lambda e: home()))
-    assert {cache for cache, _ in got} == set(CACHES[:2]) and {source for _, source in got} == {PARENTS[0]}
+    targets = send_requests(make_homed_bench(lambda e: home()))
+    assert {c for c, _ in targets} == set(CACHES[:2]) and {source for _, source in targets} == {PARENTS[0]}
 
 
 def a_machine_keeps_the_keys_that_it_has_without_homes() -> None:
-    """Else a first rule version alone would move every copy."""
+    """Otherwise the first rule version would move every copy."""
     plain, inside = (
         send_requests(RouterBench(make_settings(classes=KEYED))),
         send_requests(make_homed_bench(lambda e: home())),
@@ -74,7 +74,7 @@
 
 
 def one_object_of_two_homes_lies_in_each_by_itself() -> None:
-    """Hash orders are kept; one kept for a home must not serve another."""
+    """Rankings are cached; a ranking that was cached for one home must not be used for another."""
     bench = make_homed_bench(lambda e: home(e.tenant, CACHES[e.tenant : e.tenant + 1]))
     for n in range(6):
         (sent,) = attempts(bench.send_request(n, obj=5, tenant=n % 3))
@@ -94,7 +94,7 @@
 
 
 def a_home_is_asked_for_once_and_kept_over_further_attempts() -> None:
-    """A version that changes between two attempts must not send one request to two homes."""
+    """A rule version that changes between two attempts must not send one request to two homes."""
     calls = list[int]()
 
     def found(e: io.RequestReceived) -> io.HomeShard:
@@ -108,20 +108,20 @@
 
 
 def each_attempt_is_reported_to_the_observer() -> None:
-    bench, seen = make_homed_bench(lambda e: None), list[tuple[int, int, int | None]]()
+    bench, observed = make_homed_bench(lambda e: None), list[tuple[int, int, int | None]]()
 
-    def witness(e: io.RequestReceived, node: Upstream, source: Upstream | None) -> None:
-        seen.append((e.request, node.endpoint.cache, source.endpoint.cache if source else None))
+    def observer(e: io.RequestReceived, node: Upstream, source: Upstream | None) -> None:
+        observed.append((e.request, node.endpoint.cache, source.endpoint.cache if source else None))
 
-    bench.router.sender.observer = witness
+    bench.router.sender.observer = observer
     (sent,) = attempts(bench.send_request(1))
     (again,) = attempts(bench.complete_attempt(sent, AttemptOutcome.CONNECT_FAILED))
     assert isinstance(sent, io.FetchThrough) and isinstance(again, io.FetchThrough)
-    assert seen == [(1, a.cache, a.source) for a in (sent, again)]
+    assert observed == [(1, a.cache, a.source) for a in (sent, again)]
 
 
 def a_hold_in_a_home_ends_at_its_next_machine() -> None:
-    """What is shed after a hold looks at the next by hash: of the home, not of all that are listed."""
+    """A request that is shed after a hold goes to the next cache by hash of its home, not of all caches."""
     bench = make_homed_bench(lambda e: None)
     (sent,) = attempts(bench.send_request(1, obj=7))
     req = bench.router.requests[1]
@@ -137,7 +137,7 @@
 
 
 def without_a_usable_cache_a_home_is_served_straight_from_its_parent() -> None:
-    """As where no cache at all is usable; with nothing straight it is refused."""
+    """As if no cache at all were usable; if direct requests are not allowed, it is rejected."""
     drains = tuple(replace(machine(c), state=EndpointState.DRAINING) for c in CACHES[:2])
     for direct in (True, False):
         bench = make_homed_bench(lambda e: home(), direct=direct)
@@ -148,7 +148,7 @@
 
 
 def the_list_moves_keys_within_a_home() -> None:
-    """Orders are made anew as the list changes: what joins a home is used, what is gone is not."""
+    """Rankings are computed again when the list changes: new machines are used, removed ones are not."""
     bench = make_homed_bench(lambda e: home(caches=(*CACHES[:2], 104)))
     send_requests(bench)
     gone = replace(machine(CACHES[0]), state=EndpointState.GONE)
@@ -203,67 +203,67 @@
 
 def home_never_closed(patch: pytest.MonkeyPatch) -> None:
     def open_to_all(self: Router, e: io.RequestReceived) -> None:
-        found = self.find_home
-        self.find_home = found and (lambda e: (h := found(e)) and replace(h, closed=False))
+        find_home = self.find_home
+        self.find_home = find_home and (lambda e: (h := find_home(e)) and replace(h, closed=False))
         plain_on_request(self, e)
-        self.find_home = found
+        self.find_home = find_home
 
     patch.setattr(Router, "on_request", open_to_all)
 
 
 def home_found_per_attempt(patch: pytest.MonkeyPatch) -> None:
-    """Each attempt asks for the home; the request keeps what was told last."""
+    """Looks up the home for each attempt, so that a request can change its home."""
     finders: list[HomeLookup | None] = []
 
-    def noted(self: Router, e: io.RequestReceived) -> None:
+    def remember_lookup(self: Router, e: io.RequestReceived) -> None:
         finders[:] = [self.find_home]
         plain_on_request(self, e)
 
-    def anew(self: AttemptSender, req: Request, *more: Any) -> bool:
+    def look_up_again(self: AttemptSender, req: Request, *more: Any) -> bool:
         req.home = finders[0](req.event) if finders[0] else None
         return plain_send(self, req, *more)
 
-    patch.setattr(Router, "on_request", noted)
-    patch.setattr(AttemptSender, "send", anew)
+    patch.setattr(Router, "on_request", remember_lookup)
+    patch.setattr(AttemptSender, "send", look_up_again)
 
 
 def observer_of_first_attempt_only(patch: pytest.MonkeyPatch) -> None:
-    def once(self: AttemptSender, req: Request, *more: Any) -> bool:
+    def send_observed_once(self: AttemptSender, req: Request, *more: Any) -> bool:
         self.observer = None if req.attempts_sent else self.observer
         return plain_send(self, req, *more)
 
-    patch.setattr(AttemptSender, "send", once)
+    patch.setattr(AttemptSender, "send", send_observed_once)
 
 
 def shed_without_home(patch: pytest.MonkeyPatch) -> None:
     shed = Admission.shed
 
-    def anywhere(self: Admission, req: Request, was_held: bool = False) -> None:
+    def shed_anywhere(self: Admission, req: Request, was_held: bool = False) -> None:
         req.home = None
         shed(self, req, was_held)
 
-    patch.setattr(Admission, "shed", anywhere)
+    patch.setattr(Admission, "shed", shed_anywhere)
 
 
 def fallback_to_any_parent(patch: pytest.MonkeyPatch) -> None:
     """A home with no cache left falls back to all machines."""
 
-    def fallen(s: Placement, n: list[Upstream], k: int, h: io.HomeShard | None) -> list[Upstream]:
+    def rank_with_fallback(s: Placement, n: list[Upstream], k: int, h: io.HomeShard | None) -> list[Upstream]:
         usable = h and any(
             m.endpoint.cache in h.caches and m.endpoint.state is EndpointState.READY for m in s.table.caches
         )
         return plain_rank(s, n, k, h if usable else None)
 
-    replace_rank(fallen)(patch)
+    replace_rank(rank_with_fallback)(patch)
 
 
 def rankings_outlast_list(patch: pytest.MonkeyPatch) -> None:
-    def kept(self: Router, news: io.EndpointUpdate) -> None:
+    def keep_rankings(self: Router, update: io.EndpointUpdate) -> None:
         before = self.placement.rankings
-        plain_on_endpoint_update(self, news)
+        plain_on_endpoint_update(self, update)
         self.placement.rankings = before
 
-    patch.setattr(Router, "on_endpoint_update", kept)
+    patch.setattr(Router, "on_endpoint_update", keep_rankings)
 
 
 @pytest.mark.parametrize(
@@ -281,7 +281,7 @@
         (SCENARIOS[8], rankings_outlast_list),
     ],
 )
-def test_each_mutant_fails_its_story(
+def test_each_mutant_fails_its_scenario(
     scenario: Callable[[], None], mutant: Patch, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutant(monkeypatch)
--- a/tests/test_policy_large_zone.py
+++ b/tests/test_policy_large_zone.py
@@ -1,4 +1,4 @@
-"""Thousands of caches in one zone: what the hash orders hold and what they choose."""
+"""Thousands of caches in one zone: memory of the cached rankings, and the choice of the cache."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return RouterBench(machines=(*own, machine(201, PARENT), machine(ORIGIN_ID, ORIGIN_KIND)))
 
 
-def test_the_hash_orders_of_many_keys_hold_a_bounded_number_of_entries() -> None:
+def test_cached_rankings_of_many_keys_have_a_bounded_number_of_entries() -> None:
     bench = make_large_zone()
     for number in range(1, KEYS + 1):
         bench.send_request(number, obj=number)
@@ -27,8 +27,8 @@
 
 
 @pytest.mark.parametrize("unusable", [0, 1, 63, 64, 200, CACHES - 1])
-def test_the_choice_is_that_of_the_whole_order_however_many_may_not_be_asked(unusable: int) -> None:
-    """The first ones of one key's order begin to drain."""
+def test_the_choice_is_that_of_the_whole_ranking_however_many_caches_are_unusable(unusable: int) -> None:
+    """The first caches in the ranking of one key are draining."""
     bench = make_large_zone()
     table = bench.router.placement.table
     (first,) = attempts(bench.send_request(1, obj=7))
--- a/tests/test_policy_mechanism.py
+++ b/tests/test_policy_mechanism.py
@@ -1,4 +1,4 @@
-"""The design's mechanism: tiers, bound, release, gate, placement."""
+"""Admission control, fetch limit, placement, outlier detection and learned sizes, through the router."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return [a for n in range(first, first + count) for a in attempts(bench.send_request(n, cls=cls, obj=n))]
 
 
-def test_bound_holds_what_may_fill_and_known_hits_pass() -> None:
+def test_the_fetch_limit_holds_possible_fetches_and_known_hits_pass() -> None:
     bench = RouterBench()
     (seen,) = attempts(bench.send_request(1, obj=7))
     bench.complete_attempt(seen, AttemptOutcome.OK, CacheStatus.HIT)
@@ -46,7 +46,7 @@
     assert attempts(bench.send_request(3, obj=7)) == []
 
 
-def test_bound_doubles_with_requests_held_and_halves_on_trouble() -> None:
+def test_the_fetch_limit_doubles_with_held_requests_and_halves_after_refusals() -> None:
     bench = RouterBench()
     out = send_many(bench, 0, 0, 40)
     more = [
@@ -61,8 +61,8 @@
 
 
 @pytest.mark.parametrize("least", [4, 5, 6, 7, 12])
-def test_bound_rises_from_any_least_when_its_fills_go_well(least: int) -> None:
-    """Counted without the fill that just ended, a small bound was never nearly used, and stayed small."""
+def test_the_fetch_limit_rises_from_any_minimum_when_fetches_go_well(least: int) -> None:
+    """The fetch that has just completed counts as in use; otherwise a small limit was never nearly used."""
     bench = RouterBench()
     bench.router.fetch_limit.limit = least
     out = send_many(bench, 0, 0, 60)
@@ -72,7 +72,7 @@
     assert bench.router.fetch_limit.limit == 2 * least
 
 
-def test_release_follows_the_weights_with_a_floor() -> None:
+def test_held_requests_are_released_by_tier_weights() -> None:
     bench = RouterBench(make_settings(classes=THREE_CLASSES))
     out = send_many(bench, 0, 0, 16)
     for cls in range(2):
@@ -88,7 +88,7 @@
     assert abs(left[1] - 80) <= 1 and abs(left[2] - 15) <= 1
 
 
-def test_empty_tier_lends_its_share() -> None:
+def test_other_tiers_use_the_share_of_an_empty_tier() -> None:
     bench = RouterBench(make_settings(classes=THREE_CLASSES))
     out = send_many(bench, 0, 0, 16)
     send_many(bench, 1, 1000, 20)
@@ -100,7 +100,7 @@
     assert len(freed) >= 16 and all(a.request >= 1000 for a in freed)
 
 
-def test_past_the_gate_the_lowest_tier_is_shed() -> None:
+def test_near_the_fetch_limit_the_lowest_tier_is_shed() -> None:
     bench = RouterBench(make_settings(classes=THREE_CLASSES))
     send_many(bench, 0, 0, 13)
     (early,) = attempts(bench.send_request(500, cls=2, obj=500))
@@ -111,7 +111,7 @@
     assert rejected_requests(done) == [501] and attempts(done) == []
 
 
-def test_shed_request_takes_a_stale_copy_within_grace() -> None:
+def test_a_shed_request_accepts_a_stale_copy_within_the_grace_time() -> None:
     bench = RouterBench()
     send_many(bench, 0, 0, 16)
     (looked,) = attempts(bench.send_request(501, cls=1, obj=501))
@@ -148,7 +148,7 @@
     assert caches == set(CACHES) and len(parents) == 1
 
 
-def test_next_parent_stands_in_for_one_that_is_down() -> None:
+def test_the_next_parent_replaces_one_that_is_down() -> None:
     bench = RouterBench()
     (sent,) = attempts(bench.send_request(1))
     assert isinstance(sent, io.FetchThrough)
@@ -156,7 +156,7 @@
     assert isinstance(again, io.FetchThrough) and {sent.source, again.source} == set(PARENTS)
 
 
-def test_hot_object_is_widened_to_two_caches() -> None:
+def test_a_hot_object_is_served_by_two_caches() -> None:
     bench = RouterBench()
     homes = set()
     for n in range(80):
@@ -171,7 +171,7 @@
     assert len({a.cache for a in more}) == 2
 
 
-def test_lost_cache_gives_its_slots_back_and_returns_by_a_trial() -> None:
+def test_an_ejected_cache_releases_its_fetch_slots_and_returns_after_a_trial() -> None:
     bench = RouterBench()
     out = send_many(bench, 0, 0, 16)
     lost = out[0].cache
@@ -188,31 +188,31 @@
     assert not bench.router.placement.table.by_id[lost].is_ejected
 
 
-def test_whole_zone_lost_goes_straight_to_a_parent() -> None:
+def test_without_caches_requests_go_directly_to_a_parent() -> None:
     bench = RouterBench(machines=fleet()[3:])
     (sent,) = attempts(bench.send_request(1))
     assert isinstance(sent, io.FetchThrough) and sent.cache in PARENTS
 
 
-def test_site_without_parents_fills_from_the_origin() -> None:
+def test_without_parents_caches_fetch_from_the_origin() -> None:
     bench = RouterBench(make_settings(parent_kind=-1), tuple(m for m in fleet() if m.kind != 1))
     (sent,) = attempts(bench.send_request(1))
     assert isinstance(sent, io.FetchThrough) and sent.source == 301
 
 
-def test_no_machine_at_all_is_refused_at_once() -> None:
+def test_without_machines_requests_are_rejected_at_once() -> None:
     bench = RouterBench(machines=())
     assert rejected_requests(bench.send_request(1)) == [1]
 
 
-def test_list_on_request_is_followed_and_asked_again_after_a_failure() -> None:
+def test_the_endpoint_list_is_watched_and_requested_again_after_a_failure() -> None:
     bench = RouterBench(make_settings(list_on_request=True))
     assert [a for _, a in bench.action_log if isinstance(a, io.WatchEndpoints)] == [io.WatchEndpoints()]
     bench.handle(io.EndpointUpdate(UpdateScope.FAILED, ()))
     assert io.WatchEndpoints() in bench.advance(2 * SECOND)
 
 
-def test_begun_stream_has_no_deadline() -> None:
+def test_a_started_stream_has_no_deadline() -> None:
     bench = RouterBench(make_settings(classes=(make_class(stream=True),)))
     attempts(bench.send_request(1))
     bench.handle(io.ResponseStarted(1, 0, CACHES[0]))
@@ -230,7 +230,7 @@
     assert play() == play()
 
 
-def test_cold_newcomer_takes_part_of_its_keys() -> None:
+def test_a_cold_new_cache_serves_a_part_of_its_keys() -> None:
     bench = RouterBench()
     newcomer = replace(machine(104), up_since=bench.now)
     bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (newcomer,)))
@@ -243,22 +243,22 @@
     assert 0 < taken < 60
 
 
-def test_crowded_cache_holds_even_known_hits() -> None:
-    """A link with more transfers than it can send in time makes all of them late."""
+def test_requests_for_a_saturated_cache_are_held_even_if_known_hits() -> None:
+    """Guards against a link with more transfers than it can send in time, which makes all of them late."""
     small = tuple(replace(m, size=4.0) if m.kind == 0 else m for m in fleet())
     bench = RouterBench(machines=small)
     (seen,) = attempts(bench.send_request(1, obj=7))
     bench.complete_attempt(seen, AttemptOutcome.OK, CacheStatus.HIT)
     bench.router.latency.transfer_times.means[0] = 0.5 * SECOND
     out = [a for n in range(10, 30) for a in attempts(bench.send_request(n, obj=7, part=0))]
-    capacity = SATURATION_SHARE * (500 / 500 + 2)  # part of the slowing that the class stands
+    capacity = SATURATION_SHARE * (500 / 500 + 2)  # share of the slowdown that the class tolerates
     assert len(out) == int(capacity * 4 / 2)  # a link of 4 transfers, shared by two fronts
     freed = attempts(bench.complete_attempt(out[0], AttemptOutcome.OK, CacheStatus.HIT, elapsed=500 * MS))
     assert freed
 
 
-def test_one_slow_answer_or_a_hit_leaves_the_bound() -> None:
-    """A large object is slow by itself; a hit, however long it took, says nothing of fills."""
+def test_single_slow_fetches_and_slow_hits_do_not_change_the_fetch_limit() -> None:
+    """A large object is slow by itself, and the latency of a hit says nothing of fetches."""
     bench = RouterBench()
     for n in range(40):
         note = CacheStatus.FILLED if n % 8 else CacheStatus.HIT
@@ -269,7 +269,11 @@
 
 
 def count_requests_at_slow_cache(bench: RouterBench, cache: int, count: int) -> tuple[int, int]:
-    """Hits take ten times as long at one cache; of 40 requests then, how many it got and how many left."""
+    """Serve hits that take ten times as long at one cache, then 40 requests.
+
+    Returns:
+        How many of the 40 were sent to that cache, and how many were sent at all.
+    """
     for n in range(1000, 1000 + count):
         for sent in attempts(bench.send_request(n, obj=n, size_kb=400.0)):
             slow = sent.cache == cache
@@ -287,26 +291,26 @@
     return taken, left
 
 
-def test_machine_that_grows_slow_is_steered_past_and_comes_back() -> None:
+def test_a_slow_machine_gets_fewer_requests_and_recovers() -> None:
     bench = RouterBench()
     assert count_requests_at_slow_cache(bench, CACHES[0], 0)[0] > 0
     taken, left = count_requests_at_slow_cache(bench, CACHES[0], 60)
-    assert left == 40 and taken <= 4  # ten times as slow: a small part of its keys stays and tells how it is
-    bench.advance(20 * SECOND)  # what was seen fades, and the machine is asked again
+    assert left == 40 and taken <= 4  # a small part of its keys remains, which measures its speed
+    bench.advance(20 * SECOND)  # the samples decay, and the machine is used again
     homes = {
         a.cache for n in range(2000, 2040) for a in attempts(bench.send_request(n, obj=n, size_kb=400.0))
     }
     assert CACHES[0] in homes
 
 
-def test_refused_fills_rest_while_parents_give_what_they_hold() -> None:
-    """An origin that refuses answers at once: in flight there is never anything that a bound could count."""
+def test_during_a_backoff_parents_only_serve_copies_that_they_hold() -> None:
+    """An origin that refuses fetches responds at once, so a limit of the fetches in flight has no effect."""
     bench, fetch_count = RouterBench(), 0
     for n in range(400):
         for sent in attempts(bench.send_request(n, obj=n)) + attempts(bench.advance(10 * MS)):
             asked = [sent]
             while asked and isinstance(last := asked.pop(), io.FetchThrough) and last.held_only:
-                asked = attempts(bench.complete_attempt(last, AttemptOutcome.MISS))  # the parent lacks it
+                asked = attempts(bench.complete_attempt(last, AttemptOutcome.MISS))  # the parent has no copy
             if not (isinstance(last, io.FetchThrough) and last.held_only):
                 fetch_count += isinstance(last, io.FetchThrough) and last.source != last.cache
                 bench.complete_attempt(last, AttemptOutcome.OVERLOADED)
@@ -321,15 +325,17 @@
     )
     for n in range(1000, 1005):
         (held,) = attempts(bench.send_request(n, obj=n))
-        if bench.router.fetch_limit.backoff.wait:  # one at a time learns whether the origin gives again
+        if (
+            bench.router.fetch_limit.backoff.wait
+        ):  # one fetch at a time finds out whether the origin works again
             (sent,) = attempts(bench.complete_attempt(held, AttemptOutcome.MISS))
             bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED)
         bench.advance(3 * SECOND)
     assert bench.router.fetch_limit.backoff.wait == 0
 
 
-def test_source_that_gives_nothing_of_what_it_holds_is_set_aside() -> None:
-    """Where no notes tell whose fault a failed fill was, a parent asked for its own copies alone shows it."""
+def test_a_source_that_refuses_its_own_copies_is_ejected() -> None:
+    """Without a cache status, a parent that fails requests for its own copies is known to be at fault."""
     bench = RouterBench()
     bench.router.fetch_limit.backoff.wait, bench.router.fetch_limit.next_retry_at = (
         float(SECOND),
@@ -346,24 +352,24 @@
     assert asked == 2 and bench.router.placement.table.by_id[gone].is_ejected
 
 
-def test_fills_wait_for_a_link_that_is_told_to_be_full() -> None:
+def test_fetches_wait_while_the_link_is_reported_as_saturated() -> None:
     bench = RouterBench(make_settings(reports=("link",)))
     (sent,) = attempts(bench.send_request(1, obj=1))
     bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT, report=(20.0,))
-    assert attempts(bench.send_request(2, obj=2)) == []  # a fill
+    assert attempts(bench.send_request(2, obj=2)) == []  # a fetch
     (hit,) = attempts(bench.send_request(3, obj=1))  # a known hit needs no link
     freed = attempts(bench.complete_attempt(hit, AttemptOutcome.OK, CacheStatus.HIT, report=(0.5,)))
     assert [a.request for a in freed] == [2]
     bench.complete_attempt(freed[0], AttemptOutcome.OK, CacheStatus.HIT, report=(20.0,))
     assert attempts(bench.send_request(4, obj=4)) == []
-    bench.advance(5 * SECOND)  # long after the last word of it the link is judged by fills themselves
+    bench.advance(5 * SECOND)  # without a recent report the link is judged by the latency of fetches
     assert len(attempts(bench.send_request(5, obj=5))) == 1
 
 
 def test_cost_of_a_request_does_not_grow_with_the_list() -> None:
-    """Counts the machines asked about, not time: caches of other zones are never looked at."""
+    """Counts checks of machines instead of time: caches of other zones are never checked."""
 
-    def looks(foreign: int) -> int:
+    def count_checks(foreign: int) -> int:
         bench, count = RouterBench(), 0
         far = tuple(replace(machine(5000 + n), zone=9) for n in range(foreign))
         bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, far))
@@ -381,11 +387,11 @@
             bench.advance(50 * MS)
         return count
 
-    assert looks(0) == looks(500) > 0
+    assert count_checks(0) == count_checks(500) > 0
 
 
 def saturate_first_cache(bench: RouterBench) -> tuple[int, int]:
-    """Fill the cache that one object's parts go to first by hash; its number and the next one's."""
+    """Saturate the first cache by hash of one object; return its number and that of the next cache."""
     (sent,) = attempts(bench.send_request(1, obj=7))
     first = bench.router.placement.table.by_id[sent.cache]
     req = bench.router.requests[1]
@@ -395,8 +401,8 @@
     return first.endpoint.cache, second.endpoint.cache
 
 
-def test_hold_for_a_crowded_cache_ends_at_the_next_by_hash_while_the_bound_is_free() -> None:
-    """Else one full cache refuses what its neighbour could serve in time."""
+def test_a_hold_for_a_saturated_cache_ends_at_the_next_cache_by_hash() -> None:
+    """Guards against rejections because of one saturated cache, while the next one could serve in time."""
     bench = RouterBench()
     first, second = saturate_first_cache(bench)
     assert attempts(bench.send_request(2, obj=7)) == []
@@ -404,7 +410,7 @@
     assert sent.cache == second != first and isinstance(sent, io.FetchThrough) and sent.source in PARENTS
 
 
-def test_hold_ends_in_a_refusal_where_half_of_the_bound_is_in_use() -> None:
+def test_a_hold_ends_with_a_rejection_when_half_of_the_fetch_limit_is_in_use() -> None:
     bench = RouterBench()
     saturate_first_cache(bench)
     assert attempts(bench.send_request(2, obj=7)) == []
@@ -414,12 +420,12 @@
 
 
 def fleet_without_sizes(**more: Any) -> tuple[io.Endpoint, ...]:
-    """The fleet as a list without sizes tells it."""
+    """The fleet as listed without sizes."""
     return tuple(replace(m, size=1.0, **(more if m.cache in CACHES else {})) for m in fleet())
 
 
-def test_sizes_not_told_are_learned_from_what_a_kind_was_seen_to_bear() -> None:
-    """With a size of one a cold machine was left unused until it was warm; with none told that is all."""
+def test_unlisted_sizes_are_learned_from_served_work() -> None:
+    """Guards against the default size of 1, with which a cold machine stayed unused until it was warm."""
     bench = RouterBench(make_settings(sizes_compare=False), fleet_without_sizes())
     node = bench.router.placement.table.by_id[CACHES[0]]
     assert bench.router.slow_start.size(node) == 1.0
@@ -431,8 +437,8 @@
     assert 0.7 < bench.router.slow_start.size(node) / (100 * 0.2 * 2 / 3) < 1.05
 
 
-def test_work_while_a_machine_is_lost_or_cold_does_not_raise_a_learned_size() -> None:
-    """What is left bears the whole load for a while: taken for its size, it would push the cold one over."""
+def test_work_while_a_machine_is_ejected_or_cold_does_not_raise_a_learned_size() -> None:
+    """The remaining machines carry the whole load; learned as their size, it would overload the cold one."""
     bench = RouterBench(make_settings(sizes_compare=False), fleet_without_sizes())
     router = bench.router
 
@@ -451,8 +457,8 @@
     assert play(10_000) == before
 
 
-def test_parent_that_fills_slowly_keeps_only_a_part_of_its_objects() -> None:
-    """Links of parents differ and no list tells them: hashed alike, the small one's fills are all late."""
+def test_a_slow_parent_keeps_only_a_part_of_its_objects() -> None:
+    """Links of parents differ without being listed; with equal weights, fetches over a small one are late."""
     bench = RouterBench(make_settings(fronts=1, fronts_by_zone=(0, 1)))
     share = Counter[int]()
     for n in range(300):
@@ -469,8 +475,8 @@
     assert 0 < share[PARENTS[0]] < share[PARENTS[1]] / 4
 
 
-def test_refusals_at_one_cache_are_no_sign_against_the_source() -> None:
-    """Where no notes tell, a cache with no place for a fill looks like a parent that gives nothing."""
+def test_refusals_at_one_cache_do_not_eject_the_source() -> None:
+    """Without a cache status, a cache that has no slot for a fetch looks like a parent that refuses."""
     bench = RouterBench()
     bench.router.fetch_limit.backoff.wait, bench.router.fetch_limit.next_retry_at = (
         float(SECOND),
@@ -484,8 +490,8 @@
     assert not any(bench.router.placement.table.by_id[p].is_ejected for p in PARENTS)
 
 
-def test_told_and_untold_sizes_are_not_compared_with_each_other() -> None:
-    """A request whose size is not told looked a hundred times as slow beside those that told theirs."""
+def test_latencies_with_known_and_unknown_sizes_are_not_compared() -> None:
+    """A request of unknown size looked a hundred times as slow as requests of known size."""
     bench = RouterBench()
     for n in range(90):
         for sent in attempts(bench.send_request(n, obj=n, size_kb=0.0 if n >= 60 else 400.0)):
@@ -494,10 +500,10 @@
 
 
 @pytest.mark.parametrize(("fronts", "waits"), [(20, True), (1, False)])
-def test_fills_wait_by_their_own_pace_the_earlier_the_more_fronts_see_it(fronts: int, waits: bool) -> None:
-    """Nothing told of the zone's link: twenty fronts at their least bounds filled it four times over."""
+def test_slow_fetches_hold_further_fetches_earlier_with_many_fronts(fronts: int, waits: bool) -> None:
+    """Without link reports, twenty fronts at their minimum limits overloaded the zone's link fourfold."""
     bench = RouterBench(make_settings(fronts=fronts, fronts_by_zone=(0, fronts), client_kb_per_s=0.0))
-    bench.router.latency.transfer_times.means = [250.0 * MS] * 2  # the wanted time is four times that
+    bench.router.latency.transfer_times.means = [250.0 * MS] * 2  # the objective is four times that
     for n in range(90):
         for sent in attempts(bench.send_request(n, obj=n)) + attempts(bench.advance(40 * MS)):
             bench.complete_attempt(
@@ -506,7 +512,7 @@
     assert (attempts(bench.send_request(1000, obj=1000)) == []) is waits
 
 
-def test_late_attempts_that_were_called_off_tell_of_a_slow_machine() -> None:
+def test_cancelled_overdue_attempts_count_as_slowness() -> None:
     bench = RouterBench()
     for n in range(60):
         for sent in attempts(bench.send_request(n, obj=n)):
@@ -519,8 +525,8 @@
     assert slow > 2 * max(others)
 
 
-def test_hash_orders_last_until_a_pace_takes_another_step() -> None:
-    """Sorted at each look at a held request, they took 122 us an event and a full-size day was cut off."""
+def test_rankings_are_cached_until_a_weight_step_changes() -> None:
+    """Rankings are cached: computed at each check of a held request, they took 122 us per event."""
     bench = RouterBench()
     router = bench.router
     order = router.placement.rank(router.placement.table.caches, 5)
@@ -532,7 +538,7 @@
     assert router.placement.rank(router.placement.table.caches, 5) is not order and order[0].weight_step > 0
 
 
-def test_with_no_cache_to_ask_and_nothing_straight_it_is_refused_at_once_without_advice() -> None:
+def test_without_caches_and_direct_routes_requests_are_rejected_without_a_retry_time() -> None:
     bench = RouterBench(make_settings(direct=False, retry_after=False))
     for cache in CACHES:
         (
@@ -544,9 +550,9 @@
 
 
 @pytest.mark.parametrize("slow", [False, True])
-def test_a_source_no_slower_than_all_fills_is_not_taken_for_silent(slow: bool) -> None:
-    """While hundreds of fronts filled at once every parent was slow; each front set two or three of seven
-    aside, called off what waited there and asked for it anew elsewhere, which kept the rest slow."""
+def test_a_source_no_slower_than_all_fetches_is_not_ejected(slow: bool) -> None:
+    """While hundreds of fronts fetched at once, all parents were slow. Fronts that then ejected some of them
+    cancelled the attempts there and repeated them at the others, which kept those slow."""
     bench = RouterBench(make_settings(fronts=1, fronts_by_zone=(0, 1)))
     for n in range(40):
         (sent,) = attempts(bench.send_request(n, obj=n))
@@ -556,7 +562,7 @@
         bench.now += 50 * MS
     waiting = [a for n in range(100, 140) for a in attempts(bench.send_request(n, obj=n))]
     assert len(waiting) > 8
-    for a in waiting:  # the caches themselves are heard from
+    for a in waiting:  # the caches themselves respond
         bench.router.placement.table.by_id[a.cache].last_response_at = bench.now + 1
     bench.advance(1700 * MS)
     parents = [bench.router.placement.table.by_id[p].is_ejected for p in PARENTS]
@@ -565,8 +571,8 @@
 
 @pytest.mark.parametrize(("others", "own"), [(0, 80), (1, 80 / (7 / 1.5))])
 def test_a_hit_counts_once_on_a_link_that_many_fronts_share(others: int, own: float) -> None:
-    """Counted once for each front, an answer alone on its link taught a third of its sending time; by such
-    work six fronts pushed cold caches over together."""
+    """Guards against counting a single transfer once per front: the learned transfer time was a third of the
+    real one, and six fronts together overloaded cold caches."""
     small = tuple(replace(m, size=1.5) for m in fleet())
     bench = RouterBench(make_settings(fronts=6, fronts_by_zone=(0, 6), client_kb_per_s=0.0), small)
     for n in range(30):
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -319,7 +319,7 @@
 
 
 @pytest.mark.parametrize(("component", "name", "broken"), GUARDS, ids=[name for _, name, _ in GUARDS])
-def test_runs_notice_a_guard_taken_out(
+def test_random_runs_detect_a_removed_check(
     component: type, name: str, broken: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The random runs are meaningful only if they fail without each of these checks in the policy."""
@@ -335,7 +335,7 @@
     assert noticed > 0
 
 
-def test_begun_stream_and_lost_root_leave_nothing_behind() -> None:
+def test_a_started_stream_and_a_removed_origin_leave_no_state_behind() -> None:
     checker = RuleChecker(SITES["mixed"])
     checker.endpoint_by_id[ORIGIN_ID] = replace(machine(ORIGIN_ID, ORIGIN), state=EndpointState.GONE)
     checker.handle(io.EndpointUpdate(UpdateScope.CHANGES, (checker.endpoint_by_id[ORIGIN_ID],)))
--- a/tests/test_policy_recorded.py
+++ b/tests/test_policy_recorded.py
@@ -1,4 +1,4 @@
-"""The decision logic gives the actions that were recorded of it, event by event and to the last digit."""
+"""The policy gives exactly the actions that were recorded, event by event."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def tagged(value: Any) -> set[tuple[str, Any]]:
-    """Each tag in a line, with the enum's value where it is one's."""
+    """All tags in a line; those of outcomes, statuses, states and scopes with their value."""
     if not isinstance(value, list) or not value:
         return set()
     found = set[tuple[str, Any]]().union(*map(tagged, value))
@@ -31,7 +31,7 @@
 
 
 def test_the_streams_hold_each_event_action_outcome_and_note() -> None:
-    """But for the one action that the decision logic never takes."""
+    """Except the one action that the policy never takes."""
     found, hooks = set[tuple[str, Any]](), set[str]()
     for name in NAMES:
         for line in policy_stream.read(name):
@@ -51,7 +51,7 @@
     assert hooks == {"homes", "witness"}
 
 
-def test_a_changed_action_is_found_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_changed_action_is_detected_and_described(monkeypatch: pytest.MonkeyPatch) -> None:
     plain = policy_stream.read
 
     def changed(name: str) -> Any:
@@ -66,15 +66,15 @@
 
 
 @pytest.mark.parametrize("cls", [c for c in policy_stream.CLASS_BY_TAG.values() if hasattr(c, "__slots__")])
-def test_stored_values_are_whole(cls: Any) -> None:
-    """Each field is stored, in the order that makes the object again."""
+def test_stored_values_are_complete(cls: Any) -> None:
+    """Each field is stored, in the order in which the object is constructed."""
     if hasattr(cls, "__dataclass_fields__"):
         value = cls(*range(len(fields(cls))))
         assert policy_stream.decode(policy_stream.encode(value)) == value
 
 
-def test_streams_can_be_recorded_anew() -> None:
-    """Not that they are the stored ones: machines and clients of the recording may change, those never do."""
+def test_streams_can_be_recorded_again() -> None:
+    """New recordings may differ from the stored ones, as the simulated machines and clients may change."""
     site, fronts = SimulatedSite(plans()["restart"]).play(), record_killed_cold()
     assert [len(site), len(fronts)] == [3, 2] and all(len(lines) > 200 for lines in site + fronts)
     assert all(any('"recall"' in line for line in lines) for lines in (site[1], fronts[1]))
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -1,4 +1,8 @@
-"""The five rules, each kept by one front alone."""
+"""The rules that each front keeps by itself.
+
+One final response per request; no harmful second execution; no request to a draining upstream; no overload of
+a server in slow start; no copy from before a purge.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +39,7 @@
 UNSAFE = make_class(effect=Idempotency.UNSAFE, never_kept=True)
 
 
-def test_deadline_gives_one_final_answer_and_silence_after() -> None:
+def test_the_deadline_gives_one_final_response_and_no_action_after_it() -> None:
     bench = RouterBench()
     (sent,) = attempts(bench.send_request(1))
     ends = final_responses(bench.advance(6 * SECOND))
@@ -44,14 +48,14 @@
     assert attempts(after) == [] and final_responses(after) == []
 
 
-def test_served_request_gets_no_answer_of_ours() -> None:
+def test_a_served_request_gets_no_response_from_the_router() -> None:
     bench = RouterBench()
     (sent,) = attempts(bench.send_request(1))
     assert final_responses(bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)) == []
     assert final_responses(bench.advance(10 * SECOND)) == []
 
 
-def test_client_that_leaves_is_owed_nothing() -> None:
+def test_a_disconnected_client_gets_no_response() -> None:
     bench = RouterBench()
     (sent,) = attempts(bench.send_request(1))
     assert bench.handle(io.ClientDisconnected(1)) == [io.CancelAttempt(1, 0)]
@@ -101,7 +105,7 @@
     assert attempts(done) == [] and rejected_requests(done) == [1]
 
 
-def test_drained_cache_gets_nothing_as_target_or_source() -> None:
+def test_a_draining_machine_is_neither_target_nor_source() -> None:
     bench = RouterBench()
     gone = (
         machine(CACHES[0], state=EndpointState.DRAINING),
@@ -115,7 +119,7 @@
             bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)
 
 
-def test_held_request_finds_its_cache_anew_after_a_drain() -> None:
+def test_a_held_request_finds_another_cache_after_a_drain() -> None:
     bench = RouterBench()
     out = [a for n in range(16) for a in attempts(bench.send_request(n, obj=n))]
     assert len(out) == 16
@@ -142,18 +146,18 @@
             bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED)
         bench.advance(20 * MS)
     assert sends
-    work, size = 0.5, 30.0  # seconds of a request as first guessed, transfers that the cache can carry
+    work, size = 0.5, 30.0  # initial guess of the transfer time, s; size of the cache in transfers
     for at in sends:
         in_window = [s for s in sends if at <= s < at + settings.cold_window]
         share = settings.cold_from + (1 - settings.cold_from) * (at - start) / settings.cold_time
         assert len(in_window) * work * fronts <= settings.cold_multiple * share * size * 1.5
 
 
-def test_restart_shows_as_fresh_start_and_is_cold() -> None:
+def test_a_listed_restart_begins_a_slow_start() -> None:
     bench = RouterBench()
     bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (machine(PARENTS[0], 1, up_since=bench.now),)))
     node = bench.router.placement.table.by_id[PARENTS[0]]
-    bench.router.slow_start.has_budget(node)  # starts in debt
+    bench.router.slow_start.has_budget(node)  # begins with a debt
     bench.router.context.now += SECOND
     assert bench.router.slow_start.has_budget(node)
     node.credit -= 100.0 * SECOND
@@ -161,14 +165,14 @@
 
 
 @pytest.mark.parametrize("fronts", [20, 210])
-def test_many_thin_fronts_warm_a_cold_cache_and_keep_its_budget(fronts: int) -> None:
-    """Shares far below one request: together the fronts use a good part of the budget, not all."""
+def test_many_fronts_warm_a_cold_cache_within_its_budget(fronts: int) -> None:
+    """The share of a front is far below one request; together the fronts use much of the budget, not all."""
     settings = make_settings(fronts=fronts, fronts_by_zone=(0, fronts))
-    start, size, work = 100 * SECOND, 8.0, 0.5  # work: seconds of a request as first guessed
+    start, size, work = 100 * SECOND, 8.0, 0.5  # work: initial guess of the transfer time, s
     machines = (replace(machine(CACHES[0], up_since=start), size=size), *fleet()[3:])
     benches = [RouterBench(settings, machines, seed=n) for n in range(fronts)]
     sends: list[int] = []
-    for step in range(400):  # each asks every 40 ms at its own time, far more than there is to share
+    for step in range(400):  # each front sends a request every 40 ms, far more than the budget
         for n, bench in enumerate(benches):
             bench.advance(start + step * 10 * MS - bench.now)
             if step % 4 == n % 4:
@@ -196,14 +200,14 @@
     assert isinstance(third, io.FetchThrough) and third.age == 0
 
 
-def test_purge_told_at_once_limits_to_the_least_age() -> None:
+def test_a_purge_of_age_zero_limits_to_the_lowest_age() -> None:
     bench = RouterBench()
     bench.handle(io.ObjectPurged(3, 5, 0))
     (sent,) = attempts(bench.send_request(1))
     assert isinstance(sent, io.FetchThrough) and sent.age == 1
 
 
-def test_purge_told_while_held_counts_at_release() -> None:
+def test_a_purge_during_a_hold_applies_at_the_release() -> None:
     bench = RouterBench()
     out = [a for n in range(16) for a in attempts(bench.send_request(n, obj=100 + n))]
     bench.send_request(99, obj=5)
@@ -212,7 +216,7 @@
     assert isinstance(late, io.FetchThrough) and late.request == 99 and late.age == 200 * MS
 
 
-def test_one_attempt_at_a_time_where_copies_are_barred() -> None:
+def test_only_one_attempt_at_a_time_without_second_copies() -> None:
     bench = RouterBench(make_settings(second_copies=False))
     open_now = 0
     (sent,) = attempts(bench.send_request(1))
@@ -228,7 +232,7 @@
         pytest.fail("the request never got its final answer")
 
 
-def test_replaced_full_list_drops_what_it_lacks() -> None:
+def test_a_full_list_removes_machines_that_it_does_not_name() -> None:
     bench = RouterBench()
     bench.handle(io.EndpointUpdate(UpdateScope.FULL, fleet()[1:]))
     for n in range(30):
@@ -237,7 +241,7 @@
             bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)
 
 
-def test_members_keep_their_start_time_across_lists() -> None:
+def test_machines_keep_their_start_time_across_lists() -> None:
     bench = RouterBench()
     line = replace(machine(CACHES[0]), up_since=bench.now)
     bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (line,)))
@@ -245,15 +249,15 @@
     assert bench.router.placement.table.by_id[CACHES[0]].started_at == line.up_since
 
 
-def test_request_that_waited_out_its_time_is_answered_at_once() -> None:
-    """A front that stood still finds requests with no time left; they still want one final answer."""
+def test_a_request_with_no_time_left_is_answered_at_once() -> None:
+    """After a process pause requests may have no time left; each still needs one final response."""
     bench = RouterBench()
     done = bench.send_request(1, time_left=0)
     assert len(final_responses(done)) == 1 and attempts(done) == []
 
 
-def test_no_attempt_leaves_when_the_deadline_has_come() -> None:
-    """After a standstill an outcome may free a slot before the deadline's timer is handed over."""
+def test_no_attempt_is_sent_after_the_deadline() -> None:
+    """After a process pause a completed attempt may free a slot before the deadline's timer is handled."""
     bench = RouterBench()
     out = [a for n in range(16) for a in attempts(bench.send_request(n, obj=100 + n))]
     bench.send_request(99, obj=99)
@@ -262,7 +266,7 @@
     assert attempts(done) == [] and len(final_responses(done)) == 1
 
 
-def test_standstill_of_this_front_is_no_silence_of_the_caches() -> None:
+def test_a_process_pause_ejects_no_cache() -> None:
     bench = RouterBench()
     for n in range(12):
         bench.send_request(n, obj=n)
@@ -272,8 +276,8 @@
     assert not any(node.is_ejected for node in bench.router.placement.table.by_id.values())
 
 
-def test_broken_answers_among_good_ones_set_no_cache_aside() -> None:
-    """A machine that breaks a third of its attempts still serves; its load would only move to the others."""
+def test_resets_between_successes_eject_no_cache() -> None:
+    """A machine that resets a part of its attempts still serves; ejecting it would only move its load."""
     bench = RouterBench()
     for n in range(20):
         (sent,) = attempts(bench.send_request(n))
@@ -284,8 +288,8 @@
     assert not any(node.is_ejected for node in bench.router.placement.table.by_id.values())
 
 
-def test_new_instance_keeps_the_purges_that_it_is_told() -> None:
-    """A front that starts anew hears of the last purges before its first request."""
+def test_a_restarted_front_applies_the_purges_that_it_receives() -> None:
+    """A front that restarts receives the last purges before its first request."""
     bench = RouterBench()
     bench.handle(io.EndpointUpdate(UpdateScope.RESTORED, fleet()))
     bench.handle(io.ObjectPurged(3, 0, 4 * SECOND))
@@ -296,7 +300,7 @@
 
 
 def test_caches_of_other_zones_cost_nothing() -> None:
-    """A list of hundreds of foreign caches leaves no machine, and their changes make no hash order anew."""
+    """Caches of other zones are not kept, and their changes do not invalidate cached rankings."""
     bench = RouterBench()
     known, sent = len(bench.router.placement.table.by_id), attempts(bench.send_request(1))
     bench.complete_attempt(sent[0], AttemptOutcome.OK, CacheStatus.HIT)
@@ -309,8 +313,8 @@
     assert len(bench.router.placement.table.by_id) == known and bench.router.placement.rankings == ranks != {}
 
 
-def test_no_rounds_while_nothing_is_held() -> None:
-    """A round every 10 ms at each of hundreds of fronts cost more than all requests together."""
+def test_no_release_timers_while_no_request_is_held() -> None:
+    """A timer every 10 ms at each of hundreds of fronts cost more CPU than all requests together."""
     bench = RouterBench()
     bench.send_request(1)
     before = len(bench.action_log)
@@ -318,17 +322,17 @@
     assert sum(isinstance(a, io.SetTimer) for _, a in bench.action_log[before:]) <= 10
 
 
-def test_a_front_that_is_behind_refuses_the_lowest_tier_first_and_a_write_last() -> None:
+def test_an_overloaded_front_rejects_the_lowest_tier_first_and_never_writes() -> None:
     classes = (make_class(worth=2.0), make_class(on_time=250 * MS), UNSAFE)
 
-    def turned_away(cls: int, waited: int) -> bool:
-        """The last of those that waited so long, each, for more than the interval of early refusal."""
+    def is_rejected(cls: int, waited: int) -> bool:
+        """Whether the last of several requests is rejected; all have waited for the given time."""
         bench = RouterBench(make_settings(classes=classes))
         for request in range(1, 8):
             actions = bench.send_request(request, cls, waited=waited)
             bench.advance(20 * MS)
         return bool(rejected_requests(actions))
 
-    assert not turned_away(1, 10 * MS) and turned_away(1, 40 * MS)
-    assert not turned_away(0, 40 * MS) and turned_away(0, 200 * MS)
-    assert not turned_away(2, 200 * MS)
+    assert not is_rejected(1, 10 * MS) and is_rejected(1, 40 * MS)
+    assert not is_rejected(0, 40 * MS) and is_rejected(0, 200 * MS)
+    assert not is_rejected(2, 200 * MS)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -71,7 +71,7 @@
         and tracker.on_list_received(20 * MS) == []
     )
     assert tracker.on_first_responses(60 * MS, 21)[0].startswith("stage first answers: 21 answers, ")
-    assert tracker.on_limit_idle(100 * MS) == []  # too early to know
+    assert tracker.on_limit_idle(100 * MS) == []  # too early after the first responses
     assert tracker.on_limit_idle(700 * MS)[0].startswith("stage bound: ")
     lines = finish_requests(tracker, SECOND, 4, 0.9)
     assert (tracker.phase, lines) == (RecoveryPhase.LIMIT_CONFIRMED, [])  # a tenth is not served in time
@@ -106,7 +106,7 @@
 
 def test_a_process_pause_leads_back_to_the_list_phase() -> None:
     tracker = RecoveryTracker(0)
-    assert tracker.on_process_pause(0, 60 * SECOND) == []  # nothing was known that could be old
+    assert tracker.on_process_pause(0, 60 * SECOND) == []  # no state that could be out of date
     confirm_limit(tracker, 0)
     assert tracker.on_process_pause(12 * SECOND, 10 * SECOND)[0].startswith(
         "stage list: the front stood still"
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize(("classes", "gap", "cut"), [(2, 3, True), (2, 1, False), (1, 3, False)])
 def test_the_fetch_limit_survives_short_process_pauses_only(classes: int, gap: int, cut: bool) -> None:
-    """After a long one all is found anew; where a class was never answered, nothing had been found."""
+    """After a long pause the limit is reset, unless a request class has had no response yet."""
     bench = RouterBench()
     bench.send_request(999, cls=1)
     for n in range(10):
@@ -138,20 +138,20 @@
 
 
 def test_the_dial_limit_of_a_machine_doubles_with_each_established_connection() -> None:
-    ramp = DialLimit(count_requesting_fronts(180, (0, 8), 0))  # a parent: all fronts ask it
-    assert ramp.max_dials == 1
-    for most in (2, 4, 8):
-        ramp.on_connected()
-        assert ramp.max_dials == most
-    ramp.on_connect_failed()
-    assert ramp.max_dials == 1
+    dial_limit = DialLimit(count_requesting_fronts(180, (0, 8), 0))  # a parent: all fronts use it
+    assert dial_limit.max_dials == 1
+    for max_dials in (2, 4, 8):
+        dial_limit.on_connected()
+        assert dial_limit.max_dials == max_dials
+    dial_limit.on_connect_failed()
+    assert dial_limit.max_dials == 1
     assert (
         DialLimit(count_requesting_fronts(180, (0, 8), 1)).max_dials == 2
         and DialLimit(count_requesting_fronts(2, (), 5)).max_dials == 8
     )
     for _ in range(20):
-        ramp.on_connected()
-    assert ramp.max_dials == 1024
+        dial_limit.on_connected()
+    assert dial_limit.max_dials == 1024
 
 
 # The first endpoint list
@@ -171,7 +171,7 @@
     assert fetches and all(0 < a.age <= 2 * SECOND for a in fetches)
     asked = [a.cache for a in sent]
     assert CACHES[0] not in asked
-    assert asked.count(CACHES[1]) < asked.count(CACHES[2])  # a cold one is asked for less
+    assert asked.count(CACHES[1]) < asked.count(CACHES[2])  # a cold cache gets fewer requests
 
 
 # Restored facts
@@ -218,13 +218,13 @@
         upstreams[PARENTS[0]].is_ejected and upstreams[PARENTS[0]].trial_at <= new.now
     )  # one request checks it
     assert router.freshness.purges[1, 5] == new.now - SECOND - 100 * MS
-    assert CACHES[2] not in caches_asked(new, 0)  # draining, whatever an older list says
+    assert CACHES[2] not in caches_asked(new, 0)  # draining, although the list has it as ready
     new.handle(io.EndpointUpdate(UpdateScope.CHANGES, (machine(CACHES[2]),)))
-    assert CACHES[2] in caches_asked(new, 100)  # the change log has named it anew
+    assert CACHES[2] in caches_asked(new, 100)  # listed again by the change log
 
 
-def test_that_a_machine_is_well_warm_or_fast_is_never_restored() -> None:
-    """Facts that say well, warm, fast, or a large limit leave a front as careful as it was."""
+def test_that_a_machine_is_healthy_warm_or_fast_is_never_restored() -> None:
+    """Facts that a machine is healthy, warm or fast, or that a limit was large, change nothing."""
     new, plain = RouterBench(make_settings(fronts=200, fronts_by_zone=(0, 6))), RouterBench()
     cold = plain.router.placement.table.by_id[CACHES[0]].started_at = plain.now - SECOND
     plain.router.outliers.eject(plain.router.placement.table.by_id[CACHES[0]])
@@ -256,7 +256,7 @@
 
 
 def decision_state(bench: RouterBench) -> tuple[object, ...]:
-    """All that decisions rest on and restored facts may change."""
+    """The state that decisions depend on and restored facts may change."""
     router, now = bench.router, bench.now
     times, served = router.latency.transfer_times, router.slow_start.served
     return (
@@ -279,7 +279,7 @@
 
 
 def test_restored_facts_expire_at_their_maximum_age_also_after_a_process_pause() -> None:
-    """Paused for as long between the restore and the first request: no restored fact decides about it."""
+    """A pause between the restore and the first request: no expired fact influences that request."""
     facts = learn_facts(RouterBench())
     new, fresh = RouterBench(), RouterBench()
     restore_facts(new.router, facts, SECOND)
@@ -288,9 +288,7 @@
         bench.now += MAX_CLASS_AGE + MAX_DRAIN_AGE
         bench.send_request(1)
     assert new.router.expiries == []
-    new.router.placement.table.by_id[
-        PARENTS[0]
-    ].is_ejected = False  # a health check decides, which is no old fact
+    new.router.placement.table.by_id[PARENTS[0]].is_ejected = False  # ends by a health check, not by age
     assert decision_state(new) == decision_state(fresh)
 
 
--- a/tests/test_standing_cold.py
+++ b/tests/test_standing_cold.py
@@ -1,4 +1,4 @@
-"""Cold machines: what all fronts together send one that has just started, where it may be asked for least."""
+"""Cold machines: the load that all fronts together send to a small machine that has just started."""
 
 from __future__ import annotations
 
@@ -26,30 +26,36 @@
     make_settings,
 )
 
-FRONTS, EVERY, STEP = 24, 120 * MS, 40 * MS  # a front asks one request each so long, at its own moment
-SIZE, WORK = 2.0, 0.5  # the least machine: transfers it carries; seconds of a request, as first guessed
-BEGIN, OTHER = 100 * SECOND, 909
+FRONTS, REQUEST_INTERVAL, STEP = 24, 120 * MS, 40 * MS  # ns; each front gets one request per interval
+SIZE, WORK = 2.0, 0.5  # size of the machine in transfers; initial guess of the transfer time, s
+START_TIME, OTHER_ID = 100 * SECOND, 909
 
 
-class Sum:
-    """Many modules and one clock; when each request reached the machine that is cold, and whose it was."""
+class FleetLoad:
+    """Many routers with one clock; records when which front sent a request to the cold machine.
 
-    def __init__(self, upper: bool, told: int) -> None:
+    Attributes:
+        ids: Endpoint ids that the machine has had.
+        informed_fronts: Fronts that receive the start of the machine.
+        sends: Time and front of each request that was sent to the machine.
+    """
+
+    def __init__(self, is_parent: bool, informed_count: int) -> None:
         self.settings = make_settings(fronts=FRONTS, fronts_by_zone=(0, FRONTS))
-        self.cold, self.kind = (PARENTS[0], PARENT) if upper else (CACHES[0], 0)
-        self.names = {self.cold}  # the ids at its address
+        self.cold, self.kind = (PARENTS[0], PARENT) if is_parent else (CACHES[0], 0)
+        self.ids = {self.cold}
         machines = tuple(replace(m, size=SIZE) for m in fleet())
         self.benches = [RouterBench(self.settings, machines, seed=n) for n in range(FRONTS)]
-        self.told, self.start, self.number = set(range(told)), 0, 0
+        self.informed_fronts, self.start, self.request_count = set(range(informed_count)), 0, 0
         self.sends: list[tuple[int, int]] = []
 
-    def tell(self, cache: int, at: int) -> None:
-        """It starts at `at`, and those that are told hear of it now; the old id is gone for them."""
+    def report_start(self, cache: int, at: int) -> None:
+        """Report a start at `at` to the informed fronts; for them the old id is removed."""
         new = replace(machine(cache, self.kind, at), size=SIZE)
-        gone = [replace(machine(c, self.kind), state=EndpointState.GONE) for c in self.names if c != cache]
-        for n in self.told:
+        gone = [replace(machine(c, self.kind), state=EndpointState.GONE) for c in self.ids if c != cache]
+        for n in self.informed_fronts:
             self.benches[n].handle(io.EndpointUpdate(UpdateScope.CHANGES, (new, *gone)))
-        self.names.add(cache)
+        self.ids.add(cache)
         self.start = at
 
     def play(self, span: int) -> None:
@@ -57,92 +63,96 @@
         while self.benches[0].now < until:
             for n, bench in enumerate(self.benches):
                 bench.advance(STEP)
-                phase = (bench.now // STEP + n) % (EVERY // STEP)
-                # who was not told gets a sixth of the traffic, so that the told ones make up most of it
-                if phase == 0 and (n in self.told or (bench.now // EVERY) % 6 == 0):
-                    self.number += 1
-                    for sent in attempts(bench.send_request(self.number, obj=self.number)):
-                        if self.names & {sent.cache, getattr(sent, "source", -1)}:
+                phase = (bench.now // STEP + n) % (REQUEST_INTERVAL // STEP)
+                # uninformed fronts get a sixth of the traffic, so that most of it comes from the informed
+                # ones
+                if phase == 0 and (n in self.informed_fronts or (bench.now // REQUEST_INTERVAL) % 6 == 0):
+                    self.request_count += 1
+                    for sent in attempts(bench.send_request(self.request_count, obj=self.request_count)):
+                        if self.ids & {sent.cache, getattr(sent, "source", -1)}:
                             self.sends.append((bench.now, n))
                         bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED)
 
-    def stands(self, at: int) -> float:
-        """N + 2 x root of N + 2, from the settings."""
-        s, upper = self.settings, self.kind == PARENT
-        least, warm = (s.parent_cold_from, s.parent_cold_time) if upper else (s.cold_from, s.cold_time)
-        multiple = s.parent_cold_multiple if upper else s.cold_multiple
+    def max_attempts(self, at: int) -> float:
+        """N + 2 * sqrt(N) + 2, where N follows from the settings: more requests per window overload it."""
+        s, is_parent = self.settings, self.kind == PARENT
+        least, warm = (s.parent_cold_from, s.parent_cold_time) if is_parent else (s.cold_from, s.cold_time)
+        multiple = s.parent_cold_multiple if is_parent else s.cold_multiple
         share = min(least + (1 - least) * (at - self.start) / warm, 1)
         n = multiple * share * SIZE * s.cold_window / SECOND / WORK
         return n + 2 * math.sqrt(n) + 2
 
-    def pushed(self) -> bool:
-        """Whether in some window over two thirds of what makes it fall may have come from who was told."""
-        told = [at for at, n in self.sends if n in self.told and at >= self.start]
+    def is_overloaded(self) -> bool:
+        """Whether in some window the informed fronts sent over two thirds of what overloads the machine."""
+        times = [at for at, n in self.sends if n in self.informed_fronts and at >= self.start]
         window = self.settings.cold_window
         return any(
-            sum(first <= at < first + window for at in told) > 2 / 3 * self.stands(first) for first in told
+            sum(first <= at < first + window for at in times) > 2 / 3 * self.max_attempts(first)
+            for first in times
         )
 
 
-def anew(upper: bool, told: int, how: str) -> Sum:
-    fleet_of = Sum(upper, told)
-    fleet_of.tell(fleet_of.cold, BEGIN)
+def play_starts(is_parent: bool, informed_count: int, how: str) -> FleetLoad:
+    fleet_of = FleetLoad(is_parent, informed_count)
+    fleet_of.report_start(fleet_of.cold, START_TIME)
     fleet_of.play(3 * SECOND)
     if how == "again":  # within its warm-up
-        fleet_of.tell(fleet_of.cold, BEGIN + 3 * SECOND)
+        fleet_of.report_start(fleet_of.cold, START_TIME + 3 * SECOND)
     elif how == "other id":
-        fleet_of.tell(OTHER, BEGIN + 3 * SECOND)
+        fleet_of.report_start(OTHER_ID, START_TIME + 3 * SECOND)
     fleet_of.play(4 * SECOND)
     return fleet_of
 
 
-def all_at_once(patch: pytest.MonkeyPatch) -> None:
-    """Each front takes the whole budget for its own."""
+def whole_budget_each(patch: pytest.MonkeyPatch) -> None:
+    """Each front uses the whole budget instead of its share."""
     patch.setattr(SlowStart, "count_fronts", lambda self, upstream: 1)
 
 
-def once(patch: pytest.MonkeyPatch) -> None:
-    """A machine is cold once: when it starts again as it warms up, it is taken for warm."""
+def cold_only_once(patch: pytest.MonkeyPatch) -> None:
+    """A machine is cold only once: if it restarts during its warm-up, it is taken for warm."""
     plain = Router.on_endpoint_update
 
-    def listed(self: Router, news: io.EndpointUpdate) -> None:
+    def forget_restart(self: Router, update: io.EndpointUpdate) -> None:
         cold = {cache for cache, node in self.placement.table.by_id.items() if node.started_at}
-        plain(self, news)
-        for m in news.machines:
+        plain(self, update)
+        for m in update.machines:
             if m.cache in cold:
                 self.placement.table.by_id[m.cache].started_at = 0
 
-    patch.setattr(Router, "on_endpoint_update", listed)
+    patch.setattr(Router, "on_endpoint_update", forget_restart)
 
 
-def warm_by_name(patch: pytest.MonkeyPatch) -> None:
-    """An id that was not there before is taken for warm."""
+def new_id_is_warm(patch: pytest.MonkeyPatch) -> None:
+    """A machine with a new id is taken for warm."""
     plain = Upstream.__init__
 
-    def begin(self: Upstream, endpoint: io.Endpoint, slowness: DecayingMean, recent_objects: int) -> None:
+    def init_warm(self: Upstream, endpoint: io.Endpoint, slowness: DecayingMean, recent_objects: int) -> None:
         plain(self, endpoint, slowness, recent_objects)
         self.started_at = 0
 
-    patch.setattr(Upstream, "__init__", begin)
+    patch.setattr(Upstream, "__init__", init_warm)
 
 
-@pytest.mark.parametrize("upper", [False, True])
+@pytest.mark.parametrize("is_parent", [False, True])
 @pytest.mark.parametrize(
-    ("told", "how"),
+    ("informed_count", "how"),
     [(FRONTS, "first"), (FRONTS // 2, "first"), (FRONTS // 2, "again"), (FRONTS // 2, "other id")],
 )
-def test_the_sum_of_all_that_were_told_pushes_no_cold_machine_over(upper: bool, told: int, how: str) -> None:
-    fleet_of = anew(upper, told, how)
-    assert not fleet_of.pushed()
-    assert any(n in fleet_of.told for _, n in fleet_of.sends)  # and it is warmed
+def test_informed_fronts_together_never_overload_a_cold_machine(
+    is_parent: bool, informed_count: int, how: str
+) -> None:
+    fleet_of = play_starts(is_parent, informed_count, how)
+    assert not fleet_of.is_overloaded()
+    assert any(n in fleet_of.informed_fronts for _, n in fleet_of.sends)  # it is used at all
 
 
 @pytest.mark.parametrize(
-    ("how", "mutant"), [("first", all_at_once), ("again", once), ("other id", warm_by_name)]
+    ("how", "mutant"), [("first", whole_budget_each), ("again", cold_only_once), ("other id", new_id_is_warm)]
 )
-def test_a_sum_that_pushes_it_over_is_found(
+def test_an_overload_by_informed_fronts_is_detected(
     monkeypatch: pytest.MonkeyPatch, how: str, mutant: object
 ) -> None:
     assert callable(mutant)
     mutant(monkeypatch)
-    assert anew(False, FRONTS // 2, how).pushed()
+    assert play_starts(False, FRONTS // 2, how).is_overloaded()
--- a/tests/test_standing_floors.py
+++ b/tests/test_standing_floors.py
@@ -1,4 +1,4 @@
-"""Floors: each class keeps its part while the highest tier floods what the parents can fill."""
+"""Minimum service: each class keeps its share while the highest tier overloads the parents."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.rig import MS, SECOND, RouterBench, attempts, make_class, make_settings
 
 SEEDS = (1, 2, 3)
-NEVER_UNDER = 0.3  # a class that is hardly served by those who prefer none has no floor
+MIN_SERVED_SHARE = 0.3  # a class that is served less than this without priorities has no minimum
 
 
 def flood(worths: tuple[float, float, float]) -> str:
-    """Videos that caches seldom hold, over twice what the parent can send; two other classes, and bids."""
+    """Videos that are seldom cached, at twice the parent's capacity; two other classes, and bids."""
     video, page, image = worths
     return f"""
 name: flood
@@ -41,35 +41,35 @@
 
 
 def served(worths: tuple[float, float, float], seeds: tuple[int, ...] = SEEDS) -> dict[str, float]:
-    """The share of each class that was served in time, over the seeds."""
-    asked, good = Counter[str](), Counter[str]()
+    """The share of the requests of each class that were served in time, over all seeds."""
+    requests, good = Counter[str](), Counter[str]()
     for seed in seeds:
         experiment = read_struct(flood(worths), "flood.yaml", Experiment)
         for name, words in World(experiment, experiment.variants[0], seed).play().by_class.items():
-            asked[name] += words["asked"]
+            requests[name] += words["asked"]
             good[name] += words["served"]
-    return {name: good[name] / n for name, n in asked.items()}
+    return {name: good[name] / n for name, n in requests.items()}
 
 
 @pytest.fixture(scope="module")
 def floors() -> dict[str, float]:
-    """Half of what a module serves that prefers no class to another."""
-    return {name: share / 2 for name, share in served((1, 1, 1)).items() if share >= NEVER_UNDER}
+    """Half of the share of each class that is served if all classes have the same worth."""
+    return {name: share / 2 for name, share in served((1, 1, 1)).items() if share >= MIN_SERVED_SHARE}
 
 
-def under(floors: dict[str, float], seeds: tuple[int, ...] = SEEDS) -> set[str]:
-    """The classes left under their floors where the flood is of the highest tier."""
-    got = served((3, 2, 1), seeds)
-    return {name for name, floor in floors.items() if got[name] < floor}
+def find_underserved(floors: dict[str, float], seeds: tuple[int, ...] = SEEDS) -> set[str]:
+    """The classes that are served less than their minimum while the highest tier overloads the parents."""
+    shares = served((3, 2, 1), seeds)
+    return {name for name, floor in floors.items() if shares[name] < floor}
 
 
 def test_each_class_keeps_its_floor_while_the_highest_tier_floods(floors: dict[str, float]) -> None:
     assert floors.keys() >= {"page", "image", "bid"}
-    assert under(floors) == set()
+    assert find_underserved(floors) == set()
 
 
-def sheds_all(patch: pytest.MonkeyPatch) -> None:
-    """The lowest tier is shed past the gate, whatever was served of it."""
+def shed_lowest_tier(patch: pytest.MonkeyPatch) -> None:
+    """The lowest tier is always shed near the fetch limit, and never held."""
     plain = Admission.hold
 
     def hold(self: Admission, request: Request) -> None:
@@ -81,8 +81,8 @@
     patch.setattr(Admission, "hold", hold)
 
 
-def highest_first(patch: pytest.MonkeyPatch) -> None:
-    """What is held leaves by rank, with no shares and no floor."""
+def release_highest_tier_first(patch: pytest.MonkeyPatch) -> None:
+    """Held requests are released strictly by tier, without weights or a minimum rate."""
 
     def pop(self: FairQueue[Request], now: int, is_ready: Callable[[Request], bool]) -> Request | None:
         heads = (self._head(tier, is_ready) for tier in range(len(self.weights)))
@@ -96,30 +96,30 @@
     patch.setattr(FairQueue, "pop", pop)
 
 
-def refuses_bids(patch: pytest.MonkeyPatch) -> None:
-    """What may not be repeated is kept out with the rest."""
+def reject_bids(patch: pytest.MonkeyPatch) -> None:
+    """Unsafe requests are rejected near the fetch limit as well."""
     plain = Router.on_request
 
-    def came(self: Router, e: io.RequestReceived) -> None:
+    def reject_unsafe(self: Router, e: io.RequestReceived) -> None:
         if self.settings.classes[e.cls].effect is Idempotency.UNSAFE and self.fetch_limit.is_nearly_full:
             self.context.actions.append(io.RejectRequest(e.request, 0))
         else:
             plain(self, e)
 
-    patch.setattr(Router, "on_request", came)
+    patch.setattr(Router, "on_request", reject_unsafe)
 
 
-@pytest.mark.parametrize(("mutant", "starved"), [(sheds_all, "image"), (refuses_bids, "bid")])
-def test_a_class_that_is_starved_is_found(
+@pytest.mark.parametrize(("mutant", "starved"), [(shed_lowest_tier, "image"), (reject_bids, "bid")])
+def test_a_starved_class_is_detected(
     monkeypatch: pytest.MonkeyPatch, floors: dict[str, float], mutant: object, starved: str
 ) -> None:
     assert callable(mutant)
     mutant(monkeypatch)
-    assert starved in under(floors, SEEDS[:1])
+    assert starved in find_underserved(floors, SEEDS[:1])
 
 
-def released() -> Counter[int]:
-    """What leaves a hold, by tier: a place comes free each 100 ms for four seconds, and all tiers wait."""
+def count_releases_by_tier() -> Counter[int]:
+    """Releases by tier while all tiers wait and a fetch slot becomes free every 100 ms for four seconds."""
     classes = tuple(make_class(worth=w, on_time=60 * SECOND, deadline=90 * SECOND) for w in (3.0, 2.0, 1.0))
     bench, left = RouterBench(make_settings(classes=classes)), Counter[int]()
     out = [a for n in range(16) for a in attempts(bench.send_request(n, obj=n))]
@@ -137,7 +137,7 @@
 
 
 def test_the_weighted_release_does_not_starve_the_lowest(monkeypatch: pytest.MonkeyPatch) -> None:
-    left = released()
+    left = count_releases_by_tier()
     assert left[0] > left[1] > left[2] == 2, left
-    highest_first(monkeypatch)
-    assert released()[2] == 0
+    release_highest_tier_first(monkeypatch)
+    assert count_releases_by_tier()[2] == 0
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -1,4 +1,4 @@
-"""The plain data structures beside the decision logic keep to what they are told."""
+"""The data structures of the routing policy."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     assert not any(item.is_queued for item in items)
 
 
-def test_tiers_leave_by_their_weights() -> None:
+def test_tiers_are_released_by_their_weights() -> None:
     queue, left = make_queue(), Counter[int]()
     for n in range(300):
         queue.push(Item(n % 3, n))
@@ -65,7 +65,7 @@
     assert left == {0: 80, 1: 15, 2: 5}
 
 
-def test_a_tier_that_nothing_left_for_a_floor_interval_goes_first() -> None:
+def test_a_tier_without_a_release_for_a_floor_interval_goes_first() -> None:
     queue = make_queue()
     for n in range(9):
         queue.push(Item(n % 3, n))
@@ -74,7 +74,7 @@
     assert item is not None and item.tier == 2
 
 
-def test_what_is_not_ready_stays_and_what_is_discarded_never_leaves() -> None:
+def test_unready_items_stay_and_discarded_items_are_never_released() -> None:
     queue, first, second = make_queue(), Item(0, 1), Item(0, 2)
     queue.push(first)
     queue.push(second)
@@ -84,7 +84,7 @@
     assert queue.pop(0, always) is None and queue.depths == [0, 0, 0]
 
 
-def test_only_so_many_keys_of_a_tier_are_looked_at() -> None:
+def test_only_the_first_keys_of_a_tier_are_examined() -> None:
     queue, looked = make_queue(), list[int]()
     for n in range(40):
         queue.push(Item(0, n))
@@ -105,7 +105,7 @@
     assert item is not None and item.key == 2
 
 
-def test_a_bucket_gives_whole_tokens_alone_and_keeps_its_capacity() -> None:
+def test_a_bucket_gives_only_whole_tokens_and_keeps_its_capacity() -> None:
     bucket = TokenBucket(1.5, 2.0)
     assert bucket.take() and not bucket.take()
     for _ in range(9):
@@ -113,7 +113,7 @@
     assert bucket.tokens == 2.0
 
 
-def test_a_backoff_doubles_within_its_bounds_and_eases_to_none() -> None:
+def test_a_backoff_doubles_within_its_bounds_and_decreases_to_zero() -> None:
     backoff, waits = Backoff(100, 350, 0.3, 50), list[float]()
     for _ in range(4):
         backoff.increase()
@@ -124,14 +124,14 @@
     assert backoff.wait == 0
 
 
-def test_a_mean_of_no_samples_is_as_usual_and_samples_fade() -> None:
+def test_a_mean_without_samples_has_factor_one_and_samples_decay() -> None:
     mean = DecayingMean(SECOND, prior=1.0)
     assert mean.factor(0) == 1.0
     mean.add(0, 2.0)
     assert mean.factor(0) == pytest.approx(math.exp(2 / 2))
     assert mean.factor(SECOND) == pytest.approx(math.exp(1 / 1.5))
     mean.add(SECOND, -9.0)
-    assert mean.factor(SECOND) == 1.0  # never quicker than usual
+    assert mean.factor(SECOND) == 1.0  # never below 1
 
 
 def test_a_sum_counts_half_after_its_half_life() -> None:
@@ -156,7 +156,7 @@
     assert baseline.mean > 2.5 and 1.0 < baseline.least < 1.2
 
 
-def test_running_means_weigh_alike_from_the_first_sample_and_can_be_reset() -> None:
+def test_running_means_weigh_samples_equally_and_can_be_reset() -> None:
     means = RunningMeans([50.0, 60.0], min_weight=0.02)
     for sample in (1.0, 2.0, 3.0):
         means.add(1, sample)
@@ -181,11 +181,11 @@
     assert log.last_purge_at(3, 7) == -1
     log.record_purge(3, 7, 10, 0)
     log.record_purge(3, 0, 5, 0)
-    log.record_purge(3, 7, 8, 0)  # told late: the later one stays
+    log.record_purge(3, 7, 8, 0)  # an older purge that is reported late changes nothing
     assert (log.last_purge_at(3, 7), log.last_purge_at(3, 8), log.last_purge_at(4, 8)) == (10, 5, -1)
 
 
-def test_coverage_is_complete_once_with_one_of_each_kind_asked_for() -> None:
+def test_coverage_is_complete_once_with_one_of_each_expected_kind() -> None:
     coverage = Coverage(3)
     coverage.expected |= {1, 2}
     assert [coverage.add(kind) for kind in (1, 1, 1, 2, 2)] == [False, False, False, True, False]
@@ -206,7 +206,7 @@
     assert assign_tiers(weights, 3) == wanted
 
 
-def test_rendezvous_ranks_are_by_weight_and_outlast_who_leaves() -> None:
+def test_rendezvous_ranks_follow_weights_and_are_stable_when_a_node_leaves() -> None:
     ids = {"a": 11, "b": 12, "c": 13}
     weights = {"a": 1.0, "b": 1.0, "c": 2.0}
     ranks = {key: rank(key, weights, ids) for key in range(4000)}
@@ -218,7 +218,7 @@
 
 @pytest.mark.parametrize("count", [1, 2, 16, 64])
 @pytest.mark.parametrize("alike", [False, True])
-def test_the_first_of_many_ranks_are_those_of_the_whole_order(count: int, alike: bool) -> None:
+def test_the_first_ranks_are_those_of_the_whole_ranking(count: int, alike: bool) -> None:
     chance = random.Random(count)
     for nodes in (100, 256, 257, 900):
         ids = {f"n{n}": n * 7919 + 1 for n in range(nodes)}
@@ -229,7 +229,7 @@
 
 
 @given(st.integers(0, 2**64 - 1), st.lists(st.integers(0, 2**64 - 1), max_size=20))
-def test_hashes_of_many_are_those_of_each(first: int, seconds: list[int]) -> None:
+def test_hashes_of_many_numbers_are_those_of_each(first: int, seconds: list[int]) -> None:
     assert PackedNumbers(seconds).mix_each(first) == [mix(first, second) for second in seconds]
 
 
@@ -237,7 +237,7 @@
     st.integers(0, 2**64 - 1),
     st.lists(st.tuples(st.integers(0, 2**64 - 1), st.integers(-5, 2**64 - 1)), min_size=1),
 )
-def test_hashes_above_bounds_are_found_by_place(first: int, pairs: list[tuple[int, int]]) -> None:
+def test_hashes_above_bounds_are_found_by_index(first: int, pairs: list[tuple[int, int]]) -> None:
     packed = PackedNumbers([number for number, _ in pairs])
     bounds = [bound for _, bound in pairs]
     hashes = [mix(first, number) for number, _ in pairs]
