--- a/quincepier/policy/early_rejection.py
+++ b/quincepier/policy/early_rejection.py
@@ -12,8 +12,10 @@
 from quincepier.records import MS
 
 MAX_WAIT_SHARE = 0.2  # of the class's target latency, divided by 1 + tier: how long a request may wait
-MIN_WAIT = 10 * MS  # ns; shorter waits are never too long, as releases from the hold queue take that long
-INTERVAL = 100 * MS  # ns; waits must be too long for this time before a request is rejected (RFC 8289, 4.3)
+MIN_WAIT = 10 * MS  # ns; shorter waits are never too long; equals the release interval of the hold queue
+OVERLOAD_INTERVAL = (
+    100 * MS
+)  # ns; waits must be too long for this time before a request is rejected (RFC 8289, 4.3)
 
 
 class EarlyRejection(RouterComponent):
@@ -35,7 +37,7 @@
             n: max(int(MAX_WAIT_SHARE * c.on_time / (1 + tiers[n])), MIN_WAIT)
             for n, c in cached_classes.items()
         }
-        self._least_max_wait = min(self._max_waits.values(), default=MIN_WAIT)
+        self._min_max_wait = min(self._max_waits.values(), default=MIN_WAIT)
         self.overloaded_since = -1
         self.last_wait_at = -1
 
@@ -48,10 +50,10 @@
     def _note_wait(self, waited: int) -> bool:
         """Note the time that a request waited, ns; return whether waits were too long for an interval."""
         now = self.context.now
-        if waited <= self._least_max_wait:
+        if waited <= self._min_max_wait:
             self.overloaded_since = -1
             return False
-        if self.overloaded_since < 0 or now - self.last_wait_at > INTERVAL:
+        if self.overloaded_since < 0 or now - self.last_wait_at > OVERLOAD_INTERVAL:
             self.overloaded_since = now
         self.last_wait_at = now
-        return now - self.overloaded_since >= INTERVAL
+        return now - self.overloaded_since >= OVERLOAD_INTERVAL
--- a/quincepier/policy/freshness.py
+++ b/quincepier/policy/freshness.py
@@ -19,16 +19,16 @@
         super().__init__(context)
         self.purges = PurgeLog(MEMORY_MOST)
 
-    def on_purge(self, group: int, obj: int, ago: int) -> None:
-        """Record a purge that was made `ago` ns ago; discard purges that have settled.
+    def on_purge(self, group: int, obj: int, age: int) -> None:
+        """Record a purge; discard purges that have settled.
 
         Args:
             group: The group of objects.
             obj: The object; 0: the whole group.
-            ago: Age of the purge, ns.
+            age: Age of the purge, ns.
         """
         now = self.context.now
-        self.purges.record_purge(group, obj, now - ago, now - self._settled_after)
+        self.purges.record_purge(group, obj, now - age, now - self._settled_after)
 
     def max_age(self, request: Request, stale: bool) -> int:
         """Return the maximum age of the copy for a request, ns; 0: the limit of its request class applies.
--- a/quincepier/policy/latency.py
+++ b/quincepier/policy/latency.py
@@ -7,16 +7,16 @@
 from quincepier.records import MS, SECOND, BaselineKey, Completion, Request
 from quincepier.structures import Baseline, DecayingMean, RunningMeans
 
-HALF_LIFE = 4 * SECOND  # ns; half-life of slowness samples
-PRIOR = 1.5  # assumed samples of usual latency, added to the real ones
-SLOW = 1.3  # multiple of the usual latency, or of the best upstream's, from which an upstream counts as slow
+SLOWNESS_HALF_LIFE = 4 * SECOND  # ns; half-life of slowness samples
+SLOWNESS_PRIOR = 1.5  # assumed samples of usual latency, added to the real ones
+# Multiple of the usual latency, or of the best upstream's, from which an upstream counts as slow.
+SLOW_FACTOR = 1.3
 MIN_BASELINE_SAMPLES = 20  # samples after which the minimum of a baseline is kept
 BASELINE_RISE = 0.01 / SECOND  # rise of that minimum (a logarithm) per ns
 MIN_SAMPLE_WEIGHT = 0.02  # of a new sample in a mean
-MIN_OBJECTIVE = (
-    2.2  # transfer times; so that a cache is not saturated merely for being slow by the factor SLOW
-)
-UNANSWERED = (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
+# Transfer times; large enough that a slowness of SLOW_FACTOR alone does not make a cache count as saturated.
+MIN_OBJECTIVE = 2.2
+OUTCOMES_WITHOUT_RESPONSE = (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
 
 
 class LatencyEstimates(RouterComponent):
@@ -30,7 +30,7 @@
         fetch_slowness: How much slower than usual fetches are, over all sources.
     """
 
-    slow_factor = SLOW  # used when learned facts are restored after a restart
+    slow_factor = SLOW_FACTOR  # used when learned facts are restored after a restart
 
     def __init__(self, context: Context) -> None:
         super().__init__(context)
@@ -39,7 +39,7 @@
         guesses = [min(c.on_time or c.deadline, c.deadline / 2) for c in classes]
         self.transfer_times = RunningMeans(guesses, MIN_SAMPLE_WEIGHT)
         self.baselines = dict[BaselineKey, Baseline]()
-        self.fetch_slowness = DecayingMean(HALF_LIFE, PRIOR)
+        self.fetch_slowness = DecayingMean(SLOWNESS_HALF_LIFE, SLOWNESS_PRIOR)
 
     def transfer_time(self, request: Request) -> float:
         """Return the transfer time of a request, ns: by its size if that is known, else its class's mean."""
@@ -69,7 +69,7 @@
         """
         attempt, now = completion.attempt, self.context.now
         request, elapsed = attempt.request, completion.event.elapsed
-        is_overdue = elapsed > self.objective(request) and completion.outcome in UNANSWERED
+        is_overdue = elapsed > self.objective(request) and completion.outcome in OUTCOMES_WITHOUT_RESPONSE
         if not (completion.is_ok or is_overdue):
             return
         is_cached = not attempt.is_fetch or completion.is_from_cache
@@ -80,9 +80,9 @@
         if completion.is_ok:
             baseline.add(now, sample, MIN_SAMPLE_WEIGHT, MIN_BASELINE_SAMPLES, BASELINE_RISE)
             self.baselines[key] = baseline
-        elif baseline.count == 0 or sample < baseline.least:
+        elif baseline.count == 0 or sample < baseline.minimum:
             return
-        slowness = sample - baseline.least
+        slowness = sample - baseline.minimum
         source = None if is_cached else attempt.source
         if source is None or not completion.is_ok:  # without a response either may be at fault
             attempt.upstream.slowness.add(now, slowness)
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -6,7 +6,7 @@
 from quincepier.context import Context, RouterComponent
 from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, HomeShard
 from quincepier.keys import MEMORY_MOST, mix
-from quincepier.policy.latency import HALF_LIFE, PRIOR, SLOW, LatencyEstimates
+from quincepier.policy.latency import SLOW_FACTOR, SLOWNESS_HALF_LIFE, SLOWNESS_PRIOR, LatencyEstimates
 from quincepier.policy.slow_start import SlowStart
 from quincepier.records import SECOND, Completion, Request, Upstream
 from quincepier.structures import DecayingMean, RecencyMap, RendezvousGroup
@@ -59,7 +59,7 @@
         is_shared = endpoint.kind in (settings.parent_kind, settings.origin_kind)
         if not is_shared and endpoint.zone != settings.zone:
             return None
-        return Upstream(endpoint, DecayingMean(HALF_LIFE, PRIOR), HOT_REQUESTS)
+        return Upstream(endpoint, DecayingMean(SLOWNESS_HALF_LIFE, SLOWNESS_PRIOR), HOT_REQUESTS)
 
     @staticmethod
     def _on_endpoint_updated(upstream: Upstream, previous: Endpoint) -> None:
@@ -133,7 +133,7 @@
             # an upstream without samples counts as one of usual speed
             best = 1.0 if len(measured) < len(group) else min(factors, default=1.0)
             for upstream, factor in zip(measured, factors, strict=True):
-                step = int(WEIGHT_STEPS * math.log2(max(factor / (SLOW * best), 1.0)))
+                step = int(WEIGHT_STEPS * math.log2(max(factor / (SLOW_FACTOR * best), 1.0)))
                 if step != upstream.weight_step:
                     upstream.weight_step = step
                     self.clear_rankings()
@@ -192,7 +192,7 @@
     @staticmethod
     def _load(cache: Upstream, slowness: float) -> float:
         """Return the number of transfers that this front has in flight at a cache; fetches count less."""
-        fetch_load = FETCH_LOAD if slowness < SLOW else 1
+        fetch_load = FETCH_LOAD if slowness < SLOW_FACTOR else 1
         return sum(fetch_load if attempt.is_fetch else 1 for attempt in cache.in_flight.values())
 
     def is_known_hit(self, cache: Upstream, request: Request) -> bool:
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -122,8 +122,8 @@
                 self.on_timer(TimerKind(token & (1 << TIMER_KIND_BITS) - 1), token >> TIMER_KIND_BITS)
             case interface.EndpointUpdate():
                 self.on_endpoint_update(event)
-            case interface.ObjectPurged(group, obj, ago):
-                self.freshness.on_purge(group, obj, ago)
+            case interface.ObjectPurged(group, obj, age):
+                self.freshness.on_purge(group, obj, age)
             case interface.ResponseStarted():
                 self.on_response_started(event)
             case interface.ClientDisconnected(request_id):
--- a/quincepier/recovery/learned_facts.py
+++ b/quincepier/recovery/learned_facts.py
@@ -82,8 +82,8 @@
     def purges(self) -> RecencyMap:
         """Times of purges, by (0, object) or (1, group)."""
 
-    def on_purge(self, group: int, obj: int, ago: int) -> None:
-        """Record a purge that was made `ago` nanoseconds ago."""
+    def on_purge(self, group: int, obj: int, age: int) -> None:
+        """Record a purge that was made `age` nanoseconds ago."""
 
 
 class LearningRouter(Protocol):
@@ -154,10 +154,10 @@
     times = router.latency.transfer_times
     for cls, count in list(times.counts.items()):
         yield interface.LearnedTransferTime(cls, times.means[cls], count, 0)
-    for (cls, is_cached, is_told), baseline in list(router.latency.baselines.items()):
+    for (cls, is_cached, is_size_known), baseline in list(router.latency.baselines.items()):
         age = router.now - baseline.updated_at
         yield interface.LearnedLatency(
-            cls, is_cached, is_told, baseline.mean, baseline.count, baseline.least, age
+            cls, is_cached, is_size_known, baseline.mean, baseline.count, baseline.minimum, age
         )
 
 
--- a/quincepier/structures/baseline.py
+++ b/quincepier/structures/baseline.py
@@ -11,14 +11,14 @@
     Attributes:
         mean: The running mean.
         count: Number of samples.
-        least: The minimum of the mean, as of `updated_at`.
+        minimum: The minimum of the mean, as of `updated_at`.
         updated_at: Time of the last sample, ns.
     """
 
-    __slots__ = ("count", "least", "mean", "updated_at")
+    __slots__ = ("count", "mean", "minimum", "updated_at")
 
-    def __init__(self, mean: float = 0.0, count: int = 0, least: float = 0.0, updated_at: int = 0) -> None:
-        self.mean, self.count, self.least, self.updated_at = mean, count, least, updated_at
+    def __init__(self, mean: float = 0.0, count: int = 0, minimum: float = 0.0, updated_at: int = 0) -> None:
+        self.mean, self.count, self.minimum, self.updated_at = mean, count, minimum, updated_at
 
     def add(self, now: int, sample: float, min_weight: float, min_count: int, rise: float) -> None:
         """Add a sample.
@@ -32,6 +32,6 @@
         """
         self.mean += (sample - self.mean) * max(min_weight, 1 / (self.count + 1))
         self.count += 1
-        risen = self.least + rise * (now - self.updated_at)
-        self.least = min(risen, self.mean) if self.count > min_count else self.mean
+        risen = self.minimum + rise * (now - self.updated_at)
+        self.minimum = min(risen, self.mean) if self.count > min_count else self.mean
         self.updated_at = now
--- a/tests/policy_recording.py
+++ b/tests/policy_recording.py
@@ -363,40 +363,44 @@
         self.fault_by_machine.pop(machine, None)
 
     def change_endpoint_list(self) -> None:
-        chance, known = self.random, list(self.endpoint_by_id.values())
-        if not known:
+        chance, endpoints = self.random, list(self.endpoint_by_id.values())
+        if not endpoints:
             return
-        one = chance.choice(known)
+        endpoint = chance.choice(endpoints)
         match chance.choice(
             ("drain", "ready", "gone", "cold", "cold", "size", "new", "whole", "failed", "far")
         ):
             case "drain":
-                one = replace(one, state=EndpointState.DRAINING)
+                endpoint = replace(endpoint, state=EndpointState.DRAINING)
             case "ready":
-                one = replace(one, state=EndpointState.READY)
+                endpoint = replace(endpoint, state=EndpointState.READY)
             case "gone":
-                one = replace(one, state=EndpointState.GONE)
+                endpoint = replace(endpoint, state=EndpointState.GONE)
             case "cold":
-                one = replace(one, state=EndpointState.READY, up_since=self.now - chance.randrange(SECOND))
-                self.cached_keys.pop(one.cache, None)
+                endpoint = replace(
+                    endpoint, state=EndpointState.READY, up_since=self.now - chance.randrange(SECOND)
+                )
+                self.cached_keys.pop(endpoint.cache, None)
             case "size":
-                one = replace(one, size=round(chance.uniform(5, 60), 1))
+                endpoint = replace(endpoint, size=round(chance.uniform(5, 60), 1))
             case "new":
                 gone = [m for m in self.plan.machines if m.cache not in self.endpoint_by_id]
-                one = replace(chance.choice(gone or [replace(known[0], cache=104)]), up_since=self.now)
+                endpoint = replace(
+                    chance.choice(gone or [replace(endpoints[0], cache=104)]), up_since=self.now
+                )
             case "whole":
-                self.handle(io.EndpointUpdate(UpdateScope.FULL, tuple(known)))
+                self.handle(io.EndpointUpdate(UpdateScope.FULL, tuple(endpoints)))
                 return
             case "failed":
                 self.handle(io.EndpointUpdate(UpdateScope.FAILED, ()))
                 return
             case "far":
-                one = replace(known[0], cache=900 + chance.randrange(4), zone=7)
-        if one.state is EndpointState.GONE:
-            self.endpoint_by_id.pop(one.cache, None)
+                endpoint = replace(endpoints[0], cache=900 + chance.randrange(4), zone=7)
+        if endpoint.state is EndpointState.GONE:
+            self.endpoint_by_id.pop(endpoint.cache, None)
         else:
-            self.endpoint_by_id[one.cache] = one
-        self.handle(io.EndpointUpdate(UpdateScope.CHANGES, (one,)))
+            self.endpoint_by_id[endpoint.cache] = endpoint
+        self.handle(io.EndpointUpdate(UpdateScope.CHANGES, (endpoint,)))
 
     def pause_process(self, span: int) -> None:
         """The process does not run for a while; events that are due meanwhile are handled late."""
@@ -608,12 +612,12 @@
     for name, plan in plans().items():
         for start, lines in enumerate(SimulatedSite(plan).play()):
             write(f"site-{name}-{start}", lines)
-    for name, streams, most in (
+    for name, streams, max_lines in (
         ("bad-day", record_bad_day(), 1200),
         ("killed-cold", record_killed_cold(), 1000),
     ):
         for start, lines in enumerate(streams):
-            write(f"lab-{name}-{start}", lines[:most])
+            write(f"lab-{name}-{start}", lines[:max_lines])
 
 
 if __name__ == "__main__":
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -161,10 +161,10 @@
 }
 
 
-@pytest.mark.parametrize("told", [{}, SIZES_KNOWN], ids=["untold", "told"])
+@pytest.mark.parametrize("settings", [{}, SIZES_KNOWN], ids=["sizes unknown", "sizes known"])
 @pytest.mark.parametrize("name", LOW_LOAD)
-def test_at_low_load_large_objects_are_served_like_the_rest(name: str, told: dict[str, Any]) -> None:
-    assert find_underserved(LOW_LOAD[name], told, MIN_SHARE_LOW_LOAD) == {}
+def test_at_low_load_large_objects_are_served_like_the_rest(name: str, settings: dict[str, Any]) -> None:
+    assert find_underserved(LOW_LOAD[name], settings, MIN_SHARE_LOW_LOAD) == {}
 
 
 @pytest.mark.parametrize("name", FULL_LOAD)
@@ -213,13 +213,13 @@
 
 
 @pytest.mark.parametrize(
-    ("mutant", "told"), [(reject_large_objects, SIZES_KNOWN), (cancel_slow_attempts, {})]
+    ("mutant", "settings"), [(reject_large_objects, SIZES_KNOWN), (cancel_slow_attempts, {})]
 )
 def test_a_policy_that_rejects_large_objects_is_detected(
-    monkeypatch: pytest.MonkeyPatch, mutant: Callable[[pytest.MonkeyPatch], None], told: dict[str, Any]
+    monkeypatch: pytest.MonkeyPatch, mutant: Callable[[pytest.MonkeyPatch], None], settings: dict[str, Any]
 ) -> None:
     mutant(monkeypatch)
     found = Counter(
-        name.split(", ")[0] for name in find_underserved(LOW_LOAD["as usual"], told, MIN_SHARE_LOW_LOAD)
+        name.split(", ")[0] for name in find_underserved(LOW_LOAD["as usual"], settings, MIN_SHARE_LOW_LOAD)
     )
     assert found["video"]
--- a/tests/test_policy_homes.py
+++ b/tests/test_policy_homes.py
@@ -86,8 +86,8 @@
     bench = make_homed_bench(lambda e: home(closed=True))
     assert len(attempts(bench.send_request(1, cls=0))) == 1
     for n in (1, 2):
-        done = bench.send_request(10 + n, cls=n)
-        assert attempts(done) == [] and rejected_requests(done) == [10 + n]
+        actions = bench.send_request(10 + n, cls=n)
+        assert attempts(actions) == [] and rejected_requests(actions) == [10 + n]
         assert 10 + n not in bench.router.requests
     bench.router.find_home = lambda e: home()
     assert len(attempts(bench.send_request(20, cls=2))) == 1
@@ -103,8 +103,8 @@
 
     bench = make_homed_bench(found)
     (sent,) = attempts(bench.send_request(1))
-    (again,) = attempts(bench.complete_attempt(sent, AttemptOutcome.CONNECT_FAILED))
-    assert {sent.cache, again.cache} == set(CACHES[:2]) and calls == [1]
+    (retry,) = attempts(bench.complete_attempt(sent, AttemptOutcome.CONNECT_FAILED))
+    assert {sent.cache, retry.cache} == set(CACHES[:2]) and calls == [1]
 
 
 def each_attempt_is_reported_to_the_observer() -> None:
@@ -115,9 +115,9 @@
 
     bench.router.sender.observer = observer
     (sent,) = attempts(bench.send_request(1))
-    (again,) = attempts(bench.complete_attempt(sent, AttemptOutcome.CONNECT_FAILED))
-    assert isinstance(sent, io.FetchThrough) and isinstance(again, io.FetchThrough)
-    assert observed == [(1, a.cache, a.source) for a in (sent, again)]
+    (retry,) = attempts(bench.complete_attempt(sent, AttemptOutcome.CONNECT_FAILED))
+    assert isinstance(sent, io.FetchThrough) and isinstance(retry, io.FetchThrough)
+    assert observed == [(1, a.cache, a.source) for a in (sent, retry)]
 
 
 def a_hold_in_a_home_ends_at_its_next_machine() -> None:
@@ -142,9 +142,9 @@
     for direct in (True, False):
         bench = make_homed_bench(lambda e: home(), direct=direct)
         bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, drains))
-        done = bench.send_request(1)
-        assert [a.cache for a in attempts(done)] == [PARENTS[0]] * direct
-        assert rejected_requests(done) == [1] * (not direct)
+        actions = bench.send_request(1)
+        assert [a.cache for a in attempts(actions)] == [PARENTS[0]] * direct
+        assert rejected_requests(actions) == [1] * (not direct)
 
 
 def the_list_moves_keys_within_a_home() -> None:
--- a/tests/test_policy_mechanism.py
+++ b/tests/test_policy_mechanism.py
@@ -38,8 +38,8 @@
 
 def test_the_fetch_limit_holds_possible_fetches_and_known_hits_pass() -> None:
     bench = RouterBench()
-    (seen,) = attempts(bench.send_request(1, obj=7))
-    bench.complete_attempt(seen, AttemptOutcome.OK, CacheStatus.HIT)
+    (first_sent,) = attempts(bench.send_request(1, obj=7))
+    bench.complete_attempt(first_sent, AttemptOutcome.OK, CacheStatus.HIT)
     assert len(send_many(bench, 0, 100, 30)) == 16
     assert len(attempts(bench.send_request(2, obj=7))) == 1
     bench.now += 6 * SECOND
@@ -48,10 +48,10 @@
 
 def test_the_fetch_limit_doubles_with_held_requests_and_halves_after_refusals() -> None:
     bench = RouterBench()
-    out = send_many(bench, 0, 0, 40)
+    outstanding = send_many(bench, 0, 0, 40)
     more = [
         a
-        for sent in out
+        for sent in outstanding
         for a in attempts(bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED))
     ]
     assert bench.router.fetch_limit.limit == 32
@@ -60,44 +60,48 @@
     assert bench.router.fetch_limit.limit == 16
 
 
-@pytest.mark.parametrize("least", [4, 5, 6, 7, 12])
-def test_the_fetch_limit_rises_from_any_minimum_when_fetches_go_well(least: int) -> None:
+@pytest.mark.parametrize("initial_limit", [4, 5, 6, 7, 12])
+def test_the_fetch_limit_rises_from_any_minimum_when_fetches_go_well(initial_limit: int) -> None:
     """The fetch that has just completed counts as in use; otherwise a small limit was never nearly used."""
     bench = RouterBench()
-    bench.router.fetch_limit.limit = least
-    out = send_many(bench, 0, 0, 60)
-    assert len(out) == least
-    for _ in range(least):
-        out += attempts(bench.complete_attempt(out.pop(0), AttemptOutcome.OK, CacheStatus.FILLED))
-    assert bench.router.fetch_limit.limit == 2 * least
+    bench.router.fetch_limit.limit = initial_limit
+    outstanding = send_many(bench, 0, 0, 60)
+    assert len(outstanding) == initial_limit
+    for _ in range(initial_limit):
+        outstanding += attempts(
+            bench.complete_attempt(outstanding.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)
+        )
+    assert bench.router.fetch_limit.limit == 2 * initial_limit
 
 
 def test_held_requests_are_released_by_tier_weights() -> None:
     bench = RouterBench(make_settings(classes=THREE_CLASSES))
-    out = send_many(bench, 0, 0, 16)
+    outstanding = send_many(bench, 0, 0, 16)
     for cls in range(2):
         send_many(bench, cls, 1000 * (cls + 1), 200)
     bench.router.queue.released_at = [bench.now] * 3
-    left: Counter[int] = Counter()
+    counts: Counter[int] = Counter()
     for _ in range(95):
         bench.router.fetch_limit.limit = 16
         bench.router.latency.transfer_times.means = [0.5 * SECOND] * 3
-        for freed in attempts(bench.complete_attempt(out.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)):
-            left[freed.request // 1000] += 1
-            out.append(freed)
-    assert abs(left[1] - 80) <= 1 and abs(left[2] - 15) <= 1
+        for released in attempts(
+            bench.complete_attempt(outstanding.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)
+        ):
+            counts[released.request // 1000] += 1
+            outstanding.append(released)
+    assert abs(counts[1] - 80) <= 1 and abs(counts[2] - 15) <= 1
 
 
 def test_other_tiers_use_the_share_of_an_empty_tier() -> None:
     bench = RouterBench(make_settings(classes=THREE_CLASSES))
-    out = send_many(bench, 0, 0, 16)
+    outstanding = send_many(bench, 0, 0, 16)
     send_many(bench, 1, 1000, 20)
-    freed = [
+    released = [
         a
-        for sent in out
+        for sent in outstanding
         for a in attempts(bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED))
     ]
-    assert len(freed) >= 16 and all(a.request >= 1000 for a in freed)
+    assert len(released) >= 16 and all(a.request >= 1000 for a in released)
 
 
 def test_near_the_fetch_limit_the_lowest_tier_is_shed() -> None:
@@ -105,17 +109,21 @@
     send_many(bench, 0, 0, 13)
     (early,) = attempts(bench.send_request(500, cls=2, obj=500))
     assert isinstance(early, io.FetchThrough) and early.source != early.cache
-    (looked,) = attempts(bench.send_request(501, cls=2, obj=501))
-    assert isinstance(looked, io.FetchThrough) and looked.source == looked.cache
-    done = bench.complete_attempt(looked, AttemptOutcome.MISS)
-    assert rejected_requests(done) == [501] and attempts(done) == []
+    (cache_only,) = attempts(bench.send_request(501, cls=2, obj=501))
+    assert isinstance(cache_only, io.FetchThrough) and cache_only.source == cache_only.cache
+    actions = bench.complete_attempt(cache_only, AttemptOutcome.MISS)
+    assert rejected_requests(actions) == [501] and attempts(actions) == []
 
 
 def test_a_shed_request_accepts_a_stale_copy_within_the_grace_time() -> None:
     bench = RouterBench()
     send_many(bench, 0, 0, 16)
-    (looked,) = attempts(bench.send_request(501, cls=1, obj=501))
-    assert isinstance(looked, io.FetchThrough) and looked.age == 22 * SECOND and looked.source == looked.cache
+    (cache_only,) = attempts(bench.send_request(501, cls=1, obj=501))
+    assert (
+        isinstance(cache_only, io.FetchThrough)
+        and cache_only.age == 22 * SECOND
+        and cache_only.source == cache_only.cache
+    )
 
 
 def test_placement_is_stable_as_the_list_changes() -> None:
@@ -152,8 +160,8 @@
     bench = RouterBench()
     (sent,) = attempts(bench.send_request(1))
     assert isinstance(sent, io.FetchThrough)
-    (again,) = attempts(bench.complete_attempt(sent, AttemptOutcome.OVERLOADED, CacheStatus.SOURCE_BROKEN))
-    assert isinstance(again, io.FetchThrough) and {sent.source, again.source} == set(PARENTS)
+    (retry,) = attempts(bench.complete_attempt(sent, AttemptOutcome.OVERLOADED, CacheStatus.SOURCE_BROKEN))
+    assert isinstance(retry, io.FetchThrough) and {sent.source, retry.source} == set(PARENTS)
 
 
 def test_a_hot_object_is_served_by_two_caches() -> None:
@@ -173,9 +181,9 @@
 
 def test_an_ejected_cache_releases_its_fetch_slots_and_returns_after_a_trial() -> None:
     bench = RouterBench()
-    out = send_many(bench, 0, 0, 16)
-    lost = out[0].cache
-    bench.complete_attempt(out[0], AttemptOutcome.CONNECT_FAILED)
+    outstanding = send_many(bench, 0, 0, 16)
+    lost = outstanding[0].cache
+    bench.complete_attempt(outstanding[0], AttemptOutcome.CONNECT_FAILED)
     assert bench.router.placement.table.by_id[lost].is_ejected
     assert bench.router.fetch_limit.in_flight < 16
     bench.advance(900 * MS)
@@ -222,8 +230,8 @@
 def test_same_events_give_the_same_actions() -> None:
     def play() -> list[tuple[int, io.Action]]:
         bench = RouterBench()
-        out = send_many(bench, 0, 0, 40)
-        bench.complete_attempt(out[3], AttemptOutcome.RESET)
+        outstanding = send_many(bench, 0, 0, 40)
+        bench.complete_attempt(outstanding[3], AttemptOutcome.RESET)
         bench.advance(3 * SECOND)
         return bench.action_log
 
@@ -247,23 +255,25 @@
     """Guards against a link with more transfers than it can send in time, which makes all of them late."""
     small = tuple(replace(m, size=4.0) if m.kind == 0 else m for m in fleet())
     bench = RouterBench(machines=small)
-    (seen,) = attempts(bench.send_request(1, obj=7))
-    bench.complete_attempt(seen, AttemptOutcome.OK, CacheStatus.HIT)
+    (first_sent,) = attempts(bench.send_request(1, obj=7))
+    bench.complete_attempt(first_sent, AttemptOutcome.OK, CacheStatus.HIT)
     bench.router.latency.transfer_times.means[0] = 0.5 * SECOND
-    out = [a for n in range(10, 30) for a in attempts(bench.send_request(n, obj=7, part=0))]
+    outstanding = [a for n in range(10, 30) for a in attempts(bench.send_request(n, obj=7, part=0))]
     capacity = SATURATION_SHARE * (500 / 500 + 2)  # share of the slowdown that the class tolerates
-    assert len(out) == int(capacity * 4 / 2)  # a link of 4 transfers, shared by two fronts
-    freed = attempts(bench.complete_attempt(out[0], AttemptOutcome.OK, CacheStatus.HIT, elapsed=500 * MS))
-    assert freed
+    assert len(outstanding) == int(capacity * 4 / 2)  # a link of 4 transfers, shared by two fronts
+    released = attempts(
+        bench.complete_attempt(outstanding[0], AttemptOutcome.OK, CacheStatus.HIT, elapsed=500 * MS)
+    )
+    assert released
 
 
 def test_single_slow_fetches_and_slow_hits_do_not_change_the_fetch_limit() -> None:
     """A large object is slow by itself, and the latency of a hit says nothing of fetches."""
     bench = RouterBench()
     for n in range(40):
-        note = CacheStatus.FILLED if n % 8 else CacheStatus.HIT
+        status = CacheStatus.FILLED if n % 8 else CacheStatus.HIT
         (sent,) = attempts(bench.send_request(n, obj=n))
-        bench.complete_attempt(sent, AttemptOutcome.OK, note, elapsed=(60 if n % 8 else 4000) * MS)
+        bench.complete_attempt(sent, AttemptOutcome.OK, status, elapsed=(60 if n % 8 else 4000) * MS)
         bench.advance(SECOND)
     assert bench.router.fetch_limit.limit == 16
 
@@ -281,21 +291,21 @@
             bench.complete_attempt(
                 sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=(1000 if slow else 100) * MS
             )
-    taken = left = 0
+    taken = sent_count = 0
     for n in range(40):
         for sent in attempts(bench.send_request(n, obj=n, size_kb=400.0)):
-            taken, left = taken + (sent.cache == cache), left + 1
+            taken, sent_count = taken + (sent.cache == cache), sent_count + 1
             bench.complete_attempt(
                 sent, AttemptOutcome.OK, CacheStatus.HIT, elapsed=(1000 if sent.cache == cache else 100) * MS
             )
-    return taken, left
+    return taken, sent_count
 
 
 def test_a_slow_machine_gets_fewer_requests_and_recovers() -> None:
     bench = RouterBench()
     assert count_requests_at_slow_cache(bench, CACHES[0], 0)[0] > 0
-    taken, left = count_requests_at_slow_cache(bench, CACHES[0], 60)
-    assert left == 40 and taken <= 4  # a small part of its keys remains, which measures its speed
+    taken, sent_count = count_requests_at_slow_cache(bench, CACHES[0], 60)
+    assert sent_count == 40 and taken <= 4  # a small part of its keys remains, which measures its speed
     bench.advance(20 * SECOND)  # the samples decay, and the machine is used again
     homes = {
         a.cache for n in range(2000, 2040) for a in attempts(bench.send_request(n, obj=n, size_kb=400.0))
@@ -358,9 +368,9 @@
     bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT, report=(20.0,))
     assert attempts(bench.send_request(2, obj=2)) == []  # a fetch
     (hit,) = attempts(bench.send_request(3, obj=1))  # a known hit needs no link
-    freed = attempts(bench.complete_attempt(hit, AttemptOutcome.OK, CacheStatus.HIT, report=(0.5,)))
-    assert [a.request for a in freed] == [2]
-    bench.complete_attempt(freed[0], AttemptOutcome.OK, CacheStatus.HIT, report=(20.0,))
+    released = attempts(bench.complete_attempt(hit, AttemptOutcome.OK, CacheStatus.HIT, report=(0.5,)))
+    assert [a.request for a in released] == [2]
+    bench.complete_attempt(released[0], AttemptOutcome.OK, CacheStatus.HIT, report=(20.0,))
     assert attempts(bench.send_request(4, obj=4)) == []
     bench.advance(5 * SECOND)  # without a recent report the link is judged by the latency of fetches
     assert len(attempts(bench.send_request(5, obj=5))) == 1
@@ -415,8 +425,8 @@
     saturate_first_cache(bench)
     assert attempts(bench.send_request(2, obj=7)) == []
     bench.router.fetch_limit.in_flight = bench.router.fetch_limit.limit // 2
-    done = bench.advance(2 * SECOND)
-    assert attempts(done) == [] and rejected_requests(done) == [2]
+    actions = bench.advance(2 * SECOND)
+    assert attempts(actions) == [] and rejected_requests(actions) == [2]
 
 
 def fleet_without_sizes(**more: Any) -> tuple[io.Endpoint, ...]:
@@ -517,9 +527,11 @@
     for n in range(60):
         for sent in attempts(bench.send_request(n, obj=n)):
             late = n >= 30 and sent.cache == CACHES[0]
-            ending, took = (AttemptOutcome.CANCELLED, 3000 * MS) if late else (AttemptOutcome.OK, 100 * MS)
+            outcome, elapsed = (
+                (AttemptOutcome.CANCELLED, 3000 * MS) if late else (AttemptOutcome.OK, 100 * MS)
+            )
             bench.complete_attempt(
-                sent, ending, CacheStatus.NONE if late else CacheStatus.FILLED, elapsed=took
+                sent, outcome, CacheStatus.NONE if late else CacheStatus.FILLED, elapsed=elapsed
             )
     slow, *others = (bench.router.placement.table.by_id[c].slowness.factor(bench.now) for c in CACHES)
     assert slow > 2 * max(others)
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -132,12 +132,12 @@
         assert len(earlier) < self.settings.attempts
         assert effect is not Idempotency.UNSAFE or not executed
         if effect is Idempotency.KEYED and executed:
-            here = self.endpoint_by_id[sent.cache]
+            endpoint = self.endpoint_by_id[sent.cache]
             for at, cache in executed:
                 first = self.endpoint_by_id[cache]
                 assert self.now - at < cls.window
-                assert cls.group is DeduplicationScope.ALL or first.zone == here.zone
-                assert cls.group is not DeduplicationScope.CELL or first.cell == here.cell
+                assert cls.group is DeduplicationScope.ALL or first.zone == endpoint.zone
+                assert cls.group is not DeduplicationScope.CELL or first.cell == endpoint.cell
         targets = [sent.cache] + ([sent.source] if isinstance(sent, io.FetchThrough) else [])
         for target in targets:
             assert self.endpoint_by_id[target].state is EndpointState.READY, "draining or not listed"
@@ -158,7 +158,7 @@
         s, m, sent = self.settings, self.endpoint_by_id[cache], self.sends_since_start[cache]
         sent.append(self.now)
         first = self.now - s.cold_window
-        least, multiple = (
+        initial_share, multiple = (
             (s.parent_cold_from, s.parent_cold_multiple)
             if m.kind == s.parent_kind
             else (s.cold_from, s.cold_multiple)
@@ -167,7 +167,7 @@
             work = (sum(at > first for at in sent) - 1) * min(
                 self.router.latency.transfer_times.means
             )  # one may overdraw
-            assert work * s.fronts <= multiple * least * m.size * s.cold_window
+            assert work * s.fronts <= multiple * initial_share * m.size * s.cold_window
 
     def check_final(self, action: io.Action, request: int) -> None:
         assert request in self.open_requests, "a second final response"
@@ -255,14 +255,14 @@
                 del self.open_requests[request]
                 self.handle(io.ClientDisconnected(request))
         elif kind == 11 and self.open_attempts:
-            request, no = sorted(self.open_attempts)[pick % len(self.open_attempts)]
+            request, number = sorted(self.open_attempts)[pick % len(self.open_attempts)]
             stream = (
                 request in self.open_requests
                 and self.settings.classes[self.open_requests[request][0].cls].stream
             )
             if stream and request not in self.streaming:
                 self.streaming.add(request)
-                self.handle(io.ResponseStarted(request, no, self.open_attempts[request, no][0].cache))
+                self.handle(io.ResponseStarted(request, number, self.open_attempts[request, number][0].cache))
 
     def finish(self) -> None:
         while self.open_attempts:
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -64,24 +64,24 @@
 
 
 @pytest.mark.parametrize(
-    "ending", [AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED]
+    "outcome", [AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED]
 )
-def test_unsafe_work_that_may_have_run_fails(ending: AttemptOutcome) -> None:
+def test_unsafe_work_that_may_have_run_fails(outcome: AttemptOutcome) -> None:
     bench = RouterBench(make_settings(classes=(UNSAFE,)))
     (sent,) = attempts(bench.send_request(1))
     assert sent.cache == ORIGIN_ID
-    done = bench.complete_attempt(sent, ending)
-    assert final_responses(done) == [io.FailRequest(1)] and attempts(done) == []
+    actions = bench.complete_attempt(sent, outcome)
+    assert final_responses(actions) == [io.FailRequest(1)] and attempts(actions) == []
 
 
 @pytest.mark.parametrize(
-    "ending", [AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MISS]
+    "outcome", [AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MISS]
 )
-def test_unsafe_work_that_never_ran_is_sent_again(ending: AttemptOutcome) -> None:
+def test_unsafe_work_that_never_ran_is_sent_again(outcome: AttemptOutcome) -> None:
     bench = RouterBench(make_settings(classes=(UNSAFE,)))
     (sent,) = attempts(bench.send_request(1))
-    done = bench.complete_attempt(sent, ending)
-    assert len(attempts(done)) == 1 and final_responses(done) == []
+    actions = bench.complete_attempt(sent, outcome)
+    assert len(attempts(actions)) == 1 and final_responses(actions) == []
 
 
 @pytest.mark.parametrize("group", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
@@ -89,11 +89,11 @@
     keyed = make_class(effect=Idempotency.KEYED, group=group)
     bench = RouterBench(make_settings(classes=(keyed,)))
     (sent,) = attempts(bench.send_request(1))
-    done = bench.complete_attempt(sent, AttemptOutcome.ERROR)
+    actions = bench.complete_attempt(sent, AttemptOutcome.ERROR)
     if group is DeduplicationScope.ZONE:
-        assert len(attempts(done)) == 1
+        assert len(attempts(actions)) == 1
     else:  # every cache of the rig is a cell of its own
-        assert attempts(done) == [] and final_responses(done) == [io.FailRequest(1)]
+        assert attempts(actions) == [] and final_responses(actions) == [io.FailRequest(1)]
 
 
 def test_keyed_work_is_not_sent_again_past_its_window() -> None:
@@ -101,8 +101,8 @@
     bench = RouterBench(make_settings(classes=(keyed,)))
     (sent,) = attempts(bench.send_request(1))
     bench.now += SECOND
-    done = bench.complete_attempt(sent, AttemptOutcome.ERROR)
-    assert attempts(done) == [] and rejected_requests(done) == [1]
+    actions = bench.complete_attempt(sent, AttemptOutcome.ERROR)
+    assert attempts(actions) == [] and rejected_requests(actions) == [1]
 
 
 def test_a_draining_machine_is_neither_target_nor_source() -> None:
@@ -121,12 +121,12 @@
 
 def test_a_held_request_finds_another_cache_after_a_drain() -> None:
     bench = RouterBench()
-    out = [a for n in range(16) for a in attempts(bench.send_request(n, obj=n))]
-    assert len(out) == 16
+    outstanding = [a for n in range(16) for a in attempts(bench.send_request(n, obj=n))]
+    assert len(outstanding) == 16
     assert attempts(bench.send_request(99, obj=99)) == []
     for cache in CACHES[:2]:
         bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (machine(cache, state=EndpointState.DRAINING),)))
-    released = attempts(bench.complete_attempt(out[0], AttemptOutcome.OK, CacheStatus.FILLED))
+    released = attempts(bench.complete_attempt(outstanding[0], AttemptOutcome.OK, CacheStatus.FILLED))
     assert [(a.request, a.cache) for a in released] == [(99, CACHES[2])]
 
 
@@ -209,10 +209,10 @@
 
 def test_a_purge_during_a_hold_applies_at_the_release() -> None:
     bench = RouterBench()
-    out = [a for n in range(16) for a in attempts(bench.send_request(n, obj=100 + n))]
+    outstanding = [a for n in range(16) for a in attempts(bench.send_request(n, obj=100 + n))]
     bench.send_request(99, obj=5)
     bench.handle(io.ObjectPurged(3, 5, 200 * MS))
-    (late,) = attempts(bench.complete_attempt(out[0], AttemptOutcome.OK, CacheStatus.FILLED))
+    (late,) = attempts(bench.complete_attempt(outstanding[0], AttemptOutcome.OK, CacheStatus.FILLED))
     assert isinstance(late, io.FetchThrough) and late.request == 99 and late.age == 200 * MS
 
 
@@ -223,13 +223,13 @@
     for _ in range(6):
         open_now += 1
         assert open_now == 1
-        done = bench.complete_attempt(sent, AttemptOutcome.RESET)
+        actions = bench.complete_attempt(sent, AttemptOutcome.RESET)
         open_now -= 1
-        if final_responses(done):
+        if final_responses(actions):
             break
-        (sent,) = attempts(done)
+        (sent,) = attempts(actions)
     else:
-        pytest.fail("the request never got its final answer")
+        pytest.fail("the request got no final response")
 
 
 def test_a_full_list_removes_machines_that_it_does_not_name() -> None:
@@ -252,18 +252,18 @@
 def test_a_request_with_no_time_left_is_answered_at_once() -> None:
     """After a process pause requests may have no time left; each still needs one final response."""
     bench = RouterBench()
-    done = bench.send_request(1, time_left=0)
-    assert len(final_responses(done)) == 1 and attempts(done) == []
+    actions = bench.send_request(1, time_left=0)
+    assert len(final_responses(actions)) == 1 and attempts(actions) == []
 
 
 def test_no_attempt_is_sent_after_the_deadline() -> None:
     """After a process pause a completed attempt may free a slot before the deadline's timer is handled."""
     bench = RouterBench()
-    out = [a for n in range(16) for a in attempts(bench.send_request(n, obj=100 + n))]
+    outstanding = [a for n in range(16) for a in attempts(bench.send_request(n, obj=100 + n))]
     bench.send_request(99, obj=99)
     bench.now += 5 * SECOND
-    done = bench.complete_attempt(out[0], AttemptOutcome.OK, CacheStatus.FILLED)
-    assert attempts(done) == [] and len(final_responses(done)) == 1
+    actions = bench.complete_attempt(outstanding[0], AttemptOutcome.OK, CacheStatus.FILLED)
+    assert attempts(actions) == [] and len(final_responses(actions)) == 1
 
 
 def test_a_process_pause_ejects_no_cache() -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -262,7 +262,7 @@
     return (
         times.means,
         +times.counts,
-        {key: round(baseline.least, 6) for key, baseline in router.latency.baselines.items()},
+        {key: round(baseline.minimum, 6) for key, baseline in router.latency.baselines.items()},
         router.fetch_limit.limit,
         {kind: round(work.total) for kind, work in served.sums.items() if round(work.total)},
         served.since,
--- a/tests/test_standing_cold.py
+++ b/tests/test_standing_cold.py
@@ -92,13 +92,13 @@
         )
 
 
-def play_starts(is_parent: bool, informed_count: int, how: str) -> FleetLoad:
+def play_starts(is_parent: bool, informed_count: int, second_start: str) -> FleetLoad:
     fleet_of = FleetLoad(is_parent, informed_count)
     fleet_of.report_start(fleet_of.cold, START_TIME)
     fleet_of.play(3 * SECOND)
-    if how == "again":  # within its warm-up
+    if second_start == "again":  # within its warm-up
         fleet_of.report_start(fleet_of.cold, START_TIME + 3 * SECOND)
-    elif how == "other id":
+    elif second_start == "other id":
         fleet_of.report_start(OTHER_ID, START_TIME + 3 * SECOND)
     fleet_of.play(4 * SECOND)
     return fleet_of
@@ -136,23 +136,24 @@
 
 @pytest.mark.parametrize("is_parent", [False, True])
 @pytest.mark.parametrize(
-    ("informed_count", "how"),
+    ("informed_count", "second_start"),
     [(FRONTS, "first"), (FRONTS // 2, "first"), (FRONTS // 2, "again"), (FRONTS // 2, "other id")],
 )
 def test_informed_fronts_together_never_overload_a_cold_machine(
-    is_parent: bool, informed_count: int, how: str
+    is_parent: bool, informed_count: int, second_start: str
 ) -> None:
-    fleet_of = play_starts(is_parent, informed_count, how)
+    fleet_of = play_starts(is_parent, informed_count, second_start)
     assert not fleet_of.is_overloaded()
     assert any(n in fleet_of.informed_fronts for _, n in fleet_of.sends)  # it is used at all
 
 
 @pytest.mark.parametrize(
-    ("how", "mutant"), [("first", whole_budget_each), ("again", cold_only_once), ("other id", new_id_is_warm)]
+    ("second_start", "mutant"),
+    [("first", whole_budget_each), ("again", cold_only_once), ("other id", new_id_is_warm)],
 )
 def test_an_overload_by_informed_fronts_is_detected(
-    monkeypatch: pytest.MonkeyPatch, how: str, mutant: object
+    monkeypatch: pytest.MonkeyPatch, second_start: str, mutant: object
 ) -> None:
     assert callable(mutant)
     mutant(monkeypatch)
-    assert play_starts(False, FRONTS // 2, how).is_overloaded()
+    assert play_starts(False, FRONTS // 2, second_start).is_overloaded()
--- a/tests/test_standing_floors.py
+++ b/tests/test_standing_floors.py
@@ -121,8 +121,8 @@
 def count_releases_by_tier() -> Counter[int]:
     """Releases by tier while all tiers wait and a fetch slot becomes free every 100 ms for four seconds."""
     classes = tuple(make_class(worth=w, on_time=60 * SECOND, deadline=90 * SECOND) for w in (3.0, 2.0, 1.0))
-    bench, left = RouterBench(make_settings(classes=classes)), Counter[int]()
-    out = [a for n in range(16) for a in attempts(bench.send_request(n, obj=n))]
+    bench, counts = RouterBench(make_settings(classes=classes)), Counter[int]()
+    outstanding = [a for n in range(16) for a in attempts(bench.send_request(n, obj=n))]
     for tier in (0, 1, 2):
         for n in range(60 if tier < 2 else 2):
             bench.send_request(1000 * (tier + 1) + n, tier, obj=1000 * (tier + 1) + n)
@@ -130,14 +130,16 @@
         bench.now += 100 * MS
         bench.router.fetch_limit.limit = 16
         bench.router.latency.transfer_times.means = [0.5 * SECOND] * 3
-        for freed in attempts(bench.complete_attempt(out.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)):
-            left[freed.request // 1000 - 1] += 1
-            out.append(freed)
-    return left
+        for released in attempts(
+            bench.complete_attempt(outstanding.pop(0), AttemptOutcome.OK, CacheStatus.FILLED)
+        ):
+            counts[released.request // 1000 - 1] += 1
+            outstanding.append(released)
+    return counts
 
 
 def test_the_weighted_release_does_not_starve_the_lowest(monkeypatch: pytest.MonkeyPatch) -> None:
-    left = count_releases_by_tier()
-    assert left[0] > left[1] > left[2] == 2, left
+    counts = count_releases_by_tier()
+    assert counts[0] > counts[1] > counts[2] == 2, counts
     release_highest_tier_first(monkeypatch)
     assert count_releases_by_tier()[2] == 0
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -55,14 +55,14 @@
 
 
 def test_tiers_are_released_by_their_weights() -> None:
-    queue, left = make_queue(), Counter[int]()
+    queue, released = make_queue(), Counter[int]()
     for n in range(300):
         queue.push(Item(n % 3, n))
     for _ in range(100):
         item = queue.pop(0, always)
         assert item is not None
-        left[item.tier] += 1
-    assert left == {0: 80, 1: 15, 2: 5}
+        released[item.tier] += 1
+    assert released == {0: 80, 1: 15, 2: 5}
 
 
 def test_a_tier_without_a_release_for_a_floor_interval_goes_first() -> None:
@@ -85,15 +85,15 @@
 
 
 def test_only_the_first_keys_of_a_tier_are_examined() -> None:
-    queue, looked = make_queue(), list[int]()
+    queue, examined = make_queue(), list[int]()
     for n in range(40):
         queue.push(Item(0, n))
 
     def is_ready(item: Item) -> bool:
-        looked.append(item.key)
+        examined.append(item.key)
         return False
 
-    assert queue.pop(0, is_ready) is None and looked == list(range(16))
+    assert queue.pop(0, is_ready) is None and examined == list(range(16))
 
 
 def test_a_longer_queue_of_one_key_is_preferred_by_full_steps() -> None:
@@ -153,7 +153,7 @@
         baseline.add(n, 1.0, min_weight=0.02, min_count=20, rise=0.0)
     for n in range(100):
         baseline.add(30 + n, 3.0, min_weight=0.02, min_count=20, rise=0.001)
-    assert baseline.mean > 2.5 and 1.0 < baseline.least < 1.2
+    assert baseline.mean > 2.5 and 1.0 < baseline.minimum < 1.2
 
 
 def test_running_means_weigh_samples_equally_and_can_be_reset() -> None:
@@ -168,12 +168,12 @@
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 5)), max_size=60))
 def test_a_recency_map_keeps_its_bounds_in_number_and_age(script: list[tuple[int, int]]) -> None:
-    seen, now = RecencyMap(4), 0
+    times, now = RecencyMap(4), 0
     for key, wait in script:
         now += wait
-        seen.record((0, key), now, now - 7)
-        assert len(seen) <= 4 and all(at >= now - 7 for at in seen.values())
-        assert next(reversed(seen)) == (0, key)
+        times.record((0, key), now, now - 7)
+        assert len(times) <= 4 and all(at >= now - 7 for at in times.values())
+        assert next(reversed(times)) == (0, key)
 
 
 def test_a_purge_of_a_group_counts_for_all_its_objects() -> None:
