--- a/quincepier/policy/early_rejection.py
+++ b/quincepier/policy/early_rejection.py
@@ -13,9 +13,8 @@
 
 MAX_WAIT_SHARE = 0.2  # of the class's target latency, divided by 1 + tier: how long a request may wait
 MIN_WAIT = 10 * MS  # ns; shorter waits are never too long; equals the release interval of the hold queue
-OVERLOAD_INTERVAL = (
-    100 * MS
-)  # ns; waits must be too long for this time before a request is rejected (RFC 8289, 4.3)
+# Time, ns, for which all waits must be too long before a request is rejected (RFC 8289, section 4.3).
+OVERLOAD_INTERVAL = 100 * MS
 
 
 class EarlyRejection(RouterComponent):
--- a/quincepier/policy/outliers.py
+++ b/quincepier/policy/outliers.py
@@ -73,9 +73,8 @@
         upstream.last_refused_cache = None
         if upstream.is_ejected:
             upstream.is_ejected = False
-            if (
-                upstream.trial_interval > 2 * INITIAL_TRIAL_INTERVAL
-            ):  # a trial failed, so it was down: cold restart
+            # a trial failed, so it was down: cold restart
+            if upstream.trial_interval > 2 * INITIAL_TRIAL_INTERVAL:
                 upstream.started_at = self.context.now
             self.log.write(f"machine {upstream.endpoint.cache} answers again")
 
--- a/quincepier/policy/sending.py
+++ b/quincepier/policy/sending.py
@@ -82,9 +82,8 @@
     def _open(
         self, request: Request, target: Upstream, source: Upstream | None, during_backoff: bool
     ) -> Attempt:
-        other_source = (
-            source if source is not target else None
-        )  # a target that is its own source does not fetch
+        # a target that is its own source does not fetch
+        other_source = source if source is not target else None
         attempt = Attempt(request, request.attempts_sent, self.context.now, target, other_source)
         attempt.is_cache_only = source is target and target in self.placement.table.caches
         needs_no_fetch = request.cls.never_kept or self.placement.is_known_hit(target, request)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -60,9 +60,8 @@
     clients_disconnect: bool = False  # clients disconnect as soon as their request is sent, and repeat it
     fronts_near_parents: int = 0  # fronts in the zone of the parents; the others use these parents as well
     killed_after_s: float = math.inf  # s; then 70 % of the fronts restart without state
-    sends: list[tuple[int, float]] = field(
-        default_factory=list
-    )  # attempts of informed fronts: time, true size
+    # attempts of informed fronts: time, true size
+    sends: list[tuple[int, float]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.settings = make_settings(
@@ -233,9 +232,8 @@
         bench.advance(100 * MS)
         new = replace(machine(PARENTS[0], PARENT, bench.now), size=1.0)
         bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (new,)))
-        assert not bench.router.slow_start.has_budget(
-            bench.router.placement.table.by_id[PARENTS[0]]
-        )  # it begins with a debt
+        # it begins with a debt
+        assert not bench.router.slow_start.has_budget(bench.router.placement.table.by_id[PARENTS[0]])
         bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)
         bench.advance(20 * MS)
         (after,) = attempts(bench.send_request(2, obj=6))
--- a/tests/test_policy_mechanism.py
+++ b/tests/test_policy_mechanism.py
@@ -318,9 +318,11 @@
     bench, fetch_count = RouterBench(), 0
     for n in range(400):
         for sent in attempts(bench.send_request(n, obj=n)) + attempts(bench.advance(10 * MS)):
-            asked = [sent]
-            while asked and isinstance(last := asked.pop(), io.FetchThrough) and last.held_only:
-                asked = attempts(bench.complete_attempt(last, AttemptOutcome.MISS))  # the parent has no copy
+            pending = [sent]
+            while pending and isinstance(last := pending.pop(), io.FetchThrough) and last.held_only:
+                pending = attempts(
+                    bench.complete_attempt(last, AttemptOutcome.MISS)
+                )  # the parent has no copy
             if not (isinstance(last, io.FetchThrough) and last.held_only):
                 fetch_count += isinstance(last, io.FetchThrough) and last.source != last.cache
                 bench.complete_attempt(last, AttemptOutcome.OVERLOADED)
@@ -335,9 +337,7 @@
     )
     for n in range(1000, 1005):
         (held,) = attempts(bench.send_request(n, obj=n))
-        if (
-            bench.router.fetch_limit.backoff.wait
-        ):  # one fetch at a time finds out whether the origin works again
+        if bench.router.fetch_limit.backoff.wait:  # one fetch at a time tests whether the origin works again
             (sent,) = attempts(bench.complete_attempt(held, AttemptOutcome.MISS))
             bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED)
         bench.advance(3 * SECOND)
@@ -351,15 +351,15 @@
         float(SECOND),
         bench.now + SECOND,
     )
-    gone, asked = PARENTS[0], 0
+    refusing_source, attempt_count = PARENTS[0], 0
     for n in range(60):
         for sent in attempts(bench.send_request(n, obj=n)):
-            if isinstance(sent, io.FetchThrough) and sent.source == gone:
-                asked += 1
+            if isinstance(sent, io.FetchThrough) and sent.source == refusing_source:
+                attempt_count += 1
                 bench.complete_attempt(sent, AttemptOutcome.OVERLOADED)
             elif isinstance(sent, io.FetchThrough):
                 bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED)
-    assert asked == 2 and bench.router.placement.table.by_id[gone].is_ejected
+    assert attempt_count == 2 and bench.router.placement.table.by_id[refusing_source].is_ejected
 
 
 def test_fetches_wait_while_the_link_is_reported_as_saturated() -> None:
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -164,9 +164,8 @@
             else (s.cold_from, s.cold_multiple)
         )
         if self.now - m.up_since < s.cold_window:
-            work = (sum(at > first for at in sent) - 1) * min(
-                self.router.latency.transfer_times.means
-            )  # one may overdraw
+            # a front may exceed its budget by one attempt
+            work = (sum(at > first for at in sent) - 1) * min(self.router.latency.transfer_times.means)
             assert work * s.fronts <= multiple * initial_share * m.size * s.cold_window
 
     def check_final(self, action: io.Action, request: int) -> None:
@@ -211,9 +210,8 @@
         cache = (*CACHES, *PARENTS)[pick % 5]
         old = self.endpoint_by_id[cache]
         up_since = self.now if state is EndpointState.READY else old.up_since
-        size = (
-            8.0 if state is EndpointState.READY else old.size
-        )  # small enough to exceed the slow-start budget
+        # small enough to exceed the slow-start budget
+        size = 8.0 if state is EndpointState.READY else old.size
         new = replace(old, state=state, up_since=up_since, size=size)
         self.endpoint_by_id[cache] = new
         if state is EndpointState.READY:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -214,9 +214,8 @@
     assert router.latency.transfer_times.means[0] < 250 * MS < router.settings.classes[0].on_time
     assert upstreams[CACHES[0]].slowness.factor(new.now) > 1.3
     assert upstreams[CACHES[1]].started_at == new.now - 2 * SECOND
-    assert (
-        upstreams[PARENTS[0]].is_ejected and upstreams[PARENTS[0]].trial_at <= new.now
-    )  # one request checks it
+    # one request may try it at once
+    assert upstreams[PARENTS[0]].is_ejected and upstreams[PARENTS[0]].trial_at <= new.now
     assert router.freshness.purges[1, 5] == new.now - SECOND - 100 * MS
     assert CACHES[2] not in caches_asked(new, 0)  # draining, although the list has it as ready
     new.handle(io.EndpointUpdate(UpdateScope.CHANGES, (machine(CACHES[2]),)))
