--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -27,7 +27,7 @@
 )
 from quincepier.net.probe import OUTCOME_BY_PROBE_RESPONSE, Probe
 from quincepier.policy.send_permission import find_denial
-from quincepier.recovery import Ramp
+from quincepier.recovery import DialLimit
 from quincepier.translate import ENDINGS, note_of, report_of, waited_of
 from quincepier.wire import lines
 from quincepier.wire.lines import ServeCommand
@@ -70,7 +70,7 @@
         fronts: int = 1,
     ) -> None:
         super().__init__(context.checks, MAX_MAILBOX_LENGTH)
-        self.ramp = Ramp(fronts)
+        self.ramp = DialLimit(fronts)
         self.context, self.number, self.host, self.address = context, number, host, address
         self.route: Route | None = None if context.dialer is None else context.dialer.get_route(number, host)
         self.move_counts: dict[OpenAttempt | Probe, int] = {}
@@ -189,7 +189,7 @@
         ]
         usable = [c for c in usable if not c.has_unwanted_response]
         connecting = [c for c in usable if c.sock is None]
-        if len(connecting) >= self.ramp.most:
+        if len(connecting) >= self.ramp.max_dials:
             least_loaded = min(connecting, key=lambda c: len(c.awaited_by_id))
             if len(least_loaded.awaited_by_id) < streams and id not in least_loaded.awaited_by_id:
                 return least_loaded
--- a/quincepier/net/command_writer.py
+++ b/quincepier/net/command_writer.py
@@ -15,7 +15,7 @@
 from quincepier.net.probe import Probe
 from quincepier.net.process_pause import PauseDetector
 from quincepier.net.sockets import TRANSIENT_ERROR_PAUSE_S, is_transient, resolve, wait_until_writable
-from quincepier.policy.send_permission import half_sent_until
+from quincepier.policy.send_permission import partial_command_deadline
 from quincepier.wire import lines
 from quincepier.wire.lines import ServeCommand
 
@@ -186,7 +186,9 @@
             await wait_until_writable(sock)
             return
         try:
-            async with asyncio.timeout(max(half_sent_until(attempt) - clock.now(), 0) / clock.SECOND):
+            async with asyncio.timeout(
+                max(partial_command_deadline(attempt) - clock.now(), 0) / clock.SECOND
+            ):
                 await wait_until_writable(sock)
         except TimeoutError:
             if (
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -22,7 +22,7 @@
     resolve,
     shutdown_and_close,
 )
-from quincepier.policy.send_permission import Denial, find_denial, wait_ms
+from quincepier.policy.send_permission import Denial, find_denial, server_deadline_ms
 from quincepier.wire import lines
 from quincepier.wire.errors import ProtocolError
 from quincepier.wire.lines import ServeCommand
@@ -279,7 +279,7 @@
         except OSError as error:
             self.is_machine_absent = count_connect_failure(error, self.context.checks, self.actor.host)
             return False
-        self.actor.ramp.up()
+        self.actor.ramp.on_connected()
         return True
 
     async def _connect(self) -> None:
@@ -300,7 +300,7 @@
         """
         self.is_closing = True
         if self.is_machine_absent:
-            self.actor.ramp.failed()
+            self.actor.ramp.on_connect_failed()
         self.actor.on_connection_closed(self)
         if self.body is not None:
             self.body.release()
@@ -347,7 +347,7 @@
         denial = self._find_denial(exchange)
         if denial is None:
             assert isinstance(command, ServeCommand)
-            return command.encode(wait_ms(exchange, clock.now()))
+            return command.encode(server_deadline_ms(exchange, clock.now()))
         self.context.checks.count(f"attempts_denied_{denial.value}")
         if self.outgoing and self.outgoing[0][0] is exchange:  # otherwise cancelled by `check_client`
             self.outgoing.popleft()
@@ -362,7 +362,7 @@
         if denial is not None:
             return denial
         is_read = attempt.request.receiver.check_client(clock.now())
-        return find_denial(attempt, clock.now()) or (None if is_read else Denial.CLIENT_UNREAD)
+        return find_denial(attempt, clock.now()) or (None if is_read else Denial.CLIENT_INPUT_UNREAD)
 
     async def _read(self, sock: socket.socket) -> None:
         """Read responses until the connection ends.
--- a/quincepier/net/event_dates.py
+++ b/quincepier/net/event_dates.py
@@ -27,10 +27,10 @@
     def observe(self, event: ChangeEvent) -> None:
         """Note the dates that an event of the log contains."""
         if isinstance(event, PurgeRecord):
-            self._ages.observe_log(event.time_ms)
+            self._ages.observe_log_date(event.time_ms)
         elif isinstance(event, FleetChange):
             for host in event.hosts:
-                self._ages.observe_log(host.born_ms)
+                self._ages.observe_log_date(host.born_ms)
 
     def purge_age(self, purge: PurgeRecord, absent_at_ns: int) -> int:
         """Return the age in ns of a purge that was received just now.
@@ -40,22 +40,22 @@
             absent_at_ns: Time of the last response of the log without it; 0: unknown.
         """
         now = clock.now()
-        self._ages.observe(clock.unix(), now)
+        self._ages.observe_clocks(clock.unix(), now)
         if purge.seq <= self._known_seq:
-            return self._ages.age_at_start(purge.time_ms, now)
-        return self._ages.age_of_news(purge.time_ms, now, absent_at_ns)
+            return self._ages.age_of_initial_event(purge.time_ms, now)
+        return self._ages.age_of_new_event(purge.time_ms, now, absent_at_ns)
 
     def start_time_of(self, born_ms: int) -> int:
         """Convert a server's start, Unix milliseconds, to ns of the monotonic clock; 0 (long ago) stays 0."""
         now = clock.now()
-        self._ages.observe(clock.unix(), now)
-        if not self._ages.is_settled(born_ms, now, self._warm_after_ns):
+        self._ages.observe_clocks(clock.unix(), now)
+        if not self._ages.is_start_final(born_ms, now, self._warm_after_ns):
             self._unsettled_starts_ms.add(born_ms)
-        return self._ages.sure_start_of(born_ms, now)
+        return self._ages.latest_start_of(born_ms, now)
 
     def take_unsettled_starts(self) -> frozenset[int]:
         """Return and forget the starts, Unix milliseconds, to convert again: none without a later date."""
-        if not self._ages.take_date_step():
+        if not self._ages.consume_date_step():
             return frozenset()
         starts = frozenset(self._unsettled_starts_ms)
         self._unsettled_starts_ms.clear()
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -18,7 +18,7 @@
 from quincepier.net.messages import ChangeLogEvent
 from quincepier.net.sockets import resolve
 from quincepier.net.watch_poll import ChangeLogPoll
-from quincepier.recovery import first_poll
+from quincepier.recovery import draw_first_poll_wait_ms
 from quincepier.wire.changelog import BadRecord, ChangeEvent, decode_changes
 from quincepier.wire.errors import ProtocolError
 
@@ -81,7 +81,7 @@
         self.wakeup: asyncio.Future[None] | None = None
         self.next_poll_at_s = 0.0
         self.caught_up = asyncio.Event()
-        self.poll_timeout_ms = first_poll(self.random, POLL_TIMEOUT_MS)
+        self.poll_timeout_ms = draw_first_poll_wait_ms(self.random, POLL_TIMEOUT_MS)
         self.last_response_at_ns = 0
 
     @property
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -1,11 +1,11 @@
-"""The router: hears each event and has its parts act, in one order."""
+"""The router: passes each event to its components in a fixed order and collects their actions."""
 
 from collections.abc import Callable
 
-from quincepier import interface as io
-from quincepier.context import TIMER_KIND_BITS, Context, HomeLookup, Part, TimerKind
+from quincepier import interface
+from quincepier.context import TIMER_KIND_BITS, Context, HomeLookup, RouterComponent, TimerKind
 from quincepier.policy.admission import Admission
-from quincepier.policy.early_refusal import EarlyRefusal
+from quincepier.policy.early_rejection import EarlyRejection
 from quincepier.policy.fetch_limit import FetchLimit
 from quincepier.policy.freshness import Freshness
 from quincepier.policy.latency import LatencyEstimates
@@ -18,42 +18,46 @@
 from quincepier.policy.slow_start import SlowStart
 from quincepier.records import SECOND, AttemptTable, Completion, Execution, Request, Upstream
 from quincepier.recovery import RecoveryTracker
-from quincepier.structures import Coverage, FairQueue, tiers
-
-TIER_WEIGHTS = (80.0, 15.0, 5.0)  # shares of releases, highest tier first (design)
-BOOST_EVERY = 10  # held requests for one object that add one to its weight (design)
-FLOOR_INTERVAL = SECOND  # ns; a tier that none left for so long goes first (design)
-SCAN_LIMIT = 16  # held objects of a tier that are looked through
-FIRST_ANSWERS = 8  # of all classes
-PROCESS_PAUSE = 2 * SECOND  # ns that the process stood still, after which all is found anew
-NEVER_RAN = frozenset(  # outcomes that prove it
+from quincepier.structures import Coverage, FairQueue, assign_tiers
+
+TIER_WEIGHTS = (80.0, 15.0, 5.0)  # shares of the releases from the hold queue, highest tier first
+BOOST_EVERY = 10  # number of held requests for one key that raises the weight of its tier by one
+FLOOR_INTERVAL = SECOND  # ns; a tier without a release for this long goes first
+SCAN_LIMIT = 16  # held keys of a tier that are examined per release
+MIN_FIRST_RESPONSES = 8  # successful responses of all classes before the front counts as responding
+MIN_PROCESS_PAUSE = 2 * SECOND  # ns; after a longer process pause the learned limits are discarded
+NEVER_RAN = frozenset(  # outcomes which prove that the attempt was not executed
     (
-        io.AttemptOutcome.OVERLOADED,
-        io.AttemptOutcome.CONNECT_FAILED,
-        io.AttemptOutcome.NOT_PROCESSED,
-        io.AttemptOutcome.MISS,
+        interface.AttemptOutcome.OVERLOADED,
+        interface.AttemptOutcome.CONNECT_FAILED,
+        interface.AttemptOutcome.NOT_PROCESSED,
+        interface.AttemptOutcome.MISS,
     )
 )
 
 
-class Router(Part):
-    """Decides on requests by the events that it is told, and never by another way than its parts.
+class Router(RouterComponent):
+    """Decides on requests. The decisions themselves are made by its components.
 
     Args:
-        settings: Of the deployment.
-        seed: Of all chance.
-        now: The time, ns.
+        settings: Settings of the deployment.
+        seed: Seed of the random numbers.
+        now: Start time, ns.
 
     Attributes:
-        find_home: Asked once for each request where it is at home; None: all are anywhere.
-        expiries: When restored facts expire, in the order of time, and what forgets each.
+        find_home: Called once for each request, returns its home shard; None: no request has a home shard.
+        expiries: Times at which restored facts expire, ns, in ascending order, each with the function that
+            discards the fact.
+        response_coverage: Whether each request class that was requested has had a response since the start.
+        requests: The requests without a final response, by id.
+        tiers: The tier of each request class, 0 the highest.
     """
 
-    def __init__(self, settings: io.Settings, seed: int, now: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int, now: int) -> None:
         super().__init__(Context(settings, seed, now))
         context = self.context
         self.recovery = RecoveryTracker(now)
-        self.answers = Coverage(FIRST_ANSWERS)
+        self.response_coverage = Coverage(MIN_FIRST_RESPONSES)
         self.queue = FairQueue[Request](TIER_WEIGHTS, now, BOOST_EVERY, FLOOR_INTERVAL, SCAN_LIMIT)
         self.attempts = AttemptTable()
         self.timers = PeriodicTimers(context, self.queue, self.attempts)
@@ -94,45 +98,47 @@
             self.admission,
             self.responder,
         )
-        tier_by_worth = tiers({c.worth for c in settings.classes if not c.never_kept}, len(TIER_WEIGHTS))
+        tier_by_worth = assign_tiers(
+            {c.worth for c in settings.classes if not c.never_kept}, len(TIER_WEIGHTS)
+        )
         self.tiers = [tier_by_worth.get(c.worth, 0) for c in settings.classes]
-        self.early_refusal = EarlyRefusal(context, self.tiers)
+        self.early_rejection = EarlyRejection(context, self.tiers)
         self.find_home: HomeLookup | None = None
         self.expiries = list[tuple[int, Callable[[], None]]]()
 
-    def handle(self, now: int, event: io.Event) -> list[io.Action]:
-        """Return what to do as an event is told at a time, ns."""
+    def handle(self, now: int, event: interface.Event) -> list[interface.Action]:
+        """Handle an event that arrives at `now` (ns); return the actions to take, in order."""
         self.context.now = now
         self.context.actions = []
-        while self.expiries and self.expiries[0][0] <= now:  # before anything rests on it
+        while self.expiries and self.expiries[0][0] <= now:  # before a decision uses an expired fact
             _, forget = self.expiries.pop(0)
             forget()
         match event:
-            case io.RequestReceived():
+            case interface.RequestReceived():
                 self.on_request(event)
-            case io.AttemptCompleted():
+            case interface.AttemptCompleted():
                 self.on_attempt_completed(event)
-            case io.TimerFired(token):
+            case interface.TimerFired(token):
                 self.on_timer(TimerKind(token & (1 << TIMER_KIND_BITS) - 1), token >> TIMER_KIND_BITS)
-            case io.EndpointUpdate():
+            case interface.EndpointUpdate():
                 self.on_endpoint_update(event)
-            case io.ObjectPurged(group, obj, ago):
-                self.freshness.on_purge(group, obj, ago)
-            case io.ResponseStarted():
+            case interface.ObjectPurged(group, obj, age):
+                self.freshness.on_purge(group, obj, age)
+            case interface.ResponseStarted():
                 self.on_response_started(event)
-            case io.ClientDisconnected(request_id):
+            case interface.ClientDisconnected(request_id):
                 if (request := self.requests.get(request_id)) is not None:
                     self.responder.close(request)
         return self.context.actions
 
-    def on_request(self, event: io.RequestReceived) -> None:
-        """Route a request, or refuse it while that costs little."""
+    def on_request(self, event: interface.RequestReceived) -> None:
+        """Route a request, or reject it early if it has waited too long or has too little time left."""
         context = self.context
         settings = context.settings
         cls = settings.classes[event.cls]
-        self.answers.asked.add(event.cls)
-        is_behind = self.early_refusal.is_due(event)
-        if is_behind or event.time_left <= settings.step:
+        self.response_coverage.expected.add(event.cls)
+        is_overloaded = self.early_rejection.is_due(event)
+        if is_overloaded or event.time_left <= settings.step:
             self.responder.reject(event.request)
             context.log(self.recovery.on_request_finished(context.now, cls.worth, False))
             return
@@ -141,40 +147,40 @@
         self.requests[event.request] = request
         self.retries.on_request()
         context.set_timer(event.time_left - settings.step, TimerKind.DEADLINE, event.request)
-        if home is not None and home.closed and cls.effect is not io.Idempotency.SAFE:
+        if home is not None and home.closed and cls.effect is not interface.Idempotency.SAFE:
             self.responder.give_up(request)
         else:
             self.admission.route(request)
 
-    def on_endpoint_update(self, update: io.EndpointUpdate) -> None:
-        """Take the endpoint list, or that it could not be read."""
-        if update.scope is io.UpdateScope.FAILED:
-            self.context.set_timer(SECOND, TimerKind.RELIST)
-        if update.scope is io.UpdateScope.RESTORED and self.context.settings.list_on_request:
+    def on_endpoint_update(self, update: interface.EndpointUpdate) -> None:
+        """Apply an update of the endpoint list; if the list could not be read, request it again later."""
+        if update.scope is interface.UpdateScope.FAILED:
+            self.context.set_timer(SECOND, TimerKind.ENDPOINT_LIST_RETRY)
+        if update.scope is interface.UpdateScope.RESTORED and self.context.settings.list_on_request:
             self.context.watch_endpoints()
         for upstream in self.placement.update(update).removed:
             self.sender.abandon(upstream)
         self.context.log(self.recovery.on_list_received(self.context.now))
 
-    def on_response_started(self, event: io.ResponseStarted) -> None:
-        """The response of one attempt goes to the client: the others are cancelled."""
+    def on_response_started(self, event: interface.ResponseStarted) -> None:
+        """Cancel the other attempts of a request whose response has started."""
         request = self.requests.get(event.request)
         if request is not None:
             self.sender.cancel(a for a in request.open_attempts.values() if a.number != event.attempt)
             request.has_response_started = True
 
-    def on_attempt_completed(self, event: io.AttemptCompleted) -> None:
-        """Learn from an attempt; its request is answered, sent again or given up."""
+    def on_attempt_completed(self, event: interface.AttemptCompleted) -> None:
+        """Learn from a completed attempt; close, retry or give up its request."""
         attempt = self.attempts.complete(event)
         if attempt is None:
             return
         completion = Completion(attempt, event)
         request = attempt.request
         self._learn(completion)
-        if completion.is_ok and self.answers.add(request.event.cls):  # each class asked for was answered
-            self.context.log(self.recovery.on_first_responses(self.context.now, self.answers.count))
+        if completion.is_ok and self.response_coverage.add(request.event.cls):
+            self.context.log(self.recovery.on_first_responses(self.context.now, self.response_coverage.count))
         first = request.first_execution
-        if event.ending not in NEVER_RAN and (first is None or attempt.sent_at < first.at):
+        if event.ending not in NEVER_RAN and (first is None or attempt.sent_at < first.sent_at):
             request.first_execution = Execution(attempt.sent_at, attempt.upstream.endpoint)
         if self.requests.get(event.request) is request:
             if event.last:
@@ -188,7 +194,7 @@
         self.slow_start.refund_source(completion)
         if completion.is_ok:
             self.slow_start.on_served(completion)
-        self.fetch_limit.link.take(self.context.now, completion)
+        self.fetch_limit.link_load.on_completed(self.context.now, completion)
         self.latency.learn_slowness(completion)
         if completion.is_from_cache:
             self.placement.on_hit(completion)
@@ -198,7 +204,7 @@
             self.fetch_limit.on_completed(completion, is_awaited=bool(self.queue))
 
     def on_timer(self, kind: TimerKind, request_id: int) -> None:
-        """A timer is due; `request_id` is of effect for those about a request."""
+        """Handle a timer; `request_id` is used by the kinds of timer that belong to a request."""
         request = self.requests.get(request_id)
         match kind:
             case TimerKind.DEADLINE:
@@ -207,27 +213,31 @@
                     self.context.fail(request_id)
             case TimerKind.QUEUE_TIMEOUT:
                 if request is not None and request.is_queued:
-                    self.admission.end_hold(request)
-            case TimerKind.RELIST:
+                    self.admission.on_hold_expired(request)
+            case TimerKind.ENDPOINT_LIST_RETRY:
                 self.context.watch_endpoints()
-            case TimerKind.RELEASE:
-                self.timers.release.fired()
+            case TimerKind.QUEUE_RELEASE:
+                self.timers.release.on_fired()
                 self.admission.release()
             case TimerKind.OVERDUE_CHECK:
-                self.check_overdue(self.timers.overdue.fired())
+                self.check_overdue(self.timers.overdue.on_fired())
 
     def check_overdue(self, delay: int) -> None:
-        """Look at what is overdue, so many ns late; after a long pause of the process begin anew."""
+        """Check for overdue attempts; after a long process pause, discard the learned limits.
+
+        Args:
+            delay: How late the timer of this check fired, ns.
+        """
         now = self.context.now
-        if delay >= PROCESS_PAUSE and self.answers.is_complete:
-            self.answers.restart()
-            self.fetch_limit.restart()
+        if delay >= MIN_PROCESS_PAUSE and self.response_coverage.is_complete:
+            self.response_coverage.restart()
+            self.fetch_limit.on_process_pause()
             self.context.log(self.recovery.on_process_pause(now, delay))
         if not self.queue:
             self.context.log(self.recovery.on_limit_idle(now))
         self.slow_start.learn_sizes(self.placement.table.by_kind)
-        self.placement.reweigh()
-        if delay <= OVERDUE_INTERVAL:  # else answers are still to come, as we stood still ourselves
+        self.placement.update_weights()
+        if delay <= OVERDUE_INTERVAL:  # after a process pause responses may be waiting to be read
             self.outliers.check_overdue(self.attempts.values())
         self.timers.schedule()
 
--- a/quincepier/structures/backoff.py
+++ b/quincepier/structures/backoff.py
@@ -4,28 +4,31 @@
 
 
 class Backoff:
-    """A wait that doubles up to `longest` and is eased by a factor; in ns.
+    """A wait that is doubled up to a maximum, and decreased by a factor; 0: no backoff.
 
     Args:
-        shortest: the first wait, ns.
-        longest: the upper bound, ns.
-        ease_factor: what an easing multiplies the wait by.
-        end_below: an easing of a wait that is not longer than this ends it, ns.
+        min_wait: The first wait, ns.
+        max_wait: The upper bound, ns.
+        decrease_factor: Factor that `decrease` applies to the wait.
+        reset_below: `decrease` ends the backoff if the wait is not longer than this, ns.
+
+    Attributes:
+        wait: The present wait, ns.
     """
 
-    __slots__ = ("ease_factor", "end_below", "longest", "shortest", "wait")
+    __slots__ = ("decrease_factor", "max_wait", "min_wait", "reset_below", "wait")
 
     def __init__(self, shortest: int, longest: int, ease_factor: float, end_below: float) -> None:
-        self.shortest = shortest
-        self.longest = longest
-        self.ease_factor = ease_factor
-        self.end_below = end_below
+        self.min_wait = shortest
+        self.max_wait = longest
+        self.decrease_factor = ease_factor
+        self.reset_below = end_below
         self.wait = 0.0
 
     def increase(self) -> None:
         """Double the wait, within the bounds."""
-        self.wait = min(max(2 * self.wait, self.shortest), self.longest)
+        self.wait = min(max(2 * self.wait, self.min_wait), self.max_wait)
 
-    def ease(self) -> None:
-        """Shorten the wait by the factor, or end it."""
-        self.wait = self.wait * self.ease_factor if self.wait > self.end_below else 0.0
+    def decrease(self) -> None:
+        """Shorten the wait by the factor, or end the backoff."""
+        self.wait = self.wait * self.decrease_factor if self.wait > self.reset_below else 0.0
--- a/quincepier/upstream_table.py
+++ b/quincepier/upstream_table.py
@@ -1,4 +1,4 @@
-"""The upstreams that the endpoint list names, by id and by kind. A table only: it chooses none of them."""
+"""Table of the upstreams in the endpoint list, by id and by kind."""
 
 from __future__ import annotations
 
@@ -11,28 +11,36 @@
 
 @dataclass(slots=True)
 class TableChange:
-    """What an update of the list changed.
+    """The changes that an endpoint update made.
 
     Attributes:
-        removed: Upstreams that are not listed any more.
-        listed_again: Upstreams that were listed before, and what was listed of each.
-        has_moved: Whether upstreams came, went or have another size: hash orders are no longer right.
+        removed: Upstreams that are no longer listed.
+        updated: Upstreams that were already listed, each with its previous endpoint.
+        has_ranking_changed: Whether upstreams were added or removed or changed their size, so that cached
+            rankings are invalid.
     """
 
     removed: list[Upstream] = field(default_factory=list)
-    listed_again: list[tuple[Upstream, Endpoint]] = field(default_factory=list)
-    has_moved: bool = False
+    updated: list[tuple[Upstream, Endpoint]] = field(default_factory=list)
+    has_ranking_changed: bool = False
 
 
 class UpstreamTable:
-    """Caches, parents and origins, as listed.
+    """The listed caches, parents and origins.
 
     Args:
-        new_upstream: Makes the record of an endpoint that was not listed before; None: it is not kept.
+        create_upstream: Creates the record of a new endpoint; returns None if the endpoint is not needed.
+
+    Attributes:
+        by_id: All upstreams, by endpoint id.
+        caches: The upstreams that are neither parents nor origins.
+        parents: The parents.
+        origins: The origins.
+        by_kind: All upstreams, by kind.
     """
 
-    def __init__(self, new_upstream: Callable[[Endpoint], Upstream | None]) -> None:
-        self.new_upstream = new_upstream
+    def __init__(self, create_upstream: Callable[[Endpoint], Upstream | None]) -> None:
+        self.create_upstream = create_upstream
         self.by_id: dict[int, Upstream] = {}
         self.caches: list[Upstream] = []
         self.parents: list[Upstream] = []
@@ -40,31 +48,31 @@
         self.by_kind: dict[int, list[Upstream]] = {}
 
     def apply(self, update: EndpointUpdate, settings: Settings) -> TableChange:
-        """Take what the list says now."""
+        """Apply an endpoint update, and return what it changed."""
         change = TableChange()
         gone = {e.cache for e in update.machines if e.state is EndpointState.GONE}
         if update.scope in (UpdateScope.FULL, UpdateScope.RESTORED):
             gone |= self.by_id.keys() - {e.cache for e in update.machines}
         for cache in sorted(gone & self.by_id.keys()):
             change.removed.append(self.by_id.pop(cache))
-        change.has_moved = bool(change.removed)
+        change.has_ranking_changed = bool(change.removed)
         for endpoint in update.machines:
             if endpoint.cache not in gone:
                 self._apply_endpoint(endpoint, change)
-        if change.has_moved:
+        if change.has_ranking_changed:
             self._group(settings)
         return change
 
     def _apply_endpoint(self, endpoint: Endpoint, change: TableChange) -> None:
         upstream = self.by_id.get(endpoint.cache)
         if upstream is None:
-            upstream = self.new_upstream(endpoint)
+            upstream = self.create_upstream(endpoint)
             if upstream is not None:
                 self.by_id[endpoint.cache] = upstream
-                change.has_moved = True
+                change.has_ranking_changed = True
             return
-        change.listed_again.append((upstream, upstream.endpoint))
-        change.has_moved = change.has_moved or endpoint.size != upstream.endpoint.size
+        change.updated.append((upstream, upstream.endpoint))
+        change.has_ranking_changed = change.has_ranking_changed or endpoint.size != upstream.endpoint.size
         upstream.endpoint = endpoint
 
     def _group(self, settings: Settings) -> None:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -193,10 +193,10 @@
 def test_a_purge_long_before_the_newest_date_of_the_first_list_has_the_age_by_the_log() -> None:
     """A purge of long ago excludes no copy."""
     ages = EventAges(unix_ns=0, now_ns=0)
-    ages.observe_log(2_000_000)
+    ages.observe_log_date(2_000_000)
     day = 86_400 * clock.SECOND
-    assert ages.age_at_start(1_000_000, day) == 1000 * clock.SECOND
-    assert ages.age_at_start(2_000_000, day) == 0
+    assert ages.age_of_initial_event(1_000_000, day) == 1000 * clock.SECOND
+    assert ages.age_of_initial_event(2_000_000, day) == 0
     assert (
-        ages.age_at_start(1_999_000, 1_999_500 * clock.MS) == 499 * clock.MS
+        ages.age_of_initial_event(1_999_000, 1_999_500 * clock.MS) == 499 * clock.MS
     )  # by the clock, as that age is less
