--- a/quincepier/consistency/decision.py
+++ b/quincepier/consistency/decision.py
@@ -168,8 +168,8 @@
             caches=tuple(n for n in caches if n not in self._unavailable),
             sources=tuple(n for n in [*parents, *self._origins] if n not in self._unavailable),
             max_copy_age=CopyAgeLimits(fresh_ns, fresh_ns + request_class.grace if fresh_ns else 0),
-            home_shard="" if home is None else str(home.name),
-            is_write_paused=home is not None and home.closed,
+            home_shard="" if home is None else str(home.number),
+            is_write_paused=home is not None and home.is_write_paused,
             retries=RetryRules(request_class.effect.value, request_class.group.value, request_class.window),
         )
 
--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -157,7 +157,7 @@
         self._origins = [endpoint.number for endpoint in router.origins]
         self._caches, self._sources = self._rank_endpoints(arithmetic)
         settings = router.settings
-        bypasses = settings.classes[event.cls].never_kept and settings.direct
+        bypasses = settings.classes[event.class_index].never_kept and settings.direct
         self._bypasses_caches = bypasses and any(self._exclusion(n) is None for n in self._origins)
 
     @property
--- a/quincepier/consistency/router_view.py
+++ b/quincepier/consistency/router_view.py
@@ -20,7 +20,7 @@
 
 def node_number(node: RouterNode) -> int:
     """The number of an endpoint that the router names by its own record."""
-    return node.endpoint.cache
+    return node.endpoint.number
 
 
 class EndpointView:
@@ -33,7 +33,7 @@
     @property
     def number(self) -> int:
         """The endpoint's number."""
-        return self._node.endpoint.cache
+        return self._node.endpoint.number
 
     @property
     def size(self) -> float:
@@ -172,7 +172,7 @@
         record = self._router.requests.get(request_id)
         if record is None:
             return None
-        avoided = frozenset(node.endpoint.cache for node in record.excluded)
+        avoided = frozenset(node.endpoint.number for node in record.excluded)
         return RequestView(record, request_id, record.attempts_sent, record.tier, avoided, record.home)
 
     def is_at_fetch_limit(self, request: RequestView) -> bool:
@@ -182,14 +182,14 @@
     def rank_caches(self, key_hash: int) -> Sequence[int]:
         """The router's own order of its caches for a key."""
         return [
-            node.endpoint.cache
+            node.endpoint.number
             for node in self._router.placement.rank_all(self._router.placement.table.caches, key_hash)
         ]
 
     def rank_parents(self, key_hash: int) -> Sequence[int]:
         """The router's own order of the parents for a key."""
         return [
-            node.endpoint.cache
+            node.endpoint.number
             for node in self._router.placement.rank_all(self._router.placement.table.parents, key_hash)
         ]
 
@@ -197,7 +197,7 @@
         """The last rankings that the router holds, `limit` at most."""
         for key, ranked in list(self._router.placement.rankings.items())[-limit:]:
             key_hash = key if isinstance(key, int) else key[0]
-            yield CachedRanking(key_hash, not isinstance(key, int), [node.endpoint.cache for node in ranked])
+            yield CachedRanking(key_hash, not isinstance(key, int), [node.endpoint.number for node in ranked])
 
     def _views(self, nodes: list[Upstream]) -> list[EndpointView]:
         return [EndpointView(self._router, node) for node in nodes]
--- a/quincepier/context.py
+++ b/quincepier/context.py
@@ -66,7 +66,7 @@
 
     def forward(self, attempt: Attempt, timeout: int, within: int) -> None:
         """To an upstream that answers out of its own."""
-        to = attempt.upstream.endpoint.cache
+        to = attempt.upstream.endpoint.number
         self.actions.append(ForwardRequest(attempt.request.id, to, timeout, within))
 
     def fetch(
@@ -81,11 +81,11 @@
         within: int,
     ) -> None:
         """Through a cache, from a source where it has no copy; the cache itself: none."""
-        to, by = attempt.upstream.endpoint.cache, source.endpoint.cache
+        to, by = attempt.upstream.endpoint.number, source.endpoint.number
         action = FetchThrough(
             attempt.request.id, to, timeout, by, rank, max_age, join, renew, attempt.is_held_only
         )
-        action.within = within
+        action.first_byte_within = within
         self.actions.append(action)
 
     def watch_endpoints(self) -> None:
--- a/quincepier/interface.py
+++ b/quincepier/interface.py
@@ -117,31 +117,31 @@
 class Endpoint:
     """One line of the list of caches, parents and the origin."""
 
-    cache: int
+    number: int
     kind: int
     zone: int
     cell: int
     size: float
-    up_since: int
+    started_at: int
     state: EndpointState
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
     scope: UpdateScope
-    machines: tuple[Endpoint, ...]
+    endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(slots=True)
 class RequestReceived:
     request: int
-    cls: int
+    class_index: int
     size_kb: float
     tenant: int
     group: int
     object: int
     part: int
-    repeat: bool
+    is_repeat: bool
     time_left: int
     waited: int = 0  # for its turn at this front: more than a little says that the front is behind
 
@@ -153,10 +153,10 @@
     `name` tells homes apart. `closed`: what may not simply be repeated is refused for now, with advice.
     """
 
-    name: int
+    number: int
     caches: frozenset[int]
     parents: frozenset[int]
-    closed: bool = False
+    is_write_paused: bool = False
 
 
 @dataclass(slots=True)
@@ -176,13 +176,13 @@
     request: int
     attempt: int
     cache: int
-    ending: AttemptOutcome
+    outcome: AttemptOutcome
     elapsed: int
     last: bool
-    note: CacheStatus
+    cache_status: CacheStatus
     waited: int
     report: tuple[float, ...]
-    another_way: bool = False  # a reset over one address of a machine that has others
+    has_other_address: bool = False  # a reset over one address of a machine that has others
 
 
 @dataclass(slots=True, frozen=True)
@@ -193,7 +193,7 @@
 @dataclass(slots=True, frozen=True)
 class HealthCheckCompleted:
     cache: int
-    ending: AttemptOutcome
+    outcome: AttemptOutcome
     elapsed: int
     report: tuple[float, ...]
 
@@ -210,7 +210,7 @@
 
     group: int
     object: int
-    ago: int
+    age: int
 
 
 # What a module has learned, as it tells it and is told it again after a start (docs/state.md).
@@ -221,29 +221,29 @@
 class LearnedTransferTime:
     """The mean sending time of a class, over so many answers."""
 
-    cls: int
+    class_index: int
     mean: float
-    seen: int
-    ago: int
+    sample_count: int
+    age: int
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedLatency:
     """How long answers of a class usually take: logarithms of nanoseconds, or of the told sending time."""
 
-    cls: int
-    held: bool
-    told: bool
-    mean: float
-    seen: int
-    least: float
-    ago: int
+    class_index: int
+    is_hit: bool
+    is_relative: bool
+    mean_log: float
+    sample_count: int
+    min_log: float
+    age: int
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedFetchLimit:
-    bound: int
-    ago: int
+    limit: int
+    age: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -253,7 +253,7 @@
     kind: int
     work: float
     span: int
-    ago: int
+    age: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -263,13 +263,13 @@
     -1 for a time that there is none of.
     """
 
-    cache: int
-    slowed: float
-    signs: float
-    ago: int
-    cold_ago: int
-    aside_ago: int
-    leaving_ago: int
+    number: int
+    slowness: float
+    slowness_weight: float
+    age: int
+    cold_start_age: int
+    ejection_age: int
+    drain_age: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -278,7 +278,7 @@
 
     group: int
     object: int
-    ago: int
+    age: int
 
 
 Learned = (
@@ -310,7 +310,9 @@
     request: int
     cache: int
     timeout: int
-    within: int = 0  # how long it is a harmless repeat: its first byte goes out by then or never; 0: always
+    first_byte_within: int = (
+        0  # how long it is a harmless repeat: its first byte goes out by then or never; 0: always
+    )
 
 
 @dataclass(slots=True)
@@ -321,12 +323,12 @@
     cache: int
     timeout: int
     source: int
-    rank: int
-    age: int
+    tier: int
+    max_copy_age: int
     join: bool
     renew: bool
     held_only: bool
-    within: int = 0  # as for Ask
+    first_byte_within: int = 0  # as for Ask
 
 
 @dataclass(slots=True)
--- a/quincepier/lab/front.py
+++ b/quincepier/lab/front.py
@@ -33,7 +33,7 @@
         self.machine, self.timeout, self.ended = action.cache, action.timeout, False
         fetch = action if isinstance(action, io.FetchThrough) else None
         self.source = fetch.source if fetch and fetch.source != fetch.cache else None
-        self.age = fetch.age if fetch else 0
+        self.age = fetch.max_copy_age if fetch else 0
         self.join, self.held = (fetch.join, fetch.held_only) if fetch else (False, False)
 
 
@@ -84,7 +84,7 @@
     def recall(self, at: int, facts: list[io.Learned]) -> None:
         """Of machines that are still the same; the list was told before."""
         listed = self.world.machines.all
-        same = (f for f in facts if not isinstance(f, io.LearnedEndpoint) or f.cache in listed)
+        same = (f for f in facts if not isinstance(f, io.LearnedEndpoint) or f.number in listed)
         restore_facts(self.router, same, self.world.now - at)
 
     def keep(self, start: int) -> None:
--- a/quincepier/lab/world.py
+++ b/quincepier/lab/world.py
@@ -238,9 +238,9 @@
 
     def told(self, front: Front, m: io.Endpoint) -> None:
         if m.state is EndpointState.READY:
-            self.judge.told_back(front.number, m.cache)
+            self.judge.told_back(front.number, m.number)
         else:
-            self.judge.told_leaving(self.now, front.number, m.cache)
+            self.judge.told_leaving(self.now, front.number, m.number)
 
     # Faults
 
--- a/quincepier/memory/machine_directory.py
+++ b/quincepier/memory/machine_directory.py
@@ -85,7 +85,7 @@
         """Convert the start time; the same start keeps its first conversion, as the clocks may drift."""
         previous = self.entry_by_host.get(record.host)
         if previous is not None and previous.record.born_ms == record.born_ms:
-            return previous.machine.up_since
+            return previous.machine.started_at
         return self._start_of(record.born_ms)
 
     def date_again(self, starts_ms: Collection[int]) -> tuple[Endpoint, ...]:
@@ -101,8 +101,8 @@
             if entry.record.born_ms not in starts_ms:
                 continue
             up_since = self._start_of(entry.record.born_ms)
-            if up_since < entry.machine.up_since:
-                entry.machine = replace(entry.machine, up_since=up_since)
+            if up_since < entry.machine.started_at:
+                entry.machine = replace(entry.machine, started_at=up_since)
                 changed.append(entry.machine)
         return tuple(changed)
 
@@ -163,4 +163,4 @@
 
     def listed_hosts(self) -> Iterable[tuple[int, HostRecord]]:
         """Yield the number and the record of each listed machine."""
-        return ((entry.machine.cache, entry.record) for entry in self.entry_by_host.values())
+        return ((entry.machine.number, entry.record) for entry in self.entry_by_host.values())
--- a/quincepier/net/fleet/active_rules.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -137,8 +137,8 @@
             if entry.machine.state is EndpointState.READY
         ]
         upstream_kinds = (settings.parent_kind, settings.origin_kind)
-        caches = frozenset(machine.cache for machine in ready if machine.kind not in upstream_kinds)
-        parents = frozenset(machine.cache for machine in ready if machine.kind == settings.parent_kind)
+        caches = frozenset(machine.number for machine in ready if machine.kind not in upstream_kinds)
+        parents = frozenset(machine.number for machine in ready if machine.kind == settings.parent_kind)
         return caches, parents
 
     def tenant_of(self, object_key: str) -> RequestTenant:
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -182,5 +182,5 @@
 def _listed_endpoint(host: str, machine: io.Endpoint) -> ListedEndpoint:
     is_ready = machine.state is EndpointState.READY
     return ListedEndpoint(
-        host, machine.cache, machine.kind, machine.zone, machine.cell, machine.size, is_ready
+        host, machine.number, machine.kind, machine.zone, machine.cell, machine.size, is_ready
     )
--- a/quincepier/net/fleet/endpoint_overlay.py
+++ b/quincepier/net/fleet/endpoint_overlay.py
@@ -28,7 +28,7 @@
         """Return an update of the change log as the router is to hear it."""
         if not self.cordoned:
             return update
-        return EndpointUpdate(update.scope, tuple(map(self._overlaid, update.machines)))
+        return EndpointUpdate(update.scope, tuple(map(self._overlaid, update.endpoints)))
 
     def set_cordoned(self, cordoned: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
         """Cordon other machines from now on.
@@ -47,12 +47,12 @@
         machines = tuple(
             self._overlaid(machine)
             for machine in listed
-            if self.host_by_number.get(machine.cache, "") in changed
+            if self.host_by_number.get(machine.number, "") in changed
         )
         return EndpointUpdate(UpdateScope.CHANGES, machines) if machines else None
 
     def _overlaid(self, machine: Endpoint) -> Endpoint:
-        is_cordoned = self.host_by_number.get(machine.cache, "") in self.cordoned
+        is_cordoned = self.host_by_number.get(machine.number, "") in self.cordoned
         if machine.state is EndpointState.READY and is_cordoned:
             return replace(machine, state=EndpointState.DRAINING)
         return machine
--- a/quincepier/net/fleet/machine_observations.py
+++ b/quincepier/net/fleet/machine_observations.py
@@ -25,7 +25,7 @@
 ) -> MachineObservation:
     kind = _kind_name(machine, settings)
     cold_ns = settings.parent_cold_time if kind == "parent" else settings.cold_time
-    uptime_ns = now_ns - machine.up_since if machine.up_since else UNKNOWN_UPTIME_NS
+    uptime_ns = now_ns - machine.started_at if machine.started_at else UNKNOWN_UPTIME_NS
     return MachineObservation(
         host=host,
         kind=kind,
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -217,7 +217,7 @@
         request.tenant = tenant.name
         if self._placements is not None:
             is_unsafe = self.active_rules.is_unsafe_class[request.class_index]
-            placement = self._placements.decide(event.tenant, event.object, not is_unsafe, event.repeat)
+            placement = self._placements.decide(event.tenant, event.object, not is_unsafe, event.is_repeat)
             request.shard = placement.shard
 
     def on_command_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
@@ -255,7 +255,7 @@
         return [
             entry.record.host
             for entry in self.module.directory.entry_by_host.values()
-            if entry.machine.state is EndpointState.READY and self._is_ejected(entry.machine.cache)
+            if entry.machine.state is EndpointState.READY and self._is_ejected(entry.machine.number)
         ]
 
     def _is_ejected(self, number: int) -> bool:
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -242,7 +242,7 @@
             if event.whole:
                 self.fleet.follow_all()
             else:
-                self.fleet.follow_changes(machine.cache for machine in news.machines)
+                self.fleet.follow_changes(machine.number for machine in news.endpoints)
         elif isinstance(event, BadRecord):
             self.checks.event("change_log_record_invalid", event.why)
 
@@ -269,7 +269,7 @@
 
     def _recall_from(self, news: io.EndpointUpdate) -> None:
         """So does what is for a machine told to drain or be gone, or names it as the source."""
-        listed = {m.cache: m.state for m in news.machines}
+        listed = {m.number: m.state for m in news.endpoints}
         leaving = {cache for cache, state in listed.items() if state is not io.EndpointState.READY}
         if news.scope is not UpdateScope.CHANGES:
             leaving |= self.caches.keys() - listed.keys()
@@ -342,7 +342,7 @@
         source = action.source if isinstance(action, io.FetchThrough) else -1
         attempt = self.requests.start_attempt(request, action.cache, now, source)
         self.checks.count("attempts_retried" if attempt.number else "attempts_first")
-        attempt.first_byte_deadline_ns = now + action.within if action.within else 0
+        attempt.first_byte_deadline_ns = now + action.first_byte_within if action.first_byte_within else 0
         left = request.time_left(now)
         timeout = min(action.timeout, left) if action.timeout else left
         attempt.deadline_ns = now + timeout
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -133,7 +133,7 @@
             entry = directory.entry_by_host.get(identity.host)
             if entry is None or entry.record.born_ms != identity.started_at_ms:
                 return None
-            return entry.machine.cache
+            return entry.machine.number
 
         return NameMapping(config.classes, config.kinds, identify, find_number)
 
--- a/quincepier/policy/early_refusal.py
+++ b/quincepier/policy/early_refusal.py
@@ -40,7 +40,7 @@
     def is_due(self, event: RequestReceived) -> bool:
         """Return whether to refuse a request; classes never kept are exempt."""
         is_standing = self._note_wait(event.waited)
-        max_wait = self._max_waits.get(event.cls)
+        max_wait = self._max_waits.get(event.class_index)
         return is_standing and max_wait is not None and event.waited > max_wait
 
     def _note_wait(self, waited: int) -> bool:
--- a/quincepier/policy/latency.py
+++ b/quincepier/policy/latency.py
@@ -33,7 +33,7 @@
 
     def transfer_time(self, request: Request) -> float:
         """Its own where told, else its class's mean, ns."""
-        return max(request.told_transfer_time or self.transfer_times.means[request.event.cls], MS)
+        return max(request.told_transfer_time or self.transfer_times.means[request.event.class_index], MS)
 
     def objective(self, request: Request) -> float:
         """The latency wanted, ns; what even an idle upstream can't do is not aimed for."""
@@ -44,7 +44,7 @@
         """From a hit, which is transfer alone, stretched by what shares its link."""
         request = completion.attempt.request
         observed = request.told_transfer_time or completion.event.elapsed / slowdown
-        self.transfer_times.add(request.event.cls, observed)
+        self.transfer_times.add(request.event.class_index, observed)
 
     def learn_slowness(self, completion: Completion) -> None:
         """From an answer, or none in time: a hit tells of the cache, a fetch of its source."""
@@ -55,7 +55,7 @@
             return
         is_cached = not attempt.is_fetch or completion.is_from_cache
         told = request.told_transfer_time
-        key = BaselineKey(request.event.cls, is_cached, told > 0)
+        key = BaselineKey(request.event.class_index, is_cached, told > 0)
         baseline = self.baselines.get(key) or Baseline(updated_at=now)
         sample = math.log(max(elapsed, 1) / (told or MS))
         if completion.is_ok:
--- a/quincepier/policy/outliers.py
+++ b/quincepier/policy/outliers.py
@@ -30,9 +30,9 @@
         attempt, outcome, upstream = completion.attempt, completion.outcome, completion.attempt.upstream
         if outcome in PROVES_UP:
             self.on_success(upstream)
-        elif outcome is AttemptOutcome.RESET and not completion.event.another_way:
+        elif outcome is AttemptOutcome.RESET and not completion.event.has_other_address:
             self.on_failure(upstream, "lost", 1)
-        elif outcome is AttemptOutcome.CONNECT_FAILED and not completion.event.another_way:
+        elif outcome is AttemptOutcome.CONNECT_FAILED and not completion.event.has_other_address:
             self.on_failure(upstream, "lost", 1 if upstream.heard_at > attempt.sent_at else FAILURES)
         if attempt.source is not None:
             self._on_source(completion, attempt.source)
@@ -60,7 +60,7 @@
             upstream.is_ejected = False
             if upstream.ejection_time > 2 * EJECTION_TIME:  # a trial failed: it was away and starts anew
                 upstream.started_at = self.context.now
-            self.log.write(f"machine {upstream.endpoint.cache} answers again")
+            self.log.write(f"machine {upstream.endpoint.number} answers again")
 
     def on_failure(self, upstream: Upstream, why: str, weight: float = FAILURES) -> None:
         """Eject it at the last of so many failures; of the origin there is one."""
@@ -68,7 +68,7 @@
         if upstream.failures < FAILURES or upstream.endpoint.kind == self.context.settings.origin_kind:
             return
         if not upstream.is_ejected:
-            self.log.write(f"machine {upstream.endpoint.cache} set aside: {why}")
+            self.log.write(f"machine {upstream.endpoint.number} set aside: {why}")
             self.eject(upstream, EJECTION_TIME)
         self.abandon(upstream)
 
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -63,13 +63,13 @@
     @staticmethod
     def _on_listed_again(upstream: Upstream, previous: Endpoint) -> None:
         """Take what the list tells in place of what was found out."""
-        up_since = upstream.endpoint.up_since
-        if 0 < up_since < previous.up_since:  # the same process, its start dated better; no other news
-            if upstream.started_at == previous.up_since:
+        up_since = upstream.endpoint.started_at
+        if 0 < up_since < previous.started_at:  # the same process, its start dated better; no other news
+            if upstream.started_at == previous.started_at:
                 upstream.started_at = up_since
             return
         upstream.draining_until = 0
-        if up_since > previous.up_since:  # another process
+        if up_since > previous.started_at:  # another process
             upstream.started_at = max(upstream.started_at, up_since)
             upstream.is_ejected = False
 
@@ -80,7 +80,7 @@
 
     def rank(self, group: list[Upstream], key: int, home: HomeShard | None = None) -> list[Upstream]:
         """The first of a key's order, kept until the list changes: a held request is looked at often."""
-        at = key if home is None else (key, home.name)
+        at = key if home is None else (key, home.number)
         if at not in self.rankings:
             if len(self.rankings) >= MEMORY_MOST:
                 self.rankings = {}
@@ -103,8 +103,8 @@
         weights = {u: (u.endpoint.size if by_size else 1.0) / 2 ** (u.weight_step / 2) for u in group}
         if home is not None:  # of all listed the home's, each by the draw that it always has
             members = home.parents if group is self.table.parents else home.caches
-            group = [u for u in group if u.endpoint.cache in members]
-        return RendezvousGroup(weights, {u: u.endpoint.cache for u in group})
+            group = [u for u in group if u.endpoint.number in members]
+        return RendezvousGroup(weights, {u: u.endpoint.number for u in group})
 
     def usable(self, group: list[Upstream], key: int, request: Request, count: int) -> list[Upstream]:
         """The first `count` that may be asked; beyond the kept part of the order where it has too few."""
@@ -186,10 +186,10 @@
     def is_known_hit(self, cache: Upstream, request: Request) -> bool:
         """Whether a cache answered the request's key out of its own lately."""
         now = self.context.now
-        seen_at = self.hits.get((cache.endpoint.cache, request.key), now - HIT_LIFETIME)
+        seen_at = self.hits.get((cache.endpoint.number, request.key), now - HIT_LIFETIME)
         return now - seen_at < HIT_LIFETIME
 
     def on_hit(self, completion: Completion) -> None:
         """Note that a cache answered out of its own."""
         attempt, now = completion.attempt, self.context.now
-        self.hits.record((attempt.upstream.endpoint.cache, attempt.request.key), now, now - HIT_LIFETIME)
+        self.hits.record((attempt.upstream.endpoint.number, attempt.request.key), now, now - HIT_LIFETIME)
--- a/quincepier/policy/retries.py
+++ b/quincepier/policy/retries.py
@@ -91,7 +91,9 @@
         source = attempt.source
         if completion.status in SOURCE_FAULTS:
             excluded.append(source or attempt.upstream)
-        elif completion.outcome is not AttemptOutcome.NOT_PROCESSED and not completion.event.another_way:
+        elif (
+            completion.outcome is not AttemptOutcome.NOT_PROCESSED and not completion.event.has_other_address
+        ):
             excluded.append(attempt.upstream)
         is_unexplained = completion.status is CacheStatus.NONE and completion.outcome in UNEXPLAINED
         if source is not None and is_unexplained:  # not told whose fault it was: change both
@@ -101,7 +103,7 @@
         attempt = completion.attempt
         request = attempt.request
         time_left = request.deadline - self.context.now
-        is_late = time_left < self.latency.transfer_times.means[request.event.cls]
+        is_late = time_left < self.latency.transfer_times.means[request.event.class_index]
         is_lacking = attempt.is_cache_only and completion.outcome is AttemptOutcome.MISS
         return is_late or is_lacking or request.attempts_sent > MAX_RETRIES
 
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -129,19 +129,19 @@
         """Route a request, or refuse it while that costs little."""
         context = self.context
         settings = context.settings
-        cls = settings.classes[event.cls]
-        self.answers.asked.add(event.cls)
+        cls = settings.classes[event.class_index]
+        self.answers.asked.add(event.class_index)
         is_behind = self.early_refusal.is_due(event)
         if is_behind or event.time_left <= settings.step:
             self.responder.reject(event.request)
             context.log(self.recovery.on_request_finished(context.now, cls.worth, False))
             return
         home = self.find_home(event) if self.find_home is not None else None
-        request = Request(event, settings, self.tiers[event.cls], context.now, home)
+        request = Request(event, settings, self.tiers[event.class_index], context.now, home)
         self.requests[event.request] = request
         self.retries.on_request()
         context.set_timer(event.time_left - settings.step, TimerKind.DEADLINE, event.request)
-        if home is not None and home.closed and cls.effect is not io.Idempotency.SAFE:
+        if home is not None and home.is_write_paused and cls.effect is not io.Idempotency.SAFE:
             self.responder.give_up(request)
         else:
             self.admission.route(request)
@@ -171,10 +171,12 @@
         completion = Completion(attempt, event)
         request = attempt.request
         self._learn(completion)
-        if completion.is_ok and self.answers.add(request.event.cls):  # each class asked for was answered
+        if completion.is_ok and self.answers.add(
+            request.event.class_index
+        ):  # each class asked for was answered
             self.context.log(self.recovery.on_first_responses(self.context.now, self.answers.count))
         first = request.first_execution
-        if event.ending not in NEVER_RAN and (first is None or attempt.sent_at < first.at):
+        if event.outcome not in NEVER_RAN and (first is None or attempt.sent_at < first.at):
             request.first_execution = Execution(attempt.sent_at, attempt.upstream.endpoint)
         if self.requests.get(event.request) is request:
             if event.last:
--- a/quincepier/policy/slow_start.py
+++ b/quincepier/policy/slow_start.py
@@ -123,7 +123,7 @@
 
     def book(self, attempt: Attempt) -> None:
         """Take an attempt from the budgets of those it is sent to."""
-        attempt.booked_work = self.latency.transfer_times.means[attempt.request.event.cls]
+        attempt.booked_work = self.latency.transfer_times.means[attempt.request.event.class_index]
         for upstream in attempt.upstreams:
             upstream.credit -= attempt.booked_work
 
--- a/quincepier/records.py
+++ b/quincepier/records.py
@@ -55,7 +55,7 @@
 
     def __init__(self, endpoint: Endpoint, slowness: DecayingMean, recent_objects: int) -> None:
         self.endpoint = endpoint
-        self.started_at = endpoint.up_since  # as told, or as guessed from its failing
+        self.started_at = endpoint.started_at  # as told, or as guessed from its failing
         self.heard_at, self.failures = 0, 0.0  # its last sign of work, and the failures since
         self.refused_by: Upstream | None = None  # the cache by which it gave nothing last
         self.is_ejected, self.trial_at, self.ejection_time = False, 0, 0
@@ -76,7 +76,7 @@
     ) -> None:
         self.event, self.tier, self.received_at, self.home = event, tier, now, home
         self.id = event.request
-        self.cls: RequestClass = settings.classes[event.cls]
+        self.cls: RequestClass = settings.classes[event.class_index]
         self.key = mix(event.object, event.part)
         self.deadline = now + event.time_left
         kb = settings.client_kb_per_s
@@ -165,19 +165,19 @@
     @property
     def outcome(self) -> AttemptOutcome:
         """How it ended."""
-        return self.event.ending
+        return self.event.outcome
 
     @property
     def status(self) -> CacheStatus:
         """What the cache told of it."""
-        return self.event.note
+        return self.event.cache_status
 
     @property
     def is_ok(self) -> bool:
         """Whether it was answered."""
-        return self.event.ending is AttemptOutcome.OK
+        return self.event.outcome is AttemptOutcome.OK
 
     @property
     def is_from_cache(self) -> bool:
         """Whether the cache answered out of its own."""
-        return self.is_ok and self.event.note in (CacheStatus.HIT, CacheStatus.STALE)
+        return self.is_ok and self.event.cache_status in (CacheStatus.HIT, CacheStatus.STALE)
--- a/quincepier/recovery/learned_facts.py
+++ b/quincepier/recovery/learned_facts.py
@@ -171,12 +171,12 @@
     for upstream in list(router.placement.table.by_id.values()):
         endpoint = upstream.endpoint
         slowness = upstream.slowness
-        is_restarted = upstream.started_at > endpoint.up_since  # found by its failing, not listed
+        is_restarted = upstream.started_at > endpoint.started_at  # found by its failing, not listed
         is_draining = endpoint.state is not EndpointState.READY or upstream.draining_until > now
         is_slowness_known = slowness.weight > MIN_EXPORTED_SLOWNESS_WEIGHT
         if is_slowness_known or is_restarted or upstream.is_ejected or is_draining:
             yield io.LearnedEndpoint(
-                endpoint.cache,
+                endpoint.number,
                 slowness.total,
                 slowness.weight,
                 now - slowness.updated_at if slowness.updated_at else 0,
@@ -236,30 +236,32 @@
 
     def _restore_transfer_time(self, fact: io.LearnedTransferTime) -> bool:
         times = self.router.latency.transfer_times
-        age = fact.ago + self._age
-        if age >= MAX_CLASS_AGE or fact.cls >= len(times.means) or times.counts[fact.cls]:
+        age = fact.age + self._age
+        if age >= MAX_CLASS_AGE or fact.class_index >= len(times.means) or times.counts[fact.class_index]:
             return False
-        count = min(fact.seen, RESTORED_TRANSFER_SAMPLES)
-        times.means[fact.cls] = fact.mean
-        times.counts[fact.cls] = count
-        self._expire_at_age(age, MAX_CLASS_AGE, partial(_forget_transfer_time, times, fact.cls, count))
+        count = min(fact.sample_count, RESTORED_TRANSFER_SAMPLES)
+        times.means[fact.class_index] = fact.mean
+        times.counts[fact.class_index] = count
+        self._expire_at_age(
+            age, MAX_CLASS_AGE, partial(_forget_transfer_time, times, fact.class_index, count)
+        )
         return True
 
     def _restore_baseline(self, fact: io.LearnedLatency) -> bool:
         latency = self.router.latency
-        age = fact.ago + self._age
-        key = BaselineKey(fact.cls, fact.held, fact.told)
-        is_known_class = fact.cls < len(latency.transfer_times.means)
+        age = fact.age + self._age
+        key = BaselineKey(fact.class_index, fact.is_hit, fact.is_relative)
+        is_known_class = fact.class_index < len(latency.transfer_times.means)
         if age >= MAX_CLASS_AGE or not is_known_class or key in latency.baselines:
             return False
-        count = min(fact.seen, RESTORED_BASELINE_SAMPLES)
-        latency.baselines[key] = Baseline(fact.mean, count, fact.least, self._now - age)
+        count = min(fact.sample_count, RESTORED_BASELINE_SAMPLES)
+        latency.baselines[key] = Baseline(fact.mean_log, count, fact.min_log, self._now - age)
         self._expire_at_age(age, MAX_CLASS_AGE, partial(_forget_baseline, latency, key, count))
         return True
 
     def _restore_served_work(self, fact: io.LearnedServedWork) -> bool:
         served = self.router.slow_start.served
-        age = fact.ago + self._age
+        age = fact.age + self._age
         if age >= MAX_WORK_AGE or fact.kind in served.sums:
             return False
         updated_at = self._now - age
@@ -271,14 +273,14 @@
         return True
 
     def _restore_purge(self, fact: io.LearnedPurge) -> bool:
-        age = fact.ago + self._age
+        age = fact.age + self._age
         if age > self.router.settings.purge_settles + PURGE_AGE_MARGIN:
             return False
         self.router.freshness.on_purge(fact.group, fact.object, age if self._is_age_known else 0)
         return True
 
     def _restore_endpoint(self, fact: io.LearnedEndpoint) -> bool:
-        upstream = self.router.placement.table.by_id.get(fact.cache)
+        upstream = self.router.placement.table.by_id.get(fact.number)
         if upstream is None:
             return False
         before = _snapshot(upstream)
@@ -292,30 +294,30 @@
     def _restore_cold_start(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
         """A start found by failing is restored, but never an earlier one than the list tells."""
         settings = self.router.settings
-        age = fact.cold_ago + self._age if self._is_age_known else 0
-        if fact.cold_ago >= 0 and age < max(settings.cold_time, settings.parent_cold_time):
+        age = fact.cold_start_age + self._age if self._is_age_known else 0
+        if fact.cold_start_age >= 0 and age < max(settings.cold_time, settings.parent_cold_time):
             upstream.started_at = max(upstream.started_at, self._now - age, 1)
 
     def _restore_ejection(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
         """One health-check request is due at once."""
-        if fact.aside_ago >= 0 and fact.aside_ago + self._age <= MAX_EJECTION_AGE:
+        if fact.ejection_age >= 0 and fact.ejection_age + self._age <= MAX_EJECTION_AGE:
             self.router.outliers.eject(upstream)
 
     def _restore_drain(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
         """It drains until the change log names it anew."""
-        remaining = MAX_DRAIN_AGE - fact.leaving_ago - self._age
-        if fact.leaving_ago >= 0 and remaining > 0:
+        remaining = MAX_DRAIN_AGE - fact.drain_age - self._age
+        if fact.drain_age >= 0 and remaining > 0:
             upstream.draining_until = self._now + remaining
 
     def _restore_slowness(self, upstream: Upstream, fact: io.LearnedEndpoint) -> None:
         """Only that it is slow, and only if the router has no samples of its own."""
-        age = fact.ago + self._age
+        age = fact.age + self._age
         slowness = upstream.slowness
-        mean = fact.slowed / max(fact.signs, MIN_WEIGHT)
+        mean = fact.slowness / max(fact.slowness_weight, MIN_WEIGHT)
         is_slow = mean > math.log(self.router.latency.slow_factor)
         if age >= MAX_SLOWNESS_AGE or not is_slow or slowness.weight:
             return
-        weight = min(fact.signs, MAX_RESTORED_SLOWNESS_WEIGHT)
+        weight = min(fact.slowness_weight, MAX_RESTORED_SLOWNESS_WEIGHT)
         slowness.total = mean * weight
         slowness.weight = weight
         slowness.updated_at = self._now - age
--- a/quincepier/simwire.py
+++ b/quincepier/simwire.py
@@ -188,7 +188,7 @@
             a = action
             opts = a.join + 2 * a.held_only + 8 * a.renew
             head = struct.pack("<IIIQI", i, a.request, a.cache, a.timeout, a.source)
-            return _record(1090, head + struct.pack("<BQB", a.rank, a.age, opts))
+            return _record(1090, head + struct.pack("<BQB", a.tier, a.max_copy_age, opts))
         case CancelAttempt(request, attempt):
             return _record(1000, struct.pack("<IIH", i, request, attempt))
         case RejectRequest(request, retry_after):
--- a/quincepier/state/fact_conversion.py
+++ b/quincepier/state/fact_conversion.py
@@ -92,26 +92,26 @@
             self._service_times.append(ServiceTimeRecord(name, mean_ns, sample_count, age_ns))
 
     def _add_baseline_latency(self, fact: io.LearnedLatency) -> None:
-        if fact.cls < len(self.names.classes):
-            name = self.names.classes[fact.cls]
+        if fact.class_index < len(self.names.classes):
+            name = self.names.classes[fact.class_index]
             record = BaselineLatencyRecord(
-                name, fact.held, fact.told, fact.mean, fact.seen, fact.least, fact.ago
+                name, fact.is_hit, fact.is_relative, fact.mean_log, fact.sample_count, fact.min_log, fact.age
             )
             self._baseline_latencies.append(record)
 
     def _add_machine(self, fact: io.LearnedEndpoint) -> None:
-        identity = self.names.identify(fact.cache)
+        identity = self.names.identify(fact.number)
         if identity is None:
             return
         record = MachineRecord(
             identity.host,
             identity.started_at_ms,
-            fact.slowed,
-            fact.signs,
-            fact.ago,
-            fact.cold_ago,
-            fact.aside_ago,
-            fact.leaving_ago,
+            fact.slowness,
+            fact.slowness_weight,
+            fact.age,
+            fact.cold_start_age,
+            fact.ejection_age,
+            fact.drain_age,
         )
         self._machines.append(record)
 
--- a/quincepier/tenancy/placement.py
+++ b/quincepier/tenancy/placement.py
@@ -146,8 +146,8 @@
         has_unknown_migrations = self.may_lack_migrations and request.tenant
         if not self.version.shards and not self._migration_by_tenant and not has_unknown_migrations:
             return None
-        is_safe = self._is_safe_by_class[request.cls]
-        placement = self.decide(request.tenant, request.object, is_safe, request.repeat)
+        is_safe = self._is_safe_by_class[request.class_index]
+        placement = self.decide(request.tenant, request.object, is_safe, request.is_repeat)
         home = self._home_by_placement.get(placement)
         if home is None:
             home = self._home_by_placement[RequestPlacement(DEFAULT_SHARD, True)]
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -162,13 +162,13 @@
         request=r.number,
         attempt=attempt.number,
         cache=attempt.cache,
-        ending=end.ending,
+        outcome=end.ending,
         elapsed=max(end.at - attempt.started_at_ns, 0),
         last=last,
-        note=end.note,
+        cache_status=end.note,
         waited=end.waited,
         report=end.report,
-        another_way=end.another_way,
+        has_other_address=end.another_way,
     )
 
 
@@ -209,10 +209,10 @@
     if isinstance(action, io.FetchThrough):
         if action.source != action.cache:
             fields.append(("via", directory.host_by_number[action.source]))
-        if action.rank:
-            fields.append(("tier", str(action.rank)))
-        if action.age:  # whole milliseconds, never older than decided; 0 would say something else
-            fields.append(("fresh", str(max(action.age // clock.MS, 1))))
+        if action.tier:
+            fields.append(("tier", str(action.tier)))
+        if action.max_copy_age:  # whole milliseconds, never older than decided; 0 would say something else
+            fields.append(("fresh", str(max(action.max_copy_age // clock.MS, 1))))
         chosen = (("join", action.join), ("held", action.held_only), ("renew", action.renew))
         if opts := "+".join(word for word, on in chosen if on):
             fields.append(("opts", opts))
--- a/quincepier/upstream_table.py
+++ b/quincepier/upstream_table.py
@@ -42,25 +42,25 @@
     def apply(self, update: EndpointUpdate, settings: Settings) -> TableChange:
         """Take what the list says now."""
         change = TableChange()
-        gone = {e.cache for e in update.machines if e.state is EndpointState.GONE}
+        gone = {e.number for e in update.endpoints if e.state is EndpointState.GONE}
         if update.scope in (UpdateScope.FULL, UpdateScope.RESTORED):
-            gone |= self.by_id.keys() - {e.cache for e in update.machines}
+            gone |= self.by_id.keys() - {e.number for e in update.endpoints}
         for cache in sorted(gone & self.by_id.keys()):
             change.removed.append(self.by_id.pop(cache))
         change.has_moved = bool(change.removed)
-        for endpoint in update.machines:
-            if endpoint.cache not in gone:
+        for endpoint in update.endpoints:
+            if endpoint.number not in gone:
                 self._apply_endpoint(endpoint, change)
         if change.has_moved:
             self._group(settings)
         return change
 
     def _apply_endpoint(self, endpoint: Endpoint, change: TableChange) -> None:
-        upstream = self.by_id.get(endpoint.cache)
+        upstream = self.by_id.get(endpoint.number)
         if upstream is None:
             upstream = self.new_upstream(endpoint)
             if upstream is not None:
-                self.by_id[endpoint.cache] = upstream
+                self.by_id[endpoint.number] = upstream
                 change.has_moved = True
             return
         change.listed_again.append((upstream, upstream.endpoint))
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -237,7 +237,7 @@
 
     def endings(self, request: OpenRequest) -> list[io.AttemptOutcome]:
         return [
-            e.ending
+            e.outcome
             for e in self.events
             if isinstance(e, io.AttemptCompleted) and e.request == request.number
         ]
--- a/tests/policy_recording.py
+++ b/tests/policy_recording.py
@@ -86,7 +86,7 @@
         self.open: dict[int, tuple[io.RequestReceived, list[bool]]] = {}  # whether each attempt has ended
         self.held: dict[int, set[tuple[int, int]]] = {}  # by machine
         self.fault = {machine: fault for machine, fault, _ in plan.begin}
-        self.listed = {m.cache: m for m in plan.machines}
+        self.listed = {m.number: m for m in plan.machines}
         self.busy = 0
         self.sent: dict[tuple[int, int], tuple[int, int]] = {}  # to which machine, and when
         self.late: set[tuple[int, int]] = set()  # attempts whose end was told
@@ -101,7 +101,9 @@
         if request.tenant == 0:
             return None
         parents = frozenset(PARENTS[: request.tenant])
-        return io.HomeShard(request.tenant, frozenset(CACHES[:2]), parents, closed=request.tenant == 2)
+        return io.HomeShard(
+            request.tenant, frozenset(CACHES[:2]), parents, is_write_paused=request.tenant == 2
+        )
 
     def play(self) -> list[list[str]]:
         plan = self.plan
@@ -197,7 +199,7 @@
 
     def tell_list(self, news: io.EndpointUpdate) -> None:
         whole = news.scope is UpdateScope.FULL
-        self.give(replace(news, machines=tuple(self.listed.values())) if whole else news)
+        self.give(replace(news, endpoints=tuple(self.listed.values())) if whole else news)
 
     def send(self, action: io.ForwardRequest | io.FetchThrough) -> None:
         number, chance = action.request, self.random
@@ -211,7 +213,7 @@
         outcome, note, took = self.answer(action, request)
         took = min(took, action.timeout) if took else action.timeout
         outcome = AttemptOutcome.TIMEOUT if took == action.timeout else outcome
-        cls = self.plan.settings.classes[request.cls]
+        cls = self.plan.settings.classes[request.class_index]
         if cls.stream and outcome is AttemptOutcome.OK and chance.random() < 0.7:
             self.after(took // 3, self.begin, number, attempt, action.cache)
             took *= 3
@@ -339,13 +341,13 @@
             case "gone":
                 one = replace(one, state=EndpointState.GONE)
             case "cold":
-                one = replace(one, state=EndpointState.READY, up_since=self.now - chance.randrange(SECOND))
-                self.held.pop(one.cache, None)
+                one = replace(one, state=EndpointState.READY, started_at=self.now - chance.randrange(SECOND))
+                self.held.pop(one.number, None)
             case "size":
                 one = replace(one, size=round(chance.uniform(5, 60), 1))
             case "new":
-                gone = [m for m in self.plan.machines if m.cache not in self.listed]
-                one = replace(chance.choice(gone or [replace(known[0], cache=104)]), up_since=self.now)
+                gone = [m for m in self.plan.machines if m.number not in self.listed]
+                one = replace(chance.choice(gone or [replace(known[0], number=104)]), started_at=self.now)
             case "whole":
                 self.give(io.EndpointUpdate(UpdateScope.FULL, tuple(known)))
                 return
@@ -353,11 +355,11 @@
                 self.give(io.EndpointUpdate(UpdateScope.FAILED, ()))
                 return
             case "far":
-                one = replace(known[0], cache=900 + chance.randrange(4), zone=7)
+                one = replace(known[0], number=900 + chance.randrange(4), zone=7)
         if one.state is EndpointState.GONE:
-            self.listed.pop(one.cache, None)
+            self.listed.pop(one.number, None)
         else:
-            self.listed[one.cache] = one
+            self.listed[one.number] = one
         self.give(io.EndpointUpdate(UpdateScope.CHANGES, (one,)))
 
     def stall(self, span: int) -> None:
--- a/tests/policy_stream.py
+++ b/tests/policy_stream.py
@@ -115,7 +115,7 @@
 def as_witnessed(
     request: io.RequestReceived, upstream: Upstream, source: Upstream | None
 ) -> list[int | None]:
-    return [request.request, upstream.endpoint.cache, None if source is None else source.endpoint.cache]
+    return [request.request, upstream.endpoint.number, None if source is None else source.endpoint.number]
 
 
 class RecordingRouter(Router):
--- a/tests/tenancykit.py
+++ b/tests/tenancykit.py
@@ -133,7 +133,7 @@
             )
         home = self._placement_tables[key](io.RequestReceived(1, 0, 0.0, 1, 0, 5, 0, is_retry, 1))
         assert home is not None
-        if home.closed:
+        if home.is_write_paused:
             return None
         return TARGET if home.caches == {NUMBER_BY_HOST["s-1"]} else SOURCE
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -96,7 +96,7 @@
 
 def test_exception_in_the_module_fails_that_request_alone() -> None:
     def script(event: io.Event) -> list[io.Action]:
-        if isinstance(event, io.RequestReceived) and event.cls == 0:
+        if isinstance(event, io.RequestReceived) and event.class_index == 0:
             raise KeyError("no such thing")
         return (
             [io.RejectRequest(event.request, 300 * clock.MS)] if isinstance(event, io.RequestReceived) else []
@@ -169,7 +169,7 @@
     event = router.events[-1]
     assert (
         isinstance(event, io.AttemptCompleted)
-        and event.ending is AttemptOutcome.NOT_PROCESSED
+        and event.outcome is AttemptOutcome.NOT_PROCESSED
         and not event.last
     )
 
@@ -226,14 +226,14 @@
 
         await until(lambda: len(ended()) == 2, "both probes end")
         well, refused = ended()[number("s-1")], ended()[number("s-2")]
-        assert (well.ending, refused.ending) == (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED)
+        assert (well.outcome, refused.outcome) == (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED)
         assert cache.probed == ["gauges" if how == "on_probe" else "health"]
         assert well.report == ((0.61, 0.4) if how == "on_probe" else ())
         cache.health = "ill"
         router.events.clear()
         actor._perform(io.SendHealthCheck(number("s-1")), clock.now())
         await until(lambda: len(ended()) == 1, "the third ends")
-        assert ended()[number("s-1")].ending is AttemptOutcome.ERROR
+        assert ended()[number("s-1")].outcome is AttemptOutcome.ERROR
         actor.cancel()
         for each in actor.caches.values():
             each.cancel()
@@ -308,7 +308,7 @@
         ask(actor, Inbox())
 
         def ended() -> list[AttemptOutcome]:
-            return [event.ending for event in router.events if isinstance(event, io.AttemptCompleted)]
+            return [event.outcome for event in router.events if isinstance(event, io.AttemptCompleted)]
 
         await until(lambda: bool(ended()), "the attempt ends")
         assert ended() == [ending]
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -109,7 +109,7 @@
         """They find the machine on the list that they begin with."""
         own = self.begun[0][1]
         up = {own: BEGIN}
-        listed = tuple(replace(m, size=self.size, up_since=up.get(m.cache, 0)) for m in fleet())
+        listed = tuple(replace(m, size=self.size, started_at=up.get(m.number, 0)) for m in fleet())
         for n in range(count):
             self.benches[n] = Bench(self.settings, listed, seed=self.seed + 7777 * (n + 1))
             self.benches[n].now = now
@@ -199,7 +199,7 @@
 def test_a_hit_that_was_asked_for_before_the_start_gives_no_credit_after_it() -> None:
     """Booked on the parent as it was, answered by the cache after the parent's start is told."""
     settings = make_settings(fronts=30, fronts_by_zone=(0, 30))
-    listed = tuple(replace(m, size=1.0) for m in fleet() if m.cache != PARENTS[1])
+    listed = tuple(replace(m, size=1.0) for m in fleet() if m.number != PARENTS[1])
     early = 0
     for seed in range(30):
         bench = Bench(settings, listed, seed)
@@ -223,7 +223,7 @@
     listed = tuple(replace(m, size=1.0) for m in fleet())
     bench = Bench(make_settings(fronts=1, fronts_by_zone=(0, 1)), listed)
     node, started = bench.router.placement.table.by_id[CACHES[0]], bench.now
-    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (replace(node.endpoint, up_since=started),)))
+    bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (replace(node.endpoint, started_at=started),)))
     for _ in range(2):  # the last look while it is cold
         bench.wait(7 * SECOND)
         bench.router.context.now = bench.now
@@ -233,7 +233,7 @@
     for number in range(1, 61):
         for sent in attempts(bench.ask(number, obj=number)):
             bench.end(sent, AttemptOutcome.OK, CacheStatus.FILLED)
-    again = replace(node.endpoint, up_since=started + 13 * SECOND)
+    again = replace(node.endpoint, started_at=started + 13 * SECOND)
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (again,)))
     bench.router.slow_start.has_room(node)
     assert -WORK * SECOND <= node.credit <= 0, node.credit / SECOND  # one request at most
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -218,7 +218,7 @@
         (first,) = attempts(bench.ask(request, cls))
         bench.now += 500 * MS
         (again,) = attempts(bench.end(first, AttemptOutcome.RESET))
-        assert (first.within, again.within) == (0, within)
+        assert (first.first_byte_within, again.first_byte_within) == (0, within)
 
 
 # The list
--- a/tests/test_decision_recorder.py
+++ b/tests/test_decision_recorder.py
@@ -40,14 +40,14 @@
     bench = Bench()
     machines = [node.endpoint for node in bench.router.placement.table.by_id.values()]
     endpoints = tuple(
-        ListedEndpoint(f"h{m.cache}", m.cache, m.kind, m.zone, 0, m.size, True) for m in machines
+        ListedEndpoint(f"h{m.number}", m.number, m.kind, m.zone, 0, m.size, True) for m in machines
     )
     inputs = DecisionInputs(RuleVersion(0, 0), bench.settings, endpoints, 3, "b")
     ranking_cache = RouterRankingCache(RouterView(bench.router), lambda: endpoints)
     for key in sample_keys(0, 5, 32, inputs):
         ranked = bench.router.placement.rank(bench.router.placement.table.caches, mix(key.object, key.part))
         decision = decide(inputs, key)
-        assert decision.caches == tuple(node.endpoint.cache for node in ranked)
+        assert decision.caches == tuple(node.endpoint.number for node in ranked)
         assert decision == DecisionRules(inputs, ranking_cache=ranking_cache).decide(key)
     assert ranking_cache(9, 1) is None and count_stale_rankings(RouterView(bench.router)) == 0
     cached = next(iter(bench.router.placement.rankings))
@@ -110,11 +110,11 @@
 
 
 def wrong_hash(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: mix(key + 1, n.endpoint.cache))
+    return sorted(nodes, key=lambda n: mix(key + 1, n.endpoint.number))
 
 
 def by_id(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: int(n.endpoint.cache))
+    return sorted(nodes, key=lambda n: int(n.endpoint.number))
 
 
 ORIGINAL_RANK, FIRST_RANKINGS = Placement.rank, dict[tuple[int, int], list[Any]]()
@@ -122,13 +122,13 @@
 
 def first_ranking(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
     """What was ranked first is used for ever, as far as it is still listed."""
-    ranked = [n.endpoint.cache for n in ORIGINAL_RANK(self, nodes, key)]
+    ranked = [n.endpoint.number for n in ORIGINAL_RANK(self, nodes, key)]
     first = FIRST_RANKINGS.setdefault((id(self), key), ranked)
     return [self.table.by_id[n] for n in first if n in self.table.by_id]
 
 
 def unweighted(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: -math.log((mix(key, n.endpoint.cache) + 1) / 2**64))
+    return sorted(nodes, key=lambda n: -math.log((mix(key, n.endpoint.number) + 1) / 2**64))
 
 
 def always_true(self: object, *args: object) -> bool:
--- a/tests/test_endpoint_overlay.py
+++ b/tests/test_endpoint_overlay.py
@@ -44,8 +44,8 @@
     state_in_router = dict(state_in_log)
 
     def tell_router(update: EndpointUpdate | None) -> None:
-        for machine in update.machines if update is not None else ():
-            state_in_router[machine.cache] = machine.state
+        for machine in update.endpoints if update is not None else ():
+            state_in_router[machine.number] = machine.state
 
     cordoned: frozenset[str] = frozenset()
     for event, value in events:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -101,8 +101,8 @@
     update = directory.apply(
         FleetChange(2, False, (host_record("s-1", EndpointState.GONE), host_record("s-3")))
     )
-    assert [m.state for m in update.machines] == [EndpointState.GONE, EndpointState.READY]
-    assert len({m.cache for m in update.machines}) == 2
+    assert [m.state for m in update.endpoints] == [EndpointState.GONE, EndpointState.READY]
+    assert len({m.number for m in update.endpoints}) == 2
     assert {r.host for _, r in directory.listed_hosts()} == {"s-2", "s-3"}
     assert directory.find_entry(directory.assign_number("s-1")) is None
 
@@ -112,10 +112,10 @@
     update = directory.apply(
         FleetChange(2, True, (host_record("s-9", site="west", kind="parent"),)), UpdateScope.FULL
     )
-    (machine,) = update.machines
+    (machine,) = update.endpoints
     assert (update.scope, machine.zone, machine.kind) == (UpdateScope.FULL, 0, 1)
     assert [r.host for _, r in directory.listed_hosts()] == ["s-9"]
-    assert directory.full_list().machines == update.machines
+    assert directory.full_list().endpoints == update.endpoints
 
 
 def test_an_invalid_change_is_not_applied_at_all() -> None:
@@ -129,12 +129,14 @@
 def test_the_start_time_of_a_machine_stays_when_it_is_listed_again() -> None:
     directory = new_directory()
     born = time.time_ns() // clock.MS - 5000
-    first = directory.apply(FleetChange(2, False, (host_record("s-1", born_ms=born),))).machines[0]
-    second = directory.apply(FleetChange(3, False, (host_record("s-1", born_ms=born, size=9.0),))).machines[0]
-    assert first.up_since == second.up_since > 0
-    assert clock.now() - first.up_since >= 5000 * clock.MS
-    later = directory.apply(FleetChange(4, False, (host_record("s-1", born_ms=born + 1000),))).machines[0]
-    assert later.up_since > second.up_since
+    first = directory.apply(FleetChange(2, False, (host_record("s-1", born_ms=born),))).endpoints[0]
+    second = directory.apply(FleetChange(3, False, (host_record("s-1", born_ms=born, size=9.0),))).endpoints[
+        0
+    ]
+    assert first.started_at == second.started_at > 0
+    assert clock.now() - first.started_at >= 5000 * clock.MS
+    later = directory.apply(FleetChange(4, False, (host_record("s-1", born_ms=born + 1000),))).endpoints[0]
+    assert later.started_at > second.started_at
 
 
 def test_unix_times_are_converted_on_the_safe_side() -> None:
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -93,7 +93,7 @@
             if upper
             else (s.cold_from, s.cold_multiple, s.cold_time)
         )
-        if m.kind != s.origin_kind and self.now - m.up_since < min(s.cold_window, warm):
+        if m.kind != s.origin_kind and self.now - m.started_at < min(s.cold_window, warm):
             work = (sum(at > self.now - s.cold_window for at in sent) - 1) * min(
                 self.router.latency.transfer_times.means
             )
@@ -102,7 +102,7 @@
             assert work * fronts_that_ask(s.fronts, s.fronts_by_zone, m.zone) <= stands
 
     def check_final(self, action: io.Action, request: int) -> None:
-        cls = self.site.classes[self.owed[request][0].cls] if request in self.owed else None
+        cls = self.site.classes[self.owed[request][0].class_index] if request in self.owed else None
         if cls is not None and cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL:
             _, deadline = self.owed.pop(
                 request
--- a/tests/test_policy_homes.py
+++ b/tests/test_policy_homes.py
@@ -78,7 +78,7 @@
 
 
 def a_closed_home_refuses_what_may_not_simply_be_repeated() -> None:
-    bench = homed(lambda e: home(closed=True))
+    bench = homed(lambda e: home(is_write_paused=True))
     assert len(attempts(bench.ask(1, cls=0))) == 1
     for n in (1, 2):
         done = bench.ask(10 + n, cls=n)
@@ -106,7 +106,7 @@
     bench, seen = homed(lambda e: None), list[tuple[int, int, int | None]]()
 
     def witness(e: io.RequestReceived, node: Upstream, source: Upstream | None) -> None:
-        seen.append((e.request, node.endpoint.cache, source.endpoint.cache if source else None))
+        seen.append((e.request, node.endpoint.number, source.endpoint.number if source else None))
 
     bench.router.sender.observer = witness
     (sent,) = attempts(bench.ask(1))
@@ -121,7 +121,7 @@
     (sent,) = attempts(bench.ask(1, obj=7))
     req = bench.router.requests[1]
     order = [
-        n.endpoint.cache for n in bench.router.placement.rank(bench.router.placement.table.caches, req.key)
+        n.endpoint.number for n in bench.router.placement.rank(bench.router.placement.table.caches, req.key)
     ]
     bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
     first = bench.router.placement.table.by_id[order[0]]
@@ -186,13 +186,13 @@
 
 
 def one_order_for_all_homes(patch: pytest.MonkeyPatch) -> None:
-    ranked(lambda s, n, k, h: rank(s, n, k, h and replace(h, name=1)))(patch)
+    ranked(lambda s, n, k, h: rank(s, n, k, h and replace(h, number=1)))(patch)
 
 
 def never_closed(patch: pytest.MonkeyPatch) -> None:
     def open_to_all(self: Router, e: io.RequestReceived) -> None:
         found = self.find_home
-        self.find_home = found and (lambda e: (h := found(e)) and replace(h, closed=False))
+        self.find_home = found and (lambda e: (h := found(e)) and replace(h, is_write_paused=False))
         came(self, e)
         self.find_home = found
 
@@ -238,7 +238,7 @@
 
     def fallen(s: Placement, n: list[Upstream], k: int, h: io.HomeShard | None) -> list[Upstream]:
         usable = h and any(
-            m.endpoint.cache in h.caches and m.endpoint.state is EndpointState.READY for m in s.table.caches
+            m.endpoint.number in h.caches and m.endpoint.state is EndpointState.READY for m in s.table.caches
         )
         return rank(s, n, k, h if usable else None)
 
--- a/tests/test_policy_mechanism.py
+++ b/tests/test_policy_mechanism.py
@@ -105,7 +105,11 @@
     bench = Bench()
     crowd(bench, 0, 0, 16)
     (looked,) = attempts(bench.ask(501, cls=1, obj=501))
-    assert isinstance(looked, io.FetchThrough) and looked.age == 22 * SECOND and looked.source == looked.cache
+    assert (
+        isinstance(looked, io.FetchThrough)
+        and looked.max_copy_age == 22 * SECOND
+        and looked.source == looked.cache
+    )
 
 
 def test_placement_is_stable_as_the_list_changes() -> None:
@@ -222,7 +226,7 @@
 
 def test_cold_newcomer_takes_part_of_its_keys() -> None:
     bench = Bench()
-    newcomer = replace(machine(104), up_since=bench.now)
+    newcomer = replace(machine(104), started_at=bench.now)
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (newcomer,)))
     taken = 0
     for n in range(300):
@@ -378,7 +382,7 @@
     second = bench.router.placement.rank(bench.router.placement.table.caches, req.key)[1]
     bench.end(sent, AttemptOutcome.OK, CacheStatus.HIT)
     first.in_flight = {(5000 + n, 0): Attempt(req, 0, bench.now, first, None) for n in range(200)}
-    return first.endpoint.cache, second.endpoint.cache
+    return first.endpoint.number, second.endpoint.number
 
 
 def test_hold_for_a_crowded_cache_ends_at_the_next_by_hash_while_the_bound_is_free() -> None:
@@ -401,7 +405,7 @@
 
 def unlisted(**more: Any) -> tuple[io.Endpoint, ...]:
     """The fleet as a list without sizes tells it."""
-    return tuple(replace(m, size=1.0, **(more if m.cache in CACHES else {})) for m in fleet())
+    return tuple(replace(m, size=1.0, **(more if m.number in CACHES else {})) for m in fleet())
 
 
 def test_sizes_not_told_are_learned_from_what_a_kind_was_seen_to_bear() -> None:
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -88,7 +88,7 @@
         self.timers: list[tuple[int, int]] = []
         self.purged: dict[tuple[int, int], int] = {}
         many = LARGE if site.fronts > 100 else ()
-        self.states = {m.cache: m for m in (*fleet(), *many)}
+        self.states = {m.number: m for m in (*fleet(), *many)}
         self.cold: dict[int, list[int]] = {}
         self.next = 0
         self.give(io.EndpointUpdate(UpdateScope.RESTORED, tuple(self.states.values())))
@@ -111,7 +111,7 @@
         came, deadline = self.owed[sent.request]
         assert self.now < deadline and sent.timeout <= deadline - self.now
         past = self.sends.setdefault(sent.request, [])
-        cls = self.site.classes[came.cls]
+        cls = self.site.classes[came.class_index]
         effect = cls.effect
         flying = [n for n, (_, _, ending) in enumerate(past) if ending is None]
         ran = [(at, cache) for at, cache, ending in past if ending not in RAN_NOT]
@@ -132,7 +132,7 @@
         if isinstance(sent, io.FetchThrough):
             told = [self.purged.get((0, came.object), -1), self.purged.get((1, came.group), -1)]
             if max(told) >= 0 and self.now - max(told) <= self.site.purge_settles:
-                assert 1 <= sent.age <= max(self.now - max(told), 1), "an older copy would do"
+                assert 1 <= sent.max_copy_age <= max(self.now - max(told), 1), "an older copy would do"
         else:
             assert self.states[sent.cache].kind == ORIGIN
         if sent.cache in self.cold:
@@ -150,7 +150,7 @@
             if m.kind == s.parent_kind
             else (s.cold_from, s.cold_multiple)
         )
-        if self.now - m.up_since < s.cold_window:
+        if self.now - m.started_at < s.cold_window:
             work = (sum(at > first for at in sent) - 1) * min(
                 self.router.latency.transfer_times.means
             )  # one may overdraw
@@ -162,7 +162,7 @@
         assert request in self.begun or self.now <= deadline
         if (
             isinstance(action, io.RejectRequest)
-            and self.site.classes[came.cls].effect is not Idempotency.SAFE
+            and self.site.classes[came.class_index].effect is not Idempotency.SAFE
         ):
             assert all(ending in RAN_NOT for _, _, ending in self.sends.get(request, []))
 
@@ -195,9 +195,9 @@
     def relist(self, pick: int, state: EndpointState) -> None:
         cache = (*CACHES, *PARENTS)[pick % 5]
         old = self.states[cache]
-        up = self.now if state is EndpointState.READY else old.up_since
+        up = self.now if state is EndpointState.READY else old.started_at
         size = 8.0 if state is EndpointState.READY else old.size  # a cold budget that can be passed
-        new = replace(old, state=state, up_since=up, size=size)
+        new = replace(old, state=state, started_at=up, size=size)
         self.states[cache] = new
         if state is EndpointState.READY:
             self.cold[cache] = []
@@ -237,7 +237,7 @@
                 self.give(io.ClientDisconnected(request))
         elif kind == 11 and self.out:
             request, no = sorted(self.out)[pick % len(self.out)]
-            stream = request in self.owed and self.site.classes[self.owed[request][0].cls].stream
+            stream = request in self.owed and self.site.classes[self.owed[request][0].class_index].stream
             if stream and request not in self.begun:
                 self.begun.add(request)
                 self.give(io.ResponseStarted(request, no, self.out[request, no][0].cache))
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -187,20 +187,20 @@
     bench = Bench()
     bench.give(io.ObjectPurged(group, obj, 300 * MS))
     (first,) = attempts(bench.ask(1))
-    assert isinstance(first, io.FetchThrough) and first.age == 300 * MS
+    assert isinstance(first, io.FetchThrough) and first.max_copy_age == 300 * MS
     bench.now += SECOND
     (second,) = attempts(bench.ask(2))
-    assert isinstance(second, io.FetchThrough) and second.age == 1300 * MS
+    assert isinstance(second, io.FetchThrough) and second.max_copy_age == 1300 * MS
     bench.now += 20 * SECOND
     (third,) = attempts(bench.ask(3))
-    assert isinstance(third, io.FetchThrough) and third.age == 0
+    assert isinstance(third, io.FetchThrough) and third.max_copy_age == 0
 
 
 def test_purge_told_at_once_limits_to_the_least_age() -> None:
     bench = Bench()
     bench.give(io.ObjectPurged(3, 5, 0))
     (sent,) = attempts(bench.ask(1))
-    assert isinstance(sent, io.FetchThrough) and sent.age == 1
+    assert isinstance(sent, io.FetchThrough) and sent.max_copy_age == 1
 
 
 def test_purge_told_while_held_counts_at_release() -> None:
@@ -209,7 +209,7 @@
     bench.ask(99, obj=5)
     bench.give(io.ObjectPurged(3, 5, 200 * MS))
     (late,) = attempts(bench.end(out[0], AttemptOutcome.OK, CacheStatus.FILLED))
-    assert isinstance(late, io.FetchThrough) and late.request == 99 and late.age == 200 * MS
+    assert isinstance(late, io.FetchThrough) and late.request == 99 and late.max_copy_age == 200 * MS
 
 
 def test_one_attempt_at_a_time_where_copies_are_barred() -> None:
@@ -239,10 +239,10 @@
 
 def test_members_keep_their_start_time_across_lists() -> None:
     bench = Bench()
-    line = replace(machine(CACHES[0]), up_since=bench.now)
+    line = replace(machine(CACHES[0]), started_at=bench.now)
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (line,)))
     bench.give(io.EndpointUpdate(UpdateScope.CHANGES, (line,)))
-    assert bench.router.placement.table.by_id[CACHES[0]].started_at == line.up_since
+    assert bench.router.placement.table.by_id[CACHES[0]].started_at == line.started_at
 
 
 def test_request_that_waited_out_its_time_is_answered_at_once() -> None:
@@ -291,8 +291,8 @@
     bench.give(io.ObjectPurged(3, 0, 4 * SECOND))
     (inside,) = attempts(bench.ask(1))
     (outside,) = attempts(bench.ask(2, group=4))
-    assert isinstance(inside, io.FetchThrough) and inside.age == 4 * SECOND
-    assert isinstance(outside, io.FetchThrough) and outside.age == 0
+    assert isinstance(inside, io.FetchThrough) and inside.max_copy_age == 4 * SECOND
+    assert isinstance(outside, io.FetchThrough) and outside.max_copy_age == 0
 
 
 def test_caches_of_other_zones_cost_nothing() -> None:
--- a/tests/test_policy_vast.py
+++ b/tests/test_policy_vast.py
@@ -33,10 +33,10 @@
     table = bench.router.placement.table
     (first,) = attempts(bench.ask(1, obj=7))
     request = bench.router.requests[1]
-    ids = {upstream: upstream.endpoint.cache for upstream in table.caches}
+    ids = {upstream: upstream.endpoint.number for upstream in table.caches}
     order = rank(request.key, {u: u.endpoint.size for u in table.caches}, ids)
-    assert first.cache == order[0].endpoint.cache
-    leaving = tuple(machine(u.endpoint.cache, state=EndpointState.DRAINING) for u in order[:unusable])
+    assert first.cache == order[0].endpoint.number
+    leaving = tuple(machine(u.endpoint.number, state=EndpointState.DRAINING) for u in order[:unusable])
     bench.give(EndpointUpdate(UpdateScope.CHANGES, leaving))
     (second,) = attempts(bench.ask(2, obj=7))
-    assert second.cache == order[unusable].endpoint.cache
+    assert second.cache == order[unusable].endpoint.number
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -151,15 +151,15 @@
 def test_purges_drains_and_cold_starts_of_the_first_list_hold_for_the_first_request() -> None:
     now = 100 * SECOND
     draining = tuple(
-        replace(m, state=EndpointState.DRAINING) if m.cache == CACHES[0]
-        else replace(m, up_since=now - SECOND) if m.cache == CACHES[1] else m
+        replace(m, state=EndpointState.DRAINING) if m.number == CACHES[0]
+        else replace(m, started_at=now - SECOND) if m.number == CACHES[1] else m
         for m in fleet()
     )  # fmt: skip
     bench = Bench(machines=draining)
     bench.give(io.ObjectPurged(3, 0, 2 * SECOND))
     sent = [a for n in range(60) for a in attempts(bench.ask(n, obj=n))]
     fetches = [a for a in sent if isinstance(a, io.FetchThrough)]
-    assert fetches and all(0 < a.age <= 2 * SECOND for a in fetches)
+    assert fetches and all(0 < a.max_copy_age <= 2 * SECOND for a in fetches)
     asked = [a.cache for a in sent]
     assert CACHES[0] not in asked
     assert asked.count(CACHES[1]) < asked.count(CACHES[2])  # a cold one is asked for less
@@ -289,24 +289,24 @@
 @given(st.one_of(st.integers(0, 700), st.sampled_from([600, 86_400, 400 * 86_400])), st.integers(0, 10**6))
 def test_no_fact_counts_past_its_maximum_age(seconds: int, seed: int) -> None:
     rng, facts = random.Random(seed), learn_facts(Bench())
-    aged = [replace(f, ago=f.ago + rng.randrange(0, 700) * SECOND) for f in facts]
+    aged = [replace(f, age=f.age + rng.randrange(0, 700) * SECOND) for f in facts]
     new = Bench()
     restore_facts(new.router, aged, seconds * SECOND)
     now, max_ages = new.now, dict[type, int]()
     max_ages |= {io.LearnedTransferTime: MAX_CLASS_AGE, io.LearnedLatency: MAX_CLASS_AGE}
     max_ages |= {io.LearnedServedWork: MAX_WORK_AGE}
-    alive = [f for f in aged if f.ago + seconds * SECOND < max_ages.get(type(f), 0)]
+    alive = [f for f in aged if f.age + seconds * SECOND < max_ages.get(type(f), 0)]
     assert len(new.router.latency.transfer_times.counts) == sum(
         isinstance(f, io.LearnedTransferTime) for f in alive
     )
     assert len(new.router.latency.baselines) == sum(isinstance(f, io.LearnedLatency) for f in alive)
     assert len(new.router.slow_start.served.sums) == sum(isinstance(f, io.LearnedServedWork) for f in alive)
     assert all(now < expires_at <= now + MAX_CLASS_AGE for expires_at, _ in new.router.expiries)
-    slow = next(f for f in aged if isinstance(f, io.LearnedEndpoint) and f.cache == CACHES[0])
+    slow = next(f for f in aged if isinstance(f, io.LearnedEndpoint) and f.number == CACHES[0])
     slowness = new.router.placement.table.by_id[CACHES[0]].slowness
-    assert (slowness.weight > 0) == (slow.ago + seconds * SECOND < MAX_SLOWNESS_AGE)
-    ejected = next(f for f in aged if isinstance(f, io.LearnedEndpoint) and f.aside_ago >= 0)
-    assert new.router.placement.table.by_id[ejected.cache].is_ejected == (
+    assert (slowness.weight > 0) == (slow.age + seconds * SECOND < MAX_SLOWNESS_AGE)
+    ejected = next(f for f in aged if isinstance(f, io.LearnedEndpoint) and f.ejection_age >= 0)
+    assert new.router.placement.table.by_id[ejected.number].is_ejected == (
         seconds * SECOND <= MAX_EJECTION_AGE
     )
 
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -126,7 +126,7 @@
         await until(lambda: not inside.cache("s-1").connections, "the old connections are gone")
         await inside.serve(SAFE, 9)
         assert AttemptOutcome.CONNECT_FAILED in endings and inside.cache("s-1").number in {
-            n.endpoint.cache for n in inside.module.router.placement.table.by_id.values() if n.is_ejected
+            n.endpoint.number for n in inside.module.router.placement.table.by_id.values() if n.is_ejected
         }
         machine.set("ipv4", Script())  # set aside or not, what is listed is tried
         await inside.cache("s-1").way.connect()  # type: ignore[union-attr]
--- a/tests/test_standing_cold.py
+++ b/tests/test_standing_cold.py
@@ -97,9 +97,9 @@
     def listed(self: Router, news: io.EndpointUpdate) -> None:
         cold = {cache for cache, node in self.placement.table.by_id.items() if node.started_at}
         plain(self, news)
-        for m in news.machines:
-            if m.cache in cold:
-                self.placement.table.by_id[m.cache].started_at = 0
+        for m in news.endpoints:
+            if m.number in cold:
+                self.placement.table.by_id[m.number].started_at = 0
 
     patch.setattr(Router, "on_endpoint_update", listed)
 
--- a/tests/test_standing_floors.py
+++ b/tests/test_standing_floors.py
@@ -101,7 +101,10 @@
     plain = Router.on_request
 
     def came(self: Router, e: io.RequestReceived) -> None:
-        if self.settings.classes[e.cls].effect is Idempotency.UNSAFE and self.fetch_limit.is_nearly_full:
+        if (
+            self.settings.classes[e.class_index].effect is Idempotency.UNSAFE
+            and self.fetch_limit.is_nearly_full
+        ):
             self.context.actions.append(io.RejectRequest(e.request, 0))
         else:
             plain(self, e)
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -251,7 +251,7 @@
 
     def machine(self: MachineDirectory, record: Any) -> Any:
         before, now = self.entry_by_host.get(record.host), plain(self, record)
-        return replace(now, up_since=before.machine.up_since) if before is not None else now
+        return replace(now, started_at=before.machine.started_at) if before is not None else now
 
     patch.setattr(MachineDirectory, "_to_machine", machine)
 
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -101,13 +101,13 @@
     table, other_table = placement_table(v), placement_table(v)
     home = home_of(table, key, SAFE_CLASS)
     assert home == home_of(other_table, key, SAFE_CLASS)
-    assert home.caches in (NORTH_CACHES, DEFAULT_CACHES) and not home.closed
+    assert home.caches in (NORTH_CACHES, DEFAULT_CACHES) and not home.is_write_paused
     assert home_of(table, key, SAFE_CLASS, tenant=0).caches == DEFAULT_CACHES
     cautious_table = placement_table(v, is_cautious)
     if is_cautious and step <= MigrationStep.PAUSING_WRITES:
         assert home_of(cautious_table, key, SAFE_CLASS).caches == DEFAULT_CACHES
     if is_cautious and v.migrations[0].is_active:
-        assert home_of(cautious_table, key, KEYED_CLASS).closed
+        assert home_of(cautious_table, key, KEYED_CLASS).is_write_paused
     if step in (MigrationStep.PLANNED, MigrationStep.RAMPING_UP, MigrationStep.VERIFYING):
         assert home_of(table, key, KEYED_CLASS).caches == DEFAULT_CACHES, "unsafe requests stay at the source"
 
@@ -126,7 +126,10 @@
 
 def test_a_shard_without_a_cache_has_safe_requests_served_elsewhere_and_the_rest_rejected() -> None:
     table = placement_table(version(MigrationStep.DRAINING, ALL_SLOTS), caches=(8, 9))
-    assert home_of(table, 5, SAFE_CLASS).caches == DEFAULT_CACHES and home_of(table, 5, KEYED_CLASS).closed
+    assert (
+        home_of(table, 5, SAFE_CLASS).caches == DEFAULT_CACHES
+        and home_of(table, 5, KEYED_CLASS).is_write_paused
+    )
 
 
 def test_without_shards_the_ordinary_placement_holds() -> None:
@@ -142,6 +145,6 @@
 
 def test_a_front_without_a_version_rejects_unsafe_requests_of_tenants() -> None:
     table = placement_table(RuleVersion(0, 0), is_cautious=True, may_lack_migrations=True)
-    assert home_of(table, 5, KEYED_CLASS).closed
+    assert home_of(table, 5, KEYED_CLASS).is_write_paused
     safe_home = home_of(table, 5, SAFE_CLASS)
-    assert not safe_home.closed and safe_home.caches == NORTH_CACHES | DEFAULT_CACHES
+    assert not safe_home.is_write_paused and safe_home.caches == NORTH_CACHES | DEFAULT_CACHES
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -193,8 +193,8 @@
     config, known, seed, now = make_config(), directory(), 9, 10**9
     conf = "\n".join(f"{key}={value}" for key, value in lay_out(frontkit.SETTINGS)).encode()
     entries = [
-        struct.pack("<HfIQBHB", m.cell, m.size, m.cache, 0, m.kind, m.zone, 0)
-        for m in known.full_list().machines
+        struct.pack("<HfIQBHB", m.cell, m.size, m.number, 0, m.kind, m.zone, 0)
+        for m in known.full_list().endpoints
     ]
     host = Host()
     start = wirekit.record(1000, struct.pack("<IQI", 3, seed, len(conf)) + conf)
@@ -202,7 +202,7 @@
     host.reply(wirekit.frame(start, view, now=now))
     router, requests = Router(config.settings, seed, now), OpenRequestTable(100)
     news = known.full_list()
-    router.handle(now, io.EndpointUpdate(io.UpdateScope.RESTORED, news.machines))
+    router.handle(now, io.EndpointUpdate(io.UpdateScope.RESTORED, news.endpoints))
 
     def same(event: io.Event, code: int, fields: bytes) -> list[io.Action]:
         actions = router.handle(now, event)
@@ -236,4 +236,4 @@
                 same(ended, 1040, struct.pack("<IIHIBQBBQB", *outcome))
     assert asked >= 40
     gone = purged(PurgeRecord(9, 3, 0, 0), 70 * clock.SECOND)
-    same(gone, 1100, struct.pack("<IHQQ", 3, gone.group, gone.object, gone.ago))
+    same(gone, 1100, struct.pack("<IHQQ", 3, gone.group, gone.object, gone.age))
--- a/tests/test_version_effects.py
+++ b/tests/test_version_effects.py
@@ -47,11 +47,11 @@
     grant_lease(follower, 2)
     effects.apply()
     assert not effects.is_cautious and not effects.are_decisions_stale()
-    assert not updates[-1].machines[0].state.value
+    assert not updates[-1].endpoints[0].state.value
     follower.lease.lease_until_ns = clock.boot()  # as after a process pause
     is_safe = effects.are_decisions_stale()
     effects.before_event(clock.now())
-    is_safe = is_safe and updates[-1].machines == (DRAINING,)
+    is_safe = is_safe and updates[-1].endpoints == (DRAINING,)
     assert is_safe is (effects_type is VersionEffects)
 
 
@@ -61,11 +61,11 @@
     store.save(make_version(5, PENDING_TASK))
     effects, follower, updates = make_front(store.load())
     effects.apply()
-    assert updates[-1].machines[0].state is EndpointState.DRAINING
+    assert updates[-1].endpoints[0].state is EndpointState.DRAINING
     assert effects.report().version_number == 0
     hear_version(follower, make_version(6))
     effects.apply()
-    assert updates[-1].machines == (READY,)
+    assert updates[-1].endpoints == (READY,)
     (tmp_path / "adopted").write_bytes(b"damaged")
     with pytest.raises(RulesError):
         store.load()
@@ -77,10 +77,10 @@
     effects.apply()
     hear_version(follower, make_version(4))
     effects.apply()
-    assert updates[-1].machines == (DRAINING,) and effects.applied_number == 5
+    assert updates[-1].endpoints == (DRAINING,) and effects.applied_number == 5
     grant_lease(follower, 4)  # the voters have lost it: what they answer holds
     effects.apply()
-    assert updates[-1].machines == (READY,) and effects.applied_number == 4
+    assert updates[-1].endpoints == (READY,) and effects.applied_number == 4
 
 
 def test_an_entry_of_the_change_log_does_not_end_a_task() -> None:
@@ -89,7 +89,7 @@
     grant_lease(follower, 2)
     effects.apply()
     update = effects.override_list(EndpointUpdate(UpdateScope.CHANGES, (READY,)))
-    assert update.machines[0].state is EndpointState.DRAINING
+    assert update.endpoints[0].state is EndpointState.DRAINING
 
 
 def test_a_version_whose_placements_are_unusable_gives_no_lease_and_its_tasks_are_in_force() -> None:
@@ -110,7 +110,7 @@
     effects.apply()
     report = effects.report()
     assert effects.is_cautious and report.version_number == 2 and report.is_cautious
-    assert updates[-1].machines == (DRAINING,)
+    assert updates[-1].endpoints == (DRAINING,)
     assert placed == [(2, False, False), (2, True, True)]  # unsafe requests are refused
     hear_version(follower, make_version(4, DRAINING_TASK))
     grant_lease(follower, 4)
