--- a/quincepier/checks.py
+++ b/quincepier/checks.py
@@ -72,7 +72,7 @@
         prefix = f"{about}: " if about else ""
         self.event(name, f"{prefix}{type(error).__name__}: {error}; at {innermost_calls(error)}")
 
-    def changed(self) -> str:
+    def describe_changes(self) -> str:
         """Return the counters that moved since the last call, as text; empty where none did."""
         moved = {name: count for name, count in self.counts.items() if count != self._reported[name]}
         self._reported.update(self.counts - self._reported)
--- a/quincepier/config.py
+++ b/quincepier/config.py
@@ -21,11 +21,15 @@
 from quincepier.wire.changelog import ChangeEvent, FleetChange, Judge, read_address, read_changes
 from quincepier.wire.errors import ProtocolError
 
-EFFECTS = {"free": Idempotency.SAFE, "guarded": Idempotency.KEYED, "single_shot": Idempotency.UNSAFE}
+IDEMPOTENCY_BY_WORD = {
+    "free": Idempotency.SAFE,
+    "guarded": Idempotency.KEYED,
+    "single_shot": Idempotency.UNSAFE,
+}
 GROUPS = {group.value: group for group in DeduplicationScope}
 REPORTS = {"concurrent": "in flight", "depth": "queued", "load_share": "load", "x0": "hits", "x1": "link"}
 # The names of load reports on the caches' lines, where they are other than the settings'.
-REPORT_WORDS = {
+WIRE_FIELD_BY_SETTING = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -115,7 +119,7 @@
         at = f"services.{n}."
         classes.append(
             RequestClass(
-                effect=_word(EFFECTS, at + "effect", c.text(at + "effect")),
+                effect=_word(IDEMPOTENCY_BY_WORD, at + "effect", c.text(at + "effect")),
                 group=_word(GROUPS, at + "group", c.text(at + "group", "all")),
                 window=c.whole(at + "window", "0", 0),
                 on_time=c.whole(at + "on_time", least=0),
@@ -208,7 +212,7 @@
     known: tuple[ChangeEvent, ...]
 
     @property
-    def wait_ms(self) -> int | None:
+    def retry_after_ms(self) -> int | None:
         """What a client is told that the front itself refuses: the longest wait it honours, where it does."""
         most = self.settings.max_retry_after // 1_000_000 if self.settings.retry_after else 0
         return most or None
@@ -283,7 +287,7 @@
         last, events = read_changes(keys.take("known", "the events up to now", dict), judge)
     except ProtocolError as error:
         raise SettingsError(f"configuration holds known: {error}") from None
-    if not any(isinstance(event, FleetChange) and event.whole for event in events):
+    if not any(isinstance(event, FleetChange) and event.is_full_list for event in events):
         raise SettingsError("configuration holds known without a whole list of caches that can be read")
     return last, events
 
--- a/quincepier/keys.py
+++ b/quincepier/keys.py
@@ -7,7 +7,7 @@
 LANE_BYTES, LANE_BITS = 16, 128  # of a packed number: room for the product of two of 64 bits
 MASK = 2**64 - 1
 LOWEST_BYTES = [bytes(byte >= least for byte in range(256)) for least in range(256)]  # tables: 1, not below
-MEMORY_MOST = 4096  # entries of any memory that requests fill; the oldest go first
+MAX_REMEMBERED_KEYS = 4096  # entries of any memory that requests fill; the oldest go first
 
 
 class PackedNumbers:
--- a/quincepier/lab/fleet/setup.py
+++ b/quincepier/lab/fleet/setup.py
@@ -4,11 +4,11 @@
 
 from typing import Any
 
-from quincepier.config import EFFECTS
+from quincepier.config import IDEMPOTENCY_BY_WORD
 from quincepier.interface import Settings
 from quincepier.lab.experiment import MS, Experiment, Variant
 
-WORDS = {effect: word for word, effect in EFFECTS.items()}
+WORDS = {effect: word for word, effect in IDEMPOTENCY_BY_WORD.items()}
 # Settings that a variant may change, by their place in the platform's JSON.
 TOLD = {
     "attempts": ("limits", "try_limit"),
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -187,7 +187,7 @@
                     swept = now
             except Exception as error:
                 self.checks.exception("exception_in_upkeep", error)
-            if ticks % TELL_EVERY == 0 and (moved := self.checks.changed()):
+            if ticks % TELL_EVERY == 0 and (moved := self.checks.describe_changes()):
                 logger.bind(event="counters", detail=moved).info("counters: {}", moved)
 
     def _log_serving(self) -> None:
--- a/quincepier/memory/machine_directory.py
+++ b/quincepier/memory/machine_directory.py
@@ -69,12 +69,12 @@
         return self.entry_by_host.get(self.host_by_number.get(number, ""))
 
     def _to_machine(self, record: HostRecord) -> Endpoint:
-        if record.site not in self.zone_by_name or record.kind not in self.kind_by_name:
+        if record.zone not in self.zone_by_name or record.kind not in self.kind_by_name:
             raise ProtocolError(f"host {record.host[:40]} has an unknown site or class")
         return Endpoint(
             self.assign_number(record.host),
             self.kind_by_name[record.kind],
-            self.zone_by_name[record.site],
+            self.zone_by_name[record.zone],
             record.cell & CELL_MASK,
             record.size,
             self._up_since(record),
@@ -84,9 +84,9 @@
     def _up_since(self, record: HostRecord) -> int:
         """Convert the start time; the same start keeps its first conversion, as the clocks may drift."""
         previous = self.entry_by_host.get(record.host)
-        if previous is not None and previous.record.born_ms == record.born_ms:
+        if previous is not None and previous.record.started_at_ms == record.started_at_ms:
             return previous.machine.started_at
-        return self._start_of(record.born_ms)
+        return self._start_of(record.started_at_ms)
 
     def date_again(self, starts_ms: Collection[int]) -> tuple[Endpoint, ...]:
         """Date these starts again; return the machines whose start proves earlier.
@@ -98,9 +98,9 @@
         if not starts_ms:
             return ()
         for entry in self.entry_by_host.values():
-            if entry.record.born_ms not in starts_ms:
+            if entry.record.started_at_ms not in starts_ms:
                 continue
-            up_since = self._start_of(entry.record.born_ms)
+            up_since = self._start_of(entry.record.started_at_ms)
             if up_since < entry.machine.started_at:
                 entry.machine = replace(entry.machine, started_at=up_since)
                 changed.append(entry.machine)
@@ -123,9 +123,9 @@
             ProtocolError: A record names a zone or kind that the settings don't have.
         """
         changed = {record.host: MachineEntry(record, self._to_machine(record)) for record in change.hosts}
-        if not change.whole:
+        if not change.is_full_list:
             changed |= self._replaced_entries(changed)
-        if change.whole:
+        if change.is_full_list:
             self.entry_by_host.clear()
         for host, entry in changed.items():
             if entry.machine.state is EndpointState.GONE:
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -20,7 +20,7 @@
 from quincepier.net.shared import Shared
 from quincepier.policy.send_permission import find_denial
 from quincepier.recovery import Ramp
-from quincepier.translate import ENDINGS, note_of, report_of, waited_of
+from quincepier.translate import OUTCOME_BY_WORD, read_cache_status, read_load_report, read_wait_time
 from quincepier.wire import lines
 from quincepier.wire.lines import ServeCommand
 
@@ -229,15 +229,26 @@
             what.is_ended = True
             self.shared.module.push(Ended(what, ending, at, another_way=another_way))
 
-    def answered(self, what: OpenAttempt | Probe, head: lines.Head, body: PooledBody | None, at: int) -> None:
+    def answered(
+        self, what: OpenAttempt | Probe, head: lines.ResponseHead, body: PooledBody | None, at: int
+    ) -> None:
         self._over(what)
-        report = report_of(head, self.shared.config.report_fields)
+        report = read_load_report(head, self.shared.config.report_fields)
         if isinstance(what, Probe):
             self.shared.module.push(Checked(self.number, PROBE_WORDS[head.word], at - what.at, report))
         elif self.checks.must(not what.is_ended, "attempt_completes_once"):
             what.is_ended = True
             still = head.word == "unchanged"
-            end = Ended(what, ENDINGS[head.word], at, note_of(head), waited_of(head), report, body, still)
+            end = Ended(
+                what,
+                OUTCOME_BY_WORD[head.word],
+                at,
+                read_cache_status(head),
+                read_wait_time(head),
+                report,
+                body,
+                still,
+            )
             self.shared.module.push(end)
 
     def cancel(self) -> None:
--- a/quincepier/net/cache_fleet.py
+++ b/quincepier/net/cache_fleet.py
@@ -47,11 +47,11 @@
     def _follow(self, number: int, record: HostRecord, anew: bool = False) -> None:
         actor = self._actors.get(number)
         if actor is None:
-            askers = self._askers(record.site)
+            askers = self._askers(record.zone)
             actor = CacheActor(self._shared, number, record.host, record.address, askers)
             self._actors[number] = actor
             actor.start()
-        actor.move(record.address, record.dials, anew)
+        actor.move(record.address, record.addresses, anew)
         actor.leaving = False  # at once: a message could be read after it is listed again
         self._leaving.discard(number)
 
--- a/quincepier/net/clients.py
+++ b/quincepier/net/clients.py
@@ -19,7 +19,7 @@
 from quincepier.net.lingering import LOOK_EVERY, Lingering
 from quincepier.net.means import Means
 from quincepier.timers import ActiveClock, Wheel
-from quincepier.translate import class_table
+from quincepier.translate import make_class_table
 from quincepier.wire.errors import ProtocolError
 
 if TYPE_CHECKING:  # imported only where the operators' file tells of clients
@@ -45,7 +45,7 @@
     def __init__(self, means: Means, standing: Callable[[], bool], places: Places | None = None) -> None:
         self.checks, self.pool, self.descriptors = means.checks, means.pool, means.descriptors
         self.module, self.standing, self.pauses = means.module, standing, means.pauses
-        self.means, self.classes = means, class_table(means.config)
+        self.means, self.classes = means, make_class_table(means.config)
         self.connections: set[ClientConnection] = set()
         self.in_session: set[ClientConnection] = set()  # those that are not at rest
         # who does not take what it is owed: when bytes last went, and since when by the active clock
@@ -114,7 +114,7 @@
 
     def wait_ms(self) -> int | None:
         """What a client is told whom the front itself refuses: spread, so that not all come back together."""
-        most = self.means.config.wait_ms
+        most = self.means.config.retry_after_ms
         return None if most is None else max(int(self.random.uniform(WAIT_LEAST, 1) * most), 1)
 
     def _stalled_longest(self) -> ClientConnection | None:
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -54,7 +54,7 @@
         self.since = 0  # when the answer that is being read began; 0: there is none
         self.surplus = False  # the one being read is passed over
         self.body: PooledBody | None = None
-        self.head: lines.Head | None = None
+        self.head: lines.ResponseHead | None = None
         self.task: asyncio.Task[None] | None = None
         self.ready: asyncio.Future[None] | None = None  # set when there is something to read
         self.reading: bool = False
@@ -326,7 +326,7 @@
             self.lost = True  # nothing more begins on it, also before the others of this turn have heard
             if self.reading:
                 loop.remove_reader(sock)
-        if not decoder.between:
+        if not decoder.is_between_responses:
             raise ProtocolError("the connection ends inside an answer")
 
     async def _readable(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
@@ -352,17 +352,17 @@
         self.between = True  # a wait for buffers is no fault of the machine
         for item in decoder.feed(data):
             match item:
-                case lines.Head():
+                case lines.ResponseHead():
                     await self._began(item)
-                case lines.Piece(piece) if self.body is not None:
+                case lines.ResponseData(piece) if self.body is not None:
                     self.body.append(piece)
-                case lines.Whole():
+                case lines.ResponseEnd():
                     self._whole(at)
-        self.between = decoder.between
+        self.between = decoder.is_between_responses
         if not self.between:
             self.since = self.since or at
 
-    async def _began(self, head: lines.Head) -> None:
+    async def _began(self, head: lines.ResponseHead) -> None:
         what = self.open.get(head.id)
         self.head, self.since = head, self.since or self.heard
         if what is None or what not in self.started:  # a second copy, a late one, or of an id never asked
--- a/quincepier/net/event_dates.py
+++ b/quincepier/net/event_dates.py
@@ -24,7 +24,7 @@
             self._ages.observe_log(event.time_ms)
         elif isinstance(event, FleetChange):
             for host in event.hosts:
-                self._ages.observe_log(host.born_ms)
+                self._ages.observe_log(host.started_at_ms)
 
     def age_of(self, purge: PurgeRecord, unread_before_ns: int) -> int:
         """Return the age of a purge that is told now, ns.
--- a/quincepier/net/fleet/machine_observations.py
+++ b/quincepier/net/fleet/machine_observations.py
@@ -15,7 +15,7 @@
     settings = module.config.settings
     now_ns = clock.now()
     return {
-        host: _observe_machine(host, entry.record.site, entry.machine, settings, now_ns)
+        host: _observe_machine(host, entry.record.zone, entry.machine, settings, now_ns)
         for host, entry in module.directory.entry_by_host.items()
     }
 
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -42,8 +42,13 @@
 from quincepier.policy import Router
 from quincepier.recovery import fronts_that_ask
 from quincepier.timers import Wheel
-from quincepier.translate import attempt_ended, purged, request_came, serve_fields
-from quincepier.wire.changelog import BadRecord, ChangeEvent, FleetChange, PurgeRecord
+from quincepier.translate import (
+    make_attempt_completed,
+    make_object_purged,
+    make_request_received,
+    make_serve_fields,
+)
+from quincepier.wire.changelog import ChangeEvent, FleetChange, InvalidRecord, PurgeRecord
 from quincepier.wire.errors import ProtocolError
 from quincepier.wire.lines import ServeCommand
 
@@ -175,7 +180,7 @@
         if self.requests.is_full:
             self.checks.event("request_rejected_open_limit")
             request.is_finished = True
-            request.receiver.push(Answer(request, 503, wait_ms=self.means.config.wait_ms))
+            request.receiver.push(Answer(request, 503, wait_ms=self.means.config.retry_after_ms))
             return
         if request.job_id in self.requests.job_ids:
             self.checks.event("bad_request", "HTTP_X_JOB_ID is that of an open request")
@@ -184,7 +189,7 @@
             return
         request.allows_second_copy = self._allows_second_copy(request.class_index)
         self.requests.add(request)
-        event = request_came(request, clock.now())
+        event = make_request_received(request, clock.now())
         if self.overrides is not None:
             self.overrides.on_request(event, request)
         self._tell(event, request)
@@ -208,7 +213,7 @@
         self.checks.count(f"attempts_ended_{end.ending.name.lower()}")
         if request.is_cancelled:  # heard before its Left, which may stand behind much else
             self._leave(request)
-        event = attempt_ended(attempt, end)
+        event = make_attempt_completed(attempt, end)
         if self.overrides is not None:
             self.overrides.on_attempt_completed(attempt, end.note)
         if end.ending is AttemptOutcome.OK and not request.is_finished:
@@ -224,10 +229,10 @@
         self.dates.observe(event)
         self._date_starts_again()
         if isinstance(event, PurgeRecord):
-            self._tell(purged(event, self.dates.age_of(event, unread_before)))
+            self._tell(make_object_purged(event, self.dates.age_of(event, unread_before)))
             self._recall(event)
         elif isinstance(event, FleetChange):
-            if event.whole and scope is UpdateScope.CHANGES:
+            if event.is_full_list and scope is UpdateScope.CHANGES:
                 scope = UpdateScope.FULL
             try:
                 news = self.directory.apply(event, scope)
@@ -235,16 +240,16 @@
                 self.checks.event("change_log_record_invalid", str(error))
                 return
             for host in event.hosts:
-                for fault in host.faults:
+                for fault in host.address_errors:
                     self.checks.event("endpoint_address_invalid", f"{host.host}: {fault}")
-            self.standing = self.standing or event.whole
+            self.standing = self.standing or event.is_full_list
             self._list_changed(news)
-            if event.whole:
+            if event.is_full_list:
                 self.fleet.follow_all()
             else:
                 self.fleet.follow_changes(machine.number for machine in news.endpoints)
-        elif isinstance(event, BadRecord):
-            self.checks.event("change_log_record_invalid", event.why)
+        elif isinstance(event, InvalidRecord):
+            self.checks.event("change_log_record_invalid", event.reason)
 
     def _date_starts_again(self) -> None:
         """Tell the router of starts that a later date of the log shows to be earlier."""
@@ -353,7 +358,7 @@
             return
         if self.overrides is not None:
             self.overrides.on_command_sent(attempt, now)
-        fields = tuple(serve_fields(action, request, self.directory, timeout))
+        fields = tuple(make_serve_fields(action, request, self.directory, timeout))
         cache.mailbox.push(Send(attempt, ServeCommand(request.job_id, fields, request.body)))
 
     def _answer(self, answer: Answer) -> None:
--- a/quincepier/net/reading.py
+++ b/quincepier/net/reading.py
@@ -123,13 +123,13 @@
             manager.in_session.add(self.itself)
         read_closed, decoder = self.read_closed, session.decoder
         # behind a fault it is read on only to hear of a close
-        for item in decoder.feed(manager.scratch[:size]) if decoder.fault is None else ():
+        for item in decoder.feed(manager.scratch[:size]) if decoder.error is None else ():
             match item:
                 case fastcgi.Call() | fastcgi.Reply() if read_closed:
                     pass  # only aborts are listened to
                 case fastcgi.Call():
                     self._call(session, item, at, earliest)
-                case fastcgi.Aborted(stream):
+                case fastcgi.RequestAborted(stream):
                     self._abort(session, stream)
                 case fastcgi.Reply(data, closes):
                     session.control.append((0, data))
@@ -140,10 +140,10 @@
             manager.checks.event("client_closed_short_responses_unread")
             self.close()
             return
-        if decoder.fault is not None and not read_closed:
-            self.stop_reading(decoder.fault)
+        if decoder.error is not None and not read_closed:
+            self.stop_reading(decoder.error)
             return
-        held = decoder.held
+        held = decoder.buffered_bytes
         if held or self.held:
             manager.hold(self.itself, held)
             if self.closed:
@@ -178,17 +178,17 @@
 
     def _call(self, session: Session, call: fastcgi.Call, at: int, earliest: int) -> None:
         manager = self.manager
-        session.keep[call.id] = call.keep
+        session.keep[call.id] = call.keep_connection
         self.asked = True
         manager.registry.asked(self.itself)
-        if call.params.get("SCRIPT_NAME") == PING and not call.fault:
+        if call.params.get("SCRIPT_NAME") == PING and not call.error:
             self._say(session, call.id, cgi_head(200 if manager.standing() else 503))
             return
         try:
             request = open_request(call, manager.classes, self, at, earliest)
         except BadRequestError as error:
             self.faults += 1
-            self.read_closed = self.read_closed or bool(call.fault)
+            self.read_closed = self.read_closed or bool(call.error)
             manager.checks.event("bad_request", str(error))
             self._say(session, call.id, cgi_head(error.status))
             return
@@ -221,7 +221,7 @@
 
     def _half(self, session: Session, now: int) -> bool:
         """Whether something is half-sent; since when is noted as it begins."""
-        unfinished = session.decoder.unfinished
+        unfinished = session.decoder.oldest_partial
         if unfinished is None:
             session.unfinished = None
         elif unfinished != session.unfinished:
--- a/quincepier/net/session.py
+++ b/quincepier/net/session.py
@@ -70,5 +70,7 @@
     def done(self) -> bool:
         """Nothing is owed, on its way or half read."""
         decoder = self.decoder
-        busy = self.open or self.sending or self.control or self.inbox or decoder.answering
-        return not (busy or decoder.begun or decoder.buffer or decoder.skip or decoder.strays)
+        busy = self.open or self.sending or self.control or self.inbox or decoder.unanswered_ids
+        return not (
+            busy or decoder.partial_requests or decoder.buffer or decoder.bytes_to_skip or decoder.stray_count
+        )
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -127,11 +127,11 @@
 
         def identify(number: int) -> MachineIdentity | None:
             entry = directory.find_entry(number)
-            return None if entry is None else MachineIdentity(entry.record.host, entry.record.born_ms)
+            return None if entry is None else MachineIdentity(entry.record.host, entry.record.started_at_ms)
 
         def find_number(identity: MachineIdentity) -> int | None:
             entry = directory.entry_by_host.get(identity.host)
-            if entry is None or entry.record.born_ms != identity.started_at_ms:
+            if entry is None or entry.record.started_at_ms != identity.started_at_ms:
                 return None
             return entry.machine.number
 
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -19,7 +19,7 @@
 from quincepier.net.sockets import resolve
 from quincepier.net.watch_poll import Poll
 from quincepier.recovery import first_poll
-from quincepier.wire.changelog import BadRecord, ChangeEvent, decode_changes
+from quincepier.wire.changelog import ChangeEvent, InvalidRecord, decode_changes
 from quincepier.wire.errors import ProtocolError
 
 # The longest wait asked for, and the seconds past it until an answer is overdue. A log that stopped but stays
@@ -213,8 +213,8 @@
             if event.seq != self.last + 1:
                 self._again(f"events {self.last + 1} to {event.seq - 1} are missing")
                 self.last = event.seq - 1  # the record itself has tries of its own
-            if isinstance(event, BadRecord):
-                self._again(f"event {event.seq}: {event.why}")
+            if isinstance(event, InvalidRecord):
+                self._again(f"event {event.seq}: {event.reason}")
             else:
                 self.module.urge(News(event, self.answered_at_ns))
             self.last, self.tries = event.seq, 0
--- a/quincepier/net/writing.py
+++ b/quincepier/net/writing.py
@@ -104,7 +104,7 @@
             if body is not None:
                 body.release()
             session.control.append((stream, fastcgi.short(stream, head)))
-            session.decoder.close(stream)
+            session.decoder.on_answered(stream)
             self.ending = self.ending or not keep
         else:
             session.sending.append(Outgoing(stream, keep, head, body))
@@ -201,7 +201,7 @@
             else:
                 out += fastcgi.finish(outgoing.stream)
                 outgoing.release()
-                session.decoder.close(outgoing.stream)
+                session.decoder.on_answered(outgoing.stream)
                 self.closing = self.closing or not outgoing.keep
         return bytes(out)
 
--- a/quincepier/policy/freshness.py
+++ b/quincepier/policy/freshness.py
@@ -1,7 +1,7 @@
 """Freshness: how old a copy may be that a request is answered with, after purges too."""
 
 from quincepier.context import Context, Part
-from quincepier.keys import MEMORY_MOST
+from quincepier.keys import MAX_REMEMBERED_KEYS
 from quincepier.records import SECOND, Request
 from quincepier.structures import PurgeLog
 
@@ -17,7 +17,7 @@
 
     def __init__(self, context: Context) -> None:
         super().__init__(context)
-        self.purges = PurgeLog(MEMORY_MOST)
+        self.purges = PurgeLog(MAX_REMEMBERED_KEYS)
 
     def on_purge(self, group: int, obj: int, ago: int) -> None:
         """Take a purge that was made `ago` ns before; those that have settled are forgotten."""
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -5,7 +5,7 @@
 
 from quincepier.context import Context, Part
 from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, HomeShard
-from quincepier.keys import MEMORY_MOST, mix
+from quincepier.keys import MAX_REMEMBERED_KEYS, mix
 from quincepier.policy.latency import HALF_LIFE, PRIOR, SLOW, LatencyEstimates
 from quincepier.policy.slow_start import SlowStart
 from quincepier.records import SECOND, Completion, Request, Upstream
@@ -38,7 +38,7 @@
         super().__init__(context)
         self.latency = latency
         self.slow_start = slow_start
-        self.hits = RecencyMap(MEMORY_MOST)
+        self.hits = RecencyMap(MAX_REMEMBERED_KEYS)
         self.table = UpstreamTable(self._new_upstream)
         self.rankings = dict[int | tuple[int, int], list[Upstream]]()
         self.groups = dict[bool, RendezvousGroup[Upstream]]()
@@ -82,7 +82,7 @@
         """The first of a key's order, kept until the list changes: a held request is looked at often."""
         at = key if home is None else (key, home.number)
         if at not in self.rankings:
-            if len(self.rankings) >= MEMORY_MOST:
+            if len(self.rankings) >= MAX_REMEMBERED_KEYS:
                 self.rankings = {}
             self.rankings[at] = self.rank_all(group, key, home, MAX_RANKED)
         return self.rankings[at]
--- a/quincepier/simwire.py
+++ b/quincepier/simwire.py
@@ -136,7 +136,9 @@
             raise WireError(f"record {code} has the unknown outcome {f[4]}")
         note = CacheStatus(f[7]) if f[7] <= CacheStatus.ORIGIN_FAILED else CacheStatus.NONE
         report = _floats(data, layout.size, f[9], code)
-        event = AttemptCompleted(f[1], f[2], f[3], OUTCOME_BY_CODE[f[4]], f[5], bool(f[6]), note, f[8], report)
+        event = AttemptCompleted(
+            f[1], f[2], f[3], OUTCOME_BY_CODE[f[4]], f[5], bool(f[6]), note, f[8], report
+        )
     elif code == BELL:
         event = TimerFired(f[1])
     elif code == VIEW:
@@ -154,7 +156,9 @@
     elif code == CHECKED:
         if f[3] not in OUTCOME_BY_CODE:
             raise WireError(f"record {code} has the unknown outcome {f[3]}")
-        event = HealthCheckCompleted(f[2], OUTCOME_BY_CODE[f[3]], f[1], _floats(data, layout.size, f[4], code))
+        event = HealthCheckCompleted(
+            f[2], OUTCOME_BY_CODE[f[3]], f[1], _floats(data, layout.size, f[4], code)
+        )
     elif code == INBOX:
         event = PeerMessage(f[1], _tail(data, layout.size, f[2], code))
     elif code == START:
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -8,14 +8,14 @@
 
 from quincepier import clock
 from quincepier import interface as io
-from quincepier.config import REPORT_WORDS, FrontConfig
+from quincepier.config import WIRE_FIELD_BY_SETTING, FrontConfig
 from quincepier.errors import PeerInputError
 from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.memory.open_requests import OpenAttempt, OpenRequest, ResponseReceiver
 from quincepier.wire.changelog import PurgeRecord
 from quincepier.wire.fastcgi import Call
-from quincepier.wire.lines import Head
+from quincepier.wire.lines import ResponseHead
 
 PATH = "/call/"
 PING = "/ping"
@@ -23,7 +23,7 @@
 WHOLE = re.compile(r"[0-9]{1,10}")
 PART_MOST, GROUP_MOST = 0xFFFF, 255
 ALLOW_TIMES = 2  # of its class's deadline: what a client may say at most that it waits
-ENDINGS = {
+OUTCOME_BY_WORD = {
     "data": AttemptOutcome.OK,
     "unchanged": AttemptOutcome.OK,
     "absent": AttemptOutcome.MISS,
@@ -31,7 +31,7 @@
     "failed": AttemptOutcome.ERROR,
     "moot": AttemptOutcome.NOT_PROCESSED,
 }
-NOTES = {
+CACHE_STATUS_BY_WORD = {
     "local": CacheStatus.HIT,
     "pulled": CacheStatus.FILLED,
     "pulled_far": CacheStatus.FROM_ORIGIN,
@@ -94,8 +94,8 @@
 
     It was read at `came`, and may have been there since `earliest` (0: it was not).
     """
-    if call.fault:
-        raise BadRequestError(413 if "body" in call.fault else 400, call.fault)
+    if call.error:
+        raise BadRequestError(413 if "body" in call.error else 400, call.error)
     params, get = call.params, call.params.get
     path = get("SCRIPT_NAME", "") + get("PATH_INFO", "")
     name = path.removeprefix(PATH)
@@ -131,7 +131,7 @@
     )
 
 
-def request_came(request: OpenRequest, now: int) -> io.RequestReceived:
+def make_request_received(request: OpenRequest, now: int) -> io.RequestReceived:
     """The time left counts from when the request was there, not from when its turn came."""
     r, waited, left = request, max(now - request.received_at_ns, 0), request.time_left(now)
     return io.RequestReceived(
@@ -139,7 +139,7 @@
     )
 
 
-def purged(record: PurgeRecord, age: int) -> io.ObjectPurged:
+def make_object_purged(record: PurgeRecord, age: int) -> io.ObjectPurged:
     """A purge of so many ns ago."""
     return io.ObjectPurged(record.group, record.object or 0, age)
 
@@ -155,7 +155,7 @@
     another_way: bool
 
 
-def attempt_ended(attempt: OpenAttempt, end: End) -> io.AttemptCompleted:
+def make_attempt_completed(attempt: OpenAttempt, end: End) -> io.AttemptCompleted:
     """`last` says that the request is over, by this ending or earlier."""
     r, last = attempt.request, attempt.request.is_finished or end.ending is AttemptOutcome.OK
     return io.AttemptCompleted(
@@ -180,24 +180,24 @@
     return value if 0 <= value < 1e12 else 0.0
 
 
-def note_of(head: Head) -> CacheStatus:
-    return NOTES.get(head.fields.get("how", ""), CacheStatus.NONE)
+def read_cache_status(head: ResponseHead) -> CacheStatus:
+    return CACHE_STATUS_BY_WORD.get(head.fields.get("how", ""), CacheStatus.NONE)
 
 
-def waited_of(head: Head) -> int:
+def read_wait_time(head: ResponseHead) -> int:
     return int(read_number(head.fields.get("lag")) * clock.MS)
 
 
-def report_of(head: Head, names: Iterable[str]) -> tuple[float, ...]:
+def read_load_report(head: ResponseHead, names: Iterable[str]) -> tuple[float, ...]:
     """The load report, in the order of the settings' fields; () where there is none."""
     text = head.fields.get("stats")
     if not text:
         return ()
     told = dict(item.split(":", 1) for item in text.split(";") if ":" in item)
-    return tuple(read_number(told.get(name, told.get(REPORT_WORDS.get(name, "")))) for name in names)
+    return tuple(read_number(told.get(name, told.get(WIRE_FIELD_BY_SETTING.get(name, "")))) for name in names)
 
 
-def serve_fields(
+def make_serve_fields(
     action: io.ForwardRequest | io.FetchThrough,
     request: OpenRequest,
     directory: MachineDirectory,
@@ -223,6 +223,6 @@
     return fields
 
 
-def class_table(config: FrontConfig) -> dict[str, tuple[int, int]]:
+def make_class_table(config: FrontConfig) -> dict[str, tuple[int, int]]:
     """By name: the number and the deadline of a class."""
     return {name: (n, config.settings.classes[n].deadline) for n, name in enumerate(config.classes)}
--- a/quincepier/wire/changelog.py
+++ b/quincepier/wire/changelog.py
@@ -22,20 +22,20 @@
 class HostRecord:
     host: str
     address: tuple[str, int] | None  # None where several are taken and `dial` is of another form
-    site: str
+    zone: str
     kind: str
     cell: int
     state: EndpointState
     size: float
-    born_ms: int
-    dials: tuple[str, ...] = ()  # all addresses that can be used, where several a machine are taken
-    faults: tuple[str, ...] = ()  # why others can't
+    started_at_ms: int
+    addresses: tuple[str, ...] = ()  # all addresses that can be used, where several a machine are taken
+    address_errors: tuple[str, ...] = ()  # why others can't
 
 
 @dataclass(slots=True, frozen=True)
 class FleetChange:
     seq: int
-    whole: bool
+    is_full_list: bool
     hosts: tuple[HostRecord, ...]
 
 
@@ -50,14 +50,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class BadRecord:
+class InvalidRecord:
     """An event whose number can be read and the rest can't."""
 
     seq: int
-    why: str
+    reason: str
 
 
-ChangeEvent = FleetChange | PurgeRecord | BadRecord
+ChangeEvent = FleetChange | PurgeRecord | InvalidRecord
 
 
 def read_address(text: object) -> tuple[str, int]:
@@ -107,14 +107,14 @@
     return HostRecord(
         host=_take(record, "host", str),
         address=read_address(_take(record, "dial", str)) if judge is None else None,
-        site=_take(record, "site", str),
+        zone=_take(record, "site", str),
         kind=_take(record, "class", str),
         cell=_take(record, "block", int),
         state=STATES[state],
         size=float(_take({"share": 0} | record, "share", int, float)),  # a list need not tell sizes
-        born_ms=_take(record, "born_ms", int),
-        dials=dials,
-        faults=faults,
+        started_at_ms=_take(record, "born_ms", int),
+        addresses=dials,
+        address_errors=faults,
     )
 
 
@@ -134,7 +134,7 @@
             return PurgeRecord(seq, int(name, 16), 0, at)
         return PurgeRecord(seq, None, _take(purge, "bucket", int), at)
     except ProtocolError as error:
-        return BadRecord(seq, str(error))
+        return InvalidRecord(seq, str(error))
 
 
 def read_changes(value: Any, judge: Judge | None = None) -> tuple[int, tuple[ChangeEvent, ...]]:
--- a/quincepier/wire/fastcgi.py
+++ b/quincepier/wire/fastcgi.py
@@ -30,12 +30,12 @@
     id: int
     params: dict[str, str]
     body: bytes
-    keep: bool
-    fault: str = ""
+    keep_connection: bool
+    error: str = ""
 
 
 @dataclass(slots=True, frozen=True)
-class Aborted:
+class RequestAborted:
     id: int
 
 
@@ -44,7 +44,7 @@
     """Records to send back at once; `closes` says that the connection ends behind them."""
 
     data: bytes
-    closes: bool = False
+    closes_connection: bool = False
 
 
 class _Begun:
@@ -118,41 +118,41 @@
 
     def __init__(self, connections_most: int = 1) -> None:
         self.buffer = bytearray()
-        self.begun: dict[int, _Begun] = {}
-        self.skip = 0  # bytes of a record still to come that are passed over, unread and unkept
-        self.records = self.strays = 0
-        self.answering: set[int] = set()
-        self.fault: ProtocolError | None = None  # for good: nothing that comes after it can be read
+        self.partial_requests: dict[int, _Begun] = {}
+        self.bytes_to_skip = 0  # bytes of a record still to come that are passed over, unread and unkept
+        self.record_count = self.stray_count = 0
+        self.unanswered_ids: set[int] = set()
+        self.error: ProtocolError | None = None  # for good: nothing that comes after it can be read
         self.values = {
             "FCGI_MAX_CONNS": str(connections_most),
             "FCGI_MAX_REQS": str(connections_most * OPEN_MOST),
             "FCGI_MPXS_CONNS": "1",
         }
 
-    def close(self, request: int) -> None:
+    def on_answered(self, request: int) -> None:
         """A request taken here has its final answer, or needs none."""
-        self.answering.discard(request)
+        self.unanswered_ids.discard(request)
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes kept of what is not whole yet."""
-        return len(self.buffer) + sum(len(b.params) + len(b.body) for b in self.begun.values())
+        return len(self.buffer) + sum(len(b.params) + len(b.body) for b in self.partial_requests.values())
 
     @property
-    def unfinished(self) -> object:
+    def oldest_partial(self) -> object:
         """What has been incomplete for longest, or None; the same object as long as it is that."""
-        if self.begun:
-            return next(iter(self.begun.values()))
-        return self.records + 1 if self.buffer or self.skip else None
+        if self.partial_requests:
+            return next(iter(self.partial_requests.values()))
+        return self.record_count + 1 if self.buffer or self.bytes_to_skip else None
 
-    def feed(self, data: bytes | bytearray | memoryview) -> list[Call | Aborted | Reply]:
+    def feed(self, data: bytes | bytearray | memoryview) -> list[Call | RequestAborted | Reply]:
         """Return what is whole now; what can't be read raises ProtocolError.
 
         Where something whole came before it that is returned, and `fault` says why nothing more will be.
         """
-        if self.fault is not None:
-            raise self.fault
-        found = list[Call | Aborted | Reply]()
+        if self.error is not None:
+            raise self.error
+        found = list[Call | RequestAborted | Reply]()
         try:
             self._feed(data, found)
         except ProtocolError as error:
@@ -163,17 +163,17 @@
 
     def fail(self, fault: ProtocolError) -> None:
         """Nothing more is read: what is half there goes."""
-        self.fault, self.skip = fault, 0
+        self.error, self.bytes_to_skip = fault, 0
         self.buffer.clear()
-        self.begun.clear()
+        self.partial_requests.clear()
 
-    def _feed(self, data: bytes | bytearray | memoryview, found: list[Call | Aborted | Reply]) -> None:
+    def _feed(self, data: bytes | bytearray | memoryview, found: list[Call | RequestAborted | Reply]) -> None:
         buffer, at = self.buffer, 0
         buffer += data
         while True:
-            passed = min(self.skip, len(buffer) - at)
-            self.skip, at = self.skip - passed, at + passed
-            if self.skip or len(buffer) - at < HEADER.size:
+            passed = min(self.bytes_to_skip, len(buffer) - at)
+            self.bytes_to_skip, at = self.bytes_to_skip - passed, at + passed
+            if self.bytes_to_skip or len(buffer) - at < HEADER.size:
                 break
             version, kind, request, size, padding = HEADER.unpack_from(buffer, at)
             if version != 1:
@@ -181,31 +181,31 @@
             start = at + HEADER.size
             if size > SMALL and (fault := self._too_much(kind, request, size)) is not None:
                 found += fault
-                self.records, self.skip, at = self.records + 1, size + padding, start
+                self.record_count, self.bytes_to_skip, at = self.record_count + 1, size + padding, start
                 continue
             if len(buffer) < start + size + padding:
                 break
             found += self._record(kind, request, bytes(buffer[start : start + size]))
-            self.records, at = self.records + 1, start + size + padding
+            self.record_count, at = self.record_count + 1, start + size + padding
         del buffer[:at]
 
-    def _too_much(self, kind: int, request: int, size: int) -> list[Call | Aborted | Reply] | None:
+    def _too_much(self, kind: int, request: int, size: int) -> list[Call | RequestAborted | Reply] | None:
         """What to say, by its head alone, of a record that is not to be kept; None for one that is."""
         if request == 0 or kind in (BEGIN, ABORT):
             raise ProtocolError(f"a record of kind {kind} of {size} bytes")
-        call = self.begun.get(request)
+        call = self.partial_requests.get(request)
         if call is None or kind not in (PARAMS, STDIN):
             return self._stray()
         return self._over(request, call, kind, size) or None
 
-    def _stray(self) -> list[Call | Aborted | Reply]:
+    def _stray(self) -> list[Call | RequestAborted | Reply]:
         """A record of no open request is passed over, as the specification says, but no endless row."""
-        self.strays += 1
-        if self.strays > STRAY_MOST:
+        self.stray_count += 1
+        if self.stray_count > STRAY_MOST:
             raise ProtocolError(f"over {STRAY_MOST} records of no request")
         return []
 
-    def _over(self, request: int, call: _Begun, kind: int, size: int) -> list[Call | Aborted | Reply]:
+    def _over(self, request: int, call: _Begun, kind: int, size: int) -> list[Call | RequestAborted | Reply]:
         """Empty, or the fault of a request that so many bytes more make too large.
 
         Its end is not waited for, as it may never come; the connection closes behind the answer.
@@ -216,24 +216,24 @@
             fault = f"a body over {BODY_MOST} bytes"
         else:
             return []
-        del self.begun[request]
-        self.answering.add(request)
+        del self.partial_requests[request]
+        self.unanswered_ids.add(request)
         return [Call(request, {}, b"", False, fault)]
 
-    def _record(self, kind: int, request: int, content: bytes) -> list[Call | Aborted | Reply]:
+    def _record(self, kind: int, request: int, content: bytes) -> list[Call | RequestAborted | Reply]:
         if request == 0:
             self._stray()
             return [self._managed(kind, content)]
         if kind == BEGIN:
             return self._begin(request, content)
         if kind == ABORT:
-            known = self.begun.pop(request, None) is not None or request in self.answering
-            self.answering.discard(request)
-            return [Aborted(request)] if known else self._stray()
-        call = self.begun.get(request)
+            known = self.partial_requests.pop(request, None) is not None or request in self.unanswered_ids
+            self.unanswered_ids.discard(request)
+            return [RequestAborted(request)] if known else self._stray()
+        call = self.partial_requests.get(request)
         if call is None or kind not in (PARAMS, STDIN):
             return self._stray()
-        self.strays = 0
+        self.stray_count = 0
         if content and (fault := self._over(request, call, kind, len(content))):
             return fault
         if kind == PARAMS:
@@ -241,13 +241,13 @@
         if not call.params_ended:
             raise ProtocolError("STDIN before the end of PARAMS")
         if not content:
-            del self.begun[request]
-            self.answering.add(request)
+            del self.partial_requests[request]
+            self.unanswered_ids.add(request)
             return [self._whole(request, call)]
         call.body += content
         return []
 
-    def _params(self, call: _Begun, content: bytes) -> list[Call | Aborted | Reply]:
+    def _params(self, call: _Begun, content: bytes) -> list[Call | RequestAborted | Reply]:
         if call.params_ended:
             raise ProtocolError("PARAMS after their end")
         if not content:
@@ -265,18 +265,18 @@
             fault = str(error)
         return Call(request, params, bytes(call.body), call.keep, fault)
 
-    def _begin(self, request: int, content: bytes) -> list[Call | Aborted | Reply]:
+    def _begin(self, request: int, content: bytes) -> list[Call | RequestAborted | Reply]:
         if len(content) != BEGIN_BODY.size:
             raise ProtocolError(f"BEGIN_REQUEST of {len(content)} bytes")
-        if request in self.begun or request in self.answering:
+        if request in self.partial_requests or request in self.unanswered_ids:
             raise ProtocolError(f"request {request} begins while it is open")
         role, flags = BEGIN_BODY.unpack(content)
         keep = bool(flags & KEEP_CONN)
         if role != RESPONDER:
             return [Reply(end(request, UNKNOWN_ROLE), not keep)]
-        if len(self.begun) + len(self.answering) >= OPEN_MOST:
+        if len(self.partial_requests) + len(self.unanswered_ids) >= OPEN_MOST:
             return [Reply(end(request, OVERLOADED), not keep)]
-        self.begun[request] = _Begun(keep)
+        self.partial_requests[request] = _Begun(keep)
         return []
 
     def _managed(self, kind: int, content: bytes) -> Reply:
--- a/quincepier/wire/lines.py
+++ b/quincepier/wire/lines.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Head:
+class ResponseHead:
     """An answer's line; `length` bytes follow as Piece, then Whole."""
 
     id: str
@@ -24,12 +24,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Piece:
+class ResponseData:
     data: bytes | memoryview
 
 
 @dataclass(slots=True, frozen=True)
-class Whole:
+class ResponseEnd:
     """The answer begun last is there to its last byte."""
 
 
@@ -75,7 +75,7 @@
     return fields
 
 
-def read_line(raw: bytes) -> Head:
+def read_line(raw: bytes) -> ResponseHead:
     try:
         words = raw.decode("ascii").split(" ")
     except UnicodeDecodeError:
@@ -87,49 +87,49 @@
         raise ProtocolError(f"the unknown answer {word[:30]!r}")
     if not length.isdecimal() or len(length) > 9 or int(length) > LENGTH_MOST:
         raise ProtocolError(f"an answer's length of {length[:30]!r}, not 0 to {LENGTH_MOST}")
-    return Head(id, word, read_fields(fields), int(length))
+    return ResponseHead(id, word, read_fields(fields), int(length))
 
 
 class Decoder:
     """Answers of one connection, fed in any split; bytes of objects pass through and are not kept."""
 
     def __init__(self) -> None:
-        self.line = bytearray()
-        self.left = 0  # bytes of the object still to come
-        self.trail = b""  # what must follow next, behind the object
+        self.line_buffer = bytearray()
+        self.bytes_left = 0  # bytes of the object still to come
+        self.expected_trailer = b""  # what must follow next, behind the object
 
     @property
-    def between(self) -> bool:
+    def is_between_responses(self) -> bool:
         """Whether no answer is half read."""
-        return not (self.line or self.left or self.trail)
+        return not (self.line_buffer or self.bytes_left or self.expected_trailer)
 
-    def feed(self, data: memoryview) -> Iterable[Head | Piece | Whole]:
+    def feed(self, data: memoryview) -> Iterable[ResponseHead | ResponseData | ResponseEnd]:
         """The answers in the data, as it goes: a piece is valid until the next one is asked for."""
         at, size = 0, len(data)
         while at < size:
-            if self.left:
-                piece = data[at : at + self.left]
-                self.left -= len(piece)
+            if self.bytes_left:
+                piece = data[at : at + self.bytes_left]
+                self.bytes_left -= len(piece)
                 at += len(piece)
-                yield Piece(piece)
-            elif self.trail:
-                if data[at] != self.trail[0]:
+                yield ResponseData(piece)
+            elif self.expected_trailer:
+                if data[at] != self.expected_trailer[0]:
                     raise ProtocolError("an object longer than its length says")
-                self.trail, at = self.trail[1:], at + 1
-                if not self.trail:
-                    yield Whole()
+                self.expected_trailer, at = self.expected_trailer[1:], at + 1
+                if not self.expected_trailer:
+                    yield ResponseEnd()
             else:
                 rest = bytes(data[at : at + LINE_MOST + 2])
                 stop = rest.find(b"\n")
                 taken = rest if stop < 0 else rest[: stop + 1]
-                self.line += taken
+                self.line_buffer += taken
                 at += len(taken)
-                if len(self.line) > LINE_MOST:
+                if len(self.line_buffer) > LINE_MOST:
                     raise ProtocolError(f"an answer's line over {LINE_MOST} bytes")
                 if stop >= 0:
-                    if self.line[-2:] != b"\r\n":
+                    if self.line_buffer[-2:] != b"\r\n":
                         raise ProtocolError("an answer's line that ends without CR LF")
-                    head = read_line(bytes(self.line[:-2]))
-                    self.line.clear()
-                    self.left, self.trail = head.length, b"\r\n"
+                    head = read_line(bytes(self.line_buffer[:-2]))
+                    self.line_buffer.clear()
+                    self.bytes_left, self.expected_trailer = head.length, b"\r\n"
                     yield head
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -25,7 +25,7 @@
 from quincepier.net.messages import Came, Left, News
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors
-from quincepier.wire.changelog import BadRecord, read_changes
+from quincepier.wire.changelog import InvalidRecord, read_changes
 from tests.frontkit import Inbox, host, open_request, raw_config
 from tests.loopback import EACH, own_port
 from tests.standins import until
@@ -126,7 +126,7 @@
         body = event or {"fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
         changes = {"seq": self.seq, "results": [{"seq": self.seq} | body]}
         (record,) = read_changes(changes, parse)[1]
-        assert not isinstance(record, BadRecord), record
+        assert not isinstance(record, InvalidRecord), record
         self.module.mailbox.urge(News(record))
 
     async def quiet(self) -> None:
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -189,15 +189,15 @@
     "settings": io.Settings,
     "class": io.RequestClass,
     "call": fastcgi.Call,
-    "aborted": fastcgi.Aborted,
+    "aborted": fastcgi.RequestAborted,
     "reply": fastcgi.Reply,
-    "head": lines.Head,
-    "piece": lines.Piece,
-    "whole": lines.Whole,
+    "head": lines.ResponseHead,
+    "piece": lines.ResponseData,
+    "whole": lines.ResponseEnd,
     "host": changelog.HostRecord,
     "fleet": changelog.FleetChange,
     "purge": changelog.PurgeRecord,
-    "bad": changelog.BadRecord,
+    "bad": changelog.InvalidRecord,
 }
 _NAME_OF = {kind: name for name, kind in NAMES.items()}
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -271,9 +271,9 @@
     with pytest.raises(AssertionError, match="it_holds"):
         checks.must(False, "it_holds")
     checks.event("something", "once")
-    assert checks.changed() == "something 1" and checks.changed() == ""
+    assert checks.describe_changes() == "something 1" and checks.describe_changes() == ""
     checks.count("something")
-    assert checks.changed() == "something 2"
+    assert checks.describe_changes() == "something 2"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -74,8 +74,8 @@
 
 def host_record(host: str, state: EndpointState = EndpointState.READY, **changes: object) -> HostRecord:
     values: dict[str, object] = {
-        "host": host, "address": ("127.0.0.9", 5050), "site": "east", "kind": "std", "cell": 2,
-        "state": state, "size": 4.0, "born_ms": 0,
+        "host": host, "address": ("127.0.0.9", 5050), "zone": "east", "kind": "std", "cell": 2,
+        "state": state, "size": 4.0, "started_at_ms": 0,
     }  # fmt: skip
     return HostRecord(**(values | changes))  # type: ignore[arg-type]
 
@@ -110,7 +110,7 @@
 def test_a_full_list_replaces_all_machines_and_a_change_adds() -> None:
     directory = new_directory()
     update = directory.apply(
-        FleetChange(2, True, (host_record("s-9", site="west", kind="parent"),)), UpdateScope.FULL
+        FleetChange(2, True, (host_record("s-9", zone="west", kind="parent"),)), UpdateScope.FULL
     )
     (machine,) = update.endpoints
     assert (update.scope, machine.zone, machine.kind) == (UpdateScope.FULL, 0, 1)
@@ -122,20 +122,20 @@
     directory = new_directory()
     before = list(directory.listed_hosts())
     with pytest.raises(ProtocolError, match="s-4"):
-        directory.apply(FleetChange(2, True, (host_record("s-3"), host_record("s-4", site="nowhere"))))
+        directory.apply(FleetChange(2, True, (host_record("s-3"), host_record("s-4", zone="nowhere"))))
     assert list(directory.listed_hosts()) == before
 
 
 def test_the_start_time_of_a_machine_stays_when_it_is_listed_again() -> None:
     directory = new_directory()
     born = time.time_ns() // clock.MS - 5000
-    first = directory.apply(FleetChange(2, False, (host_record("s-1", born_ms=born),))).endpoints[0]
-    second = directory.apply(FleetChange(3, False, (host_record("s-1", born_ms=born, size=9.0),))).endpoints[
-        0
-    ]
+    first = directory.apply(FleetChange(2, False, (host_record("s-1", started_at_ms=born),))).endpoints[0]
+    resized = host_record("s-1", started_at_ms=born, size=9.0)
+    second = directory.apply(FleetChange(3, False, (resized,))).endpoints[0]
     assert first.started_at == second.started_at > 0
     assert clock.now() - first.started_at >= 5000 * clock.MS
-    later = directory.apply(FleetChange(4, False, (host_record("s-1", born_ms=born + 1000),))).endpoints[0]
+    restarted = host_record("s-1", started_at_ms=born + 1000)
+    later = directory.apply(FleetChange(4, False, (restarted,))).endpoints[0]
     assert later.started_at > second.started_at
 
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -14,10 +14,10 @@
 from quincepier import interface as io
 from quincepier.config import FrontConfig, SettingsError, read_front
 from quincepier.interface import AttemptOutcome, CacheStatus, DeduplicationScope, Idempotency
-from quincepier.keys import MEMORY_MOST
+from quincepier.keys import MAX_REMEMBERED_KEYS
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.recovery import fronts_that_ask
-from quincepier.translate import class_table, open_request, serve_fields
+from quincepier.translate import make_class_table, make_serve_fields, open_request
 from quincepier.wire.fastcgi import Call
 from quincepier.wire.lines import serve
 from tests.frontkit import SETTINGS, Inbox, raw_config
@@ -116,7 +116,7 @@
         router, classes = self.router, len(self.site.classes)
         assert (
             max(len(router.placement.hits), len(router.freshness.purges), len(router.placement.rankings))
-            <= MEMORY_MOST
+            <= MAX_REMEMBERED_KEYS
         )
         assert len(router.latency.baselines) <= 4 * classes and len(router.placement.table.by_id) <= len(
             self.states
@@ -195,11 +195,11 @@
         "SCRIPT_NAME": f"/call/{name}".encode().decode("latin-1"), "HTTP_X_JOB_ID": "9b1f03aa5c7e2d41",
         "HTTP_X_ITEM": "7f3a9c21e0b4d655", "HTTP_X_N": "0", "HTTP_X_SHARD": "17", "HTTP_X_ALLOW_MS": "900",
     }  # fmt: skip
-    taken = open_request(Call(1, params, b"", True), class_table(config), Inbox(), 0)
+    taken = open_request(Call(1, params, b"", True), make_class_table(config), Inbox(), 0)
     assert taken.class_index == 1
     return serve(
         taken.job_id,
-        serve_fields(io.ForwardRequest(1, 1, SECOND), taken, MachineDirectory((), ()), SECOND),
+        make_serve_fields(io.ForwardRequest(1, 1, SECOND), taken, MachineDirectory((), ()), SECOND),
         b"",
     )
 
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -18,18 +18,18 @@
 from quincepier.simhost import Host
 from quincepier.simwire import encode_action
 from quincepier.translate import (
-    ENDINGS,
-    NOTES,
+    CACHE_STATUS_BY_WORD,
+    OUTCOME_BY_WORD,
     BadRequestError,
-    attempt_ended,
-    class_table,
-    note_of,
+    make_attempt_completed,
+    make_class_table,
+    make_object_purged,
+    make_request_received,
+    make_serve_fields,
     open_request,
-    purged,
-    report_of,
-    request_came,
-    serve_fields,
-    waited_of,
+    read_cache_status,
+    read_load_report,
+    read_wait_time,
 )
 from quincepier.wire.changelog import FleetChange, PurgeRecord
 from quincepier.wire.fastcgi import Call
@@ -39,7 +39,7 @@
 from tests.frontkit import Inbox, make_config
 
 JOB = "9b1f03aa5c7e2d41"
-CLASSES = class_table(make_config())
+CLASSES = make_class_table(make_config())
 
 
 def call(body: bytes = b"", cls: str = "lot-image", **changes: Any) -> Call:
@@ -51,13 +51,13 @@
     """Caches know the repeats of a keyed write by it; without it they take the request for another one."""
     taken, known = open_request(call(b"xy", "bid", HTTP_X_UNIQUE=key), CLASSES, Inbox(), 50), directory()
     for sent in range(2):  # each attempt
-        fields = serve_fields(
+        fields = make_serve_fields(
             io.ForwardRequest(1, known.assign_number("s-1"), sent), taken, known, clock.SECOND
         )
         assert [value for name, value in fields if name == "once"] == [key]
     plain = open_request(call(b"xy", "bid"), CLASSES, Inbox(), 50)
     ask = io.ForwardRequest(1, known.assign_number("s-1"), 0)
-    assert "once" not in dict(serve_fields(ask, plain, known, clock.SECOND))
+    assert "once" not in dict(make_serve_fields(ask, plain, known, clock.SECOND))
 
 
 @pytest.mark.parametrize("key", ["a b", "a,b=c", "k" * 65, "a\r\nb", "ä"])
@@ -119,14 +119,14 @@
 def test_time_left_counts_from_when_the_request_was_there() -> None:
     taken = frontkit.open_request(Inbox(), allowed_ns=3000 * clock.MS, received_at_ns=100)
     taken.number = 8
-    assert request_came(taken, 100).time_left == 3000 * clock.MS
-    assert request_came(taken, 100 + 200 * clock.MS).time_left == 2800 * clock.MS
-    assert request_came(taken, 100 + 4000 * clock.MS).time_left == 0
+    assert make_request_received(taken, 100).time_left == 3000 * clock.MS
+    assert make_request_received(taken, 100 + 200 * clock.MS).time_left == 2800 * clock.MS
+    assert make_request_received(taken, 100 + 4000 * clock.MS).time_left == 0
 
 
 def test_endings_and_notes_are_one_to_one() -> None:
-    assert list(NOTES.values()) == list(CacheStatus)[1:]
-    assert set(ENDINGS.values()) == {
+    assert list(CACHE_STATUS_BY_WORD.values()) == list(CacheStatus)[1:]
+    assert set(OUTCOME_BY_WORD.values()) == {
         AttemptOutcome.OK,
         AttemptOutcome.MISS,
         AttemptOutcome.OVERLOADED,
@@ -134,10 +134,14 @@
         AttemptOutcome.NOT_PROCESSED,
     }
     head = read_line(b"id data how=pulled_far,lag=34.5,stats=util:0.61;x0:0.4 0")
-    assert (note_of(head), waited_of(head)) == (CacheStatus.FROM_ORIGIN, 34_500_000)
-    assert report_of(head, ("load_share", "x0", "depth")) == (0.61, 0.4, 0.0)
+    assert (read_cache_status(head), read_wait_time(head)) == (CacheStatus.FROM_ORIGIN, 34_500_000)
+    assert read_load_report(head, ("load_share", "x0", "depth")) == (0.61, 0.4, 0.0)
     bare = read_line(b"id full how=strange,lag=nan 0")
-    assert (note_of(bare), waited_of(bare), report_of(bare, ("x0",))) == (CacheStatus.NONE, 0, ())
+    assert (read_cache_status(bare), read_wait_time(bare), read_load_report(bare, ("x0",))) == (
+        CacheStatus.NONE,
+        0,
+        (),
+    )
 
 
 def test_last_says_that_the_request_is_over() -> None:
@@ -145,9 +149,12 @@
     attempt = OpenAttempt(taken, 0, 5, 1000)
 
     def last(ending: AttemptOutcome) -> bool:
-        return attempt_ended(attempt, Ended(attempt, ending, 1500)).last
+        return make_attempt_completed(attempt, Ended(attempt, ending, 1500)).last
 
-    assert attempt_ended(attempt, Ended(attempt, AttemptOutcome.OK, 1500, CacheStatus.HIT, 7)).elapsed == 500
+    assert (
+        make_attempt_completed(attempt, Ended(attempt, AttemptOutcome.OK, 1500, CacheStatus.HIT, 7)).elapsed
+        == 500
+    )
     assert last(AttemptOutcome.OK) and not last(AttemptOutcome.TIMEOUT) and not last(AttemptOutcome.CANCELLED)
     taken.is_finished = True
     assert last(AttemptOutcome.TIMEOUT)
@@ -164,7 +171,7 @@
 def test_fields_of_a_command() -> None:
     known, taken = directory(), frontkit.open_request(Inbox(), known_version="4be0c1927d55a6f3", part=3)
     edge, parent = known.assign_number("s-1"), known.assign_number("p-1")
-    ask = serve_fields(io.ForwardRequest(1, edge, 0), taken, known, 1500 * clock.MS)
+    ask = make_serve_fields(io.ForwardRequest(1, edge, 0), taken, known, 1500 * clock.MS)
     plain = [("class", "lot-image"), ("key", "7f3a9c21e0b4d655"), ("part", "3"), ("wait", "1500")]
     assert ask == [*plain, ("known", "4be0c1927d55a6f3")]
     fetch = io.FetchThrough(1, edge, 0, parent, 2, 1_999_999, True, True, True)
@@ -175,9 +182,13 @@
         ("opts", "join+held+renew"),
         ("known", taken.known_version),
     ]
-    assert serve_fields(fetch, taken, known, 1500 * clock.MS) == [*plain, *more]
+    assert make_serve_fields(fetch, taken, known, 1500 * clock.MS) == [*plain, *more]
     own = io.FetchThrough(1, edge, 0, edge, 0, 0, False, False, False)
-    assert serve_fields(own, taken, known, 0) == [*plain[:3], ("wait", "1"), ("known", taken.known_version)]
+    assert make_serve_fields(own, taken, known, 0) == [
+        *plain[:3],
+        ("wait", "1"),
+        ("known", taken.known_version),
+    ]
 
 
 def test_an_age_under_a_millisecond_is_not_sent_as_no_limit() -> None:
@@ -185,7 +196,7 @@
     fetch = io.FetchThrough(
         1, known.assign_number("s-1"), 0, known.assign_number("p-1"), 1, 900_000, False, False, False
     )
-    assert ("fresh", "1") in serve_fields(fetch, taken, known, clock.SECOND)
+    assert ("fresh", "1") in make_serve_fields(fetch, taken, known, clock.SECOND)
 
 
 def test_same_events_give_the_same_decisions_as_over_the_simulators_wire() -> None:
@@ -220,7 +231,7 @@
             call(cls=name, HTTP_X_N=str(part), HTTP_X_ITEM=f"{n % 7 + 1:016x}"), CLASSES, Inbox(), now
         )
         requests.add(taken)
-        event = request_came(taken, now)
+        event = make_request_received(taken, now)
         packed = (3, taken.number, cls, 0.0, 0, 17.0, n % 7 + 1, float(part), 0, taken.allowed_ns)
         actions = same(event, 1020, struct.pack("<IIBfHfQfBQ", *packed))
         for action in actions:
@@ -230,10 +241,10 @@
                 endings = (AttemptOutcome.OK, 0), (AttemptOutcome.OVERLOADED, 11), (AttemptOutcome.RESET, 104)
                 ending, number = endings[0 if n % 5 else n // 5 % 3]
                 now += 20 * clock.MS
-                ended = attempt_ended(attempt, Ended(attempt, ending, now, CacheStatus.FILLED, 5))
+                ended = make_attempt_completed(attempt, Ended(attempt, ending, now, CacheStatus.FILLED, 5))
                 taken.is_finished = ending is AttemptOutcome.OK
                 outcome = (3, taken.number, 0, action.cache, number, 20 * clock.MS, ended.last, 2, 5, 0)
                 same(ended, 1040, struct.pack("<IIHIBQBBQB", *outcome))
     assert asked >= 40
-    gone = purged(PurgeRecord(9, 3, 0, 0), 70 * clock.SECOND)
+    gone = make_object_purged(PurgeRecord(9, 3, 0, 0), 70 * clock.SECOND)
     same(gone, 1100, struct.pack("<IHQQ", 3, gone.group, gone.object, gone.age))
--- a/tests/test_wire_changelog.py
+++ b/tests/test_wire_changelog.py
@@ -45,13 +45,13 @@
     }
     last, (first, single, group, change) = changelog.decode_changes(json.dumps(raw).encode())
     assert last == 4
-    assert isinstance(first, changelog.FleetChange) and first.whole
+    assert isinstance(first, changelog.FleetChange) and first.is_full_list
     (host,) = first.hosts
     assert (host.address, host.size, host.cell) == (("127.0.0.9", 5050), 4.0, 2)
     assert single == changelog.PurgeRecord(2, 0x7F3A9C21E0B4D655, 0, 1764576000123)
     assert group == changelog.PurgeRecord(3, None, 17, 1764576000480)
-    assert isinstance(change, changelog.FleetChange) and not change.whole
-    assert (change.hosts[0].state, change.hosts[0].born_ms) == (EndpointState.DRAINING, 1764576000000)
+    assert isinstance(change, changelog.FleetChange) and not change.is_full_list
+    assert (change.hosts[0].state, change.hosts[0].started_at_ms) == (EndpointState.DRAINING, 1764576000000)
 
 
 @pytest.mark.parametrize(
@@ -72,7 +72,7 @@
 )
 def test_a_record_that_cannot_be_used_keeps_its_number(record: dict[str, Any]) -> None:
     _, (found,) = changelog.read_changes({"seq": 5, "results": [record]})
-    assert isinstance(found, changelog.BadRecord) and found.seq == 5 and found.why
+    assert isinstance(found, changelog.InvalidRecord) and found.seq == 5 and found.reason
 
 
 @pytest.mark.parametrize(
--- a/tests/test_wire_fastcgi.py
+++ b/tests/test_wire_fastcgi.py
@@ -13,7 +13,7 @@
 from tests.fcgikit import ABORT, PARAMS, STDIN, Reader, begin, call, pairs, params, rec
 
 JOB = "9b1f03aa5c7e2d41"
-Found = list[fastcgi.Call | fastcgi.Aborted | fastcgi.Reply]
+Found = list[fastcgi.Call | fastcgi.RequestAborted | fastcgi.Reply]
 
 
 def feed_cut(data: bytes, cuts: list[int]) -> Found:
@@ -50,7 +50,7 @@
     cuts = data.draw(st.lists(st.integers(0, len(stream)), max_size=12))
     found = feed_cut(stream, cuts)
     assert {c.id: c.body for c in found if isinstance(c, fastcgi.Call)} == bodies
-    assert all(isinstance(c, fastcgi.Call) and c.params == params(JOB) and not c.fault for c in found)
+    assert all(isinstance(c, fastcgi.Call) and c.params == params(JOB) and not c.error for c in found)
 
 
 def test_params_cut_over_records_and_long_lengths() -> None:
@@ -71,12 +71,12 @@
 
 def test_abort_of_what_is_open_only() -> None:
     decoder = fastcgi.Decoder()
-    assert decoder.feed(begin(1) + rec(ABORT, 1)) == [fastcgi.Aborted(1)]
+    assert decoder.feed(begin(1) + rec(ABORT, 1)) == [fastcgi.RequestAborted(1)]
     assert decoder.feed(rec(ABORT, 1)) == []
     assert len(decoder.feed(call(1, params(JOB)))) == 1  # the number is free again
-    assert decoder.feed(rec(ABORT, 1)) == [fastcgi.Aborted(1)]
+    assert decoder.feed(rec(ABORT, 1)) == [fastcgi.RequestAborted(1)]
     decoder.feed(call(1, params(JOB)))
-    decoder.close(1)
+    decoder.on_answered(1)
     assert decoder.feed(rec(ABORT, 1)) == []
 
 
@@ -86,7 +86,7 @@
         decoder.feed(call(n, params(JOB)))
     (found,) = decoder.feed(begin(33))
     assert found == fastcgi.Reply(fastcgi.end(33, fastcgi.OVERLOADED), False)
-    decoder.close(5)
+    decoder.on_answered(5)
     assert decoder.feed(begin(34)) == []
 
 
@@ -131,7 +131,7 @@
     decoder = fastcgi.Decoder()
     (whole,) = decoder.feed(call(1, params(JOB)) + broken + call(2, params(JOB)))
     assert isinstance(whole, fastcgi.Call) and whole.id == 1
-    assert decoder.fault is not None and decoder.held == 0
+    assert decoder.error is not None and decoder.buffered_bytes == 0
     with pytest.raises(ProtocolError):
         decoder.feed(call(2, params(JOB)))
 
@@ -148,7 +148,7 @@
 def test_unusable_requests_come_whole_with_their_fault(raw: bytes, body: bytes, word: str) -> None:
     data = begin(1) + rec(PARAMS, 1, raw) + rec(PARAMS, 1) + rec(STDIN, 1, body) * bool(body) + rec(STDIN, 1)
     (found,) = fastcgi.Decoder().feed(data)
-    assert isinstance(found, fastcgi.Call) and word in found.fault and found.params == {}
+    assert isinstance(found, fastcgi.Call) and word in found.error and found.params == {}
 
 
 @given(st.lists(st.binary(max_size=300), max_size=20))
@@ -160,21 +160,21 @@
     except ProtocolError:
         pass
     assert len(decoder.buffer) <= 8 + 65_535 + 255 + 300
-    assert len(decoder.begun) <= fastcgi.OPEN_MOST
+    assert len(decoder.partial_requests) <= fastcgi.OPEN_MOST
 
 
 def test_kept_bytes_of_a_request_are_bounded() -> None:
     decoder = fastcgi.Decoder()
     decoder.feed(begin(1))
     decoder.feed(rec(PARAMS, 1, b"x" * 16_000))
-    assert 16_000 <= decoder.held <= 16_100 and decoder.unfinished is not None
+    assert 16_000 <= decoder.buffered_bytes <= 16_100 and decoder.oldest_partial is not None
     (fault,) = decoder.feed(rec(PARAMS, 1, b"x" * 60_000)[:8])  # its head alone says that it is too much
-    assert isinstance(fault, fastcgi.Call) and "parameters over" in fault.fault and not fault.keep
+    assert isinstance(fault, fastcgi.Call) and "parameters over" in fault.error and not fault.keep_connection
     for _ in range(50):
-        assert not decoder.feed(b"x" * 1200) and decoder.held == 0
+        assert not decoder.feed(b"x" * 1200) and decoder.buffered_bytes == 0
     decoder.feed(begin(2) + rec(PARAMS, 2))
     found = [item for _ in range(50) for item in decoder.feed(rec(STDIN, 2, b"x" * 30_000))]
-    assert len(found) == 1 and "a body over" in found[0].fault and decoder.held == 0  # type: ignore[union-attr]
+    assert len(found) == 1 and "a body over" in found[0].error and decoder.buffered_bytes == 0  # type: ignore[union-attr]
 
 
 def test_records_of_no_request_end_the_connection_when_there_is_no_end_of_them() -> None:
@@ -182,20 +182,20 @@
     with pytest.raises(ProtocolError, match="records of no request"):
         for _ in range(fastcgi.STRAY_MOST + 1):
             decoder.feed(rec(STDIN, 7, b"x"))
-    assert decoder.held <= 9
+    assert decoder.buffered_bytes <= 9
 
 
 def test_what_is_half_sent_stays_the_same_until_it_is_whole() -> None:
     decoder = fastcgi.Decoder()
-    assert decoder.unfinished is None
+    assert decoder.oldest_partial is None
     decoder.feed(begin(1))
-    first = decoder.unfinished
+    first = decoder.oldest_partial
     decoder.feed(begin(2) + rec(PARAMS, 2, pairs(params(JOB))) + rec(PARAMS, 2) + rec(STDIN, 2))
-    assert first is not None and decoder.unfinished is first
+    assert first is not None and decoder.oldest_partial is first
     decoder.feed(rec(PARAMS, 1) + rec(STDIN, 1))
-    assert decoder.unfinished is None
+    assert decoder.oldest_partial is None
     decoder.feed(b"\x01")
-    assert decoder.unfinished is not None
+    assert decoder.oldest_partial is not None
 
 
 def test_finish_closes_stdout_and_ends_once() -> None:
--- a/tests/test_wire_lines.py
+++ b/tests/test_wire_lines.py
@@ -22,21 +22,21 @@
 STREAM = b"".join(head + body + b"\r\n" for head, body in ANSWERS)
 
 
-def read(data: bytes, cuts: list[int]) -> list[tuple[lines.Head, bytes]]:
-    decoder, found, at = lines.Decoder(), list[tuple[lines.Head, bytes]](), 0
+def read(data: bytes, cuts: list[int]) -> list[tuple[lines.ResponseHead, bytes]]:
+    decoder, found, at = lines.Decoder(), list[tuple[lines.ResponseHead, bytes]](), 0
     head, body, whole = None, b"", 0
     for cut in [*sorted(cuts), len(data)]:
         for item in decoder.feed(memoryview(data)[at:cut]):
-            if isinstance(item, lines.Head):
+            if isinstance(item, lines.ResponseHead):
                 head, body = item, b""
-            elif isinstance(item, lines.Piece):
+            elif isinstance(item, lines.ResponseData):
                 body += bytes(item.data)
             else:
                 assert head is not None
                 found.append((head, body))
                 whole += 1
         at = cut
-    assert decoder.between and whole == len(found)
+    assert decoder.is_between_responses and whole == len(found)
     return found
 
 
@@ -94,15 +94,15 @@
             list(decoder.feed(memoryview(part)))
     except ProtocolError:
         pass
-    assert len(decoder.line) <= lines.LINE_MOST + 2
+    assert len(decoder.line_buffer) <= lines.LINE_MOST + 2
 
 
 def test_an_end_inside_an_answer_shows() -> None:
     for cut in range(1, len(STREAM)):
         decoder = lines.Decoder()
-        wholes = sum(isinstance(item, lines.Whole) for item in decoder.feed(memoryview(STREAM)[:cut]))
+        wholes = sum(isinstance(item, lines.ResponseEnd) for item in decoder.feed(memoryview(STREAM)[:cut]))
         at_end = cut in {len(b"".join(h + b + b"\r\n" for h, b in ANSWERS[:n])) for n in range(6)}
-        assert decoder.between == at_end
+        assert decoder.is_between_responses == at_end
         assert wholes <= 5
 
 
