--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -13,7 +13,7 @@
 
 from quincepier import clock
 from quincepier.checks import Checks
-from quincepier.config import FrontConfig, SettingsError, load_front, reloaded
+from quincepier.config import FrontConfig, SettingsError, apply_reload, load_front
 from quincepier.errors import QuincepierError
 from quincepier.lifecycle import signals
 from quincepier.memory.buffer_pool import BufferPool
@@ -120,7 +120,7 @@
         """SIGHUP: read both files again. Where one can't be used that is logged, and both old ones stay."""
         means, file = self.module.means, None
         try:
-            config, now, later = reloaded(means.config, load_front(path=self.path, judge=means.judge))
+            config, now, later = apply_reload(means.config, load_front(path=self.path, judge=means.judge))
             if self.operators is not None:
                 file = self.operators.again()
         except SettingsError as error:
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from quincepier.__main__ import summary
-from quincepier.config import FrontConfig, SettingsError, load_front, reloaded
+from quincepier.config import FrontConfig, SettingsError, apply_reload, load_front
 from quincepier.lifecycle.front import Front as WholeFront
 from tests.frontkit import make_config, raw_config
 from tests.standins import PATIENCE, Asked, Front, play, until
@@ -79,7 +79,7 @@
 def serves_with(config: FrontConfig) -> None:
     """What is taken can be shown, put beside another, and a front be made of it."""
     summary(config).encode()
-    reloaded(make_config(), config)
+    apply_reload(make_config(), config)
     WholeFront(config)
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 import pytest
 
 from quincepier import __version__
-from quincepier.config import SettingsError, lay_out, load_front, read_front, read_settings
+from quincepier.config import SettingsError, flatten_settings, load_front, read_front, read_settings
 from quincepier.simwire import decode_settings
 from tests.frontkit import SETTINGS, make_config, raw_config
 
@@ -39,7 +39,7 @@
 
 
 def test_simulator_and_front_read_settings_alike() -> None:
-    pairs = dict(lay_out(SETTINGS))
+    pairs = dict(flatten_settings(SETTINGS))
     conf = "\n".join(f"{key}={value}" for key, value in pairs.items()).encode()
     assert decode_settings(conf) == read_settings(pairs) == make_config().settings
 
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -151,7 +151,7 @@
     [
         (f"{NET}.watch:Watch.up_to_date=SWAP,HUP",),
         # the file is read and not yet in force as it is replaced again: what is read later holds
-        (f"{SERVES}=HUP", f"{FRONT}:reloaded=SWAP,HUP"),
+        (f"{SERVES}=HUP", f"{FRONT}:apply_reload=SWAP,HUP"),
     ],
     ids=["while it waits for its first changes", "in the middle of another reload"],
 )
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -9,7 +9,7 @@
 
 from quincepier import clock
 from quincepier import interface as io
-from quincepier.config import lay_out
+from quincepier.config import flatten_settings
 from quincepier.interface import AttemptOutcome, CacheStatus
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.memory.open_requests import OpenAttempt, OpenRequestTable
@@ -202,7 +202,7 @@
 def test_same_events_give_the_same_decisions_as_over_the_simulators_wire() -> None:
     """Settings, a list, requests, endings and a purge, once over each way in."""
     config, known, seed, now = make_config(), directory(), 9, 10**9
-    conf = "\n".join(f"{key}={value}" for key, value in lay_out(frontkit.SETTINGS)).encode()
+    conf = "\n".join(f"{key}={value}" for key, value in flatten_settings(frontkit.SETTINGS)).encode()
     entries = [
         struct.pack("<HfIQBHB", m.cell, m.size, m.number, 0, m.kind, m.zone, 0)
         for m in known.full_list().endpoints
