--- a/quincepier/__main__.py
+++ b/quincepier/__main__.py
@@ -16,40 +16,40 @@
 Commands:
   serve         Run one front in the foreground until SIGTERM or SIGINT.
   check-config  Read and check the configuration, print a summary, and exit.
-  lab run       Play an experiment in virtual time, judge the rules, compare its variants (docs/lab.md).
-  lab compare   Two files of runs, or two variants of the one named by --runs, paired by seed.
-  lab list      The experiments of a folder.
-  lab fleet     Play an experiment by real processes on loopback, faults between them (docs/lab.md).
-  lab report    An HTML page of a file of fleet runs, with plots.
-  state show    What a front has learned and keeps in that folder, as JSON (docs/state.md).
-  state check   Whether each record there can be read; a line each.
-  state prune   Take away what can't be read or was left half written.
+  lab run       Run an experiment in virtual time, check the rules, and compare its variants (docs/lab.md).
+  lab compare   Compare two files of runs, or two variants in the file named by --runs, paired by seed.
+  lab list      List the experiments in a folder.
+  lab fleet     Run an experiment with real processes on loopback and faults between them (docs/lab.md).
+  lab report    Write an HTML page with plots for a file of fleet runs.
+  state show    Print the state that a front has learned and stored in that folder, as JSON (docs/state.md).
+  state check   Check whether each record in that folder can be read, and print a line for each.
+  state prune   Remove files that can't be read or were not completely written.
   version       Print the version.
 
 Options:
   --config FILE    The configuration, a JSON file; without it the path in ROUTER_CONFIG.
   --operator FILE  The operators' file, YAML; without it the path in ROUTER_OPERATOR, if any.
-  --out FILE       Keep the runs there, as JSON.
-  --processes N    Runs played side by side [default: 1].
+  --out FILE       Write the runs to this file, as JSON.
+  --processes N    Number of runs in parallel [default: 1].
   --runs FILE      A file of runs.
-  --folder DIR     Where experiments are [default: experiments].
+  --folder DIR     The folder of experiments [default: experiments].
   --seeds LIST     Seeds in place of the experiment's, such as 1,2,3.
-  --variant NAME   One variant alone.
-  --checkout DIR   Fronts of another checkout of quincepier, to compare with.
-  --keep DIR       Keep configurations, logs and notes of the (one) run there.
-  --report FILE    The page of the last run; for `lab report` the run's name with .html is the default.
-  --json           The runs as JSON on the standard output, nothing else.
+  --variant NAME   Run only this variant.
+  --checkout DIR   Run the fronts of another checkout of quincepier, to compare with.
+  --keep DIR       Keep configurations, logs and notes of the run there; for a single run.
+  --report FILE    The page for the last run; `lab report` uses the run's name with .html by default.
+  --json           Print the runs as JSON on the standard output, and nothing else.
   -h --help        Show this text.
 
 Environment:
   ROUTER_CONFIG    Path of the configuration, where --config is not given.
   ROUTER_OPERATOR  Path of the operators' file, where --operator is not given.
-  ROUTER_NAME      The front's name; goes before the file's.
-  ROUTER_LISTEN    Where clients connect, such as 127.0.0.1:5050; goes before the file's.
+  ROUTER_NAME      The front's name; takes precedence over the file's.
+  ROUTER_LISTEN    Where clients connect, such as 127.0.0.1:5050; takes precedence over the file's.
 
-Exit codes: 0 done, 1 the address can't be had, or a rule broke in the laboratory, 2 a file or the command
-line is at fault, or the rig can't be set up here, 3 a run of the rig is void. `state`: 1 a record can't be
-read, 2 the folder is at fault, 3 a record is of a newer version, 4 a front has the folder in use.
+Exit codes: 0 success; 1 the address is not available, or a rule was broken in the laboratory; 2 a file or the
+command line is invalid, or the rig can't be set up on this machine; 3 a run of the rig is void. `state`: 1 a
+record can't be read, 2 the folder can't be used, 3 a record is of a newer version, 4 a front uses the folder.
 """
 
 from __future__ import annotations
@@ -69,6 +69,7 @@
 
 
 def summary(config: FrontConfig) -> str:
+    """Return one line that describes a valid configuration."""
     host, port = config.listen
     zone = config.zones[config.settings.zone]
     return (
@@ -79,42 +80,43 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run a command line and return the exit code."""
     try:
-        chosen = docopt(__doc__ or "", argv)
+        arguments = docopt(__doc__ or "", argv)
     except DocoptExit as error:
         print(error, file=sys.stderr)
         return 2
-    signals.catch(bool(chosen["serve"]))
-    if chosen["version"]:
+    signals.catch(bool(arguments["serve"]))
+    if arguments["version"]:
         print(f"quincepier {__version__}")
         return 0
-    if chosen["lab"]:
+    if arguments["lab"]:
         from quincepier.lab import command
 
-        return command.run(chosen)
-    if chosen["state"]:
+        return command.run(arguments)
+    if arguments["state"]:
         from quincepier.state import command as state_command
         from quincepier.state import current_timestamp
 
-        return state_command.run(chosen, current_timestamp())
-    place, operators = chosen["--operator"] or os.environ.get("ROUTER_OPERATOR"), None
+        return state_command.run(arguments, current_timestamp())
+    operator_path, operators = arguments["--operator"] or os.environ.get("ROUTER_OPERATOR"), None
     try:
-        if place:
+        if operator_path:
             from quincepier.lifecycle.operators import Operators
 
-            operators = Operators(place)
-        config = load_front(path=chosen["--config"], judge=operators.judge if operators else None)
+            operators = Operators(operator_path)
+        config = load_front(path=arguments["--config"], judge=operators.judge if operators else None)
     except SettingsError as error:
-        signals.ignore()  # it ends with the code that tells why
+        signals.ignore()  # the exit code must be 2, also if a signal arrives now
         print(f"quincepier: {error}; {error.advice}", file=sys.stderr)
         return 2
-    if chosen["check-config"]:
+    if arguments["check-config"]:
         print(summary(config) + (f"\n{operators.summary}" if operators else ""))
         return 0
     from quincepier.lifecycle import front, logs
 
     logs.set_up(operators.log_format if operators else "text")
-    return front.run(config, chosen["--config"], operators)
+    return front.run(config, arguments["--config"], operators)
 
 
 if __name__ == "__main__":
--- a/quincepier/clock.py
+++ b/quincepier/clock.py
@@ -1,4 +1,4 @@
-"""The front's clocks: monotonic nanoseconds for everything, Unix time only at this edge."""
+"""The front's clocks, in nanoseconds: a monotonic clock for almost all times, Unix time only for dates."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 def now() -> int:
-    """Return nanoseconds of the monotonic clock that the decision logic is given."""
+    """Return the time of the monotonic clock that the decision module uses, in ns."""
     return time.monotonic_ns()
 
 
 def boot() -> int:
-    """Return nanoseconds of a clock that also runs while the machine sleeps: leases are counted by it."""
+    """Return the time since boot in ns; it includes time suspended, so leases are measured by it."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 def unix() -> int:
-    """Return nanoseconds of the wall clock, which may be stepped at any time (see `policy.event_age`)."""
+    """Return Unix time in ns; the wall clock may be stepped at any time (see `policy.event_age`)."""
     return time.time_ns()
--- a/quincepier/errors.py
+++ b/quincepier/errors.py
@@ -1,6 +1,6 @@
-"""The base of all errors of this project: a code, what happened, where, and what an operator can do.
+"""The base class of the project's errors: a code, a message, a location and a remedy for the operator.
 
-Each package has one type of its own below it; docs/oncall.md has a row for each code.
+Each package derives its own error class; docs/oncall.md lists all codes.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 
 
 class QuincepierError(Exception):
-    """The base of all errors; raised where an input is judged, and reported once.
+    """The base class of all errors; raised where input is validated, and reported once.
 
     Attributes:
-        code: a stable code of the type, `QP-...`.
-        remedy: what an operator can do, for the type as a whole.
-        where: a key, a file or a byte offset; may be empty.
+        code: The stable code of the class, `QP-...`.
+        remedy: What an operator can do about errors of this class.
+        where: The key, file or byte offset at fault; may be empty.
     """
 
     code: ClassVar[str] = "QP-000"
@@ -22,24 +22,33 @@
     where: str = ""
     _instance_remedy: str = ""
 
-    def __init__(self, what: str, where: str = "", remedy: str = "") -> None:
-        """Make an error of what happened, where, and a remedy that goes before the type's own."""
-        super().__init__(f"{where}: {what}" if where else what)
+    def __init__(self, message: str, where: str = "", remedy: str = "") -> None:
+        """Create an error.
+
+        Args:
+            message: What happened.
+            where: The key, file or byte offset at fault.
+            remedy: What an operator can do about it; replaces the remedy of the class.
+        """
+        super().__init__(f"{where}: {message}" if where else message)
         self.where = where
         self._instance_remedy = remedy
 
     @property
     def advice(self) -> str:
-        """What an operator can do about this instance."""
+        """What an operator can do about this error."""
         return self._instance_remedy or self.remedy
 
     def line(self) -> str:
-        """Return one line for a log or a terminal: code, text and advice."""
+        """Return the error as one line for a log or a terminal: code, message and advice."""
         return f"{self.code} {self}; {self.advice}"
 
 
 class PeerInputError(QuincepierError):
-    """An error that a peer can cause at will; made by Exception alone, so that a flood stays cheap."""
+    """An error that a peer can cause at will.
+
+    It is created by `Exception.__init__` alone, so that a flood of invalid input stays cheap.
+    """
 
     if not TYPE_CHECKING:
         __init__ = Exception.__init__
--- a/quincepier/keys.py
+++ b/quincepier/keys.py
@@ -1,23 +1,24 @@
-"""A hash of keys, and the bound of memories by key. Nothing here decides anything."""
+"""A hash of keys that is the same in all processes, and the limit on tables by key."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-LANE_BYTES, LANE_BITS = 16, 128  # of a packed number: room for the product of two of 64 bits
+LANE_BYTES, LANE_BITS = 16, 128  # a lane holds the product of two 64-bit numbers
 MASK = 2**64 - 1
-LOWEST_BYTES = [bytes(byte >= least for byte in range(256)) for least in range(256)]  # tables: 1, not below
-MAX_REMEMBERED_KEYS = 4096  # entries of any memory that requests fill; the oldest go first
+# Translation tables by minimum: they map a byte to 1 if it is not below the minimum, else to 0.
+AT_LEAST_TABLES = [bytes(byte >= least for byte in range(256)) for least in range(256)]
+MAX_REMEMBERED_KEYS = 4096  # entries of any table that requests fill; the oldest are evicted first
 
 
 class PackedNumbers:
-    """Numbers packed into one, a lane of 128 bits each: a few operations on it hash all of them at once.
+    """Numbers packed into one integer, a lane of 128 bits each, so that a few operations hash all of them.
 
-    No lane ever reaches into the next: a product of two numbers of 64 bits fits in it, and what a shift
-    brings down from the lane above lies over the 64 bits that are kept.
+    Lanes don't affect each other: the product of two 64-bit numbers fits into a lane, and the bits that a
+    shift moves down from the next lane lie above the 64 bits that are kept.
 
     Args:
-        numbers: Whole numbers below 2**64.
+        numbers: Integers below 2**64.
     """
 
     def __init__(self, numbers: Sequence[int]) -> None:
@@ -27,42 +28,45 @@
         self._mask = self._ones * MASK
 
     def mix_each(self, first: int) -> list[int]:
-        """Return `mix(first, number)` of each number, in their order."""
-        lanes = self._multiplied(first) & self._mask
+        """Return `mix(first, number)` for each number, in their order."""
+        lanes = self._multiply(first) & self._mask
         lanes ^= lanes >> 32 & self._mask
         return memoryview(lanes.to_bytes(self._size, "little")).cast("Q")[::2].tolist()
 
     def mix_above(self, first: int, bounds: Sequence[int], least: int) -> dict[int, int]:
-        """Return `mix(first, number)` by place, of those numbers where it is not below its bound.
+        """Return `mix(first, number)` by index, for the numbers whose hash is not below their bound.
 
-        The last step of a hash leaves its highest byte as it is, so most are passed over by that alone.
+        The last step of a hash does not change its highest byte, so most numbers are skipped by that byte.
 
         Args:
             first: The other number of each pair.
-            bounds: One for each number.
+            bounds: The bound of each number.
             least: The least of the bounds, below 2**64.
         """
-        lanes = self._multiplied(first).to_bytes(self._size, "little")
-        highest_bytes = lanes[LANE_BYTES // 2 - 1 :: LANE_BYTES].translate(LOWEST_BYTES[max(least, 0) >> 56])
-        found = dict[int, int]()
-        at = highest_bytes.find(1)
-        while at >= 0:
-            start = at * LANE_BYTES
+        lanes = self._multiply(first).to_bytes(self._size, "little")
+        highest_bytes = lanes[LANE_BYTES // 2 - 1 :: LANE_BYTES].translate(
+            AT_LEAST_TABLES[max(least, 0) >> 56]
+        )
+        hash_by_index = dict[int, int]()
+        index = highest_bytes.find(1)
+        while index >= 0:
+            start = index * LANE_BYTES
             value = int.from_bytes(lanes[start : start + LANE_BYTES // 2], "little")
             value ^= value >> 32
-            if value >= bounds[at]:
-                found[at] = value
-            at = highest_bytes.find(1, at + 1)
-        return found
+            if value >= bounds[index]:
+                hash_by_index[index] = value
+            index = highest_bytes.find(1, index + 1)
+        return hash_by_index
 
-    def _multiplied(self, first: int) -> int:
-        """Return all hashes before their last step; the upper half of each lane is of no meaning."""
+    def _multiply(self, first: int) -> int:
+        """Return all hashes before their last step; the upper half of each lane has no meaning."""
         lanes = self._packed ^ self._ones * mix(first)
         lanes = lanes * 0xBF58476D1CE4E5B9 & self._mask
         return (lanes ^ lanes >> 29 & self._mask) * 0x94D049BB133111EB
 
 
-def mix(*numbers: int) -> int:  # A 64-bit hash of whole numbers, the same at every front and in every process
+def mix(*numbers: int) -> int:
+    """Return a 64-bit hash of integers; it is the same at every front and in every process."""
     h = 0x9E3779B97F4A7C15
     for n in numbers:
         h = (h ^ n) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
--- a/quincepier/simhost.py
+++ b/quincepier/simhost.py
@@ -1,4 +1,4 @@
-"""The `sim` command: hosts one Router per instance on the simulator's wire, on standard input and output."""
+"""Hosts decision modules for the simulator, which sends and receives frames by standard input and output."""
 
 from __future__ import annotations
 
@@ -22,18 +22,23 @@
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """Up to `size` bytes, over as many reads as it takes; fewer only at the end of input."""
-    parts = []
+    """Read `size` bytes in as many reads as it takes; return fewer only at the end of input."""
+    chunks = []
     while size > 0:
-        part = stream.read(size)
-        if not part:
+        chunk = stream.read(size)
+        if not chunk:
             break
-        parts.append(part)
-        size -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        size -= len(chunk)
+    return b"".join(chunks)
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
+    """Read a frame; return None at the end of input.
+
+    Raises:
+        WireError: The input ends inside a frame, or the frame's length is invalid.
+    """
     head = read_exactly(stream, U32.size)
     if not head:
         return None
@@ -41,7 +46,7 @@
         raise WireError("input ends inside a frame's length")
     (length,) = U32.unpack(head)
     if length < HEADER.size:
-        raise WireError(f"frame says it has {length} bytes, less than its header")
+        raise WireError(f"frame states a length of {length} bytes, less than its header")
     frame = head + read_exactly(stream, length - U32.size)
     if len(frame) < length:
         raise WireError(f"input ends {length - len(frame)} bytes before the frame does")
@@ -49,31 +54,43 @@
 
 
 class Host:
-    """The instances of this process; they share nothing."""
+    """The instances of the decision module in this process; they share no state.
+
+    Attributes:
+        routers: The running instances, by number.
+    """
 
     def __init__(self) -> None:
         self.routers: dict[int, Router] = {}
 
     def reply(self, frame: bytes) -> bytes:
-        now, batch, found = decode_batch(frame)
+        """Handle a batch of events and return the reply frame.
+
+        An exception ends its instance alone, and is reported in the reply.
+        """
+        now, batch, events = decode_batch(frame)
         records: list[bytes] = []
-        for i, event in found:
+        for instance, event in events:
             try:
                 if isinstance(event, Started):
-                    self.routers[i] = Router(decode_settings(event.conf), event.seed, now)
+                    self.routers[instance] = Router(decode_settings(event.conf), event.seed, now)
                 elif isinstance(event, Crashed):
-                    self.routers.pop(i, None)
-                elif i in self.routers:
-                    records += [encode_action(i, action) for action in self.routers[i].handle(now, event)]
+                    self.routers.pop(instance, None)
+                elif instance in self.routers:
+                    records += [
+                        encode_action(instance, action)
+                        for action in self.routers[instance].handle(now, event)
+                    ]
             except SettingsError as error:
-                records.append(encode_broken(i, str(error)))
-            except Exception as error:  # whatever fails in the decisions is told for that instance
-                self.routers.pop(i, None)
-                records.append(encode_broken(i, f"{type(error).__name__}: {error}"))
+                records.append(encode_broken(instance, str(error)))
+            except Exception as error:  # any failure of the decision module ends only its instance
+                self.routers.pop(instance, None)
+                records.append(encode_broken(instance, f"{type(error).__name__}: {error}"))
         return encode_reply(batch, records)
 
 
 def main() -> int:
+    """Answer frames until the end of input; return the exit code, 1 for malformed input."""
     host = Host()
     try:
         while (frame := read_frame(sys.stdin.buffer)) is not None:
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -1,4 +1,4 @@
-"""Between the words of the wire and those of the interface, one to one. Nothing is decided here."""
+"""Converts between the wire formats and the decision module's interface, one to one; it decides nothing."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from quincepier.wire.fastcgi import Call
 from quincepier.wire.lines import ResponseHead
 
-PATH = "/call/"
+PATH = "/call/"  # followed by the class name
 PING = "/ping"
 HEX_16 = re.compile(r"[0-9a-f]{16}")
-WHOLE = re.compile(r"[0-9]{1,10}")
-PART_MOST, GROUP_MOST = 0xFFFF, 255
-ALLOW_TIMES = 2  # of its class's deadline: what a client may say at most that it waits
+INTEGER = re.compile(r"[0-9]{1,10}")
+MAX_PART, MAX_GROUP = 0xFFFF, 255
+MAX_ALLOWED_DEADLINES = 2  # the longest wait that a client may state, in deadlines of its class
 OUTCOME_BY_WORD = {
     "data": AttemptOutcome.OK,
     "unchanged": AttemptOutcome.OK,
@@ -46,32 +46,37 @@
 
 
 class BadRequestError(PeerInputError):
-    """A request that can't be used: the status of its answer, and why."""
+    """A request that is not well-formed.
+
+    Attributes:
+        status: HTTP status of the response.
+    """
 
     code = "QP-REQUEST"
     remedy = "check the web server that sends it: the parameter is named"
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, message: str) -> None:
+        super().__init__(message)
         self.status = status
 
 
-# All fields of the usual form at once; what does not match is looked at one by one, to name the field.
+# Request parameters and their patterns. All are matched at once; only if that fails, each is matched alone to
+# name the invalid one.
 FIELDS = (
     ("HTTP_X_JOB_ID", HEX_16.pattern),
     ("HTTP_X_ITEM", HEX_16.pattern),
-    ("HTTP_X_N", WHOLE.pattern),
-    ("HTTP_X_SHARD", WHOLE.pattern),
-    ("HTTP_X_ALLOW_MS", WHOLE.pattern),
+    ("HTTP_X_N", INTEGER.pattern),
+    ("HTTP_X_SHARD", INTEGER.pattern),
+    ("HTTP_X_ALLOW_MS", INTEGER.pattern),
     ("HTTP_X_AGAIN", "1?"),
     ("HTTP_X_MINE", f"({HEX_16.pattern})?"),
     ("HTTP_X_UNIQUE", "[0-9A-Za-z_-]{0,64}"),
 )
-USUAL = re.compile("\n".join(pattern for _, pattern in FIELDS))
+ALL_FIELDS = re.compile("\n".join(pattern for _, pattern in FIELDS))
 
 
-def _at_fault(params: Mapping[str, str]) -> BadRequestError:
-    """Which field is not of the stated form."""
+def _make_field_error(params: Mapping[str, str]) -> BadRequestError:
+    """Return the error that names the first invalid field."""
     for name, pattern in FIELDS:
         if not re.fullmatch(pattern, params.get(name, "")):
             return BadRequestError(
@@ -80,51 +85,66 @@
     return BadRequestError(400, "a field holds a line break")
 
 
-def _whole(name: str, text: str, least: int, most: int) -> int:
+def _parse_integer(name: str, text: str, minimum: int, maximum: int) -> int:
     value = int(text)
-    if not least <= value <= most:
-        raise BadRequestError(400, f"{name} is not between {least} and {most}")
+    if not minimum <= value <= maximum:
+        raise BadRequestError(400, f"{name} is not between {minimum} and {maximum}")
     return value
 
 
 def open_request(
-    call: Call, classes: Mapping[str, tuple[int, int]], owner: ResponseReceiver, came: int, earliest: int = 0
+    call: Call,
+    classes: Mapping[str, tuple[int, int]],
+    receiver: ResponseReceiver,
+    received_at: int,
+    earliest: int = 0,
 ) -> OpenRequest:
-    """A call as taken; raises BadRequestError where it is not of the stated form.
+    """Return the open request for a FastCGI request.
+
+    Args:
+        call: The FastCGI request.
+        classes: Index and deadline of each class, by name.
+        receiver: Where the response goes.
+        received_at: When the request was read, ns.
+        earliest: When it may have arrived at the earliest, ns; 0: as it was read.
 
-    It was read at `came`, and may have been there since `earliest` (0: it was not).
+    Raises:
+        BadRequestError: The request is not well-formed.
     """
     if call.error:
         raise BadRequestError(413 if "body" in call.error else 400, call.error)
     params, get = call.params, call.params.get
     path = get("SCRIPT_NAME", "") + get("PATH_INFO", "")
     name = path.removeprefix(PATH)
-    if not name.isascii():  # parameters are read byte by byte; names of classes are texts
+    if not name.isascii():  # parameters are decoded as Latin-1, class names are UTF-8
         name = name.encode("latin-1", "replace").decode("utf-8", "replace")
     if not path.startswith(PATH) or name not in classes:
         raise BadRequestError(404, "the path names no class")
-    number, deadline = classes[name]
+    class_index, deadline = classes[name]
     length = get("CONTENT_LENGTH") or str(len(call.body))
-    if not WHOLE.fullmatch(length) or int(length) != len(call.body):
+    if not INTEGER.fullmatch(length) or int(length) != len(call.body):
         raise BadRequestError(400, "CONTENT_LENGTH is not the length of the body")
     values = [get(field, "") for field, _ in FIELDS]
-    if not USUAL.fullmatch("\n".join(values)):
-        raise _at_fault(params)
-    job, item, part, group, allow, again, known, idempotency_key = values
+    if not ALL_FIELDS.fullmatch("\n".join(values)):
+        raise _make_field_error(params)
+    job_id, item, part, group, allowed_ms, again, known_version, idempotency_key = values
     return OpenRequest(
-        receiver=owner,
+        receiver=receiver,
         stream_id=call.id,
-        job_id=job,
-        class_index=number,
+        job_id=job_id,
+        class_index=class_index,
         class_name=name,
         object_key=item,
         object_id=int(item, 16),
-        part=_whole("HTTP_X_N", part, 0, PART_MOST),
-        group=_whole("HTTP_X_SHARD", group, 0, GROUP_MOST),
+        part=_parse_integer("HTTP_X_N", part, 0, MAX_PART),
+        group=_parse_integer("HTTP_X_SHARD", group, 0, MAX_GROUP),
         is_repeat=again == "1",
-        known_version=known,
-        allowed_ns=_whole("HTTP_X_ALLOW_MS", allow, 1, ALLOW_TIMES * deadline // clock.MS) * clock.MS,
-        received_at_ns=came,
+        known_version=known_version,
+        allowed_ns=_parse_integer(
+            "HTTP_X_ALLOW_MS", allowed_ms, 1, MAX_ALLOWED_DEADLINES * deadline // clock.MS
+        )
+        * clock.MS,
+        received_at_ns=received_at,
         body=call.body,
         idempotency_key=idempotency_key,
         earliest_arrival_ns=earliest,
@@ -132,20 +152,24 @@
 
 
 def make_request_received(request: OpenRequest, now: int) -> io.RequestReceived:
-    """The time left counts from when the request was there, not from when its turn came."""
-    r, waited, left = request, max(now - request.received_at_ns, 0), request.time_left(now)
+    """Return the event for a request; its time left counts from its arrival, not from when it is handled."""
+    r, waited, time_left = request, max(now - request.received_at_ns, 0), request.time_left(now)
     return io.RequestReceived(
-        r.number, r.class_index, 0.0, 0, r.group, r.object_id, r.part, r.is_repeat, left, waited
+        r.number, r.class_index, 0.0, 0, r.group, r.object_id, r.part, r.is_repeat, time_left, waited
     )
 
 
 def make_object_purged(record: PurgeRecord, age: int) -> io.ObjectPurged:
-    """A purge of so many ns ago."""
+    """Return the event for a purge that was made `age` ns ago."""
     return io.ObjectPurged(record.group, record.object or 0, age)
 
 
 class End(Protocol):
-    """How an attempt ended, as the cache's actor tells it: at which nanosecond, and what came with it."""
+    """How an attempt ended, as reported by the actor of its cache; see `io.AttemptCompleted`.
+
+    Attributes:
+        at: When it ended, ns.
+    """
 
     ending: AttemptOutcome
     at: int
@@ -156,7 +180,7 @@
 
 
 def make_attempt_completed(attempt: OpenAttempt, end: End) -> io.AttemptCompleted:
-    """`last` says that the request is over, by this ending or earlier."""
+    """Return the event for an attempt that has ended; `last`: its request is finished, by this or earlier."""
     r, last = attempt.request, attempt.request.is_finished or end.ending is AttemptOutcome.OK
     return io.AttemptCompleted(
         request=r.number,
@@ -173,6 +197,7 @@
 
 
 def read_number(text: str | None) -> float:
+    """Return a number from a field; 0 if it is missing, not a number, negative or too large."""
     try:
         value = float(text or 0)
     except ValueError:
@@ -181,20 +206,24 @@
 
 
 def read_cache_status(head: ResponseHead) -> CacheStatus:
+    """Return how the cache obtained its copy, from the field `how`."""
     return CACHE_STATUS_BY_WORD.get(head.fields.get("how", ""), CacheStatus.NONE)
 
 
 def read_wait_time(head: ResponseHead) -> int:
+    """Return how long the request waited at the cache for a fetch, from the field `lag`, in ns."""
     return int(read_number(head.fields.get("lag")) * clock.MS)
 
 
 def read_load_report(head: ResponseHead, names: Iterable[str]) -> tuple[float, ...]:
-    """The load report, in the order of the settings' fields; () where there is none."""
+    """Return the load report, its values in the order of `names`; empty if there is none."""
     text = head.fields.get("stats")
     if not text:
         return ()
-    told = dict(item.split(":", 1) for item in text.split(";") if ":" in item)
-    return tuple(read_number(told.get(name, told.get(WIRE_FIELD_BY_SETTING.get(name, "")))) for name in names)
+    values = dict(item.split(":", 1) for item in text.split(";") if ":" in item)
+    return tuple(
+        read_number(values.get(name, values.get(WIRE_FIELD_BY_SETTING.get(name, "")))) for name in names
+    )
 
 
 def make_serve_fields(
@@ -203,7 +232,7 @@
     directory: MachineDirectory,
     timeout: int,
 ) -> list[tuple[str, str]]:
-    """The fields of the command for an attempt. A source that is the machine itself is no source."""
+    """Return the fields of the `serve` command for an attempt; `via` only if its source is not itself."""
     fields = [("class", request.class_name), ("key", request.object_key), ("part", str(request.part))]
     fields.append(("wait", str(max(timeout // clock.MS, 1))))
     if isinstance(action, io.FetchThrough):
@@ -211,10 +240,10 @@
             fields.append(("via", directory.host_by_number[action.source]))
         if action.tier:
             fields.append(("tier", str(action.tier)))
-        if action.max_copy_age:  # whole milliseconds, never older than decided; 0 would say something else
+        if action.max_copy_age:  # rounded down to milliseconds, but not to 0, which would mean no limit
             fields.append(("fresh", str(max(action.max_copy_age // clock.MS, 1))))
-        chosen = (("join", action.join), ("held", action.held_only), ("renew", action.renew))
-        if opts := "+".join(word for word, on in chosen if on):
+        options = (("join", action.join), ("held", action.held_only), ("renew", action.renew))
+        if opts := "+".join(word for word, is_set in options if is_set):
             fields.append(("opts", opts))
     if request.known_version:
         fields.append(("known", request.known_version))
@@ -224,5 +253,5 @@
 
 
 def make_class_table(config: FrontConfig) -> dict[str, tuple[int, int]]:
-    """By name: the number and the deadline of a class."""
+    """Return the index and the deadline in ns of each class, by name."""
     return {name: (n, config.settings.classes[n].deadline) for n, name in enumerate(config.classes)}
--- a/quincepier/wire/__init__.py
+++ b/quincepier/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: pure incremental codecs, without sockets or clocks."""
+"""Incremental codecs of the wire protocols, without sockets or clocks."""
--- a/quincepier/wire/errors.py
+++ b/quincepier/wire/errors.py
@@ -1,4 +1,4 @@
-"""The one error of the codecs."""
+"""The error type of the codecs."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ProtocolError(PeerInputError):
-    """What a peer sent can't be read; the text says what was wrong."""
+    """A peer sent data that violates the protocol; the text says how."""
 
     code = "QP-WIRE"
     remedy = "check the version of the machine, the web server or the change log that the log line names"
