--- a/quincepier/net/session.py
+++ b/quincepier/net/session.py
@@ -23,7 +23,7 @@
         self.begun = True
         chunks = self.body.chunks() if self.body is not None else iter(())
         first = next(chunks, memoryview(b""))
-        lead = first[: fastcgi.RECORD_MOST - len(head)]
+        lead = first[: fastcgi.MAX_RECORD_CONTENT - len(head)]
         yield fastcgi.record(fastcgi.STDOUT, self.stream, head + bytes(lead))
         if len(lead) < len(first):
             yield fastcgi.record(fastcgi.STDOUT, self.stream, first[len(lead) :])
--- a/quincepier/operator/__init__.py
+++ b/quincepier/operator/__init__.py
@@ -1,8 +1,7 @@
-"""The operators' file: YAML, read whole or not at all, each subsystem a section of its own.
+"""The operators' file: YAML with a section for each subsystem; it is accepted as a whole or not at all.
 
-It decides whether a file can be used and tells all that is wrong with it, each with line and dotted key. It
-never acts on what a section says and imports a section's package only where the file has that section. Read
-`schema.py` first.
+This package validates a file and reports all errors, each with line and dotted key. It does not act on the
+settings, and imports a section's package only if the file has that section. `schema.py` lists the sections.
 """
 
 from quincepier.operator.reading import OperatorError, OperatorFile, load, read
--- a/quincepier/operator/schema.py
+++ b/quincepier/operator/schema.py
@@ -1,7 +1,8 @@
-"""The sections that an operators' file may have: by name, where the struct of each is.
+"""The sections that an operators' file may have, by name, and the struct of each.
 
-A section is a frozen msgspec struct. One with types of its own tells in `MADE` how each is made of a plain
-value; what makes them raises ValueError. A new subsystem adds a line here.
+A section is a frozen msgspec struct. If its fields have types that msgspec can't convert, its attribute
+`MADE` maps each type to a function that makes it from a plain value and raises ValueError for an invalid one.
+A new subsystem adds its section here.
 """
 
 from __future__ import annotations
@@ -25,13 +26,17 @@
 
 
 class LogSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How log lines are written: `text`, the default, or `json`, one flat object a line."""
+    """The format of log lines.
+
+    Attributes:
+        format: `text`, or `json`: one flat object a line.
+    """
 
     format: Literal["text", "json"] = "text"
 
 
 def section(name: str) -> type[msgspec.Struct]:
-    """The struct of a section, its package imported."""
-    module, _, struct = SECTIONS[name].partition(":")
-    found: type[msgspec.Struct] = getattr(import_module(module), struct)
-    return found
+    """Import a section's package and return its struct."""
+    module, _, struct_name = SECTIONS[name].partition(":")
+    struct: type[msgspec.Struct] = getattr(import_module(module), struct_name)
+    return struct
--- a/quincepier/wire/fastcgi.py
+++ b/quincepier/wire/fastcgi.py
@@ -1,4 +1,4 @@
-"""FastCGI 1.0, the application's side in the Responder role: records in, records out, no sockets."""
+"""Codec of FastCGI 1.0 for an application in the Responder role."""
 
 from __future__ import annotations
 
@@ -9,23 +9,33 @@
 
 from quincepier.wire.errors import ProtocolError
 
-HEADER = struct.Struct(">BBHHBx")
-BEGIN_BODY = struct.Struct(">HB5x")
-END_BODY = struct.Struct(">IB3x")
+HEADER = struct.Struct(">BBHHBx")  # version, kind, request id, content length, padding length
+BEGIN_BODY = struct.Struct(">HB5x")  # role, flags
+END_BODY = struct.Struct(">IB3x")  # application status, protocol status
+# Kinds of records.
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, DATA = 1, 2, 3, 4, 5, 6, 8
 GET_VALUES, GET_VALUES_RESULT, UNKNOWN_TYPE = 9, 10, 11
-RESPONDER, KEEP_CONN = 1, 1
+RESPONDER, KEEP_CONN = 1, 1  # role and flag of BEGIN_REQUEST
+# Protocol statuses of END_REQUEST.
 COMPLETE, CANT_MULTIPLEX, OVERLOADED, UNKNOWN_ROLE = 0, 1, 2, 3
-RECORD_MOST = 16_384  # bytes of content in a STDOUT record, so that answers take turns
-PARAMS_MOST, BODY_MOST = 16_384, 48_000  # bytes of one request that are kept
-OPEN_MOST = 32  # requests open at a time on one connection
-SMALL = 4096  # bytes of a record that is kept until it is whole, before it is looked at
-STRAY_MOST = 1024  # records that belong to no request, between two that do
+MAX_RECORD_CONTENT = 16_384  # bytes in a STDOUT record, so that concurrent responses are interleaved
+MAX_PARAMS, MAX_BODY = 16_384, 48_000  # bytes of one request
+MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_UNCHECKED = 4096  # bytes of content; a longer record is checked by its header before it is buffered
+MAX_STRAY_RECORDS = 1024  # in a row that belong to no open request
 
 
 @dataclass(slots=True)
 class Call:
-    """A whole request. A fault says why it can't be used; then parameters and body are not all there."""
+    """A completely received request.
+
+    Attributes:
+        id: Its request id.
+        params: Its parameters, decoded as Latin-1.
+        body: Its body.
+        keep_connection: Whether the connection stays open after the response.
+        error: Why the request can't be used; parameters and body are then incomplete. Empty: it can.
+    """
 
     id: int
     params: dict[str, str]
@@ -36,67 +46,76 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestAborted:
+    """The client has aborted an open request."""
+
     id: int
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """Records to send back at once; `closes` says that the connection ends behind them."""
+    """Records to send at once; `closes_connection`: the connection is closed after them."""
 
     data: bytes
     closes_connection: bool = False
 
 
-class _Begun:
-    def __init__(self, keep: bool) -> None:
-        self.keep, self.params_ended = keep, False
+class _PartialRequest:
+    def __init__(self, keep_connection: bool) -> None:
+        self.keep_connection, self.params_ended = keep_connection, False
         self.params, self.body = bytearray(), bytearray()
 
 
 def record(kind: int, request: int, content: bytes | bytearray | memoryview) -> bytes:
+    """Encode a record."""
     return HEADER.pack(1, kind, request, len(content), 0) + bytes(content)
 
 
 def end(request: int, status: int = COMPLETE) -> bytes:
+    """Encode an END_REQUEST record."""
     return record(END, request, END_BODY.pack(0, status))
 
 
 @lru_cache(maxsize=4096)
 def finish(request: int) -> bytes:
-    """The close of STDOUT and END_REQUEST."""
+    """Encode the end of STDOUT and END_REQUEST."""
     return record(STDOUT, request, b"") + end(request)
 
 
 def short(request: int, head: bytes) -> bytes:
-    """A whole answer that is its head alone."""
+    """Encode a complete response that has only a head."""
     return record(STDOUT, request, head) + finish(request)
 
 
-def _long(raw: bytes, at: int) -> tuple[int, int]:
-    """A length of one byte or of four, and where it ends."""
-    if at < len(raw) and raw[at] < 128:
-        return raw[at], at + 1
-    if at + 4 > len(raw):
+def _read_length(raw: bytes, offset: int) -> tuple[int, int]:
+    """Return a length, which is encoded in one or four bytes, and the offset behind it."""
+    if offset < len(raw) and raw[offset] < 128:
+        return raw[offset], offset + 1
+    if offset + 4 > len(raw):
         raise ProtocolError("a parameter's length is cut short")
-    return int.from_bytes(raw[at : at + 4], "big") & 0x7FFFFFFF, at + 4
+    return int.from_bytes(raw[offset : offset + 4], "big") & 0x7FFFFFFF, offset + 4
 
 
 def read_pairs(data: bytes | bytearray) -> dict[str, str]:
+    """Decode name-value pairs, as Latin-1.
+
+    Raises:
+        ProtocolError: A pair is incomplete, or a name is repeated.
+    """
     raw, text, at, size = bytes(data), data.decode("latin-1"), 0, len(data)
     pairs: dict[str, str] = {}
     count = 0
     while at < size:
         if at + 1 < size and raw[at] < 128 and raw[at + 1] < 128:
-            middle = at + 2 + raw[at]
-            end, at = middle + raw[at + 1], at + 2
+            value_start = at + 2 + raw[at]
+            end, at = value_start + raw[at + 1], at + 2
         else:
-            name_size, at = _long(raw, at)
-            value_size, at = _long(raw, at)
-            middle = at + name_size
-            end = middle + value_size
+            name_size, at = _read_length(raw, at)
+            value_size, at = _read_length(raw, at)
+            value_start = at + name_size
+            end = value_start + value_size
         if end > size:
             raise ProtocolError("a parameter runs past its record stream")
-        pairs[text[at:middle]] = text[middle:end]
+        pairs[text[at:value_start]] = text[value_start:end]
         at, count = end, count + 1
     if len(pairs) != count:
         raise ProtocolError("a parameter is given twice")
@@ -104,6 +123,7 @@
 
 
 def write_pairs(pairs: Iterable[tuple[str, str]]) -> bytes:
+    """Encode name-value pairs, as Latin-1."""
     out = bytearray()
     for name, value in pairs:
         raw = name.encode("latin-1"), value.encode("latin-1")
@@ -114,41 +134,60 @@
 
 
 class Decoder:
-    """Records of one connection, fed in any split. It keeps which requests are open there."""
-
-    def __init__(self, connections_most: int = 1) -> None:
+    """Decodes the records of one connection and tracks its open requests.
+
+    Args:
+        max_connections: Limit on connections, which the web server can query.
+
+    Attributes:
+        buffer: Received bytes of incomplete records.
+        partial_requests: Requests that are not completely received, by id, the oldest first.
+        bytes_to_skip: Bytes still to be received that are discarded.
+        record_count: Records received so far.
+        stray_count: Records in a row that belong to no open request.
+        unanswered_ids: Ids of complete requests without a final response.
+        error: Set once the connection can't be decoded any further.
+        values: Values that the web server can query.
+    """
+
+    def __init__(self, max_connections: int = 1) -> None:
         self.buffer = bytearray()
-        self.partial_requests: dict[int, _Begun] = {}
-        self.bytes_to_skip = 0  # bytes of a record still to come that are passed over, unread and unkept
+        self.partial_requests: dict[int, _PartialRequest] = {}
+        self.bytes_to_skip = 0
         self.record_count = self.stray_count = 0
         self.unanswered_ids: set[int] = set()
-        self.error: ProtocolError | None = None  # for good: nothing that comes after it can be read
+        self.error: ProtocolError | None = None
         self.values = {
-            "FCGI_MAX_CONNS": str(connections_most),
-            "FCGI_MAX_REQS": str(connections_most * OPEN_MOST),
+            "FCGI_MAX_CONNS": str(max_connections),
+            "FCGI_MAX_REQS": str(max_connections * MAX_OPEN_REQUESTS),
             "FCGI_MPXS_CONNS": "1",
         }
 
     def on_answered(self, request: int) -> None:
-        """A request taken here has its final answer, or needs none."""
+        """Note that a request has its final response, or needs none."""
         self.unanswered_ids.discard(request)
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes kept of what is not whole yet."""
+        """Buffered bytes of incomplete records and requests."""
         return len(self.buffer) + sum(len(b.params) + len(b.body) for b in self.partial_requests.values())
 
     @property
     def oldest_partial(self) -> object:
-        """What has been incomplete for longest, or None; the same object as long as it is that."""
+        """Identifies the oldest incomplete request or record; None if there is none.
+
+        It stays the same object, or an equal number, until that request or record is complete.
+        """
         if self.partial_requests:
             return next(iter(self.partial_requests.values()))
         return self.record_count + 1 if self.buffer or self.bytes_to_skip else None
 
     def feed(self, data: bytes | bytearray | memoryview) -> list[Call | RequestAborted | Reply]:
-        """Return what is whole now; what can't be read raises ProtocolError.
+        """Decode received data, split in any way, and return what is complete.
 
-        Where something whole came before it that is returned, and `fault` says why nothing more will be.
+        Raises:
+            ProtocolError: The data violates the protocol. If something was complete before the violation, it
+                is returned instead, `error` is set, and the next call raises it.
         """
         if self.error is not None:
             raise self.error
@@ -161,9 +200,9 @@
                 raise
         return found
 
-    def fail(self, fault: ProtocolError) -> None:
-        """Nothing more is read: what is half there goes."""
-        self.error, self.bytes_to_skip = fault, 0
+    def fail(self, error: ProtocolError) -> None:
+        """Stop decoding: incomplete records and requests are discarded."""
+        self.error, self.bytes_to_skip = error, 0
         self.buffer.clear()
         self.partial_requests.clear()
 
@@ -171,83 +210,86 @@
         buffer, at = self.buffer, 0
         buffer += data
         while True:
-            passed = min(self.bytes_to_skip, len(buffer) - at)
-            self.bytes_to_skip, at = self.bytes_to_skip - passed, at + passed
+            skipped = min(self.bytes_to_skip, len(buffer) - at)
+            self.bytes_to_skip, at = self.bytes_to_skip - skipped, at + skipped
             if self.bytes_to_skip or len(buffer) - at < HEADER.size:
                 break
             version, kind, request, size, padding = HEADER.unpack_from(buffer, at)
             if version != 1:
                 raise ProtocolError(f"FastCGI version {version}, not 1")
             start = at + HEADER.size
-            if size > SMALL and (fault := self._too_much(kind, request, size)) is not None:
-                found += fault
+            if size > MAX_UNCHECKED and (rejected := self._check_header(kind, request, size)) is not None:
+                found += rejected
                 self.record_count, self.bytes_to_skip, at = self.record_count + 1, size + padding, start
                 continue
             if len(buffer) < start + size + padding:
                 break
-            found += self._record(kind, request, bytes(buffer[start : start + size]))
+            found += self._handle_record(kind, request, bytes(buffer[start : start + size]))
             self.record_count, at = self.record_count + 1, start + size + padding
         del buffer[:at]
 
-    def _too_much(self, kind: int, request: int, size: int) -> list[Call | RequestAborted | Reply] | None:
-        """What to say, by its head alone, of a record that is not to be kept; None for one that is."""
+    def _check_header(self, kind: int, request: int, size: int) -> list[Call | RequestAborted | Reply] | None:
+        """Return the result of a record that is discarded because of its header; None: it is buffered."""
         if request == 0 or kind in (BEGIN, ABORT):
             raise ProtocolError(f"a record of kind {kind} of {size} bytes")
         call = self.partial_requests.get(request)
         if call is None or kind not in (PARAMS, STDIN):
-            return self._stray()
-        return self._over(request, call, kind, size) or None
+            return self._count_stray()
+        return self._reject_too_large(request, call, kind, size) or None
 
-    def _stray(self) -> list[Call | RequestAborted | Reply]:
-        """A record of no open request is passed over, as the specification says, but no endless row."""
+    def _count_stray(self) -> list[Call | RequestAborted | Reply]:
+        """Ignore a record of no open request, as the specification demands, up to a limit in a row."""
         self.stray_count += 1
-        if self.stray_count > STRAY_MOST:
-            raise ProtocolError(f"over {STRAY_MOST} records of no request")
+        if self.stray_count > MAX_STRAY_RECORDS:
+            raise ProtocolError(f"over {MAX_STRAY_RECORDS} records of no request")
         return []
 
-    def _over(self, request: int, call: _Begun, kind: int, size: int) -> list[Call | RequestAborted | Reply]:
-        """Empty, or the fault of a request that so many bytes more make too large.
+    def _reject_too_large(
+        self, request: int, call: _PartialRequest, kind: int, size: int
+    ) -> list[Call | RequestAborted | Reply]:
+        """Return a request with an error if `size` more bytes make it too large, else nothing.
 
-        Its end is not waited for, as it may never come; the connection closes behind the answer.
+        The rest of the request is not waited for, as it may never arrive; the connection is closed after the
+        response.
         """
-        if kind == PARAMS and len(call.params) + size > PARAMS_MOST:
-            fault = f"parameters over {PARAMS_MOST} bytes"
-        elif kind == STDIN and len(call.body) + size > BODY_MOST:
-            fault = f"a body over {BODY_MOST} bytes"
+        if kind == PARAMS and len(call.params) + size > MAX_PARAMS:
+            error = f"parameters over {MAX_PARAMS} bytes"
+        elif kind == STDIN and len(call.body) + size > MAX_BODY:
+            error = f"a body over {MAX_BODY} bytes"
         else:
             return []
         del self.partial_requests[request]
         self.unanswered_ids.add(request)
-        return [Call(request, {}, b"", False, fault)]
+        return [Call(request, {}, b"", False, error)]
 
-    def _record(self, kind: int, request: int, content: bytes) -> list[Call | RequestAborted | Reply]:
+    def _handle_record(self, kind: int, request: int, content: bytes) -> list[Call | RequestAborted | Reply]:
         if request == 0:
-            self._stray()
-            return [self._managed(kind, content)]
+            self._count_stray()
+            return [self._answer_management(kind, content)]
         if kind == BEGIN:
-            return self._begin(request, content)
+            return self._begin_request(request, content)
         if kind == ABORT:
-            known = self.partial_requests.pop(request, None) is not None or request in self.unanswered_ids
+            is_open = self.partial_requests.pop(request, None) is not None or request in self.unanswered_ids
             self.unanswered_ids.discard(request)
-            return [RequestAborted(request)] if known else self._stray()
+            return [RequestAborted(request)] if is_open else self._count_stray()
         call = self.partial_requests.get(request)
         if call is None or kind not in (PARAMS, STDIN):
-            return self._stray()
+            return self._count_stray()
         self.stray_count = 0
-        if content and (fault := self._over(request, call, kind, len(content))):
-            return fault
+        if content and (rejected := self._reject_too_large(request, call, kind, len(content))):
+            return rejected
         if kind == PARAMS:
-            return self._params(call, content)
+            return self._add_params(call, content)
         if not call.params_ended:
             raise ProtocolError("STDIN before the end of PARAMS")
         if not content:
             del self.partial_requests[request]
             self.unanswered_ids.add(request)
-            return [self._whole(request, call)]
+            return [self._complete(request, call)]
         call.body += content
         return []
 
-    def _params(self, call: _Begun, content: bytes) -> list[Call | RequestAborted | Reply]:
+    def _add_params(self, call: _PartialRequest, content: bytes) -> list[Call | RequestAborted | Reply]:
         if call.params_ended:
             raise ProtocolError("PARAMS after their end")
         if not content:
@@ -256,32 +298,32 @@
             call.params += content
         return []
 
-    def _whole(self, request: int, call: _Begun) -> Call:
+    def _complete(self, request: int, call: _PartialRequest) -> Call:
         params: dict[str, str] = {}
-        fault = ""
+        reason = ""
         try:
             params = read_pairs(call.params)
         except ProtocolError as error:
-            fault = str(error)
-        return Call(request, params, bytes(call.body), call.keep, fault)
+            reason = str(error)
+        return Call(request, params, bytes(call.body), call.keep_connection, reason)
 
-    def _begin(self, request: int, content: bytes) -> list[Call | RequestAborted | Reply]:
+    def _begin_request(self, request: int, content: bytes) -> list[Call | RequestAborted | Reply]:
         if len(content) != BEGIN_BODY.size:
             raise ProtocolError(f"BEGIN_REQUEST of {len(content)} bytes")
         if request in self.partial_requests or request in self.unanswered_ids:
             raise ProtocolError(f"request {request} begins while it is open")
         role, flags = BEGIN_BODY.unpack(content)
-        keep = bool(flags & KEEP_CONN)
+        keep_connection = bool(flags & KEEP_CONN)
         if role != RESPONDER:
-            return [Reply(end(request, UNKNOWN_ROLE), not keep)]
-        if len(self.partial_requests) + len(self.unanswered_ids) >= OPEN_MOST:
-            return [Reply(end(request, OVERLOADED), not keep)]
-        self.partial_requests[request] = _Begun(keep)
+            return [Reply(end(request, UNKNOWN_ROLE), not keep_connection)]
+        if len(self.partial_requests) + len(self.unanswered_ids) >= MAX_OPEN_REQUESTS:
+            return [Reply(end(request, OVERLOADED), not keep_connection)]
+        self.partial_requests[request] = _PartialRequest(keep_connection)
         return []
 
-    def _managed(self, kind: int, content: bytes) -> Reply:
+    def _answer_management(self, kind: int, content: bytes) -> Reply:
         if kind != GET_VALUES:
             return Reply(record(UNKNOWN_TYPE, 0, struct.pack(">B7x", kind)))
-        asked = read_pairs(content)
-        known = [(name, self.values[name]) for name in asked if name in self.values]
+        queried = read_pairs(content)
+        known = [(name, self.values[name]) for name in queried if name in self.values]
         return Reply(record(GET_VALUES_RESULT, 0, write_pairs(known)))
--- a/tests/test_wire_fastcgi.py
+++ b/tests/test_wire_fastcgi.py
@@ -160,7 +160,7 @@
     except ProtocolError:
         pass
     assert len(decoder.buffer) <= 8 + 65_535 + 255 + 300
-    assert len(decoder.partial_requests) <= fastcgi.OPEN_MOST
+    assert len(decoder.partial_requests) <= fastcgi.MAX_OPEN_REQUESTS
 
 
 def test_kept_bytes_of_a_request_are_bounded() -> None:
@@ -180,7 +180,7 @@
 def test_records_of_no_request_end_the_connection_when_there_is_no_end_of_them() -> None:
     decoder = fastcgi.Decoder()
     with pytest.raises(ProtocolError, match="records of no request"):
-        for _ in range(fastcgi.STRAY_MOST + 1):
+        for _ in range(fastcgi.MAX_STRAY_RECORDS + 1):
             decoder.feed(rec(STDIN, 7, b"x"))
     assert decoder.buffered_bytes <= 9
 
--- a/tests/test_wire_lines.py
+++ b/tests/test_wire_lines.py
@@ -94,7 +94,7 @@
             list(decoder.feed(memoryview(part)))
     except ProtocolError:
         pass
-    assert len(decoder.line_buffer) <= lines.LINE_MOST + 2
+    assert len(decoder.line_buffer) <= lines.MAX_LINE + 2
 
 
 def test_an_end_inside_an_answer_shows() -> None:
