--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -107,10 +107,10 @@
         return job, inbox, request
 
     async def answered(self, inbox: Inbox) -> int:
-        await until(lambda: bool(inbox.got), "a final answer comes")
-        status: int = inbox.got[0].status
-        if inbox.got[0].body is not None:
-            inbox.got[0].body.release()
+        await until(lambda: bool(inbox.responses), "a final answer comes")
+        status: int = inbox.responses[0].status
+        if inbox.responses[0].body is not None:
+            inbox.responses[0].body.release()
         return status
 
     async def serve(self, cls: int, part: int = 0) -> tuple[str, int]:
--- a/tests/frontkit.py
+++ b/tests/frontkit.py
@@ -1,4 +1,4 @@
-"""What tests of the front share: a configuration, requests, and stand-ins written from the protocol page."""
+"""Shared by tests of the front: a configuration, requests, and a receiver of responses."""
 
 from __future__ import annotations
 
@@ -90,16 +90,20 @@
 
 
 class Inbox:
-    """Takes answers as a client connection does."""
+    """Receives responses as a client connection does.
+
+    Attributes:
+        got: The responses, in order.
+    """
 
     def __init__(self) -> None:
-        self.got: list[Any] = []
+        self.responses: list[Any] = []
 
     def push(self, answer: Any) -> None:
-        self.got.append(answer)
+        self.responses.append(answer)
 
     def check_client(self, now_ns: int) -> bool:
-        """Its client is heard at once."""
+        """Return True: there is never unread data of the client."""
         return True
 
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -106,8 +106,8 @@
     bad, good = Inbox(), Inbox()
     ask(actor, bad, 0)
     ask(actor, good, 1)
-    assert [answer.status for answer in bad.got] == [500]
-    assert [(answer.status, answer.wait_ms) for answer in good.got] == [(503, 300)]
+    assert [answer.status for answer in bad.responses] == [500]
+    assert [(answer.status, answer.wait_ms) for answer in good.responses] == [(503, 300)]
     assert actor.checks.counts["exception_in_module"] == 1
 
 
@@ -124,7 +124,7 @@
     actor.caches[5] = SimpleNamespace(mailbox=Inbox())  # type: ignore[assignment]
     inbox = Inbox()
     ask(actor, inbox)
-    assert [answer.status for answer in inbox.got] == [500] and len(actor.timers) == 1
+    assert [answer.status for answer in inbox.responses] == [500] and len(actor.timers) == 1
 
 
 def test_one_final_answer_and_none_after_the_client_left() -> None:
@@ -133,11 +133,11 @@
     request = ask(actor, inbox)
     router.script = lambda event: [io.FailRequest(request.number)] * 2
     actor._tell(io.TimerFired(1))
-    assert [answer.status for answer in inbox.got] == [502]
+    assert [answer.status for answer in inbox.responses] == [502]
     other = ask(actor, inbox)
     router.script = lambda event: [io.RejectRequest(other.number, 0)]
     actor.safely(Left(other))
-    assert len(inbox.got) == 1 and isinstance(router.events[-1], io.ClientDisconnected)
+    assert len(inbox.responses) == 1 and isinstance(router.events[-1], io.ClientDisconnected)
     assert actor.requests.request_by_number == {} and actor.requests.unanswered == 0
 
 
@@ -151,7 +151,7 @@
     body = PooledBody.allocate(actor.shared.pool, 40_000)
     assert body is not None and actor.shared.pool.used == 3
     actor.safely(Ended(attempt, AttemptOutcome.OK, clock.now(), body=body))
-    assert actor.shared.pool.used == 0 and inbox.got == []
+    assert actor.shared.pool.used == 0 and inbox.responses == []
     event = router.events[-1]
     assert isinstance(event, io.AttemptCompleted) and event.last
 
@@ -187,10 +187,10 @@
     inbox = Inbox()
     first = ask(actor, inbox, job="9b1f03aa5c7e2d41")
     ask(actor, inbox, job="9b1f03aa5c7e2d41")
-    assert len(router.events) == 1 and [answer.status for answer in inbox.got] == [409]
+    assert len(router.events) == 1 and [answer.status for answer in inbox.responses] == [409]
     actor.safely(Left(first))
     ask(actor, inbox, job="9b1f03aa5c7e2d41")
-    assert len(router.events) == 3 and len(inbox.got) == 1
+    assert len(router.events) == 3 and len(inbox.responses) == 1
 
 
 def test_too_many_open_requests_are_refused_with_a_time_and_not_told() -> None:
@@ -199,7 +199,7 @@
     inbox = Inbox()
     for _ in range(3):
         ask(actor, inbox)
-    assert len(router.events) == 2 and [(a.status, a.wait_ms) for a in inbox.got] == [(503, 500)]
+    assert len(router.events) == 2 and [(a.status, a.wait_ms) for a in inbox.responses] == [(503, 500)]
 
 
 @pytest.mark.parametrize("how", ["on_probe", "off"])
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -98,7 +98,7 @@
 @example([(("settings", "services", 1, "name"), "bid", False)])
 @example([(("settings", "services", 1, "name"), "a,tier=0", False)])
 @example([(("name",), "\ud800", False)])
-def test_whatever_a_file_holds_is_taken_or_refused_by_name(changes: list[tuple[Any, Any, bool]]) -> None:
+def test_any_content_is_accepted_or_rejected_in_one_line(changes: list[tuple[Any, Any, bool]]) -> None:
     raw: Any = GOOD
     for way, junk, gone in changes:
         raw = spoilt(raw, way, junk, gone)
@@ -109,7 +109,9 @@
 
 @examples(max_examples=100)
 @given(st.integers(0, len(json.dumps(GOOD)) - 1), st.binary(max_size=3))
-def test_a_file_cut_off_or_overwritten_is_refused_or_taken(at: int, noise: bytes) -> None:
+def test_a_truncated_file_is_rejected_and_an_overwritten_one_rejected_or_accepted(
+    at: int, noise: bytes
+) -> None:
     whole = json.dumps(GOOD).encode()
     assert judged(FOLDER, whole[:at]) is None
     config = judged(FOLDER, whole[:at] + noise + whole[at + len(noise) :])
@@ -122,7 +124,7 @@
     return plain.replace('"skus":', '"deep": ' + '{"a": [' * depth + "]}" * depth + ', "skus":').encode()
 
 
-def test_what_is_nested_deep_is_refused_at_any_depth(tmp_path: Path) -> None:
+def test_deep_nesting_is_rejected_at_any_depth(tmp_path: Path) -> None:
     assert judged(tmp_path, nested(8)) is not None
     assert [judged(tmp_path, nested(depth)) for depth in (20, 200, 400, 2_000, 50_000)] == [None] * 5
 
@@ -172,7 +174,7 @@
         path.unlink(missing_ok=True)
 
 
-def test_a_start_with_a_spoilt_file_ends_with_2_and_one_line(tmp_path: Path) -> None:
+def test_a_start_with_an_invalid_file_exits_with_2_and_one_line(tmp_path: Path) -> None:
     """The file, the line or key, and what to do; nothing else, from a whole process."""
     environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: one validation for both hosts, messages that name the key, the command line."""
+"""The configuration: one validation for front and simulator, errors that name the key, the command line."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from tests.frontkit import SETTINGS, make_config, raw_config
 
 
-def changed(path: str, value: Any) -> dict[str, Any]:
-    """The configuration with one key set to a value, or taken out with None."""
+def change_config(path: str, value: Any) -> dict[str, Any]:
+    """Return the configuration with one key set to a value, or removed if the value is None."""
     raw = raw_config()
-    at: Any = raw
-    *way, last = path.split(".")
-    for key in way:
-        at = at[int(key)] if isinstance(at, list) else at[key]
+    parent: Any = raw
+    *parent_keys, last_key = path.split(".")
+    for key in parent_keys:
+        parent = parent[int(key)] if isinstance(parent, list) else parent[key]
     if value is None:
-        del at[last]
+        del parent[last_key]
     else:
-        at[last] = value
+        parent[last_key] = value
     return raw
 
 
@@ -44,7 +44,7 @@
     assert decode_settings(conf) == read_settings(pairs) == make_config().settings
 
 
-def test_environment_goes_before_the_file_and_unknown_keys_pass() -> None:
+def test_environment_takes_precedence_and_unknown_keys_are_ignored() -> None:
     config = read_front(raw_config(other={"a": [1]}), {"ROUTER_NAME": "n7", "ROUTER_LISTEN": "127.0.0.4:1"})
     assert (config.name, config.listen) == ("n7", ("127.0.0.4", 1))
 
@@ -55,7 +55,7 @@
         ("name", None, "name"),
         ("settings.rules.cold_from", 1.5, "rules.cold_from"),
         ("settings.family_info.upper_cold_from", -0.1, "upper_cold_from"),
-        ("settings.limits.probes", False, "settings.report.how"),  # reports on probes, and no probes
+        ("settings.limits.probes", False, "settings.report.how"),  # load reports need health checks
         ("listen", "localhost", "listen"),
         ("listen", "127.0.0.1:70000", "listen"),
         ("changelog", None, "changelog"),
@@ -85,19 +85,19 @@
         ("settings.report.fields", None, "settings.report.fields"),
     ],
 )
-def test_faults_name_their_key(path: str, value: Any, named: str) -> None:
+def test_errors_name_their_key(path: str, value: Any, named: str) -> None:
     with pytest.raises(SettingsError) as error:
-        read_front(changed(path, value), {})
+        read_front(change_config(path, value), {})
     assert named in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("raw", [None, [], 3, "x", {}])
-def test_other_than_an_object_is_told(raw: Any) -> None:
+def test_a_value_other_than_an_object_is_rejected(raw: Any) -> None:
     with pytest.raises(SettingsError):
         read_front(raw, {})
 
 
-def test_unreadable_files_are_told(tmp_path: Path) -> None:
+def test_unreadable_files_are_rejected(tmp_path: Path) -> None:
     with pytest.raises(SettingsError, match="ROUTER_CONFIG is not set"):
         load_front({})
     with pytest.raises(SettingsError, match="can't be read"):
@@ -107,34 +107,34 @@
         load_front({"ROUTER_CONFIG": str(tmp_path / "bad.json")})
 
 
-def command(*words: str) -> subprocess.CompletedProcess[str]:
+def command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "quincepier", *words], capture_output=True, text=True, check=False
+        [sys.executable, "-m", "quincepier", *arguments], capture_output=True, text=True, check=False
     )
 
 
-def test_check_config_says_good_or_one_line_and_two(tmp_path: Path) -> None:
+def test_check_config_prints_a_summary_or_exits_with_2_and_one_line(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.json", tmp_path / "bad.json"
     good.write_text(json.dumps(raw_config()))
-    bad.write_text(json.dumps(changed("settings.rules.tip_after", None)))
-    done = command("check-config", "--config", str(good))
-    assert (done.returncode, done.stderr) == (0, "") and "configuration is good" in done.stdout
+    bad.write_text(json.dumps(change_config("settings.rules.tip_after", None)))
+    completed = command("check-config", "--config", str(good))
+    assert (completed.returncode, completed.stderr) == (0, "") and "configuration is good" in completed.stdout
     for verb in ("check-config", "serve"):
-        done = command(verb, "--config", str(bad))
-        assert (done.returncode, done.stdout) == (2, "")
-        assert "rules.tip_after" in done.stderr and len(done.stderr.splitlines()) == 1
+        completed = command(verb, "--config", str(bad))
+        assert (completed.returncode, completed.stdout) == (2, "")
+        assert "rules.tip_after" in completed.stderr and len(completed.stderr.splitlines()) == 1
 
 
-def test_version_help_and_wrong_words() -> None:
+def test_version_help_and_invalid_commands() -> None:
     assert command("version").stdout == f"quincepier {__version__}\n"
-    shown = command("--help")
-    assert shown.returncode == 0 and all(
-        word in shown.stdout for word in ("serve", "check-config", "version")
+    help_output = command("--help")
+    assert help_output.returncode == 0 and all(
+        word in help_output.stdout for word in ("serve", "check-config", "version")
     )
-    wrong = command("server")
-    assert wrong.returncode == 2 and "Usage" in wrong.stderr
+    invalid = command("server")
+    assert invalid.returncode == 2 and "Usage" in invalid.stderr
 
 
 def test_the_example_configuration_is_good() -> None:
-    done = command("check-config", "--config", "deploy/example.json")
-    assert done.returncode == 0, done.stderr
+    completed = command("check-config", "--config", "deploy/example.json")
+    assert completed.returncode == 0, completed.stderr
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -97,10 +97,10 @@
             gate.set()
 
     async def answered(self, times: int) -> list[Answer]:
-        await until(lambda: len(self.inbox.got) >= times, f"{times} are answered")
+        await until(lambda: len(self.inbox.responses) >= times, f"{times} are answered")
         await asyncio.sleep(0.5)  # of virtual time: whatever else would come has come
-        assert len(self.inbox.got) == times
-        return self.inbox.got
+        assert len(self.inbox.responses) == times
+        return self.inbox.responses
 
     def over(self, name: str) -> list[Any]:
         """By which of the front's ends each `serve` came to a machine."""
@@ -241,7 +241,7 @@
         old, new = cache.asked
         old.data(b"of the old one")
         await asyncio.sleep(0.05)
-        assert not place.inbox.got
+        assert not place.inbox.responses
         new.data(b"of the new one")
         (answer,) = await place.answered(1)
         assert answer.status == 200 and answer.body is not None
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -74,12 +74,12 @@
         ({"remedy": "look"}, "Made: no code of its own"),
     ],
 )
-def test_what_an_operator_would_miss_is_found(planted: dict[str, str], told: str) -> None:
+def test_missing_codes_rows_and_remedies_are_found(planted: dict[str, str], told: str) -> None:
     kinds = [made("planted.errors", **planted), *all_kinds()]
     assert told in faults(kinds, PAGE.read_text())
 
 
-def test_a_row_taken_away_emptied_or_left_over_is_found() -> None:
+def test_a_removed_emptied_or_left_over_row_is_found() -> None:
     kinds, page = all_kinds(), PAGE.read_text()
     row = next(line for line in page.splitlines() if line.startswith("| `QP-STATE`"))
     assert faults(kinds, page.replace(row + "\n", "")) == ["QP-STATE: no row"]
@@ -87,7 +87,7 @@
     assert faults([k for k in kinds if k.code != "QP-STATE"], page) == ["QP-STATE: a row for nothing"]
 
 
-def test_what_where_and_what_to_do_stand_in_one_line() -> None:
+def test_message_location_and_remedy_are_one_line() -> None:
     class PlantedError(QuincepierError):
         code, remedy = "QP-PLANTED", "look there"
 
@@ -98,12 +98,12 @@
 @pytest.mark.parametrize(
     "kind", [ProtocolError, consensus_messages.InvalidMessageError, membership_messages.InvalidMessageError]
 )
-def test_what_a_peer_can_cause_at_will_is_made_by_exception_alone(kind: Kind) -> None:
+def test_peer_input_errors_are_created_by_exception_alone(kind: Kind) -> None:
     assert kind.__init__ is Exception.__init__
     assert kind("spoilt").line() == f"{kind.code} spoilt; {kind.remedy}"
 
 
-def test_who_catches_value_errors_still_does() -> None:
+def test_invalid_messages_are_value_errors() -> None:
     for kind in (consensus_messages.InvalidMessageError, membership_messages.InvalidMessageError):
         with pytest.raises(ValueError, match="spoilt"):
             raise kind("spoilt")
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -43,7 +43,7 @@
     assert section.limits == AddressesSection().limits and log.format == "json"
 
 
-def test_all_faults_are_told_at_once_each_with_line_and_key() -> None:
+def test_all_faults_are_reported_at_once_each_with_line_and_key() -> None:
     text = """\
 log: {format: xml, format: text}
 addresses:
@@ -83,7 +83,7 @@
         ("\x00", "not YAML"),
     ],
 )
-def test_files_that_can_not_be_used_say_why(text: str, told: str) -> None:
+def test_invalid_files_name_the_reason(text: str, told: str) -> None:
     found = "\n".join(faults(text))
     assert told in found, found
 
@@ -104,7 +104,7 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.one_of(values.map(json.dumps), st.text(max_size=80), values.map(lambda v: json.dumps(v)[:-1])))
-def test_whatever_the_file_holds_it_is_read_or_refused_by_one_error(text: str) -> None:
+def test_any_content_is_accepted_or_rejected_by_one_error(text: str) -> None:
     try:
         file = read(text, "op.yaml")
     except OperatorError as error:
@@ -141,7 +141,7 @@
     assert good.returncode == 0 and "operators' file is good: addresses" in good.stdout
 
 
-def test_what_is_off_is_not_imported(tmp_path: Path) -> None:
+def test_unused_packages_are_not_imported(tmp_path: Path) -> None:
     """Without a file nothing of the new packages or their libraries; with a log section no addresses."""
     config, operator = tmp_path / "config.json", tmp_path / "operator.yaml"
     config.write_text(json.dumps(raw_config()))
@@ -161,7 +161,7 @@
     assert some.stdout.splitlines()[-1] == "['yaml', 'msgspec', 'quincepier.operator']", some.stderr
 
 
-def test_json_lines_and_sighup_take_the_file_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_json_lines_and_sighup_apply_the_file_completely_or_not_at_all(tmp_path: Path) -> None:
     """A front as a process: its only cache moves to an address that the operators tell at SIGHUP."""
     operator = tmp_path / "operator.yaml"
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -135,7 +135,7 @@
     world.finish()
 
 
-def test_the_runs_would_notice_an_effect_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_router_that_repeats_unsafe_requests_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("quincepier.policy.sending.AttemptSender.may_send", lambda *_: True)
     with pytest.raises(AssertionError):
         test_the_rules_hold_whatever_the_settings_are()
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("on_time", [0, 1, MS, 20 * MS])
-def test_a_request_is_not_refused_for_a_moment_in_line(on_time: int) -> None:
+def test_a_request_is_not_rejected_for_a_short_wait(on_time: int) -> None:
     """On sockets each request waits some microseconds for its turn."""
     bench = Bench(make_settings(classes=(make_class(on_time=on_time),) * 3))
     assert len(attempts(bench.ask(1, waited=MS))) == 1
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("wanted", [1, 2])
-def test_what_never_ran_is_sent_again_where_all_its_time_is_wanted_time(wanted: int) -> None:
+def test_an_unsafe_request_that_never_ran_is_retried_whatever_its_target_latency(wanted: int) -> None:
     bid = make_class(
         effect=Idempotency.UNSAFE, never_kept=True, deadline=3 * SECOND, on_time=wanted * 3 * SECOND
     )
@@ -166,7 +166,7 @@
     assert len(attempts(bench.end(sent, AttemptOutcome.CONNECT_FAILED, elapsed=MS))) == 1
 
 
-def test_a_class_wanted_at_once_weighs_on_a_cold_cache() -> None:
+def test_a_class_without_target_latency_counts_against_a_cold_cache() -> None:
     """Nothing is known of its sending time yet: it does not count as nothing."""
     bench = Bench(
         make_settings(classes=(make_class(on_time=0),)),
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize("name", ["a", "büro", "图片", "x=y/z;%20", "é" * 100, "lot-video2"])
-def test_a_class_of_any_name_is_asked_for_by_that_name(name: str) -> None:
+def test_a_class_of_any_name_is_sent_by_that_name(name: str) -> None:
     line = call(read_front(named(name), {}), name)
     assert f"class={name},".encode() in line and line.count(b" ") == 3
 
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize(
     "name", ["", "two words", "a,b", "a\r\nb", "a\u2028b", "\x00", "x" * 201, "lot-video"]
 )
-def test_a_name_that_no_line_can_carry_is_told_with_its_key(name: str) -> None:
+def test_a_name_that_no_command_can_carry_is_rejected_with_its_key(name: str) -> None:
     with pytest.raises(SettingsError, match=r"settings\.services\.[12]\.name"):
         read_front(named(name), {})
 
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -57,7 +57,7 @@
             await inside.quiet()
             received = {cls: sum(m.whole[job] for m in machines.values()) for cls, (_, job) in served.items()}
             assert received[UNSAFE] <= 1, "a bid arrives once at most"
-            assert [len(inbox.got) for inbox in inboxes] == [1, 1, 1], "one final answer each"
+            assert [len(inbox.responses) for inbox in inboxes] == [1, 1, 1], "one final answer each"
             assert served[SAFE][0] == served[KEYED][0] == 200, "another address serves what may be repeated"
             never_begun = script.moment in (Moment.REFUSE, Moment.FULL, Moment.AFTER)
             if never_begun:
@@ -242,7 +242,7 @@
         await until(lambda: not inside.way("o-1").tasks, "nothing is dialled for nobody")
         await until(lambda: not inside.cache("o-1").connections, "its connection is gone")
         assert (inside.module.means.descriptors.caches, inside.dialer.account.used) == (0, 0)
-        assert inbox.got == [] and origin.whole[job] == 0
+        assert inbox.responses == [] and origin.whole[job] == 0
         counts = inside.checks.counts
         assert counts["dials_cancelled"] and not counts["dials_failed_timed_out"]
         await inside.close()
@@ -282,11 +282,11 @@
             origin.set(kind, Script(Moment.REFUSE))
         asked = [inside.ask(UNSAFE) for _ in range(40)]
         most = 0
-        while not all(inbox.got for _, inbox, _ in asked):
+        while not all(inbox.responses for _, inbox, _ in asked):
             most = max(most, descriptors.caches)
             await asyncio.sleep(0.001)
         assert most <= descriptors.caches_most
-        assert {inbox.got[0].status for _, inbox, _ in asked} == {200}
+        assert {inbox.responses[0].status for _, inbox, _ in asked} == {200}
         assert all(origin.whole[job] == 1 for job, _, _ in asked)
         await inside.close()
 
@@ -327,7 +327,7 @@
         await until(lambda: origin.whole[silent] == 1, "it is out")
         inside.tell(inside.record("o-1", [origin.doors["ipv6"].text]))
         await until(lambda: len(inside.way("o-1").book.entries) == 1, "the list is taken")
-        assert not inbox.got  # what is out stays out over the old address
+        assert not inbox.responses  # what is out stays out over the old address
         job, status = await inside.serve(UNSAFE)
         assert (status, origin.at[-1]) == (200, ("ipv6", job))
         origin.set("ipv6", Script(Moment.FULL))
@@ -476,13 +476,13 @@
                 machine.set(kind, Script(Moment.FULL))
         asked = [inside.ask(cls, n) for n in range(60) for cls in (SAFE, UNSAFE)]
         seen = [0, 0]
-        while not all(inbox.got for _, inbox, _ in asked):
+        while not all(inbox.responses for _, inbox, _ in asked):
             ways = [len(way.tasks) for way in inside.dialer.ways.values()]
             seen = [max(seen[0], *ways), max(seen[1], sum(ways))]
             await asyncio.sleep(0.0005)
         assert seen[0] <= 4 and seen[1] <= 6 and inside.dialer.account.peak <= 6
-        assert {inbox.got[0].status for _, inbox, _ in asked} <= {200, 503}
-        assert sum(inbox.got[0].status == 200 for _, inbox, _ in asked) >= 60  # the bids at least
+        assert {inbox.responses[0].status for _, inbox, _ in asked} <= {200, 503}
+        assert sum(inbox.responses[0].status == 200 for _, inbox, _ in asked) >= 60  # the bids at least
         await inside.close()
 
     play(scenario)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The host: instances apart, starts and crashes, bad input, errors of the decisions."""
+"""The simulator's host: separate instances, starts and crashes, malformed input, exceptions in decisions."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 def test_end_of_input_exits_well() -> None:
-    done = run(frame())
-    assert (done.returncode, done.stderr) == (0, b"")
-    assert read_reply(done.stdout) == (1, [])
+    completed = run(frame())
+    assert (completed.returncode, completed.stderr) == (0, b"")
+    assert read_reply(completed.stdout) == (1, [])
 
 
 @pytest.mark.parametrize("data", [frame()[:9], b"\x05\0\0\0", frame(record(1050, b"")), frame() + b"\x01"])
 def test_malformed_input_stops_with_one_plain_line(data: bytes) -> None:
-    done = run(data)
-    assert done.returncode != 0
-    lines = done.stderr.decode().splitlines()
+    completed = run(data)
+    assert completed.returncode != 0
+    lines = completed.stderr.decode().splitlines()
     assert len(lines) == 1 and lines[0].startswith("quincepier: malformed input:")
 
 
-class Drip(stdio.RawIOBase):
-    """Gives one byte a read, as a slow pipe may."""
+class OneByteReads(stdio.RawIOBase):
+    """Returns one byte for each read, as a slow pipe may."""
 
     def __init__(self, data: bytes) -> None:
         self.data = stdio.BytesIO(data)
@@ -44,19 +44,19 @@
         return self.data.read(min(size, 1))
 
 
-def test_frame_comes_whole_from_partial_reads() -> None:
+def test_frame_is_read_in_partial_reads() -> None:
     data = frame(start(), view(entries=FLEET))
-    stream = Drip(data)
+    stream = OneByteReads(data)
     assert simhost.read_frame(stream) == data  # type: ignore[arg-type]
     assert simhost.read_frame(stream) is None  # type: ignore[arg-type]
     with pytest.raises(WireError):
-        simhost.read_frame(Drip(data[:20]))  # type: ignore[arg-type]
+        simhost.read_frame(OneByteReads(data[:20]))  # type: ignore[arg-type]
 
 
 def test_start_view_and_request_send_an_attempt() -> None:
     host = simhost.Host()
     _, found = read_reply(host.reply(frame(start(), view(entries=FLEET), incoming(8))))
-    assert [code for code, _ in found if code not in (1040, 1080)] == [1090]  # beside timers and log lines
+    assert [code for code, _ in found if code not in (1040, 1080)] == [1090]  # besides timers and log lines
 
 
 def test_crash_and_start_in_one_batch_begin_anew() -> None:
@@ -68,17 +68,17 @@
     assert host.routers[3] is not before and host.routers[3].requests == {}
 
 
-def test_events_for_a_crashed_instance_or_an_ended_request_do_nothing() -> None:
+def test_events_for_a_crashed_instance_or_a_finished_request_do_nothing() -> None:
     host = simhost.Host()
     host.reply(frame(start(), view(entries=FLEET)))
-    gone = record(1050, struct.pack("<II", 3, 8))
+    disconnected = record(1050, struct.pack("<II", 3, 8))
     late = record(1040, struct.pack("<IIHIBQB", 3, 8, 0, 101, 110, 5, 1))
-    assert read_reply(host.reply(frame(gone, late)))[1] == []
+    assert read_reply(host.reply(frame(disconnected, late)))[1] == []
     host.reply(frame(record(1090, struct.pack("<I", 3))))
     assert read_reply(host.reply(frame(incoming(9))))[1] == []
 
 
-def test_lacking_setting_is_told_as_broken_with_its_key() -> None:
+def test_missing_setting_is_reported_as_broken_with_its_key() -> None:
     host = simhost.Host()
     reply = host.reply(frame(start(conf=CONF.replace("rules.tip_after", "rules.other"))))
     ((code, fields),) = read_reply(reply)[1]
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -1,4 +1,4 @@
-"""The codec against byte examples of the wire, and against odd but legal or malformed input."""
+"""The simulator's codec: byte examples of the wire format, unusual but valid input, malformed input."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.wirekit import CONF, frame, record, start
 
 
-def one(hex_text: str) -> object:
+def decode_single(hex_text: str) -> object:
     _, _, ((_, event),) = decode_batch(frame(bytes.fromhex(hex_text.replace(" ", ""))))
     return event
 
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize(("text", "event"), EVENTS)
 def test_event_bytes(text: str, event: io.Event) -> None:
-    assert one(text) == event
+    assert decode_single(text) == event
 
 
 ACTIONS = [
@@ -112,16 +112,16 @@
 
 
 def test_broken_bytes() -> None:
-    want = "4c04 18000000 03000000 1200 696e646578206f7574206f662072616e6765"
-    assert encode_broken(3, "index out of range") == bytes.fromhex(want.replace(" ", ""))
+    expected = "4c04 18000000 03000000 1200 696e646578206f7574206f662072616e6765"
+    assert encode_broken(3, "index out of range") == bytes.fromhex(expected.replace(" ", ""))
 
 
 def test_short_optional_fields_read_as_zero() -> None:
     short = record(1020, struct.pack("<IIB", 3, 8, 1))
     assert decode_batch(frame(short))[2] == [(3, io.RequestReceived(8, 1, 0.0, 0, 0, 0, 0, False, 0))]
     bare = record(1040, struct.pack("<IIHIBQB", 3, 8, 0, 101, 110, 5, 1))
-    want = io.AttemptCompleted(8, 0, 101, AttemptOutcome.TIMEOUT, 5, True, CacheStatus.NONE, 0, ())
-    assert decode_batch(frame(bare))[2] == [(3, want)]
+    expected = io.AttemptCompleted(8, 0, 101, AttemptOutcome.TIMEOUT, 5, True, CacheStatus.NONE, 0, ())
+    assert decode_batch(frame(bare))[2] == [(3, expected)]
     group_only = record(1100, struct.pack("<IH", 3, 11))
     assert decode_batch(frame(group_only))[2] == [(3, io.ObjectPurged(11, 0, 0))]
 
@@ -145,37 +145,50 @@
         frame(record(1010, struct.pack("<IBII", 3, 9, 1, 0))),
     ],
 )
-def test_malformed_frames_are_told(data: bytes) -> None:
+def test_malformed_frames_raise(data: bytes) -> None:
     with pytest.raises(WireError):
         decode_batch(data)
 
 
-def test_settings_are_read_and_unknown_keys_passed_over() -> None:
+def test_settings_are_read_and_unknown_keys_ignored() -> None:
     _, _, ((instance, started),) = decode_batch(frame(start()))
     assert instance == 3 and isinstance(started, Started) and started.seed == 9
-    s = decode_settings(started.conf)
-    assert (s.zone, s.fronts, s.fronts_by_zone, s.parent_kind, s.origin_kind) == (1, 2, (0, 2), 1, 2)
-    assert (s.purge_settles, s.cold_window, s.parent_cold_from) == (6 * 10**9, 1500 * 10**6, 0.1)
-    assert [c.effect for c in s.classes] == [Idempotency.SAFE, Idempotency.UNSAFE]
-    assert [(c.fresh, c.grace, c.stretch) for c in s.classes] == [(0, 0, 2.0), (12 * 10**9, 10 * 10**9, 0.0)]
-    assert s.sizes_compare and not s.list_on_request
+    settings = decode_settings(started.conf)
+    assert (
+        settings.zone,
+        settings.fronts,
+        settings.fronts_by_zone,
+        settings.parent_kind,
+        settings.origin_kind,
+    ) == (1, 2, (0, 2), 1, 2)
+    assert (settings.purge_settles, settings.cold_window, settings.parent_cold_from) == (
+        6 * 10**9,
+        1500 * 10**6,
+        0.1,
+    )
+    assert [c.effect for c in settings.classes] == [Idempotency.SAFE, Idempotency.UNSAFE]
+    assert [(c.fresh, c.grace, c.stretch) for c in settings.classes] == [
+        (0, 0, 2.0),
+        (12 * 10**9, 10 * 10**9, 0.0),
+    ]
+    assert settings.sizes_compare and not settings.list_on_request
 
 
 @pytest.mark.parametrize("key", ["services.0.worth", "rules.cold_from", "zone", "services.count"])
-def test_lacking_settings_are_named(key: str) -> None:
+def test_missing_settings_are_named(key: str) -> None:
     conf = "\n".join(line for line in CONF.splitlines() if not line.startswith(key + "="))
     with pytest.raises(SettingsError, match=key):
         decode_settings(conf.encode())
 
 
-def test_settings_that_cannot_be_read_are_named() -> None:
+def test_invalid_settings_are_named() -> None:
     with pytest.raises(SettingsError, match="rules.cold_from"):
         decode_settings(CONF.replace("rules.cold_from=0.2", "rules.cold_from=much").encode())
     with pytest.raises(SettingsError, match="services.1.effect"):
         decode_settings(CONF.replace("single_shot", "sometimes").encode())
 
 
-def test_reports_are_named_in_the_fields_words_and_no_front_is_an_error() -> None:
+def test_report_fields_are_translated_and_zero_fronts_are_an_error() -> None:
     more = "\nreport.fields=concurrent,x1,new_value"
     assert decode_settings((CONF + more).encode()).reports == ("in flight", "link", "new_value")
     none = "\n".join(
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -1,4 +1,4 @@
-"""Words of the wire to those of the interface and back; the same decisions as over the simulator's wire."""
+"""Conversion between the wire formats and the interface; the same decisions as for the simulator's events."""
 
 from __future__ import annotations
 
@@ -48,11 +48,11 @@
 
 @pytest.mark.parametrize("key", ["bf4477839c81fe24f451edb2cdbb622a", "A-z_9", "k" * 64])
 def test_idempotency_key_of_a_write_is_passed_on_unchanged(key: str) -> None:
-    """Caches know the repeats of a keyed write by it; without it they take the request for another one."""
-    taken, known = open_request(call(b"xy", "bid", HTTP_X_UNIQUE=key), CLASSES, Inbox(), 50), directory()
-    for sent in range(2):  # each attempt
+    """Caches recognise repeats of a keyed request by its key; without the key a repeat would run again."""
+    request, known = open_request(call(b"xy", "bid", HTTP_X_UNIQUE=key), CLASSES, Inbox(), 50), directory()
+    for attempt in range(2):
         fields = make_serve_fields(
-            io.ForwardRequest(1, known.assign_number("s-1"), sent), taken, known, clock.SECOND
+            io.ForwardRequest(1, known.assign_number("s-1"), attempt), request, known, clock.SECOND
         )
         assert [value for name, value in fields if name == "once"] == [key]
     plain = open_request(call(b"xy", "bid"), CLASSES, Inbox(), 50)
@@ -61,21 +61,28 @@
 
 
 @pytest.mark.parametrize("key", ["a b", "a,b=c", "k" * 65, "a\r\nb", "ä"])
-def test_idempotency_key_that_would_be_more_than_one_field_is_refused(key: str) -> None:
+def test_idempotency_key_that_would_be_more_than_one_field_is_rejected(key: str) -> None:
     with pytest.raises(BadRequestError, match="HTTP_X_UNIQUE|line break"):
         open_request(call(b"xy", "bid", HTTP_X_UNIQUE=key), CLASSES, Inbox(), 50)
 
 
-def test_request_in_the_stated_form() -> None:
-    taken = open_request(call(b"xy", HTTP_X_AGAIN="1", HTTP_X_MINE="4be0c1927d55a6f3"), CLASSES, Inbox(), 50)
-    assert (taken.stream_id, taken.job_id, taken.class_index, taken.class_name) == (4, JOB, 1, "lot-image")
-    assert (taken.object_key, taken.object_id, taken.part, taken.group) == (
+def test_well_formed_request() -> None:
+    request = open_request(
+        call(b"xy", HTTP_X_AGAIN="1", HTTP_X_MINE="4be0c1927d55a6f3"), CLASSES, Inbox(), 50
+    )
+    assert (request.stream_id, request.job_id, request.class_index, request.class_name) == (
+        4,
+        JOB,
+        1,
+        "lot-image",
+    )
+    assert (request.object_key, request.object_id, request.part, request.group) == (
         "7f3a9c21e0b4d655",
         0x7F3A9C21E0B4D655,
         0,
         17,
     )
-    assert (taken.is_repeat, taken.known_version, taken.allowed_ns, taken.body) == (
+    assert (request.is_repeat, request.known_version, request.allowed_ns, request.body) == (
         True,
         "4be0c1927d55a6f3",
         3000 * clock.MS,
@@ -110,21 +117,21 @@
         ({"HTTP_X_MINE": "4be0,via=x"}, 400, "HTTP_X_MINE"),
     ],
 )
-def test_requests_of_another_form_are_failed(changes: dict[str, Any], status: int, named: str) -> None:
+def test_malformed_requests_are_rejected(changes: dict[str, Any], status: int, named: str) -> None:
     with pytest.raises(BadRequestError, match=named) as error:
         open_request(call(**changes), CLASSES, Inbox(), 0)
     assert error.value.status == status
 
 
-def test_time_left_counts_from_when_the_request_was_there() -> None:
-    taken = frontkit.open_request(Inbox(), allowed_ns=3000 * clock.MS, received_at_ns=100)
-    taken.number = 8
-    assert make_request_received(taken, 100).time_left == 3000 * clock.MS
-    assert make_request_received(taken, 100 + 200 * clock.MS).time_left == 2800 * clock.MS
-    assert make_request_received(taken, 100 + 4000 * clock.MS).time_left == 0
+def test_time_left_counts_from_the_arrival_of_the_request() -> None:
+    request = frontkit.open_request(Inbox(), allowed_ns=3000 * clock.MS, received_at_ns=100)
+    request.number = 8
+    assert make_request_received(request, 100).time_left == 3000 * clock.MS
+    assert make_request_received(request, 100 + 200 * clock.MS).time_left == 2800 * clock.MS
+    assert make_request_received(request, 100 + 4000 * clock.MS).time_left == 0
 
 
-def test_endings_and_notes_are_one_to_one() -> None:
+def test_outcomes_and_cache_statuses_map_one_to_one() -> None:
     assert list(CACHE_STATUS_BY_WORD.values()) == list(CacheStatus)[1:]
     assert set(OUTCOME_BY_WORD.values()) == {
         AttemptOutcome.OK,
@@ -144,34 +151,34 @@
     )
 
 
-def test_last_says_that_the_request_is_over() -> None:
-    taken = frontkit.open_request(Inbox())
-    attempt = OpenAttempt(taken, 0, 5, 1000)
+def test_last_is_set_once_the_request_is_finished() -> None:
+    request = frontkit.open_request(Inbox())
+    attempt = OpenAttempt(request, 0, 5, 1000)
 
-    def last(ending: AttemptOutcome) -> bool:
-        return make_attempt_completed(attempt, Ended(attempt, ending, 1500)).last
+    def last(outcome: AttemptOutcome) -> bool:
+        return make_attempt_completed(attempt, Ended(attempt, outcome, 1500)).last
 
     assert (
         make_attempt_completed(attempt, Ended(attempt, AttemptOutcome.OK, 1500, CacheStatus.HIT, 7)).elapsed
         == 500
     )
     assert last(AttemptOutcome.OK) and not last(AttemptOutcome.TIMEOUT) and not last(AttemptOutcome.CANCELLED)
-    taken.is_finished = True
+    request.is_finished = True
     assert last(AttemptOutcome.TIMEOUT)
 
 
 def directory() -> MachineDirectory:
-    made = MachineDirectory(make_config().zones, make_config().kinds)
+    machines = MachineDirectory(make_config().zones, make_config().kinds)
     for event in make_config().known:
         assert isinstance(event, FleetChange)
-        made.apply(event)
-    return made
+        machines.apply(event)
+    return machines
 
 
 def test_fields_of_a_command() -> None:
-    known, taken = directory(), frontkit.open_request(Inbox(), known_version="4be0c1927d55a6f3", part=3)
+    known, request = directory(), frontkit.open_request(Inbox(), known_version="4be0c1927d55a6f3", part=3)
     edge, parent = known.assign_number("s-1"), known.assign_number("p-1")
-    ask = make_serve_fields(io.ForwardRequest(1, edge, 0), taken, known, 1500 * clock.MS)
+    ask = make_serve_fields(io.ForwardRequest(1, edge, 0), request, known, 1500 * clock.MS)
     plain = [("class", "lot-image"), ("key", "7f3a9c21e0b4d655"), ("part", "3"), ("wait", "1500")]
     assert ask == [*plain, ("known", "4be0c1927d55a6f3")]
     fetch = io.FetchThrough(1, edge, 0, parent, 2, 1_999_999, True, True, True)
@@ -180,27 +187,27 @@
         ("tier", "2"),
         ("fresh", "1"),
         ("opts", "join+held+renew"),
-        ("known", taken.known_version),
+        ("known", request.known_version),
     ]
-    assert make_serve_fields(fetch, taken, known, 1500 * clock.MS) == [*plain, *more]
+    assert make_serve_fields(fetch, request, known, 1500 * clock.MS) == [*plain, *more]
     own = io.FetchThrough(1, edge, 0, edge, 0, 0, False, False, False)
-    assert make_serve_fields(own, taken, known, 0) == [
+    assert make_serve_fields(own, request, known, 0) == [
         *plain[:3],
         ("wait", "1"),
-        ("known", taken.known_version),
+        ("known", request.known_version),
     ]
 
 
 def test_an_age_under_a_millisecond_is_not_sent_as_no_limit() -> None:
-    known, taken = directory(), frontkit.open_request(Inbox())
+    known, request = directory(), frontkit.open_request(Inbox())
     fetch = io.FetchThrough(
         1, known.assign_number("s-1"), 0, known.assign_number("p-1"), 1, 900_000, False, False, False
     )
-    assert ("fresh", "1") in make_serve_fields(fetch, taken, known, clock.SECOND)
+    assert ("fresh", "1") in make_serve_fields(fetch, request, known, clock.SECOND)
 
 
 def test_same_events_give_the_same_decisions_as_over_the_simulators_wire() -> None:
-    """Settings, a list, requests, endings and a purge, once over each way in."""
+    """The same settings, endpoint list, requests, outcomes and purge through both codecs."""
     config, known, seed, now = make_config(), directory(), 9, 10**9
     conf = "\n".join(f"{key}={value}" for key, value in flatten_settings(frontkit.SETTINGS)).encode()
     entries = [
@@ -212,39 +219,43 @@
     view = wirekit.record(1010, struct.pack("<IBII", 3, 3, 1, len(entries)) + b"".join(entries))
     host.reply(wirekit.frame(start, view, now=now))
     router, requests = Router(config.settings, seed, now), OpenRequestTable(100)
-    news = known.full_list()
-    router.handle(now, io.EndpointUpdate(io.UpdateScope.RESTORED, news.endpoints))
+    full_list = known.full_list()
+    router.handle(now, io.EndpointUpdate(io.UpdateScope.RESTORED, full_list.endpoints))
 
-    def same(event: io.Event, code: int, fields: bytes) -> list[io.Action]:
+    def handle_in_both(event: io.Event, code: int, fields: bytes) -> list[io.Action]:
         actions = router.handle(now, event)
         _, records = wirekit.read_reply(host.reply(wirekit.frame(wirekit.record(code, fields), now=now)))
         expected = [encode_action(3, action) for action in actions]
         assert [wirekit.record(code, fields) for code, fields in records] == expected
         return actions
 
-    asked = 0
+    attempt_count = 0
     for n in range(60):
         now += 3 * clock.MS
         cls, part = n % 3, n % 5
         name = ("lot-video", "lot-image", "bid")[cls]
-        taken = open_request(
+        request = open_request(
             call(cls=name, HTTP_X_N=str(part), HTTP_X_ITEM=f"{n % 7 + 1:016x}"), CLASSES, Inbox(), now
         )
-        requests.add(taken)
-        event = make_request_received(taken, now)
-        packed = (3, taken.number, cls, 0.0, 0, 17.0, n % 7 + 1, float(part), 0, taken.allowed_ns)
-        actions = same(event, 1020, struct.pack("<IIBfHfQfBQ", *packed))
+        requests.add(request)
+        event = make_request_received(request, now)
+        packed = (3, request.number, cls, 0.0, 0, 17.0, n % 7 + 1, float(part), 0, request.allowed_ns)
+        actions = handle_in_both(event, 1020, struct.pack("<IIBfHfQfBQ", *packed))
         for action in actions:
             if isinstance(action, io.ForwardRequest | io.FetchThrough):
-                asked += 1
-                attempt = requests.start_attempt(taken, action.cache, now)
-                endings = (AttemptOutcome.OK, 0), (AttemptOutcome.OVERLOADED, 11), (AttemptOutcome.RESET, 104)
-                ending, number = endings[0 if n % 5 else n // 5 % 3]
+                attempt_count += 1
+                attempt = requests.start_attempt(request, action.cache, now)
+                outcomes = (
+                    (AttemptOutcome.OK, 0),
+                    (AttemptOutcome.OVERLOADED, 11),
+                    (AttemptOutcome.RESET, 104),
+                )
+                outcome, code = outcomes[0 if n % 5 else n // 5 % 3]
                 now += 20 * clock.MS
-                ended = make_attempt_completed(attempt, Ended(attempt, ending, now, CacheStatus.FILLED, 5))
-                taken.is_finished = ending is AttemptOutcome.OK
-                outcome = (3, taken.number, 0, action.cache, number, 20 * clock.MS, ended.last, 2, 5, 0)
-                same(ended, 1040, struct.pack("<IIHIBQBBQB", *outcome))
-    assert asked >= 40
-    gone = make_object_purged(PurgeRecord(9, 3, 0, 0), 70 * clock.SECOND)
-    same(gone, 1100, struct.pack("<IHQQ", 3, gone.group, gone.object, gone.age))
+                ended = make_attempt_completed(attempt, Ended(attempt, outcome, now, CacheStatus.FILLED, 5))
+                request.is_finished = outcome is AttemptOutcome.OK
+                fields = (3, request.number, 0, action.cache, code, 20 * clock.MS, ended.last, 2, 5, 0)
+                handle_in_both(ended, 1040, struct.pack("<IIHIBQBBQB", *fields))
+    assert attempt_count >= 40
+    purge = make_object_purged(PurgeRecord(9, 3, 0, 0), 70 * clock.SECOND)
+    handle_in_both(purge, 1100, struct.pack("<IHQQ", 3, purge.group, purge.object, purge.age))
--- a/tests/test_wire_changelog.py
+++ b/tests/test_wire_changelog.py
@@ -1,4 +1,4 @@
-"""The change log's JSON: typed events, records that can't be used, answers that can't be read."""
+"""The change log's JSON: typed events, invalid records, responses that can't be read."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     return {"seq": seq, "fleet": {"seq": 7, "whole": whole, "hosts": [HOST | changes]}}
 
 
-def purge(seq: int = 2, **what: Any) -> dict[str, Any]:
-    return {"seq": seq, "invalidate": what}
+def purge(seq: int = 2, **fields: Any) -> dict[str, Any]:
+    return {"seq": seq, "invalidate": fields}
 
 
 def test_events_of_each_kind() -> None:
@@ -91,7 +91,7 @@
         b"\xff\xfe",
     ],
 )
-def test_what_cannot_be_read_raises(raw: bytes) -> None:
+def test_unreadable_responses_raise(raw: bytes) -> None:
     with pytest.raises(ProtocolError):
         changelog.decode_changes(raw)
 
@@ -115,8 +115,8 @@
     assert all(isinstance(event, changelog.ChangeEvent) for event in events)
 
 
-def test_a_list_without_sizes_is_taken_whole() -> None:
-    """Where no sizes are told the machine is served all the same; a size of a wrong type is still told."""
+def test_a_list_without_sizes_is_accepted() -> None:
+    """A machine without a stated size is used all the same; a size of a wrong type is still an error."""
     record = fleet(1)
     del record["fleet"]["hosts"][0]["share"]
     (change,) = changelog.read_changes({"seq": 1, "results": [record]})[1]
--- a/tests/test_wire_fastcgi.py
+++ b/tests/test_wire_fastcgi.py
@@ -1,4 +1,4 @@
-"""FastCGI: whole requests out of any split, what is answered at once, and hostile input."""
+"""FastCGI: requests in any split, records that are answered at once, and hostile input."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 Found = list[fastcgi.Call | fastcgi.RequestAborted | fastcgi.Reply]
 
 
-def feed_cut(data: bytes, cuts: list[int]) -> Found:
+def feed_in_chunks(data: bytes, cuts: list[int]) -> Found:
     decoder, found, at = fastcgi.Decoder(), Found(), 0
     for cut in [*sorted(cuts), len(data)]:
         found += decoder.feed(data[at:cut])
@@ -27,10 +27,10 @@
 
 def test_request_is_the_same_at_every_cut() -> None:
     data = call(1, params(JOB), b"a\r\nb" * 9, padding=7)
-    whole = feed_cut(data, [])
+    whole = feed_in_chunks(data, [])
     assert whole == [fastcgi.Call(1, params(JOB), b"a\r\nb" * 9, True)]
     for cut in range(len(data)):
-        assert feed_cut(data, [cut]) == whole
+        assert feed_in_chunks(data, [cut]) == whole
 
 
 @given(st.data())
@@ -48,7 +48,7 @@
         stream += queue.pop(0)
         queues = [q for q in queues if q]
     cuts = data.draw(st.lists(st.integers(0, len(stream)), max_size=12))
-    found = feed_cut(stream, cuts)
+    found = feed_in_chunks(stream, cuts)
     assert {c.id: c.body for c in found if isinstance(c, fastcgi.Call)} == bodies
     assert all(isinstance(c, fastcgi.Call) and c.params == params(JOB) and not c.error for c in found)
 
@@ -69,11 +69,11 @@
     assert fastcgi.read_pairs(fastcgi.write_pairs(values.items())) == values
 
 
-def test_abort_of_what_is_open_only() -> None:
+def test_only_open_requests_are_aborted() -> None:
     decoder = fastcgi.Decoder()
     assert decoder.feed(begin(1) + rec(ABORT, 1)) == [fastcgi.RequestAborted(1)]
     assert decoder.feed(rec(ABORT, 1)) == []
-    assert len(decoder.feed(call(1, params(JOB)))) == 1  # the number is free again
+    assert len(decoder.feed(call(1, params(JOB)))) == 1  # the id is free again
     assert decoder.feed(rec(ABORT, 1)) == [fastcgi.RequestAborted(1)]
     decoder.feed(call(1, params(JOB)))
     decoder.on_answered(1)
@@ -103,7 +103,7 @@
     assert unknown == fastcgi.Reply(rec(11, 0, bytes([77]) + bytes(7)))
 
 
-def test_records_of_requests_not_open_are_passed_over() -> None:
+def test_records_of_requests_not_open_are_ignored() -> None:
     assert fastcgi.Decoder().feed(rec(PARAMS, 4, b"x") + rec(STDIN, 4, b"y") + rec(200, 4)) == []
 
 
@@ -123,11 +123,11 @@
     with pytest.raises(ProtocolError):
         decoder.feed(data)
     with pytest.raises(ProtocolError):
-        decoder.feed(call(2, params(JOB)))  # for good
+        decoder.feed(call(2, params(JOB)))  # and so for all later data
 
 
 @pytest.mark.parametrize("broken", [begin(1), b"\x02" + begin(1)[1:], rec(1, 1, b"abc"), rec(9, 0, b"\x05")])
-def test_what_is_whole_before_a_broken_record_is_told_and_nothing_after_it(broken: bytes) -> None:
+def test_requests_before_a_broken_record_are_returned_and_none_after_it(broken: bytes) -> None:
     decoder = fastcgi.Decoder()
     (whole,) = decoder.feed(call(1, params(JOB)) + broken + call(2, params(JOB)))
     assert isinstance(whole, fastcgi.Call) and whole.id == 1
@@ -145,7 +145,7 @@
         (pairs(params(JOB)), b"x" * 48_001, "body over 48000"),
     ],
 )
-def test_unusable_requests_come_whole_with_their_fault(raw: bytes, body: bytes, word: str) -> None:
+def test_unusable_requests_are_returned_with_an_error(raw: bytes, body: bytes, word: str) -> None:
     data = begin(1) + rec(PARAMS, 1, raw) + rec(PARAMS, 1) + rec(STDIN, 1, body) * bool(body) + rec(STDIN, 1)
     (found,) = fastcgi.Decoder().feed(data)
     assert isinstance(found, fastcgi.Call) and word in found.error and found.params == {}
@@ -163,12 +163,12 @@
     assert len(decoder.partial_requests) <= fastcgi.MAX_OPEN_REQUESTS
 
 
-def test_kept_bytes_of_a_request_are_bounded() -> None:
+def test_buffered_bytes_of_a_request_are_bounded() -> None:
     decoder = fastcgi.Decoder()
     decoder.feed(begin(1))
     decoder.feed(rec(PARAMS, 1, b"x" * 16_000))
     assert 16_000 <= decoder.buffered_bytes <= 16_100 and decoder.oldest_partial is not None
-    (fault,) = decoder.feed(rec(PARAMS, 1, b"x" * 60_000)[:8])  # its head alone says that it is too much
+    (fault,) = decoder.feed(rec(PARAMS, 1, b"x" * 60_000)[:8])  # its header alone shows that it is too large
     assert isinstance(fault, fastcgi.Call) and "parameters over" in fault.error and not fault.keep_connection
     for _ in range(50):
         assert not decoder.feed(b"x" * 1200) and decoder.buffered_bytes == 0
@@ -177,7 +177,7 @@
     assert len(found) == 1 and "a body over" in found[0].error and decoder.buffered_bytes == 0  # type: ignore[union-attr]
 
 
-def test_records_of_no_request_end_the_connection_when_there_is_no_end_of_them() -> None:
+def test_too_many_records_of_no_request_end_the_connection() -> None:
     decoder = fastcgi.Decoder()
     with pytest.raises(ProtocolError, match="records of no request"):
         for _ in range(fastcgi.MAX_STRAY_RECORDS + 1):
@@ -185,7 +185,7 @@
     assert decoder.buffered_bytes <= 9
 
 
-def test_what_is_half_sent_stays_the_same_until_it_is_whole() -> None:
+def test_oldest_partial_stays_the_same_until_it_is_complete() -> None:
     decoder = fastcgi.Decoder()
     assert decoder.oldest_partial is None
     decoder.feed(begin(1))
--- a/tests/test_wire_lines.py
+++ b/tests/test_wire_lines.py
@@ -1,4 +1,4 @@
-"""The caches' lines: answers out of any split, commands in the stated form, hostile input."""
+"""The caches' protocol: responses in any split, encoded commands, hostile input."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from quincepier.wire import lines
 from quincepier.wire.errors import ProtocolError
 
-ANSWERS = [
+RESPONSES = [
     (
         b"9b1f03aa5c7e2d41 data tag=4be0c1927d55a6f3,minted=1764576000123,how=pulled,lag=34 11\r\n",
         b"a\r\nb\0 0\r\nzz",
@@ -19,7 +19,7 @@
     (b"probe1 well stats=inflight:7;util:0.61 0\r\n", b""),
     (b"3333333333333333 full - 0\r\n", b""),
 ]
-STREAM = b"".join(head + body + b"\r\n" for head, body in ANSWERS)
+STREAM = b"".join(head + body + b"\r\n" for head, body in RESPONSES)
 
 
 def read(data: bytes, cuts: list[int]) -> list[tuple[lines.ResponseHead, bytes]]:
@@ -40,9 +40,9 @@
     return found
 
 
-def test_answers_are_the_same_at_every_cut() -> None:
+def test_responses_are_the_same_at_every_cut() -> None:
     whole = read(STREAM, [])
-    assert [body for _, body in whole] == [body for _, body in ANSWERS]
+    assert [body for _, body in whole] == [body for _, body in RESPONSES]
     first = whole[0][0]
     assert (first.id, first.word, first.length) == ("9b1f03aa5c7e2d41", "data", 11)
     assert first.fields == {
@@ -81,7 +81,7 @@
         b"x" * 1100,
     ],
 )
-def test_what_cannot_be_read_raises(data: bytes) -> None:
+def test_malformed_responses_raise(data: bytes) -> None:
     with pytest.raises(ProtocolError):
         list(lines.Decoder().feed(memoryview(data)))
 
@@ -97,13 +97,15 @@
     assert len(decoder.line_buffer) <= lines.MAX_LINE + 2
 
 
-def test_an_end_inside_an_answer_shows() -> None:
+def test_an_end_inside_a_response_is_detected() -> None:
     for cut in range(1, len(STREAM)):
         decoder = lines.Decoder()
-        wholes = sum(isinstance(item, lines.ResponseEnd) for item in decoder.feed(memoryview(STREAM)[:cut]))
-        at_end = cut in {len(b"".join(h + b + b"\r\n" for h, b in ANSWERS[:n])) for n in range(6)}
+        end_count = sum(
+            isinstance(item, lines.ResponseEnd) for item in decoder.feed(memoryview(STREAM)[:cut])
+        )
+        at_end = cut in {len(b"".join(h + b + b"\r\n" for h, b in RESPONSES[:n])) for n in range(6)}
         assert decoder.is_between_responses == at_end
-        assert wholes <= 5
+        assert end_count <= 5
 
 
 def test_commands() -> None:
--- a/tests/wirekit.py
+++ b/tests/wirekit.py
@@ -1,4 +1,4 @@
-"""Frames built by hand for the codec's tests, and a reader of replies."""
+"""Encoders of the simulator's frames, written independently of the codec, and a reader of replies."""
 
 from __future__ import annotations
 
