--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -1,4 +1,4 @@
-"""Spoilt settings: at a start exit code 2 and one line, at SIGHUP the old ones stay; never a traceback."""
+"""Invalid configurations: exit code 2 and one line at a start, no change at SIGHUP, never a traceback."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.frontkit import make_config, raw_config
 from tests.standins import PATIENCE, Asked, Front, play, until
 
-WIDE = "9" * 400  # digits: an integer that no float can hold
+WIDE = "9" * 400  # digits of an integer that is too large for a float
 JUNK: list[Any] = [
     None, True, False, 0, -1, 1.5, -(2**70), 2**64, 10**400, 1e308, float("nan"), float("inf"), float("-inf"),
     "", "x", "NaN", "1e999", WIDE, "a,b", "a b", "ä", "\n", "\ud800", "\0", [], [[]], [None], [float("nan")],
@@ -31,41 +31,41 @@
 ]  # fmt: skip
 
 
-def places(value: Any, way: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
-    """The ways to all that a configuration holds, the whole of it first."""
-    found = [way]
+def list_paths(value: Any, path: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
+    """Return the paths of all values of a configuration, that of the content configuration first."""
+    found = [path]
     pairs = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, item in pairs:
-        found += places(item, (*way, key))
+        found += list_paths(item, (*path, key))
     return found
 
 
 GOOD = raw_config()
-PLACES = places(GOOD)
-HELD = tempfile.TemporaryDirectory()  # for the spoilt files of all examples
-FOLDER = Path(HELD.name)
+PATHS = list_paths(GOOD)
+TEMPORARY_FOLDER = tempfile.TemporaryDirectory()  # for the invalid files of all examples
+FOLDER = Path(TEMPORARY_FOLDER.name)
 
 
-def spoilt(raw: Any, way: tuple[str | int, ...], junk: Any, gone: bool = False) -> Any:
-    """With junk, or nothing, in a place; where that is no longer there, as it was."""
-    if not way:
+def replace_value(raw: Any, path: tuple[str | int, ...], junk: Any, is_removed: bool = False) -> Any:
+    """Return a copy with the value at a path replaced or removed; unchanged if the path does not exist."""
+    if not path:
         return junk
     raw = copy.deepcopy(raw)
-    at = raw
+    parent = raw
     try:
-        for key in way[:-1]:
-            at = at[key]
-        if gone:
-            del at[way[-1]]
+        for key in path[:-1]:
+            parent = parent[key]
+        if is_removed:
+            del parent[path[-1]]
         else:
-            at[way[-1]] = junk
+            parent[path[-1]] = junk
     except (KeyError, IndexError, TypeError):
         pass
     return raw
 
 
-def judged(folder: Path, content: bytes) -> FrontConfig | None:
-    """The configuration that a file is, or None where it is refused in order."""
+def load(folder: Path, content: bytes) -> FrontConfig | None:
+    """Return the configuration in a file; None if it is rejected with one well-formed line."""
     path = folder / "config.json"
     path.write_bytes(content)
     try:
@@ -76,18 +76,18 @@
         return None
 
 
-def serves_with(config: FrontConfig) -> None:
-    """What is taken can be shown, put beside another, and a front be made of it."""
+def check_usable(config: FrontConfig) -> None:
+    """Check that an accepted configuration can be printed, compared with another, and used by a front."""
     summary(config).encode()
     apply_reload(make_config(), config)
     WholeFront(config)
 
 
-PAIRS = st.tuples(st.sampled_from(PLACES), st.sampled_from(JUNK), st.booleans())
+CHANGES = st.tuples(st.sampled_from(PATHS), st.sampled_from(JUNK), st.booleans())
 
 
 @examples(max_examples=200)
-@given(st.lists(PAIRS, min_size=1, max_size=3))
+@given(st.lists(CHANGES, min_size=1, max_size=3))
 @example([(("settings", "family_info", "class_fresh"), [float("nan")], False)])
 @example([(("settings", "family_info", "seats_by_zone", 0), float("inf"), False)])
 @example([(("limits", "memory_mb"), 10**400, False)])
@@ -100,11 +100,11 @@
 @example([(("name",), "\ud800", False)])
 def test_any_content_is_accepted_or_rejected_in_one_line(changes: list[tuple[Any, Any, bool]]) -> None:
     raw: Any = GOOD
-    for way, junk, gone in changes:
-        raw = spoilt(raw, way, junk, gone)
-    config = judged(FOLDER, json.dumps(raw).encode())
+    for path, junk, is_removed in changes:
+        raw = replace_value(raw, path, junk, is_removed)
+    config = load(FOLDER, json.dumps(raw).encode())
     if config is not None:
-        serves_with(config)
+        check_usable(config)
 
 
 @examples(max_examples=100)
@@ -112,11 +112,11 @@
 def test_a_truncated_file_is_rejected_and_an_overwritten_one_rejected_or_accepted(
     at: int, noise: bytes
 ) -> None:
-    whole = json.dumps(GOOD).encode()
-    assert judged(FOLDER, whole[:at]) is None
-    config = judged(FOLDER, whole[:at] + noise + whole[at + len(noise) :])
+    content = json.dumps(GOOD).encode()
+    assert load(FOLDER, content[:at]) is None
+    config = load(FOLDER, content[:at] + noise + content[at + len(noise) :])
     if config is not None:
-        serves_with(config)
+        check_usable(config)
 
 
 def nested(depth: int) -> bytes:
@@ -125,49 +125,49 @@
 
 
 def test_deep_nesting_is_rejected_at_any_depth(tmp_path: Path) -> None:
-    assert judged(tmp_path, nested(8)) is not None
-    assert [judged(tmp_path, nested(depth)) for depth in (20, 200, 400, 2_000, 50_000)] == [None] * 5
+    assert load(tmp_path, nested(8)) is not None
+    assert [load(tmp_path, nested(depth)) for depth in (20, 200, 400, 2_000, 50_000)] == [None] * 5
 
 
-def put(content: bytes) -> Callable[[Path], None]:
-    def spoil(path: Path) -> None:
+def writing(content: bytes) -> Callable[[Path], None]:
+    def write(path: Path) -> None:
         path.write_bytes(content)
 
-    return spoil
+    return write
 
 
-def without(*way: str | int) -> Callable[[Path], None]:
-    return put(json.dumps(spoilt(GOOD, way, None, gone=True)).encode())
+def without(*keys: str | int) -> Callable[[Path], None]:
+    return writing(json.dumps(replace_value(GOOD, keys, None, is_removed=True)).encode())
 
 
-def holding(junk: Any, *way: str | int) -> Callable[[Path], None]:
-    return put(json.dumps(spoilt(GOOD, way, junk)).encode())
+def with_value(junk: Any, *keys: str | int) -> Callable[[Path], None]:
+    return writing(json.dumps(replace_value(GOOD, keys, junk)).encode())
 
 
-# What is wrong with the file, and what the line must name beside it.
+# How the file is made invalid, and what the line must name besides the file.
 CASES: list[tuple[Callable[[Path], None], str]] = [
     (lambda path: path.unlink(missing_ok=True), "No such file"),
     (lambda path: path.mkdir(), "directory"),
-    (put(b""), "line 1"),
-    (put(json.dumps(GOOD).encode()[:700]), "line 1"),
-    (put(b'{"name": "\xff\xfe"}'), "not JSON"),
-    (put(b"listen: 127.0.0.1:5050\n"), "line 1"),
-    (put(b"[" * 100_000), "not JSON"),
-    (put(nested(300)), "deep"),
-    (put(b"[]"), "not a JSON object"),
+    (writing(b""), "line 1"),
+    (writing(json.dumps(GOOD).encode()[:700]), "line 1"),
+    (writing(b'{"name": "\xff\xfe"}'), "not JSON"),
+    (writing(b"listen: 127.0.0.1:5050\n"), "line 1"),
+    (writing(b"[" * 100_000), "not JSON"),
+    (writing(nested(300)), "deep"),
+    (writing(b"[]"), "not a JSON object"),
     (without("settings", "rules", "tip_after"), "rules.tip_after"),
-    (holding("much", "settings", "services", 0, "worth"), "services.0.worth"),
-    (holding(-5, "limits", "sockets"), "limits.sockets"),
-    (holding(10**400, "settings", "limits", "conn_idle"), "settings.limits.conn_idle"),
-    (holding([float("nan")] * 3, "settings", "family_info", "class_fresh"), "class_fresh"),
-    (holding([], "settings", "services"), "services"),
-    (holding("bid", "settings", "services", 0, "name"), "settings.services.2.name"),
-    (holding("often", "settings", "services", 2, "effect"), "services.2.effect"),
-    (holding(10**400, "known", "results", 0, "fleet", "hosts", 0, "share"), "known"),
+    (with_value("much", "settings", "services", 0, "worth"), "services.0.worth"),
+    (with_value(-5, "limits", "sockets"), "limits.sockets"),
+    (with_value(10**400, "settings", "limits", "conn_idle"), "settings.limits.conn_idle"),
+    (with_value([float("nan")] * 3, "settings", "family_info", "class_fresh"), "class_fresh"),
+    (with_value([], "settings", "services"), "services"),
+    (with_value("bid", "settings", "services", 0, "name"), "settings.services.2.name"),
+    (with_value("often", "settings", "services", 2, "effect"), "services.2.effect"),
+    (with_value(10**400, "known", "results", 0, "fleet", "hosts", 0, "share"), "known"),
 ]  # fmt: skip
 
 
-def clear(path: Path) -> None:
+def remove(path: Path) -> None:
     if path.is_dir():
         path.rmdir()
     else:
@@ -175,28 +175,28 @@
 
 
 def test_a_start_with_an_invalid_file_exits_with_2_and_one_line(tmp_path: Path) -> None:
-    """The file, the line or key, and what to do; nothing else, from a whole process."""
+    """A front process prints the file, the line or key, and the remedy, and nothing else."""
     environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
 
     async def run() -> list[tuple[int | None, str]]:
-        turn = asyncio.Semaphore(4)
+        process_limit = asyncio.Semaphore(4)
 
-        async def one(n: int, spoil: Callable[[Path], None]) -> tuple[int | None, str]:
+        async def start(n: int, make_invalid: Callable[[Path], None]) -> tuple[int | None, str]:
             path = tmp_path / f"{n}.json"
-            spoil(path)
-            async with turn, asyncio.timeout(PATIENCE):
+            make_invalid(path)
+            async with process_limit, asyncio.timeout(PATIENCE):
                 process = await asyncio.create_subprocess_exec(
                     sys.executable, "-m", "quincepier", "serve",
                     env=environment | {"ROUTER_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
                 )  # fmt: skip
-                told = (await process.communicate())[1].decode()
-            return process.returncode, told
+                errors = (await process.communicate())[1].decode()
+            return process.returncode, errors
 
-        return await asyncio.gather(*(one(n, spoil) for n, (spoil, _) in enumerate(CASES)))
+        return await asyncio.gather(*(start(n, make_invalid) for n, (make_invalid, _) in enumerate(CASES)))
 
-    for n, ((code, told), (_, named)) in enumerate(zip(asyncio.run(run()), CASES, strict=True)):
-        assert code == 2 and len(told.splitlines()) == 1, (n, code, told)
-        assert f"{n}.json" in told and named in told and SettingsError.remedy in told, (n, told)
+    for n, ((code, errors), (_, named)) in enumerate(zip(asyncio.run(run()), CASES, strict=True)):
+        assert code == 2 and len(errors.splitlines()) == 1, (n, code, errors)
+        assert f"{n}.json" in errors and named in errors and SettingsError.remedy in errors, (n, errors)
 
 
 def data(asked: Asked) -> None:
@@ -206,22 +206,22 @@
 def test_at_sighup_the_old_settings_stay_and_the_front_serves(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         client, path = await front.client(), front.folder / "config.json"
-        for n, (spoil, named) in enumerate(CASES, 1):
-            clear(path)
-            spoil(path)
+        for n, (make_invalid, named) in enumerate(CASES, 1):
+            remove(path)
+            make_invalid(path)
             front.signal(signal.SIGHUP)
-            await until(lambda n=n: len(refusals(front)) == n, "it says why")  # type: ignore[misc]
-            assert named in refusals(front)[-1] and "config.json" in refusals(front)[-1]
+            await until(lambda n=n: len(list_rejections(front)) == n, "it logs why")  # type: ignore[misc]
+            assert named in list_rejections(front)[-1] and "config.json" in list_rejections(front)[-1]
             client.ask(n)
             assert (await client.ended(n)).status == 200
         path.write_text(json.dumps(front.config))
         front.signal(signal.SIGHUP)
-        await until(lambda: front.logged("configuration reloaded: nothing"), "a good one is taken")
+        await until(lambda: front.logged("configuration reloaded: nothing"), "a valid one is applied")
         front.signal(signal.SIGTERM)
         assert await front.code() == 0 and not front.logged("Traceback")
 
     play(tmp_path, {"s-1": data, "p-1": data, "o-1": data}, scenario)
 
 
-def refusals(front: Front) -> list[str]:
+def list_rejections(front: Front) -> list[str]:
     return [line for line in front.lines if "configuration_rejected" in line]
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file as the platform uses it: `run` is one process, by exec, that starts no other."""
+"""The deploy file as the platform uses it: `run` executes one process, which starts no other."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_the_modules_that_decide_are_all_named_and_small() -> None:
-    """300 lines each at most, of 110 characters at most; the cap on their sum was lifted by the operators."""
+    """At most 300 lines each, of at most 110 characters; the operators lifted the limit on their sum."""
     files = {path: (ROOT / path).read_text().splitlines() for path in DEPLOY["policy"]}
     assert {str(p.relative_to(ROOT)) for p in (ROOT / "quincepier" / "policy").glob("*.py")} <= set(files)
     assert max(map(len, files.values())) <= 300
@@ -35,7 +35,7 @@
 
 @pytest.mark.skipif(not Path("/proc/self/fd").exists(), reason="needs Linux's /proc")
 def test_run_stays_one_process_without_other_programs_rings_or_unix_paths(tmp_path: Path) -> None:
-    """Where hundreds of fronts are played, a program started, an io_uring or a Unix path is refused."""
+    """Hosts that simulate hundreds of fronts forbid other programs, io_uring and Unix socket paths."""
 
     async def run() -> None:
         front = Front(tmp_path, {name: Cache(Asked.data) for name in ("s-1", "p-1", "o-1")})
@@ -61,11 +61,11 @@
             assert (proc / "exe").resolve() == Path(sys.executable).resolve()
             assert b"ld-" in (proc / "exe").read_bytes()[:4096]  # an interpreter: linked dynamically
             assert not any((task / "children").read_text() for task in (proc / "task").iterdir())
-            held = [os.readlink(fd) for fd in (proc / "fd").iterdir() if fd.is_symlink()]
-            assert not any("io_uring" in name for name in held)
-            named = [line.split() for line in (proc / "net" / "unix").read_text().splitlines()[1:]]
-            paths = {f"socket:[{words[6]}]" for words in named if len(words) > 7}
-            assert not paths & set(held)
+            targets = [os.readlink(fd) for fd in (proc / "fd").iterdir() if fd.is_symlink()]
+            assert not any("io_uring" in name for name in targets)
+            unix_sockets = [line.split() for line in (proc / "net" / "unix").read_text().splitlines()[1:]]
+            paths = {f"socket:[{words[6]}]" for words in unix_sockets if len(words) > 7}
+            assert not paths & set(targets)
         finally:
             await front.stop()
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""An operator who meets a code finds it in docs/oncall.md with one meaning, and is told what to do."""
+"""Each error code has one meaning, a remedy, and a row in docs/oncall.md."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 Kind = type[QuincepierError]
 
 
-def below(kind: Kind) -> Iterable[Kind]:
-    for one in kind.__subclasses__():
-        yield one
-        yield from below(one)
+def subclasses_of(kind: Kind) -> Iterable[Kind]:
+    for subclass in kind.__subclasses__():
+        yield subclass
+        yield from subclasses_of(subclass)
 
 
 def all_kinds() -> list[Kind]:
     for found in pkgutil.walk_packages(quincepier.__path__, "quincepier."):
         if found.name != "quincepier.__main__":
             importlib.import_module(found.name)
-    ours = {kind for kind in below(QuincepierError) if kind.__module__.startswith("quincepier.")}
+    ours = {kind for kind in subclasses_of(QuincepierError) if kind.__module__.startswith("quincepier.")}
     return sorted(ours - {PeerInputError}, key=lambda kind: (kind.__module__, kind.__name__))
 
 
@@ -38,7 +38,7 @@
 
 
 def faults(kinds: Iterable[Kind], page: str) -> list[str]:
-    """What an operator would miss, a line each."""
+    """Return what is missing or ambiguous for an operator, a line each."""
     rows = {line.split("|")[1].strip(" `"): line for line in page.splitlines() if line.startswith("| `QP-")}
     owners, found = dict[str, Kind](), list[str]()
     for kind in kinds:
@@ -56,16 +56,16 @@
 
 def test_each_code_has_one_meaning_a_remedy_and_a_row() -> None:
     kinds = all_kinds()
-    assert len({package(kind) for kind in kinds}) >= 15  # the walk has been everywhere
+    assert len({package(kind) for kind in kinds}) >= 15  # the walk imports all packages
     assert faults(kinds, PAGE.read_text()) == []
 
 
-def made(module: str, **words: str) -> Kind:
-    return type("Made", (QuincepierError,), {"__module__": module, **words})
+def make_kind(module: str, **attributes: str) -> Kind:
+    return type("Made", (QuincepierError,), {"__module__": module, **attributes})
 
 
 @pytest.mark.parametrize(
-    ("planted", "told"),
+    ("planted", "fault"),
     [
         ({"code": "QP-STATE", "remedy": "look"}, "QP-STATE: of planted.errors and of quincepier.state"),
         ({"code": "QP-PLANTED", "remedy": "look"}, "QP-PLANTED: no row"),
@@ -74,9 +74,9 @@
         ({"remedy": "look"}, "Made: no code of its own"),
     ],
 )
-def test_missing_codes_rows_and_remedies_are_found(planted: dict[str, str], told: str) -> None:
-    kinds = [made("planted.errors", **planted), *all_kinds()]
-    assert told in faults(kinds, PAGE.read_text())
+def test_missing_codes_rows_and_remedies_are_found(planted: dict[str, str], fault: str) -> None:
+    kinds = [make_kind("planted.errors", **planted), *all_kinds()]
+    assert fault in faults(kinds, PAGE.read_text())
 
 
 def test_a_removed_emptied_or_left_over_row_is_found() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' file: all faults at once with line and key, hostile files, JSON lines, SIGHUP, off."""
+"""The operators' file: all faults with line and key, hostile files, JSON lines, SIGHUP, unused packages."""
 
 from __future__ import annotations
 
@@ -56,8 +56,8 @@
   colour: red
 extra: 1
 """
-    told = {fault.split(": ")[0] + " " + fault.split(": ")[1] for fault in faults(text)}
-    assert told == {
+    found = {fault.split(": ")[0] + " " + fault.split(": ")[1] for fault in faults(text)}
+    assert found == {
         "op.yaml:1 log.format", "op.yaml:4 addresses.machines.s-1.0", "op.yaml:4 addresses.machines.s-1.2",
         "op.yaml:5 addresses.prefer.1", "op.yaml:6 addresses.stagger_ms",
         "op.yaml:7 addresses.aside_ms.first",
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "reason"),
     [
         ("addresses: {machines: {a: [x], a: [y]}}", "addresses.machines.a: stands there twice"),
         ("log: &a {format: text}\naddresses: *a", "op.yaml:1: anchors, aliases and tags are not taken"),
@@ -83,9 +83,9 @@
         ("\x00", "not YAML"),
     ],
 )
-def test_invalid_files_name_the_reason(text: str, told: str) -> None:
+def test_invalid_files_name_the_reason(text: str, reason: str) -> None:
     found = "\n".join(faults(text))
-    assert told in found, found
+    assert reason in found, found
 
 
 def test_an_empty_file_and_empty_sections_are_good() -> None:
@@ -118,9 +118,14 @@
     bad.write_bytes(b"log: {}\n# \xe9\n")
     large = tmp_path / "large.yaml"
     large.write_bytes(b"#" * (4 * 1024 * 1024 + 1))
-    wanted = {tmp_path / "none": "can't be read", tmp_path: "can't", bad: ":2: not UTF-8", large: "over"}
-    for path, told in wanted.items():
-        with pytest.raises(OperatorError, match=told):
+    reason_by_path = {
+        tmp_path / "none": "can't be read",
+        tmp_path: "can't",
+        bad: ":2: not UTF-8",
+        large: "over",
+    }
+    for path, reason in reason_by_path.items():
+        with pytest.raises(OperatorError, match=reason):
             load(str(path))
 
 
@@ -142,11 +147,11 @@
 
 
 def test_unused_packages_are_not_imported(tmp_path: Path) -> None:
-    """Without a file nothing of the new packages or their libraries; with a log section no addresses."""
+    """Packages and libraries of the operators' file are imported only if a section of the file needs them."""
     config, operator = tmp_path / "config.json", tmp_path / "operator.yaml"
     config.write_text(json.dumps(raw_config()))
     operator.write_text("log: {format: json}\n")
-    told = (
+    program = (
         "import sys; from quincepier.__main__ import main; import quincepier.lifecycle.front;"
         f"main(['check-config', '--config', {str(config)!r}] + {{}});"
         "print([m for m in ('yaml', 'msgspec', 'netaddr', 'parsy', 'quincepier.operator',"
@@ -155,14 +160,14 @@
         "'quincepier.net.peers')"
         " if m in sys.modules])"
     )
-    off = run("-c", told.format([]))
+    off = run("-c", program.format([]))
     assert off.stdout.splitlines()[-1] == "[]", off.stderr
-    some = run("-c", told.format(["--operator", str(operator)]))
+    some = run("-c", program.format(["--operator", str(operator)]))
     assert some.stdout.splitlines()[-1] == "['yaml', 'msgspec', 'quincepier.operator']", some.stderr
 
 
 def test_json_lines_and_sighup_apply_the_file_completely_or_not_at_all(tmp_path: Path) -> None:
-    """A front as a process: its only cache moves to an address that the operators tell at SIGHUP."""
+    """A front process whose origin moves to an address that the operators' file names at SIGHUP."""
     operator = tmp_path / "operator.yaml"
 
     def ok(asked: Asked) -> None:
@@ -190,14 +195,14 @@
         good = f"addresses: {{machines: {{o-1: ['{address}']}}, prefer: [unix]}}"
         operator.write_text(good.replace("unix]", "moon]"))
         front.signal(signal.SIGHUP)
-        await until(lambda: bool(lines("configuration_rejected")), "the bad file is told")
+        await until(lambda: bool(lines("configuration_rejected")), "the invalid file is reported")
         assert "addresses.prefer.0" in lines("configuration_rejected")[0]["fields"]["detail"]
         client.ask(2, "bid", b"offer")
         await client.ended(2)
-        assert not moved.at  # nothing of it is in force
+        assert not moved.at  # nothing of the invalid file is applied
         operator.write_text(good)
         front.signal(signal.SIGHUP)
-        await until(lambda: front.logged("reloaded: log, addresses changed"), "the good one is taken")
+        await until(lambda: front.logged("reloaded: log, addresses changed"), "the valid one is applied")
         client.ask(3, "bid", b"offer")
         assert (await client.ended(3)).status == 200 and len(moved.at) == 1
         front.signal(signal.SIGTERM)
@@ -207,7 +212,7 @@
     operator.write_text("log: {format: json}\naddresses: {}\n")
     caches = {"s-1": ok, "p-1": ok, "o-1": ok}
 
-    async def over() -> None:
+    async def run_scenario() -> None:
         front = Front(tmp_path, {name: Cache(behaviour) for name, behaviour in caches.items()})
         front.operator = operator
         try:
@@ -216,4 +221,4 @@
         finally:
             await front.stop()
 
-    asyncio.run(over())
+    asyncio.run(run_scenario())
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -1,4 +1,4 @@
-"""Settings of any customer: the rules hold, nothing is refused for its settings alone, no built-in name."""
+"""Settings of any deployment: the rules hold, no rejection for settings alone, no built-in names."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 @st.composite
-def sites(draw: st.DrawFn) -> io.Settings:
+def any_settings(draw: st.DrawFn) -> io.Settings:
     fronts = draw(st.sampled_from([1, 2, 40]))
     tiny = st.sampled_from([0.0, 1e-9, 0.2, 1.0])
     return make_settings(
@@ -82,15 +82,15 @@
 
 
 class AnyWorld(World):
-    """The rules as for the usual sites; cold budgets by the fronts of the machine's own zone."""
+    """The rules as for the usual settings; cold budgets by the fronts of the machine's own zone."""
 
     def check_cold(self, cache: int) -> None:
         s, m, sent = self.site, self.states[cache], self.cold[cache]
         sent.append(self.now)
-        upper = m.kind == s.parent_kind
+        is_parent = m.kind == s.parent_kind
         least, multiple, warm = (
             (s.parent_cold_from, s.parent_cold_multiple, s.parent_cold_time)
-            if upper
+            if is_parent
             else (s.cold_from, s.cold_multiple, s.cold_time)
         )
         if m.kind != s.origin_kind and self.now - m.started_at < min(s.cold_window, warm):
@@ -98,15 +98,15 @@
                 self.router.latency.transfer_times.means
             )
             size = m.size if s.sizes_compare else max(self.router.slow_start.sizes.get(m.kind, 1.0), 1.0)
-            stands = multiple * least * size * s.cold_window
-            assert work * fronts_that_ask(s.fronts, s.fronts_by_zone, m.zone) <= stands
+            max_work = multiple * least * size * s.cold_window
+            assert work * fronts_that_ask(s.fronts, s.fronts_by_zone, m.zone) <= max_work
 
     def check_final(self, action: io.Action, request: int) -> None:
         cls = self.site.classes[self.owed[request][0].class_index] if request in self.owed else None
         if cls is not None and cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL:
             _, deadline = self.owed.pop(
                 request
-            )  # may be refused though it ran: docs/crossings.md has the gap
+            )  # may be rejected although it ran: docs/crossings.md describes this gap
             assert request in self.begun or self.now <= deadline
         else:
             super().check_final(action, request)
@@ -125,7 +125,7 @@
 
 
 @settings(max_examples=150, **RUNS)  # type: ignore[arg-type]
-@given(site=sites(), steps=st.lists(STEPS, min_size=25, max_size=50))
+@given(site=any_settings(), steps=st.lists(STEPS, min_size=25, max_size=50))
 def test_the_rules_hold_whatever_the_settings_are(
     site: io.Settings, steps: list[tuple[int, int, int]]
 ) -> None:
@@ -141,18 +141,18 @@
         test_the_rules_hold_whatever_the_settings_are()
 
 
-# What is refused for its settings alone
+# Requests that must not be rejected for settings alone
 
 
 @pytest.mark.parametrize("on_time", [0, 1, MS, 20 * MS])
 def test_a_request_is_not_rejected_for_a_short_wait(on_time: int) -> None:
-    """On sockets each request waits some microseconds for its turn."""
+    """Every request that arrives over a socket waits some microseconds for its turn."""
     bench = Bench(make_settings(classes=(make_class(on_time=on_time),) * 3))
     assert len(attempts(bench.ask(1, waited=MS))) == 1
     for request in range(2, 8):
         bench.ask(request, waited=SECOND)
         bench.wait(20 * MS)
-    assert finals(bench.ask(8, waited=SECOND))  # that far behind it is refused while that costs little
+    assert finals(bench.ask(8, waited=SECOND))  # after a long wait it is rejected
 
 
 @pytest.mark.parametrize("wanted", [1, 2])
@@ -167,7 +167,7 @@
 
 
 def test_a_class_without_target_latency_counts_against_a_cold_cache() -> None:
-    """Nothing is known of its sending time yet: it does not count as nothing."""
+    """Its transfer time is not known yet and must not count as zero."""
     bench = Bench(
         make_settings(classes=(make_class(on_time=0),)),
         (machine(CACHES[0], up_since=100 * SECOND), *fleet()[3:]),
@@ -183,30 +183,30 @@
 # Names
 
 
-def named(name: str) -> dict[str, Any]:
+def config_with_class_name(name: str) -> dict[str, Any]:
     raw = raw_config()
     raw["settings"]["services"][1]["name"] = name
     return raw
 
 
-def call(config: FrontConfig, name: str) -> bytes:
-    """The command of a request for that class, whose web server sends the name as UTF-8."""
+def encode_command(config: FrontConfig, name: str) -> bytes:
+    """Return the command for a request of that class; the web server sends the name as UTF-8."""
     params = {
         "SCRIPT_NAME": f"/call/{name}".encode().decode("latin-1"), "HTTP_X_JOB_ID": "9b1f03aa5c7e2d41",
         "HTTP_X_ITEM": "7f3a9c21e0b4d655", "HTTP_X_N": "0", "HTTP_X_SHARD": "17", "HTTP_X_ALLOW_MS": "900",
     }  # fmt: skip
-    taken = open_request(Call(1, params, b"", True), make_class_table(config), Inbox(), 0)
-    assert taken.class_index == 1
+    request = open_request(Call(1, params, b"", True), make_class_table(config), Inbox(), 0)
+    assert request.class_index == 1
     return serve(
-        taken.job_id,
-        make_serve_fields(io.ForwardRequest(1, 1, SECOND), taken, MachineDirectory((), ()), SECOND),
+        request.job_id,
+        make_serve_fields(io.ForwardRequest(1, 1, SECOND), request, MachineDirectory((), ()), SECOND),
         b"",
     )
 
 
 @pytest.mark.parametrize("name", ["a", "büro", "图片", "x=y/z;%20", "é" * 100, "lot-video2"])
 def test_a_class_of_any_name_is_sent_by_that_name(name: str) -> None:
-    line = call(read_front(named(name), {}), name)
+    line = encode_command(read_front(config_with_class_name(name), {}), name)
     assert f"class={name},".encode() in line and line.count(b" ") == 3
 
 
@@ -215,26 +215,26 @@
 )
 def test_a_name_that_no_command_can_carry_is_rejected_with_its_key(name: str) -> None:
     with pytest.raises(SettingsError, match=r"settings\.services\.[12]\.name"):
-        read_front(named(name), {})
+        read_front(config_with_class_name(name), {})
 
 
 def example_names() -> set[str]:
-    """Classes, zones, kinds, tenants and hosts of the example, the tests and the laboratory's files."""
+    """Return the names of classes, zones, kinds, tenants and hosts in example, tests and laboratory files."""
     found = set[str]()
-    for settings_ in (SETTINGS, json.loads((ROOT / "deploy" / "example.json").read_text())["settings"]):
-        found |= {s["name"] for s in settings_["services"]} | {*settings_["zones"], *settings_["skus"]}
-        found |= {p["name"] for p in settings_["parties"] if isinstance(p, dict)}
+    for example in (SETTINGS, json.loads((ROOT / "deploy" / "example.json").read_text())["settings"]):
+        found |= {s["name"] for s in example["services"]} | {*example["zones"], *example["skus"]}
+        found |= {p["name"] for p in example["parties"] if isinstance(p, dict)}
     for path in (ROOT / "experiments").glob("*.yaml"):
         found |= set(re.findall(r"\{name: ([\w-]+), share", path.read_text()))
     return found
 
 
-FIELD = {"parent", "origin", "hub"}  # the example's names that are words of the field
+TRADE_WORDS = {"parent", "origin", "hub"}  # names of the example that are also words of the trade
 
 
-def built_in(text: str) -> set[str]:
-    """Names of examples that stand in quotes, or the rarer ones anywhere."""
-    names = example_names() - FIELD
+def find_built_in_names(text: str) -> set[str]:
+    """Return the names of examples in a source text: those in quotes, and those with a hyphen anywhere."""
+    names = example_names() - TRADE_WORDS
     quoted = {word for word in names if re.search(rf"""["']{re.escape(word)}["']""", text)}
     return quoted | {w for w in names if "-" in w and re.search(rf"\b{re.escape(w)}\b", text)}
 
@@ -242,6 +242,8 @@
 def test_no_name_of_a_deployment_is_built_in() -> None:
     assert example_names() >= {"lot-video", "bid", "edge", "std"}
     for path in [*(ROOT / "quincepier").rglob("*.py"), ROOT / "deploy" / "balancer.toml"]:
-        if "lab" not in path.parts:  # the laboratory plays examples of its own
-            assert built_in(path.read_text()) == set(), path
-    assert built_in("if name == 'bid': ...") == {"bid"} and built_in("# lot-video first") == {"lot-video"}
+        if "lab" not in path.parts:  # the laboratory has examples of its own
+            assert find_built_in_names(path.read_text()) == set(), path
+    assert find_built_in_names("if name == 'bid': ...") == {"bid"} and find_built_in_names(
+        "# lot-video first"
+    ) == {"lot-video"}
