--- a/quincepier/__main__.py
+++ b/quincepier/__main__.py
@@ -105,7 +105,7 @@
             from quincepier.lifecycle.operators import Operators
 
             operators = Operators(operator_path)
-        config = load_front(path=arguments["--config"], judge=operators.judge if operators else None)
+        config = load_front(path=arguments["--config"], parse_address=operators.judge if operators else None)
     except SettingsError as error:
         signals.ignore()  # the exit code must be 2, also if a signal arrives now
         print(f"quincepier: {error}; {error.advice}", file=sys.stderr)
--- a/quincepier/config.py
+++ b/quincepier/config.py
@@ -18,7 +18,7 @@
 
 from quincepier.errors import QuincepierError
 from quincepier.interface import DeduplicationScope, Idempotency, RequestClass, Settings
-from quincepier.wire.changelog import ChangeEvent, FleetChange, Judge, read_address, read_changes
+from quincepier.wire.changelog import AddressParser, ChangeEvent, FleetChange, read_address, read_changes
 from quincepier.wire.errors import ProtocolError
 
 IDEMPOTENCY_BY_WORD = {
@@ -47,10 +47,8 @@
 MAX_FILE_BYTES = 16 * 1024 * 1024
 MAX_NESTING_DEPTH = 32  # of objects and lists
 MAX_MAGNITUDE = 2.0**64  # of numbers; "never" may be written as the largest 64-bit integer
-CLASS_NAME_PATTERN = re.compile(
-    r"[^\s,\x00-\x1f\x7f]{1,100}"
-)  # a class name is a value in commands to caches
-MIN_MEMORY_MB, MIN_SOCKETS = 16, 32  # with less a front can't serve at all; with little more it serves less
+CLASS_NAME_PATTERN = re.compile(r"[^\s,\x00-\x1f\x7f]{1,100}")  # a class name is a value in commands
+MIN_MEMORY_MB, MIN_SOCKETS = 16, 32  # with less a front can serve nothing, slightly above it serves little
 Word = TypeVar("Word", bound=Enum)
 
 
@@ -322,9 +320,13 @@
         raise SettingsError(f"configuration holds seed={value[:30]!r}, not hexadecimal digits") from None
 
 
-def _read_known_events(root: _JsonObject, judge: Judge | None) -> tuple[int, tuple[ChangeEvent, ...]]:
+def _read_known_events(
+    root: _JsonObject, parse_address: AddressParser | None
+) -> tuple[int, tuple[ChangeEvent, ...]]:
     try:
-        last_seq, events = read_changes(root.get("known", "the change-log events so far", dict), judge)
+        last_seq, events = read_changes(
+            root.get("known", "the change-log events so far", dict), parse_address
+        )
     except ProtocolError as error:
         raise SettingsError(f"configuration holds known: {error}") from None
     if not any(isinstance(event, FleetChange) and event.is_full_list for event in events):
@@ -332,13 +334,15 @@
     return last_seq, events
 
 
-def read_front(value: Any, environment: Mapping[str, str], judge: Judge | None = None) -> FrontConfig:
+def read_front(
+    value: Any, environment: Mapping[str, str], parse_address: AddressParser | None = None
+) -> FrontConfig:
     """Return a front's validated configuration.
 
     Args:
         value: The decoded JSON of the configuration file.
         environment: ROUTER_NAME and ROUTER_LISTEN take precedence over the file's `name` and `listen`.
-        judge: Validates addresses of machines; with it they may have several addresses (see `read_changes`).
+        parse_address: Validates machines' addresses; with it they may have several (see `read_changes`).
 
     Raises:
         SettingsError: A key is missing or its value is invalid.
@@ -354,7 +358,7 @@
     on_probe = report.text("how") == "on_probe"
     if on_probe and network_limits.value.get("probes", True) is False:
         raise SettingsError("configuration holds settings.report.how=on_probe, but probes are not allowed")
-    last_seq, events = _read_known_events(root, judge)
+    last_seq, events = _read_known_events(root, parse_address)
     zones = raw.names("zones")
     if settings.zone >= len(zones):
         raise SettingsError(f"configuration holds settings.zone={settings.zone}, beyond the list of zones")
@@ -381,7 +385,9 @@
 
 
 def load_front(
-    environment: Mapping[str, str] = os.environ, path: str | None = None, judge: Judge | None = None
+    environment: Mapping[str, str] = os.environ,
+    path: str | None = None,
+    parse_address: AddressParser | None = None,
 ) -> FrontConfig:
     """Return the configuration in the file at `path`, or at ROUTER_CONFIG if no path is given.
 
@@ -403,7 +409,7 @@
     except (ValueError, RecursionError) as error:
         raise SettingsError(f"ROUTER_CONFIG={config_path} is not JSON: {error}") from None
     try:
-        return read_front(value, environment, judge)
+        return read_front(value, environment, parse_address)
     except SettingsError as error:
         line = "".join(c if c.isprintable() else "?" for c in str(error))  # a value may hold anything
         raise SettingsError(line, where=config_path) from None
--- a/quincepier/interface.py
+++ b/quincepier/interface.py
@@ -339,7 +339,7 @@
         cache_status: What the cache reported about its copy or its fetch.
         waited: How long the request waited at the cache for a fetch, ns.
         report: The machine's load report, values in the order of `Settings.reports`; empty: none.
-        has_other_address: Whether a connection to one address failed and the machine has other addresses.
+        has_alternative_address: Whether the connection to one address failed and the machine has others.
     """
 
     request: int
@@ -351,7 +351,7 @@
     cache_status: CacheStatus
     waited: int
     report: tuple[float, ...]
-    has_other_address: bool = False
+    has_alternative_address: bool = False
 
 
 @dataclass(slots=True, frozen=True)
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -120,7 +120,9 @@
         """SIGHUP: read both files again. Where one can't be used that is logged, and both old ones stay."""
         means, file = self.module.means, None
         try:
-            config, now, later = apply_reload(means.config, load_front(path=self.path, judge=means.judge))
+            config, now, later = apply_reload(
+                means.config, load_front(path=self.path, parse_address=means.judge)
+            )
             if self.operators is not None:
                 file = self.operators.again()
         except SettingsError as error:
--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -9,7 +9,7 @@
 
 from quincepier.lifecycle import logs
 from quincepier.operator import LogSection, OperatorError, OperatorFile, load
-from quincepier.wire.changelog import Judge
+from quincepier.wire.changelog import AddressParser
 
 if TYPE_CHECKING:
     from quincepier.addresses.section import AddressesSection
@@ -61,7 +61,7 @@
         return (self.file.get(LogSection) or LogSection()).format
 
     @property
-    def judge(self) -> Judge | None:
+    def judge(self) -> AddressParser | None:
         """Of the addresses in change-log records, where machines may have several."""
         if self.file.named("addresses") is None:
             return None
--- a/quincepier/net/means.py
+++ b/quincepier/net/means.py
@@ -12,7 +12,7 @@
 from quincepier.net.messages import ToModule
 from quincepier.net.process_pause import PauseDetector
 from quincepier.net.sockets import Descriptors
-from quincepier.wire.changelog import Judge
+from quincepier.wire.changelog import AddressParser
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
     descriptors: Descriptors
     module: Mailbox[ToModule]
     budget: MemoryBudget
-    judge: Judge | None = None  # of addresses, where machines may have several
+    judge: AddressParser | None = None  # of addresses, where machines may have several
     pauses: PauseDetector = field(init=False)
 
     def __post_init__(self) -> None:
--- a/quincepier/policy/outliers.py
+++ b/quincepier/policy/outliers.py
@@ -30,9 +30,9 @@
         attempt, outcome, upstream = completion.attempt, completion.outcome, completion.attempt.upstream
         if outcome in PROVES_UP:
             self.on_success(upstream)
-        elif outcome is AttemptOutcome.RESET and not completion.event.has_other_address:
+        elif outcome is AttemptOutcome.RESET and not completion.event.has_alternative_address:
             self.on_failure(upstream, "lost", 1)
-        elif outcome is AttemptOutcome.CONNECT_FAILED and not completion.event.has_other_address:
+        elif outcome is AttemptOutcome.CONNECT_FAILED and not completion.event.has_alternative_address:
             self.on_failure(upstream, "lost", 1 if upstream.heard_at > attempt.sent_at else FAILURES)
         if attempt.source is not None:
             self._on_source(completion, attempt.source)
--- a/quincepier/policy/retries.py
+++ b/quincepier/policy/retries.py
@@ -92,7 +92,8 @@
         if completion.status in SOURCE_FAULTS:
             excluded.append(source or attempt.upstream)
         elif (
-            completion.outcome is not AttemptOutcome.NOT_PROCESSED and not completion.event.has_other_address
+            completion.outcome is not AttemptOutcome.NOT_PROCESSED
+            and not completion.event.has_alternative_address
         ):
             excluded.append(attempt.upstream)
         is_unexplained = completion.status is CacheStatus.NONE and completion.outcome in UNEXPLAINED
--- a/quincepier/simwire.py
+++ b/quincepier/simwire.py
@@ -85,7 +85,7 @@
 
 
 class WireError(QuincepierError):
-    """A frame is malformed; the text says how."""
+    """A frame is malformed; the text describes the violation."""
 
     code = "QP-SIM"
     remedy = "check that the simulator speaks this version of its wire"
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -165,10 +165,9 @@
 
 
 class End(Protocol):
-    """How an attempt ended, as reported by the actor of its cache; see `io.AttemptCompleted`.
+    """How an attempt ended, as reported by the actor of its cache, and when, in ns.
 
-    Attributes:
-        at: When it ended, ns.
+    The other fields are those of `io.AttemptCompleted`.
     """
 
     ending: AttemptOutcome
@@ -192,7 +191,7 @@
         cache_status=end.note,
         waited=end.waited,
         report=end.report,
-        has_other_address=end.another_way,
+        has_alternative_address=end.another_way,
     )
 
 
--- a/quincepier/wire/changelog.py
+++ b/quincepier/wire/changelog.py
@@ -14,7 +14,7 @@
 STATES = {"SERVING": EndpointState.READY, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
 MAX_MAGNITUDE = 2.0**64  # of numbers
 MAX_FURTHER_ADDRESSES = 16  # of a host, besides its first
-Judge = Callable[[str], object]  # validates an address: raises ValueError for a text that is none
+AddressParser = Callable[[str], object]  # validates an address: raises ValueError for a text that is none
 ADDRESS = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})")
 
 
@@ -24,14 +24,14 @@
 
     Attributes:
         host: Its host id.
-        address: Its IPv4 address and port; None where addresses are read by a `Judge`.
+        address: Its IPv4 address and port; None where addresses are read by an `AddressParser`.
         zone: Name of its zone.
         kind: Name of its kind.
         cell: Number of its cell within the zone.
         state: Whether it accepts requests.
         size: Its capacity; 0: not stated.
         started_at_ms: When its process started, Unix time in ms; 0: not stated.
-        addresses: The valid addresses, where addresses are read by a `Judge`.
+        addresses: The valid addresses, where addresses are read by an `AddressParser`.
         address_errors: Why other addresses are not valid.
     """
 
@@ -112,7 +112,7 @@
     return value
 
 
-def _read_addresses(record: Any, judge: Judge) -> tuple[tuple[str, ...], tuple[str, ...]]:
+def _read_addresses(record: Any, parse_address: AddressParser) -> tuple[tuple[str, ...], tuple[str, ...]]:
     """Return the valid addresses of `dial` and `dials`, and why the others are not valid.
 
     An invalid address does not make the record invalid: a drain that the record announces would be lost.
@@ -126,7 +126,7 @@
     valid = []
     for text in listed:
         try:
-            judge(text)
+            parse_address(text)
             valid.append(text)
         except ValueError as error:
             errors.append(str(error))
@@ -135,14 +135,16 @@
     return tuple(valid), tuple(errors)
 
 
-def _read_host(record: Any, judge: Judge | None) -> HostRecord:
+def _read_host(record: Any, parse_address: AddressParser | None) -> HostRecord:
     state = _get(record, "health", str)
     if state not in STATES:
         raise ProtocolError(f"the unknown state {state[:30]!r}")
-    addresses, address_errors = _read_addresses(record, judge) if judge is not None else ((), ())
+    addresses, address_errors = (
+        _read_addresses(record, parse_address) if parse_address is not None else ((), ())
+    )
     return HostRecord(
         host=_get(record, "host", str),
-        address=read_address(_get(record, "dial", str)) if judge is None else None,
+        address=read_address(_get(record, "dial", str)) if parse_address is None else None,
         zone=_get(record, "site", str),
         kind=_get(record, "class", str),
         cell=_get(record, "block", int),
@@ -154,12 +156,12 @@
     )
 
 
-def _read_event(record: Any, judge: Judge | None) -> ChangeEvent:
+def _read_event(record: Any, parse_address: AddressParser | None) -> ChangeEvent:
     seq = _get(record, "seq", int)
     try:
         if "fleet" in record:
             fleet = _get(record, "fleet", dict)
-            hosts = tuple(_read_host(host, judge) for host in _get(fleet, "hosts", list))
+            hosts = tuple(_read_host(host, parse_address) for host in _get(fleet, "hosts", list))
             return FleetChange(seq, _get(fleet, "whole", bool), hosts)
         purge = _get(record, "invalidate", dict)
         time_ms = _get(purge, "time", int)
@@ -173,13 +175,15 @@
         return InvalidRecord(seq, str(error))
 
 
-def read_changes(value: Any, judge: Judge | None = None) -> tuple[int, tuple[ChangeEvent, ...]]:
+def read_changes(
+    value: Any, parse_address: AddressParser | None = None
+) -> tuple[int, tuple[ChangeEvent, ...]]:
     """Read a response of the change log, or `known` of the configuration.
 
     Args:
         value: The decoded JSON.
-        judge: Validates addresses, raising ValueError. With it a host may have several addresses, of any form
-            that it accepts; without it one IPv4 address and port.
+        parse_address: Validates addresses, raising ValueError. With it a host may have several addresses, of
+            any form that it accepts; without it one IPv4 address and port.
 
     Returns:
         The last sequence number of the log and the events.
@@ -190,7 +194,7 @@
     if not isinstance(value, dict):
         raise ProtocolError("the changes are not a JSON object")
     last_seq = _get(value, "seq", int)
-    events = tuple(_read_event(record, judge) for record in _get(value, "results", list))
+    events = tuple(_read_event(record, parse_address) for record in _get(value, "results", list))
     if any(a.seq >= b.seq for a, b in zip(events, events[1:], strict=False)):
         raise ProtocolError("the changes' numbers do not rise")
     if events and events[-1].seq > last_seq:
@@ -198,9 +202,11 @@
     return last_seq, events
 
 
-def decode_changes(raw: bytes, judge: Judge | None = None) -> tuple[int, tuple[ChangeEvent, ...]]:
+def decode_changes(
+    raw: bytes, parse_address: AddressParser | None = None
+) -> tuple[int, tuple[ChangeEvent, ...]]:
     """Decode a response of the change log; see `read_changes`."""
     try:
-        return read_changes(json.loads(raw), judge)
+        return read_changes(json.loads(raw), parse_address)
     except (ValueError, RecursionError) as error:
         raise ProtocolError(f"the changes are not JSON: {error}") from None
