--- a/quincepier/__init__.py
+++ b/quincepier/__init__.py
@@ -1,3 +1,3 @@
-"""quincepier, a request router before tiers of caches with one origin."""
+"""quincepier, a request router in front of tiers of caches with one origin."""
 
 __version__ = "0.3.0"
--- a/quincepier/__main__.py
+++ b/quincepier/__main__.py
@@ -1,4 +1,4 @@
-"""quincepier: a request router before tiers of caches with one origin.
+"""quincepier: a request router in front of tiers of caches with one origin.
 
 Usage:
   quincepier serve [--config FILE] [--operator FILE]
--- a/quincepier/config.py
+++ b/quincepier/config.py
@@ -56,7 +56,7 @@
     """A key is missing from the configuration, or its value is invalid; the text names the key."""
 
     code = "QP-SETTINGS"
-    remedy = "correct the key that it names; check-config tells before a start"
+    remedy = "correct the key that it names; check-config checks the file before a start"
 
 
 class _SettingsReader:
--- a/quincepier/operator/reading.py
+++ b/quincepier/operator/reading.py
@@ -29,7 +29,7 @@
     """
 
     code = "QP-OPERATOR"
-    remedy = "correct each line that it names; check-config --operator tells before a start"
+    remedy = "correct each line that it names; check-config --operator checks the file before a start"
 
     def __init__(self, faults: list[str]) -> None:
         more = len(faults) - MAX_REPORTED_FAULTS
@@ -91,14 +91,14 @@
                 line = event.start_mark.line + 1
                 count += 1
                 if any(getattr(event, attribute, None) for attribute in ("anchor", "tag")):
-                    self.add_fault(line, "", "anchors, aliases and tags are not taken")
+                    self.add_fault(line, "", "anchors, aliases and tags are not supported")
                     raise _UnusableValueError
                 if isinstance(event, yaml.CollectionStartEvent):
                     depth += 1
                 elif isinstance(event, yaml.CollectionEndEvent):
                     depth -= 1
                 if depth > MAX_DEPTH or count > MAX_EVENTS:
-                    self.add_fault(line, "", f"nested over {MAX_DEPTH} deep, or over {MAX_EVENTS} parts")
+                    self.add_fault(line, "", f"nested over {MAX_DEPTH} deep, or over {MAX_EVENTS} nodes")
                     raise _UnusableValueError
             self.loader = yaml.CSafeLoader(text)
             return self.loader.get_single_node()
@@ -114,7 +114,7 @@
         if isinstance(node, yaml.ScalarNode) and node.tag == "tag:yaml.org,2002:null":
             return {}
         if not isinstance(node, yaml.MappingNode):
-            self.add_fault(node.start_mark.line + 1, key, "a mapping is wanted")
+            self.add_fault(node.start_mark.line + 1, key, "expected a mapping")
             return None
         value_by_key: dict[str, yaml.Node] = {}
         for name, value in node.value:
@@ -122,7 +122,7 @@
             if not isinstance(name, yaml.ScalarNode) or name.tag != "tag:yaml.org,2002:str":
                 self.add_fault(line, key, f"the key {getattr(name, 'value', '…')!s:.40} is not a text")
             elif name.value in value_by_key:
-                self.add_fault(line, _join_key(key, name.value), "stands there twice")
+                self.add_fault(line, _join_key(key, name.value), "is given twice")
             else:
                 value_by_key[name.value] = value
         return value_by_key
@@ -143,7 +143,7 @@
             }
         elif origin in (tuple, list):
             if not isinstance(node, yaml.SequenceNode):
-                self.add_fault(line, key, "a list is wanted")
+                self.add_fault(line, key, "expected a list")
                 return None
             items = [
                 self.value(n, arguments[0], f"{key}.{index}", made) for index, n in enumerate(node.value)
@@ -153,7 +153,7 @@
             return self.leaf(node, expected, key, made)
         max_length = limits.max_length if limits is not None and len(self.faults) == fault_count else None
         if max_length is not None and len(result) > max_length:
-            self.add_fault(line, key, f"{len(result)} parts, over {max_length}")
+            self.add_fault(line, key, f"{len(result)} items, over {max_length}")
         return result
 
     def leaf(self, node: yaml.Node, expected: Any, key: str, made: Made) -> Any:
@@ -180,7 +180,7 @@
             if name not in fields:
                 known = ", ".join(fields)
                 self.add_fault(
-                    value.start_mark.line + 1, _join_key(key, name), f"no such key; there are {known}"
+                    value.start_mark.line + 1, _join_key(key, name), f"no such key; known keys: {known}"
                 )
             else:
                 field = fields[name]
@@ -231,7 +231,7 @@
         for key, node in (node_by_name or {}).items():
             if key not in SECTIONS:
                 known = ", ".join(SECTIONS)
-                reader.add_fault(node.start_mark.line + 1, key, f"no such section; there are {known}")
+                reader.add_fault(node.start_mark.line + 1, key, f"no such section; known sections: {known}")
                 continue
             kind = section(key)
             found = reader.struct(node, kind, key, getattr(kind, "MADE", {}))
--- a/quincepier/wire/changelog.py
+++ b/quincepier/wire/changelog.py
@@ -98,7 +98,7 @@
     """
     found = ADDRESS.fullmatch(text) if isinstance(text, str) else None
     if not found or not 0 < int(found[2]) < 65536 or any(int(n) > 255 for n in found[1].split(".")):
-        raise ProtocolError(f"{str(text)[:60]!r} is no address of the form 127.0.0.1:5050")
+        raise ProtocolError(f"{str(text)[:60]!r} is not an address of the form 127.0.0.1:5050")
     return found[1], int(found[2])
 
 
@@ -122,7 +122,7 @@
     if isinstance(further, list) and len(further) <= MAX_FURTHER_ADDRESSES:
         listed += further
     else:
-        errors.append(f"dials is no list of at most {MAX_FURTHER_ADDRESSES}")
+        errors.append(f"dials is not a list of at most {MAX_FURTHER_ADDRESSES}")
     valid = []
     for text in listed:
         try:
@@ -131,7 +131,7 @@
         except ValueError as error:
             errors.append(str(error))
     if not valid:
-        raise ProtocolError(f"no address that can be used: {errors[0]}")
+        raise ProtocolError(f"no valid address: {errors[0]}")
     return tuple(valid), tuple(errors)
 
 
@@ -168,7 +168,7 @@
         if "object" in purge:
             name = _get(purge, "object", str)
             if not re.fullmatch(r"[0-9a-fA-F]{1,16}", name):
-                raise ProtocolError(f"object {name[:30]!r} is not of hex digits")
+                raise ProtocolError(f"object {name[:30]!r} is not hexadecimal")
             return PurgeRecord(seq, int(name, 16), 0, time_ms)
         return PurgeRecord(seq, None, _get(purge, "bucket", int), time_ms)
     except ProtocolError as error:
@@ -196,9 +196,9 @@
     last_seq = _get(value, "seq", int)
     events = tuple(_read_event(record, parse_address) for record in _get(value, "results", list))
     if any(a.seq >= b.seq for a, b in zip(events, events[1:], strict=False)):
-        raise ProtocolError("the changes' numbers do not rise")
+        raise ProtocolError("the changes' sequence numbers do not increase")
     if events and events[-1].seq > last_seq:
-        raise ProtocolError("a change's number is past the last one")
+        raise ProtocolError("a change's sequence number exceeds the last one")
     return last_seq, events
 
 
--- a/quincepier/wire/fastcgi.py
+++ b/quincepier/wire/fastcgi.py
@@ -114,7 +114,7 @@
             value_start = at + name_size
             end = value_start + value_size
         if end > size:
-            raise ProtocolError("a parameter runs past its record stream")
+            raise ProtocolError("a parameter exceeds its record stream")
         pairs[text[at:value_start]] = text[value_start:end]
         at, count = end, count + 1
     if len(pairs) != count:
