--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -26,9 +26,9 @@
 
 
 def all_kinds() -> list[Kind]:
-    for found in pkgutil.walk_packages(quincepier.__path__, "quincepier."):
-        if found.name != "quincepier.__main__":
-            importlib.import_module(found.name)
+    for module in pkgutil.walk_packages(quincepier.__path__, "quincepier."):
+        if module.name != "quincepier.__main__":
+            importlib.import_module(module.name)
     ours = {kind for kind in subclasses_of(QuincepierError) if kind.__module__.startswith("quincepier.")}
     return sorted(ours - {PeerInputError}, key=lambda kind: (kind.__module__, kind.__name__))
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -155,10 +155,10 @@
     assert finals(bench.ask(8, waited=SECOND))  # after a long wait it is rejected
 
 
-@pytest.mark.parametrize("wanted", [1, 2])
-def test_an_unsafe_request_that_never_ran_is_retried_whatever_its_target_latency(wanted: int) -> None:
+@pytest.mark.parametrize("deadlines", [1, 2])
+def test_an_unsafe_request_that_never_ran_is_retried_whatever_its_target_latency(deadlines: int) -> None:
     bid = make_class(
-        effect=Idempotency.UNSAFE, never_kept=True, deadline=3 * SECOND, on_time=wanted * 3 * SECOND
+        effect=Idempotency.UNSAFE, never_kept=True, deadline=3 * SECOND, on_time=deadlines * 3 * SECOND
     )
     bench = Bench(make_settings(classes=(bid,)))
     (sent,) = attempts(bench.ask(1))
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -55,8 +55,8 @@
 
 def test_start_view_and_request_send_an_attempt() -> None:
     host = simhost.Host()
-    _, found = read_reply(host.reply(frame(start(), view(entries=FLEET), incoming(8))))
-    assert [code for code, _ in found if code not in (1040, 1080)] == [1090]  # besides timers and log lines
+    _, records = read_reply(host.reply(frame(start(), view(entries=FLEET), incoming(8))))
+    assert [code for code, _ in records if code not in (1040, 1080)] == [1090]  # besides timers and log lines
 
 
 def test_crash_and_start_in_one_batch_begin_anew() -> None:
@@ -93,10 +93,10 @@
         raise ValueError("no such thing")
 
     monkeypatch.setattr(host.routers[3], "handle", fail)
-    found = read_reply(host.reply(frame(incoming(8, 3), incoming(9, 4))))[1]
-    broken = [fields for code, fields in found if code == 1100]
+    records = read_reply(host.reply(frame(incoming(8, 3), incoming(9, 4))))[1]
+    broken = [fields for code, fields in records if code == 1100]
     assert len(broken) == 1 and broken[0][:4] == struct.pack("<I", 3) and b"no such thing" in broken[0]
-    assert any(code == 1090 and fields[:4] == struct.pack("<I", 4) for code, fields in found)
+    assert any(code == 1090 and fields[:4] == struct.pack("<I", 4) for code, fields in records)
 
 
 def test_instances_share_nothing() -> None:
--- a/tests/test_wire_fastcgi.py
+++ b/tests/test_wire_fastcgi.py
@@ -13,24 +13,24 @@
 from tests.fcgikit import ABORT, PARAMS, STDIN, Reader, begin, call, pairs, params, rec
 
 JOB = "9b1f03aa5c7e2d41"
-Found = list[fastcgi.Call | fastcgi.RequestAborted | fastcgi.Reply]
+DecodedItems = list[fastcgi.Call | fastcgi.RequestAborted | fastcgi.Reply]
 
 
-def feed_in_chunks(data: bytes, cuts: list[int]) -> Found:
-    decoder, found, at = fastcgi.Decoder(), Found(), 0
+def feed_in_chunks(data: bytes, cuts: list[int]) -> DecodedItems:
+    decoder, items, at = fastcgi.Decoder(), DecodedItems(), 0
     for cut in [*sorted(cuts), len(data)]:
-        found += decoder.feed(data[at:cut])
+        items += decoder.feed(data[at:cut])
         at = cut
     assert not decoder.buffer
-    return found
+    return items
 
 
 def test_request_is_the_same_at_every_cut() -> None:
     data = call(1, params(JOB), b"a\r\nb" * 9, padding=7)
-    whole = feed_in_chunks(data, [])
-    assert whole == [fastcgi.Call(1, params(JOB), b"a\r\nb" * 9, True)]
+    complete = feed_in_chunks(data, [])
+    assert complete == [fastcgi.Call(1, params(JOB), b"a\r\nb" * 9, True)]
     for cut in range(len(data)):
-        assert feed_in_chunks(data, [cut]) == whole
+        assert feed_in_chunks(data, [cut]) == complete
 
 
 @given(st.data())
@@ -48,9 +48,9 @@
         stream += queue.pop(0)
         queues = [q for q in queues if q]
     cuts = data.draw(st.lists(st.integers(0, len(stream)), max_size=12))
-    found = feed_in_chunks(stream, cuts)
-    assert {c.id: c.body for c in found if isinstance(c, fastcgi.Call)} == bodies
-    assert all(isinstance(c, fastcgi.Call) and c.params == params(JOB) and not c.error for c in found)
+    items = feed_in_chunks(stream, cuts)
+    assert {c.id: c.body for c in items if isinstance(c, fastcgi.Call)} == bodies
+    assert all(isinstance(c, fastcgi.Call) and c.params == params(JOB) and not c.error for c in items)
 
 
 def test_params_cut_over_records_and_long_lengths() -> None:
@@ -60,8 +60,8 @@
         data = (
             begin(3) + rec(PARAMS, 3, raw[:cut]) + rec(PARAMS, 3, raw[cut:]) + rec(PARAMS, 3) + rec(STDIN, 3)
         )
-        (found,) = fastcgi.Decoder().feed(data)
-        assert isinstance(found, fastcgi.Call) and found.params == values
+        (item,) = fastcgi.Decoder().feed(data)
+        assert isinstance(item, fastcgi.Call) and item.params == values
 
 
 @given(st.dictionaries(st.text(st.characters(max_codepoint=255), max_size=200), st.text("ab", max_size=200)))
@@ -84,8 +84,8 @@
     decoder = fastcgi.Decoder()
     for n in range(1, 33):
         decoder.feed(call(n, params(JOB)))
-    (found,) = decoder.feed(begin(33))
-    assert found == fastcgi.Reply(fastcgi.end(33, fastcgi.OVERLOADED), False)
+    (item,) = decoder.feed(begin(33))
+    assert item == fastcgi.Reply(fastcgi.end(33, fastcgi.OVERLOADED), False)
     decoder.on_answered(5)
     assert decoder.feed(begin(34)) == []
 
@@ -129,8 +129,8 @@
 @pytest.mark.parametrize("broken", [begin(1), b"\x02" + begin(1)[1:], rec(1, 1, b"abc"), rec(9, 0, b"\x05")])
 def test_requests_before_a_broken_record_are_returned_and_none_after_it(broken: bytes) -> None:
     decoder = fastcgi.Decoder()
-    (whole,) = decoder.feed(call(1, params(JOB)) + broken + call(2, params(JOB)))
-    assert isinstance(whole, fastcgi.Call) and whole.id == 1
+    (complete,) = decoder.feed(call(1, params(JOB)) + broken + call(2, params(JOB)))
+    assert isinstance(complete, fastcgi.Call) and complete.id == 1
     assert decoder.error is not None and decoder.buffered_bytes == 0
     with pytest.raises(ProtocolError):
         decoder.feed(call(2, params(JOB)))
@@ -147,8 +147,8 @@
 )
 def test_unusable_requests_are_returned_with_an_error(raw: bytes, body: bytes, word: str) -> None:
     data = begin(1) + rec(PARAMS, 1, raw) + rec(PARAMS, 1) + rec(STDIN, 1, body) * bool(body) + rec(STDIN, 1)
-    (found,) = fastcgi.Decoder().feed(data)
-    assert isinstance(found, fastcgi.Call) and word in found.error and found.params == {}
+    (item,) = fastcgi.Decoder().feed(data)
+    assert isinstance(item, fastcgi.Call) and word in item.error and item.params == {}
 
 
 @given(st.lists(st.binary(max_size=300), max_size=20))
@@ -168,13 +168,19 @@
     decoder.feed(begin(1))
     decoder.feed(rec(PARAMS, 1, b"x" * 16_000))
     assert 16_000 <= decoder.buffered_bytes <= 16_100 and decoder.oldest_partial is not None
-    (fault,) = decoder.feed(rec(PARAMS, 1, b"x" * 60_000)[:8])  # its header alone shows that it is too large
-    assert isinstance(fault, fastcgi.Call) and "parameters over" in fault.error and not fault.keep_connection
+    (rejected,) = decoder.feed(
+        rec(PARAMS, 1, b"x" * 60_000)[:8]
+    )  # its header alone shows that it is too large
+    assert (
+        isinstance(rejected, fastcgi.Call)
+        and "parameters over" in rejected.error
+        and not rejected.keep_connection
+    )
     for _ in range(50):
         assert not decoder.feed(b"x" * 1200) and decoder.buffered_bytes == 0
     decoder.feed(begin(2) + rec(PARAMS, 2))
-    found = [item for _ in range(50) for item in decoder.feed(rec(STDIN, 2, b"x" * 30_000))]
-    assert len(found) == 1 and "a body over" in found[0].error and decoder.buffered_bytes == 0  # type: ignore[union-attr]
+    items = [item for _ in range(50) for item in decoder.feed(rec(STDIN, 2, b"x" * 30_000))]
+    assert len(items) == 1 and "a body over" in items[0].error and decoder.buffered_bytes == 0  # type: ignore[union-attr]
 
 
 def test_too_many_records_of_no_request_end_the_connection() -> None:
--- a/tests/test_wire_lines.py
+++ b/tests/test_wire_lines.py
@@ -23,8 +23,8 @@
 
 
 def read(data: bytes, cuts: list[int]) -> list[tuple[lines.ResponseHead, bytes]]:
-    decoder, found, at = lines.Decoder(), list[tuple[lines.ResponseHead, bytes]](), 0
-    head, body, whole = None, b"", 0
+    decoder, responses, at = lines.Decoder(), list[tuple[lines.ResponseHead, bytes]](), 0
+    head, body, complete_count = None, b"", 0
     for cut in [*sorted(cuts), len(data)]:
         for item in decoder.feed(memoryview(data)[at:cut]):
             if isinstance(item, lines.ResponseHead):
@@ -33,17 +33,17 @@
                 body += bytes(item.data)
             else:
                 assert head is not None
-                found.append((head, body))
-                whole += 1
+                responses.append((head, body))
+                complete_count += 1
         at = cut
-    assert decoder.is_between_responses and whole == len(found)
-    return found
+    assert decoder.is_between_responses and complete_count == len(responses)
+    return responses
 
 
 def test_responses_are_the_same_at_every_cut() -> None:
-    whole = read(STREAM, [])
-    assert [body for _, body in whole] == [body for _, body in RESPONSES]
-    first = whole[0][0]
+    complete = read(STREAM, [])
+    assert [body for _, body in complete] == [body for _, body in RESPONSES]
+    first = complete[0][0]
     assert (first.id, first.word, first.length) == ("9b1f03aa5c7e2d41", "data", 11)
     assert first.fields == {
         "tag": "4be0c1927d55a6f3",
@@ -51,10 +51,10 @@
         "how": "pulled",
         "lag": "34",
     }
-    assert whole[4][0].fields == {}
+    assert complete[4][0].fields == {}
     for cut in range(len(STREAM)):
-        assert read(STREAM, [cut]) == whole
-    assert read(STREAM, list(range(len(STREAM)))) == whole
+        assert read(STREAM, [cut]) == complete
+    assert read(STREAM, list(range(len(STREAM)))) == complete
 
 
 @given(st.lists(st.binary(max_size=400), max_size=6), st.lists(st.integers(0, 3000), max_size=10))
--- a/tests/wirekit.py
+++ b/tests/wirekit.py
@@ -82,10 +82,10 @@
 def read_reply(data: bytes) -> tuple[int, list[tuple[int, bytes]]]:
     count, size, batch = struct.unpack_from("<III", data)
     assert size == len(data)
-    at, found = 12, []
-    while at < size:
-        code, length = struct.unpack_from("<HI", data, at)
-        found.append((code, data[at + 6 : at + 6 + length]))
-        at += 6 + length
-    assert len(found) == count
-    return batch, found
+    offset, records = 12, []
+    while offset < size:
+        code, length = struct.unpack_from("<HI", data, offset)
+        records.append((code, data[offset + 6 : offset + 6 + length]))
+        offset += 6 + length
+    assert len(records) == count
+    return batch, records
