--- a/quincepier/net/reading.py
+++ b/quincepier/net/reading.py
@@ -125,9 +125,9 @@
         # behind a fault it is read on only to hear of a close
         for item in decoder.feed(manager.scratch[:size]) if decoder.error is None else ():
             match item:
-                case fastcgi.Call() | fastcgi.Reply() if read_closed:
+                case fastcgi.FastCgiRequest() | fastcgi.Reply() if read_closed:
                     pass  # only aborts are listened to
-                case fastcgi.Call():
+                case fastcgi.FastCgiRequest():
                     self._call(session, item, at, earliest)
                 case fastcgi.RequestAborted(stream):
                     self._abort(session, stream)
@@ -176,7 +176,7 @@
         else:
             self.close(linger=self.asked)  # what it was answered may not have reached it yet
 
-    def _call(self, session: Session, call: fastcgi.Call, at: int, earliest: int) -> None:
+    def _call(self, session: Session, call: fastcgi.FastCgiRequest, at: int, earliest: int) -> None:
         manager = self.manager
         session.keep[call.id] = call.keep_connection
         self.asked = True
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -14,7 +14,7 @@
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.memory.open_requests import OpenAttempt, OpenRequest, ResponseReceiver
 from quincepier.wire.changelog import PurgeRecord
-from quincepier.wire.fastcgi import Call
+from quincepier.wire.fastcgi import FastCgiRequest
 from quincepier.wire.lines import ResponseHead
 
 PATH = "/call/"  # followed by the class name
@@ -93,7 +93,7 @@
 
 
 def open_request(
-    call: Call,
+    fastcgi_request: FastCgiRequest,
     classes: Mapping[str, tuple[int, int]],
     receiver: ResponseReceiver,
     received_at: int,
@@ -102,7 +102,7 @@
     """Return the open request for a FastCGI request.
 
     Args:
-        call: The FastCGI request.
+        fastcgi_request: The FastCGI request.
         classes: Index and deadline of each class, by name.
         receiver: Where the response goes.
         received_at: When the request was read, ns.
@@ -111,9 +111,9 @@
     Raises:
         BadRequestError: The request is not well-formed.
     """
-    if call.error:
-        raise BadRequestError(413 if "body" in call.error else 400, call.error)
-    params, get = call.params, call.params.get
+    if fastcgi_request.error:
+        raise BadRequestError(413 if "body" in fastcgi_request.error else 400, fastcgi_request.error)
+    params, get = fastcgi_request.params, fastcgi_request.params.get
     path = get("SCRIPT_NAME", "") + get("PATH_INFO", "")
     name = path.removeprefix(PATH)
     if not name.isascii():  # parameters are decoded as Latin-1, class names are UTF-8
@@ -121,8 +121,8 @@
     if not path.startswith(PATH) or name not in classes:
         raise BadRequestError(404, "the path names no class")
     class_index, deadline = classes[name]
-    length = get("CONTENT_LENGTH") or str(len(call.body))
-    if not INTEGER.fullmatch(length) or int(length) != len(call.body):
+    length = get("CONTENT_LENGTH") or str(len(fastcgi_request.body))
+    if not INTEGER.fullmatch(length) or int(length) != len(fastcgi_request.body):
         raise BadRequestError(400, "CONTENT_LENGTH is not the length of the body")
     values = [get(field, "") for field, _ in FIELDS]
     if not ALL_FIELDS.fullmatch("\n".join(values)):
@@ -130,7 +130,7 @@
     job_id, item, part, group, allowed_ms, again, known_version, idempotency_key = values
     return OpenRequest(
         receiver=receiver,
-        stream_id=call.id,
+        stream_id=fastcgi_request.id,
         job_id=job_id,
         class_index=class_index,
         class_name=name,
@@ -145,7 +145,7 @@
         )
         * clock.MS,
         received_at_ns=received_at,
-        body=call.body,
+        body=fastcgi_request.body,
         idempotency_key=idempotency_key,
         earliest_arrival_ns=earliest,
     )
--- a/quincepier/wire/fastcgi.py
+++ b/quincepier/wire/fastcgi.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class FastCgiRequest:
     """A completely received request.
 
     Attributes:
@@ -182,7 +182,7 @@
             return next(iter(self.partial_requests.values()))
         return self.record_count + 1 if self.buffer or self.bytes_to_skip else None
 
-    def feed(self, data: bytes | bytearray | memoryview) -> list[Call | RequestAborted | Reply]:
+    def feed(self, data: bytes | bytearray | memoryview) -> list[FastCgiRequest | RequestAborted | Reply]:
         """Decode received data, split in any way, and return what is complete.
 
         Raises:
@@ -191,7 +191,7 @@
         """
         if self.error is not None:
             raise self.error
-        found = list[Call | RequestAborted | Reply]()
+        found = list[FastCgiRequest | RequestAborted | Reply]()
         try:
             self._feed(data, found)
         except ProtocolError as error:
@@ -206,7 +206,9 @@
         self.buffer.clear()
         self.partial_requests.clear()
 
-    def _feed(self, data: bytes | bytearray | memoryview, found: list[Call | RequestAborted | Reply]) -> None:
+    def _feed(
+        self, data: bytes | bytearray | memoryview, found: list[FastCgiRequest | RequestAborted | Reply]
+    ) -> None:
         buffer, at = self.buffer, 0
         buffer += data
         while True:
@@ -228,16 +230,18 @@
             self.record_count, at = self.record_count + 1, start + size + padding
         del buffer[:at]
 
-    def _check_header(self, kind: int, request: int, size: int) -> list[Call | RequestAborted | Reply] | None:
+    def _check_header(
+        self, kind: int, request: int, size: int
+    ) -> list[FastCgiRequest | RequestAborted | Reply] | None:
         """Return the result of a record that is discarded because of its header; None: it is buffered."""
         if request == 0 or kind in (BEGIN, ABORT):
             raise ProtocolError(f"a record of kind {kind} of {size} bytes")
-        call = self.partial_requests.get(request)
-        if call is None or kind not in (PARAMS, STDIN):
+        partial = self.partial_requests.get(request)
+        if partial is None or kind not in (PARAMS, STDIN):
             return self._count_stray()
-        return self._reject_too_large(request, call, kind, size) or None
+        return self._reject_too_large(request, partial, kind, size) or None
 
-    def _count_stray(self) -> list[Call | RequestAborted | Reply]:
+    def _count_stray(self) -> list[FastCgiRequest | RequestAborted | Reply]:
         """Ignore a record of no open request, as the specification demands, up to a limit in a row."""
         self.stray_count += 1
         if self.stray_count > MAX_STRAY_RECORDS:
@@ -245,24 +249,26 @@
         return []
 
     def _reject_too_large(
-        self, request: int, call: _PartialRequest, kind: int, size: int
-    ) -> list[Call | RequestAborted | Reply]:
+        self, request: int, partial: _PartialRequest, kind: int, size: int
+    ) -> list[FastCgiRequest | RequestAborted | Reply]:
         """Return a request with an error if `size` more bytes make it too large, else nothing.
 
         The rest of the request is not waited for, as it may never arrive; the connection is closed after the
         response.
         """
-        if kind == PARAMS and len(call.params) + size > MAX_PARAMS:
+        if kind == PARAMS and len(partial.params) + size > MAX_PARAMS:
             error = f"parameters over {MAX_PARAMS} bytes"
-        elif kind == STDIN and len(call.body) + size > MAX_BODY:
+        elif kind == STDIN and len(partial.body) + size > MAX_BODY:
             error = f"a body over {MAX_BODY} bytes"
         else:
             return []
         del self.partial_requests[request]
         self.unanswered_ids.add(request)
-        return [Call(request, {}, b"", False, error)]
+        return [FastCgiRequest(request, {}, b"", False, error)]
 
-    def _handle_record(self, kind: int, request: int, content: bytes) -> list[Call | RequestAborted | Reply]:
+    def _handle_record(
+        self, kind: int, request: int, content: bytes
+    ) -> list[FastCgiRequest | RequestAborted | Reply]:
         if request == 0:
             self._count_stray()
             return [self._answer_management(kind, content)]
@@ -272,42 +278,44 @@
             is_open = self.partial_requests.pop(request, None) is not None or request in self.unanswered_ids
             self.unanswered_ids.discard(request)
             return [RequestAborted(request)] if is_open else self._count_stray()
-        call = self.partial_requests.get(request)
-        if call is None or kind not in (PARAMS, STDIN):
+        partial = self.partial_requests.get(request)
+        if partial is None or kind not in (PARAMS, STDIN):
             return self._count_stray()
         self.stray_count = 0
-        if content and (rejected := self._reject_too_large(request, call, kind, len(content))):
+        if content and (rejected := self._reject_too_large(request, partial, kind, len(content))):
             return rejected
         if kind == PARAMS:
-            return self._add_params(call, content)
-        if not call.params_ended:
+            return self._add_params(partial, content)
+        if not partial.params_ended:
             raise ProtocolError("STDIN before the end of PARAMS")
         if not content:
             del self.partial_requests[request]
             self.unanswered_ids.add(request)
-            return [self._complete(request, call)]
-        call.body += content
+            return [self._complete(request, partial)]
+        partial.body += content
         return []
 
-    def _add_params(self, call: _PartialRequest, content: bytes) -> list[Call | RequestAborted | Reply]:
-        if call.params_ended:
+    def _add_params(
+        self, partial: _PartialRequest, content: bytes
+    ) -> list[FastCgiRequest | RequestAborted | Reply]:
+        if partial.params_ended:
             raise ProtocolError("PARAMS after their end")
         if not content:
-            call.params_ended = True
+            partial.params_ended = True
         else:
-            call.params += content
+            partial.params += content
         return []
 
-    def _complete(self, request: int, call: _PartialRequest) -> Call:
+    def _complete(self, request: int, partial: _PartialRequest) -> FastCgiRequest:
         params: dict[str, str] = {}
         reason = ""
         try:
-            params = read_pairs(call.params)
+            params = read_pairs(partial.params)
         except ProtocolError as error:
             reason = str(error)
-        return Call(request, params, bytes(call.body), call.keep_connection, reason)
+        return FastCgiRequest(request, params, bytes(partial.body), partial.keep_connection, reason)
 
-    def _begin_request(self, request: int, content: bytes) -> list[Call | RequestAborted | Reply]:
+    def _begin_request(self, request: int, content: bytes) -> list[FastCgiRequest | RequestAborted | Reply]:
         if len(content) != BEGIN_BODY.size:
             raise ProtocolError(f"BEGIN_REQUEST of {len(content)} bytes")
         if request in self.partial_requests or request in self.unanswered_ids:
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -188,7 +188,7 @@
     "crashed": simwire.Crashed,
     "settings": io.Settings,
     "class": io.RequestClass,
-    "call": fastcgi.Call,
+    "call": fastcgi.FastCgiRequest,
     "aborted": fastcgi.RequestAborted,
     "reply": fastcgi.Reply,
     "head": lines.ResponseHead,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -99,7 +99,7 @@
 def restart_takes_on() -> None:
     plain = Reading._call
 
-    def call(self: Reading, session: Session, call: fastcgi.Call, at: int, earliest: int) -> None:
+    def call(self: Reading, session: Session, call: fastcgi.FastCgiRequest, at: int, earliest: int) -> None:
         self.manager.refusing = False
         plain(self, session, call, at, earliest)
 
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -18,7 +18,7 @@
 from quincepier.memory.machine_directory import MachineDirectory
 from quincepier.recovery import fronts_that_ask
 from quincepier.translate import make_class_table, make_serve_fields, open_request
-from quincepier.wire.fastcgi import Call
+from quincepier.wire.fastcgi import FastCgiRequest
 from quincepier.wire.lines import serve
 from tests.frontkit import SETTINGS, Inbox, raw_config
 from tests.rig import CACHES, MS, SECOND, Bench, attempts, finals, fleet, machine, make_class, make_settings
@@ -195,7 +195,7 @@
         "SCRIPT_NAME": f"/call/{name}".encode().decode("latin-1"), "HTTP_X_JOB_ID": "9b1f03aa5c7e2d41",
         "HTTP_X_ITEM": "7f3a9c21e0b4d655", "HTTP_X_N": "0", "HTTP_X_SHARD": "17", "HTTP_X_ALLOW_MS": "900",
     }  # fmt: skip
-    request = open_request(Call(1, params, b"", True), make_class_table(config), Inbox(), 0)
+    request = open_request(FastCgiRequest(1, params, b"", True), make_class_table(config), Inbox(), 0)
     assert request.class_index == 1
     return serve(
         request.job_id,
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -32,7 +32,7 @@
     read_wait_time,
 )
 from quincepier.wire.changelog import FleetChange, PurgeRecord
-from quincepier.wire.fastcgi import Call
+from quincepier.wire.fastcgi import FastCgiRequest
 from quincepier.wire.lines import read_line
 from tests import frontkit, wirekit
 from tests.fcgikit import params
@@ -42,8 +42,8 @@
 CLASSES = make_class_table(make_config())
 
 
-def call(body: bytes = b"", cls: str = "lot-image", **changes: Any) -> Call:
-    return Call(4, params(JOB, cls, **changes), body, True)
+def call(body: bytes = b"", cls: str = "lot-image", **changes: Any) -> FastCgiRequest:
+    return FastCgiRequest(4, params(JOB, cls, **changes), body, True)
 
 
 @pytest.mark.parametrize("key", ["bf4477839c81fe24f451edb2cdbb622a", "A-z_9", "k" * 64])
--- a/tests/test_wire_fastcgi.py
+++ b/tests/test_wire_fastcgi.py
@@ -13,7 +13,7 @@
 from tests.fcgikit import ABORT, PARAMS, STDIN, Reader, begin, call, pairs, params, rec
 
 JOB = "9b1f03aa5c7e2d41"
-DecodedItems = list[fastcgi.Call | fastcgi.RequestAborted | fastcgi.Reply]
+DecodedItems = list[fastcgi.FastCgiRequest | fastcgi.RequestAborted | fastcgi.Reply]
 
 
 def feed_in_chunks(data: bytes, cuts: list[int]) -> DecodedItems:
@@ -28,7 +28,7 @@
 def test_request_is_the_same_at_every_cut() -> None:
     data = call(1, params(JOB), b"a\r\nb" * 9, padding=7)
     complete = feed_in_chunks(data, [])
-    assert complete == [fastcgi.Call(1, params(JOB), b"a\r\nb" * 9, True)]
+    assert complete == [fastcgi.FastCgiRequest(1, params(JOB), b"a\r\nb" * 9, True)]
     for cut in range(len(data)):
         assert feed_in_chunks(data, [cut]) == complete
 
@@ -49,8 +49,10 @@
         queues = [q for q in queues if q]
     cuts = data.draw(st.lists(st.integers(0, len(stream)), max_size=12))
     items = feed_in_chunks(stream, cuts)
-    assert {c.id: c.body for c in items if isinstance(c, fastcgi.Call)} == bodies
-    assert all(isinstance(c, fastcgi.Call) and c.params == params(JOB) and not c.error for c in items)
+    assert {c.id: c.body for c in items if isinstance(c, fastcgi.FastCgiRequest)} == bodies
+    assert all(
+        isinstance(c, fastcgi.FastCgiRequest) and c.params == params(JOB) and not c.error for c in items
+    )
 
 
 def test_params_cut_over_records_and_long_lengths() -> None:
@@ -61,7 +63,7 @@
             begin(3) + rec(PARAMS, 3, raw[:cut]) + rec(PARAMS, 3, raw[cut:]) + rec(PARAMS, 3) + rec(STDIN, 3)
         )
         (item,) = fastcgi.Decoder().feed(data)
-        assert isinstance(item, fastcgi.Call) and item.params == values
+        assert isinstance(item, fastcgi.FastCgiRequest) and item.params == values
 
 
 @given(st.dictionaries(st.text(st.characters(max_codepoint=255), max_size=200), st.text("ab", max_size=200)))
@@ -130,7 +132,7 @@
 def test_requests_before_a_broken_record_are_returned_and_none_after_it(broken: bytes) -> None:
     decoder = fastcgi.Decoder()
     (complete,) = decoder.feed(call(1, params(JOB)) + broken + call(2, params(JOB)))
-    assert isinstance(complete, fastcgi.Call) and complete.id == 1
+    assert isinstance(complete, fastcgi.FastCgiRequest) and complete.id == 1
     assert decoder.error is not None and decoder.buffered_bytes == 0
     with pytest.raises(ProtocolError):
         decoder.feed(call(2, params(JOB)))
@@ -148,7 +150,7 @@
 def test_unusable_requests_are_returned_with_an_error(raw: bytes, body: bytes, word: str) -> None:
     data = begin(1) + rec(PARAMS, 1, raw) + rec(PARAMS, 1) + rec(STDIN, 1, body) * bool(body) + rec(STDIN, 1)
     (item,) = fastcgi.Decoder().feed(data)
-    assert isinstance(item, fastcgi.Call) and word in item.error and item.params == {}
+    assert isinstance(item, fastcgi.FastCgiRequest) and word in item.error and item.params == {}
 
 
 @given(st.lists(st.binary(max_size=300), max_size=20))
@@ -172,7 +174,7 @@
         rec(PARAMS, 1, b"x" * 60_000)[:8]
     )  # its header alone shows that it is too large
     assert (
-        isinstance(rejected, fastcgi.Call)
+        isinstance(rejected, fastcgi.FastCgiRequest)
         and "parameters over" in rejected.error
         and not rejected.keep_connection
     )
