--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -41,7 +41,7 @@
     lacks = [
         f"{path}: {name}: needs the section {other}: add it, or take {name} out"
         for name, other in NEEDS.items()
-        if file.named(name) is not None and file.named(other) is None
+        if file.get_by_name(name) is not None and file.get_by_name(other) is None
     ]
     if lacks:
         raise OperatorError(lacks)
@@ -63,7 +63,7 @@
     @property
     def judge(self) -> AddressParser | None:
         """Of the addresses in change-log records, where machines may have several."""
-        if self.file.named("addresses") is None:
+        if self.file.get_by_name("addresses") is None:
             return None
         from quincepier.addresses import parse
 
@@ -74,7 +74,7 @@
         return f"operators' file is good: {', '.join(self.file.names) or 'no sections'}"
 
     def _addresses(self, file: OperatorFile) -> AddressesSection | None:
-        if file.named("addresses") is None:
+        if file.get_by_name("addresses") is None:
             return None
         from quincepier.addresses.section import AddressesSection
 
@@ -91,7 +91,7 @@
 
     def keeper(self, module: ModuleActor) -> StatePersistence | None:
         """Who keeps what was learned over starts."""
-        if self.file.named("state") is None:
+        if self.file.get_by_name("state") is None:
             return None
         from quincepier.net.state_persistence import StatePersistence
         from quincepier.state.section import StateSection
@@ -101,7 +101,7 @@
 
     def peers(self, module: ModuleActor) -> PeerNetwork | None:
         """This front among the others; PeersError where the section has no place for it."""
-        if self.file.named("members") is None:
+        if self.file.get_by_name("members") is None:
             return None
         from quincepier.membership.section import MembersSection
         from quincepier.net.peers import PeerNetwork
@@ -116,7 +116,7 @@
 
     def fleet(self, module: ModuleActor, peers: PeerNetwork | None) -> AgreementNode | None:
         """What this front settles with the others."""
-        if peers is None or self.file.named("agreement") is None:
+        if peers is None or self.file.get_by_name("agreement") is None:
             return None
         from quincepier.net.fleet.active_rules import ActiveRules
         from quincepier.net.fleet.node import AgreementNode
@@ -128,7 +128,7 @@
         return AgreementNode(module, peers, section, ActiveRules(module, self.file), self._compared())
 
     def _compared(self) -> ConsistencySection | None:
-        if self.file.named("consistency") is None:
+        if self.file.get_by_name("consistency") is None:
             return None
         from quincepier.consistency.section import ConsistencySection
 
@@ -142,7 +142,7 @@
     @property
     def places(self) -> Places | None:
         """Whose clients' connections are whose, and how many each may have."""
-        if self.file.named("clients") is None:
+        if self.file.get_by_name("clients") is None:
             return None
         from quincepier.clients.section import ClientsSection, Places
 
@@ -158,8 +158,8 @@
     ) -> tuple[list[str], list[str]]:
         """Put a file in force that was read anew: the sections that changed, and those left for a start."""
         names = dict.fromkeys((*self.file.names, *file.names))
-        differ = [name for name in names if file.named(name) != self.file.named(name)]
-        once = [name for name in differ if None in (file.named(name), self.file.named(name))]
+        differ = [name for name in names if file.get_by_name(name) != self.file.get_by_name(name)]
+        once = [name for name in differ if None in (file.get_by_name(name), self.file.get_by_name(name))]
         later = [n for n in differ if n in ONLY_AT_A_START or (n in once and n in AT_A_START)]
         self.file = file
         if "log" in differ:
--- a/quincepier/net/fleet/active_rules.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -63,7 +63,7 @@
     def load(self, file: OperatorFile) -> None:
         """Put a file in force."""
         section = MaintenanceSection()
-        if file.named("maintenance") is not None:
+        if file.get_by_name("maintenance") is not None:
             section = file.get(MaintenanceSection) or section
         self.requested_hosts = requested_hosts(section)
         self.decommissioned_fronts = frozenset(section.decommissioned_fronts)
@@ -73,7 +73,7 @@
         self.tenants = None
         self.grace_period_ns = DEFAULT_GRACE_PERIOD_NS
         self.file_count += 1
-        if file.named("tenants") is not None:
+        if file.get_by_name("tenants") is not None:
             self._load_tenants(file)
 
     def _plan_maintenance(
--- a/quincepier/operator/reading.py
+++ b/quincepier/operator/reading.py
@@ -12,13 +12,13 @@
 import yaml
 
 from quincepier.config import SettingsError
-from quincepier.operator.schema import SECTIONS, section
+from quincepier.operator.schema import SECTIONS, load_section
 
 MAX_FILE_BYTES = 4 * 1024 * 1024
 MAX_DEPTH, MAX_EVENTS = 16, 400_000  # nesting of the document, and its YAML events
 MAX_REPORTED_FAULTS = 50  # further ones are only counted
 S = TypeVar("S", bound=msgspec.Struct)
-Made = Mapping[Any, Callable[[Any], Any]]  # by type: makes it from a plain value; see `schema`
+ConverterByType = Mapping[Any, Callable[[Any], Any]]  # makes each type from a plain value; see `schema`
 
 
 class OperatorError(SettingsError):
@@ -52,7 +52,7 @@
         found = self.sections.get(kind)
         return found if isinstance(found, kind) else None
 
-    def named(self, name: str) -> msgspec.Struct | None:
+    def get_by_name(self, name: str) -> msgspec.Struct | None:
         """Return the section of a name; None, without importing its package, if the file does not have it."""
         kinds = {f"{kind.__module__}:{kind.__name__}": kind for kind in self.sections}
         return self.sections[kinds[SECTIONS[name]]] if SECTIONS[name] in kinds else None
@@ -60,7 +60,7 @@
     @property
     def names(self) -> list[str]:
         """Names of the sections that the file has."""
-        return [name for name in SECTIONS if self.named(name) is not None]
+        return [name for name in SECTIONS if self.get_by_name(name) is not None]
 
 
 class _UnusableValueError(Exception):
@@ -120,25 +120,25 @@
         for name, value in node.value:
             line = name.start_mark.line + 1
             if not isinstance(name, yaml.ScalarNode) or name.tag != "tag:yaml.org,2002:str":
-                self.add_fault(line, key, f"the key {getattr(name, 'value', '…')!s:.40} is not a text")
+                self.add_fault(line, key, f"the key {getattr(name, 'value', '…')!s:.40} is not a string")
             elif name.value in value_by_key:
                 self.add_fault(line, _join_key(key, name.value), "is given twice")
             else:
                 value_by_key[name.value] = value
         return value_by_key
 
-    def value(self, node: yaml.Node, expected: Any, key: str, made: Made) -> Any:
+    def value(self, node: yaml.Node, expected: Any, key: str, converter_by_type: ConverterByType) -> Any:
         """Return a node's value converted to the expected type; None if it is invalid."""
         line, fault_count = node.start_mark.line + 1, len(self.faults)
         inner, limits = _strip_annotations(expected)
         origin, arguments = get_origin(inner), get_args(inner)
         result: Any
         if isinstance(inner, type) and issubclass(inner, msgspec.Struct):
-            result = self.struct(node, inner, key, made)
+            result = self.struct(node, inner, key, converter_by_type)
         elif origin is dict:
             value_by_key = self.mapping(node, key)
             result = {
-                name: self.value(value, arguments[1], _join_key(key, name), made)
+                name: self.value(value, arguments[1], _join_key(key, name), converter_by_type)
                 for name, value in (value_by_key or {}).items()
             }
         elif origin in (tuple, list):
@@ -146,29 +146,36 @@
                 self.add_fault(line, key, "expected a list")
                 return None
             items = [
-                self.value(n, arguments[0], f"{key}.{index}", made) for index, n in enumerate(node.value)
+                self.value(n, arguments[0], f"{key}.{index}", converter_by_type)
+                for index, n in enumerate(node.value)
             ]
             result = origin(items)
         else:
-            return self.leaf(node, expected, key, made)
+            return self.leaf(node, expected, key, converter_by_type)
         max_length = limits.max_length if limits is not None and len(self.faults) == fault_count else None
         if max_length is not None and len(result) > max_length:
             self.add_fault(line, key, f"{len(result)} items, over {max_length}")
         return result
 
-    def leaf(self, node: yaml.Node, expected: Any, key: str, made: Made) -> Any:
+    def leaf(self, node: yaml.Node, expected: Any, key: str, converter_by_type: ConverterByType) -> Any:
         """Return a scalar node's value converted to the expected type; None if it is invalid."""
         line = node.start_mark.line + 1
         try:
             value = self.loader.construct_object(node, deep=True)  # type: ignore[no-untyped-call]
-            return made[expected](value) if expected in made else msgspec.convert(value, expected)
+            return (
+                converter_by_type[expected](value)
+                if expected in converter_by_type
+                else msgspec.convert(value, expected)
+            )
         except msgspec.ValidationError as error:
             self.add_fault(line, key, str(error))
         except (yaml.YAMLError, ValueError, TypeError, OverflowError) as error:
             self.add_fault(line, key, str(error).splitlines()[0] if str(error) else repr(error))
         return None
 
-    def struct(self, node: yaml.Node, struct_type: type[S], key: str, made: Made) -> S | None:
+    def struct(
+        self, node: yaml.Node, struct_type: type[S], key: str, converter_by_type: ConverterByType
+    ) -> S | None:
         """Return a mapping node as a struct; None if it is invalid."""
         fault_count, value_by_key = len(self.faults), self.mapping(node, key)
         if value_by_key is None:
@@ -184,7 +191,9 @@
                 )
             else:
                 field = fields[name]
-                arguments[field.name] = self.value(value, hints[field.name], _join_key(key, name), made)
+                arguments[field.name] = self.value(
+                    value, hints[field.name], _join_key(key, name), converter_by_type
+                )
         for name, field in fields.items():
             if field.required and name not in value_by_key:
                 self.add_fault(node.start_mark.line + 1, _join_key(key, name), "is missing")
@@ -233,10 +242,10 @@
                 known = ", ".join(SECTIONS)
                 reader.add_fault(node.start_mark.line + 1, key, f"no such section; known sections: {known}")
                 continue
-            kind = section(key)
-            found = reader.struct(node, kind, key, getattr(kind, "MADE", {}))
-            if found is not None:
-                sections[kind] = found
+            struct_type = load_section(key)
+            struct = reader.struct(node, struct_type, key, getattr(struct_type, "MADE", {}))
+            if struct is not None:
+                sections[struct_type] = struct
     except _UnusableValueError:
         pass
     if reader.faults:
@@ -244,20 +253,20 @@
     return OperatorFile(sections)
 
 
-def read_struct(text: str, name: str, kind: type[S]) -> S:
+def read_struct(text: str, name: str, struct_type: type[S]) -> S:
     """Return a file that consists of one struct; otherwise as `read`."""
-    reader, found = _Reader(name), None
+    reader, struct = _Reader(name), None
     try:
         root = reader.parse(text)
         if root is None:
             reader.add_fault(1, "", "the file is empty")
         else:
-            found = reader.struct(root, kind, "", getattr(kind, "MADE", {}))
+            struct = reader.struct(root, struct_type, "", getattr(struct_type, "MADE", {}))
     except _UnusableValueError:
         pass
-    if found is None or reader.faults:
+    if struct is None or reader.faults:
         raise OperatorError(reader.faults)
-    return found
+    return struct
 
 
 def load(path: str) -> OperatorFile:
--- a/quincepier/operator/schema.py
+++ b/quincepier/operator/schema.py
@@ -35,7 +35,7 @@
     format: Literal["text", "json"] = "text"
 
 
-def section(name: str) -> type[msgspec.Struct]:
+def load_section(name: str) -> type[msgspec.Struct]:
     """Import a section's package and return its struct."""
     module, _, struct_name = SECTIONS[name].partition(":")
     struct: type[msgspec.Struct] = getattr(import_module(module), struct_name)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -73,7 +73,7 @@
         ("log:\n  format: [", "not YAML"),
         ("log: !!python/object:os.system {}", "tags are not supported"),
         ("[1, 2]", "expected a mapping"),
-        ("1: 2", "the key 1 is not a text"),
+        ("1: 2", "the key 1 is not a string"),
         ("log: {format: !!int 0b}", "tags are not supported"),
         ("log: {format: 2026-13-45}", "log.format"),
         ("[" * 40 + "]" * 40, "nested over 16 deep"),
