--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -219,13 +219,13 @@
         return new
 
     async def status(self, request: OpenRequest) -> int:
-        got: list[Any] = request.receiver.got  # type: ignore[attr-defined]
-        await until(lambda: bool(got), "it is answered")
-        assert len(got) == 1, "one final answer"
-        if got[0].body is not None:
-            got[0].body.release()
-            got[0].body = None
-        return int(got[0].status)
+        responses: list[Any] = request.receiver.responses  # type: ignore[attr-defined]
+        await until(lambda: bool(responses), "it is answered")
+        assert len(responses) == 1, "one final answer"
+        if responses[0].body is not None:
+            responses[0].body.release()
+            responses[0].body = None
+        return int(responses[0].status)
 
     async def served(self, cls: int = IMAGE) -> Wire:
         """One more request, answered as it should: whatever was to go out before it has by then."""
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -142,9 +142,9 @@
             await until(lambda: inside.checks.counts["late_responses_dropped"] == 1, "dropped")
             assert not request.is_finished
         second.answer(request.job_id, b"of the second")
-        got = request.receiver.got  # type: ignore[attr-defined]
-        await until(lambda: bool(got), "it is answered")
-        assert [bytes(chunk) for chunk in got[0].body.chunks()] == [b"of the second"]
+        responses = request.receiver.responses  # type: ignore[attr-defined]
+        await until(lambda: bool(responses), "it is answered")
+        assert [bytes(chunk) for chunk in responses[0].body.chunks()] == [b"of the second"]
         assert await inside.status(request) == 200
         if late == "behind the second's":
             first.say(answer(request.job_id, b"of the first"))
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -50,7 +50,7 @@
         await until(lambda: request.is_finished, "the module lets go of it without its Left")
         inside.module.router.handle = decide  # type: ignore[method-assign]
         await inside.served()
-        assert not inside.serves(request) and not request.receiver.got  # type: ignore[attr-defined]
+        assert not inside.serves(request) and not request.receiver.responses  # type: ignore[attr-defined]
         inside.left(request)
         await inside.settled()
         assert inside.events.count(io.ClientDisconnected(request.number)) == 1
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -262,7 +262,7 @@
     def purged(record: PurgeRecord, age: int) -> io.ObjectPurged:
         return io.ObjectPurged(record.group, record.object or 0, age + 20 * clock.SECOND)
 
-    patch.setattr(module, "purged", purged)
+    patch.setattr(module, "make_object_purged", purged)
 
 
 def as_before(patch: pytest.MonkeyPatch) -> None:
