--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -32,7 +32,7 @@
 
 
 def list_paths(value: Any, path: tuple[str | int, ...] = ()) -> list[tuple[str | int, ...]]:
-    """Return the paths of all values of a configuration, that of the content configuration first."""
+    """Return the paths of all values of a configuration, the root first."""
     found = [path]
     pairs = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, item in pairs:
