--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -152,7 +152,7 @@
     for request in range(2, 8):
         bench.ask(request, waited=SECOND)
         bench.wait(20 * MS)
-    assert finals(bench.ask(8, waited=SECOND))  # after so long a wait it is rejected, before any work is spent on it
+    assert finals(bench.ask(8, waited=SECOND))  # after so long a wait it is rejected at once
 
 
 @pytest.mark.parametrize("deadlines", [1, 2])
