--- a/quincepier/context.py
+++ b/quincepier/context.py
@@ -89,7 +89,7 @@
             timeout: Time until the attempt times out, ns.
             within: Time within which its first byte may be sent, ns; 0: no limit.
         """
-        target = attempt.upstream.endpoint.cache
+        target = attempt.upstream.endpoint.number
         self.actions.append(ForwardRequest(attempt.request.id, target, timeout, within))
 
     def fetch(
@@ -115,7 +115,7 @@
             renew: Whether the cache shall renew a copy that has expired.
             within: Time within which the first byte of the attempt may be sent, ns; 0: no limit.
         """
-        target, source_id = attempt.upstream.endpoint.cache, source.endpoint.cache
+        target, source_id = attempt.upstream.endpoint.number, source.endpoint.number
         action = FetchThrough(
             attempt.request.id,
             target,
@@ -127,7 +127,7 @@
             renew,
             attempt.is_source_cache_only,
         )
-        action.within = within
+        action.first_byte_within = within
         self.actions.append(action)
 
     def watch_endpoints(self) -> None:
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -13,7 +13,7 @@
 
 from quincepier import clock
 from quincepier.checks import Checks
-from quincepier.config import FrontConfig, SettingsError, load_front, reloaded
+from quincepier.config import FrontConfig, SettingsError, apply_reload, load_front
 from quincepier.errors import QuincepierError
 from quincepier.lifecycle import signals
 from quincepier.memory.buffer_pool import BufferPool
@@ -169,8 +169,9 @@
         """
         dependencies, operator_file = self.module.dependencies, None
         try:
-            config, applied, deferred = reloaded(
-                dependencies.config, load_front(path=self.config_path, judge=dependencies.parse_address)
+            config, applied, deferred = apply_reload(
+                dependencies.config,
+                load_front(path=self.config_path, parse_address=dependencies.parse_address),
             )
             if self.operator_configuration is not None:
                 operator_file = self.operator_configuration.read_file()
@@ -243,7 +244,7 @@
                     swept_at_ns = now
             except Exception as error:
                 self.checks.exception("exception_in_upkeep", error)
-            if ticks % COUNTER_LOG_INTERVAL_TICKS == 0 and (counters := self.checks.changed()):
+            if ticks % COUNTER_LOG_INTERVAL_TICKS == 0 and (counters := self.checks.describe_changes()):
                 logger.bind(event="counters", detail=counters).info("counters: {}", counters)
 
     def _log_serving(self) -> None:
--- a/quincepier/lifecycle/operators.py
+++ b/quincepier/lifecycle/operators.py
@@ -9,7 +9,7 @@
 
 from quincepier.lifecycle import logs
 from quincepier.operator import LogSection, OperatorError, OperatorFile, load
-from quincepier.wire.changelog import Judge
+from quincepier.wire.changelog import AddressParser
 
 if TYPE_CHECKING:
     from quincepier.addresses.section import AddressesSection
@@ -42,7 +42,7 @@
     faults = [
         f"{path}: {name}: needs the section {required}: add it, or take {name} out"
         for name, required in REQUIRED_SECTION_BY_NAME.items()
-        if file.named(name) is not None and file.named(required) is None
+        if file.get_by_name(name) is not None and file.get_by_name(required) is None
     ]
     if faults:
         raise OperatorError(faults)
@@ -72,9 +72,9 @@
         return (self.file.get(LogSection) or LogSection()).format
 
     @property
-    def parse_address(self) -> Judge | None:
+    def parse_address(self) -> AddressParser | None:
         """The parser of addresses in change-log records; None unless machines may have several addresses."""
-        if self.file.named("addresses") is None:
+        if self.file.get_by_name("addresses") is None:
             return None
         from quincepier.addresses import parse
 
@@ -86,7 +86,7 @@
         return f"operators' file is good: {', '.join(self.file.names) or 'no sections'}"
 
     def _addresses(self, file: OperatorFile) -> AddressesSection | None:
-        if file.named("addresses") is None:
+        if file.get_by_name("addresses") is None:
             return None
         from quincepier.addresses.section import AddressesSection
 
@@ -103,7 +103,7 @@
 
     def create_state_persistence(self, module: ModuleActor) -> StatePersistence | None:
         """Return the persistence of learned state; None without the section `state`."""
-        if self.file.named("state") is None:
+        if self.file.get_by_name("state") is None:
             return None
         from quincepier.net.state_persistence import StatePersistence
         from quincepier.state.section import StateSection
@@ -117,7 +117,7 @@
         Raises:
             PeersError: The section does not list this front.
         """
-        if self.file.named("members") is None:
+        if self.file.get_by_name("members") is None:
             return None
         from quincepier.membership.section import MembersSection
         from quincepier.net.peers import PeerNetwork
@@ -132,7 +132,7 @@
 
     def create_agreement_node(self, module: ModuleActor, peers: PeerNetwork | None) -> AgreementNode | None:
         """Return the node that agrees on rule versions; None without the section `agreement`."""
-        if peers is None or self.file.named("agreement") is None:
+        if peers is None or self.file.get_by_name("agreement") is None:
             return None
         from quincepier.net.fleet.active_rules import ActiveRules
         from quincepier.net.fleet.node import AgreementNode
@@ -146,7 +146,7 @@
         )
 
     def _consistency_section(self) -> ConsistencySection | None:
-        if self.file.named("consistency") is None:
+        if self.file.get_by_name("consistency") is None:
             return None
         from quincepier.consistency.section import ConsistencySection
 
@@ -160,7 +160,7 @@
     @property
     def client_connection_limits(self) -> ClientNetworks | None:
         """Limits on connections by client network; None without the section `clients`."""
-        if self.file.named("clients") is None:
+        if self.file.get_by_name("clients") is None:
             return None
         from quincepier.clients.section import ClientNetworks, ClientsSection
 
@@ -180,8 +180,10 @@
             Names of the changed sections that were applied, and of those that take effect at the next start.
         """
         names = dict.fromkeys((*self.file.names, *file.names))
-        changed = [name for name in names if file.named(name) != self.file.named(name)]
-        added_or_removed = [name for name in changed if None in (file.named(name), self.file.named(name))]
+        changed = [name for name in names if file.get_by_name(name) != self.file.get_by_name(name)]
+        added_or_removed = [
+            name for name in changed if None in (file.get_by_name(name), self.file.get_by_name(name))
+        ]
         deferred = [
             name
             for name in changed
--- a/quincepier/net/actor_dependencies.py
+++ b/quincepier/net/actor_dependencies.py
@@ -12,7 +12,7 @@
 from quincepier.net.messages import ToModule
 from quincepier.net.process_pause import PauseDetector
 from quincepier.net.sockets import Descriptors
-from quincepier.wire.changelog import Judge
+from quincepier.wire.changelog import AddressParser
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
     descriptors: Descriptors
     module_mailbox: Mailbox[ToModule]
     memory_budget: MemoryBudget
-    parse_address: Judge | None = None
+    parse_address: AddressParser | None = None
     pause_detector: PauseDetector = field(init=False)
 
     def __post_init__(self) -> None:
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -28,7 +28,7 @@
 from quincepier.net.probe import OUTCOME_BY_PROBE_RESPONSE, Probe
 from quincepier.policy.send_permission import find_denial
 from quincepier.recovery import DialLimit
-from quincepier.translate import ENDINGS, note_of, report_of, waited_of
+from quincepier.translate import OUTCOME_BY_WORD, read_cache_status, read_load_report, read_wait_time
 from quincepier.wire import lines
 from quincepier.wire.lines import ServeCommand
 
@@ -306,11 +306,15 @@
             )
 
     def complete_with_response(
-        self, exchange: OpenAttempt | Probe, head: lines.Head, body: PooledBody | None, completed_at: int
+        self,
+        exchange: OpenAttempt | Probe,
+        head: lines.ResponseHead,
+        body: PooledBody | None,
+        completed_at: int,
     ) -> None:
         """Report the outcome of an exchange whose whole response arrived at `completed_at`, ns."""
         self._remove_in_flight(exchange)
-        report = report_of(head, self.context.config.report_fields)
+        report = read_load_report(head, self.context.config.report_fields)
         if isinstance(exchange, Probe):
             self.context.module_mailbox.push(
                 HealthCheckFinished(
@@ -325,10 +329,10 @@
             is_unchanged = head.word == "unchanged"
             result = AttemptFinished(
                 exchange,
-                ENDINGS[head.word],
+                OUTCOME_BY_WORD[head.word],
                 completed_at,
-                note_of(head),
-                waited_of(head),
+                read_cache_status(head),
+                read_wait_time(head),
                 report,
                 body,
                 is_unchanged,
--- a/quincepier/net/cache_fleet.py
+++ b/quincepier/net/cache_fleet.py
@@ -52,11 +52,11 @@
     def _update_actor(self, number: int, record: HostRecord, force: bool = False) -> None:
         actor = self._actor_by_number.get(number)
         if actor is None:
-            front_count = self._front_count(record.site)
+            front_count = self._front_count(record.zone)
             actor = CacheActor(self._context, number, record.host, record.address, front_count)
             self._actor_by_number[number] = actor
             actor.start()
-        actor.set_addresses(record.address, record.dials, force)
+        actor.set_addresses(record.address, record.addresses, force)
         actor.is_leaving = False  # set directly: a message might be handled only after it is listed again
         self._leaving.discard(number)
 
--- a/quincepier/net/client_read_side.py
+++ b/quincepier/net/client_read_side.py
@@ -135,13 +135,13 @@
             manager.busy_connections.add(self.client_connection)
         was_read_closed, decoder = self.is_read_closed, session.decoder
         # After a protocol error data is read only to notice a disconnect.
-        for item in decoder.feed(manager.read_buffer[:size]) if decoder.fault is None else ():
+        for item in decoder.feed(manager.read_buffer[:size]) if decoder.error is None else ():
             match item:
-                case fastcgi.Call() | fastcgi.Reply() if was_read_closed:
+                case fastcgi.FastCgiRequest() | fastcgi.Reply() if was_read_closed:
                     pass  # only aborts are handled
-                case fastcgi.Call():
+                case fastcgi.FastCgiRequest():
                     self._on_request(session, item, received_at, earliest)
-                case fastcgi.Aborted(stream_id):
+                case fastcgi.RequestAborted(stream_id):
                     self._on_abort(session, stream_id)
                 case fastcgi.Reply(data, closes):
                     session.short_responses.append((0, data))
@@ -152,10 +152,10 @@
             manager.checks.event("client_closed_short_responses_unread")
             self.close()
             return
-        if decoder.fault is not None and not was_read_closed:
-            self.stop_reading(decoder.fault)
+        if decoder.error is not None and not was_read_closed:
+            self.stop_reading(decoder.error)
             return
-        partial_bytes = decoder.held
+        partial_bytes = decoder.buffered_bytes
         if partial_bytes or self.partial_bytes:
             manager.account_partial_bytes(self.client_connection, partial_bytes)
             if self.is_closed:
@@ -193,20 +193,20 @@
             self.close(linger=self.has_requested)  # its last response may not have reached the client yet
 
     def _on_request(
-        self, session: ClientSession, call: fastcgi.Call, received_at: int, earliest: int
+        self, session: ClientSession, call: fastcgi.FastCgiRequest, received_at: int, earliest: int
     ) -> None:
         manager = self.manager
-        session.keep_open_by_stream[call.id] = call.keep
+        session.keep_open_by_stream[call.id] = call.keep_connection
         self.has_requested = True
         manager.registry.on_request(self.client_connection)
-        if call.params.get("SCRIPT_NAME") == PING and not call.fault:
+        if call.params.get("SCRIPT_NAME") == PING and not call.error:
             self._queue_response(session, call.id, cgi_head(200 if manager.is_ready() else 503))
             return
         try:
             request = open_request(call, manager.classes, self, received_at, earliest)
         except BadRequestError as error:
             self.bad_request_count += 1
-            self.is_read_closed = self.is_read_closed or bool(call.fault)
+            self.is_read_closed = self.is_read_closed or bool(call.error)
             manager.checks.event("bad_request", str(error))
             self._queue_response(session, call.id, cgi_head(error.status))
             return
@@ -245,7 +245,7 @@
 
     def _update_partial(self, session: ClientSession, now: int) -> bool:
         """Return whether a request or record is incomplete; note when a new one was first seen."""
-        partial = session.decoder.unfinished
+        partial = session.decoder.oldest_partial
         if partial is None:
             session.partial = None
         elif partial != session.partial:
--- a/quincepier/net/client_session.py
+++ b/quincepier/net/client_session.py
@@ -31,7 +31,7 @@
         self.is_started = True
         chunks = self.body.chunks() if self.body is not None else iter(())
         first = next(chunks, memoryview(b""))
-        lead = first[: fastcgi.RECORD_MOST - len(head)]
+        lead = first[: fastcgi.MAX_RECORD_CONTENT - len(head)]
         yield fastcgi.record(fastcgi.STDOUT, self.stream_id, head + bytes(lead))
         if len(lead) < len(first):
             yield fastcgi.record(fastcgi.STDOUT, self.stream_id, first[len(lead) :])
@@ -109,6 +109,12 @@
         """Whether no response is owed or unsent and nothing is partly read."""
         decoder = self.decoder
         busy = (
-            self.request_by_stream or self.outgoing or self.short_responses or self.inbox or decoder.answering
+            self.request_by_stream
+            or self.outgoing
+            or self.short_responses
+            or self.inbox
+            or decoder.unanswered_ids
+        )
+        return not (
+            busy or decoder.partial_requests or decoder.buffer or decoder.bytes_to_skip or decoder.stray_count
         )
-        return not (busy or decoder.begun or decoder.buffer or decoder.skip or decoder.strays)
--- a/quincepier/net/client_write_side.py
+++ b/quincepier/net/client_write_side.py
@@ -133,7 +133,7 @@
             if body is not None:
                 body.release()
             session.short_responses.append((stream_id, fastcgi.short(stream_id, head)))
-            session.decoder.close(stream_id)
+            session.decoder.on_answered(stream_id)
             self.is_last_response_queued = self.is_last_response_queued or not keep_open
         else:
             session.outgoing.append(OutgoingResponse(stream_id, keep_open, head, body))
@@ -233,7 +233,7 @@
             else:
                 batch += fastcgi.finish(response.stream_id)
                 response.release()
-                session.decoder.close(response.stream_id)
+                session.decoder.on_answered(response.stream_id)
                 self.closes_when_sent = self.closes_when_sent or not response.keep_open
         return bytes(batch)
 
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -88,7 +88,7 @@
         self.response_began_at = 0
         self.is_discarding = False
         self.body: PooledBody | None = None
-        self.head: lines.Head | None = None
+        self.head: lines.ResponseHead | None = None
         self.task: asyncio.Task[None] | None = None
         self.readable: asyncio.Future[None] | None = None
         self.has_reader: bool = False
@@ -407,7 +407,7 @@
             self.is_closing = True  # nothing more is sent, even before `run` gets its turn of the loop
             if self.has_reader:
                 loop.remove_reader(sock)
-        if not decoder.between:
+        if not decoder.is_between_responses:
             raise ProtocolError("connection closed inside a response")
 
     async def _wait_until_readable(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
@@ -433,17 +433,17 @@
         self.is_between_responses = True  # while waiting for buffers below, the machine is not stalled
         for item in decoder.feed(data):
             match item:
-                case lines.Head():
+                case lines.ResponseHead():
                     await self._on_head(item)
-                case lines.Piece(piece) if self.body is not None:
+                case lines.ResponseData(piece) if self.body is not None:
                     self.body.append(piece)
-                case lines.Whole():
+                case lines.ResponseEnd():
                     self._on_whole(now)
-        self.is_between_responses = decoder.between
+        self.is_between_responses = decoder.is_between_responses
         if not self.is_between_responses:
             self.response_began_at = self.response_began_at or now
 
-    async def _on_head(self, head: lines.Head) -> None:
+    async def _on_head(self, head: lines.ResponseHead) -> None:
         exchange = self.awaited_by_id.get(head.id)
         self.head, self.response_began_at = head, self.response_began_at or self.last_read_at
         if exchange is None or exchange not in self.started:  # a duplicate, late or unsolicited response
--- a/quincepier/net/connection_manager.py
+++ b/quincepier/net/connection_manager.py
@@ -19,7 +19,7 @@
 from quincepier.net.client_connection import ClientConnection
 from quincepier.net.lingering_sockets import POLL_INTERVAL_S, LingeringSockets
 from quincepier.timers import ActiveClock, TimerWheel
-from quincepier.translate import class_table
+from quincepier.translate import make_class_table
 from quincepier.wire.errors import ProtocolError
 
 if TYPE_CHECKING:  # imported only if the operators' file has a section `clients`
@@ -92,7 +92,7 @@
             is_ready,
             dependencies.pause_detector,
         )
-        self.dependencies, self.classes = dependencies, class_table(dependencies.config)
+        self.dependencies, self.classes = dependencies, make_class_table(dependencies.config)
         self.connections: set[ClientConnection] = set()
         self.busy_connections: set[ClientConnection] = set()
         self.stalled: dict[ClientConnection, tuple[int, int]] = {}
@@ -163,7 +163,7 @@
 
     def draw_retry_after_ms(self) -> int | None:
         """Return a random retry time for a client that the front itself rejects; None if none is set."""
-        limit = self.dependencies.config.wait_ms
+        limit = self.dependencies.config.retry_after_ms
         return None if limit is None else max(int(self.random.uniform(MIN_RETRY_AFTER_SHARE, 1) * limit), 1)
 
     def _find_longest_stalled(self) -> ClientConnection | None:
--- a/quincepier/net/event_dates.py
+++ b/quincepier/net/event_dates.py
@@ -30,7 +30,7 @@
             self._ages.observe_log_date(event.time_ms)
         elif isinstance(event, FleetChange):
             for host in event.hosts:
-                self._ages.observe_log_date(host.born_ms)
+                self._ages.observe_log_date(host.started_at_ms)
 
     def purge_age(self, purge: PurgeRecord, absent_at_ns: int) -> int:
         """Return the age in ns of a purge that was received just now.
--- a/quincepier/net/fleet/machine_observations.py
+++ b/quincepier/net/fleet/machine_observations.py
@@ -15,7 +15,7 @@
     settings = module.config.settings
     now_ns = clock.now()
     return {
-        host: _observe_machine(host, entry.record.site, entry.machine, settings, now_ns)
+        host: _observe_machine(host, entry.record.zone, entry.machine, settings, now_ns)
         for host, entry in module.directory.entry_by_host.items()
     }
 
@@ -25,7 +25,7 @@
 ) -> MachineObservation:
     kind = _kind_name(machine, settings)
     cold_ns = settings.parent_cold_time if kind == "parent" else settings.cold_time
-    uptime_ns = now_ns - machine.up_since if machine.up_since else UNKNOWN_UPTIME_NS
+    uptime_ns = now_ns - machine.started_at if machine.started_at else UNKNOWN_UPTIME_NS
     return MachineObservation(
         host=host,
         kind=kind,
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -46,8 +46,13 @@
 from quincepier.policy import Router
 from quincepier.recovery import count_requesting_fronts
 from quincepier.timers import TimerWheel
-from quincepier.translate import attempt_ended, purged, request_came, serve_fields
-from quincepier.wire.changelog import BadRecord, ChangeEvent, FleetChange, PurgeRecord
+from quincepier.translate import (
+    make_attempt_completed,
+    make_object_purged,
+    make_request_received,
+    make_serve_fields,
+)
+from quincepier.wire.changelog import ChangeEvent, FleetChange, InvalidRecord, PurgeRecord
 from quincepier.wire.errors import ProtocolError
 from quincepier.wire.lines import ServeCommand
 
@@ -209,7 +214,9 @@
         if self.requests.is_full:
             self.checks.event("request_rejected_open_limit")
             request.is_finished = True
-            request.receiver.push(Response(request, 503, retry_after_ms=self.dependencies.config.wait_ms))
+            request.receiver.push(
+                Response(request, 503, retry_after_ms=self.dependencies.config.retry_after_ms)
+            )
             return
         if request.job_id in self.requests.job_ids:
             self.checks.event("bad_request", "HTTP_X_JOB_ID is that of an open request")
@@ -218,7 +225,7 @@
             return
         request.allows_second_copy = self._allows_second_copy(request.class_index)
         self.requests.add(request)
-        event = request_came(request, clock.now())
+        event = make_request_received(request, clock.now())
         if self.overrides is not None:
             self.overrides.on_request(event, request)
         self._dispatch(event, request)
@@ -242,7 +249,7 @@
         self.checks.count(f"attempts_ended_{finished.outcome.name.lower()}")
         if request.is_cancelled:  # its ClientDisconnected may still be queued
             self._on_client_disconnected(request)
-        event = attempt_ended(attempt, finished)
+        event = make_attempt_completed(attempt, finished)
         if self.overrides is not None:
             self.overrides.on_attempt_completed(attempt, finished.cache_status)
         if finished.outcome is AttemptOutcome.OK and not request.is_finished:
@@ -258,10 +265,10 @@
         self.dates.observe(event)
         self._redate_starts()
         if isinstance(event, PurgeRecord):
-            self._dispatch(purged(event, self.dates.purge_age(event, absent_at_ns)))
+            self._dispatch(make_object_purged(event, self.dates.purge_age(event, absent_at_ns)))
             self._revoke_purged(event)
         elif isinstance(event, FleetChange):
-            if event.whole and scope is UpdateScope.CHANGES:
+            if event.is_full_list and scope is UpdateScope.CHANGES:
                 scope = UpdateScope.FULL
             try:
                 update = self.directory.apply(event, scope)
@@ -269,16 +276,16 @@
                 self.checks.event("change_log_record_invalid", str(error))
                 return
             for host in event.hosts:
-                for fault in host.faults:
+                for fault in host.address_errors:
                     self.checks.event("endpoint_address_invalid", f"{host.host}: {fault}")
-            self.has_endpoint_list = self.has_endpoint_list or event.whole
+            self.has_endpoint_list = self.has_endpoint_list or event.is_full_list
             self._on_endpoint_update(update)
-            if event.whole:
+            if event.is_full_list:
                 self.fleet.update_all()
             else:
-                self.fleet.update_changed(machine.cache for machine in update.machines)
-        elif isinstance(event, BadRecord):
-            self.checks.event("change_log_record_invalid", event.why)
+                self.fleet.update_changed(machine.number for machine in update.endpoints)
+        elif isinstance(event, InvalidRecord):
+            self.checks.event("change_log_record_invalid", event.reason)
 
     def _redate_starts(self) -> None:
         """Correct start times that a later date in the log proves to be earlier, and notify the router."""
@@ -303,7 +310,7 @@
 
     def _revoke_leaving(self, update: io.EndpointUpdate) -> None:
         """Revoke attempts at machines that drain or are gone, or that fetch from such a machine."""
-        listed = {m.cache: m.state for m in update.machines}
+        listed = {m.number: m.state for m in update.endpoints}
         leaving = {cache for cache, state in listed.items() if state is not io.EndpointState.READY}
         if update.scope is not UpdateScope.CHANGES:
             leaving |= self.caches.keys() - listed.keys()
@@ -389,7 +396,7 @@
         source = action.source if isinstance(action, io.FetchThrough) else -1
         attempt = self.requests.start_attempt(request, action.cache, now, source)
         self.checks.count("attempts_retried" if attempt.number else "attempts_first")
-        attempt.first_byte_deadline_ns = now + action.within if action.within else 0
+        attempt.first_byte_deadline_ns = now + action.first_byte_within if action.first_byte_within else 0
         time_left = request.time_left(now)
         timeout = min(action.timeout, time_left) if action.timeout else time_left
         attempt.deadline_ns = now + timeout
@@ -400,7 +407,7 @@
             return
         if self.overrides is not None:
             self.overrides.on_command_sent(attempt, now)
-        fields = tuple(serve_fields(action, request, self.directory, timeout))
+        fields = tuple(make_serve_fields(action, request, self.directory, timeout))
         cache.mailbox.push(SendCommand(attempt, ServeCommand(request.job_id, fields, request.body)))
 
     def _respond(self, response: Response) -> None:
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -19,7 +19,7 @@
 from quincepier.net.sockets import resolve
 from quincepier.net.watch_poll import ChangeLogPoll
 from quincepier.recovery import draw_first_poll_wait_ms
-from quincepier.wire.changelog import BadRecord, ChangeEvent, decode_changes
+from quincepier.wire.changelog import ChangeEvent, InvalidRecord, decode_changes
 from quincepier.wire.errors import ProtocolError
 
 # The timeout requested of the log for one long poll in ms, and the seconds beyond it until the response is
@@ -257,8 +257,8 @@
             if event.seq != self.last_sequence + 1:
                 self._retry_or_skip(f"events {self.last_sequence + 1} to {event.seq - 1} are missing")
                 self.last_sequence = event.seq - 1  # the record after the gap has retries of its own
-            if isinstance(event, BadRecord):
-                self._retry_or_skip(f"event {event.seq}: {event.why}")
+            if isinstance(event, InvalidRecord):
+                self._retry_or_skip(f"event {event.seq}: {event.reason}")
             else:
                 self.module_mailbox.push_urgent(ChangeLogEvent(event, self.last_response_at_ns))
             self.last_sequence, self.record_tries = event.seq, 0
--- a/quincepier/policy/early_rejection.py
+++ b/quincepier/policy/early_rejection.py
@@ -43,7 +43,7 @@
     def is_due(self, event: RequestReceived) -> bool:
         """Return whether to reject a request; classes that are never cached are exempt."""
         is_overloaded = self._note_wait(event.waited)
-        max_wait = self._max_waits.get(event.cls)
+        max_wait = self._max_waits.get(event.class_index)
         return is_overloaded and max_wait is not None and event.waited > max_wait
 
     def _note_wait(self, waited: int) -> bool:
--- a/quincepier/policy/freshness.py
+++ b/quincepier/policy/freshness.py
@@ -1,7 +1,7 @@
 """Freshness: the maximum age of the copy that a request may be answered with."""
 
 from quincepier.context import Context, RouterComponent
-from quincepier.keys import MEMORY_MOST
+from quincepier.keys import MAX_REMEMBERED_KEYS
 from quincepier.records import SECOND, Request
 from quincepier.structures import PurgeLog
 
@@ -17,7 +17,7 @@
 
     def __init__(self, context: Context) -> None:
         super().__init__(context)
-        self.purges = PurgeLog(MEMORY_MOST)
+        self.purges = PurgeLog(MAX_REMEMBERED_KEYS)
 
     def on_purge(self, group: int, obj: int, age: int) -> None:
         """Record a purge; discard purges that have settled.
--- a/quincepier/policy/latency.py
+++ b/quincepier/policy/latency.py
@@ -43,7 +43,7 @@
 
     def transfer_time(self, request: Request) -> float:
         """Return the transfer time of a request, ns: by its size if that is known, else its class's mean."""
-        return max(request.known_transfer_time or self.transfer_times.means[request.event.cls], MS)
+        return max(request.known_transfer_time or self.transfer_times.means[request.event.class_index], MS)
 
     def objective(self, request: Request) -> float:
         """Return the latency objective of a request, ns; an idle upstream can always reach it."""
@@ -59,7 +59,7 @@
         """
         request = completion.attempt.request
         observed = request.known_transfer_time or completion.event.elapsed / slowdown
-        self.transfer_times.add(request.event.cls, observed)
+        self.transfer_times.add(request.event.class_index, observed)
 
     def learn_slowness(self, completion: Completion) -> None:
         """Learn the slowness of the upstream that determined the latency of an attempt.
@@ -74,7 +74,7 @@
             return
         is_cached = not attempt.is_fetch or completion.is_from_cache
         known_transfer_time = request.known_transfer_time
-        key = BaselineKey(request.event.cls, is_cached, known_transfer_time > 0)
+        key = BaselineKey(request.event.class_index, is_cached, known_transfer_time > 0)
         baseline = self.baselines.get(key) or Baseline(updated_at=now)
         sample = math.log(max(elapsed, 1) / (known_transfer_time or MS))
         if completion.is_ok:
--- a/quincepier/policy/outliers.py
+++ b/quincepier/policy/outliers.py
@@ -38,9 +38,9 @@
         attempt, outcome, upstream = completion.attempt, completion.outcome, completion.attempt.upstream
         if outcome in OUTCOMES_PROVING_UP:
             self.on_success(upstream)
-        elif outcome is AttemptOutcome.RESET and not completion.event.another_way:
+        elif outcome is AttemptOutcome.RESET and not completion.event.has_alternative_address:
             self.on_failure(upstream, "lost", 1)
-        elif outcome is AttemptOutcome.CONNECT_FAILED and not completion.event.another_way:
+        elif outcome is AttemptOutcome.CONNECT_FAILED and not completion.event.has_alternative_address:
             self.on_failure(
                 upstream, "lost", 1 if upstream.last_response_at > attempt.sent_at else EJECTION_FAILURES
             )
@@ -76,7 +76,7 @@
             # a trial failed, so it was down: cold restart
             if upstream.trial_interval > 2 * INITIAL_TRIAL_INTERVAL:
                 upstream.started_at = self.context.now
-            self.log.write(f"machine {upstream.endpoint.cache} answers again")
+            self.log.write(f"machine {upstream.endpoint.number} answers again")
 
     def on_failure(self, upstream: Upstream, reason: str, weight: float = EJECTION_FAILURES) -> None:
         """Count a failure; eject the upstream once its failures weigh `EJECTION_FAILURES` in total.
@@ -93,7 +93,7 @@
         ):
             return
         if not upstream.is_ejected:
-            self.log.write(f"machine {upstream.endpoint.cache} set aside: {reason}")
+            self.log.write(f"machine {upstream.endpoint.number} set aside: {reason}")
             self.eject(upstream, INITIAL_TRIAL_INTERVAL)
         self.abandon(upstream)
 
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -5,7 +5,7 @@
 
 from quincepier.context import Context, RouterComponent
 from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, HomeShard
-from quincepier.keys import MEMORY_MOST, mix
+from quincepier.keys import MAX_REMEMBERED_KEYS, mix
 from quincepier.policy.latency import SLOW_FACTOR, SLOWNESS_HALF_LIFE, SLOWNESS_PRIOR, LatencyEstimates
 from quincepier.policy.slow_start import SlowStart
 from quincepier.records import SECOND, Completion, Request, Upstream
@@ -39,7 +39,7 @@
         super().__init__(context)
         self.latency = latency
         self.slow_start = slow_start
-        self.hits = RecencyMap(MEMORY_MOST)
+        self.hits = RecencyMap(MAX_REMEMBERED_KEYS)
         self.table = UpstreamTable(self._create_upstream)
         self.rankings = dict[int | tuple[int, int], list[Upstream]]()
         self.groups = dict[bool, RendezvousGroup[Upstream]]()
@@ -64,13 +64,13 @@
     @staticmethod
     def _on_endpoint_updated(upstream: Upstream, previous: Endpoint) -> None:
         """Replace the state that this front derived by the state in the list."""
-        up_since = upstream.endpoint.up_since
-        if 0 < up_since < previous.up_since:  # same process, more accurate start time; nothing else changed
-            if upstream.started_at == previous.up_since:
+        up_since = upstream.endpoint.started_at
+        if 0 < up_since < previous.started_at:  # same process, more accurate start time; nothing else changed
+            if upstream.started_at == previous.started_at:
                 upstream.started_at = up_since
             return
         upstream.draining_until = 0
-        if up_since > previous.up_since:  # restarted
+        if up_since > previous.started_at:  # restarted
             upstream.started_at = max(upstream.started_at, up_since)
             upstream.is_ejected = False
 
@@ -84,9 +84,9 @@
 
         The result is cached until the ranking changes, as held requests are examined often.
         """
-        ranking_key = key if home is None else (key, home.name)
+        ranking_key = key if home is None else (key, home.number)
         if ranking_key not in self.rankings:
-            if len(self.rankings) >= MEMORY_MOST:
+            if len(self.rankings) >= MAX_REMEMBERED_KEYS:
                 self.rankings = {}
             self.rankings[ranking_key] = self.rank_uncached(group, key, home, MAX_CACHED_RANKS)
         return self.rankings[ranking_key]
@@ -107,8 +107,8 @@
         weights = {u: (u.endpoint.size if by_size else 1.0) / 2 ** (u.weight_step / 2) for u in group}
         if home is not None:  # only members of the home shard; hashes do not depend on the shard
             members = home.parents if group is self.table.parents else home.caches
-            group = [u for u in group if u.endpoint.cache in members]
-        return RendezvousGroup(weights, {u: u.endpoint.cache for u in group})
+            group = [u for u in group if u.endpoint.number in members]
+        return RendezvousGroup(weights, {u: u.endpoint.number for u in group})
 
     def find_usable(self, group: list[Upstream], key: int, request: Request, count: int) -> list[Upstream]:
         """Return the first `count` usable upstreams in the hash order of a key.
@@ -198,10 +198,10 @@
     def is_known_hit(self, cache: Upstream, request: Request) -> bool:
         """Whether a cache answered the request's key from its own copy within `HIT_LIFETIME`."""
         now = self.context.now
-        last_hit_at = self.hits.get((cache.endpoint.cache, request.key), now - HIT_LIFETIME)
+        last_hit_at = self.hits.get((cache.endpoint.number, request.key), now - HIT_LIFETIME)
         return now - last_hit_at < HIT_LIFETIME
 
     def on_hit(self, completion: Completion) -> None:
         """Note that a cache answered from its own copy."""
         attempt, now = completion.attempt, self.context.now
-        self.hits.record((attempt.upstream.endpoint.cache, attempt.request.key), now, now - HIT_LIFETIME)
+        self.hits.record((attempt.upstream.endpoint.number, attempt.request.key), now, now - HIT_LIFETIME)
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -135,19 +135,19 @@
         """Route a request, or reject it early if it has waited too long or has too little time left."""
         context = self.context
         settings = context.settings
-        cls = settings.classes[event.cls]
-        self.response_coverage.expected.add(event.cls)
+        cls = settings.classes[event.class_index]
+        self.response_coverage.expected.add(event.class_index)
         is_overloaded = self.early_rejection.is_due(event)
         if is_overloaded or event.time_left <= settings.step:
             self.responder.reject(event.request)
             context.log(self.recovery.on_request_finished(context.now, cls.worth, False))
             return
         home = self.find_home(event) if self.find_home is not None else None
-        request = Request(event, settings, self.tiers[event.cls], context.now, home)
+        request = Request(event, settings, self.tiers[event.class_index], context.now, home)
         self.requests[event.request] = request
         self.retries.on_request()
         context.set_timer(event.time_left - settings.step, TimerKind.DEADLINE, event.request)
-        if home is not None and home.closed and cls.effect is not interface.Idempotency.SAFE:
+        if home is not None and home.is_write_paused and cls.effect is not interface.Idempotency.SAFE:
             self.responder.give_up(request)
         else:
             self.admission.route(request)
@@ -177,10 +177,10 @@
         completion = Completion(attempt, event)
         request = attempt.request
         self._learn(completion)
-        if completion.is_ok and self.response_coverage.add(request.event.cls):
+        if completion.is_ok and self.response_coverage.add(request.event.class_index):
             self.context.log(self.recovery.on_first_responses(self.context.now, self.response_coverage.count))
         first = request.first_execution
-        if event.ending not in NEVER_RAN and (first is None or attempt.sent_at < first.sent_at):
+        if event.outcome not in NEVER_RAN and (first is None or attempt.sent_at < first.sent_at):
             request.first_execution = Execution(attempt.sent_at, attempt.upstream.endpoint)
         if self.requests.get(event.request) is request:
             if event.last:
--- a/quincepier/policy/slow_start.py
+++ b/quincepier/policy/slow_start.py
@@ -139,7 +139,7 @@
 
     def charge(self, attempt: Attempt) -> None:
         """Charge an attempt to the budgets of its target and its source."""
-        attempt.charged_work = self.latency.transfer_times.means[attempt.request.event.cls]
+        attempt.charged_work = self.latency.transfer_times.means[attempt.request.event.class_index]
         for upstream in attempt.upstreams:
             upstream.credit -= attempt.charged_work
 
--- a/quincepier/records.py
+++ b/quincepier/records.py
@@ -86,7 +86,7 @@
 
     def __init__(self, endpoint: Endpoint, slowness: DecayingMean, recent_objects: int) -> None:
         self.endpoint = endpoint
-        self.started_at = endpoint.up_since
+        self.started_at = endpoint.started_at
         self.last_response_at, self.failures = 0, 0.0
         self.last_refused_cache: Upstream | None = None
         self.is_ejected, self.trial_at, self.trial_interval = False, 0, 0
@@ -124,7 +124,7 @@
     ) -> None:
         self.event, self.tier, self.received_at, self.home = event, tier, now, home
         self.id = event.request
-        self.cls: RequestClass = settings.classes[event.cls]
+        self.cls: RequestClass = settings.classes[event.class_index]
         self.key = mix(event.object, event.part)
         self.deadline = now + event.time_left
         kb = settings.client_kb_per_s
@@ -234,19 +234,19 @@
     @property
     def outcome(self) -> AttemptOutcome:
         """The outcome of the attempt."""
-        return self.event.ending
+        return self.event.outcome
 
     @property
     def status(self) -> CacheStatus:
         """The cache status of the response."""
-        return self.event.note
+        return self.event.cache_status
 
     @property
     def is_ok(self) -> bool:
         """Whether the attempt succeeded."""
-        return self.event.ending is AttemptOutcome.OK
+        return self.event.outcome is AttemptOutcome.OK
 
     @property
     def is_from_cache(self) -> bool:
         """Whether the cache answered from its own copy."""
-        return self.is_ok and self.event.note in (CacheStatus.HIT, CacheStatus.STALE)
+        return self.is_ok and self.event.cache_status in (CacheStatus.HIT, CacheStatus.STALE)
--- a/quincepier/upstream_table.py
+++ b/quincepier/upstream_table.py
@@ -50,25 +50,25 @@
     def apply(self, update: EndpointUpdate, settings: Settings) -> TableChange:
         """Apply an endpoint update, and return what it changed."""
         change = TableChange()
-        gone = {e.cache for e in update.machines if e.state is EndpointState.GONE}
+        gone = {e.number for e in update.endpoints if e.state is EndpointState.GONE}
         if update.scope in (UpdateScope.FULL, UpdateScope.RESTORED):
-            gone |= self.by_id.keys() - {e.cache for e in update.machines}
+            gone |= self.by_id.keys() - {e.number for e in update.endpoints}
         for cache in sorted(gone & self.by_id.keys()):
             change.removed.append(self.by_id.pop(cache))
         change.has_ranking_changed = bool(change.removed)
-        for endpoint in update.machines:
-            if endpoint.cache not in gone:
+        for endpoint in update.endpoints:
+            if endpoint.number not in gone:
                 self._apply_endpoint(endpoint, change)
         if change.has_ranking_changed:
             self._group(settings)
         return change
 
     def _apply_endpoint(self, endpoint: Endpoint, change: TableChange) -> None:
-        upstream = self.by_id.get(endpoint.cache)
+        upstream = self.by_id.get(endpoint.number)
         if upstream is None:
             upstream = self.create_upstream(endpoint)
             if upstream is not None:
-                self.by_id[endpoint.cache] = upstream
+                self.by_id[endpoint.number] = upstream
                 change.has_ranking_changed = True
             return
         change.updated.append((upstream, upstream.endpoint))
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -29,7 +29,7 @@
 from quincepier.net.messages import ChangeLogEvent, ClientDisconnected, RequestArrived
 from quincepier.net.module import ModuleActor
 from quincepier.net.sockets import Descriptors
-from quincepier.wire.changelog import BadRecord, read_changes
+from quincepier.wire.changelog import InvalidRecord, read_changes
 from tests.frontkit import Inbox, host, open_request, raw_config
 from tests.loopback import EACH, own_port
 from tests.standins import until
@@ -116,10 +116,10 @@
         return job, inbox, request
 
     async def wait_for_status(self, inbox: Inbox) -> int:
-        await until(lambda: bool(inbox.got), "the request is answered")
-        status: int = inbox.got[0].status
-        if inbox.got[0].body is not None:
-            inbox.got[0].body.release()
+        await until(lambda: bool(inbox.responses), "the request is answered")
+        status: int = inbox.responses[0].status
+        if inbox.responses[0].body is not None:
+            inbox.responses[0].body.release()
         return status
 
     async def serve(self, cls: int, part: int = 0) -> tuple[str, int]:
@@ -135,7 +135,7 @@
         body = event or {"fleet": {"seq": self.seq, "whole": False, "hosts": list(hosts)}}
         changes = {"seq": self.seq, "results": [{"seq": self.seq} | body]}
         (record,) = read_changes(changes, parse)[1]
-        assert not isinstance(record, BadRecord), record
+        assert not isinstance(record, InvalidRecord), record
         self.module.mailbox.push_urgent(ChangeLogEvent(record))
 
     async def wait_until_idle(self) -> None:
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -223,13 +223,13 @@
         return new
 
     async def wait_for_status(self, request: OpenRequest) -> int:
-        got: list[Any] = request.receiver.got  # type: ignore[attr-defined]
-        await until(lambda: bool(got), "the request is answered")
-        assert len(got) == 1, "one final answer"
-        if got[0].body is not None:
-            got[0].body.release()
-            got[0].body = None
-        return int(got[0].status)
+        responses: list[Any] = request.receiver.responses  # type: ignore[attr-defined]
+        await until(lambda: bool(responses), "the request is answered")
+        assert len(responses) == 1, "one final answer"
+        if responses[0].body is not None:
+            responses[0].body.release()
+            responses[0].body = None
+        return int(responses[0].status)
 
     async def serve_one(self, cls: int = IMAGE) -> Wire:
         """Serve one more request: whatever was to be sent before it has been sent by then."""
@@ -241,7 +241,7 @@
 
     def outcomes(self, request: OpenRequest) -> list[io.AttemptOutcome]:
         return [
-            e.ending
+            e.outcome
             for e in self.events
             if isinstance(e, io.AttemptCompleted) and e.request == request.number
         ]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -100,7 +100,11 @@
     plain = ClientReadSide._on_request
 
     def call(
-        self: ClientReadSide, session: ClientSession, call: fastcgi.Call, received_at: int, earliest: int
+        self: ClientReadSide,
+        session: ClientSession,
+        call: fastcgi.FastCgiRequest,
+        received_at: int,
+        earliest: int,
     ) -> None:
         self.manager.is_rejecting = False
         plain(self, session, call, received_at, earliest)
--- a/tests/policy_recording.py
+++ b/tests/policy_recording.py
@@ -105,7 +105,7 @@
         self.open_requests: dict[int, tuple[io.RequestReceived, list[bool]]] = {}
         self.cached_keys: dict[int, set[tuple[int, int]]] = {}  # by machine
         self.fault_by_machine = {machine: fault for machine, fault, _ in plan.initial_faults}
-        self.endpoint_by_id = {m.cache: m for m in plan.machines}
+        self.endpoint_by_id = {m.number: m for m in plan.machines}
         self.open_attempt_count = 0
         self.target_by_attempt: dict[tuple[int, int], tuple[int, int]] = {}  # machine and sending time
         self.completed_attempts: set[tuple[int, int]] = set()  # attempts whose completion was reported
@@ -120,7 +120,9 @@
         if request.tenant == 0:
             return None
         parents = frozenset(PARENTS[: request.tenant])
-        return io.HomeShard(request.tenant, frozenset(CACHES[:2]), parents, closed=request.tenant == 2)
+        return io.HomeShard(
+            request.tenant, frozenset(CACHES[:2]), parents, is_write_paused=request.tenant == 2
+        )
 
     def play(self) -> list[list[str]]:
         plan = self.plan
@@ -223,7 +225,7 @@
 
     def send_endpoint_update(self, update: io.EndpointUpdate) -> None:
         is_full = update.scope is UpdateScope.FULL
-        self.handle(replace(update, machines=tuple(self.endpoint_by_id.values())) if is_full else update)
+        self.handle(replace(update, endpoints=tuple(self.endpoint_by_id.values())) if is_full else update)
 
     def start_attempt(self, action: io.ForwardRequest | io.FetchThrough) -> None:
         number, chance = action.request, self.random
@@ -237,7 +239,7 @@
         outcome, status, duration = self.choose_outcome(action, request)
         duration = min(duration, action.timeout) if duration else action.timeout
         outcome = AttemptOutcome.TIMEOUT if duration == action.timeout else outcome
-        cls = self.plan.settings.classes[request.cls]
+        cls = self.plan.settings.classes[request.class_index]
         if cls.stream and outcome is AttemptOutcome.OK and chance.random() < 0.7:
             self.schedule(duration // 3, self.start_response, number, attempt, action.cache)
             duration *= 3
@@ -378,15 +380,15 @@
                 endpoint = replace(endpoint, state=EndpointState.GONE)
             case "cold":
                 endpoint = replace(
-                    endpoint, state=EndpointState.READY, up_since=self.now - chance.randrange(SECOND)
+                    endpoint, state=EndpointState.READY, started_at=self.now - chance.randrange(SECOND)
                 )
-                self.cached_keys.pop(endpoint.cache, None)
+                self.cached_keys.pop(endpoint.number, None)
             case "size":
                 endpoint = replace(endpoint, size=round(chance.uniform(5, 60), 1))
             case "new":
-                gone = [m for m in self.plan.machines if m.cache not in self.endpoint_by_id]
+                gone = [m for m in self.plan.machines if m.number not in self.endpoint_by_id]
                 endpoint = replace(
-                    chance.choice(gone or [replace(endpoints[0], cache=104)]), up_since=self.now
+                    chance.choice(gone or [replace(endpoints[0], number=104)]), started_at=self.now
                 )
             case "whole":
                 self.handle(io.EndpointUpdate(UpdateScope.FULL, tuple(endpoints)))
@@ -395,11 +397,11 @@
                 self.handle(io.EndpointUpdate(UpdateScope.FAILED, ()))
                 return
             case "far":
-                endpoint = replace(endpoints[0], cache=900 + chance.randrange(4), zone=7)
+                endpoint = replace(endpoints[0], number=900 + chance.randrange(4), zone=7)
         if endpoint.state is EndpointState.GONE:
-            self.endpoint_by_id.pop(endpoint.cache, None)
+            self.endpoint_by_id.pop(endpoint.number, None)
         else:
-            self.endpoint_by_id[endpoint.cache] = endpoint
+            self.endpoint_by_id[endpoint.number] = endpoint
         self.handle(io.EndpointUpdate(UpdateScope.CHANGES, (endpoint,)))
 
     def pause_process(self, span: int) -> None:
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -96,7 +96,7 @@
 
 def test_an_exception_in_the_router_fails_only_that_request() -> None:
     def script(event: io.Event) -> list[io.Action]:
-        if isinstance(event, io.RequestReceived) and event.cls == 0:
+        if isinstance(event, io.RequestReceived) and event.class_index == 0:
             raise KeyError("no such thing")
         return (
             [io.RejectRequest(event.request, 300 * clock.MS)] if isinstance(event, io.RequestReceived) else []
@@ -106,8 +106,8 @@
     bad, good = Inbox(), Inbox()
     push_request(actor, bad, 0)
     push_request(actor, good, 1)
-    assert [answer.status for answer in bad.got] == [500]
-    assert [(answer.status, answer.retry_after_ms) for answer in good.got] == [(503, 300)]
+    assert [answer.status for answer in bad.responses] == [500]
+    assert [(answer.status, answer.retry_after_ms) for answer in good.responses] == [(503, 300)]
     assert actor.checks.counts["exception_in_module"] == 1
 
 
@@ -124,7 +124,7 @@
     actor.caches[5] = SimpleNamespace(mailbox=Inbox())  # type: ignore[assignment]
     inbox = Inbox()
     push_request(actor, inbox)
-    assert [answer.status for answer in inbox.got] == [500] and len(actor.timers) == 1
+    assert [answer.status for answer in inbox.responses] == [500] and len(actor.timers) == 1
 
 
 def test_one_final_response_and_none_after_the_client_disconnected() -> None:
@@ -133,11 +133,11 @@
     request = push_request(actor, inbox)
     router.script = lambda event: [io.FailRequest(request.number)] * 2
     actor._dispatch(io.TimerFired(1))
-    assert [answer.status for answer in inbox.got] == [502]
+    assert [answer.status for answer in inbox.responses] == [502]
     other = push_request(actor, inbox)
     router.script = lambda event: [io.RejectRequest(other.number, 0)]
     actor.handle_safely(ClientDisconnected(other))
-    assert len(inbox.got) == 1 and isinstance(router.events[-1], io.ClientDisconnected)
+    assert len(inbox.responses) == 1 and isinstance(router.events[-1], io.ClientDisconnected)
     assert actor.requests.request_by_number == {} and actor.requests.unanswered == 0
 
 
@@ -151,7 +151,7 @@
     body = PooledBody.allocate(actor.context.pool, 40_000)
     assert body is not None and actor.context.pool.used == 3
     actor.handle_safely(AttemptFinished(attempt, AttemptOutcome.OK, clock.now(), body=body))
-    assert actor.context.pool.used == 0 and inbox.got == []
+    assert actor.context.pool.used == 0 and inbox.responses == []
     event = router.events[-1]
     assert isinstance(event, io.AttemptCompleted) and event.last
 
@@ -169,7 +169,7 @@
     event = router.events[-1]
     assert (
         isinstance(event, io.AttemptCompleted)
-        and event.ending is AttemptOutcome.NOT_PROCESSED
+        and event.outcome is AttemptOutcome.NOT_PROCESSED
         and not event.last
     )
 
@@ -187,10 +187,10 @@
     inbox = Inbox()
     first = push_request(actor, inbox, job="9b1f03aa5c7e2d41")
     push_request(actor, inbox, job="9b1f03aa5c7e2d41")
-    assert len(router.events) == 1 and [answer.status for answer in inbox.got] == [409]
+    assert len(router.events) == 1 and [answer.status for answer in inbox.responses] == [409]
     actor.handle_safely(ClientDisconnected(first))
     push_request(actor, inbox, job="9b1f03aa5c7e2d41")
-    assert len(router.events) == 3 and len(inbox.got) == 1
+    assert len(router.events) == 3 and len(inbox.responses) == 1
 
 
 def test_requests_over_the_open_limit_are_rejected_with_a_retry_time() -> None:
@@ -199,7 +199,7 @@
     inbox = Inbox()
     for _ in range(3):
         push_request(actor, inbox)
-    assert len(router.events) == 2 and [(a.status, a.retry_after_ms) for a in inbox.got] == [(503, 500)]
+    assert len(router.events) == 2 and [(a.status, a.retry_after_ms) for a in inbox.responses] == [(503, 500)]
 
 
 @pytest.mark.parametrize("how", ["on_probe", "off"])
@@ -226,14 +226,14 @@
 
         await until(lambda: len(ended()) == 2, "both health checks finish")
         well, refused = ended()[number("s-1")], ended()[number("s-2")]
-        assert (well.ending, refused.ending) == (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED)
+        assert (well.outcome, refused.outcome) == (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED)
         assert cache.probed == ["gauges" if how == "on_probe" else "health"]
         assert well.report == ((0.61, 0.4) if how == "on_probe" else ())
         cache.health = "ill"
         router.events.clear()
         actor._perform(io.SendHealthCheck(number("s-1")), clock.now())
         await until(lambda: len(ended()) == 1, "the third one finishes")
-        assert ended()[number("s-1")].ending is AttemptOutcome.ERROR
+        assert ended()[number("s-1")].outcome is AttemptOutcome.ERROR
         actor.cancel()
         for each in actor.caches.values():
             each.cancel()
@@ -275,9 +275,9 @@
     with pytest.raises(AssertionError, match="it_holds"):
         checks.must(False, "it_holds")
     checks.event("something", "once")
-    assert checks.changed() == "something 1" and checks.changed() == ""
+    assert checks.describe_changes() == "something 1" and checks.describe_changes() == ""
     checks.count("something")
-    assert checks.changed() == "something 2"
+    assert checks.describe_changes() == "something 2"
 
 
 @pytest.mark.parametrize(
@@ -312,7 +312,7 @@
         push_request(actor, Inbox())
 
         def ended() -> list[AttemptOutcome]:
-            return [event.ending for event in router.events if isinstance(event, io.AttemptCompleted)]
+            return [event.outcome for event in router.events if isinstance(event, io.AttemptCompleted)]
 
         await until(lambda: bool(ended()), "the attempt completes")
         assert ended() == [ending]
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -120,7 +120,7 @@
         """Restart fronts; the first list that they receive contains the cold machine."""
         own = self.start_events[0][1]
         up = {own: START_TIME}
-        listed = tuple(replace(m, size=self.size, up_since=up.get(m.cache, 0)) for m in fleet())
+        listed = tuple(replace(m, size=self.size, started_at=up.get(m.number, 0)) for m in fleet())
         for n in range(count):
             self.benches[n] = RouterBench(self.settings, listed, seed=self.seed + 7777 * (n + 1))
             self.benches[n].now = now
@@ -223,7 +223,7 @@
 def test_a_hit_requested_before_a_restart_refunds_nothing_after_it() -> None:
     """An attempt that was charged before the parent's restart and is answered by the cache after it."""
     settings = make_settings(fronts=30, fronts_by_zone=(0, 30))
-    listed = tuple(replace(m, size=1.0) for m in fleet() if m.cache != PARENTS[1])
+    listed = tuple(replace(m, size=1.0) for m in fleet() if m.number != PARENTS[1])
     early = 0
     for seed in range(30):
         bench = RouterBench(settings, listed, seed)
@@ -247,7 +247,7 @@
     listed = tuple(replace(m, size=1.0) for m in fleet())
     bench = RouterBench(make_settings(fronts=1, fronts_by_zone=(0, 1)), listed)
     node, started = bench.router.placement.table.by_id[CACHES[0]], bench.now
-    bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (replace(node.endpoint, up_since=started),)))
+    bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (replace(node.endpoint, started_at=started),)))
     for _ in range(2):  # the last check while it is cold
         bench.advance(7 * SECOND)
         bench.router.context.now = bench.now
@@ -257,7 +257,7 @@
     for number in range(1, 61):
         for sent in attempts(bench.send_request(number, obj=number)):
             bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.FILLED)
-    again = replace(node.endpoint, up_since=started + 13 * SECOND)
+    again = replace(node.endpoint, started_at=started + 13 * SECOND)
     bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (again,)))
     bench.router.slow_start.has_budget(node)
     assert -WORK * SECOND <= node.credit <= 0, node.credit / SECOND  # one request at most
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -99,10 +99,10 @@
             gate.set()
 
     async def wait_for_responses(self, times: int) -> list[Response]:
-        await until(lambda: len(self.inbox.got) >= times, f"{times} are answered")
+        await until(lambda: len(self.inbox.responses) >= times, f"{times} are answered")
         await asyncio.sleep(0.5)  # of virtual time: further responses would have arrived
-        assert len(self.inbox.got) == times
-        return self.inbox.got
+        assert len(self.inbox.responses) == times
+        return self.inbox.responses
 
     def serve_connections(self, name: str) -> list[Any]:
         """Return the front's end of the connection for each `serve` that a machine received."""
@@ -263,7 +263,7 @@
         old, new = cache.asked
         old.data(b"of the old one")
         await asyncio.sleep(0.05)
-        assert not harness.inbox.got
+        assert not harness.inbox.responses
         new.data(b"of the new one")
         (answer,) = await harness.wait_for_responses(1)
         assert answer.status == 200 and answer.body is not None
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -50,7 +50,7 @@
         await until(lambda: request.is_finished, "the router finishes it before that message")
         harness.module.router.handle = decide  # type: ignore[method-assign]
         await harness.serve_one()
-        assert not harness.serve_wires(request) and not request.receiver.got  # type: ignore[attr-defined]
+        assert not harness.serve_wires(request) and not request.receiver.responses  # type: ignore[attr-defined]
         harness.disconnect_client(request)
         await harness.assert_settled()
         assert harness.events.count(io.ClientDisconnected(request.number)) == 1
@@ -222,7 +222,7 @@
         (first,) = attempts(bench.send_request(request, cls))
         bench.now += 500 * MS
         (again,) = attempts(bench.complete_attempt(first, AttemptOutcome.RESET))
-        assert (first.within, again.within) == (0, within)
+        assert (first.first_byte_within, again.first_byte_within) == (0, within)
 
 
 # The endpoint list
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -155,7 +155,7 @@
     [
         (f"{NET}.watch:ChangeLogWatcher.wait_until_caught_up=SWAP,HUP",),
         # the file is replaced again between its reading and its use: the newest file must be in force
-        (f"{SERVING_POINT}=HUP", f"{FRONT}:reloaded=SWAP,HUP"),
+        (f"{SERVING_POINT}=HUP", f"{FRONT}:apply_reload=SWAP,HUP"),
     ],
     ids=["while it waits for its first changes", "in the middle of another reload"],
 )
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -74,8 +74,8 @@
 
 def host_record(host: str, state: EndpointState = EndpointState.READY, **changes: object) -> HostRecord:
     values: dict[str, object] = {
-        "host": host, "address": ("127.0.0.9", 5050), "site": "east", "kind": "std", "cell": 2,
-        "state": state, "size": 4.0, "born_ms": 0,
+        "host": host, "address": ("127.0.0.9", 5050), "zone": "east", "kind": "std", "cell": 2,
+        "state": state, "size": 4.0, "started_at_ms": 0,
     }  # fmt: skip
     return HostRecord(**(values | changes))  # type: ignore[arg-type]
 
@@ -101,8 +101,8 @@
     update = directory.apply(
         FleetChange(2, False, (host_record("s-1", EndpointState.GONE), host_record("s-3")))
     )
-    assert [m.state for m in update.machines] == [EndpointState.GONE, EndpointState.READY]
-    assert len({m.cache for m in update.machines}) == 2
+    assert [m.state for m in update.endpoints] == [EndpointState.GONE, EndpointState.READY]
+    assert len({m.number for m in update.endpoints}) == 2
     assert {r.host for _, r in directory.listed_hosts()} == {"s-2", "s-3"}
     assert directory.find_entry(directory.assign_number("s-1")) is None
 
@@ -110,31 +110,33 @@
 def test_a_full_list_replaces_all_machines_and_a_change_adds() -> None:
     directory = new_directory()
     update = directory.apply(
-        FleetChange(2, True, (host_record("s-9", site="west", kind="parent"),)), UpdateScope.FULL
+        FleetChange(2, True, (host_record("s-9", zone="west", kind="parent"),)), UpdateScope.FULL
     )
-    (machine,) = update.machines
+    (machine,) = update.endpoints
     assert (update.scope, machine.zone, machine.kind) == (UpdateScope.FULL, 0, 1)
     assert [r.host for _, r in directory.listed_hosts()] == ["s-9"]
-    assert directory.full_list().machines == update.machines
+    assert directory.full_list().endpoints == update.endpoints
 
 
 def test_an_invalid_change_is_not_applied_at_all() -> None:
     directory = new_directory()
     before = list(directory.listed_hosts())
     with pytest.raises(ProtocolError, match="s-4"):
-        directory.apply(FleetChange(2, True, (host_record("s-3"), host_record("s-4", site="nowhere"))))
+        directory.apply(FleetChange(2, True, (host_record("s-3"), host_record("s-4", zone="nowhere"))))
     assert list(directory.listed_hosts()) == before
 
 
 def test_the_start_time_of_a_machine_stays_when_it_is_listed_again() -> None:
     directory = new_directory()
     born = time.time_ns() // clock.MS - 5000
-    first = directory.apply(FleetChange(2, False, (host_record("s-1", born_ms=born),))).machines[0]
-    second = directory.apply(FleetChange(3, False, (host_record("s-1", born_ms=born, size=9.0),))).machines[0]
-    assert first.up_since == second.up_since > 0
-    assert clock.now() - first.up_since >= 5000 * clock.MS
-    later = directory.apply(FleetChange(4, False, (host_record("s-1", born_ms=born + 1000),))).machines[0]
-    assert later.up_since > second.up_since
+    first = directory.apply(FleetChange(2, False, (host_record("s-1", started_at_ms=born),))).endpoints[0]
+    resized = host_record("s-1", started_at_ms=born, size=9.0)
+    second = directory.apply(FleetChange(3, False, (resized,))).endpoints[0]
+    assert first.started_at == second.started_at > 0
+    assert clock.now() - first.started_at >= 5000 * clock.MS
+    restarted = host_record("s-1", started_at_ms=born + 1000)
+    later = directory.apply(FleetChange(4, False, (restarted,))).endpoints[0]
+    assert later.started_at > second.started_at
 
 
 def test_unix_times_are_converted_on_the_safe_side() -> None:
--- a/tests/test_policy_homes.py
+++ b/tests/test_policy_homes.py
@@ -83,7 +83,7 @@
 
 
 def a_closed_home_refuses_what_may_not_simply_be_repeated() -> None:
-    bench = make_homed_bench(lambda e: home(closed=True))
+    bench = make_homed_bench(lambda e: home(is_write_paused=True))
     assert len(attempts(bench.send_request(1, cls=0))) == 1
     for n in (1, 2):
         actions = bench.send_request(10 + n, cls=n)
@@ -111,7 +111,7 @@
     bench, observed = make_homed_bench(lambda e: None), list[tuple[int, int, int | None]]()
 
     def observer(e: io.RequestReceived, node: Upstream, source: Upstream | None) -> None:
-        observed.append((e.request, node.endpoint.cache, source.endpoint.cache if source else None))
+        observed.append((e.request, node.endpoint.number, source.endpoint.number if source else None))
 
     bench.router.sender.observer = observer
     (sent,) = attempts(bench.send_request(1))
@@ -126,7 +126,7 @@
     (sent,) = attempts(bench.send_request(1, obj=7))
     req = bench.router.requests[1]
     order = [
-        n.endpoint.cache for n in bench.router.placement.rank(bench.router.placement.table.caches, req.key)
+        n.endpoint.number for n in bench.router.placement.rank(bench.router.placement.table.caches, req.key)
     ]
     bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)
     first = bench.router.placement.table.by_id[order[0]]
@@ -198,13 +198,13 @@
 
 
 def shared_ranking_for_all_homes(patch: pytest.MonkeyPatch) -> None:
-    replace_rank(lambda s, n, k, h: plain_rank(s, n, k, h and replace(h, name=1)))(patch)
+    replace_rank(lambda s, n, k, h: plain_rank(s, n, k, h and replace(h, number=1)))(patch)
 
 
 def home_never_closed(patch: pytest.MonkeyPatch) -> None:
     def open_to_all(self: Router, e: io.RequestReceived) -> None:
         find_home = self.find_home
-        self.find_home = find_home and (lambda e: (h := find_home(e)) and replace(h, closed=False))
+        self.find_home = find_home and (lambda e: (h := find_home(e)) and replace(h, is_write_paused=False))
         plain_on_request(self, e)
         self.find_home = find_home
 
@@ -250,7 +250,7 @@
 
     def rank_with_fallback(s: Placement, n: list[Upstream], k: int, h: io.HomeShard | None) -> list[Upstream]:
         usable = h and any(
-            m.endpoint.cache in h.caches and m.endpoint.state is EndpointState.READY for m in s.table.caches
+            m.endpoint.number in h.caches and m.endpoint.state is EndpointState.READY for m in s.table.caches
         )
         return plain_rank(s, n, k, h if usable else None)
 
--- a/tests/test_policy_mechanism.py
+++ b/tests/test_policy_mechanism.py
@@ -121,7 +121,7 @@
     (cache_only,) = attempts(bench.send_request(501, cls=1, obj=501))
     assert (
         isinstance(cache_only, io.FetchThrough)
-        and cache_only.age == 22 * SECOND
+        and cache_only.max_copy_age == 22 * SECOND
         and cache_only.source == cache_only.cache
     )
 
@@ -240,7 +240,7 @@
 
 def test_a_cold_new_cache_serves_a_part_of_its_keys() -> None:
     bench = RouterBench()
-    newcomer = replace(machine(104), up_since=bench.now)
+    newcomer = replace(machine(104), started_at=bench.now)
     bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (newcomer,)))
     taken = 0
     for n in range(300):
@@ -408,7 +408,7 @@
     second = bench.router.placement.rank(bench.router.placement.table.caches, req.key)[1]
     bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)
     first.in_flight = {(5000 + n, 0): Attempt(req, 0, bench.now, first, None) for n in range(200)}
-    return first.endpoint.cache, second.endpoint.cache
+    return first.endpoint.number, second.endpoint.number
 
 
 def test_a_hold_for_a_saturated_cache_ends_at_the_next_cache_by_hash() -> None:
@@ -431,7 +431,7 @@
 
 def fleet_without_sizes(**more: Any) -> tuple[io.Endpoint, ...]:
     """The fleet as listed without sizes."""
-    return tuple(replace(m, size=1.0, **(more if m.cache in CACHES else {})) for m in fleet())
+    return tuple(replace(m, size=1.0, **(more if m.number in CACHES else {})) for m in fleet())
 
 
 def test_unlisted_sizes_are_learned_from_served_work() -> None:
--- a/tests/test_policy_properties.py
+++ b/tests/test_policy_properties.py
@@ -101,7 +101,7 @@
         self.timers: list[tuple[int, int]] = []
         self.purge_times: dict[tuple[int, int], int] = {}
         many = LARGE if site.fronts > 100 else ()
-        self.endpoint_by_id = {m.cache: m for m in (*fleet(), *many)}
+        self.endpoint_by_id = {m.number: m for m in (*fleet(), *many)}
         self.sends_since_start: dict[int, list[int]] = {}
         self.next_request = 0
         self.handle(io.EndpointUpdate(UpdateScope.RESTORED, tuple(self.endpoint_by_id.values())))
@@ -124,7 +124,7 @@
         event, deadline = self.open_requests[sent.request]
         assert self.now < deadline and sent.timeout <= deadline - self.now
         earlier = self.attempts_by_request.setdefault(sent.request, [])
-        cls = self.settings.classes[event.cls]
+        cls = self.settings.classes[event.class_index]
         effect = cls.effect
         still_open = [n for n, (_, _, outcome) in enumerate(earlier) if outcome is None]
         executed = [(at, cache) for at, cache, outcome in earlier if outcome not in NEVER_RAN]
@@ -145,7 +145,9 @@
         if isinstance(sent, io.FetchThrough):
             purges = [self.purge_times.get((0, event.object), -1), self.purge_times.get((1, event.group), -1)]
             if max(purges) >= 0 and self.now - max(purges) <= self.settings.purge_settles:
-                assert 1 <= sent.age <= max(self.now - max(purges), 1), "allows a copy from before the purge"
+                assert (
+                    1 <= sent.max_copy_age <= max(self.now - max(purges), 1)
+                ), "allows a copy from before the purge"
         else:
             assert self.endpoint_by_id[sent.cache].kind == ORIGIN
         if sent.cache in self.sends_since_start:
@@ -163,7 +165,7 @@
             if m.kind == s.parent_kind
             else (s.cold_from, s.cold_multiple)
         )
-        if self.now - m.up_since < s.cold_window:
+        if self.now - m.started_at < s.cold_window:
             # a front may exceed its budget by one attempt
             work = (sum(at > first for at in sent) - 1) * min(self.router.latency.transfer_times.means)
             assert work * s.fronts <= multiple * initial_share * m.size * s.cold_window
@@ -174,7 +176,7 @@
         assert request in self.streaming or self.now <= deadline
         if (
             isinstance(action, io.RejectRequest)
-            and self.settings.classes[event.cls].effect is not Idempotency.SAFE
+            and self.settings.classes[event.class_index].effect is not Idempotency.SAFE
         ):
             assert all(outcome in NEVER_RAN for _, _, outcome in self.attempts_by_request.get(request, []))
 
@@ -209,10 +211,10 @@
     def update_endpoint(self, pick: int, state: EndpointState) -> None:
         cache = (*CACHES, *PARENTS)[pick % 5]
         old = self.endpoint_by_id[cache]
-        up_since = self.now if state is EndpointState.READY else old.up_since
+        up_since = self.now if state is EndpointState.READY else old.started_at
         # small enough to exceed the slow-start budget
         size = 8.0 if state is EndpointState.READY else old.size
-        new = replace(old, state=state, up_since=up_since, size=size)
+        new = replace(old, state=state, started_at=up_since, size=size)
         self.endpoint_by_id[cache] = new
         if state is EndpointState.READY:
             self.sends_since_start[cache] = []
@@ -256,7 +258,7 @@
             request, number = sorted(self.open_attempts)[pick % len(self.open_attempts)]
             stream = (
                 request in self.open_requests
-                and self.settings.classes[self.open_requests[request][0].cls].stream
+                and self.settings.classes[self.open_requests[request][0].class_index].stream
             )
             if stream and request not in self.streaming:
                 self.streaming.add(request)
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -191,20 +191,20 @@
     bench = RouterBench()
     bench.handle(io.ObjectPurged(group, obj, 300 * MS))
     (first,) = attempts(bench.send_request(1))
-    assert isinstance(first, io.FetchThrough) and first.age == 300 * MS
+    assert isinstance(first, io.FetchThrough) and first.max_copy_age == 300 * MS
     bench.now += SECOND
     (second,) = attempts(bench.send_request(2))
-    assert isinstance(second, io.FetchThrough) and second.age == 1300 * MS
+    assert isinstance(second, io.FetchThrough) and second.max_copy_age == 1300 * MS
     bench.now += 20 * SECOND
     (third,) = attempts(bench.send_request(3))
-    assert isinstance(third, io.FetchThrough) and third.age == 0
+    assert isinstance(third, io.FetchThrough) and third.max_copy_age == 0
 
 
 def test_a_purge_of_age_zero_limits_to_the_lowest_age() -> None:
     bench = RouterBench()
     bench.handle(io.ObjectPurged(3, 5, 0))
     (sent,) = attempts(bench.send_request(1))
-    assert isinstance(sent, io.FetchThrough) and sent.age == 1
+    assert isinstance(sent, io.FetchThrough) and sent.max_copy_age == 1
 
 
 def test_a_purge_during_a_hold_applies_at_the_release() -> None:
@@ -213,7 +213,7 @@
     bench.send_request(99, obj=5)
     bench.handle(io.ObjectPurged(3, 5, 200 * MS))
     (late,) = attempts(bench.complete_attempt(outstanding[0], AttemptOutcome.OK, CacheStatus.FILLED))
-    assert isinstance(late, io.FetchThrough) and late.request == 99 and late.age == 200 * MS
+    assert isinstance(late, io.FetchThrough) and late.request == 99 and late.max_copy_age == 200 * MS
 
 
 def test_only_one_attempt_at_a_time_without_second_copies() -> None:
@@ -243,10 +243,10 @@
 
 def test_machines_keep_their_start_time_across_lists() -> None:
     bench = RouterBench()
-    line = replace(machine(CACHES[0]), up_since=bench.now)
+    line = replace(machine(CACHES[0]), started_at=bench.now)
     bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (line,)))
     bench.handle(io.EndpointUpdate(UpdateScope.CHANGES, (line,)))
-    assert bench.router.placement.table.by_id[CACHES[0]].started_at == line.up_since
+    assert bench.router.placement.table.by_id[CACHES[0]].started_at == line.started_at
 
 
 def test_a_request_with_no_time_left_is_answered_at_once() -> None:
@@ -295,8 +295,8 @@
     bench.handle(io.ObjectPurged(3, 0, 4 * SECOND))
     (inside,) = attempts(bench.send_request(1))
     (outside,) = attempts(bench.send_request(2, group=4))
-    assert isinstance(inside, io.FetchThrough) and inside.age == 4 * SECOND
-    assert isinstance(outside, io.FetchThrough) and outside.age == 0
+    assert isinstance(inside, io.FetchThrough) and inside.max_copy_age == 4 * SECOND
+    assert isinstance(outside, io.FetchThrough) and outside.max_copy_age == 0
 
 
 def test_caches_of_other_zones_cost_nothing() -> None:
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -57,7 +57,7 @@
             await harness.wait_until_idle()
             received = {cls: sum(m.whole[job] for m in machines.values()) for cls, (_, job) in served.items()}
             assert received[UNSAFE] <= 1, "a bid arrives at most once"
-            assert [len(inbox.got) for inbox in inboxes] == [1, 1, 1], "one final response each"
+            assert [len(inbox.responses) for inbox in inboxes] == [1, 1, 1], "one final response each"
             assert (
                 served[SAFE][0] == served[KEYED][0] == 200
             ), "another address serves requests that may be retried"
@@ -130,7 +130,7 @@
         await until(lambda: not harness.cache("s-1").connections, "the old connections are closed")
         await harness.serve(SAFE, 9)
         assert AttemptOutcome.CONNECT_FAILED in outcomes and harness.cache("s-1").number in {
-            n.endpoint.cache for n in harness.module.router.placement.table.by_id.values() if n.is_ejected
+            n.endpoint.number for n in harness.module.router.placement.table.by_id.values() if n.is_ejected
         }
         machine.set("ipv4", Script())  # listed addresses are tried even in backoff
         await harness.cache("s-1").route.connect()  # type: ignore[union-attr]
@@ -255,7 +255,7 @@
         await until(lambda: not harness.route("o-1").task_by_dial, "its dials are cancelled")
         await until(lambda: not harness.cache("o-1").connections, "its connection is closed")
         assert (harness.module.dependencies.descriptors.caches, harness.dialer.limiter.in_use) == (0, 0)
-        assert inbox.got == [] and origin.whole[job] == 0
+        assert inbox.responses == [] and origin.whole[job] == 0
         counts = harness.checks.counts
         assert counts["dials_cancelled"] and not counts["dials_failed_timed_out"]
         await harness.close()
@@ -297,11 +297,11 @@
             origin.set(kind, Script(Moment.REFUSE))
         asked = [harness.submit(UNSAFE) for _ in range(40)]
         peak = 0
-        while not all(inbox.got for _, inbox, _ in asked):
+        while not all(inbox.responses for _, inbox, _ in asked):
             peak = max(peak, descriptors.caches)
             await asyncio.sleep(0.001)
         assert peak <= descriptors.max_caches
-        assert {inbox.got[0].status for _, inbox, _ in asked} == {200}
+        assert {inbox.responses[0].status for _, inbox, _ in asked} == {200}
         assert all(origin.whole[job] == 1 for job, _, _ in asked)
         await harness.close()
 
@@ -343,7 +343,7 @@
         await until(lambda: origin.whole[silent] == 1, "the command is sent")
         harness.apply_event(harness.host_record("o-1", [origin.doors["ipv6"].text]))
         await until(lambda: len(harness.route("o-1").book.state_by_address) == 1, "the list is applied")
-        assert not inbox.got  # the attempt stays on the old connection
+        assert not inbox.responses  # the attempt stays on the old connection
         job, status = await harness.serve(UNSAFE)
         assert (status, origin.at[-1]) == (200, ("ipv6", job))
         origin.set("ipv6", Script(Moment.FULL))
@@ -503,13 +503,13 @@
                 machine.set(kind, Script(Moment.FULL))
         asked = [harness.submit(cls, n) for n in range(60) for cls in (SAFE, UNSAFE)]
         peaks = [0, 0]
-        while not all(inbox.got for _, inbox, _ in asked):
+        while not all(inbox.responses for _, inbox, _ in asked):
             dial_counts = [len(route.task_by_dial) for route in harness.dialer.route_by_number.values()]
             peaks = [max(peaks[0], *dial_counts), max(peaks[1], sum(dial_counts))]
             await asyncio.sleep(0.0005)
         assert peaks[0] <= 4 and peaks[1] <= 6 and harness.dialer.limiter.peak <= 6
-        assert {inbox.got[0].status for _, inbox, _ in asked} <= {200, 503}
-        assert sum(inbox.got[0].status == 200 for _, inbox, _ in asked) >= 60  # the bids at least
+        assert {inbox.responses[0].status for _, inbox, _ in asked} <= {200, 503}
+        assert sum(inbox.responses[0].status == 200 for _, inbox, _ in asked) >= 60  # the bids at least
         await harness.close()
 
     run_on_uvloop(scenario)
--- a/tests/test_standing_cold.py
+++ b/tests/test_standing_cold.py
@@ -116,9 +116,9 @@
     def forget_restart(self: Router, update: io.EndpointUpdate) -> None:
         cold = {cache for cache, node in self.placement.table.by_id.items() if node.started_at}
         plain(self, update)
-        for m in update.machines:
-            if m.cache in cold:
-                self.placement.table.by_id[m.cache].started_at = 0
+        for m in update.endpoints:
+            if m.number in cold:
+                self.placement.table.by_id[m.number].started_at = 0
 
     patch.setattr(Router, "on_endpoint_update", forget_restart)
 
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -265,7 +265,7 @@
 
     def machine(self: MachineDirectory, record: Any) -> Any:
         before, now = self.entry_by_host.get(record.host), original(self, record)
-        return replace(now, up_since=before.machine.up_since) if before is not None else now
+        return replace(now, started_at=before.machine.started_at) if before is not None else now
 
     patch.setattr(MachineDirectory, "_to_machine", machine)
 
@@ -276,7 +276,7 @@
     def purged(record: PurgeRecord, age: int) -> io.ObjectPurged:
         return io.ObjectPurged(record.group, record.object or 0, age + 20 * clock.SECOND)
 
-    patch.setattr(module, "purged", purged)
+    patch.setattr(module, "make_object_purged", purged)
 
 
 def longer_backoff(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_wire_changelog.py
+++ b/tests/test_wire_changelog.py
@@ -1,4 +1,4 @@
-"""The change log's JSON: typed events, records that can't be used, answers that can't be read."""
+"""The change log's JSON: typed events, invalid records, responses that can't be read."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     return {"seq": seq, "fleet": {"seq": 7, "whole": whole, "hosts": [HOST | changes]}}
 
 
-def purge(seq: int = 2, **what: Any) -> dict[str, Any]:
-    return {"seq": seq, "invalidate": what}
+def purge(seq: int = 2, **fields: Any) -> dict[str, Any]:
+    return {"seq": seq, "invalidate": fields}
 
 
 def test_events_of_each_kind() -> None:
@@ -45,13 +45,13 @@
     }
     last, (first, single, group, change) = changelog.decode_changes(json.dumps(raw).encode())
     assert last == 4
-    assert isinstance(first, changelog.FleetChange) and first.whole
+    assert isinstance(first, changelog.FleetChange) and first.is_full_list
     (host,) = first.hosts
     assert (host.address, host.size, host.cell) == (("127.0.0.9", 5050), 4.0, 2)
     assert single == changelog.PurgeRecord(2, 0x7F3A9C21E0B4D655, 0, 1764576000123)
     assert group == changelog.PurgeRecord(3, None, 17, 1764576000480)
-    assert isinstance(change, changelog.FleetChange) and not change.whole
-    assert (change.hosts[0].state, change.hosts[0].born_ms) == (EndpointState.DRAINING, 1764576000000)
+    assert isinstance(change, changelog.FleetChange) and not change.is_full_list
+    assert (change.hosts[0].state, change.hosts[0].started_at_ms) == (EndpointState.DRAINING, 1764576000000)
 
 
 @pytest.mark.parametrize(
@@ -72,7 +72,7 @@
 )
 def test_a_record_that_cannot_be_used_keeps_its_number(record: dict[str, Any]) -> None:
     _, (found,) = changelog.read_changes({"seq": 5, "results": [record]})
-    assert isinstance(found, changelog.BadRecord) and found.seq == 5 and found.why
+    assert isinstance(found, changelog.InvalidRecord) and found.seq == 5 and found.reason
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
         b"\xff\xfe",
     ],
 )
-def test_what_cannot_be_read_raises(raw: bytes) -> None:
+def test_unreadable_responses_raise(raw: bytes) -> None:
     with pytest.raises(ProtocolError):
         changelog.decode_changes(raw)
 
@@ -115,8 +115,8 @@
     assert all(isinstance(event, changelog.ChangeEvent) for event in events)
 
 
-def test_a_list_without_sizes_is_taken_whole() -> None:
-    """Where no sizes are told the machine is served all the same; a size of a wrong type is still told."""
+def test_a_list_without_sizes_is_accepted() -> None:
+    """A machine without a stated size is used all the same; a size of a wrong type is still an error."""
     record = fleet(1)
     del record["fleet"]["hosts"][0]["share"]
     (change,) = changelog.read_changes({"seq": 1, "results": [record]})[1]
--- a/tests/test_wire_fastcgi.py
+++ b/tests/test_wire_fastcgi.py
@@ -1,4 +1,4 @@
-"""FastCGI: whole requests out of any split, what is answered at once, and hostile input."""
+"""FastCGI: requests in any split, records that are answered at once, and hostile input."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 )
 
 JOB = "9b1f03aa5c7e2d41"
-Found = list[fastcgi.Call | fastcgi.Aborted | fastcgi.Reply]
+DecodedItems = list[fastcgi.FastCgiRequest | fastcgi.RequestAborted | fastcgi.Reply]
 
 
-def feed_cut(data: bytes, cuts: list[int]) -> Found:
-    decoder, found, at = fastcgi.Decoder(), Found(), 0
+def feed_in_chunks(data: bytes, cuts: list[int]) -> DecodedItems:
+    decoder, items, at = fastcgi.Decoder(), DecodedItems(), 0
     for cut in [*sorted(cuts), len(data)]:
-        found += decoder.feed(data[at:cut])
+        items += decoder.feed(data[at:cut])
         at = cut
     assert not decoder.buffer
-    return found
+    return items
 
 
 def test_request_is_the_same_at_every_cut() -> None:
     data = encode_request(1, params(JOB), b"a\r\nb" * 9, padding=7)
-    whole = feed_cut(data, [])
-    assert whole == [fastcgi.Call(1, params(JOB), b"a\r\nb" * 9, True)]
+    complete = feed_in_chunks(data, [])
+    assert complete == [fastcgi.FastCgiRequest(1, params(JOB), b"a\r\nb" * 9, True)]
     for cut in range(len(data)):
-        assert feed_cut(data, [cut]) == whole
+        assert feed_in_chunks(data, [cut]) == complete
 
 
 @given(st.data())
@@ -62,9 +62,11 @@
         stream += queue.pop(0)
         queues = [q for q in queues if q]
     cuts = data.draw(st.lists(st.integers(0, len(stream)), max_size=12))
-    found = feed_cut(stream, cuts)
-    assert {c.id: c.body for c in found if isinstance(c, fastcgi.Call)} == bodies
-    assert all(isinstance(c, fastcgi.Call) and c.params == params(JOB) and not c.fault for c in found)
+    items = feed_in_chunks(stream, cuts)
+    assert {c.id: c.body for c in items if isinstance(c, fastcgi.FastCgiRequest)} == bodies
+    assert all(
+        isinstance(c, fastcgi.FastCgiRequest) and c.params == params(JOB) and not c.error for c in items
+    )
 
 
 def test_params_cut_over_records_and_long_lengths() -> None:
@@ -78,8 +80,8 @@
             + encode_record(PARAMS, 3)
             + encode_record(STDIN, 3)
         )
-        (found,) = fastcgi.Decoder().feed(data)
-        assert isinstance(found, fastcgi.Call) and found.params == values
+        (item,) = fastcgi.Decoder().feed(data)
+        assert isinstance(item, fastcgi.FastCgiRequest) and item.params == values
 
 
 @given(st.dictionaries(st.text(st.characters(max_codepoint=255), max_size=200), st.text("ab", max_size=200)))
@@ -87,14 +89,14 @@
     assert fastcgi.read_pairs(fastcgi.write_pairs(values.items())) == values
 
 
-def test_abort_of_what_is_open_only() -> None:
+def test_only_open_requests_are_aborted() -> None:
     decoder = fastcgi.Decoder()
-    assert decoder.feed(encode_begin(1) + encode_record(ABORT, 1)) == [fastcgi.Aborted(1)]
+    assert decoder.feed(encode_begin(1) + encode_record(ABORT, 1)) == [fastcgi.RequestAborted(1)]
     assert decoder.feed(encode_record(ABORT, 1)) == []
-    assert len(decoder.feed(encode_request(1, params(JOB)))) == 1  # the number is free again
-    assert decoder.feed(encode_record(ABORT, 1)) == [fastcgi.Aborted(1)]
+    assert len(decoder.feed(encode_request(1, params(JOB)))) == 1  # the id is free again
+    assert decoder.feed(encode_record(ABORT, 1)) == [fastcgi.RequestAborted(1)]
     decoder.feed(encode_request(1, params(JOB)))
-    decoder.close(1)
+    decoder.on_answered(1)
     assert decoder.feed(encode_record(ABORT, 1)) == []
 
 
@@ -102,9 +104,9 @@
     decoder = fastcgi.Decoder()
     for n in range(1, 33):
         decoder.feed(encode_request(n, params(JOB)))
-    (found,) = decoder.feed(encode_begin(33))
-    assert found == fastcgi.Reply(fastcgi.end(33, fastcgi.OVERLOADED), False)
-    decoder.close(5)
+    (item,) = decoder.feed(encode_begin(33))
+    assert item == fastcgi.Reply(fastcgi.end(33, fastcgi.OVERLOADED), False)
+    decoder.on_answered(5)
     assert decoder.feed(encode_begin(34)) == []
 
 
@@ -125,7 +127,7 @@
     assert unknown == fastcgi.Reply(encode_record(11, 0, bytes([77]) + bytes(7)))
 
 
-def test_records_of_requests_not_open_are_passed_over() -> None:
+def test_records_of_requests_not_open_are_ignored() -> None:
     assert (
         fastcgi.Decoder().feed(
             encode_record(PARAMS, 4, b"x") + encode_record(STDIN, 4, b"y") + encode_record(200, 4)
@@ -150,7 +152,7 @@
     with pytest.raises(ProtocolError):
         decoder.feed(data)
     with pytest.raises(ProtocolError):
-        decoder.feed(encode_request(2, params(JOB)))  # for good
+        decoder.feed(encode_request(2, params(JOB)))  # and so for all later data
 
 
 @pytest.mark.parametrize(
@@ -162,11 +164,11 @@
         encode_record(9, 0, b"\x05"),
     ],
 )
-def test_what_is_whole_before_a_broken_record_is_told_and_nothing_after_it(broken: bytes) -> None:
+def test_requests_before_a_broken_record_are_returned_and_none_after_it(broken: bytes) -> None:
     decoder = fastcgi.Decoder()
-    (whole,) = decoder.feed(encode_request(1, params(JOB)) + broken + encode_request(2, params(JOB)))
-    assert isinstance(whole, fastcgi.Call) and whole.id == 1
-    assert decoder.fault is not None and decoder.held == 0
+    (complete,) = decoder.feed(encode_request(1, params(JOB)) + broken + encode_request(2, params(JOB)))
+    assert isinstance(complete, fastcgi.FastCgiRequest) and complete.id == 1
+    assert decoder.error is not None and decoder.buffered_bytes == 0
     with pytest.raises(ProtocolError):
         decoder.feed(encode_request(2, params(JOB)))
 
@@ -180,7 +182,7 @@
         (encode_pairs(params(JOB)), b"x" * 48_001, "body over 48000"),
     ],
 )
-def test_unusable_requests_come_whole_with_their_fault(raw: bytes, body: bytes, word: str) -> None:
+def test_unusable_requests_are_returned_with_an_error(raw: bytes, body: bytes, word: str) -> None:
     data = (
         encode_begin(1)
         + encode_record(PARAMS, 1, raw)
@@ -188,8 +190,8 @@
         + encode_record(STDIN, 1, body) * bool(body)
         + encode_record(STDIN, 1)
     )
-    (found,) = fastcgi.Decoder().feed(data)
-    assert isinstance(found, fastcgi.Call) and word in found.fault and found.params == {}
+    (item,) = fastcgi.Decoder().feed(data)
+    assert isinstance(item, fastcgi.FastCgiRequest) and word in item.error and item.params == {}
 
 
 @given(st.lists(st.binary(max_size=300), max_size=20))
@@ -201,49 +203,53 @@
     except ProtocolError:
         pass
     assert len(decoder.buffer) <= 8 + 65_535 + 255 + 300
-    assert len(decoder.begun) <= fastcgi.OPEN_MOST
+    assert len(decoder.partial_requests) <= fastcgi.MAX_OPEN_REQUESTS
 
 
-def test_kept_bytes_of_a_request_are_bounded() -> None:
+def test_buffered_bytes_of_a_request_are_bounded() -> None:
     decoder = fastcgi.Decoder()
     decoder.feed(encode_begin(1))
     decoder.feed(encode_record(PARAMS, 1, b"x" * 16_000))
-    assert 16_000 <= decoder.held <= 16_100 and decoder.unfinished is not None
-    (fault,) = decoder.feed(
+    assert 16_000 <= decoder.buffered_bytes <= 16_100 and decoder.oldest_partial is not None
+    (rejected,) = decoder.feed(
         encode_record(PARAMS, 1, b"x" * 60_000)[:8]
-    )  # its head alone says that it is too much
-    assert isinstance(fault, fastcgi.Call) and "parameters over" in fault.fault and not fault.keep
+    )  # its header alone shows that it is too large
+    assert (
+        isinstance(rejected, fastcgi.FastCgiRequest)
+        and "parameters over" in rejected.error
+        and not rejected.keep_connection
+    )
     for _ in range(50):
-        assert not decoder.feed(b"x" * 1200) and decoder.held == 0
+        assert not decoder.feed(b"x" * 1200) and decoder.buffered_bytes == 0
     decoder.feed(encode_begin(2) + encode_record(PARAMS, 2))
-    found = [item for _ in range(50) for item in decoder.feed(encode_record(STDIN, 2, b"x" * 30_000))]
-    assert len(found) == 1 and "a body over" in found[0].fault and decoder.held == 0  # type: ignore[union-attr]
+    items = [item for _ in range(50) for item in decoder.feed(encode_record(STDIN, 2, b"x" * 30_000))]
+    assert len(items) == 1 and "a body over" in items[0].error and decoder.buffered_bytes == 0  # type: ignore[union-attr]
 
 
-def test_records_of_no_request_end_the_connection_when_there_is_no_end_of_them() -> None:
+def test_too_many_records_of_no_request_end_the_connection() -> None:
     decoder = fastcgi.Decoder()
     with pytest.raises(ProtocolError, match="records of no request"):
-        for _ in range(fastcgi.STRAY_MOST + 1):
+        for _ in range(fastcgi.MAX_STRAY_RECORDS + 1):
             decoder.feed(encode_record(STDIN, 7, b"x"))
-    assert decoder.held <= 9
+    assert decoder.buffered_bytes <= 9
 
 
-def test_what_is_half_sent_stays_the_same_until_it_is_whole() -> None:
+def test_oldest_partial_stays_the_same_until_it_is_complete() -> None:
     decoder = fastcgi.Decoder()
-    assert decoder.unfinished is None
+    assert decoder.oldest_partial is None
     decoder.feed(encode_begin(1))
-    first = decoder.unfinished
+    first = decoder.oldest_partial
     decoder.feed(
         encode_begin(2)
         + encode_record(PARAMS, 2, encode_pairs(params(JOB)))
         + encode_record(PARAMS, 2)
         + encode_record(STDIN, 2)
     )
-    assert first is not None and decoder.unfinished is first
+    assert first is not None and decoder.oldest_partial is first
     decoder.feed(encode_record(PARAMS, 1) + encode_record(STDIN, 1))
-    assert decoder.unfinished is None
+    assert decoder.oldest_partial is None
     decoder.feed(b"\x01")
-    assert decoder.unfinished is not None
+    assert decoder.oldest_partial is not None
 
 
 def test_finish_closes_stdout_and_ends_once() -> None:
