--- a/quincepier/consensus/__init__.py
+++ b/quincepier/consensus/__init__.py
@@ -1,8 +1,8 @@
-"""Consensus among three to seven voters on a log of opaque entries, of which the newest committed one counts.
+"""Consensus among three to seven voters on a log of opaque entries; only the newest committed entry is used.
 
 Raft (Ongaro and Ousterhout 2014; Ongaro's thesis): leader election, log replication, configuration changes.
-The package does no I/O, reads no clock and does not look into entries. Start reading at `raft.py`, then
-`raft_state.py`; docs/agreement.md describes the whole.
+The package does no I/O, reads no clock and does not interpret entries. Start reading at `raft.py`, then
+`raft_state.py`; docs/agreement.md describes the protocol and its use.
 """
 
 from quincepier.consensus.actions import (
--- a/quincepier/consensus/actions.py
+++ b/quincepier/consensus/actions.py
@@ -1,4 +1,4 @@
-"""What the Raft core asks its caller to do."""
+"""Actions that the Raft core returns for its caller to carry out."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
-    """Send an encoded message to a voter, once the write that it depends on is on disk.
+    """Send an encoded message to a voter once the writes that it depends on are on disk.
 
     Attributes:
         to: Name of the receiver.
         data: The encoded message.
-        after_ticket: Ticket of the `PersistRecords` that must be on disk before; 0: none.
+        after_ticket: Ticket of the `PersistRecords` that must be on disk before the message is sent; 0 if
+            there is none.
     """
 
     to: str
@@ -24,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistRecords:
-    """Write records to disk, in the order of the tickets, and report it with `Raft.on_persisted`."""
+    """Write records to disk, in the order of the tickets, and report the write with `Raft.on_persisted`."""
 
     ticket: int
     records: tuple[Record, ...]
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EntryCommitted:
-    """Apply a committed entry; of a snapshot only its newest data is given."""
+    """Apply a committed entry. A snapshot is reported as one entry that holds its newest data."""
 
     index: int
     term: int
@@ -41,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaderChanged:
-    """The leader or the term that this voter knows has changed; `leader` is None while it knows none."""
+    """The leader or the term known to this voter has changed; `leader` is None while no leader is known."""
 
     leader: str | None
     term: int
--- a/quincepier/consensus/cluster_configuration.py
+++ b/quincepier/consensus/cluster_configuration.py
@@ -1,10 +1,14 @@
 """The cluster's configuration: bootstrap, and changes by one voter at a time (thesis 4.1, 4.2.1, 4.4).
 
-What holds: a voter is a name and an identity, and the identity ends with its storage folder. The first
-configuration takes effect once every voter named in the file is bound to that same one, on its disk; a voter
-is bound once. After that only the log changes it, by one voter, after the change before was committed and an
-entry of the leader's term too. So a voter that lost its folder is removed, and added as another one, by two
-changes that a quorum agreed to each.
+Rules:
+- A voter is a name together with an identity. The identity is lost with the voter's storage folder.
+- The first configuration takes effect once every voter named in the operators' file is bound to it: each has
+  the same configuration on its disk. A voter is bound only once.
+- After that only the log changes the configuration, by one voter at a time, once the previous change and an
+  entry of the leader's term are committed.
+
+A voter that lost its folder is therefore removed and then added under its new identity, by two changes, each
+agreed by a quorum.
 """
 
 from __future__ import annotations
@@ -21,7 +25,7 @@
 
 
 def on_tick(state: RaftState) -> None:
-    """As leader propose a change that is wanted; a voter that is not in yet announces itself."""
+    """As leader, propose a change of the voters that is due; otherwise announce this voter if needed."""
     if state.leader_state is not None:
         propose_configuration_change(state, state.leader_state)
     elif state.now_ns >= state.retry_deadline_ns and needs_announcement(state):
@@ -33,12 +37,15 @@
 
 
 def needs_announcement(state: RaftState) -> bool:
-    """Whether others have to learn of this voter before it counts."""
+    """Whether this voter must still announce itself: it is no member yet, or bootstrap is not complete."""
     return not state.is_member or not state.is_bootstrapped
 
 
 def bootstrap_if_complete(state: RaftState) -> None:
-    """The first voter by name binds itself once it has heard all; the others bind to what it announces."""
+    """On the first voter by name: create the first configuration once all others have announced themselves.
+
+    The other voters bind to the configuration that this voter then announces.
+    """
     if not state.is_unbound or state.config.name != min(state.config.voters):
         return
     identity_by_name = {
@@ -52,12 +59,12 @@
 
 
 def bind_to_configuration(state: RaftState, configuration: tuple[Member, ...]) -> None:
-    """Begin the log with this configuration."""
+    """Start the log with a snapshot that holds only this configuration."""
     state.install_snapshot(Snapshot(0, 0, configuration))
 
 
 def on_hello(state: RaftState, message: Message, hello: Hello) -> None:
-    """Note an announcement, bind to a first configuration, and answer one that came unasked."""
+    """Record an announcement, bind to a first configuration, and answer an unsolicited Hello."""
     state.announcement_by_name[message.sender_name] = Announcement(
         message.sender_identity, hello.configuration, state.now_ns
     )
@@ -65,8 +72,8 @@
         bind_to_configuration(state, hello.configuration)
     if not state.is_bootstrapped and state.log.snapshot is not None and state.log.last_index == 0:
         state.is_bootstrapped = _are_all_bound(state)
-    is_unasked = message.receiver_identity == ""
-    if is_unasked and (state.is_bootstrapped or state.log.snapshot is not None):
+    is_unsolicited = message.receiver_identity == ""
+    if is_unsolicited and (state.is_bootstrapped or state.log.snapshot is not None):
         state.queue_message(message.sender_name, Hello(state.configuration), message.sender_identity)
 
 
@@ -77,7 +84,7 @@
 
 
 def _are_all_bound(state: RaftState) -> bool:
-    """Whether every other voter has announced, under its identity, the configuration that this one has."""
+    """Whether every other voter has announced this voter's configuration, under the identity in it."""
     return all(member.name == state.config.name or _is_bound(state, member) for member in state.configuration)
 
 
@@ -91,7 +98,7 @@
 
 
 def propose_configuration_change(state: RaftState, leader_state: LeaderState) -> None:
-    """Propose the next removal or addition, if one is wanted and may be made now (thesis 4.1, 4.2.1)."""
+    """Propose the next removal or addition, if one is needed and allowed now (thesis 4.1, 4.2.1)."""
     has_committed_in_term = state.commit_index >= leader_state.first_index
     is_change_pending = state.log.configuration_index > state.commit_index
     if not has_committed_in_term or is_change_pending:
@@ -111,22 +118,22 @@
 def _voter_to_remove(
     state: RaftState, leader_state: LeaderState, identity_by_name: dict[str, str]
 ) -> str | None:
-    """Return a voter that the file no longer names, or that came back under another identity."""
+    """Return a voter that the operators' file no longer names, or that restarted under another identity."""
     if len(identity_by_name) <= MIN_CONFIGURATION_SIZE:
         return None
     for name, identity in identity_by_name.items():
         is_self = name == state.config.name
-        is_unnamed = name not in state.config.voters
+        is_unlisted = name not in state.config.voters
         progress = leader_state.progress_by_identity.get(identity)
-        if not is_self and (is_unnamed or _has_lost_identity(state, name, identity, progress)):
+        if not is_self and (is_unlisted or _has_lost_identity(state, name, identity, progress)):
             return name
     return None
 
 
 def _has_lost_identity(state: RaftState, name: str, identity: str, progress: FollowerProgress | None) -> bool:
-    """Whether the name announced another identity, and the known one is silent.
+    """Whether a voter has announced another identity while its known identity no longer responds.
 
-    While the known one still answers, the announcement is of a second process under that name.
+    While the known identity still responds, the announcement is from a second process under that name.
     """
     announcement = state.announcement_by_name.get(name)
     if announcement is None or announcement.identity == identity:
@@ -138,7 +145,7 @@
 def _voter_to_add(
     state: RaftState, leader_state: LeaderState, identity_by_name: dict[str, str]
 ) -> Member | None:
-    """Return a voter that the file names and whose log has caught up (thesis 4.2.1)."""
+    """Return a voter that the operators' file names and whose log has caught up (thesis 4.2.1)."""
     if len(identity_by_name) >= MAX_VOTERS:
         return None
     max_age_ns = state.config.timeouts.max_election_timeout_ns
@@ -160,7 +167,7 @@
 def propose_configuration(
     state: RaftState, leader_state: LeaderState, configuration: tuple[Member, ...]
 ) -> None:
-    """Append a configuration, which counts from now on, and drop the progress of who is not in it."""
+    """Append a configuration, which takes effect at once, and drop the progress of voters not in it."""
     propose(state, EntryKind.CONFIGURATION, configuration=configuration)
     identities = {member.identity for member in configuration}
     for identity in list(leader_state.progress_by_identity):
@@ -173,7 +180,7 @@
 
 
 def accept_start(state: RaftState, message: Message) -> bool:
-    """Whether no newer process start of the sender is known; else it is told that it was rolled back."""
+    """Return True unless a newer process start of the sender is known; then notify it of its rollback."""
     start = ProcessStart(message.start_count, message.start_nonce)
     if state.process_starts.accept(message.sender_name, message.sender_identity, start):
         return True
@@ -184,7 +191,7 @@
 
 
 def on_storage_rollback(state: RaftState, rollback: StorageRollback) -> None:
-    """Start over under another identity, if this process is meant."""
+    """Start over under another identity, if the message refers to this process start."""
     if (rollback.start_count, rollback.start_nonce) == (state.start_count, state.start_nonce):
         state.storage_rollbacks += 1
         state.reset_identity()
--- a/quincepier/consensus/config.py
+++ b/quincepier/consensus/config.py
@@ -1,4 +1,4 @@
-"""Configuration of a Raft node: names, timing and limits; docs/agreement.md has the reasons."""
+"""Configuration of a Raft node: names, timing and limits; docs/agreement.md explains the values."""
 
 from __future__ import annotations
 
@@ -7,27 +7,30 @@
 from quincepier.consensus.errors import ConsensusError
 from quincepier.state.voter_records import MAX_VOTERS
 
-MS = 1_000_000  # nanoseconds
+MS = 1_000_000  # nanoseconds per millisecond
 MIN_VOTERS = 3
 MAX_NAME_LENGTH = 64
 
 
 @dataclass(slots=True, frozen=True)
 class ElectionTimeouts:
-    """Times of elections, heartbeats and the leader's lease, in nanoseconds.
+    """Timing of elections, heartbeats and the leader's lease, in nanoseconds.
 
-    A message and its response must take less than `leader_lease_ns` less `heartbeat_interval_ns` together,
-    or a leader can't renew its lease.
+    The round trip of a message and its response must be shorter than `leader_lease_ns` minus
+    `heartbeat_interval_ns`, or a leader can't renew its lease.
 
     Attributes:
-        heartbeat_interval_ns: Between two heartbeats of a leader to each follower.
-        retry_interval_ns: Between repeats of a vote request or of an announcement that was not answered.
-        min_election_timeout_ns: The shortest wait without a leader before an election. For this long after
-            a leader's message no voter helps another to become leader (thesis 6.2).
-        max_election_timeout_ns: The longest such wait; a leader without a quorum for this long steps down.
-        leader_lease_ns: From when a message was sent that a quorum answered. It is shorter than
-            `min_election_timeout_ns` by more than clocks may drift apart meanwhile.
-        snapshot_retry_interval_ns: Between two transmissions of a snapshot to one follower.
+        heartbeat_interval_ns: Interval of a leader's heartbeats to each follower.
+        retry_interval_ns: Interval at which an unanswered vote request or announcement is sent again.
+        min_election_timeout_ns: Shortest time without a leader before an election starts. For this long after
+            a leader's message a voter grants no vote (thesis 6.2).
+        max_election_timeout_ns: Longest time without a leader before an election starts; a leader without a
+            quorum for this long steps down.
+        leader_lease_ns: Duration of the leader's lease, counted from the sending of a message that a quorum
+            answered. It is shorter than `min_election_timeout_ns` by more than clocks drift apart in that
+            time.
+        snapshot_retry_interval_ns: Shortest interval between two transmissions of a snapshot to one
+            follower.
     """
 
     heartbeat_interval_ns: int = 120 * MS
@@ -40,14 +43,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RaftLimits:
-    """Bounds of the log and of what waits.
+    """Limits on the log, on uncommitted entries and on pending writes.
 
     Attributes:
         max_committed_entries: Committed entries in the log before they are compacted into the snapshot.
         max_committed_bytes: Bytes of committed entries in the log before they are compacted.
-        max_uncommitted_entries: Entries that wait to be committed; further proposals are dropped.
-        max_uncommitted_bytes: Bytes of entries that wait to be committed.
-        max_pending_writes: Writes that are not on disk yet; with more, incoming messages are dropped.
+        max_uncommitted_entries: Uncommitted entries in the log; further proposals are dropped.
+        max_uncommitted_bytes: Bytes of data of uncommitted entries; further proposals are dropped.
+        max_pending_writes: Writes that are not on disk yet; at this number incoming messages are dropped.
     """
 
     max_committed_entries: int = 16
@@ -59,17 +62,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RaftConfig:
-    """What a Raft node is told once.
+    """Settings of a Raft node, fixed while its process runs.
 
     Attributes:
-        name: This voter.
-        voters: All voters as the operators' file names them, three to seven, `name` among them.
-        timeouts: Timing.
-        limits: Bounds.
-        pre_vote: Whether a pre-vote goes before each election (thesis 9.6).
+        name: Name of this voter.
+        voters: Names of all voters by the operators' file, three to seven, including `name`.
+        timeouts: Timing of elections, heartbeats and the lease.
+        limits: Limits on the log and on pending writes.
+        pre_vote: Whether a pre-vote precedes each election (thesis 9.6).
 
     Raises:
-        ConsensusError: If the voters' names can't be used.
+        ConsensusError: If the voters' names are invalid.
     """
 
     name: str
@@ -81,8 +84,8 @@
     def __post_init__(self) -> None:
         distinct = set(self.voters)
         if not MIN_VOTERS <= len(distinct) <= MAX_VOTERS or len(distinct) != len(self.voters):
-            raise ConsensusError("three to seven different voters are needed", "voters")
+            raise ConsensusError("three to seven distinct voters are required", "voters")
         if not all(1 <= len(name) <= MAX_NAME_LENGTH for name in self.voters):
-            raise ConsensusError("a voter's name has 1 to 64 characters", "voters")
+            raise ConsensusError("a voter's name must have 1 to 64 characters", "voters")
         if self.name not in self.voters:
             raise ConsensusError(f"{self.name} is not among the voters", "voters")
--- a/quincepier/consensus/election.py
+++ b/quincepier/consensus/election.py
@@ -2,12 +2,12 @@
 
 Raft 5.2, 5.4.1; thesis 4.2.3, 6.2, 9.6.
 
-What holds:
+Invariants:
 - A voter votes for at most one candidate in a term, and the vote is on disk before it is sent.
-- No vote goes to a candidate whose log lacks an entry that this voter has.
-- No voter helps another to lead within the shortest election timeout of a leader's message, nor of its own
-  start; so a lease that is shorter excludes a second leader.
-- A leader that no quorum answered for the longest election timeout steps down.
+- A voter does not vote for a candidate whose log is less up to date than its own.
+- A voter grants no vote within the minimum election timeout after a leader's message or after its own start,
+  so a leader's lease that is shorter excludes a second leader.
+- A leader that no quorum answered for the maximum election timeout steps down.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def on_tick(state: RaftState) -> None:
-    """Start an election that is due, repeat unanswered requests; as leader, check the quorum."""
+    """As leader, check the quorum; otherwise start an election that is due and resend vote requests."""
     if state.leader_state is not None:
         check_quorum(state, state.leader_state)
         return
@@ -30,12 +30,12 @@
 
 
 def can_become_candidate(state: RaftState) -> bool:
-    """Whether this voter counts for a quorum and all that it promised is on disk."""
+    """Whether this voter is a member, bootstrap is complete and all its writes are on disk."""
     return state.is_member and state.is_bootstrapped and not state.persistence.pending
 
 
 def start_election(state: RaftState) -> None:
-    """Without a leader for a whole election timeout: ask for pre-votes, or stand at once without them."""
+    """After an election timeout without a leader, request pre-votes, or votes where pre-vote is off."""
     state.leader = None
     state.reset_election_deadline()
     if not can_become_candidate(state):
@@ -49,7 +49,7 @@
 
 
 def send_vote_requests(state: RaftState) -> None:
-    """Ask all that have not granted yet, and again after the retry interval."""
+    """Request a vote from each member that has not granted one yet; due again after the retry interval."""
     state.retry_deadline_ns = state.now_ns + state.config.timeouts.retry_interval_ns
     is_pre_vote = state.role is RaftRole.PRE_CANDIDATE
     term = state.term + 1 if is_pre_vote else state.term
@@ -60,40 +60,41 @@
 
 
 def is_log_up_to_date(state: RaftState, request: RequestVote) -> bool:
-    """Whether the candidate's log holds all that may be committed here (Raft 5.4.1)."""
+    """Whether the candidate's log is at least as up to date as this voter's (Raft 5.4.1)."""
     candidate = (request.last_log_term, request.last_log_index)
     return candidate >= (state.log.last_term, state.log.last_index)
 
 
 def defers_to(state: RaftState, message: Message, request: RequestVote) -> bool:
-    """Whether the other of two pre-candidates goes first: the longer log, then the higher identity.
+    """Whether this pre-candidate yields to the sender, another pre-candidate.
 
-    On slow networks both would become candidates and split the vote.
+    The one with the more up-to-date log goes first, or with equal logs the one with the higher identity.
+    Otherwise both would become candidates on a slow network and split the vote.
     """
-    other = (request.last_log_term, request.last_log_index, message.sender_identity)
+    senders = (request.last_log_term, request.last_log_index, message.sender_identity)
     own = (state.log.last_term, state.log.last_index, state.identity)
-    return message.sender_identity in state.deferred_to or other > own
+    return message.sender_identity in state.deferred_to or senders > own
 
 
 def on_request_vote(state: RaftState, message: Message, request: RequestVote) -> None:
-    """Answer a vote or pre-vote request, unless a leader may be alive."""
+    """Answer a vote or pre-vote request; while a leader may be alive, deny pre-votes, ignore the rest."""
     lease_end_ns = state.leader_contact_ns + state.config.timeouts.min_election_timeout_ns
     may_have_leader = state.is_leader or state.now_ns < lease_end_ns
     if request.is_pre_vote:
         granted = not may_have_leader and grants_pre_vote(state, message, request)
         response = VoteResponse(True, request.term, granted)
         state.queue_message(message.sender_name, response, message.sender_identity)
-    elif not may_have_leader:  # else not even the term counts: a voter that was cut off deposes nobody
+    elif not may_have_leader:  # its higher term is ignored too: a voter that was cut off deposes no leader
         _answer_vote_request(state, message, request)
 
 
 def grants_pre_vote(state: RaftState, message: Message, request: RequestVote) -> bool:
-    """Whether this voter would vote for the sender; a pre-candidate steps back for another one."""
+    """Return whether this voter would vote for the sender; if so, it abandons its own pre-election."""
     if request.term <= state.term or not is_log_up_to_date(state, request):
         return False
     if state.role is RaftRole.PRE_CANDIDATE and not defers_to(state, message, request):
         return False
-    # once for each: one that asks for ever and is never answered would keep all others back
+    # once per sender: one that keeps asking and never receives the answers would block all other elections
     if state.role is not RaftRole.CANDIDATE and message.sender_identity not in state.deferred_to:
         state.deferred_to.add(message.sender_identity)
         state.abandon_election()
@@ -119,7 +120,7 @@
 
 
 def on_vote_response(state: RaftState, message: Message, response: VoteResponse) -> None:
-    """Count a granted vote; with a quorum of pre-votes stand, with a quorum of votes lead."""
+    """Count a granted vote; a quorum of pre-votes makes a candidate, a quorum of votes a leader."""
     if not response.granted or not _is_vote_for_this_election(state, response):
         return
     if message.sender_identity not in {member.identity for member in state.configuration}:
@@ -141,7 +142,7 @@
 
 
 def check_quorum(state: RaftState, leader_state: LeaderState) -> None:
-    """Renew the lease; step down without a quorum, or with a disk that does not write (thesis 6.2)."""
+    """Renew the lease; step down if the quorum is lost or the disk is stalled (thesis 6.2)."""
     timeouts = state.config.timeouts
     acknowledged_ns = quorum_acknowledged_ns(state)
     last_quorum_ns = max(acknowledged_ns, leader_state.since_ns)
@@ -154,5 +155,5 @@
 
 
 def quorum_acknowledged_ns(state: RaftState) -> int:
-    """Return the send time (ns) of the newest messages that a quorum has answered; 0: there is none."""
+    """Return the send time (ns) of the newest messages that a quorum has answered; 0 if there are none."""
     return state.quorum_value(state.now_ns, lambda progress: progress.acknowledged_at_ns)
--- a/quincepier/consensus/errors.py
+++ b/quincepier/consensus/errors.py
@@ -6,7 +6,7 @@
 
 
 class ConsensusError(QuincepierError):
-    """Base of this package's errors: a configuration or a proposal that can't be used."""
+    """Base of this package's errors: an invalid configuration or proposal."""
 
     code = "QP-CONSENSUS"
-    remedy = "check that three to seven voters are named alike in all files and that all run the same build"
+    remedy = "check that all files name the same three to seven voters and that all run the same build"
--- a/quincepier/consensus/follower_progress.py
+++ b/quincepier/consensus/follower_progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one follower (etcd's raft: Progress)."""
+"""A leader's knowledge of one follower's log (`Progress` in etcd's raft)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class ResponseId:
-    """Orders the responses of one voter, also across its starts."""
+    """Orders the responses of one voter, also across restarts of its process."""
 
     start_count: int
     sequence: int
@@ -21,13 +21,13 @@
     """Replication progress of one follower, or of a voter that is to be added.
 
     Attributes:
-        next_index: Index of the next entry to send; at or before the snapshot it needs the snapshot.
-        match_index: The follower has the leader's log on disk up to here.
+        next_index: Index of the next entry to send; the snapshot is sent if it includes that entry.
+        match_index: Index up to which the follower is known to have the leader's log on disk.
         matched_by: The response that set `match_index`.
-        acknowledged_at_ns: The leader's time at which the newest answered message was sent.
-        rejected_at_ns: The leader's time at which a rejection last moved `next_index` back.
-        snapshot_sent_at_ns: The leader's time at which the snapshot was last sent; 0: never.
-        last_contact_ns: The leader's time at which a response last arrived.
+        acknowledged_at_ns: Send time, by the leader's clock, of the newest message that was answered.
+        rejected_at_ns: When a rejection last moved `next_index` back, by the leader's clock.
+        snapshot_sent_at_ns: When the snapshot was last sent, by the leader's clock; 0 if never.
+        last_contact_ns: When a response last arrived, by the leader's clock.
     """
 
     next_index: int
--- a/quincepier/consensus/leader_state.py
+++ b/quincepier/consensus/leader_state.py
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True)
 class LeaderState:
-    """What only a leader has.
+    """State that only a leader has; times are monotonic nanoseconds.
 
     Attributes:
-        since_ns: When it became leader.
-        first_index: Index of its first entry of its term.
-        heartbeat_deadline_ns: When it sends its next heartbeat.
-        progress_by_identity: Of each follower and each voter that is to be added.
-        lease_until_ns: Until then no other voter can become leader; 0: no quorum has answered yet.
+        since_ns: When this voter became leader.
+        first_index: Index of the first entry of its term.
+        heartbeat_deadline_ns: When the next heartbeat is due.
+        progress_by_identity: Progress of each follower and of each voter that is to be added.
+        lease_until_ns: No other voter can become leader before this time; 0 until a quorum has answered.
     """
 
     since_ns: int
--- a/quincepier/consensus/messages.py
+++ b/quincepier/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Messages between voters: msgpack, bounded, and validated before anything is believed.
+"""Messages between voters: msgpack of bounded size, validated before use.
 
-Each message names its sender, the sender's identity and process start, and the identity that it is meant
-for: a message to a voter as it was before it lost its folder is for nobody. The trust boundary is the
+Each message names its sender, the sender's identity and process start, and the identity of its receiver. A
+message to the identity that a voter had before it lost its folder is dropped. The trust boundary is the
 network between the voters, as for membership.
 
 Structs are encoded as arrays: field order and tags are the wire format.
@@ -26,25 +26,25 @@
 
 VERSION = 1
 MAX_ENTRIES_PER_MESSAGE = 64
-MAX_BATCH_BYTES = 1 << 20  # after these no further entry is added to a message
+MAX_BATCH_BYTES = 1 << 20  # of entry data in one message; only a single entry may be larger
 MAX_MESSAGE_BYTES = (1 << 21) + 4096
 
 
 class InvalidMessageError(PeerInputError, ConsensusError, ValueError):
-    """Bytes that are not a message of this version by their sender; they are dropped and counted."""
+    """Not a valid message of this version from the expected sender; it is dropped and counted."""
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=0):
-    """Announces the sender under its identity, with the configuration that it knows (none: not yet any)."""
+    """Announces the sender under its identity, with the configuration that it knows (empty if none yet)."""
 
     configuration: Configuration = ()
 
 
 class RequestVote(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asks for a vote, or in a pre-vote whether a vote would be given (Raft 5.2; thesis 9.6)."""
+    """Requests a vote, or asks in a pre-vote whether a vote would be granted (Raft 5.2; thesis 9.6)."""
 
     is_pre_vote: bool
-    term: Unsigned  # of the election
+    term: Unsigned  # of the election that the vote is for
     last_log_index: Unsigned
     last_log_term: Unsigned
 
@@ -53,7 +53,7 @@
     """Answers RequestVote."""
 
     is_pre_vote: bool
-    term: Unsigned  # of the request
+    term: Unsigned  # as in the request
     granted: bool
 
 
@@ -68,13 +68,13 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Answers AppendEntries and InstallSnapshot, once what it confirms is on disk."""
+    """Answers AppendEntries and InstallSnapshot, once the entries that it confirms are on disk."""
 
-    sent_at_ns: Unsigned  # of the message that is answered
+    sent_at_ns: Unsigned  # as in the answered message
     success: bool
-    match_index: Unsigned  # the log is the leader's up to here; without success: try after this index
+    match_index: Unsigned  # the log matches the leader's up to here; without success: retry after this index
     last_log_index: Unsigned
-    sequence: Unsigned  # of this response in its process: the network may reorder them
+    sequence: Unsigned  # counts the responses of this process, as the network may reorder them
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True, array_like=True, tag=5):
@@ -85,9 +85,9 @@
 
 
 class StorageRollback(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Tells a voter that its folder was put back to an older copy: it forgot what it promised."""
+    """Notifies a voter that its folder was replaced by an older copy, so its votes may be lost."""
 
-    start_count: Unsigned  # of the process that is meant
+    start_count: Unsigned  # of the process start that uses the older copy
     start_nonce: Unsigned
 
 
@@ -109,8 +109,8 @@
     sender_name: VoterName
     sender_identity: OptionalIdentity
     start_count: Unsigned  # of the sender's process
-    start_nonce: Unsigned  # tells two starts with the same count apart
-    receiver_identity: OptionalIdentity  # "" in Hello to a voter that is not known yet
+    start_nonce: Unsigned  # distinguishes two starts with the same count
+    receiver_identity: OptionalIdentity  # "" in Hello to a voter whose identity is not known yet
     term: Unsigned  # the sender's
     body: Body
 
@@ -124,31 +124,31 @@
 
     Args:
         raw: The bytes as received.
-        sender: Name of the voter that the transport received them from.
+        sender: Name of the voter that sent them, by the transport.
 
     Returns:
         The message.
 
     Raises:
-        InvalidMessageError: If it is not a whole message of this version by that sender.
+        InvalidMessageError: If it is not a valid message of this version from that sender.
     """
     if len(raw) > MAX_MESSAGE_BYTES:
-        raise InvalidMessageError("too long")
+        raise InvalidMessageError("message too long")
     try:
         message = _decode(raw)
     except (msgspec.DecodeError, RecursionError, ValueError) as error:
         raise InvalidMessageError(str(error)[:100]) from None
     if message.version != VERSION or message.sender_name != sender:
-        raise InvalidMessageError("of another version or sender")
+        raise InvalidMessageError("message of another version or from another sender")
     if isinstance(message.body, AppendEntries):
         _check_entry_order(message.body, message.term)
     return message
 
 
 def _check_entry_order(request: AppendEntries, leader_term: int) -> None:
-    """Indexes follow one another; terms never fall nor exceed the leader's."""
+    """Check that indexes are consecutive and that terms neither decrease nor exceed the leader's."""
     term = request.prev_log_term
     for index, entry in enumerate(request.entries, request.prev_log_index + 1):
         if entry.index != index or entry.term < term or entry.term > leader_term:
-            raise InvalidMessageError("entries out of order")
+            raise InvalidMessageError("log entries out of order")
         term = entry.term
--- a/quincepier/consensus/persistence.py
+++ b/quincepier/consensus/persistence.py
@@ -1,4 +1,4 @@
-"""Which part of the log is on disk, as writes complete in the order in which they were issued."""
+"""Tracks which part of the log is on disk. Writes complete in the order in which they are issued."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 @dataclass(slots=True)
 class PendingWrite:
-    """A write that is not known to be on disk.
+    """A write that is not yet known to be on disk.
 
     Attributes:
         ticket: Number of the write.
-        durable_index: Log index that is durable once this write is; lowered where entries are replaced.
-        issued_at_ns: When it was issued.
+        durable_index: Log index up to which the log is durable once this write is; lowered when entries are
+            replaced.
+        issued_at_ns: Monotonic time at which it was issued.
     """
 
     ticket: int
@@ -22,7 +23,13 @@
 
 
 class PersistenceProgress:
-    """Tickets of writes, and the log index up to which everything is on disk."""
+    """Tickets of writes, and the log index up to which everything is on disk.
+
+    Attributes:
+        durable_index: Log index up to which all entries are on disk.
+        last_ticket: Ticket of the newest write.
+        pending: Writes that are not yet known to be on disk, oldest first.
+    """
 
     def __init__(self, durable_index: int) -> None:
         self.durable_index = durable_index
@@ -36,25 +43,25 @@
         return self.last_ticket
 
     def complete(self, ticket: int) -> None:
-        """All writes up to `ticket` are on disk."""
+        """Record that all writes up to `ticket` are on disk."""
         while self.pending and self.pending[0].ticket <= ticket:
             self.durable_index = self.pending.popleft().durable_index
 
     def truncate(self, last_index: int) -> None:
-        """Entries after `last_index` were replaced: writes under way that hold them count for nothing."""
+        """Record that entries after `last_index` were replaced, so pending writes of them are void."""
         for write in self.pending:
             write.durable_index = min(write.durable_index, last_index)
         self.durable_index = min(self.durable_index, last_index)
 
     def reset(self) -> None:
-        """The whole log was replaced."""
+        """Record that the whole log was replaced."""
         self.truncate(0)
 
     @property
     def required_ticket(self) -> int:
-        """Ticket that a message which depends on earlier writes has to wait for; 0: none is pending."""
+        """Ticket that a message which depends on all earlier writes must wait for; 0 if none is pending."""
         return self.last_ticket if self.pending else 0
 
     def is_stalled(self, now_ns: int, timeout_ns: int) -> bool:
-        """Whether the oldest write has been pending for `timeout_ns`."""
+        """Whether the oldest pending write was issued at least `timeout_ns` ago."""
         return bool(self.pending) and now_ns - self.pending[0].issued_at_ns >= timeout_ns
--- a/quincepier/consensus/raft.py
+++ b/quincepier/consensus/raft.py
@@ -1,7 +1,7 @@
 """The Raft core of one voter: a deterministic state machine (Ongaro and Ousterhout 2014; Ongaro's thesis).
 
-It takes ticks, messages, proposals and completed writes, each with the time, and returns actions. The same
-calls give the same actions.
+It takes ticks, messages, proposals and completed writes, each with the current time, and returns actions. The
+same calls return the same actions.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 
 
 class Raft:
-    """One voter.
+    """The consensus state machine of one voter.
 
     Args:
         config: Names, timing and limits.
         saved: The stored state; None for a new storage folder.
-        now_ns: Monotonic time.
-        seed: Of identities and election timeouts; different at each start.
+        now_ns: Monotonic time in nanoseconds.
+        seed: Seed for identities, nonces and election timeouts; must differ at each start.
     """
 
     def __init__(self, config: RaftConfig, saved: VoterState | None, now_ns: int, seed: int) -> None:
         self._state = RaftState(config, saved, now_ns, seed)
 
     def tick(self, now_ns: int) -> list[Action]:
-        """Do what is due; to be called at `next_tick_ns`, and once after the start."""
+        """Run the timers that are due; to be called at `next_tick_ns`, and once after the start."""
         state = self._at(now_ns)
         election.on_tick(state)
         replication.send_due_heartbeats(state)
@@ -48,7 +48,7 @@
         return state.take_actions()
 
     def step(self, now_ns: int, sender: str, raw: bytes) -> list[Action]:
-        """Take a message that came from the voter `sender`; an unacceptable one is dropped and counted."""
+        """Handle a message received from the voter `sender`; an unacceptable one is dropped and counted."""
         state = self._at(now_ns)
         try:
             message = decode(raw, sender)
@@ -71,21 +71,23 @@
     def propose(self, now_ns: int, data: bytes) -> list[Action]:
         """Propose an entry.
 
-        It is agreed once it is reported as `EntryCommitted`, and may be lost before. Nothing is appended
-        where this voter does not lead, or leads without a quorum.
+        The entry is agreed once it is reported as `EntryCommitted`, and may be lost before. Nothing is
+        appended if this voter does not lead, or leads without a quorum.
 
         Raises:
             ConsensusError: If the data is longer than an entry may be.
         """
         if len(data) > MAX_ENTRY_DATA_BYTES:
-            raise ConsensusError(f"an entry of {len(data)} bytes", "propose", "make the rule version smaller")
+            raise ConsensusError(
+                f"entry too large: {len(data)} bytes", "propose", "make the rule version smaller"
+            )
         state = self._at(now_ns)
         election.on_tick(state)
         replication.propose(state, EntryKind.DATA, data)
         return state.take_actions()
 
     def on_persisted(self, now_ns: int, ticket: int) -> list[Action]:
-        """All writes up to this ticket are on disk; messages that waited for them were sent before."""
+        """Record that all writes up to this ticket are on disk; messages that wait for them are sent."""
         state = self._at(now_ns)
         state.persistence.complete(ticket)
         replication.advance_commit_index(state)
@@ -109,7 +111,7 @@
 
     @property
     def leader(self) -> str | None:
-        """Name of the leader, as far as this voter knows."""
+        """Name of the leader, as far as this voter knows; None while it knows none."""
         return self._state.leader
 
     @property
@@ -119,29 +121,29 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it leads and an entry of its term is committed, so that it knows all committed before."""
+        """Whether this voter leads and has committed in its term, so that it knows all earlier commits."""
         leader_state = self._state.leader_state
         return leader_state is not None and self._state.commit_index >= leader_state.first_index
 
     @property
     def lease_until_ns(self) -> int:
-        """Until then no other voter can lead; 0 where it does not lead. To be checked after each pause."""
+        """No other voter can lead before this time; 0 if not leader. Must be checked after each pause."""
         leader_state = self._state.leader_state
         return leader_state.lease_until_ns if leader_state is not None else 0
 
     @property
     def is_member(self) -> bool:
-        """Whether it counts for a quorum, as far as it knows: not after it lost its storage folder."""
+        """Whether this voter is in the configuration that it knows; False once it lost its folder."""
         return self._state.is_member
 
     @property
     def identity(self) -> str:
-        """The identity of its storage folder."""
+        """The identity stored in this voter's folder."""
         return self._state.identity
 
     @property
     def configuration(self) -> tuple[Member, ...]:
-        """The voters by its log."""
+        """The voters by the newest configuration in the log."""
         return self._state.configuration
 
     @property
@@ -151,17 +153,17 @@
 
     @property
     def dropped(self) -> dict[DropReason, int]:
-        """Counters of messages and proposals that were not accepted."""
+        """Number of messages and proposals that were not accepted, by reason."""
         return dict(self._state.dropped)
 
     @property
     def storage_rollbacks(self) -> int:
-        """How often it was found to run from an older copy of its storage folder."""
+        """How often this voter was found to run from an older copy of its storage folder."""
         return self._state.storage_rollbacks
 
 
 def _drop_reason(state: RaftState, message: Message) -> DropReason | None:
-    """Why a valid message is not for this voter now; None: it is."""
+    """Return why a valid message is not accepted now; None if it is accepted."""
     voter_names = {*state.config.voters, *(member.name for member in state.configuration)}
     if message.sender_name not in voter_names:
         return DropReason.UNKNOWN_SENDER
@@ -173,7 +175,7 @@
 
 
 def _dispatch(state: RaftState, message: Message) -> None:
-    """Adopt a higher term where the message proves it, then call the handler of its type."""
+    """Adopt a higher term if this type of message proves it, then call the handler of that type."""
     body = message.body
     if message.term > state.term and isinstance(
         body, AppendEntries | InstallSnapshot | AppendEntriesResponse | VoteResponse
@@ -196,7 +198,7 @@
 
 
 def _on_leader_message(state: RaftState, message: Message, body: AppendEntries | InstallSnapshot) -> None:
-    if message.term < state.term:  # so that a former leader learns of the new term
+    if message.term < state.term:  # the response notifies a former leader of the new term
         replication.send_append_response(state, message, body.sent_at_ns, False, 0)
     elif state.is_leader:
         return
--- a/quincepier/consensus/raft_log.py
+++ b/quincepier/consensus/raft_log.py
@@ -8,7 +8,7 @@
 
 
 class RaftLog:
-    """Entries from the one after the snapshot to the last, without gaps."""
+    """A snapshot, None before the first configuration, and the consecutive entries after it."""
 
     def __init__(self, saved: VoterState | None) -> None:
         self.snapshot = saved.snapshot if saved else None
@@ -32,7 +32,7 @@
         return self.snapshot.term if self.snapshot else 0
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at `index`; None if it is compacted or past the end."""
+        """Return the term of the entry at `index`; None if it is compacted or after the last entry."""
         if index == self.snapshot_index:
             return self.snapshot.term if self.snapshot else 0
         if self.snapshot_index < index <= self.last_index:
@@ -56,12 +56,12 @@
         return self.snapshot_index
 
     def append(self, entry: LogEntry) -> None:
-        """Put the entry at its index, in place of the one there and of all after it."""
+        """Put the entry at its index, replacing the entry there and removing all after it."""
         del self.entries[entry.index - self.snapshot_index - 1 :]
         self.entries.append(entry)
 
     def entries_after(self, index: int, max_entries: int, max_bytes: int) -> tuple[LogEntry, ...]:
-        """Return entries after `index` within both limits, but at least one where there is one."""
+        """Return entries after `index` within both limits; the first is returned whatever its size."""
         start = index - self.snapshot_index
         batch = list[LogEntry]()
         size = 0
@@ -81,7 +81,7 @@
         return sum(len(entry.data) for entry in self.entries[max(index - self.snapshot_index, 0) :])
 
     def compact(self, to: int) -> Snapshot:
-        """Replace everything up to the committed index `to` by a snapshot, and return that."""
+        """Replace all entries up to the committed index `to` by a snapshot and return the snapshot."""
         assert self.snapshot is not None
         assert self.snapshot_index < to <= self.last_index
         first_index = self.snapshot.index
@@ -96,7 +96,10 @@
         return self.snapshot
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take over a snapshot; entries after it stay where they continue it (Raft, figure 13, step 6)."""
+        """Replace the log by a leader's snapshot.
+
+        Entries after it are kept if the log has the snapshot's last entry (Raft, figure 13, step 6).
+        """
         continues = (
             self.snapshot is not None
             and self.term_at(snapshot.index) == snapshot.term
--- a/quincepier/consensus/raft_state.py
+++ b/quincepier/consensus/raft_state.py
@@ -1,8 +1,8 @@
 """The state of one voter and its transitions between roles (Raft, figure 4).
 
-The rules that act on it are in `election`, `replication` and `cluster_configuration`. `take_actions` is the
-one place where records become a write and messages learn which write they wait for, so no rule can speak
-before it has written.
+The rules that act on it are in `election`, `replication` and `cluster_configuration`. `take_actions` is
+the only place that issues a write and assigns to messages the write that they wait for, so no rule can send a
+message before the records that it depends on.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Announcement:
-    """The newest Hello of a voter's name."""
+    """The newest Hello received under a voter's name, with the monotonic time of its arrival."""
 
     identity: str
     configuration: tuple[Member, ...]
@@ -66,11 +66,11 @@
     """A message that the next `take_actions` encodes.
 
     Attributes:
-        receiver_name: Where it is sent.
-        body: What it says.
-        receiver_identity: Whom it is meant for.
-        needs_persistence: Whether it may go out only after all writes issued so far. Messages of a leader
-            that carry entries need not wait (thesis 10.2.1).
+        receiver_name: Name of the voter that it is sent to.
+        body: Content of the message.
+        receiver_identity: Identity of that voter; "" if it is not known.
+        needs_persistence: Whether it may be sent only after all writes issued so far are on disk. A leader's
+            messages that carry entries need not wait (thesis 10.2.1).
     """
 
     receiver_name: str
@@ -80,24 +80,25 @@
 
 
 class RaftState:
-    """All that one voter knows, and the actions that are not taken yet.
+    """The state of one voter and the actions that were not returned yet. Times are monotonic nanoseconds.
 
     Attributes:
-        now_ns: Monotonic time of the current call.
-        start_count: Starts of this storage folder, this one included.
-        start_nonce: Random number of this start.
-        leader: Name of the leader of this term, where it is known.
-        leader_contact_ns: When the leader was last heard.
+        now_ns: Time of the current call.
+        start_count: Number of process starts with this storage folder, including the current one.
+        start_nonce: Random number of the current start.
+        leader: Name of the leader of this term; None if it is not known.
+        leader_contact_ns: When the last message of a leader arrived.
         election_deadline_ns: When a voter that does not lead starts an election.
-        retry_deadline_ns: When requests that were not answered are repeated.
-        votes_granted: Identities whose vote or pre-vote was granted, its own among them.
-        deferred_to: Identities of other pre-candidates that this one let go first since it heard a leader.
-        leader_state: What only a leader has; None in all other roles.
-        is_bootstrapped: Whether all voters were bound to the first configuration.
+        retry_deadline_ns: When unanswered vote requests or announcements are sent again.
+        votes_granted: Identities that granted their vote or pre-vote, including its own.
+        deferred_to: Identities of the pre-candidates that this voter has yielded to since the last message of
+            a leader.
+        leader_state: State that only a leader has; None in all other roles.
+        is_bootstrapped: Whether all voters are known to be bound to the first configuration.
         process_starts: The newest known start of each voter.
-        announcement_by_name: The newest Hello of each name.
-        response_sequence: Responses sent by this process.
-        storage_rollbacks: How often this voter was told that its folder was rolled back.
+        announcement_by_name: The newest Hello of each voter, by name.
+        response_sequence: Number of AppendEntriesResponse messages sent by this process.
+        storage_rollbacks: How often this voter was notified that its folder was rolled back.
     """
 
     def __init__(self, config: RaftConfig, saved: VoterState | None, now_ns: int, seed: int) -> None:
@@ -123,7 +124,7 @@
 
         self.role = RaftRole.FOLLOWER
         self.leader: str | None = None
-        # the process before may have acknowledged a leader just now: that one's lease is respected
+        # the previous process may have acknowledged a leader just now, whose lease must be respected
         self.leader_contact_ns = now_ns
         self.election_deadline_ns = now_ns + self.random_election_timeout_ns()
         self.retry_deadline_ns = now_ns
@@ -141,7 +142,7 @@
 
     @property
     def hard_state(self) -> HardState:
-        """What must be on disk before any message of this term."""
+        """The hard state that must be on disk before any message of this term is sent."""
         return HardState(self.identity, self.start_count, self.term, self.voted_for)
 
     @property
@@ -156,22 +157,22 @@
 
     @property
     def quorum_size(self) -> int:
-        """Votes of a majority."""
+        """Number of voters in a majority."""
         return len(self.configuration) // 2 + 1
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads its term."""
+        """Whether this voter leads its term."""
         return self.leader_state is not None
 
     @property
     def is_campaigning(self) -> bool:
-        """Whether it asks for votes or pre-votes."""
+        """Whether this voter is requesting votes or pre-votes."""
         return self.role in (RaftRole.PRE_CANDIDATE, RaftRole.CANDIDATE)
 
     @property
     def is_unbound(self) -> bool:
-        """Whether it never had a configuration nor a term, as in a new storage folder."""
+        """Whether this voter has neither a configuration nor a term, as with a new storage folder."""
         return self.log.snapshot is None and not self.term
 
     def other_members(self) -> list[Member]:
@@ -182,8 +183,8 @@
         """As leader, return the highest value that a quorum has reached.
 
         Args:
-            own: The leader's own value; it counts if the leader is a member.
-            value_of: The value of a follower; 0 where its progress is not tracked.
+            own: The leader's own value; included if the leader is a member.
+            value_of: Returns the value of a follower; followers without tracked progress have 0.
         """
         assert self.leader_state is not None
         progress_by_identity = self.leader_state.progress_by_identity
@@ -195,12 +196,12 @@
         return values[self.quorum_size - 1] if len(values) >= self.quorum_size else 0
 
     def random_election_timeout_ns(self) -> int:
-        """Draw how long to wait for a leader."""
+        """Return a random election timeout in nanoseconds."""
         timeouts = self.config.timeouts
         return self.random.randint(timeouts.min_election_timeout_ns, timeouts.max_election_timeout_ns)
 
     def reset_election_deadline(self) -> None:
-        """Wait a whole election timeout again."""
+        """Restart the wait for a leader with a new election timeout."""
         self.election_deadline_ns = self.now_ns + self.random_election_timeout_ns()
 
     def queue_message(
@@ -210,14 +211,14 @@
         self.outbox.append(QueuedMessage(receiver_name, body, receiver_identity, needs_persistence))
 
     def append_entry(self, entry: LogEntry) -> None:
-        """Append to the log, in place of the entry at that index and of all after it."""
+        """Append to the log, replacing the entry at that index and removing all after it."""
         if entry.index <= self.log.last_index:
             self.persistence.truncate(entry.index - 1)
         self.log.append(entry)
         self.records.append(entry)
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace the log up to the snapshot, and all of it if it is of another history."""
+        """Replace the log up to the snapshot, or the whole log if it lacks the snapshot's last entry."""
         if self.log.term_at(snapshot.index) != snapshot.term:
             self.persistence.reset()
         self.log.install(snapshot)
@@ -228,17 +229,17 @@
         self.records.append(self.log.compact(self.commit_index))
 
     def report_committed_entry(self, entry: LogEntry) -> None:
-        """Hand on a committed entry, if it holds data."""
+        """Queue a committed entry for the caller, if it holds data."""
         if entry.kind is EntryKind.DATA:
             self.committed.append(EntryCommitted(entry.index, entry.term, entry.data))
 
     def report_committed_snapshot(self, snapshot: Snapshot) -> None:
-        """Hand on the newest committed data of a snapshot, if it holds any."""
+        """Queue the newest committed data of a snapshot for the caller, if there is any."""
         if snapshot.data_index:
             self.committed.append(EntryCommitted(snapshot.data_index, snapshot.data_term, snapshot.data))
 
     def become_follower(self, term: int) -> None:
-        """Follow in a higher term, or give up leading or standing in this one."""
+        """Become follower in a higher term, or in the current term on losing an election or the quorum."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
@@ -251,16 +252,16 @@
         self.votes_granted.clear()
 
     def abandon_election(self) -> None:
-        """Ask for no more votes; granted ones are ignored in the role of a follower."""
+        """Stop requesting votes; votes granted later are ignored, as this voter is a follower then."""
         self._change_role(RaftRole.FOLLOWER)
 
     def become_pre_candidate(self) -> None:
-        """Ask for pre-votes; the term stays (thesis 9.6)."""
+        """Start to collect pre-votes; the term is unchanged (thesis 9.6)."""
         self._change_role(RaftRole.PRE_CANDIDATE)
         self.votes_granted = {self.identity}
 
     def become_candidate(self) -> None:
-        """Stand for election in the next term."""
+        """Become candidate in the next term and vote for itself."""
         self._change_role(RaftRole.CANDIDATE)
         self.term += 1
         self.voted_for = self.identity
@@ -290,7 +291,7 @@
     def reset_identity(self) -> None:
         """Start over under another identity with an empty log.
 
-        What was promised under the old identity binds nobody, as all others know this voter as another now.
+        Votes and confirmations under the old identity no longer bind it: to all others it is another voter.
         """
         self.become_follower(self.term)
         self.identity = self._random_identity()
@@ -307,7 +308,7 @@
         self.outbox.clear()
 
     def take_actions(self) -> list[Action]:
-        """Return and clear what is to be done: write, then send, then report."""
+        """Return and clear the queued actions, in this order: write, send messages, report to the caller."""
         actions = list[Action]()
         if self.hard_state != self.issued_hard_state:
             self.issued_hard_state = self.hard_state
--- a/quincepier/consensus/replication.py
+++ b/quincepier/consensus/replication.py
@@ -1,7 +1,9 @@
 """Log replication and commitment (Raft 5.3, 5.4.2, 7).
 
-What holds: an entry is committed once it is on the disks of a quorum and of the leader's own term, with all
-entries before it; a voter confirms an entry only once it is on its own disk.
+Invariants:
+- An entry of the leader's own term is committed once it is on the disks of a quorum, and with it all entries
+  before it.
+- A voter confirms an entry only once it is on its own disk.
 """
 
 from __future__ import annotations
@@ -23,21 +25,21 @@
 
 
 def send_due_heartbeats(state: RaftState) -> None:
-    """As leader, send heartbeats once their interval is over."""
+    """As leader, send heartbeats if their interval has passed."""
     leader_state = state.leader_state
     if leader_state is not None and state.now_ns >= leader_state.heartbeat_deadline_ns:
         send_heartbeats(state, leader_state)
 
 
 def send_heartbeats(state: RaftState, leader_state: LeaderState) -> None:
-    """Send to each follower what it lacks, or nothing but the commit index."""
+    """Send each follower the entries that it lacks, or only the commit index."""
     for receiver in _receivers(state, leader_state):
         send_append_entries(state, receiver, leader_state.progress_by_identity[receiver.identity])
     leader_state.heartbeat_deadline_ns = state.now_ns + state.config.timeouts.heartbeat_interval_ns
 
 
 def send_new_entries(state: RaftState, leader_state: LeaderState) -> None:
-    """Send to each follower that has not been sent everything."""
+    """Send new entries to each follower that has not been sent all of the log."""
     for receiver in _receivers(state, leader_state):
         progress = leader_state.progress_by_identity[receiver.identity]
         if progress.next_index <= state.log.last_index:
@@ -45,7 +47,7 @@
 
 
 def _receivers(state: RaftState, leader_state: LeaderState) -> list[Member]:
-    """The other voters and those that are being added, as far as their progress is tracked."""
+    """Return the other voters and those being added, if their progress is tracked."""
     name_by_identity = {member.identity: member.name for member in state.other_members()}
     for name, announcement in state.announcement_by_name.items():
         if announcement.identity in leader_state.progress_by_identity:
@@ -58,7 +60,7 @@
 
 
 def send_append_entries(state: RaftState, receiver: Member, progress: FollowerProgress) -> None:
-    """Send the next entries to a follower, or the snapshot where they are compacted."""
+    """Send the next entries to a follower, or the snapshot if those entries are compacted."""
     if progress.next_index <= state.log.snapshot_index:
         _send_snapshot(state, receiver, progress)
         return
@@ -83,7 +85,7 @@
 def propose(
     state: RaftState, kind: EntryKind, data: bytes = b"", configuration: tuple[Member, ...] = ()
 ) -> bool:
-    """Append an entry and send it; False where this voter does not lead or too much is uncommitted."""
+    """Append an entry and send it; return False if this voter does not lead or too much is uncommitted."""
     log = state.log
     limits = state.config.limits
     if state.leader_state is None:
@@ -113,7 +115,7 @@
 
 
 def _on_leader_contact(state: RaftState, message: Message) -> None:
-    """A message of the leader of this term."""
+    """Record contact with the leader of this term, and follow it."""
     if state.role is not RaftRole.FOLLOWER:
         state.become_follower(message.term)
     state.leader = message.sender_name
@@ -124,12 +126,12 @@
 
 
 def on_append_entries(state: RaftState, message: Message, request: AppendEntries) -> None:
-    """Append what is missing, replace what conflicts, and follow the leader's commit index."""
+    """Append missing entries, replace conflicting ones, and follow the leader's commit index."""
     _on_leader_contact(state, message)
     log = state.log
     prev_index = request.prev_log_index
     entries = request.entries
-    if prev_index < log.snapshot_index:  # what the snapshot includes is committed, so it is the same
+    if prev_index < log.snapshot_index:  # entries in the snapshot are committed, so they match
         skipped = min(log.snapshot_index - prev_index, len(entries))
         prev_index += skipped
         entries = entries[skipped:]
@@ -149,7 +151,7 @@
 
 
 def on_install_snapshot(state: RaftState, message: Message, request: InstallSnapshot) -> None:
-    """Take over the leader's snapshot, unless this voter has committed as much."""
+    """Install the leader's snapshot, unless this voter has committed up to its index already."""
     _on_leader_contact(state, message)
     snapshot = request.snapshot
     if snapshot.index > state.commit_index or state.log.snapshot is None:
@@ -160,7 +162,7 @@
 
 
 def on_append_entries_response(state: RaftState, message: Message, response: AppendEntriesResponse) -> None:
-    """As leader, follow the progress of the sender; one whose log became shorter lost its storage."""
+    """As leader, update the sender's progress; a log that became shorter shows a storage rollback."""
     if state.leader_state is None:
         return
     progress = state.leader_state.progress_by_identity.get(message.sender_identity)
@@ -171,7 +173,7 @@
     progress.last_contact_ns = state.now_ns
     response_id = ResponseId(message.start_count, response.sequence)
     if response.last_log_index < progress.match_index and response_id > progress.matched_by:
-        # it has forgotten what it had on its disk: none of its votes and confirmations may count any more
+        # the sender lost entries that it had on disk: its votes and confirmations must not count any more
         state.dropped[DropReason.ROLLED_BACK_LOG] += 1
         rollback = StorageRollback(message.start_count, message.start_nonce)
         state.queue_message(message.sender_name, rollback, message.sender_identity)
@@ -194,14 +196,14 @@
 
 
 def _move_back(state: RaftState, progress: FollowerProgress, response: AppendEntriesResponse) -> None:
-    """Try earlier entries, by the follower's hint, but none that it is known to have (Raft 5.3)."""
+    """Retry from an earlier entry by the follower's hint, but after those it is known to have (Raft 5.3)."""
     progress.rejected_at_ns = state.now_ns
     hinted_index = min(progress.next_index - 1, response.match_index + 1)
     progress.next_index = max(hinted_index, progress.match_index + 1)
 
 
 def advance_commit_index(state: RaftState) -> None:
-    """As leader, commit up to the highest index on a quorum's disks, if that entry is of its term."""
+    """As leader, commit up to the highest index on the disks of a quorum, if that entry is of its term."""
     if state.leader_state is None:
         return
     index = state.quorum_value(state.persistence.durable_index, lambda progress: progress.match_index)
@@ -211,7 +213,7 @@
 
 
 def commit_up_to(state: RaftState, index: int) -> None:
-    """Report the newly committed data, and compact the log where it is long."""
+    """Report newly committed data, and compact the log if it has grown long."""
     if index <= state.commit_index:
         return
     for entry in state.log.entries_between(state.commit_index, index):
