--- a/quincepier/rules/__init__.py
+++ b/quincepier/rules/__init__.py
@@ -1,9 +1,9 @@
-"""The rule version that all fronts decide by, and the leases that say who decides by which one.
+"""Rule versions, by which all fronts decide, and leases, which bound how long a front may use a version.
 
-A version holds machines under maintenance, shards, placements of tenants and their migrations. The package
-says what a version is and how it changes, who may decide by it and until when, and what fronts report to the
-leader, which proposes the next. It plans nothing (`maintenance` and `tenancy` do), and neither sends nor
-stores anything. Read `version.py` first, then `lease_holder.py`; docs/agreement.md.
+A rule version holds machines under maintenance, shards, placements of tenants and their migrations. The
+package defines a version and its changes, who may decide by it and until when, and what fronts report to the
+leader, which proposes the next version. It does no planning (`maintenance` and `tenancy` do) and no I/O. Read
+`version.py` first, then `lease_holder.py`; see docs/agreement.md.
 """
 
 from quincepier.rules.errors import RulesError
--- a/quincepier/rules/errors.py
+++ b/quincepier/rules/errors.py
@@ -6,7 +6,7 @@
 
 
 class RulesError(QuincepierError):
-    """A rule version, a change of one, or a lease message is not valid."""
+    """A rule version, a change to a rule version, or a lease message is invalid."""
 
     code = "QP-RULES"
-    remedy = "check that all fronts run the same build; put back the voters' folders only as a whole"
+    remedy = "check that all fronts run the same build; restore the voters' folders only as a whole"
--- a/quincepier/rules/lease_holder.py
+++ b/quincepier/rules/lease_holder.py
@@ -1,12 +1,12 @@
-"""A front's side of a lease: the rule version that it decides by, and until when it may.
+"""The front's side of a lease: the rule version by which it decides, and until when it may do so.
 
-Safety: while the leader says that a number is active, no front that holds a lease decides by an older
-version, and every other front is in cautious mode. A front counts its lease from when it made the request,
-the leader from when it answered and longer by `LeaseTimings.clock_drift_margin`; so the front's always ends
-first, as long as the rates of two clocks differ by less than that. Both use a monotonic clock that also runs
-while the process or its machine is paused (CLOCK_BOOTTIME). Whoever decides calls `LeaseHolder.is_cautious`
-with a clock read at that decision, so a process pause ends the lease before the next decision and not by a
-timer after it.
+Safety: while the leader considers a version number active, no front that holds a lease decides by an older
+version, and every other front is in cautious mode. A front counts its lease from the time of its request, the
+leader from the time of its answer and longer by `LeaseTimings.clock_drift_margin`. The lease therefore always
+ends at the front first, as long as the rates of the two clocks differ by less than that margin. Both use a
+monotonic clock that also runs while the process or its machine is paused (CLOCK_BOOTTIME). Each decision
+calls `LeaseHolder.is_cautious` with a clock read for that decision, so after a process pause an expired lease
+is noticed before the next decision and not by a timer after it.
 
 Gray and Cheriton, Leases (1989); the wait of a new leader as in Ongaro's thesis, section 6.4.
 """
@@ -18,7 +18,7 @@
 from quincepier.rules.lease_timings import NS_PER_MS, LeaseTimings
 from quincepier.rules.version import RuleVersion, initial_version
 
-MAX_OPEN_REQUESTS = 16  # of one front; the oldest is given up
+MAX_OPEN_REQUESTS = 16  # of one front; beyond this the oldest is dropped
 
 
 class LeaseHolder:
@@ -27,16 +27,16 @@
     It starts without a lease, whatever an earlier incarnation held.
 
     Attributes:
-        timings: Timing.
-        incarnation: Of the front; higher at each start.
-        version: The version that it decides by. One that was stored by an earlier incarnation counts for
-            cautious mode alone.
+        timings: Durations of leases and requests.
+        incarnation: Incarnation number of the front; higher at each start.
+        version: The version by which it decides. One that an earlier incarnation stored is used in cautious
+            mode only.
         lease_until_ns: When the lease ends.
-        last_token: Of the newest request.
-        request_time_by_token: When each open request was made.
+        last_token: Token of the newest request.
+        request_time_by_token: When each open request was made, by its token.
         next_request_ns: When the next request is due.
-        has_first_answer: Whether it ever had the version that a grant named.
-        conflicting_number: Number under which it met another version than its own; -1 if none.
+        has_first_answer: Whether it has ever had the version that a grant named, or a newer one.
+        conflicting_number: Number under which it received a version other than its own; -1 if none.
     """
 
     __slots__ = (
@@ -65,19 +65,19 @@
         self.conflicting_number = -1
 
     def is_cautious(self, now_ns: int) -> bool:
-        """Whether it holds no lease; to be called at each decision, with a clock read then."""
+        """Whether it holds no lease; to be called at each decision, with a clock read for that decision."""
         return now_ns >= self.lease_until_ns or self.conflicting_number == self.version.number
 
     def is_awaiting_first_answer(self) -> bool:
-        """Whether it has started and does not know yet what was committed.
+        """Whether it has not learned the newest committed version since its start.
 
-        What it has stored or heard in passing may be older than what an earlier incarnation was granted, so
-        the front waits a little for an answer before it serves.
+        The version that it stored or received otherwise may be older than the version that an earlier
+        incarnation was granted, so the front briefly waits for an answer before it serves.
         """
         return not self.has_first_answer
 
     def begin_request(self, now_ns: int) -> int:
-        """Return the token of a new request; `now_ns` is read before the request goes to the transport."""
+        """Return the token of a new request; `now_ns` must be read before the request is sent."""
         self.last_token += 1
         self.request_time_by_token[self.last_token] = now_ns
         if len(self.request_time_by_token) > MAX_OPEN_REQUESTS:
@@ -86,13 +86,14 @@
         return self.last_token
 
     def adopt(self, version: RuleVersion) -> bool:
-        """Decide by a version if it is newer.
+        """Decide by `version` from now on if it is newer.
 
         Returns:
             Whether it was newer.
 
         Raises:
-            RulesError: It is another version under the same number; there is no lease for that number then.
+            RulesError: It differs from the current version of the same number; no lease is valid for that
+                number then.
         """
         current = self.version
         has_same_number = version.number == current.number and version.number != 0
@@ -105,20 +106,20 @@
         return True
 
     def on_grant(self, now_ns: int, grant: LeaseGrant, version: RuleVersion | None = None) -> bool:
-        """Take the answer to a request, with the version that it names where that came along.
+        """Handle the grant for a request, with the version that it names if that was sent along.
 
         Returns:
-            Whether a newer version was adopted. The front asks again at once then, since only that request
-            is answered with a lease.
+            Whether a newer version was adopted. If so, the next request is due at once, since a lease is
+            granted only to a front that reports the newest version.
 
         Raises:
             RulesError: As `adopt`.
         """
         if grant.incarnation != self.incarnation:
-            return False  # for an earlier incarnation of this front
+            return False  # granted to an earlier incarnation of this front
         is_adopted = version is not None and self.adopt(version)
         requested_at_ns = self.request_time_by_token.pop(grant.token, None)
-        self._give_up_requests_before(grant.token)
+        self._drop_requests_before(grant.token)
         if requested_at_ns is not None and grant.version_number <= self.version.number:
             self.has_first_answer = True
             if grant.lease_ms:
@@ -128,6 +129,6 @@
             self.next_request_ns = now_ns
         return is_adopted
 
-    def _give_up_requests_before(self, token: int) -> None:
-        for older in [t for t in self.request_time_by_token if t < token]:
-            del self.request_time_by_token[older]
+    def _drop_requests_before(self, token: int) -> None:
+        for older_token in [t for t in self.request_time_by_token if t < token]:
+            del self.request_time_by_token[older_token]
--- a/quincepier/rules/lease_messages.py
+++ b/quincepier/rules/lease_messages.py
@@ -9,7 +9,7 @@
 from quincepier.rules.errors import RulesError
 from quincepier.rules.reports import FrontReport
 
-MAX_REQUEST_BYTES = 1 << 20  # the report included
+MAX_REQUEST_BYTES = 1 << 20  # including the report
 MAX_GRANT_BYTES = 256
 MAX_LEASE_MS = 60_000
 MAX_ERROR_LENGTH = 100
@@ -17,11 +17,11 @@
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A front reports, and asks for a lease of the version that it decides by.
+    """A front's report and its request for a lease on the version by which it decides.
 
     Attributes:
         token: Counts the requests of one incarnation; the grant repeats it.
-        report: What the front says of itself.
+        report: The state of the front.
     """
 
     token: Number
@@ -32,11 +32,11 @@
     """The leader's answer to a request.
 
     Attributes:
-        incarnation: Of the front that asked.
-        token: Of the request.
-        version_number: The newest committed rule version.
-        lease_ms: Duration of the lease, counted from when the request was made. 0: none; the front adopts
-            that version first and asks again.
+        incarnation: Incarnation of the front that sent the request.
+        token: Token of the request.
+        version_number: Number of the newest committed rule version.
+        lease_ms: Duration of the lease, counted from when the request was made. 0 means no lease: the front
+            first adopts that version and then sends another request.
     """
 
     incarnation: Number
@@ -59,25 +59,25 @@
     """Decode a request.
 
     Raises:
-        RulesError: It is too long, or not a request.
+        RulesError: The message is too long or not a valid request.
     """
     if len(raw) > MAX_REQUEST_BYTES:
-        raise RulesError("a lease request is too long")
+        raise RulesError("lease request too long")
     try:
         return _request_decoder.decode(raw)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise RulesError(f"not a lease request: {str(error)[:MAX_ERROR_LENGTH]}") from None
+        raise RulesError(f"invalid lease request: {str(error)[:MAX_ERROR_LENGTH]}") from None
 
 
 def decode_lease_grant(raw: bytes) -> LeaseGrant:
     """Decode a grant.
 
     Raises:
-        RulesError: It is too long, or not a grant.
+        RulesError: The message is too long or not a valid grant.
     """
     if len(raw) > MAX_GRANT_BYTES:
-        raise RulesError("a lease grant is too long")
+        raise RulesError("lease grant too long")
     try:
         return _grant_decoder.decode(raw)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise RulesError(f"not a lease grant: {str(error)[:MAX_ERROR_LENGTH]}") from None
+        raise RulesError(f"invalid lease grant: {str(error)[:MAX_ERROR_LENGTH]}") from None
--- a/quincepier/rules/lease_table.py
+++ b/quincepier/rules/lease_table.py
@@ -1,9 +1,10 @@
 """The leader's side of leases: the last report of each front, and until when it may decide by its version.
 
-A new leader knows of no lease that the one before granted. It waits a whole lease, counted from its election,
-before it takes any front that it has not heard to be without one, and the longest attempt besides before it
-takes what such a front had open to have ended. It grants only while no other voter can have been elected
-(its own lease as a leader), or the wait of the next leader would not cover what it grants.
+A new leader does not know the leases that its predecessor granted. It waits for the duration of a lease,
+counted from its election, before it considers a front without a report to have no lease, and for the longest
+attempt in addition before it considers that front's attempts to have ended. It grants leases only while no
+other voter can have been elected (during its own leader lease); otherwise the next leader's wait would not
+cover them.
 """
 
 from __future__ import annotations
@@ -19,28 +20,28 @@
 from quincepier.rules.version import RuleVersion
 
 MAX_FRONTS = 4096
-MAX_ACTIVE_TIMES = 1024  # numbers of which it is kept since when they are active
+MAX_ACTIVE_TIMES = 1024  # version numbers whose activation time is kept
 
 
 @dataclass(slots=True)
 class _FrontLease:
-    """What the leader knows of one front; times are nanoseconds of the leader's clock.
+    """The leader's knowledge of one front; times are nanoseconds of the leader's clock.
 
-    An earlier incarnation under the same name counts until its lease has run out and its attempts have ended:
-    one start follows the other, unless somebody started the front elsewhere while it was cut off.
+    An earlier incarnation under the same name counts until its lease has expired and its attempts have ended.
+    It may still be running: the front may have been started elsewhere while it was cut off.
     """
 
     report: FrontReport
     last_token: int
-    version_number: int  # by which it decides, or did when it was last heard
-    lease_until_ns: int  # from then on it surely has no lease
-    idle_at_ns: int  # from then on nothing that it opened is open, unless it is heard again
+    version_number: int  # of the version by which it decides, by its last request
+    lease_until_ns: int  # from this time on it certainly has no lease
+    idle_at_ns: int  # from this time on it has nothing open, unless it sends another request
     earlier_report: FrontReport | None = None
     earlier_lease_until_ns: int = 0
     earlier_idle_at_ns: int = 0
 
     def begin_incarnation(self, now_ns: int, max_attempt_ns: int) -> None:
-        """Keep what the incarnation heard so far may still do; a newer one follows it."""
+        """Start a new incarnation; the lease and open attempts of the current one count as earlier ones."""
         earlier = self.earlier_report if now_ns < self.earlier_idle_at_ns else None
         last = msgspec.structs.replace(self.report, version_number=self.version_number)
         self.earlier_report = _merge_reports(last, earlier)
@@ -51,7 +52,7 @@
 
 
 def _merge_reports(last: FrontReport, earlier: FrontReport | None) -> FrontReport:
-    """One report for all earlier incarnations of a front that may have something open."""
+    """Return one report for all earlier incarnations of a front that may have something open."""
     if earlier is None:
         return last
     attempts_by_host = dict(earlier.open_attempts)
@@ -72,20 +73,20 @@
 
 
 class LeaseTable:
-    """Leases that one leader has granted; made anew at each election.
+    """Leases that one leader has granted; a new table is created at each election.
 
     Attributes:
-        timings: Timing.
+        timings: Durations of leases and attempts.
         elected_at_ns: When this front was elected.
-        newest_number: Of the newest committed version; leases are granted for it alone.
-        newest_digest: Of that version.
-        lease_by_front: By name.
-        active_since_number: The number that was active at the last look.
+        newest_number: Number of the newest committed version; leases are granted for it only.
+        newest_digest: Digest of that version.
+        lease_by_front: Known fronts by name.
+        active_since_number: The number that was active at the last observation.
         active_since_ns: When that number became active.
-        active_since_ns_by_number: When each number was first surely active.
-        decommissioned: Fronts that exist no more, as operators say.
-        committed_at_ns: When the newest version was committed, or found committed.
-        rejected_requests: Requests of fronts beyond `MAX_FRONTS`.
+        active_since_ns_by_number: When each number was first certain to be active.
+        decommissioned: Fronts that operators have declared removed for good.
+        committed_at_ns: When the newest version was committed, or found committed at the election.
+        rejected_requests: Number of requests rejected because `MAX_FRONTS` fronts are known.
     """
 
     __slots__ = (
@@ -116,7 +117,7 @@
         self.rejected_requests = 0
 
     def on_version_committed(self, version: RuleVersion, now_ns: int = 0) -> None:
-        """From now on leases are granted to fronts that decide by this version, if it is newer."""
+        """Grant leases only to fronts that decide by `version` from now on, if it is newer."""
         if version.number > self.newest_number:
             self.newest_number = version.number
             self.newest_digest = version.digest
@@ -126,13 +127,13 @@
         """Answer a request for a lease.
 
         Args:
-            now_ns: Read after the request was received.
+            now_ns: Time, read after the request was received.
             request: The request.
-            leader_until_ns: Until when no other voter can be elected. After it no front is told which version
-                is the newest either.
+            leader_until_ns: Time before which no other voter can be elected. After it requests are not
+                answered at all, since the newest version is not known either.
 
         Returns:
-            The grant; None for a request that is late or repeated, or where another front may lead by now.
+            The grant; None if the request is late or repeated, or if another front may lead by now.
         """
         if now_ns >= leader_until_ns:
             return None
@@ -153,13 +154,13 @@
         return LeaseGrant(report.incarnation, request.token, self.newest_number, lease_ms)
 
     def _find_lease(self, now_ns: int, request: LeaseRequest) -> _FrontLease | None:
-        """The front's entry, made anew where there is none; None if the request is not to be answered."""
+        """Return the front's entry, created if missing; None if the request must not be answered."""
         report = request.report
         lease = self.lease_by_front.get(report.front)
         if lease is None:
             return self._add_front(now_ns, report)
         if report.incarnation < lease.report.incarnation and now_ns < lease.idle_at_ns:
-            return None  # late; or a start after the wall clock was stepped back, while another's lease runs
+            return None  # late, or started after a backward wall clock step while an earlier lease may run
         if report.incarnation != lease.report.incarnation:
             lease.begin_incarnation(now_ns, self._max_attempt_ns)
         elif request.token <= lease.last_token:
@@ -169,7 +170,7 @@
     def _add_front(self, now_ns: int, report: FrontReport) -> _FrontLease | None:
         if len(self.lease_by_front) >= MAX_FRONTS:
             self.rejected_requests += 1
-            return None  # what is not in the table must have no lease
+            return None  # a front that is not in the table must have no lease
         lease = _FrontLease(report, 0, 0, now_ns, now_ns + self._max_attempt_ns)
         self.lease_by_front[report.front] = lease
         return lease
@@ -180,15 +181,15 @@
 
     @property
     def _earlier_leases_until_ns(self) -> int:
-        """When the leases of an earlier leader have run out."""
+        """Time at which the leases of earlier leaders have expired."""
         return self.elected_at_ns + self.timings.with_drift_margin(self.timings.lease_ns)
 
     def set_decommissioned(self, names: Iterable[str]) -> None:
-        """Fronts that exist no more, as operators say: nothing waits for them until they are heard again."""
+        """Set the fronts that operators have removed for good; nothing waits for them unless they report."""
         self.decommissioned = frozenset(names)
 
     def active_number(self, now_ns: int) -> int:
-        """Highest number that no front with a lease is below; 0 while an earlier leader's leases may run."""
+        """Return the highest number that no leased front is below; 0 while earlier leases may run."""
         if now_ns < self._earlier_leases_until_ns:
             return 0
         numbers = [self.newest_number]
@@ -200,13 +201,13 @@
         return min(numbers)
 
     def acknowledged_number(self, now_ns: int, names: Iterable[str]) -> int:
-        """Highest number that every front was told of, those without a lease too.
+        """Return the highest number that every front has acknowledged, including fronts without a lease.
 
-        A front that missed the version in which a task first appears does not know what to avoid.
+        A front that missed the version in which a task first appears does not know which machine to avoid.
 
         Args:
-            now_ns: The time.
-            names: Fronts that must have been heard.
+            now_ns: Current time.
+            names: Fronts that must have sent a request.
         """
         if now_ns < self._earlier_leases_until_ns:
             return 0
@@ -222,16 +223,17 @@
         return min(numbers)
 
     def are_unleased_fronts_idle(self, now_ns: int) -> bool:
-        """Whether every front without a lease has surely lost it and ended what it had open."""
+        """Whether every front without a lease has certainly lost it and has nothing open."""
         if now_ns < self._earlier_leases_until_ns + self._max_attempt_ns:
             return False
         leases = self.lease_by_front.values()
         return all(lease.lease_until_ns > now_ns or now_ns >= lease.idle_at_ns for lease in leases)
 
     def observe(self, now_ns: int, view: FleetView) -> Observations:
-        """Return all that planners decide by.
+        """Return the observations by which planners decide.
 
-        A front that is neither a member nor recently dead is forgotten after `unreachable_front_timeout_ns`.
+        A front that is neither a member nor recently dead is forgotten `unreachable_front_timeout_ns` after
+        its lease.
         """
         names = {*view.members, *view.recently_dead}
         self._forget_unreachable_fronts(now_ns, names)
@@ -271,7 +273,7 @@
             del self.lease_by_front[name]
 
     def _update_active(self, now_ns: int) -> int:
-        """Note since when each number is active; return the active one."""
+        """Record when numbers became active; return the active number."""
         active = self.active_number(now_ns)
         if active == self.active_since_number:
             return active
--- a/quincepier/rules/lease_timings.py
+++ b/quincepier/rules/lease_timings.py
@@ -1,4 +1,4 @@
-"""Durations that the two sides of a lease share, and the allowance for clocks that drift apart."""
+"""Durations shared by the two sides of a lease, and the margin for clock drift."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 class LeaseTimings:
     """Timing of leases, in nanoseconds.
 
-    The lease bounds for how long an unsafe request can be refused while its tenant migrates. There are four
-    requests to a lease, so three in a row may be lost.
+    The duration of a lease limits how long an unsafe request can be rejected while its tenant migrates. A
+    front sends four requests per lease, so three in a row may be lost.
 
     Attributes:
         lease_ns: Duration of a lease.
-        request_interval_ns: Between two requests of a front.
-        clock_drift_margin: Fraction by which the leader counts longer: two clocks, each wrong by 2 in 100.
-        max_attempt_ns: The longest that an attempt at a cache can be open.
-        unreachable_front_timeout_ns: After which a front that is not heard any more is forgotten.
+        request_interval_ns: Interval between the requests of a front.
+        clock_drift_margin: Fraction by which the leader counts a lease longer; covers two clocks whose rates
+            are each wrong by 2 %.
+        max_attempt_ns: Longest time that an attempt at a cache can be open.
+        unreachable_front_timeout_ns: Time after its lease at which an unreachable front is forgotten.
     """
 
     lease_ns: int = 1000 * NS_PER_MS
@@ -38,8 +39,10 @@
             self.unreachable_front_timeout_ns,
         )
         if min(durations) <= 0 or not 0 < self.clock_drift_margin < 1:
-            raise RulesError("durations of leases are above 0, the margin between 0 and 1", "lease timings")
+            raise RulesError(
+                "durations must be above 0, and the clock drift margin between 0 and 1", "lease timings"
+            )
 
     def with_drift_margin(self, duration_ns: int) -> int:
-        """Return for how long the leader waits so that a front's clock has surely counted the duration."""
+        """Return the time that the leader waits for `duration_ns` to have passed by any front's clock."""
         return duration_ns + int(duration_ns * self.clock_drift_margin) + 1
--- a/quincepier/rules/reports.py
+++ b/quincepier/rules/reports.py
@@ -1,4 +1,4 @@
-"""What fronts report to the leader, and what the leader observes of all: plain facts, no decision."""
+"""Reports of fronts to the leader, and the leader's observations of the fleet: plain data, no decisions."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class HostCount(NamedTuple):
-    """A count of one machine."""
+    """A count for one machine, named by its host id."""
 
     host: str
     total: int
 
 
 class TenantCount(NamedTuple):
-    """A count of one tenant at one shard."""
+    """A count for one tenant at one shard."""
 
     tenant: str
     shard: str
@@ -25,7 +25,7 @@
 
 
 class TenantAge(NamedTuple):
-    """Milliseconds since something happened for one tenant at one shard."""
+    """Milliseconds since an event of one tenant at one shard."""
 
     tenant: str
     shard: str
@@ -33,17 +33,17 @@
 
 
 class ServiceStatistics(msgspec.Struct, frozen=True, array_like=True):
-    """Counts of a front over its window, for one tenant ("": all) at one shard ("": all).
+    """Counts of a front over its statistics window, for one tenant at one shard ("" stands for all).
 
     Attributes:
         tenant: Name of the tenant.
         shard: Name of the shard.
-        responses: Final responses.
-        requested_weight: Priority weight of the requests that were answered.
-        on_time_weight: Priority weight of those answered within their latency objective.
-        rejected: Responses with status 503.
-        hits: Attempts that a cache answered from its store.
-        origin_fetches: Attempts for which a cache fetched from the origin.
+        responses: Number of final responses.
+        requested_weight: Sum of the priority weights of the answered requests.
+        on_time_weight: Sum of the priority weights of those answered within their latency objective.
+        rejected: Number of responses with status 503.
+        hits: Number of attempts that a cache answered from its store.
+        origin_fetches: Number of attempts for which a cache fetched from the origin.
     """
 
     tenant: str
@@ -57,22 +57,22 @@
 
 
 class FrontReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a front reports of itself at each lease request.
+    """The state that a front reports with each lease request.
 
     Attributes:
-        front: Its name.
-        incarnation: Higher at each start.
-        version_number: Of the rule version by which it decides.
-        digest: Of that version.
+        front: Name of the front.
+        incarnation: Incarnation number of the front; higher at each start.
+        version_number: Number of the rule version by which it decides.
+        digest: Digest of that version.
         is_cautious: Whether it is in cautious mode.
-        window_ms: Duration that the counts cover.
-        open_attempts: Attempts of this front that are open at each machine.
-        open_unsafe_requests: Open requests that may not simply be repeated.
-        last_unsafe_request_ages: Since such a request was last sent.
+        window_ms: Length of the statistics window.
+        open_attempts: Number of open attempts at each machine.
+        open_unsafe_requests: Number of open requests that are not safe to repeat, by tenant and shard.
+        last_unsafe_request_ages: Time since such a request was last sent, by tenant and shard.
         ejected_hosts: Machines that its outlier detection has ejected.
-        sent_commands: Commands sent to each machine in the window, a measure of its load.
-        service_statistics: Service in the window.
-        change_log_sequence: Number in the change log up to which it has read.
+        sent_commands: Number of commands sent to each machine in the window, a measure of its load.
+        service_statistics: Service statistics of the window.
+        change_log_sequence: Sequence number up to which it has read the change log.
     """
 
     front: str
@@ -92,15 +92,15 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineObservation:
-    """One machine of the endpoint list, as the leader has it.
+    """One machine of the leader's endpoint list.
 
     Attributes:
         host: Host id.
         kind: "cache", "parent" or "origin".
-        zone: Its zone.
-        is_ready: Whether the list says that it is ready.
-        uptime_ms: Since its last start.
-        warm_up_ms: That it takes to be warm after a start.
+        zone: Zone of the machine.
+        is_ready: Whether it is ready by the endpoint list.
+        uptime_ms: Time since its last start.
+        warm_up_ms: Time from a start until its cache is warm.
     """
 
     host: str
@@ -113,16 +113,16 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetView:
-    """What the leader sees of the fleet beside the leases that it granted.
+    """The leader's view of the fleet, apart from the leases that it granted.
 
     Attributes:
         members: Fronts in the membership view.
-        machine_by_host: Machines of the endpoint list.
+        machine_by_host: Machines of the endpoint list by host id.
         voters: Names of the voters.
         leader: Name of the leader.
         is_consistent: As in `Observations`.
         baseline_on_time_ratio_by_tenant: As in `Observations`.
-        recently_dead: Fronts that membership has removed and still remembers.
+        recently_dead: Fronts that membership has removed from its view and still remembers.
     """
 
     members: tuple[str, ...]
@@ -136,26 +136,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Observations:
-    """All that a planner decides by, besides the rule version; equal values give equal plans.
+    """All input of a planner besides the rule version; equal values give equal plans.
 
     Attributes:
         now_ns: Monotonic time of the leader.
         members: Fronts in the membership view.
-        report_by_front: The last report of each front that holds a lease, and under `NAME@INCARNATION` that
-            of an earlier incarnation which may still have something open.
-        unleased_fronts_idle: Whether every front without a report here has surely lost its lease and ended
-            what it had open.
+        report_by_front: The last report of each front that holds a lease, and under `NAME@INCARNATION` the
+            report of an earlier incarnation that may still have something open.
+        unleased_fronts_idle: Whether every front without a report here has certainly lost its lease and has
+            nothing open.
         active_number: The highest number such that no front with a lease decides by an older version.
-        active_for_ns: Since that number became active.
-        machine_by_host: Machines of the endpoint list.
+        active_for_ns: Time since that number became active.
+        machine_by_host: Machines of the endpoint list by host id.
         voters: Names of the voters.
         leader: Name of the leader.
-        is_consistent: Whether all fronts were found to decide alike by the newest version; None: not known.
-        baseline_on_time_ratio_by_tenant: On-time weight over requested weight before any disruption.
-        active_ns_by_number: For how long a number has surely been active; may lack any.
-        committed_for_ns: Since the newest version was committed, or found committed at the election.
-        acknowledged_number: The highest number that every front was told of, with a lease or without;
-            None: taken to be `active_number`.
+        is_consistent: Whether all fronts were found to make the same decisions by the newest version; None if
+            that is not known.
+        baseline_on_time_ratio_by_tenant: On-time weight divided by requested weight before any disruption.
+        active_ns_by_number: How long each number has certainly been active; any number may be missing.
+        committed_for_ns: Time since the newest version was committed, or found committed at the election.
+        acknowledged_number: The highest number that every front has acknowledged, with or without a lease;
+            None means `active_number`.
     """
 
     now_ns: int
--- a/quincepier/rules/version.py
+++ b/quincepier/rules/version.py
@@ -1,7 +1,7 @@
-"""A rule version: an immutable, numbered value. Numbers go up by one; a front decides by one at a time.
+"""Rule versions: immutable, consecutively numbered values. A front decides by one version at a time.
 
-The digest is xxh3-128 over the msgpack of all fields, so two versions of one digest hold the same, and a
-flipped bit shows. Machines are named by their host ids, fronts and tenants by their names.
+The digest is xxh3-128 over the msgpack of all fields, so versions with equal digests have equal content and a
+flipped bit is detected. Machines are named by their host ids, fronts and tenants by their names.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 MAX_VERSION_BYTES = 1 << 20  # encoded
 MAX_ERROR_LENGTH = 100
 DIGEST_BYTES = 16
-HASH_SLOTS = 256  # slots that the keys of a tenant are divided into, by hash
+HASH_SLOTS = 256  # slots into which a tenant's keys are divided by hash
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 ShardName = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]  # "" for the default shard
@@ -34,27 +34,27 @@
 class MaintenanceStep(IntEnum):
     """Steps of a maintenance task, in their order."""
 
-    PENDING = 0  # requested and not begun: used as usual
-    DRAINING = 1  # nothing new may be sent to it
-    DRAINED = 2  # no front may send to it and nothing of any front is open there: work may begin
-    IN_MAINTENANCE = 3  # work was seen to have begun: it is off the list, down, or restarted
+    PENDING = 0  # requested, not started; in normal use
+    DRAINING = 1  # no new attempt may be sent to it
+    DRAINED = 2  # no front may send to it and no front has anything open there: work may start
+    IN_MAINTENANCE = 3  # work was observed to have started: it is unlisted, down, or restarted
     RESTORED = 4  # it is up again and listed
-    WARMING = 5  # used again, within its slow-start budget
-    COMPLETED = 6  # used as usual
-    CANCELLED = 7  # given up before DRAINED, or by the operator; used as usual
+    WARMING = 5  # in use again, limited by slow start
+    COMPLETED = 6  # in normal use
+    CANCELLED = 7  # cancelled before DRAINED, or by the operator; in normal use
 
 
 class MaintenanceTask(msgspec.Struct, frozen=True, array_like=True):
-    """One machine or front that is taken out of service for work.
+    """The maintenance of one machine or front, which is taken out of service for it.
 
     Attributes:
         request_id: Id of the operators' request.
         target: Host id of a machine, or name of a front.
-        kind: What the target is.
+        kind: Kind of the target.
         zone: Zone of the target.
-        step: How far the task is.
-        since_version: Number of the version in which it came to that step.
-        reason: Why it did.
+        step: Current step of the task.
+        since_version: Number of the version in which the task entered that step.
+        reason: Why it entered that step.
     """
 
     request_id: Name
@@ -67,12 +67,12 @@
 
     @property
     def is_cordoned(self) -> bool:
-        """Whether nothing new may be sent to the target."""
+        """Whether no new attempt may be sent to the target."""
         return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.RESTORED
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether the target counts against the disruption limits; one that warms up does."""
+        """Whether the target counts towards the disruption limits, as it also does while it warms up."""
         return MaintenanceStep.DRAINING <= self.step <= MaintenanceStep.WARMING
 
     @property
@@ -82,7 +82,7 @@
 
 
 class DisruptionLimit(msgspec.Struct, frozen=True, array_like=True):
-    """How many of a kind may be unavailable at once, in any one zone and in all zones together."""
+    """How many machines of a kind may be unavailable at once, per zone and in total."""
 
     kind: Literal["cache", "parent", "front"]
     max_per_zone: int
@@ -90,7 +90,7 @@
 
 
 class Shard(msgspec.Struct, frozen=True, array_like=True):
-    """A named subset of the caches with the parents behind it; no parents: all of them."""
+    """A named subset of the caches with its parents; without parents listed it uses all of them."""
 
     name: Name
     caches: tuple[Name, ...]
@@ -100,8 +100,8 @@
 class TenantPlacement(msgspec.Struct, frozen=True, array_like=True):
     """The home shard of a tenant.
 
-    A tenant without a placement is at the default shard: all caches outside of the named shards, or all
-    caches where no placement names a shard.
+    A tenant without a placement has the default shard as its home: all caches outside of the named shards,
+    or all caches if no placement names a shard.
     """
 
     tenant: Name
@@ -112,28 +112,28 @@
     """Steps of a migration; ROLLING_BACK may follow any step from RAMPING_UP to CUT_OVER."""
 
     PLANNED = 0
-    RAMPING_UP = 1  # a growing part of the slots goes to the target shard; unsafe requests stay
-    VERIFYING = 2  # the part stays, both shards are compared
-    PAUSING_WRITES = 3  # repeats of unsafe requests are refused; first tries still go to the source shard
-    CUT_OVER = 4  # all slots in steps, and unsafe requests at once; repeats of those are still refused
-    DRAINING = 5  # nothing goes to the source shard, repeats to the target; what was open there ends
+    RAMPING_UP = 1  # a growing share of the slots goes to the target shard; unsafe requests do not
+    VERIFYING = 2  # the share of the slots stays constant and both shards are compared
+    PAUSING_WRITES = 3  # retries of unsafe requests are rejected; first attempts go to the source shard
+    CUT_OVER = 4  # all slots follow in steps, unsafe requests at once; their retries are still rejected
+    DRAINING = 5  # requests and retries go to the target shard; those open at the source shard finish
     COMPLETED = 6
-    ROLLING_BACK = 7  # all at the source shard, repeats refused
-    ROLLED_BACK = 8  # everything as before the migration
+    ROLLING_BACK = 7  # all requests go to the source shard; retries of unsafe requests are rejected
+    ROLLED_BACK = 8  # as before the migration
 
 
 class Migration(msgspec.Struct, frozen=True, array_like=True):
-    """A tenant on its way from one shard to another.
+    """The migration of a tenant from one shard to another.
 
     Attributes:
         request_id: Id of the operators' request.
         tenant: Name of the tenant.
-        source_shard: Where it was at home.
-        target_shard: Where it is going.
-        step: How far the migration is.
-        since_version: Number of the version in which it came to that step.
-        moved_slots: Of `HASH_SLOTS`, those whose keys go to the target shard.
-        reason: Why it came to that step.
+        source_shard: Its home shard before the migration.
+        target_shard: Its home shard after the migration.
+        step: Current step of the migration.
+        since_version: Number of the version in which the migration entered that step.
+        moved_slots: How many of the `HASH_SLOTS` slots have their keys at the target shard.
+        reason: Why it entered that step.
     """
 
     request_id: Name
@@ -152,16 +152,16 @@
 
 
 class RuleVersion(msgspec.Struct, frozen=True, array_like=True):
-    """What all fronts decide by.
+    """The agreed state by which all fronts decide.
 
     Attributes:
-        number: Goes up by one; 0 is what holds before anything was committed.
-        term: Of the leader that proposed it.
-        maintenance_tasks: Machines and fronts under maintenance, with those that are done.
-        disruption_limits: How many may be unavailable at once, by kind.
+        number: Consecutive number; 0 for the initial version, before any was committed.
+        term: Term of the leader that proposed it.
+        maintenance_tasks: Maintenance tasks of machines and fronts, including finished ones.
+        disruption_limits: How many machines or fronts may be unavailable at once, by kind.
         shards: Named shards.
         placements: Home shards of tenants.
-        migrations: Tenants on their way, with those that are done.
+        migrations: Migrations of tenants, including finished ones.
     """
 
     number: int
@@ -176,7 +176,7 @@
 
     @property
     def digest(self) -> str:
-        """Digest of all fields, the number and the term too, as 32 hex digits."""
+        """Digest of all fields, including the number and the term, as 32 hex digits."""
         return xxhash.xxh3_128_hexdigest(_encode(self))
 
     def task_for(self, target: str) -> MaintenanceTask | None:
@@ -185,11 +185,13 @@
 
     def migration_of(self, tenant: str) -> Migration | None:
         """Return the last migration of a tenant."""
-        return next((one for one in reversed(self.migrations) if one.tenant == tenant), None)
+        return next(
+            (migration for migration in reversed(self.migrations) if migration.tenant == tenant), None
+        )
 
     def home_shard_of(self, tenant: str) -> str:
-        """Return the home shard of a tenant, "" for the default one; migrations are not looked at."""
-        return next((one.shard for one in self.placements if one.tenant == tenant), "")
+        """Return the home shard of a tenant, "" for the default shard; migrations are not considered."""
+        return next((placement.shard for placement in self.placements if placement.tenant == tenant), "")
 
     def find_shard(self, name: str) -> Shard | None:
         """Return the shard of that name."""
@@ -197,9 +199,9 @@
 
 
 class VersionChange(msgspec.Struct, frozen=True):
-    """What a planner wants changed: whole new values of fields; None leaves a field as it is."""
+    """A planner's change to a version: complete new values of fields; None leaves a field unchanged."""
 
-    reason: str  # for the log
+    reason: str  # for log messages
     maintenance_tasks: tuple[MaintenanceTask, ...] | None = None
     disruption_limits: tuple[DisruptionLimit, ...] | None = None
     shards: tuple[Shard, ...] | None = None
@@ -214,7 +216,7 @@
 
 
 def initial_version() -> RuleVersion:
-    """Return what holds before anything was committed: nothing unavailable, no shards."""
+    """Return the version used before any was committed: nothing unavailable, no shards."""
     return RuleVersion(0, 0)
 
 
@@ -223,9 +225,9 @@
 
     Args:
         version: The newest version.
-        term: Of the leader that proposes the next one.
-        changes: Of all planners. `since_version` of tasks and migrations that are new, or came to another
-            step, is set to the next number here, so planners need not know it.
+        term: Term of the leader that proposes the next version.
+        changes: Changes of all planners. `since_version` of tasks and migrations that are new or have entered
+            another step is set to the next number here, so planners need not set it.
 
     Raises:
         RulesError: Two changes set the same field.
@@ -254,7 +256,7 @@
             if value is None:
                 continue
             if field in values:
-                raise RulesError(f"two changes of {field} in one version", change.reason)
+                raise RulesError(f"two changes to {field} in one version", change.reason)
             values[field] = value
     return values
 
@@ -265,7 +267,7 @@
 def _stamp_steps(
     entries: tuple[Entry, ...], before: tuple[Entry, ...], number: int, key_of: Callable[[Entry], object]
 ) -> tuple[Entry, ...]:
-    """Set `since_version`: kept where the step is the same as before, else the new version's number."""
+    """Set `since_version`: unchanged where the step is unchanged, else the new version's number."""
     entry_by_key = {key_of(entry): entry for entry in before}
     stamped = []
     for entry in entries:
@@ -277,7 +279,7 @@
 
 
 def encode_version(version: RuleVersion) -> bytes:
-    """Encode a version: its digest first, so that one damaged in transit or on a disk is rejected."""
+    """Encode a version after its digest, so that one damaged in transit or on disk is rejected."""
     body = _encode(version)
     return xxhash.xxh3_128_digest(body) + body
 
@@ -286,11 +288,11 @@
     """Decode a version.
 
     Raises:
-        RulesError: It is damaged, too long, or not a rule version.
+        RulesError: The bytes are damaged, too long, or not a rule version.
     """
     if len(raw) > MAX_VERSION_BYTES or xxhash.xxh3_128_digest(raw[DIGEST_BYTES:]) != raw[:DIGEST_BYTES]:
-        raise RulesError("a rule version is damaged or too long")
+        raise RulesError("rule version damaged or too long")
     try:
         return _decode(raw[DIGEST_BYTES:])
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise RulesError(f"not a rule version: {str(error)[:MAX_ERROR_LENGTH]}") from None
+        raise RulesError(f"invalid rule version: {str(error)[:MAX_ERROR_LENGTH]}") from None
