--- a/quincepier/rules/version.py
+++ b/quincepier/rules/version.py
@@ -109,7 +109,10 @@
 
 
 class MigrationStep(IntEnum):
-    """Steps of a migration; ROLLING_BACK may follow any step from RAMPING_UP to CUT_OVER."""
+    """Steps of a migration.
+
+    A rollback goes through ROLLING_BACK from CUT_OVER, and directly to ROLLED_BACK from an earlier step.
+    """
 
     PLANNED = 0
     RAMPING_UP = 1  # a growing share of the slots goes to the target shard; unsafe requests do not
--- a/quincepier/state/__init__.py
+++ b/quincepier/state/__init__.py
@@ -1,8 +1,8 @@
-"""What a front has learned, stored in a folder over restarts.
+"""Learned state of a front, stored in a folder so that it survives restarts.
 
 `record_format` writes and verifies single records, `learned_state` and `schema_upgrades` define their
 content, `snapshot_store` keeps two generations of it, and `fact_conversion` maps it to the router's facts.
-How much an old fact still counts is decided in `quincepier.recovery`. See docs/state.md.
+`quincepier.recovery` decides which weight an old fact still has. See docs/state.md.
 """
 
 from quincepier.state.file_system import FileSystem
--- a/quincepier/state/command.py
+++ b/quincepier/state/command.py
@@ -27,7 +27,7 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes of the sub-commands; `prune` alone gives LOCKED, as the others only read."""
+    """Exit codes of the sub-commands; only `prune` returns LOCKED, as the others take no lock."""
 
     OK = 0
     UNUSABLE_RECORD = 1
@@ -50,18 +50,18 @@
 
 def _open_files(folder: Path) -> FileSystem:
     if not folder.is_dir():
-        raise StateError(RecordFault.UNUSABLE_FOLDER, f"{folder} is no folder")
+        raise StateError(RecordFault.UNUSABLE_FOLDER, f"{folder} is not a folder")
     return FileSystem(folder)
 
 
 def show(folder: Path, now: Timestamp) -> ExitCode:
-    """Print the newest whole generation as JSON, and faults on the standard error."""
+    """Print the newest valid generation as JSON to standard output, and faults to standard error."""
     loaded = SnapshotStore(_open_files(folder)).load()
     for fault in loaded.faults:
         print(f"quincepier: {fault.name}: {fault.error}", file=sys.stderr)
     newest = loaded.newest
     if newest is None:
-        print(f"quincepier: {folder} holds no record that can be read", file=sys.stderr)
+        print(f"quincepier: {folder} holds no readable record", file=sys.stderr)
         return _exit_code(loaded) or ExitCode.UNUSABLE_RECORD
     shown = {
         "version": newest.version,
@@ -75,7 +75,7 @@
 
 
 def check(folder: Path, now: Timestamp) -> ExitCode:
-    """Print a line for each generation."""
+    """Print one line about each generation."""
     files = _open_files(folder)
     loaded = SnapshotStore(files).load()
     error_by_name = {fault.name: fault.error for fault in loaded.faults}
@@ -83,16 +83,16 @@
         if (error := error_by_name.get(name)) is not None:
             print(f"{name}: {error}")
         elif (generation := read_generation(files, name)) is None:
-            print(f"{name}: not there")
+            print(f"{name}: missing")
         else:
             numbers = f"version {generation.version}, sequence {generation.sequence}"
             age = _describe_age(generation.state, now)
-            print(f"{name}: whole, {numbers}, {generation.size_bytes} bytes, {age}")
+            print(f"{name}: valid, {numbers}, {generation.size_bytes} bytes, {age}")
     return _exit_code(loaded)
 
 
-def prune(folder: Path, now: Timestamp) -> ExitCode:  # noqa: ARG001, all three take the same
-    """Remove generations that can't be used, and a half-written file; newer versions stay."""
+def prune(folder: Path, now: Timestamp) -> ExitCode:  # noqa: ARG001, all sub-commands have one signature
+    """Remove unusable generations and an incomplete temporary file; records of a newer version stay."""
     files = _open_files(folder)
     loaded = SnapshotStore(files).load()
     store = SnapshotStore(files)
@@ -101,10 +101,10 @@
         for fault in loaded.faults:
             if fault.error.fault is not RecordFault.NEWER_VERSION:
                 files.remove(fault.name)
-                print(f"{fault.name}: taken away: {fault.error}")
+                print(f"{fault.name}: removed: {fault.error}")
         if (folder / TEMPORARY_NAME).exists():
             files.remove(TEMPORARY_NAME)
-            print(f"{TEMPORARY_NAME}: taken away: half written")
+            print(f"{TEMPORARY_NAME}: removed: incomplete")
         files.sync_folder()
     except OSError as error:
         raise StateError(RecordFault.UNUSABLE_FOLDER, os.strerror(error.errno or 0)) from None
@@ -120,8 +120,8 @@
     """Run the sub-command that the parsed command line names.
 
     Args:
-        arguments: The command line, by docopt's names.
-        now: The present moment.
+        arguments: The parsed command line, by docopt's names.
+        now: The current time.
     """
     sub_command = next(function for name, function in SUB_COMMANDS.items() if arguments[name])
     try:
--- a/quincepier/state/fact_conversion.py
+++ b/quincepier/state/fact_conversion.py
@@ -1,4 +1,7 @@
-"""Conversion between the router's learned facts, which use numbers of this process, and stored names."""
+"""Conversion between the router's learned facts and stored records.
+
+Facts refer to classes, kinds and machines by numbers of this process, records by names that outlive it.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineIdentity:
-    """One start of a machine: its host id, and its start in Unix milliseconds."""
+    """One start of a machine: its host id and its start time in Unix milliseconds."""
 
     host: str
     started_at_ms: int
@@ -32,13 +35,14 @@
 
 @dataclass(slots=True, frozen=True)
 class NameMapping:
-    """What the numbers of this process stand for.
+    """Names of the classes, kinds and machines that have numbers in this process.
 
     Attributes:
         classes: Names of the request classes by number.
         kinds: Names of the kinds of machine by number.
-        identify: Gives the identity of a listed machine's number, or None.
-        find_number: Gives the number of a machine that is listed with this identity, or None.
+        identify: Returns the identity of the machine with this number, None if it is not listed.
+        find_number: Returns the number of the machine that is listed with this identity, None if there is
+            none.
     """
 
     classes: tuple[str, ...]
@@ -48,10 +52,10 @@
 
 
 class LearnedStateBuilder:
-    """Collects facts one by one and builds the state that is written.
+    """Collects facts one by one and builds the state to be written.
 
     Args:
-        names: What the numbers in the facts stand for.
+        names: Names for the numbers in the facts.
     """
 
     def __init__(self, names: NameMapping) -> None:
@@ -65,30 +69,32 @@
         self._address_backoffs = list[AddressBackoffRecord]()
 
     def add(self, fact: io.Learned) -> None:
-        """Add a fact; one that has no name here, or is over a limit, is left out."""
+        """Add a fact; it is left out if its number has no name or a limit is reached."""
         match fact:
-            case io.LearnedTransferTime(cls, mean, seen, ago):
-                self._add_service_time(cls, mean, seen, ago)
+            case io.LearnedTransferTime(class_number, mean_ns, sample_count, age_ns):
+                self._add_service_time(class_number, mean_ns, sample_count, age_ns)
             case io.LearnedLatency():
                 self._add_baseline_latency(fact)
-            case io.LearnedFetchLimit(limit, ago):
-                self._fetch_limit = FetchLimitRecord(limit, ago)
-            case io.LearnedServedWork(kind, work, span, ago):
-                if kind < len(self.names.kinds):
-                    self._capacities.append(CapacityRecord(self.names.kinds[kind], work, span, ago))
+            case io.LearnedFetchLimit(limit, age_ns):
+                self._fetch_limit = FetchLimitRecord(limit, age_ns)
+            case io.LearnedServedWork(kind_number, work, span_ns, age_ns):
+                if kind_number < len(self.names.kinds):
+                    self._capacities.append(
+                        CapacityRecord(self.names.kinds[kind_number], work, span_ns, age_ns)
+                    )
             case io.LearnedEndpoint():
                 self._add_machine(fact)
-            case io.LearnedPurge(group, object_id, ago):
+            case io.LearnedPurge(group, object_id, age_ns):
                 if len(self._purges) < MAX_PURGES:
-                    self._purges.append(PurgeRecord(group, object_id, ago))
+                    self._purges.append(PurgeRecord(group, object_id, age_ns))
 
     def add_address_backoff(self, record: AddressBackoffRecord) -> None:
-        """Add an address that is in backoff."""
+        """Add the backoff of an address."""
         self._address_backoffs.append(record)
 
-    def _add_service_time(self, cls: int, mean_ns: float, sample_count: int, age_ns: int) -> None:
-        if cls < len(self.names.classes):
-            name = self.names.classes[cls]
+    def _add_service_time(self, class_number: int, mean_ns: float, sample_count: int, age_ns: int) -> None:
+        if class_number < len(self.names.classes):
+            name = self.names.classes[class_number]
             self._service_times.append(ServiceTimeRecord(name, mean_ns, sample_count, age_ns))
 
     def _add_baseline_latency(self, fact: io.LearnedLatency) -> None:
@@ -136,7 +142,7 @@
 
 
 def facts_from_state(state: LearnedState, names: NameMapping) -> Iterator[io.Learned]:
-    """Yield the facts that mean something here: known classes and kinds, machines of the same start."""
+    """Yield the facts that apply to this process: of known classes and kinds, and unrestarted machines."""
     if (limit := state.fetch_limit) is not None:
         yield io.LearnedFetchLimit(limit.limit, limit.age_ns)
     yield from _class_facts(state, names)
@@ -147,20 +153,22 @@
 
 
 def _class_facts(state: LearnedState, names: NameMapping) -> Iterator[io.Learned]:
-    class_by_name = {name: number for number, name in enumerate(names.classes)}
-    for time in state.service_times:
-        if (cls := class_by_name.get(time.class_name)) is not None:
-            yield io.LearnedTransferTime(cls, time.mean_ns, time.sample_count, time.age_ns)
+    class_number_by_name = {name: number for number, name in enumerate(names.classes)}
+    for service_time in state.service_times:
+        if (class_number := class_number_by_name.get(service_time.class_name)) is not None:
+            yield io.LearnedTransferTime(
+                class_number, service_time.mean_ns, service_time.sample_count, service_time.age_ns
+            )
     for latency in state.baseline_latencies:
-        if (cls := class_by_name.get(latency.class_name)) is not None:
-            yield _to_latency_fact(cls, latency)
+        if (class_number := class_number_by_name.get(latency.class_name)) is not None:
+            yield _to_latency_fact(class_number, latency)
 
 
 def _capacity_facts(state: LearnedState, names: NameMapping) -> Iterator[io.Learned]:
-    kind_by_name = {name: number for number, name in enumerate(names.kinds)}
+    kind_number_by_name = {name: number for number, name in enumerate(names.kinds)}
     for capacity in state.capacities:
-        if (kind := kind_by_name.get(capacity.kind)) is not None:
-            yield io.LearnedServedWork(kind, capacity.work, capacity.span_ns, capacity.age_ns)
+        if (kind_number := kind_number_by_name.get(capacity.kind)) is not None:
+            yield io.LearnedServedWork(kind_number, capacity.work, capacity.span_ns, capacity.age_ns)
 
 
 def _endpoint_facts(state: LearnedState, names: NameMapping) -> Iterator[io.Learned]:
@@ -170,9 +178,9 @@
             yield _to_endpoint_fact(number, machine)
 
 
-def _to_latency_fact(cls: int, record: BaselineLatencyRecord) -> io.LearnedLatency:
+def _to_latency_fact(class_number: int, record: BaselineLatencyRecord) -> io.LearnedLatency:
     return io.LearnedLatency(
-        cls,
+        class_number,
         record.is_hit,
         record.is_relative,
         record.mean_log,
--- a/quincepier/state/file_system.py
+++ b/quincepier/state/file_system.py
@@ -1,6 +1,6 @@
-"""The system calls of a store, in one folder; laboratory disks and tests replace them one by one.
+"""The system calls of a store, in one folder; simulated disks and tests override them one by one.
 
-All calls block; they belong in a worker thread. They raise OSError as the system does.
+All calls block and belong in a worker thread. They raise OSError as the operating system does.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
         self._lock_fd: int | None = None
 
     def read(self, name: str, max_bytes: int) -> bytes | None:
-        """Return the content of a file, at most `max_bytes` and one; None if there is no such file."""
+        """Return the first `max_bytes + 1` bytes of a file at most; None if there is no such file."""
         try:
             with (self.folder / name).open("rb", buffering=0) as file:
                 chunks = list[bytes]()
@@ -45,7 +45,7 @@
         return os.open(self.folder / name, flags, FILE_MODE)
 
     def write(self, fd: int, data: bytes) -> int:
-        """Write some of `data` and return how many bytes were written."""
+        """Write as much of `data` as one system call does and return the number of bytes written."""
         return os.write(fd, data)
 
     def sync(self, fd: int) -> None:
@@ -57,11 +57,11 @@
         os.close(fd)
 
     def rename(self, name: str, new_name: str) -> None:
-        """Rename a file, replacing one of the new name atomically."""
+        """Rename a file, atomically replacing an existing file of the new name."""
         os.rename(self.folder / name, self.folder / new_name)
 
     def sync_folder(self) -> None:
-        """Make the names in the folder durable."""
+        """Make the file names in the folder durable."""
         fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -69,7 +69,7 @@
             os.close(fd)
 
     def replace_file(self, name: str, temporary_name: str, data: bytes) -> None:
-        """Replace a file atomically and durably: a power cut leaves the old content or the new."""
+        """Replace a file atomically and durably: a power cut leaves the old content or the new one."""
         fd = self.create(temporary_name)
         try:
             remaining = memoryview(data)
@@ -83,7 +83,7 @@
         self.sync_folder()
 
     def remove(self, name: str) -> None:
-        """Remove a file, if there is one of that name."""
+        """Remove a file if it exists."""
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self.folder / name)
 
--- a/quincepier/state/learned_state.py
+++ b/quincepier/state/learned_state.py
@@ -1,7 +1,8 @@
-"""The content of a learned-state record: what a front has learned, in terms that outlive its process.
+"""The content of a learned-state record: the facts that a front has learned, in a form that outlives it.
 
-Machines are named by host id and start time, classes and kinds by name; all times are ages at the time of
-writing. Structs written as arrays keep the order of their fields; `LearnedState` keeps the keys of its map.
+Machines are identified by host id and start time, classes and kinds by name. All times are ages at the time
+of writing. The field order of the structs encoded as arrays and the map keys of `LearnedState` are the
+stored format.
 """
 
 from __future__ import annotations
@@ -29,16 +30,16 @@
 MAX_DETAIL_LENGTH = 200
 
 AgeNs = Annotated[int, msgspec.Meta(ge=-1, le=400 * DAY_NS)]
-"""Nanoseconds since something happened; -1 if it did not."""
+"""Nanoseconds since an event; -1 if there was none."""
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]
 Name = Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)]
 UnsignedInt = Annotated[int, msgspec.Meta(ge=0)]
-"""Of 64 bits, as msgpack has them."""
+"""Up to 64 bits, the limit of msgpack."""
 
 
 def _check_finite(*numbers: float) -> None:
     if not all(math.isfinite(number) and abs(number) < MAX_MAGNITUDE for number in numbers):
-        raise ValueError("a number that is none")
+        raise ValueError("number not finite or too large")
 
 
 class ServiceTimeRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -52,20 +53,21 @@
     def __post_init__(self) -> None:
         _check_finite(self.mean_ns)
         if self.mean_ns < 0:
-            raise ValueError("a mean below 0")
+            raise ValueError("mean must not be negative")
 
 
 class BaselineLatencyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The usual latency of a class's responses, as natural logarithms.
+    """The baseline latency of a class's responses, as natural logarithms.
 
     Attributes:
         class_name: The request class.
-        is_hit: Of responses from copies that the cache held.
-        is_relative: Relative to the transfer time that the request states; else of milliseconds.
+        is_hit: Whether it covers responses from copies that the cache held, or the others.
+        is_relative: Whether latencies are relative to the transfer time that the request states, or else in
+            milliseconds.
         mean_log: Mean of the logarithms.
-        sample_count: Responses in the mean.
-        min_log: Least of the logarithms.
-        age_ns: Since the last response.
+        sample_count: Number of responses in the mean.
+        min_log: Minimum of the logarithms.
+        age_ns: Time since the last response.
     """
 
     class_name: Name
@@ -79,7 +81,7 @@
     def __post_init__(self) -> None:
         _check_finite(self.mean_log, self.min_log)
         if max(abs(self.mean_log), abs(self.min_log)) > MAX_LOG_LATENCY:
-            raise ValueError("a time that is none")
+            raise ValueError("latency out of range")
 
 
 class FetchLimitRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -90,13 +92,13 @@
 
 
 class CapacityRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The work that machines of a kind have served.
+    """The work served by the machines of a kind.
 
     Attributes:
         kind: Name of the kind of machine.
         work: Transfer time served, a decaying sum in nanoseconds.
         span_ns: Time over which it was served.
-        age_ns: Since it was last updated.
+        age_ns: Time since it was last updated.
     """
 
     kind: Name
@@ -107,21 +109,21 @@
     def __post_init__(self) -> None:
         _check_finite(self.work)
         if self.work < 0 or self.span_ns < 0:
-            raise ValueError("work below 0")
+            raise ValueError("work and span must not be negative")
 
 
 class MachineRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one machine.
+    """The learned state of one machine.
 
     Attributes:
-        host: Its host id.
+        host: Host id.
         started_at_ms: Its start by the endpoint list, Unix time in milliseconds.
-        slowness: Weighted sum of logarithms of its latency relative to the baseline.
-        slowness_weight: The sum of their weights.
-        age_ns: Since the slowness was last updated.
-        cold_start_age_ns: Since a restart that was found by its failing; -1 for none.
-        ejection_age_ns: Since it was seen ejected as an outlier; -1 for not ejected.
-        drain_age_ns: Since it was told to drain; -1 for not draining.
+        slowness: Weighted sum of the logarithms of its latencies relative to the baseline.
+        slowness_weight: Sum of the weights.
+        age_ns: Time since the slowness was last updated.
+        cold_start_age_ns: Time since a restart that was inferred from failures; -1 for none.
+        ejection_age_ns: Time since it was last known to be ejected as an outlier; -1 if not ejected.
+        drain_age_ns: Time since its drain was announced; -1 if it is not draining.
     """
 
     host: Name
@@ -136,11 +138,11 @@
     def __post_init__(self) -> None:
         _check_finite(self.slowness, self.slowness_weight)
         if not (0 <= self.slowness_weight < MAX_SLOWNESS and abs(self.slowness) < MAX_SLOWNESS):
-            raise ValueError("signs that are none")
+            raise ValueError("slowness out of range")
 
 
 class PurgeRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A purge of an object, or of a whole group where the object is 0."""
+    """A purge of an object, or of a whole group if `object_id` is 0."""
 
     group: UnsignedInt
     object_id: UnsignedInt
@@ -148,13 +150,13 @@
 
 
 class AddressBackoffRecord(msgspec.Struct, frozen=True, array_like=True):
-    """An address of a machine that is not dialled for a while.
+    """The backoff of a machine's address, which is not dialled until it is over.
 
     Attributes:
         host: The machine's host id.
         address: The address, as in the endpoint list.
-        failure_count: Failed dials in a row.
-        remaining_ns: Time left of the backoff.
+        failure_count: Number of consecutive failed dials.
+        remaining_ns: Remaining time of the backoff.
     """
 
     host: Name
@@ -181,10 +183,10 @@
         writer: Name of the front that wrote it.
         written_at: When it was written (`stamp`).
         service_times: Mean transfer times by class (`classes`).
-        baseline_latencies: Usual latencies by class (`usual`).
+        baseline_latencies: Baseline latencies by class (`usual`).
         fetch_limit: The concurrency limit of fetches (`bound`).
         capacities: Work served by kind of machine (`works`).
-        machines: What is known of single machines.
+        machines: Learned state of single machines.
         purges: Recent purges.
         address_backoffs: Addresses in backoff (`aside`).
     """
@@ -219,7 +221,7 @@
     if version > CURRENT_VERSION or version < 1:
         is_newer = version > CURRENT_VERSION
         fault = RecordFault.NEWER_VERSION if is_newer else RecordFault.INVALID_CONTENT
-        detail = f"version {version}, this program reads up to {CURRENT_VERSION}"
+        detail = f"version {version}, this program supports up to {CURRENT_VERSION}"
         raise StateError(fault, detail, VERSION_OFFSET)
     try:
         upgraded = upgrade(version, msgspec.msgpack.decode(content))
--- a/quincepier/state/record_format.py
+++ b/quincepier/state/record_format.py
@@ -1,7 +1,7 @@
-"""The format of one stored record: a fixed header with a checksum, then msgpack, compressed where it pays.
+"""The format of one stored record: a fixed header with a checksum, then msgpack, compressed if it is large.
 
-The header is little-endian: magic `qpst`, version of the content, flags, sequence number, length as stored,
-length of the content; then the xxh3-128 digest of the header and all that follows. Nothing here does I/O.
+The header is little-endian: magic `qpst`, version of the content, flags, sequence number, stored length,
+content length; then the xxh3-128 digest of the header and the stored content. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 CONTENT_OFFSET = HEADER.size + DIGEST_BYTES
 FLAG_ZSTD = 1  # the content is compressed
 ZSTD_LEVEL = 1
-MIN_COMPRESSED_BYTES = 4096  # compressing less costs more than it saves
+MIN_COMPRESSED_BYTES = 4096  # smaller contents are not worth compressing
 MAX_RECORD_BYTES = 16 * 1024 * 1024  # of the content, stored and decompressed
 MAX_FILE_BYTES = CONTENT_OFFSET + MAX_RECORD_BYTES
 
 
 class RecordFault(Enum):
-    """Why a record, or its folder, can't be used; the value is the text that operators read."""
+    """Why a record or its folder can't be used; the value is the text in messages to operators."""
 
     TRUNCATED = "cut short"
     UNKNOWN_FORMAT = "no record of quincepier"
@@ -45,8 +45,8 @@
     """The error of this package.
 
     Attributes:
-        fault: What is wrong.
-        offset: The byte at which it is wrong, -1 where unknown.
+        fault: Kind of the fault.
+        offset: Offset of the faulty byte, -1 if unknown.
     """
 
     code = "QP-STATE"
@@ -60,11 +60,11 @@
 
 
 class UnpackedRecord(NamedTuple):
-    """A record as read.
+    """A verified record.
 
     Attributes:
         version: Version of the content.
-        sequence: Grows by one with each write.
+        sequence: Sequence number, increased by one at each write.
         content: The content, decompressed.
     """
 
@@ -91,10 +91,10 @@
 
 
 def unpack_record(raw: bytes) -> UnpackedRecord:
-    """Read the bytes of one whole record.
+    """Verify and unpack the bytes of one record.
 
     Raises:
-        StateError: For any other bytes.
+        StateError: The bytes are not exactly one valid record.
     """
     if len(raw) < CONTENT_OFFSET:
         raise StateError(RecordFault.TRUNCATED, f"{len(raw)} bytes", len(raw))
@@ -106,12 +106,12 @@
         raise StateError(RecordFault.NEWER_VERSION, f"flags {flags:#x}", FLAGS_OFFSET)
     content = _decompress(stored, content_length) if flags & FLAG_ZSTD else stored
     if len(content) != content_length:
-        raise StateError(RecordFault.DAMAGED, f"{len(content)} bytes in place of {content_length}")
+        raise StateError(RecordFault.DAMAGED, f"{len(content)} bytes instead of {content_length}")
     return UnpackedRecord(version, sequence, content)
 
 
 def _checked_body(raw: bytes, stored_length: int, content_length: int) -> bytes:
-    """Return what follows the header, once its lengths and the digest have been verified."""
+    """Return the stored content after the header and the digest, with lengths and digest verified."""
     claimed = max(stored_length, content_length)
     if claimed > MAX_RECORD_BYTES:
         raise StateError(RecordFault.TOO_LARGE, f"{claimed} bytes", STORED_LENGTH_OFFSET)
@@ -119,14 +119,14 @@
     if len(stored) < stored_length:
         raise StateError(RecordFault.TRUNCATED, f"{len(stored)} of {stored_length} bytes", len(raw))
     if len(stored) > stored_length:
-        raise StateError(RecordFault.DAMAGED, "bytes after its end", CONTENT_OFFSET + stored_length)
+        raise StateError(RecordFault.DAMAGED, "extra bytes after the record", CONTENT_OFFSET + stored_length)
     if xxhash.xxh3_128_digest(raw[: HEADER.size] + stored) != raw[HEADER.size : CONTENT_OFFSET]:
-        raise StateError(RecordFault.DAMAGED, "the checksum differs")
+        raise StateError(RecordFault.DAMAGED, "checksum mismatch")
     return stored
 
 
 def _decompress(stored: bytes, content_length: int) -> bytes:
-    """Decompress at most one byte more than the header claims, whatever the frame says of its size."""
+    """Decompress at most one byte more than the header claims, whatever size the frame declares."""
     try:
         with zstandard.ZstdDecompressor(max_window_size=MAX_RECORD_BYTES).stream_reader(stored) as reader:
             return reader.read(content_length + 1)
--- a/quincepier/state/schema_upgrades.py
+++ b/quincepier/state/schema_upgrades.py
@@ -14,14 +14,14 @@
 
 
 UPGRADE_BY_VERSION: Mapping[int, Callable[[dict[str, Any]], dict[str, Any]]] = {1: upgrade_from_1}
-"""By the version that is read; each gives the content of the next version."""
+"""Upgrade functions by the version that they read; each returns the content of the next version."""
 
 
 def upgrade(version: int, content: Any) -> Any:
     """Upgrade content of `version` to the current schema.
 
     Raises:
-        KeyError: There is no upgrade from that version.
+        KeyError: There is no upgrade from `version`.
     """
     for older in range(version, CURRENT_VERSION):
         content = UPGRADE_BY_VERSION[older](dict(content))
--- a/quincepier/state/section.py
+++ b/quincepier/state/section.py
@@ -1,4 +1,4 @@
-"""The section `state` of the operators' file: the folder for learned state, and how often it is written."""
+"""The section `state` of the operators' file: the folder for learned state and the interval of its writes."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
     forbid_unknown_fields=True,
     rename={"write_interval_s": "every_s", "final_write_timeout_ms": "end_ms"},
 ):
-    """The section's keys.
+    """The keys of the section.
 
     Attributes:
         folder: Absolute path of a folder that no other front uses.
-        write_interval_s: Mean seconds between two writes (`every_s`).
-        final_write_timeout_ms: How long a front that ends waits for its last write (`end_ms`); 0: none.
+        write_interval_s: Mean time between two writes, in seconds (`every_s`).
+        final_write_timeout_ms: How long a stopping front waits for its last write, in milliseconds
+            (`end_ms`); 0 for no such write.
     """
 
     folder: Annotated[str, msgspec.Meta(min_length=1, max_length=4096)]
@@ -28,4 +29,4 @@
 
     def __post_init__(self) -> None:
         if "\0" in self.folder or not Path(self.folder).is_absolute():
-            raise ValueError("folder is no absolute path")
+            raise ValueError("folder must be an absolute path")
--- a/quincepier/state/snapshot_store.py
+++ b/quincepier/state/snapshot_store.py
@@ -1,7 +1,7 @@
-"""The snapshot store: two generations of one record in a folder, of which the newest whole one counts.
+"""The snapshot store: two generations of one record in a folder, of which the newest valid one is loaded.
 
-A write replaces the older generation atomically, so one whole generation is there at each moment, whatever
-a power cut leaves of the other. All calls block; they belong in a worker thread.
+A write replaces the older generation atomically, so one valid generation exists at any time, whatever a power
+cut leaves of the other one. All calls block and belong in a worker thread.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Generation:
-    """One whole generation as read.
+    """One valid generation.
 
     Attributes:
-        name: Its file's name.
-        state: The learned state in it, upgraded to the current schema.
+        name: Name of its file.
+        state: Its learned state, upgraded to the current schema.
         version: The schema version that was stored.
         sequence: Sequence number of the write.
         size_bytes: Size of the file.
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GenerationFault:
-    """A generation that can't be used: its file's name, and why."""
+    """A generation that can't be used: the name of its file and the error."""
 
     name: str
     error: StateError
@@ -55,10 +55,10 @@
 
 @dataclass(slots=True)
 class LoadedSnapshot:
-    """What a folder holds.
+    """The generations found in a folder.
 
     Attributes:
-        newest: The newest whole generation, if any.
+        newest: The newest valid generation, if any.
         faults: Generations that can't be used.
     """
 
@@ -67,7 +67,7 @@
 
     @property
     def state(self) -> LearnedState | None:
-        """The learned state of the newest whole generation, if any."""
+        """The learned state of the newest valid generation, if any."""
         return None if self.newest is None else self.newest.state
 
 
@@ -75,7 +75,7 @@
     """Read one generation; None if there is no such file.
 
     Raises:
-        StateError: The file can't be read or is not a whole record of a known version.
+        StateError: The file can't be read or is not a valid record of a known version.
     """
     try:
         raw = files.read(name, MAX_FILE_BYTES)
@@ -91,10 +91,11 @@
 
 
 class SnapshotStore:
-    """The snapshots of one front, in a folder of its own. Every failure is a StateError.
+    """The snapshots of one front, in a folder of its own. Every failure is raised as a StateError.
 
     Attributes:
-        sequence: Sequence number of the newest whole generation, 0 for none.
+        files: The files of the folder.
+        sequence: Sequence number of the newest valid generation, 0 for none.
         next_generation: Index of the generation that the next write replaces.
         read_only_reason: Why nothing may be written; empty if writing is allowed.
     """
@@ -106,7 +107,7 @@
         self.read_only_reason = ""
 
     def open(self) -> None:
-        """Create the folder where missing and lock it for this process; a read-only folder is accepted.
+        """Create the folder if missing and lock it for this process; a read-only folder is accepted.
 
         Raises:
             StateError: Another process holds the folder, or it can't be used.
@@ -125,7 +126,7 @@
             raise StateError(RecordFault.UNUSABLE_FOLDER, f"{folder}: {reason}") from None
 
     def load(self) -> LoadedSnapshot:
-        """Read both generations. Faults are returned; one of a newer version is never overwritten."""
+        """Read both generations. Faults are returned; a record of a newer version is never overwritten."""
         loaded = LoadedSnapshot()
         for index, name in enumerate(GENERATION_NAMES):
             try:
@@ -154,7 +155,7 @@
             The size of the file in bytes.
 
         Raises:
-            StateError: The write failed or is not allowed; the older generation is as it was.
+            StateError: The write failed or is not allowed; the newest generation is unchanged.
         """
         if self.read_only_reason:
             raise StateError(RecordFault.UNUSABLE_FOLDER, self.read_only_reason)
--- a/quincepier/state/timestamps.py
+++ b/quincepier/state/timestamps.py
@@ -1,4 +1,4 @@
-"""Timestamps that can be compared over a restart of the process or of the machine."""
+"""Timestamps that can be compared across restarts of the process or of the machine."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class Timestamp(msgspec.Struct, frozen=True, array_like=True):
-    """A moment by two clocks.
+    """A time by two clocks, the wall clock and the clock since boot.
 
     Attributes:
         unix_ms: Unix time in milliseconds.
-        boot_id: Id of the machine's boot, empty where unknown.
-        since_boot_ns: Nanoseconds since that boot, which setting the wall clock does not move.
+        boot_id: Id of the machine's boot, empty if unknown.
+        since_boot_ns: Nanoseconds since that boot; not affected by setting the wall clock.
     """
 
     unix_ms: Annotated[int, msgspec.Meta(ge=0, lt=1 << 50)]
@@ -28,7 +28,7 @@
 
 
 def current_timestamp() -> Timestamp:
-    """Return the present moment."""
+    """Return the current time."""
     try:
         boot_id = BOOT_ID_PATH.read_text().strip()
     except OSError:
@@ -37,7 +37,7 @@
 
 
 def age_of(written: Timestamp, now: Timestamp) -> int | None:
-    """Return the nanoseconds between two timestamps, or None where the clocks contradict each other."""
+    """Return the nanoseconds between two timestamps, or None if the clocks contradict each other."""
     if written.boot_id and written.boot_id == now.boot_id:
         elapsed_ns = now.since_boot_ns - written.since_boot_ns
     else:
--- a/quincepier/state/voter_records.py
+++ b/quincepier/state/voter_records.py
@@ -1,9 +1,9 @@
 """The durable records of a Raft voter: hard state, log entries and snapshots (Raft, figure 2, section 7).
 
-The field order and the tags of these structs are the stored format. No I/O happens here.
+The field order and the tags of these structs are the stored format. This module does no I/O.
 
-A voter is identified by its name together with an identity that lives in its storage folder. A voter that
-lost its folder starts under a new identity and so is a different server to all others (Ongaro's thesis,
+A voter is identified by its name together with an identity that is stored in its folder. A voter that lost
+its folder starts under a new identity and is therefore a different server to all others (Ongaro's thesis,
 chapter 4).
 """
 
@@ -24,7 +24,7 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry carries."""
+    """The content of a log entry."""
 
     NO_OP = 0  # a leader's first entry of its term (Raft, section 8)
     DATA = 1
@@ -42,10 +42,10 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Identity, term and vote. A record with another identity than the one before it starts an empty log."""
+    """Identity, term and vote. A record whose identity differs from the previous one starts an empty log."""
 
     identity: VoterIdentity
-    start_count: Unsigned  # how many processes have opened this folder; sent with each message
+    start_count: Unsigned  # number of processes that have opened this folder; sent with each message
     term: Unsigned
     voted_for: OptionalIdentity = ""  # in `term`
 
@@ -57,16 +57,16 @@
     term: Unsigned
     kind: EntryKind
     data: EntryData = b""
-    configuration: Configuration = ()  # of an entry of kind CONFIGURATION
+    configuration: Configuration = ()  # set in entries of kind CONFIGURATION
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """The committed log up to and including `index`, reduced to its last data and its configuration."""
+    """The committed log up to and including `index`, reduced to its newest data and configuration."""
 
     index: Unsigned
     term: Unsigned
     configuration: Configuration
-    data_index: Unsigned = 0  # of the newest committed data; 0: none was committed yet
+    data_index: Unsigned = 0  # index of the newest committed data; 0 if none was committed yet
     data_term: Unsigned = 0
     data: EntryData = b""
 
@@ -75,7 +75,7 @@
 
 
 class VoterState(msgspec.Struct, frozen=True, array_like=True, tag="voter"):
-    """All that a voter has on disk."""
+    """The whole durable state of a voter."""
 
     hard_state: HardState
     snapshot: Snapshot | None = None  # None: this voter has never learned a configuration
@@ -83,14 +83,14 @@
 
 
 def apply_records(saved: VoterState | None, records: tuple[Record, ...]) -> VoterState | None:
-    """Return the stored state after `records` are written; the one definition of what a record means.
+    """Return the stored state after `records` are written; the only definition of a record's effect.
 
     Args:
-        saved: The state before; None for an empty folder.
+        saved: The state before the records; None for an empty folder.
         records: The records in the order in which they were issued.
 
     Returns:
-        The state after; None while no hard state was ever written.
+        The state after the records; None if no hard state has been written yet.
     """
     hard_state = saved.hard_state if saved else None
     snapshot = saved.snapshot if saved else None
@@ -114,9 +114,9 @@
 def _entries_after_snapshot(
     snapshot: Snapshot, previous: Snapshot | None, entries: list[LogEntry]
 ) -> list[LogEntry]:
-    """Return the entries that remain: all after the snapshot, if the log had the snapshot's last entry.
+    """Return the remaining entries: all after the snapshot, if the log had the snapshot's last entry.
 
-    Otherwise the log is of another history and is discarded (Raft, figure 13, steps 6 and 7).
+    Otherwise the log conflicts with the snapshot and is discarded (Raft, figure 13, steps 6 and 7).
     """
     known_term = next((entry.term for entry in entries if entry.index == snapshot.index), None)
     if previous is not None and previous.index == snapshot.index:
--- a/quincepier/state/voter_store.py
+++ b/quincepier/state/voter_store.py
@@ -1,12 +1,12 @@
 """The storage folder of one Raft voter: a single file that holds its whole durable state.
 
 Each write replaces the file: a temporary file is written and synced, renamed over the old one, and the
-folder is synced. A power cut at any system call therefore leaves the old file or the new one, both whole. A
-file that is not whole was not left by a power cut: it is refused, and the voter does not vote. No older
-generation is kept, as going back to one would forget a vote. The log is short (compacted after a few
-entries), so writing all of it is cheap.
+folder is synced. A power cut at any system call therefore leaves the old file or the new one, both valid. An
+invalid file is not the result of a power cut: it is rejected, and the voter does not vote. No older
+generation is kept, as loading it would lose a vote. The log is short (compacted after a few entries), so
+writing all of it is cheap.
 
-All calls block; they belong in a worker thread.
+All calls block and belong in a worker thread.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 FILE_NAME = "voter"
 TEMPORARY_FILE_NAME = "voter.new"
 VERSION = 1
-REMEDY = "put this voter's folder aside and start it with an empty one: the other voters take it in anew"
+REMEDY = "move this voter's folder aside and start it with an empty one: the other voters add it again"
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(VoterState).decode
@@ -40,19 +40,26 @@
 class VoterStore:
     """The durable state of one voter, in a folder of its own.
 
-    `save` takes the records of each `PersistRecords` of one voter in their order, one call at a time. A save
-    that failed may be retried with the same records; until one succeeds, no message that depends on it may
-    be sent. Every failure is a StateError that names the file, the byte where known, and the remedy.
+    `save` takes the records of each `PersistRecords` of one voter in their order, one call at a time. A
+    failed save may be retried with the same records; until one succeeds, no message that depends on it may
+    be sent.
+    Every failure is raised as a StateError that names the file, the byte offset if known, and the remedy.
+
+    Attributes:
+        files: The files of the folder.
+        saved: The state in the file; None for a new folder.
+        sequence: Sequence number of the last write.
+        is_loaded: Whether the file was read, without which it must not be overwritten.
     """
 
     def __init__(self, files: FileSystem) -> None:
         self.files = files
         self.saved: VoterState | None = None
         self.sequence = 0
-        self.is_loaded = False  # an unread file must not be overwritten
+        self.is_loaded = False
 
     def open(self) -> None:
-        """Create the folder where missing and lock it for this process.
+        """Create the folder if missing and lock it for this process.
 
         Raises:
             StateError: If another process holds the folder, or it can't be written.
@@ -70,7 +77,7 @@
         """Read the stored state; None for a new folder.
 
         Raises:
-            StateError: If the file can't be read or is not whole.
+            StateError: If the file can't be read or is invalid.
         """
         try:
             raw = self.files.read(FILE_NAME, MAX_FILE_BYTES)
@@ -92,10 +99,10 @@
             The size of the file in bytes.
 
         Raises:
-            StateError: If the write failed; the file is then as before or as asked.
+            StateError: If the write failed; the file then holds the old state or the new one.
         """
         if not self.is_loaded:
-            raise StateError(RecordFault.UNUSABLE_FOLDER, f"{self._path} was not read")
+            raise StateError(RecordFault.UNUSABLE_FOLDER, f"{self._path} must be read before it is written")
         saved = apply_records(self.saved, records)
         if saved is None:
             raise StateError(RecordFault.INVALID_CONTENT, "records without a hard state")
@@ -119,14 +126,16 @@
     def _unusable_folder(self, error: OSError) -> StateError:
         is_full = error.errno in (errno.ENOSPC, errno.EDQUOT)
         remedy = (
-            "make room; it votes again then" if is_full else "see to the disk; it does not vote until then"
+            "make room on the disk; the voter does not vote until then"
+            if is_full
+            else "repair the disk; the voter does not vote until then"
         )
         reason = os.strerror(error.errno or 0)
         return StateError(RecordFault.UNUSABLE_FOLDER, f"{self._path}: {reason}; {remedy}")
 
 
 def _decode_file(raw: bytes) -> tuple[VoterState, int]:
-    """Return the state and the sequence number of a file; StateError for bytes that are not a whole file."""
+    """Return the state and the sequence number of a file; raise StateError if it is invalid."""
     if len(raw) > MAX_FILE_BYTES:
         raise StateError(RecordFault.TOO_LARGE, f"over {MAX_FILE_BYTES} bytes", MAX_FILE_BYTES)
     version, sequence, content = unpack_record(raw)
@@ -141,7 +150,10 @@
 
 
 def _check_entry_order(saved: VoterState) -> None:
-    """Indexes follow one another from the snapshot on; terms never fall nor exceed the current term."""
+    """Check that indexes are consecutive after the snapshot.
+
+    Terms must neither decrease nor exceed the current one.
+    """
     snapshot = saved.snapshot or Snapshot(0, 0, ())
     term = snapshot.term
     for index, entry in enumerate(saved.entries, snapshot.index + 1):
