--- a/tests/test_consensus_model_checking.py
+++ b/tests/test_consensus_model_checking.py
@@ -1,4 +1,4 @@
-"""Model checking of three voters: all small state spaces are safe, and none is with one rule removed."""
+"""Model checking of three voters: small state spaces are safe, and a removed rule leads to a violation."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from quincepier.state.voter_records import HardState, Member, Snapshot, VoterState
 
 Patch = pytest.MonkeyPatch
-FIGURE_8 = {"a": (2,), "b": (3,), "c": ()}  # terms in the logs, as in figure 8 of Raft
+FIGURE_8 = {"a": (2,), "b": (3,), "c": ()}  # terms of the log entries of each voter, as in figure 8 of Raft
 
 
 def vote_is_not_persisted(patch: Patch) -> None:
@@ -29,18 +29,18 @@
 def messages_do_not_wait_for_writes(patch: Patch) -> None:
     take_actions = RaftState.take_actions
 
-    def hasty(self: RaftState) -> list[Any]:
+    def take_actions_without_waiting(self: RaftState) -> list[Any]:
         return [SendMessage(a.to, a.data, 0) if isinstance(a, SendMessage) else a for a in take_actions(self)]
 
-    patch.setattr(RaftState, "take_actions", hasty)
+    patch.setattr(RaftState, "take_actions", take_actions_without_waiting)
 
 
 def own_entries_count_before_they_are_durable(patch: Patch) -> None:
-    unchanged = replication.advance_commit_index
+    original = replication.advance_commit_index
 
     def advance_commit_index(state: RaftState) -> None:
         state.persistence.durable_index = state.log.last_index
-        unchanged(state)
+        original(state)
 
     patch.setattr(replication, "advance_commit_index", advance_commit_index)
 
@@ -50,11 +50,11 @@
 
 
 def two_votes_in_a_term(patch: Patch) -> None:
-    unchanged = election.on_request_vote
+    original = election.on_request_vote
 
     def on_request_vote(state: RaftState, message: Any, request: Any) -> None:
         state.voted_for = state.voted_for if state.role is not RaftRole.FOLLOWER else ""
-        unchanged(state, message, request)
+        original(state, message, request)
 
     patch.setattr(election, "on_request_vote", on_request_vote)
 
@@ -64,17 +64,17 @@
 
 
 def previous_term_is_not_compared(patch: Patch) -> None:
-    unchanged = replication.on_append_entries
+    original = replication.on_append_entries
 
     def on_append_entries(state: RaftState, message: Any, request: Any) -> None:
         term = state.log.term_at(request.prev_log_index)
-        unchanged(state, message, request if term is None else replaced(request, prev_log_term=term))
+        original(state, message, request if term is None else replace_fields(request, prev_log_term=term))
 
     patch.setattr(replication, "on_append_entries", on_append_entries)
 
 
-def replaced(message: Any, **fields: Any) -> Any:
-    return type(message)(**{f: getattr(message, f) for f in message.__struct_fields__} | fields)
+def replace_fields(message: Any, **fields: Any) -> Any:
+    return type(message)(**{name: getattr(message, name) for name in message.__struct_fields__} | fields)
 
 
 def entries_of_earlier_terms_are_committed_by_count(patch: Patch) -> None:
@@ -91,13 +91,13 @@
 
 
 def voter_without_storage_keeps_its_identity(patch: Patch) -> None:
-    """A voter that lost its storage counts as the one of before, and votes."""
-    unchanged = voter_process.start_process
+    """A voter that lost its storage keeps its identity, and therefore votes."""
+    original = voter_process.start_process
 
     def start_process(name: str, disk: Any, storage_losses: int) -> Any:
         configuration = tuple(Member(n, n + "0") for n in voter_process.NAMES)
         initial = VoterState(HardState(name + "0", 9, 0), Snapshot(0, 0, configuration))
-        process = unchanged(name, disk or initial, 0)
+        process = original(name, disk or initial, 0)
         return dataclasses.replace(process, storage_losses=storage_losses)
 
     patch.setattr(raft_model_checker, "start_process", start_process)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -131,12 +131,12 @@
 
 
 @pytest.mark.parametrize("entry", of("read"))
-def test_what_is_read_gives_the_same_values(entry: dict[str, Any]) -> None:
+def test_bytes_that_are_only_read_give_the_same_values(entry: dict[str, Any]) -> None:
     assert READERS[entry["codec"]](raw_of(entry)) == entry["gives"]
 
 
 @pytest.mark.parametrize("entry", of("written"))
-def test_what_is_written_has_the_same_bytes(entry: dict[str, Any]) -> None:
+def test_values_that_are_only_written_give_the_same_bytes(entry: dict[str, Any]) -> None:
     assert WRITERS[entry["codec"]](*entry["given"]) == raw_of(entry)
 
 
--- a/tests/test_voter_store.py
+++ b/tests/test_voter_store.py
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("call", ["create", "write", "sync", "rename", "sync_folder"])
-def test_what_was_acknowledged_is_there_after_a_failed_call_a_retry_and_a_power_cut(
+def test_an_acknowledged_write_survives_a_failed_call_a_retry_and_a_power_cut(
     call: str, number: int, tmp_path: Path
 ) -> None:
     """Cut right after the call that failed, or at any call of the retry, or after it."""
