--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Learned state on disk: power cuts, damaged bytes, schema versions, faulty folders, the state commands."""
+"""Learned state on disk: power cuts, damaged bytes, schema versions, faulty folders, state commands."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
     return LearnedState("n1", NOW, fetch_limit=FetchLimitRecord(fetch_limit, 0), machines=machines)
 
 
-def opened_store(folder: Path) -> SnapshotStore:
+def open_store(folder: Path) -> SnapshotStore:
     store = SnapshotStore(FileSystem(folder))
     store.open()
     return store
@@ -83,16 +83,17 @@
 
 
 def test_every_flipped_bit_and_every_truncation_of_a_record_is_refused() -> None:
-    for content in (encode(learned_state(16)), encode(learned_state(16, 300))):  # as it is, and compressed
+    # stored uncompressed, and compressed
+    for content in (encode(learned_state(16)), encode(learned_state(16, 300))):
         record = pack_record(CURRENT_VERSION, 9, content)
         assert unpack_record(record) == (CURRENT_VERSION, 9, content)
-        places = range(len(record)) if len(record) < 2000 else range(0, len(record), 7)
-        for at, bit in itertools.product(places, range(8)):
+        offsets = range(len(record)) if len(record) < 2000 else range(0, len(record), 7)
+        for offset, bit in itertools.product(offsets, range(8)):
             damaged = bytearray(record)
-            damaged[at] ^= 1 << bit
+            damaged[offset] ^= 1 << bit
             with pytest.raises(StateError):
                 unpack_record(bytes(damaged))
-        for length in places:
+        for length in offsets:
             with pytest.raises(StateError):
                 unpack_record(record[:length])
         with pytest.raises(StateError):
@@ -105,62 +106,64 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=300), st.integers(0, 4), st.booleans())
 def test_hostile_content_under_a_valid_checksum_is_one_typed_error(
-    content: bytes, version: int, own: bool
+    content: bytes, version: int, has_valid_prefix: bool
 ) -> None:
     try:
-        found = decode(version, encode(learned_state(3))[: len(content)] + content if own else content)
+        decoded = decode(
+            version, encode(learned_state(3))[: len(content)] + content if has_valid_prefix else content
+        )
     except StateError as error:
         assert error.fault in (RecordFault.INVALID_CONTENT, RecordFault.NEWER_VERSION)
     else:
-        assert isinstance(found, LearnedState)
+        assert isinstance(decoded, LearnedState)
 
 
 def test_content_out_of_bounds_is_refused() -> None:
-    good = msgspec.to_builtins(learned_state(16))
-    machine = good["machines"][0]
-    wrong = [
-        {**good, "bound": [0, 0]},
-        {**good, "bound": [16, -5]},
-        {**good, "machines": [[*machine[:2], math.nan, *machine[3:]]]},
-        {**good, "machines": [[*machine[:2], math.inf, *machine[3:]]]},
-        {**good, "machines": [[*machine[:3], -1.0, *machine[4:]]]},
-        {**good, "purges": [[1, -1, 0]]},
-        {**good, "classes": [["video", -1.0, 3, 0]]},
-        {**good, "usual": [["video", True, False, 1e9, 3, 0.0, 0]]},
-        {**good, "works": [["std", 1.0, -1, 0]]},
-        {**good, "stamp": [-1, "", 0]},
+    valid = msgspec.to_builtins(learned_state(16))
+    machine = valid["machines"][0]
+    invalid_contents = [
+        {**valid, "bound": [0, 0]},
+        {**valid, "bound": [16, -5]},
+        {**valid, "machines": [[*machine[:2], math.nan, *machine[3:]]]},
+        {**valid, "machines": [[*machine[:2], math.inf, *machine[3:]]]},
+        {**valid, "machines": [[*machine[:3], -1.0, *machine[4:]]]},
+        {**valid, "purges": [[1, -1, 0]]},
+        {**valid, "classes": [["video", -1.0, 3, 0]]},
+        {**valid, "usual": [["video", True, False, 1e9, 3, 0.0, 0]]},
+        {**valid, "works": [["std", 1.0, -1, 0]]},
+        {**valid, "stamp": [-1, "", 0]},
         {"writer": "n1"},
         [1, 2],
         None,
     ]
-    for value in wrong:
+    for invalid in invalid_contents:
         with pytest.raises(StateError):
-            decode(CURRENT_VERSION, msgspec.msgpack.encode(value))
+            decode(CURRENT_VERSION, msgspec.msgpack.encode(invalid))
     deep = b"\x91" * 100_000 + b"\x00"
     with pytest.raises(StateError):
         decode(CURRENT_VERSION, deep)
 
 
 def test_a_compressed_frame_larger_than_its_header_claims_is_not_decompressed() -> None:
-    """A frame may say anything of its size; no more than the head tells is ever made of it."""
+    """A frame may declare any size; it is decompressed only to the length in the record's header."""
     bomb = zstandard.ZstdCompressor().compress(bytes(64 * 1024 * 1024))
     import struct
 
     import xxhash
 
-    head = struct.Struct("<4sHHQII").pack(b"qpst", CURRENT_VERSION, 1, 1, len(bomb), 1000)
+    header = struct.Struct("<4sHHQII").pack(b"qpst", CURRENT_VERSION, 1, 1, len(bomb), 1000)
     with pytest.raises(StateError) as raised:
-        unpack_record(head + xxhash.xxh3_128_digest(head + bomb) + bomb)
+        unpack_record(header + xxhash.xxh3_128_digest(header + bomb) + bomb)
     assert raised.value.fault is RecordFault.DAMAGED
 
 
 @pytest.mark.parametrize("version", range(1, CURRENT_VERSION + 1))
 def test_a_record_of_each_schema_version_is_read(version: int) -> None:
-    found, sequence, content = unpack_record((DATA / f"state-v{version}.bin").read_bytes())
-    read = decode(found, content)
-    assert (found, sequence) == (version, 7)
-    assert read.fetch_limit == FetchLimitRecord(12, 5) and read.machines[0].host == "s-1"
-    assert read.address_backoffs == (
+    stored_version, sequence, content = unpack_record((DATA / f"state-v{version}.bin").read_bytes())
+    state = decode(stored_version, content)
+    assert (stored_version, sequence) == (version, 7)
+    assert state.fetch_limit == FetchLimitRecord(12, 5) and state.machines[0].host == "s-1"
+    assert state.address_backoffs == (
         (AddressBackoffRecord("s-1", "tcp://[::1]:6001", 3, 1000),) if version > 1 else ()
     )
 
@@ -168,7 +171,7 @@
 def test_a_newer_schema_version_is_refused_and_not_overwritten(tmp_path: Path) -> None:
     newer = pack_record(CURRENT_VERSION + 1, 3, b"of the future")
     (tmp_path / GENERATION_NAMES[1]).write_bytes(newer)
-    store = opened_store(tmp_path)
+    store = open_store(tmp_path)
     loaded = store.load()
     assert loaded.state is None and loaded.faults[0].error.fault is RecordFault.NEWER_VERSION
     with pytest.raises(StateError):
@@ -184,37 +187,43 @@
 def power_cuts(
     disk_type: type[PowerCutDisk], folder: Path
 ) -> Iterator[tuple[int, bool, LearnedState | None]]:
-    """A fourth write stopped at each system call: which, whether it was done, and each record read then."""
+    """Stop a fourth write at each system call.
+
+    Yields the number of system calls made, whether the write was completed, and each state loaded afterwards.
+    """
     rng = random.Random(1)
     for fails_at in itertools.count():
-        disk, done = disk_type(folder), False
+        disk, is_completed = disk_type(folder), False
         store = SnapshotStore(disk)
-        for fetch_limit in (1, 2, 3):  # both generations are there, and the older one again
+        for fetch_limit in (1, 2, 3):  # both generations exist, and the older one was replaced once
             store.save(encode(learned_state(fetch_limit)))
         disk.calls_left = fails_at
         with contextlib.suppress(PowerCutError):
             store.save(encode(learned_state(4)))
-            done = True
-        for found in disk.states_after_cut(rng):
-            yield fails_at, done, SnapshotStore(found).load().state
-        if done:
+            is_completed = True
+        for disk_after_cut in disk.states_after_cut(rng):
+            yield fails_at, is_completed, SnapshotStore(disk_after_cut).load().state
+        if is_completed:
             return
 
 
 def test_a_power_cut_at_any_system_call_leaves_the_old_record_or_the_new(tmp_path: Path) -> None:
     outcomes = list(power_cuts(PowerCutDisk, tmp_path))
-    for fails_at, done, state in outcomes:
-        assert state in ((learned_state(4),) if done else (learned_state(3), learned_state(4))), fails_at
+    for fails_at, is_completed, state in outcomes:
+        assert state in (
+            (learned_state(4),) if is_completed else (learned_state(3), learned_state(4))
+        ), fails_at
     assert outcomes[-1][0] >= 8 and len(outcomes) > 60
 
 
 def test_a_store_without_fsync_fails_under_the_same_power_cuts(tmp_path: Path) -> None:
-    class Careless(PowerCutDisk):
+    class NonSyncingDisk(PowerCutDisk):
         def sync(self, fd: int) -> None:
             return
 
     assert any(
-        state not in (learned_state(3), learned_state(4)) for _, _, state in power_cuts(Careless, tmp_path)
+        state not in (learned_state(3), learned_state(4))
+        for _, _, state in power_cuts(NonSyncingDisk, tmp_path)
     )
 
 
@@ -222,28 +231,28 @@
 
 
 def test_two_generations_alternate_and_the_newest_whole_one_is_loaded(tmp_path: Path) -> None:
-    store = opened_store(tmp_path / "new" / "folder")  # made where it is missing
+    store = open_store(tmp_path / "new" / "folder")  # a missing folder is created
     for fetch_limit in range(1, 6):
         store.save(encode(learned_state(fetch_limit)))
     store.close()
-    again = opened_store(tmp_path / "new" / "folder")
-    found = again.load()
+    reopened = open_store(tmp_path / "new" / "folder")
+    loaded = reopened.load()
     assert (
-        found.state == learned_state(5)
-        and found.newest is not None
-        and found.newest.sequence == 5
-        and not found.faults
+        loaded.state == learned_state(5)
+        and loaded.newest is not None
+        and loaded.newest.sequence == 5
+        and not loaded.faults
     )
-    newest = GENERATION_NAMES[1 - again.next_generation]
+    newest = GENERATION_NAMES[1 - reopened.next_generation]
     (tmp_path / "new" / "folder" / newest).write_bytes(b"damaged")
-    found = again.load()
-    assert found.state == learned_state(4) and [fault.name for fault in found.faults] == [newest]
-    again.save(encode(learned_state(9)))
-    assert again.load().state == learned_state(9)
+    loaded = reopened.load()
+    assert loaded.state == learned_state(4) and [fault.name for fault in loaded.faults] == [newest]
+    reopened.save(encode(learned_state(9)))
+    assert reopened.load().state == learned_state(9)
 
 
 def test_a_folder_is_locked_by_one_front_until_it_closes(tmp_path: Path) -> None:
-    first, second = opened_store(tmp_path), SnapshotStore(FileSystem(tmp_path))
+    first, second = open_store(tmp_path), SnapshotStore(FileSystem(tmp_path))
     with pytest.raises(StateError) as raised:
         second.open()
     assert raised.value.fault is RecordFault.LOCKED
@@ -252,43 +261,43 @@
     second.save(encode(learned_state(2)))
 
 
-def failing(number: int, *calls: str) -> type[FileSystem]:
-    """A file system whose calls of these names fail with that errno."""
+def failing_file_system(error_number: int, *calls: str) -> type[FileSystem]:
+    """Return a file system class whose methods of these names fail with that errno."""
 
     def fail(*_: object) -> int:
-        raise OSError(number, os.strerror(number))
+        raise OSError(error_number, os.strerror(error_number))
 
     return type("Failing", (FileSystem,), dict.fromkeys(calls, fail))
 
 
-@pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EDQUOT])
+@pytest.mark.parametrize("error_number", [errno.ENOSPC, errno.EIO, errno.EDQUOT])
 @pytest.mark.parametrize("call", ["create", "write", "sync", "rename", "sync_folder"])
 def test_a_full_or_broken_disk_is_one_typed_error_and_the_old_record_stays(
-    tmp_path: Path, number: int, call: str
+    tmp_path: Path, error_number: int, call: str
 ) -> None:
-    store = opened_store(tmp_path)
+    store = open_store(tmp_path)
     store.save(encode(learned_state(1)))
     store.close()
-    full = SnapshotStore(failing(number, call)(tmp_path))
-    full.open()
-    full.load()
+    failing_store = SnapshotStore(failing_file_system(error_number, call)(tmp_path))
+    failing_store.open()
+    failing_store.load()
     with pytest.raises(StateError) as raised:
-        full.save(encode(learned_state(2)))
+        failing_store.save(encode(learned_state(2)))
     assert raised.value.fault is RecordFault.UNUSABLE_FOLDER
-    full.close()
-    read = opened_store(tmp_path).load().state
-    assert read == learned_state(1) or (call == "sync_folder" and read == learned_state(2))
+    failing_store.close()
+    loaded_state = open_store(tmp_path).load().state
+    assert loaded_state == learned_state(1) or (call == "sync_folder" and loaded_state == learned_state(2))
 
 
 def test_a_read_only_folder_is_read_and_never_written(tmp_path: Path) -> None:
-    store = opened_store(tmp_path)
+    store = open_store(tmp_path)
     store.save(encode(learned_state(1)))
     store.close()
-    locked = SnapshotStore(failing(errno.EROFS, "acquire_lock")(tmp_path))
-    locked.open()
-    assert locked.load().state == learned_state(1)
+    read_only_store = SnapshotStore(failing_file_system(errno.EROFS, "acquire_lock")(tmp_path))
+    read_only_store.open()
+    assert read_only_store.load().state == learned_state(1)
     with pytest.raises(StateError):
-        locked.save(encode(learned_state(2)))
+        read_only_store.save(encode(learned_state(2)))
 
 
 def test_a_path_that_is_no_folder_and_a_file_over_the_limit_are_refused(tmp_path: Path) -> None:
@@ -306,12 +315,12 @@
             read_sizes.append(len(raw or b""))
             return raw
 
-    found = SnapshotStore(CountingFileSystem(tmp_path)).load()
-    assert found.faults[0].error.fault is RecordFault.TOO_LARGE and max(read_sizes) == MAX_FILE_BYTES + 1
+    loaded = SnapshotStore(CountingFileSystem(tmp_path)).load()
+    assert loaded.faults[0].error.fault is RecordFault.TOO_LARGE and max(read_sizes) == MAX_FILE_BYTES + 1
 
 
 def test_a_writer_killed_two_hundred_times_leaves_a_whole_record_each_time(tmp_path: Path) -> None:
-    """One process forks writers, as starting two hundred programs would take minutes."""
+    """One process forks the writers, as starting two hundred interpreters would take minutes."""
     script = """
 import os, random, signal, sys, time
 from pathlib import Path
@@ -345,9 +354,9 @@
 assert last > 20, last
 """
     command_line = [sys.executable, "-c", script, str(tmp_path)]
-    done = subprocess.run(command_line, capture_output=True, text=True, timeout=120, check=False,
-                          cwd=Path(__file__).parent.parent)  # fmt: skip
-    assert done.returncode == 0, done.stderr[-2000:]
+    completed = subprocess.run(command_line, capture_output=True, text=True, timeout=120, check=False,
+                               cwd=Path(__file__).parent.parent)  # fmt: skip
+    assert completed.returncode == 0, completed.stderr[-2000:]
 
 
 # Timestamps
@@ -355,18 +364,19 @@
 
 def test_the_age_of_a_record_by_the_clock_since_boot_where_the_boot_is_the_same() -> None:
     later = Timestamp(NOW.unix_ms + 7000, "boot", NOW.since_boot_ns + 2 * SECOND)
-    assert age_of(NOW, later) == 2 * SECOND  # the same boot: whatever the clock of the day says
-    assert age_of(NOW, replaced(later, unix_ms=0)) == 2 * SECOND
-    other = replaced(later, boot_id="another boot", since_boot_ns=1)
-    assert age_of(NOW, other) == 7 * SECOND
-    assert age_of(NOW, replaced(other, unix_ms=NOW.unix_ms - 86_400_000)) is None  # set back by a day
-    assert age_of(NOW, replaced(NOW, since_boot_ns=0)) is None
-    here = current_timestamp()
-    assert age_of(here, current_timestamp()) is not None
+    assert age_of(NOW, later) == 2 * SECOND  # the same boot: the wall clock is ignored
+    assert age_of(NOW, replace_fields(later, unix_ms=0)) == 2 * SECOND
+    after_reboot = replace_fields(later, boot_id="another boot", since_boot_ns=1)
+    assert age_of(NOW, after_reboot) == 7 * SECOND
+    # wall clock set back by a day
+    assert age_of(NOW, replace_fields(after_reboot, unix_ms=NOW.unix_ms - 86_400_000)) is None
+    assert age_of(NOW, replace_fields(NOW, since_boot_ns=0)) is None
+    earlier = current_timestamp()
+    assert age_of(earlier, current_timestamp()) is not None
 
 
-def replaced(of: Timestamp, **changes: object) -> Timestamp:
-    return msgspec.structs.replace(of, **changes)
+def replace_fields(timestamp: Timestamp, **changes: object) -> Timestamp:
+    return msgspec.structs.replace(timestamp, **changes)
 
 
 # Fact conversion
@@ -374,8 +384,8 @@
 
 def test_facts_are_mapped_by_name_and_only_for_the_same_start_of_a_machine() -> None:
     identities = {1: MachineIdentity("a", 100), 2: MachineIdentity("b", 200)}
-    before = NameMapping(("video", "bid"), ("std", "parent"), identities.get, lambda identity: 0)
-    told: list[io.Learned] = [
+    names_before = NameMapping(("video", "bid"), ("std", "parent"), identities.get, lambda identity: 0)
+    facts: list[io.Learned] = [
         io.LearnedFetchLimit(8, 1),
         io.LearnedTransferTime(1, 5.0, 3, 2),
         io.LearnedLatency(0, True, False, 1.0, 30, 0.5, 3),
@@ -384,14 +394,14 @@
         io.LearnedEndpoint(2, 0.7, 1.0, 6, 9, 0, -1),
         io.LearnedPurge(0, 1 << 63, 7),
     ]
-    builder = LearnedStateBuilder(before)
-    for fact in told:
+    builder = LearnedStateBuilder(names_before)
+    for fact in facts:
         builder.add(fact)
     content = decode(CURRENT_VERSION, encode(builder.build("n1", NOW)))
-    # another process: other numbers, classes in another order, machine b started anew
+    # another process: other numbers, another order of classes, and machine b was restarted
     numbers = {MachineIdentity("a", 100): 11, MachineIdentity("b", 300): 12}
-    now = NameMapping(("bid", "image", "video"), ("parent",), lambda number: None, numbers.get)
-    assert list(facts_from_state(content, now)) == [
+    names_after = NameMapping(("bid", "image", "video"), ("parent",), lambda number: None, numbers.get)
+    assert list(facts_from_state(content, names_after)) == [
         io.LearnedFetchLimit(8, 1),
         io.LearnedTransferTime(0, 5.0, 3, 2),
         io.LearnedLatency(2, True, False, 1.0, 30, 0.5, 3),
@@ -410,10 +420,10 @@
         return run_command(arguments, NOW)
 
     assert run("show", tmp_path / "none") == 2
-    store = opened_store(tmp_path)
+    store = open_store(tmp_path)
     store.save(encode(learned_state(1)))
     store.save(encode(learned_state(2)))
-    assert run("prune") == 4  # in use
+    assert run("prune") == 4  # a front has the folder locked
     assert run("check") == 0 and run("show") == 0
     out = capsys.readouterr().out
     assert json.loads(out[out.index("{") :])["content"]["bound"] == [2, 0]
@@ -430,7 +440,7 @@
 
 
 class HangingDisk(FileSystem):
-    """A disk whose calls of these names do not return before `released` is set."""
+    """A file system whose calls named in `hanging` do not return before `released` is set."""
 
     def __init__(self, folder: Path, *hanging: str) -> None:
         super().__init__(folder)
@@ -471,11 +481,12 @@
             assert checks.counts["state_not_used"] == 1 and not persistence.is_usable
         writes = asyncio.create_task(persistence.run())
         if hanging == "sync":
-            while not checks.counts["state_not_written"]:  # the next write finds the last one under way
+            # the next write is skipped while the last one is in progress
+            while not checks.counts["state_not_written"]:
                 await asyncio.sleep(0.01)
         writes.cancel()
         await persistence.write_final()
-        assert disk.reached.is_set() and not disk.released.is_set()  # it hangs still
+        assert disk.reached.is_set() and not disk.released.is_set()  # the call still hangs
         disk.released.set()
         while (hanging == "sync" and not checks.counts["state_writes"]) or (
             hanging == "read" and not persistence.is_usable
@@ -485,45 +496,45 @@
     asyncio.run(run())
 
 
-def ok(asked: Asked) -> None:
-    asked.data()
+def serve_data(command: Asked) -> None:
+    command.data()
 
 
 def test_a_front_restores_its_state_after_a_kill_and_serves_with_a_damaged_folder(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        folder, told = tmp_path / "kept", front.folder / "operator.yaml"
-        told.write_text(f"state: {{folder: {folder}, every_s: 0.2}}\n")
-        await again(front)
+        folder, operator_file = tmp_path / "kept", front.folder / "operator.yaml"
+        operator_file.write_text(f"state: {{folder: {folder}, every_s: 0.2}}\n")
+        await restart(front)
         client = await front.client()
         for n in range(1, 30):
             client.ask(n)
             assert (await client.ended(n)).status == 200
-        await until(lambda: any((folder / name).exists() for name in GENERATION_NAMES), "a record is there")
-        before = await learned(folder)
-        assert before.service_times and before.fetch_limit is not None
-        await again(front)
+        await until(lambda: any((folder / name).exists() for name in GENERATION_NAMES), "a record is stored")
+        state_before_kill = await wait_for_learned_state(folder)
+        assert state_before_kill.service_times and state_before_kill.fetch_limit is not None
+        await restart(front)
         assert front.logged("state read: ")
         client = await front.client()
         client.ask(1)
         assert (await client.ended(1)).status == 200
         for name in GENERATION_NAMES:
             (folder / name).write_bytes(b"damaged")
-        await again(front)
+        await restart(front)
         assert front.logged("state_not_used: ")
         client = await front.client()
         client.ask(1)
         assert (await client.ended(1)).status == 200
 
-    async def again(front: Front) -> None:
+    async def restart(front: Front) -> None:
         front.signal(signal.SIGKILL)
         await front.code()
         front.lines.clear()
         front.operator = front.folder / "operator.yaml"
         await front.start()
 
-    async def learned(folder: Path) -> LearnedState:
-        while (found := SnapshotStore(FileSystem(folder)).load().state) is None or not found.service_times:
+    async def wait_for_learned_state(folder: Path) -> LearnedState:
+        while (state := SnapshotStore(FileSystem(folder)).load().state) is None or not state.service_times:
             await asyncio.sleep(0.05)
-        return found
+        return state
 
-    play(tmp_path, {"s-1": ok, "p-1": ok, "o-1": ok}, scenario)
+    play(tmp_path, {"s-1": serve_data, "p-1": serve_data, "o-1": serve_data}, scenario)
--- a/tests/test_voter_store.py
+++ b/tests/test_voter_store.py
@@ -42,56 +42,65 @@
 ]
 
 
-def opened(files: FileSystem) -> VoterStore:
+def open_store(files: FileSystem) -> VoterStore:
     store = VoterStore(files)
     store.open()
     store.load()
     return store
 
 
-Loaded = VoterState | StateError | None
+LoadResult = VoterState | StateError | None
 
 
-def power_cuts(disk_type: type[PowerCutDisk], folder: Path) -> Iterator[tuple[bool, Loaded, Loaded, Loaded]]:
-    """Cut each write at each system call; yield whether it was done, and the states before, after, loaded."""
+def power_cuts(
+    disk_type: type[PowerCutDisk], folder: Path
+) -> Iterator[tuple[bool, LoadResult, LoadResult, LoadResult]]:
+    """Cut the power at each system call of each write.
+
+    Yields whether the write was completed, the states before and after it, and the state loaded afterwards.
+    """
     rng = random.Random(1)
     for number in range(len(WRITES)):
         for fails_at in itertools.count():
-            disk, done = disk_type(folder), False
-            store = opened(disk)
+            disk, is_completed = disk_type(folder), False
+            store = open_store(disk)
             for records in WRITES[:number]:
                 store.save(records)
             before = store.saved
             disk.calls_left = fails_at
             with contextlib.suppress(PowerCutError):
                 store.save(WRITES[number])
-                done = True
-            for again in disk.states_after_cut(rng):
-                loaded: Loaded
+                is_completed = True
+            for disk_after_cut in disk.states_after_cut(rng):
+                loaded: LoadResult
                 try:
-                    loaded = VoterStore(again).load()
+                    loaded = VoterStore(disk_after_cut).load()
                 except StateError as error:
                     loaded = error
-                yield done, before, apply_records(before, WRITES[number]), loaded
-            if done:
+                yield is_completed, before, apply_records(before, WRITES[number]), loaded
+            if is_completed:
                 break
 
 
 def test_a_power_cut_at_any_system_call_leaves_the_old_state_or_the_new(tmp_path: Path) -> None:
     outcomes = list(power_cuts(PowerCutDisk, tmp_path))
-    for done, before, after, loaded in outcomes:
-        assert loaded == after if done else loaded in (before, after)
-    assert len(outcomes) > 150 and sum(done for done, *_ in outcomes) >= len(WRITES)
+    for is_completed, before, after, loaded in outcomes:
+        assert loaded == after if is_completed else loaded in (before, after)
+    assert len(outcomes) > 150 and sum(is_completed for is_completed, *_ in outcomes) >= len(WRITES)
 
 
 @pytest.mark.parametrize("call", ["sync", "sync_folder"])
 def test_a_write_without_one_of_its_syncs_loses_an_acknowledged_state(call: str, tmp_path: Path) -> None:
-    careless = type("Careless", (PowerCutDisk,), {call: lambda self, *about: None})
-    assert any(loaded != after for done, _, after, loaded in power_cuts(careless, tmp_path) if done)
+    non_syncing_disk = type("NonSyncingDisk", (PowerCutDisk,), {call: lambda self, *about: None})
+    assert any(
+        loaded != after
+        for is_completed, _, after, loaded in power_cuts(non_syncing_disk, tmp_path)
+        if is_completed
+    )
 
 
 def test_each_flipped_bit_and_each_truncation_is_refused_with_file_and_remedy(tmp_path: Path) -> None:
-    store = opened(FileSystem(tmp_path))
+    store = open_store(FileSystem(tmp_path))
     for records in WRITES[:3]:
         store.save(records)
     content = (tmp_path / FILE_NAME).read_bytes()
@@ -101,34 +110,34 @@
     ]
     for raw in corrupted:
         (tmp_path / FILE_NAME).write_bytes(raw)
-        again = VoterStore(FileSystem(tmp_path))
+        reopened = VoterStore(FileSystem(tmp_path))
         with pytest.raises(StateError) as raised:
-            again.load()
+            reopened.load()
         assert str(tmp_path / FILE_NAME) in str(raised.value) and "aside" in str(raised.value)
         with pytest.raises(StateError):
-            again.save(WRITES[3])  # and it is not written over
+            reopened.save(WRITES[3])  # and the file is not overwritten
     assert (tmp_path / FILE_NAME).read_bytes() == corrupted[-1]
 
 
 def test_a_full_disk_keeps_the_old_state_and_the_write_succeeds_once_there_is_space(tmp_path: Path) -> None:
-    class Full(FileSystem):
-        room = 10**9
+    class FullDisk(FileSystem):
+        free_bytes = 10**9
 
         def write(self, fd: int, data: bytes) -> int:
-            if self.room <= 0:
+            if self.free_bytes <= 0:
                 raise OSError(errno.ENOSPC, "full")
-            part = data[: min(self.room, 64)]
-            self.room -= len(part)
-            return super().write(fd, part)
+            chunk = data[: min(self.free_bytes, 64)]
+            self.free_bytes -= len(chunk)
+            return super().write(fd, chunk)
 
-    disk = Full(tmp_path)
-    store = opened(disk)
+    disk = FullDisk(tmp_path)
+    store = open_store(disk)
     store.save(WRITES[0])
-    disk.room = 70
+    disk.free_bytes = 70
     with pytest.raises(StateError, match="make room"):
         store.save(WRITES[1])
     assert VoterStore(FileSystem(tmp_path)).load() == apply_records(None, WRITES[0])
-    disk.room = 10**9
+    disk.free_bytes = 10**9
     store.save(WRITES[1])
     assert (
         VoterStore(FileSystem(tmp_path)).load()
@@ -138,21 +147,21 @@
 
 
 class FailingDisk(PowerCutDisk):
-    """One call fails; a sync that did has thrown away what it should have kept (fsync(2), Linux)."""
+    """A disk on which one call fails; a failed sync discards the data, as on Linux (fsync(2))."""
 
-    fails: tuple[str, int] = ("", 0)  # the call, and the error
+    failing_call: tuple[str, int] = ("", 0)  # name of the call, and errno
 
     def _may_fail(self, call: str) -> None:
-        if self.fails[0] == call:
-            number, self.fails = self.fails[1], ("", 0)
-            raise OSError(number, "as the test says")
+        if self.failing_call[0] == call:
+            error_number, self.failing_call = self.failing_call[1], ("", 0)
+            raise OSError(error_number, "injected by the test")
 
     def create(self, name: str) -> int:
         self._may_fail("create")
         inode = self.inode_by_name.get(name)
         if inode is None:
             return super().create(name)
-        self.synced_content[inode], self.unsynced_writes[inode] = b"", []  # truncated, the same file
+        self.synced_content[inode], self.unsynced_writes[inode] = b"", []  # the same file, truncated
         return inode
 
     def write(self, fd: int, data: bytes) -> int:
@@ -160,7 +169,7 @@
         return super().write(fd, data)
 
     def sync(self, fd: int) -> None:
-        if self.fails[0] == "sync":
+        if self.failing_call[0] == "sync":
             self.unsynced_writes[fd] = []
         self._may_fail("sync")
         super().sync(fd)
@@ -174,43 +183,43 @@
         super().sync_folder()
 
 
-@pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
+@pytest.mark.parametrize("error_number", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("call", ["create", "write", "sync", "rename", "sync_folder"])
 def test_an_acknowledged_write_survives_a_failed_call_a_retry_and_a_power_cut(
-    call: str, number: int, tmp_path: Path
+    call: str, error_number: int, tmp_path: Path
 ) -> None:
-    """Cut right after the call that failed, or at any call of the retry, or after it."""
-    rng, seen = random.Random(1), 0
+    """The power is cut right after the failed call, at any call of the retry, or after the retry."""
+    rng, checked_states = random.Random(1), 0
     for fails_at in itertools.count(0):
-        disk, done = FailingDisk(tmp_path), False
-        store = opened(disk)
+        disk, is_completed = FailingDisk(tmp_path), False
+        store = open_store(disk)
         for records in WRITES[:2]:
             store.save(records)
         before, after = store.saved, apply_records(store.saved, WRITES[2])
-        disk.fails = (call, number)
+        disk.failing_call = (call, error_number)
         with pytest.raises(StateError):
             store.save(WRITES[2])
-        assert store.saved == before, "not acknowledged"
+        assert store.saved == before, "the failed write counts as saved"
         disk.calls_left = fails_at
         with contextlib.suppress(PowerCutError):
             store.save(WRITES[2])
-            done = True
-        for again in disk.states_after_cut(rng):
-            loaded = VoterStore(again).load()
-            assert loaded == after if done else loaded in (before, after)
-            seen += 1
-        if done:
+            is_completed = True
+        for disk_after_cut in disk.states_after_cut(rng):
+            loaded = VoterStore(disk_after_cut).load()
+            assert loaded == after if is_completed else loaded in (before, after)
+            checked_states += 1
+        if is_completed:
             break
-    assert seen > 20
+    assert checked_states > 20
 
 
 def test_a_second_voter_in_one_folder_is_refused(tmp_path: Path) -> None:
-    first = opened(FileSystem(tmp_path))
+    first = open_store(FileSystem(tmp_path))
     with pytest.raises(StateError) as raised:
         VoterStore(FileSystem(tmp_path)).open()
     assert raised.value.fault is RecordFault.LOCKED
     first.close()
-    opened(FileSystem(tmp_path)).close()
+    open_store(FileSystem(tmp_path)).close()
 
 
 def test_a_hard_state_of_another_identity_starts_an_empty_log() -> None:
