--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -1,6 +1,7 @@
-"""How each golden file is read and written: the one place that names what a rename touches.
+"""How each golden file is read and written: the only place that refers to the code behind the files.
 
-An id of the tables stands in the manifest and never changes; what it stands for may move and be renamed.
+The ids in these tables are stored in the manifest and never change; the code behind an id may move and be
+renamed.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 class Codec(msgspec.Struct, frozen=True):
-    """The type of a message or record, and the product's own functions for it."""
+    """The type of a message or record, and the functions of the product that decode and encode it."""
 
     kind: Any
     decode: Callable[[bytes], Any]
@@ -54,32 +55,32 @@
     return Codec(kind, msgspec.msgpack.Decoder(kind).decode, encode)
 
 
-def _view(raw: bytes) -> tuple[int, Any]:
+def _decode_view(raw: bytes) -> tuple[int, Any]:
     return (state_sync.REQUEST, state_sync.RESPONSE).index(raw[:1]), membership.decode_full_state(
         raw[1:], FLEET
     )
 
 
-def _view_bytes(view: tuple[int, Any]) -> bytes:
+def _encode_view(view: tuple[int, Any]) -> bytes:
     return (state_sync.REQUEST, state_sync.RESPONSE)[view[0]] + membership.encode(view[1])
 
 
-def _frames(raw: bytes) -> list[frames.Frame]:
+def _decode_frames(raw: bytes) -> list[frames.Frame]:
     decoder = frames.FrameDecoder(FLEET)
-    found = decoder.feed(raw)
+    decoded = decoder.feed(raw)
     assert not decoder.has_partial_frame
-    return found
+    return decoded
 
 
-def _frames_bytes(found: list[frames.Frame]) -> bytes:
+def _encode_frames(decoded_frames: list[frames.Frame]) -> bytes:
     return b"".join(
         frames.encode_frame(frame.header.fleet, frame.header.sender, frame.header.channel, frame.data)
-        for frame in found
+        for frame in decoded_frames
         if frame.header.version == frames.VERSION and frame.header.size == len(frame.data)
     )
 
 
-def _state(raw: bytes) -> tuple[int, Any]:
+def _decode_state(raw: bytes) -> tuple[int, Any]:
     version, sequence, content = record_format.unpack_record(raw)
     assert version == schema_upgrades.CURRENT_VERSION
     return sequence, learned_state.decode(version, content)
@@ -113,42 +114,44 @@
         lambda raw: learned_state.decode(schema_upgrades.CURRENT_VERSION, raw),
         learned_state.encode,
     ),
-    # Of several parts: their generic values are those of the parts, above.
+    # Composed of several messages or records, whose generic values are checked by the codecs above.
     "rules.version": Codec(None, rules.decode_version, rules.encode_version),
-    "peers.view": Codec(None, _view, _view_bytes),
-    "peers.frames": Codec(None, _frames, _frames_bytes),
+    "peers.view": Codec(None, _decode_view, _encode_view),
+    "peers.frames": Codec(None, _decode_frames, _encode_frames),
     "state.record": Codec(
         None,
-        _state,
+        _decode_state,
         lambda found: record_format.pack_record(
             schema_upgrades.CURRENT_VERSION, found[0], learned_state.encode(found[1])
         ),
     ),
 }
-# The body of a rule version, which its digest goes before.
+# The body of a rule version, which follows its digest.
 CODECS["rules.version.body"] = _plain_codec(rules.RuleVersion, rules._encode)
-# What datagrams are told apart by, as they have no tag.
+# Datagrams have no tag; this field distinguishes them.
 DATAGRAM_KINDS = {int(kind) for kind in membership.MessageKind}
 
 
 def rewrite_learned(source: Path, target: Path) -> None:
-    """Both generations of a folder of learned state, read and written anew in their order."""
-    written = snapshot_store.SnapshotStore(file_system.FileSystem(target))
-    written.open()
+    """Write both generations of a folder of learned state to another folder, in their order."""
+    target_store = snapshot_store.SnapshotStore(file_system.FileSystem(target))
+    target_store.open()
     for name in snapshot_store.GENERATION_NAMES:
         version, _, content = record_format.unpack_record((source / name).read_bytes())
-        written.save(learned_state.encode(learned_state.decode(version, content)))
-    written.close()
+        target_store.save(learned_state.encode(learned_state.decode(version, content)))
+    target_store.close()
 
 
 def rewrite_voter(source: Path, target: Path) -> None:
-    read, written = (voter_store.VoterStore(file_system.FileSystem(folder)) for folder in (source, target))
-    saved = read.load()
+    source_store, target_store = (
+        voter_store.VoterStore(file_system.FileSystem(folder)) for folder in (source, target)
+    )
+    saved = source_store.load()
     assert saved is not None and saved.snapshot is not None
-    written.open()
-    written.load()
-    written.save((saved.hard_state, saved.snapshot, *saved.entries))
-    written.close()
+    target_store.open()
+    target_store.load()
+    target_store.save((saved.hard_state, saved.snapshot, *saved.entries))
+    target_store.close()
 
 
 def rewrite_adopted(source: Path, target: Path) -> None:
@@ -157,14 +160,14 @@
     adopted.VersionStore(str(target)).save(version)
 
 
-FOLDERS: dict[str, Callable[[Path, Path], None]] = {
+FOLDER_REWRITERS: dict[str, Callable[[Path, Path], None]] = {
     "state.folder": rewrite_learned,
     "voter.folder": rewrite_voter,
     "adopted.folder": rewrite_adopted,
 }
 
-# Typed values without a name of their own on the wire, by the name that their plain form has.
-NAMES: dict[str, type] = {
+# Types that have no name on the wire, by the name that their plain form has in the manifest.
+TYPE_BY_NAME: dict[str, type] = {
     "ask": io.ForwardRequest,
     "fetch": io.FetchThrough,
     "cancel": io.CancelAttempt,
@@ -199,92 +202,103 @@
     "purge": changelog.PurgeRecord,
     "bad": changelog.BadRecord,
 }
-_NAME_OF = {kind: name for name, kind in NAMES.items()}
+_NAME_BY_TYPE = {kind: name for name, kind in TYPE_BY_NAME.items()}
+
 
+def to_plain_value(value: Any) -> Any:
+    """Return the value as JSON has it.
 
-def plain(value: Any) -> Any:
-    """As JSON has it; a typed value is its name and its fields in order, but for last ones at a default."""
+    A dataclass becomes a list of its name and its fields in order, without trailing fields at their default.
+    """
     if is_dataclass(value) and not isinstance(value, type):
-        listed = [(getattr(value, f.name), f.default) for f in fields(value)]
-        while listed and listed[-1][1] is not MISSING and listed[-1][0] == listed[-1][1]:
-            listed.pop()
-        return [_NAME_OF[type(value)], *(plain(one) for one, _ in listed)]
+        values_and_defaults = [(getattr(value, f.name), f.default) for f in fields(value)]
+        while (
+            values_and_defaults
+            and values_and_defaults[-1][1] is not MISSING
+            and values_and_defaults[-1][0] == values_and_defaults[-1][1]
+        ):
+            values_and_defaults.pop()
+        return [_NAME_BY_TYPE[type(value)], *(to_plain_value(item) for item, _ in values_and_defaults)]
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, bytes | memoryview):
         return bytes(value).decode("latin-1")
     if isinstance(value, dict):
-        return {name: plain(one) for name, one in value.items()}
+        return {name: to_plain_value(item) for name, item in value.items()}
     if isinstance(value, list | tuple):
-        return [plain(one) for one in value]
+        return [to_plain_value(item) for item in value]
     return value
 
 
-def _judge(text: str) -> None:
+def _check_address(text: str) -> None:
     if not text.startswith("tcp://"):
         raise ValueError(f"no address: {text}")
 
 
-def _answers(raw: bytes) -> list[Any]:
-    """All answers of a connection, fed at once."""
+def _decode_responses(raw: bytes) -> list[Any]:
+    """Return all responses of a connection, whose bytes are decoded in one call."""
     decoder = lines.Decoder()
-    return [plain(one) for one in decoder.feed(memoryview(raw))]
+    return [to_plain_value(response) for response in decoder.feed(memoryview(raw))]
 
 
-def _compressed(raw: bytes) -> Any:
-    sequence, found = _state(raw)
-    return [sequence, plain(msgspec.to_builtins(found))]
+def _decode_compressed_state(raw: bytes) -> Any:
+    sequence, state = _decode_state(raw)
+    return [sequence, to_plain_value(msgspec.to_builtins(state))]
 
 
-def _settings_fields(raw: bytes) -> Any:
-    """What fronts compare of their settings: label and text of each, and the digest over all."""
+def _decode_settings_fields(raw: bytes) -> Any:
+    """Return the settings that fronts compare, by label, and the digest over all of them."""
     inputs = decision.DecisionInputs(rules.initial_version(), simwire.decode_settings(raw), (), 0, "")
-    found = leaf_fields.settings_leaves(inputs)
-    digests = {name: leaf_fields.leaf_digest(one) for name, one in found.items()}
-    return [plain(msgspec.to_builtins(found)), MerkleTree(digests).root.hex()]
+    leaves = leaf_fields.settings_leaves(inputs)
+    digests = {name: leaf_fields.leaf_digest(leaf) for name, leaf in leaves.items()}
+    return [to_plain_value(msgspec.to_builtins(leaves)), MerkleTree(digests).root.hex()]
 
 
-def _version_fields(raw: bytes) -> Any:
-    """What fronts compare of their rule versions."""
+def _decode_version_fields(raw: bytes) -> Any:
+    """Return the fields of rule versions that fronts compare."""
     version = msgspec.msgpack.decode(raw, type=rules.RuleVersion)
     settings = simwire.decode_settings(Path(FOLDER, "sim.settings.bin").read_bytes())
     inputs = decision.DecisionInputs(version, settings, (), 0, "")
-    return plain(msgspec.to_builtins(leaf_fields.version_leaves(inputs)))
+    return to_plain_value(msgspec.to_builtins(leaf_fields.version_leaves(inputs)))
 
 
 READERS: dict[str, Callable[[bytes], Any]] = {
-    "sim.batch": lambda raw: plain(simwire.decode_batch(raw)),
-    "sim.settings": lambda raw: plain(simwire.decode_settings(raw)),
-    "fastcgi.read": lambda raw: plain(fastcgi.Decoder(3).feed(raw)),
-    "lines.read": _answers,
-    "changelog.read": lambda raw: plain(changelog.decode_changes(raw)),
-    "changelog.dials": lambda raw: plain(changelog.decode_changes(raw, _judge)),
-    "consistency.settings": _settings_fields,
-    "consistency.version": _version_fields,
-    "state.compressed": _compressed,  # read only: what zstd writes is its own affair
+    "sim.batch": lambda raw: to_plain_value(simwire.decode_batch(raw)),
+    "sim.settings": lambda raw: to_plain_value(simwire.decode_settings(raw)),
+    "fastcgi.read": lambda raw: to_plain_value(fastcgi.Decoder(3).feed(raw)),
+    "lines.read": _decode_responses,
+    "changelog.read": lambda raw: to_plain_value(changelog.decode_changes(raw)),
+    "changelog.dials": lambda raw: to_plain_value(changelog.decode_changes(raw, _check_address)),
+    "consistency.settings": _decode_settings_fields,
+    "consistency.version": _decode_version_fields,
+    "state.compressed": _decode_compressed_state,  # only read: the output of zstd may change with its version
 }
 
 
-def _bytes(text: str) -> bytes:
+def _to_bytes(text: str) -> bytes:
     return text.encode("latin-1")
 
 
 WRITERS: dict[str, Callable[..., bytes]] = {
-    "sim.action": lambda instance, name, *values: simwire.encode_action(instance, NAMES[name](*values)),
+    "sim.action": lambda instance, name, *values: simwire.encode_action(
+        instance, TYPE_BY_NAME[name](*values)
+    ),
     "sim.broken": simwire.encode_broken,
-    "sim.reply": lambda batch, *records: simwire.encode_reply(batch, [_bytes(one) for one in records]),
-    "fastcgi.record": lambda kind, request, content: fastcgi.record(kind, request, _bytes(content)),
+    "sim.reply": lambda batch, *records: simwire.encode_reply(
+        batch, [_to_bytes(record) for record in records]
+    ),
+    "fastcgi.record": lambda kind, request, content: fastcgi.record(kind, request, _to_bytes(content)),
     "fastcgi.end": fastcgi.end,
     "fastcgi.finish": fastcgi.finish,
-    "fastcgi.short": lambda request, head: fastcgi.short(request, _bytes(head)),
+    "fastcgi.short": lambda request, head: fastcgi.short(request, _to_bytes(head)),
     "fastcgi.pairs": fastcgi.write_pairs,
-    "lines.serve": lambda id, listed, body: lines.serve(id, listed, _bytes(body)),
+    "lines.serve": lambda id, listed, body: lines.serve(id, listed, _to_bytes(body)),
     "lines.cancel": lines.cancel,
     "lines.health": lines.health,
     "lines.gauges": lines.gauges,
 }
 
 
-def manifest() -> list[dict[str, Any]]:
-    found: list[dict[str, Any]] = json.loads(MANIFEST.read_bytes()) if MANIFEST.exists() else []
-    return found
+def read_manifest() -> list[dict[str, Any]]:
+    entries: list[dict[str, Any]] = json.loads(MANIFEST.read_bytes()) if MANIFEST.exists() else []
+    return entries
