--- a/quincepier/consensus/election.py
+++ b/quincepier/consensus/election.py
@@ -71,9 +71,9 @@
     The one with the more up-to-date log goes first, or with equal logs the one with the higher identity.
     Otherwise both would become candidates on a slow network and split the vote.
     """
-    senders = (request.last_log_term, request.last_log_index, message.sender_identity)
-    own = (state.log.last_term, state.log.last_index, state.identity)
-    return message.sender_identity in state.deferred_to or senders > own
+    sender_rank = (request.last_log_term, request.last_log_index, message.sender_identity)
+    own_rank = (state.log.last_term, state.log.last_index, state.identity)
+    return message.sender_identity in state.deferred_to or sender_rank > own_rank
 
 
 def on_request_vote(state: RaftState, message: Message, request: RequestVote) -> None:
--- a/quincepier/consensus/raft_log.py
+++ b/quincepier/consensus/raft_log.py
@@ -100,12 +100,12 @@
 
         Entries after it are kept if the log has the snapshot's last entry (Raft, figure 13, step 6).
         """
-        continues = (
+        has_last_entry = (
             self.snapshot is not None
             and self.term_at(snapshot.index) == snapshot.term
             and snapshot.index >= self.snapshot_index
         )
-        if continues:
+        if has_last_entry:
             del self.entries[: snapshot.index - self.snapshot_index]
         else:
             self.entries.clear()
--- a/quincepier/rules/lease_holder.py
+++ b/quincepier/rules/lease_holder.py
@@ -130,5 +130,5 @@
         return is_adopted
 
     def _drop_requests_before(self, token: int) -> None:
-        for older_token in [t for t in self.request_time_by_token if t < token]:
+        for older_token in [other for other in self.request_time_by_token if other < token]:
             del self.request_time_by_token[older_token]
--- a/quincepier/rules/lease_table.py
+++ b/quincepier/rules/lease_table.py
@@ -277,8 +277,8 @@
         active = self.active_number(now_ns)
         if active == self.active_since_number:
             return active
-        first = max(self.active_since_number, active - MAX_ACTIVE_TIMES) + 1
-        for number in range(first, active + 1):
+        first_number = max(self.active_since_number, active - MAX_ACTIVE_TIMES) + 1
+        for number in range(first_number, active + 1):
             self.active_since_ns_by_number[number] = now_ns
         while len(self.active_since_ns_by_number) > MAX_ACTIVE_TIMES:
             del self.active_since_ns_by_number[min(self.active_since_ns_by_number)]
--- a/quincepier/rules/version.py
+++ b/quincepier/rules/version.py
@@ -111,7 +111,7 @@
 class MigrationStep(IntEnum):
     """Steps of a migration.
 
-    A rollback goes through ROLLING_BACK from CUT_OVER, and directly to ROLLED_BACK from an earlier step.
+    A rollback before CUT_OVER leads directly to ROLLED_BACK, a later one through CUT_OVER and ROLLING_BACK.
     """
 
     PLANNED = 0
@@ -268,16 +268,19 @@
 
 
 def _stamp_steps(
-    entries: tuple[Entry, ...], before: tuple[Entry, ...], number: int, key_of: Callable[[Entry], object]
+    entries: tuple[Entry, ...],
+    previous_entries: tuple[Entry, ...],
+    number: int,
+    key_of: Callable[[Entry], object],
 ) -> tuple[Entry, ...]:
     """Set `since_version`: unchanged where the step is unchanged, else the new version's number."""
-    entry_by_key = {key_of(entry): entry for entry in before}
+    entry_by_key = {key_of(entry): entry for entry in previous_entries}
     stamped = []
     for entry in entries:
-        last = entry_by_key.get(key_of(entry))
-        is_same_step = last is not None and last.step == entry.step
-        since = last.since_version if last is not None and is_same_step else number
-        stamped.append(msgspec.structs.replace(entry, since_version=since))
+        previous = entry_by_key.get(key_of(entry))
+        is_same_step = previous is not None and previous.step == entry.step
+        since_version = previous.since_version if previous is not None and is_same_step else number
+        stamped.append(msgspec.structs.replace(entry, since_version=since_version))
     return tuple(stamped)
 
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -362,7 +362,7 @@
 # Timestamps
 
 
-def test_the_age_of_a_record_by_the_clock_since_boot_where_the_boot_is_the_same() -> None:
+def test_the_age_of_a_record_is_by_the_clock_since_boot_within_one_boot() -> None:
     later = Timestamp(NOW.unix_ms + 7000, "boot", NOW.since_boot_ns + 2 * SECOND)
     assert age_of(NOW, later) == 2 * SECOND  # the same boot: the wall clock is ignored
     assert age_of(NOW, replace_fields(later, unix_ms=0)) == 2 * SECOND
