--- a/quincepier/membership/__init__.py
+++ b/quincepier/membership/__init__.py
@@ -1,9 +1,9 @@
-"""Membership of the fronts: failure detection, and the view of who is there.
+"""Membership of the fronts: failure detection, and the view (the set of live fronts).
 
-It decides whom a front probes, when silence becomes suspicion, and when suspicions become one change of the
-view. Datagrams and times go in, datagrams and views come out; it does no I/O, reads no clock, and knows
-nothing of what a view is used for. Start with `member_table.py`, then `failure_detector.py`;
-docs/membership.md.
+The package decides which members a front probes, when an unanswered probe becomes a suspicion, and when
+suspicions become one change of the view. Its inputs are datagrams and times, its outputs datagrams and views;
+it does no I/O, reads no clock, and does not depend on how a view is used. Start with `member_table.py`, then
+`failure_detector.py`; docs/membership.md describes the protocol.
 """
 
 from quincepier.membership.actions import Action, DuplicateMember, SendDatagram, StartStateSync, ViewChanged
--- a/quincepier/membership/actions.py
+++ b/quincepier/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the failure detector asks its owner to do."""
+"""Actions that the failure detector asks its owner to perform."""
 
 from __future__ import annotations
 
@@ -24,7 +24,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ViewChanged:
-    """The view changed: all members in order of name, and whom this one change added and removed."""
+    """The view changed.
+
+    Attributes:
+        members: Names of all members after the change, sorted.
+        joined: Names that this change added, sorted.
+        removed: Names that this change removed, sorted.
+    """
 
     members: tuple[str, ...]
     joined: tuple[str, ...]
--- a/quincepier/membership/broadcast_queue.py
+++ b/quincepier/membership/broadcast_queue.py
@@ -1,4 +1,4 @@
-"""Membership updates that wait to be piggybacked on datagrams (SWIM, section 4.1)."""
+"""Queue of membership updates to be piggybacked on datagrams (SWIM, section 4.1)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 class UpdateKey(NamedTuple):
-    """Whom an update is about and, of a suspicion, who suspects; a newer update replaces one of its key."""
+    """The member that an update concerns and, for a suspicion, the suspecting member.
+
+    A newer update replaces a queued update with the same key.
+    """
 
     member: str
     suspected_by: str = ""
@@ -26,14 +29,14 @@
 
 @dataclass(slots=True, frozen=True)
 class QueuedUpdate:
-    """An update, how often it was sent, and when it was queued."""
+    """An update with the time when it was queued and the number of times it was sent."""
 
     update: MembershipUpdate
     queued_at_ns: int
     transmit_count: int = 0
 
     def to_update(self, now_ns: int) -> MembershipUpdate:
-        """Returns the update with the age of its suspicion at this time."""
+        """Returns the update; the age of a suspicion is advanced by the time spent in the queue."""
         if self.update.state != MemberState.SUSPECT:
             return self.update
         waited_ms = (now_ns - self.queued_at_ns) // MS
@@ -42,7 +45,7 @@
 
 
 class BroadcastQueue:
-    """Updates to pass on, each a limited number of times, the least often sent first."""
+    """Updates to send, each a limited number of times; the least often sent goes first."""
 
     def __init__(self, retransmit_multiplier: float) -> None:
         self._retransmit_multiplier = retransmit_multiplier
@@ -52,7 +55,7 @@
         return len(self._queued_by_key)
 
     def add(self, now_ns: int, update: MembershipUpdate) -> None:
-        """Queues an update; one that ends a suspicion replaces all about that member."""
+        """Queues an update; if it is not a suspicion, it replaces all queued updates about the member."""
         is_suspicion = update.state == MemberState.SUSPECT
         if not is_suspicion:
             self._discard(update.name)
@@ -65,8 +68,8 @@
 
         Args:
             now_ns: The current time in nanoseconds.
-            member_count: The members that are known; an update is sent about log2 of it times.
-            max_bytes: The space that is left in the datagram.
+            member_count: The number of known members; the transmit limit grows with its base-2 logarithm.
+            max_bytes: The free space in the datagram.
         """
         transmit_limit = math.ceil(self._retransmit_multiplier * math.log2(member_count + 2))
         selected = []
--- a/quincepier/membership/failure_detector.py
+++ b/quincepier/membership/failure_detector.py
@@ -1,10 +1,10 @@
-"""The failure detector of one front: SWIM with Lifeguard, and agreed changes of the view.
+"""The failure detector of one front: SWIM with Lifeguard, and batched changes of the view.
 
 After Das, Gupta, Motivala, "SWIM" (DSN 2002); Dadgar, Phillips, Currey, "Lifeguard" (DSN-W 2018); Suresh and
-others, "Stable and Consistent Membership at Scale with Rapid" (USENIX ATC 2018). It differs from them in that
-the age of a suspicion travels with it, so that all members declare a member dead at about the same moment.
+others, "Stable and Consistent Membership at Scale with Rapid" (USENIX ATC 2018). Unlike these protocols, a
+suspicion is sent with its age, so that all members declare a member dead at about the same time.
 
-Pure: datagrams and times go in, actions come out; chance is seeded.
+No I/O: the inputs are datagrams and times, the outputs are actions; the random number generator is seeded.
 """
 
 from __future__ import annotations
@@ -39,19 +39,19 @@
 
 
 class FailureDetector:
-    """Composes the parts of the protocol; each `on_…` method returns the actions to perform, in order.
+    """Composes the components of the protocol; each `on_…` method returns the actions to perform, in order.
 
-    It starts with a view of this front alone.
+    The initial view contains this front only.
 
     Args:
-        fleet: The fleet's name; messages of others are rejected.
+        fleet: The fleet's name; messages from other fleets are rejected.
         name: This front's name.
-        address: Where others reach it.
-        incarnation: Greater at each start as a rule, such as Unix time with random last bits.
+        address: The address at which other fronts reach this front.
+        incarnation: Normally higher at each start, such as Unix time with random low bits.
         now_ns: The current time in nanoseconds.
-        seed: Of the source of chance.
-        seeds: Addresses of members to find the fleet by.
-        intervals: Timeouts and limits, if not the usual ones.
+        seed: Seed of the random number generator.
+        seeds: Addresses of members that are contacted to join the fleet.
+        intervals: Timeouts and limits; the defaults if None.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
 
     @property
     def members(self) -> set[str]:
-        """The names in the view that was announced last, this front's own among them."""
+        """The names in the view announced last, including this front's own."""
         return self._view.members
 
     @property
@@ -102,37 +102,37 @@
 
     @property
     def rejected_count(self) -> int:
-        """The number of messages that were invalid."""
+        """The number of received messages that were rejected as invalid."""
         return self._rejected_count
 
     @property
     def open_probe_count(self) -> int:
-        """The number of probes that were not answered yet."""
+        """The number of unanswered probes."""
         return self._prober.open_probe_count
 
     @property
     def queued_update_count(self) -> int:
-        """The number of membership updates that are still to be sent."""
+        """The number of membership updates in the broadcast queue."""
         return len(self._broadcasts)
 
     @property
     def next_tick_ns(self) -> int:
-        """When `on_tick` is to be called at the latest."""
+        """The time by which `on_tick` must be called."""
         times = [self._next_probe_ns, *self._prober.deadlines_ns()]
         if self._view.pending_until_ns is not None:
             times.append(self._view.pending_until_ns)
         return min(times)
 
     def record_of(self, name: str) -> MemberRecord | None:
-        """Returns what is known of another member."""
+        """Returns the record of another member; None if the member is unknown."""
         return self._table.get(name)
 
     def records(self) -> Collection[MemberRecord]:
-        """Returns what is known of all other members, dead ones included."""
+        """Returns the records of all other members, including dead ones."""
         return self._table.records()
 
     def on_datagram(self, now_ns: int, data: bytes) -> list[Action]:
-        """Handles a datagram; one that is invalid is counted in `rejected_count`."""
+        """Handles a datagram; an invalid datagram is counted in `rejected_count`."""
         self._begin(now_ns)
         try:
             message = decode(data, self._local.fleet)
@@ -147,7 +147,7 @@
         return self._actions
 
     def on_full_state(self, now_ns: int, data: bytes) -> list[Action]:
-        """Merges another member's full state; one that is invalid is counted in `rejected_count`."""
+        """Merges another member's full state; an invalid state is counted in `rejected_count`."""
         self._begin(now_ns)
         try:
             state = decode_full_state(data, self._local.fleet)
@@ -166,7 +166,7 @@
         return encode(FullState(VERSION, self._local.fleet, (self._local.to_update(), *others)))
 
     def on_tick(self, now_ns: int) -> list[Action]:
-        """Does what is due; to be called at `next_tick_ns` at the latest."""
+        """Performs the work that is due; must be called no later than at `next_tick_ns`."""
         self._begin(now_ns)
         if self._has_left:
             return self._actions
@@ -183,7 +183,7 @@
         return self._actions
 
     def leave(self, now_ns: int) -> list[Action]:
-        """Announces to a few members, who pass it on, that this front leaves."""
+        """Announces to a few random members, which forward it, that this front leaves."""
         self._actions = []
         self._has_left = True
         live = self._table.live_records()
@@ -200,7 +200,7 @@
             self._on_process_pause(now_ns, elapsed_ns)
 
     def _on_process_pause(self, now_ns: int, elapsed_ns: int) -> None:
-        """Time in which this process did not run counts against no other member."""
+        """Discards probes and postpones suspicions: during a pause no response could be received."""
         self._health.record_failure()
         self._prober.cancel_all()
         self._table.postpone_suspicions(elapsed_ns)
@@ -245,10 +245,10 @@
             self._apply(now_ns, update)
         elif self._local.is_conflicting(update.incarnation, update.address):
             self._on_name_conflict(now_ns, update.incarnation, update.address)
-        elif self._is_to_refute(update):
+        elif self._must_refute(update):
             self._refute(now_ns, update.incarnation)
 
-    def _is_to_refute(self, update: MembershipUpdate) -> bool:
+    def _must_refute(self, update: MembershipUpdate) -> bool:
         is_current = update.incarnation == self._local.incarnation
         return is_current and update.state != MemberState.ALIVE and not self._has_left
 
@@ -258,13 +258,13 @@
             self._broadcasts.add(now_ns, accepted)
 
     def _refute(self, now_ns: int, incarnation: int) -> None:
-        """Refutes a suspicion by a higher incarnation; whoever is suspected may be slow itself."""
+        """Refutes a suspicion with a higher incarnation; a suspected front may itself be slow."""
         self._local.supersede(incarnation)
         self._health.record_failure()
         self._broadcasts.add(now_ns, self._local.to_update())
 
     def _on_name_conflict(self, now_ns: int, incarnation: int, address: Address) -> None:
-        """Supersedes another process, or an earlier start of this front, that is known by its name."""
+        """Supersedes another process, or an earlier start of this front, that uses this front's name."""
         self._refute(now_ns, max(incarnation, self._local.incarnation))
         if self._local.record_conflict(now_ns):
             self._emit(DuplicateMember(address))
--- a/quincepier/membership/full_sync.py
+++ b/quincepier/membership/full_sync.py
@@ -1,4 +1,4 @@
-"""When, and with whom, the full state is exchanged over a stream (push/pull, after hashicorp/memberlist)."""
+"""Schedules exchanges of the full state over a stream (push/pull, after hashicorp/memberlist)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FullSyncSchedule:
-    """Exchanges the full state with a random member, less often where there are many."""
+    """Exchanges the full state with a random member; the interval grows with the number of members."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         """Starts an exchange if one is due."""
         if now_ns < self._next_sync_ns:
             return
-        # The full state grows with the members, and so does the cost of sending it.
+        # The size of the full state, and so the cost of sending it, grows with the number of members.
         scale = max(1.0, self._table.live_count / self._intervals.full_sync_scale_threshold)
         interval_ns = self._intervals.full_sync_interval_ns * scale
         self._next_sync_ns = now_ns + int(interval_ns * self._rng.uniform(0.5, 1.5))
--- a/quincepier/membership/local_member.py
+++ b/quincepier/membership/local_member.py
@@ -1,15 +1,15 @@
-"""This front as a member: its identity, its incarnation, and other processes that use its name."""
+"""This front as a member: its identity, its incarnation, and conflicts with processes that use its name."""
 
 from __future__ import annotations
 
 from quincepier.membership.member_table import MemberState
 from quincepier.membership.messages import Address, MembershipUpdate
 
-CONFLICTS_OF_DUPLICATE = 3  # conflicts about the name within the window: two processes use it
+DUPLICATE_CONFLICT_THRESHOLD = 3  # name conflicts within the window; then two processes use the name
 
 
 class LocalMember:
-    """The identity of this front; only it raises its incarnation (SWIM, section 4.2)."""
+    """The identity of this front; only the front itself raises its incarnation (SWIM, section 4.2)."""
 
     def __init__(
         self, fleet: str, name: str, address: Address, incarnation: int, conflict_window_ns: int
@@ -27,25 +27,25 @@
         return self._incarnation
 
     def supersede(self, incarnation: int) -> None:
-        """Raises the incarnation above one that others know of."""
+        """Raises the incarnation above an incarnation that other members know."""
         self._incarnation = incarnation + 1
 
     def is_same_process(self, incarnation: int, address: Address) -> bool:
-        """Whether a datagram under this front's name is its own."""
+        """Whether a datagram with this front's name was sent by this process."""
         return incarnation == self._incarnation and address == self.address
 
     def is_conflicting(self, incarnation: int, address: Address) -> bool:
-        """Whether an update about this front's name must come from another process or an earlier start."""
+        """Whether an update about this front's name must describe another process or an earlier start."""
         if incarnation == self._incarnation:
             return address != self.address
         return incarnation > self._incarnation
 
     def record_conflict(self, now_ns: int) -> bool:
-        """Counts a conflict about the name; returns whether it shows that two processes use it."""
-        recent = [at for at in self._conflicts_ns if now_ns - at < self._conflict_window_ns]
+        """Counts a name conflict; returns whether the count has just reached the duplicate threshold."""
+        recent = [time_ns for time_ns in self._conflicts_ns if now_ns - time_ns < self._conflict_window_ns]
         self._conflicts_ns = [*recent, now_ns]
-        return len(self._conflicts_ns) == CONFLICTS_OF_DUPLICATE
+        return len(self._conflicts_ns) == DUPLICATE_CONFLICT_THRESHOLD
 
     def to_update(self) -> MembershipUpdate:
-        """Returns the assertion that this front is alive."""
+        """Returns an update that asserts that this front is alive."""
         return MembershipUpdate(self.name, self.address, self._incarnation, MemberState.ALIVE, 0)
--- a/quincepier/membership/member_table.py
+++ b/quincepier/membership/member_table.py
@@ -1,7 +1,8 @@
-"""What this front knows of the other members, and which update about a member supersedes another.
+"""Records of the other members, and the rules by which an update about a member supersedes another.
 
-An assertion of a higher incarnation supersedes any of a lower one: only the member itself raises it. Within
-one incarnation dead or left supersedes suspect, and suspect supersedes alive (SWIM, section 4.2).
+An update with a higher incarnation supersedes all with a lower one, as only the member itself raises its
+incarnation. Within one incarnation dead or left supersedes suspect, and suspect supersedes alive (SWIM,
+section 4.2).
 """
 
 from __future__ import annotations
@@ -13,28 +14,28 @@
 from quincepier.membership.messages import Address, MembershipUpdate
 from quincepier.membership.probe_intervals import MS, ProbeIntervals
 
-SUSPICIONS_PER_REQUIRED = 2  # members remembered as suspecting one, for each that is required
+SUSPICIONS_PER_REQUIRED = 2  # recorded suspicions of one member, as a multiple of `required_suspicions`
 
 
 class MemberState(IntEnum):
-    """What is believed of a member, in the order of precedence within one incarnation."""
+    """The assumed state of a member; within one incarnation a higher value supersedes a lower one."""
 
     ALIVE = 0
-    SUSPECT = 1  # suspected by some, still a member of the view
-    DEAD = 2  # enough members suspected it for long enough and it did not refute
+    SUSPECT = 1  # suspected by at least one member; still in the view
+    DEAD = 2  # suspected by enough members for long enough without refuting it
     LEFT = 3  # it announced that it leaves
 
 
 @dataclass(slots=True)
 class MemberRecord:
-    """One other member as this front believes it to be.
+    """The state of one other member as known to this front.
 
     Attributes:
         name: Its name.
         address: The address that it announces.
-        incarnation: The highest one heard of.
-        state: What is believed of it.
-        since_ns: When it got this state; of a suspect, when it was first suspected by anybody.
+        incarnation: The highest known incarnation.
+        state: Its assumed state.
+        since_ns: When it entered this state; for a suspect, the time of the first suspicion by any member.
         suspected_by: Names of the members that suspect it independently.
     """
 
@@ -47,15 +48,15 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether it counts as a member of the view."""
+        """Whether the member belongs to the view."""
         return self.state <= MemberState.SUSPECT
 
     def to_update(self, now_ns: int, suspected_by: str = "") -> MembershipUpdate:
-        """Returns what to tell others of it.
+        """Returns an update about this member to send to others.
 
         Args:
             now_ns: The current time in nanoseconds.
-            suspected_by: The suspicion to pass on; without one, the first by name.
+            suspected_by: The suspecting member to name; if empty, the first by name.
         """
         if self.state is not MemberState.SUSPECT:
             return MembershipUpdate(self.name, self.address, self.incarnation, self.state, 0, suspected_by)
@@ -67,9 +68,9 @@
 
 
 def supersedes(incarnation: int, state: MemberState, record: MemberRecord) -> bool:
-    """Whether an assertion changes what is believed of a member.
+    """Whether an update with this incarnation and state replaces the state in a record.
 
-    A further suspicion of a suspect does not supersede the first; it is counted beside it.
+    A further suspicion of a suspect does not supersede the first; both are counted.
     """
     return (incarnation, state) > (record.incarnation, record.state)
 
@@ -99,30 +100,30 @@
 
     @property
     def live_set_version(self) -> int:
-        """A number that grows with each change of the set of live members."""
+        """A number that increases with each change of the set of live members."""
         return self._live_set_version
 
     def get(self, name: str) -> MemberRecord | None:
-        """Returns the record of a member, if it is known."""
+        """Returns the record of a member; None if the member is unknown."""
         return self._records_by_name.get(name)
 
     def records(self) -> Collection[MemberRecord]:
-        """Returns all records, dead members included."""
+        """Returns all records, including those of dead members."""
         return self._records_by_name.values()
 
     def live_records(self) -> list[MemberRecord]:
-        """Returns the records of the live members, suspects included."""
+        """Returns the records of the live members, including suspects."""
         return [record for record in self._records_by_name.values() if record.is_live]
 
     def suspects(self) -> list[MemberRecord]:
-        """Returns the records of the suspects, by name."""
+        """Returns the records of the suspects, sorted by name."""
         return [self._records_by_name[name] for name in sorted(self._suspects)]
 
     def apply(self, now_ns: int, update: MembershipUpdate) -> MembershipUpdate | None:
-        """Takes an update about another member in.
+        """Applies an update about another member.
 
         Returns:
-            What to tell others of the member, or None where nothing changed.
+            The update to forward to other members; None if the table did not change.
         """
         record = self._records_by_name.get(update.name)
         if record is None:
@@ -135,18 +136,18 @@
         return self._replace(now_ns, record, update)
 
     def declare_dead(self, now_ns: int, record: MemberRecord) -> None:
-        """Marks a suspect as dead from now on."""
+        """Marks a suspect as dead from `now_ns` on."""
         record.since_ns = now_ns
         self._set_state(record, MemberState.DEAD)
 
     def postpone_suspicions(self, by_ns: int) -> None:
-        """Moves the start of all suspicions, by time in which this process was paused."""
+        """Moves the start of all suspicions by the duration of a pause of this process."""
         for record in self._records_by_name.values():
             if record.state is MemberState.SUSPECT:
                 record.since_ns += by_ns
 
     def remove_tombstones(self, now_ns: int) -> None:
-        """Forgets members that have been dead or gone for longer than the tombstone timeout."""
+        """Removes the records of members that were dead or had left for longer than the tombstone timeout."""
         expired = [
             name
             for name, record in self._records_by_name.items()
--- a/quincepier/membership/message_sender.py
+++ b/quincepier/membership/message_sender.py
@@ -19,11 +19,11 @@
     encoded_size,
 )
 
-MAX_HEADER_BYTES = 320  # that a datagram's own fields may take; updates fill the rest
+MAX_HEADER_BYTES = 320  # reserved for the fields of a datagram; updates fill the rest
 
 
 class MessageSender:
-    """Sends datagrams in this front's name."""
+    """Sends the datagrams of this front."""
 
     def __init__(
         self,
@@ -51,11 +51,12 @@
 
         Args:
             now_ns: The current time in nanoseconds.
-            kind: What it asks for or answers.
-            address: Where it goes.
-            sequence_number: Of the probe.
-            recipient: The member's name, where it is known: a suspect is told of the suspicion first.
-            target: The member that a ping request, or the answer to one, is about.
+            kind: The kind of message.
+            address: The receiver's address.
+            sequence_number: The sequence number of the probe.
+            recipient: The receiver's name if known; a suspect is sent the suspicion about it as the first
+                update.
+            target: The member to be probed, for a ping request or the answer to it.
         """
         message = Message(
             VERSION,
--- a/quincepier/membership/messages.py
+++ b/quincepier/membership/messages.py
@@ -1,7 +1,7 @@
 """The protocol's messages: msgpack arrays in datagrams of at most 1,400 bytes, and the full state over TCP.
 
-The trust boundary is the network: whoever can send from a listed network is believed. Messages of another
-fleet or version, malformed or out of bounds, are rejected here, before anything is believed.
+The trust boundary is the network: senders within a listed network are trusted. Messages that are malformed,
+out of bounds, or from another fleet or version are rejected here, before their content is used.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 VERSION = 1
 MAX_DATAGRAM_BYTES = 1400  # one Ethernet frame, less the headers around it
 MAX_FULL_STATE_BYTES = 4 * 1024 * 1024
-MAX_REASON_LENGTH = 100  # characters of a decoder's own error text
+MAX_REASON_LENGTH = 100  # characters of the decoder's error text that are kept
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 OptionalName = Annotated[str, msgspec.Meta(max_length=64)]
@@ -28,24 +28,24 @@
 
 
 class InvalidMessageError(PeerInputError, ValueError):
-    """A datagram or full state that can't be used; it is dropped and counted."""
+    """A datagram or full state is invalid; it is dropped and counted."""
 
     code = "QP-MEMBERS"
-    remedy = "check that `members.fleet` and the build are alike at all fronts, and who else sends there"
+    remedy = "check that `members.fleet` and the build are the same at all fronts, and who else sends there"
 
 
 class MessageKind(IntEnum):
-    """What a datagram asks for or answers; SWIM, section 3.1, and Lifeguard's nack."""
+    """The kind of a datagram: SWIM, section 3.1, and Lifeguard's nack."""
 
     PING = 0
     PING_REQUEST = 1  # probe the target on the sender's behalf
     ACK = 2
-    NACK = 3  # the target of a ping request does not answer the sender either
-    LEAVE = 4
+    NACK = 3  # the target of a ping request did not answer the helper either
+    LEAVE = 4  # the sender leaves the fleet
 
 
 class MembershipUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """One assertion about a member, passed on by gossip. Ages travel, never times."""
+    """An assertion about a member, spread by gossip. It carries ages rather than times, as clocks differ."""
 
     name: Name
     address: Address
@@ -61,16 +61,16 @@
     version: int
     fleet: Name
     kind: MessageKind
-    sequence_number: Number  # of the probe
+    sequence_number: Number  # identifies the probe
     sender: Name
-    address: Address  # of the sender, as it announces it
+    address: Address  # the address that the sender announces
     incarnation: Number  # of the sender
-    target: OptionalName = ""  # whom a ping request, or the answer to one, is about
+    target: OptionalName = ""  # the member to be probed, in a ping request or the answer to it
     updates: Annotated[tuple[MembershipUpdate, ...], msgspec.Meta(max_length=100)] = ()
 
 
 class FullState(msgspec.Struct, frozen=True, array_like=True):
-    """All that a member knows, exchanged over a stream (push/pull)."""
+    """The complete member table of a front, exchanged over a stream (push/pull)."""
 
     version: int
     fleet: Name
@@ -89,7 +89,7 @@
 
 
 def encoded_size(update: MembershipUpdate) -> int:
-    """Returns the bytes that an update takes in a message."""
+    """Returns the encoded size of an update in bytes."""
     return len(_encoder.encode(update))
 
 
@@ -98,13 +98,13 @@
 
     Args:
         data: The datagram.
-        fleet: The name of the fleet that it must come from.
+        fleet: The expected fleet name.
 
     Raises:
-        InvalidMessageError: It is too long, malformed, or of another fleet or version.
+        InvalidMessageError: It is too long, malformed, or from another fleet or version.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise InvalidMessageError("a datagram over 1,400 bytes")
+        raise InvalidMessageError("datagram exceeds 1,400 bytes")
     return _decode(_message_decoder, data, fleet)
 
 
@@ -112,14 +112,14 @@
     """Decodes a full state.
 
     Args:
-        data: What came over the stream.
-        fleet: The name of the fleet that it must come from.
+        data: The bytes received over the stream.
+        fleet: The expected fleet name.
 
     Raises:
-        InvalidMessageError: It is too long, malformed, or of another fleet or version.
+        InvalidMessageError: It is too long, malformed, or from another fleet or version.
     """
     if len(data) > MAX_FULL_STATE_BYTES:
-        raise InvalidMessageError("a full state over 4 MiB")
+        raise InvalidMessageError("full state exceeds 4 MiB")
     return _decode(_full_state_decoder, data, fleet)
 
 
@@ -129,5 +129,5 @@
     except (msgspec.DecodeError, RecursionError, ValueError) as error:
         raise InvalidMessageError(str(error)[:MAX_REASON_LENGTH]) from None
     if message.version != VERSION or message.fleet != fleet:
-        raise InvalidMessageError("of another version or fleet")
+        raise InvalidMessageError("message has another version or fleet name")
     return message
--- a/quincepier/membership/probe_intervals.py
+++ b/quincepier/membership/probe_intervals.py
@@ -13,25 +13,26 @@
     """Intervals and timeouts in nanoseconds, and limits as counts.
 
     Attributes:
-        probe_interval_ns: Between the direct probes that one member starts.
-        probe_timeout_ns: For the answer to a direct probe; then other members are asked to probe.
-        indirect_probes: Members asked to probe on this one's behalf.
-        min_suspicion_timeout_ns: From the first suspicion until a member may be declared dead, with
-            `required_suspicions` independent ones. Longer than a process pause of 2 s.
-        max_suspicion_timeout_ns: The same with a single independent suspicion.
-        required_suspicions: Members that must suspect independently, of those that are there.
-        view_change_delay_ns: Changes due within this time of each other are one change of the view.
-        max_view_change_delay_ns: The longest that a change of the view may be delayed to join others.
-        isolation_timeout_ns: A member that heard nobody, or was paused, for this long knows nothing
-            about the others.
-        pause_threshold_ns: A tick that is late by more than this was a pause of this process.
-        max_local_health: The highest local health score; timeouts are multiplied by up to one more.
-        full_sync_interval_ns: Between exchanges of the full state.
-        full_sync_scale_threshold: With more members than this the interval grows in proportion.
-        reconnect_interval_ns: Between probes of a dead member, or of a seed.
-        tombstone_timeout_ns: After which a member that is dead or has left is forgotten.
-        max_members: Members kept in the table.
-        retransmit_multiplier: Times the logarithm of the members: how often one update is sent.
+        probe_interval_ns: Interval between the direct probes that one member sends.
+        probe_timeout_ns: Timeout of a direct probe; after it, other members are asked to probe.
+        indirect_probes: Number of members asked to probe on behalf of this one.
+        min_suspicion_timeout_ns: Time from the first suspicion until a member may be declared dead, given
+            `required_suspicions` independent suspicions. Longer than a process pause of 2 s.
+        max_suspicion_timeout_ns: Upper bound of that time; each independent suspicion shortens it.
+        required_suspicions: Number of members that must suspect a member independently; fewer where fewer
+            live members are left.
+        view_change_delay_ns: Delay of a view change; changes due within it are announced together.
+        max_view_change_delay_ns: Maximum total delay of a view change that waits for further changes.
+        isolation_timeout_ns: A member that received no message, or was paused, for this long regards
+            itself as isolated: its view contains itself only.
+        pause_threshold_ns: A tick late by more than this indicates a pause of this process.
+        max_local_health: Maximum local health score; timeouts are multiplied by up to this score plus 1.
+        full_sync_interval_ns: Interval between exchanges of the full state.
+        full_sync_scale_threshold: Above this number of members the interval grows in proportion.
+        reconnect_interval_ns: Interval between pings of a dead member or a seed.
+        tombstone_timeout_ns: Time after which the record of a dead or departed member is removed.
+        max_members: Maximum number of records in the member table.
+        retransmit_multiplier: An update is sent this many times log2 of the number of members.
     """
 
     probe_interval_ns: int = 200 * MS
--- a/quincepier/membership/probing.py
+++ b/quincepier/membership/probing.py
@@ -12,13 +12,18 @@
 from quincepier.membership.messages import Address, Message, MessageKind
 from quincepier.membership.probe_intervals import ProbeIntervals
 
-MAX_OPEN_PROBES = 256  # of this front's own and on behalf of others
-SEQUENCE_NUMBER_BITS = 40  # of the first, random sequence number
+MAX_OPEN_PROBES = 256  # including those on behalf of other members
+SEQUENCE_NUMBER_BITS = 40  # random bits of the first sequence number
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeRequester:
-    """The member that asked for an indirect probe, and the sequence number of its own probe."""
+    """The member that requested an indirect probe.
+
+    Attributes:
+        address: Its address.
+        sequence_number: The sequence number of the requester's own probe.
+    """
 
     address: Address
     sequence_number: int
@@ -26,15 +31,15 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A probe that was not answered yet.
+    """An unanswered probe.
 
     Attributes:
-        target: The name of the member that is probed.
+        target: The name of the probed member.
         started_ns: When it was sent.
-        requester: The member on whose behalf it is sent, None for a probe of this front's own.
-        is_indirect: Whether other members were asked to probe as well.
-        helper_count: How many were asked.
-        nack_count: How many of them answered that they reach the target no better.
+        requester: The member that requested this probe; None for this front's own probes.
+        is_indirect: Whether other members (helpers) were asked to probe the target too.
+        helper_count: The number of helpers that were asked.
+        nack_count: The number of helpers that reported no answer from the target.
     """
 
     target: str
@@ -46,7 +51,7 @@
 
 
 class Prober:
-    """Probes one member an interval and reports those that answer neither directly nor to others."""
+    """Probes one member per interval and reports members that answer neither direct nor indirect probes."""
 
     def __init__(
         self,
@@ -62,10 +67,10 @@
         Args:
             intervals: Timeouts and limits.
             table: The members to probe.
-            health: The local health, which stretches timeouts.
+            health: The local health score, which multiplies timeouts.
             sender: Sends the datagrams.
-            rng: The source of chance.
-            on_probe_failed: Called with the time and the member that did not answer.
+            rng: The random number generator.
+            on_probe_failed: Called with the time in nanoseconds and the member that did not answer.
         """
         self._intervals = intervals
         self._table = table
@@ -79,15 +84,15 @@
 
     @property
     def open_probe_count(self) -> int:
-        """The number of probes that were not answered yet."""
+        """The number of unanswered probes."""
         return len(self._open_probes)
 
     def deadlines_ns(self) -> list[int]:
-        """Returns when the open probes time out."""
+        """Returns the times when the open probes time out."""
         return [self._deadline_ns(probe) for probe in self._open_probes.values()]
 
     def probe_next_member(self, now_ns: int) -> None:
-        """Probes the next member of the round; a new round takes the live members in random order."""
+        """Probes the next member of the round; a new round visits the live members in random order."""
         self._round = [name for name in self._round if self._is_live(name)]
         if not self._round:
             self._round = [record.name for record in self._table.live_records()]
@@ -104,7 +109,7 @@
             self._ping(now_ns, target, ProbeRequester(message.address, message.sequence_number))
 
     def on_ack(self, now_ns: int, message: Message) -> None:
-        """Ends the probe that a member answered, or another member on its behalf."""
+        """Ends the probe that was answered by its target, or by a helper on the target's behalf."""
         probe = self._matching_probe(message)
         if probe is None or probe.target not in (message.sender, message.target):
             return
@@ -114,7 +119,7 @@
             self._answer_requester(now_ns, MessageKind.ACK, probe.requester, probe.target)
 
     def on_nack(self, message: Message) -> None:
-        """Counts a helper that does not reach the target either."""
+        """Counts a helper that did not reach the target either."""
         probe = self._matching_probe(message)
         if probe is not None:
             probe.nack_count += 1
@@ -126,7 +131,7 @@
                 self._on_timeout(now_ns, sequence_number, probe)
 
     def cancel_all(self) -> None:
-        """Drops the open probes: after a pause of this process their silence proves nothing."""
+        """Drops the open probes; after a pause of this process a missing answer proves nothing."""
         self._open_probes.clear()
 
     def _on_timeout(self, now_ns: int, sequence_number: int, probe: Probe) -> None:
@@ -141,7 +146,7 @@
         else:
             del self._open_probes[sequence_number]
             if probe.helper_count and not probe.nack_count:
-                self._health.record_failure()  # no helper answered at all: this front may be cut off
+                self._health.record_failure()  # no helper answered: this front itself may be unreachable
             self._on_probe_failed(now_ns, target)
 
     def _probe_indirectly(self, now_ns: int, sequence_number: int, probe: Probe) -> None:
--- a/quincepier/membership/reconnection.py
+++ b/quincepier/membership/reconnection.py
@@ -1,4 +1,4 @@
-"""Pings a dead member or a seed now and then, so that the parts of a partitioned fleet find each other."""
+"""Periodically pings a dead member or a seed, so that a fleet merges again after a partition."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Reconnector:
-    """Pings those that are not in the view and might be there."""
+    """Pings dead members and seeds that are not among the live members."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._emit = emit
 
     def reconnect(self, now_ns: int) -> None:
-        """Pings one candidate; where no other member is live, several, and asks each for its full state."""
+        """Pings one candidate; without a live member, pings several and requests the full state of each."""
         live = {record.address for record in self._table.live_records()}
         candidates = [r.address for r in self._table.records() if r.state is MemberState.DEAD]
         candidates += [seed for seed in self._seeds if seed not in live]
--- a/quincepier/membership/suspicion.py
+++ b/quincepier/membership/suspicion.py
@@ -1,8 +1,8 @@
-"""How many independent suspicions, and how much time, it takes to declare a member dead.
+"""The number of independent suspicions and the time that are required to declare a member dead.
 
 After Lifeguard (Dadgar, Phillips, Currey 2018, section IV-B): the timeout shrinks with each independent
-suspicion. After Rapid (Suresh and others, USENIX ATC 2018): one suspicion never suffices where several
-members are left.
+suspicion. After Rapid (Suresh and others, USENIX ATC 2018): one suspicion never suffices while several
+members remain.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
         self._health = health
 
     def required_suspicions(self) -> int:
-        """Returns how many members must agree: fewer where fewer are left who could."""
+        """Returns how many members must suspect a member; fewer where few unsuspected members remain."""
         unsuspected = self._table.live_count - self._table.suspect_count
         return max(min(self._intervals.required_suspicions, unsuspected + 1), 1)
 
     def deadline_ns(self, record: MemberRecord) -> int:
-        """Returns when a suspect may be declared dead: the sooner, the more members suspect it."""
+        """Returns the time from which a suspect may be declared dead; more suspicions make it earlier."""
         shortest = self._intervals.min_suspicion_timeout_ns
         longest = self._intervals.max_suspicion_timeout_ns
         confirmed = min(len(record.suspected_by) / self.required_suspicions(), 1.0)
@@ -34,8 +34,8 @@
         return record.since_ns + timeout_ns * self._health.suspicion_timeout_multiplier
 
     def declare_dead(self, now_ns: int) -> list[MemberRecord]:
-        """Declares the suspects dead whose timeout has run out and returns them."""
-        required = self.required_suspicions()  # of those that were there before any of these goes
+        """Declares the suspects whose timeout has expired dead and returns them."""
+        required = self.required_suspicions()  # computed once, as each death lowers the live count
         dead = []
         for record in self._table.suspects():
             if len(record.suspected_by) >= required and now_ns >= self.deadline_ns(record):
@@ -44,6 +44,6 @@
         return dead
 
     def deadlines_until(self, until_ns: int) -> list[int]:
-        """Returns the deadlines of all suspects that come no later than a time."""
+        """Returns the deadlines of the suspects up to a time, inclusive."""
         deadlines = [self.deadline_ns(record) for record in self._table.suspects()]
         return [deadline for deadline in deadlines if deadline <= until_ns]
--- a/quincepier/membership/view.py
+++ b/quincepier/membership/view.py
@@ -1,7 +1,7 @@
 """The view: the set of live members as it is announced to the rest of the program.
 
-Changes that belong together are announced as one, after Rapid (Suresh and others, USENIX ATC 2018): a change
-is delayed, and delayed further while suspicions are about to time out.
+Related changes are announced as one, after Rapid (Suresh and others, USENIX ATC 2018): a change is delayed,
+and delayed further while suspicions are about to time out.
 """
 
 from __future__ import annotations
@@ -13,7 +13,11 @@
 
 
 class MembershipView:
-    """The names of the members, this front's own among them, and the change that is pending."""
+    """The names of the members, including this front's own, and the pending change.
+
+    Attributes:
+        members: The names in the view announced last.
+    """
 
     def __init__(
         self, own_name: str, intervals: ProbeIntervals, table: MemberTable, suspicion: SuspicionTimeouts
@@ -22,7 +26,7 @@
         self._intervals = intervals
         self._table = table
         self._suspicion = suspicion
-        self._last_live_set_version: int | None = None  # the version of the live set at the last update
+        self._last_live_set_version: int | None = None  # at the last update; None forces the next one
         self._is_isolated = False
         self._pending_since_ns = 0
         self._pending_until_ns: int | None = None
@@ -30,17 +34,17 @@
 
     @property
     def pending_until_ns(self) -> int | None:
-        """When the pending change is to be announced, None without one."""
+        """When the pending change is to be announced; None without a pending change."""
         return self._pending_until_ns
 
     def on_contact(self) -> None:
-        """Another member was heard: what the table says of the others counts."""
+        """Ends the isolation after a message of another member: the view follows the member table again."""
         if self._is_isolated:
             self._is_isolated = False
             self._last_live_set_version = None
 
     def isolate(self) -> ViewChanged | None:
-        """Reduces the view to this front alone, at once, until another member is heard again."""
+        """Reduces the view to this front only, at once, until a message of another member is received."""
         self._is_isolated = True
         self._pending_until_ns = None
         if self.members == {self._own_name}:
@@ -48,7 +52,7 @@
         return self._announce({self._own_name})
 
     def update(self, now_ns: int) -> ViewChanged | None:
-        """Returns the change of the view that is due now, if there is one."""
+        """Returns the view change that is due now; None if no change is due."""
         is_unchanged = self._table.live_set_version == self._last_live_set_version
         if is_unchanged and self._pending_until_ns is None:
             return None
@@ -67,7 +71,7 @@
         return {self._own_name, *(record.name for record in self._table.live_records())}
 
     def _postpone(self, now_ns: int) -> int:
-        """Delays the pending change so that suspicions about to time out join it; returns until when."""
+        """Delays the pending change to include suspicions about to time out; returns its new time."""
         delay_ns = self._intervals.view_change_delay_ns
         if self._pending_until_ns is None:
             self._pending_since_ns = now_ns
--- a/tests/test_peer_network.py
+++ b/tests/test_peer_network.py
@@ -80,7 +80,7 @@
         ("{fleet: web, fronts: {a: '10.0.0.1:7400', b: '10.0.0.1:7400'}}", "10.0.0.1:7400 twice"),
         ("{fleet: web, fronts: {a: 'host:7400'}}", "write an IP address and a port"),
         ("{fleet: web, fronts: {a: '10.0.0.1:0'}}", "write an IP address and a port"),
-        ("{fleet: web, fronts: {a: '0.0.0.0:7400'}}", "none where a front is found"),
+        ("{fleet: web, fronts: {a: '0.0.0.0:7400'}}", "no front can be reached at them"),
         ("{fleet: web, port: 1, fronts: {a: '10.0.0.1:7400'}}", "no such key"),
     ],
 )
