--- a/quincepier/membership/section.py
+++ b/quincepier/membership/section.py
@@ -98,7 +98,9 @@
     def _check_fronts(self) -> None:
         for name in self.fronts:
             if not 0 < len(name) <= MAX_NAME_LENGTH:
-                raise ValueError(f"fronts has a name of {len(name)} characters; 1 to {MAX_NAME_LENGTH} are allowed")
+                raise ValueError(
+                    f"fronts has a name of {len(name)} characters; 1 to {MAX_NAME_LENGTH} are allowed"
+                )
         endpoints = list(self.fronts.values())
         if len(set(endpoints)) < len(endpoints):
             duplicate = next(endpoint for endpoint in endpoints if endpoints.count(endpoint) > 1)
--- a/quincepier/net/peers/__init__.py
+++ b/quincepier/net/peers/__init__.py
@@ -1,8 +1,9 @@
-"""The network between the fronts: datagrams for the failure detector, one stream a pair for all else.
+"""The network between the fronts: datagrams for the failure detector, one TCP stream per pair for the rest.
 
-It runs the failure detector of `quincepier.membership` and carries frames on numbered channels, at most once
-and in order on a stream. It neither decides who is a member nor reads the data of a frame. Start with
-`peer_network.py`; docs/membership.md and docs/agreement.md.
+The package runs the failure detector of `quincepier.membership` and transfers frames on numbered channels. A
+frame is delivered at most once, and frames of one stream are delivered in order. The package does not decide
+which fronts are members and does not read the data of frames. Start with `peer_network.py`; see also
+docs/membership.md and docs/agreement.md.
 """
 
 from quincepier.net.peers.frames import MAX_FRAME_BYTES, PeersError
--- a/quincepier/net/peers/background_tasks.py
+++ b/quincepier/net/peers/background_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks that a part of the peer network has started and that nobody awaits."""
+"""Background tasks of the peer network that no caller awaits."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BackgroundTasks:
-    """Owns its tasks until they end; an exception that ends one is logged as a defect."""
+    """Keeps references to tasks until they end; an exception that ends a task is logged as a defect."""
 
     def __init__(self, checks: Checks, defect_event: str) -> None:
         self._checks = checks
@@ -19,9 +19,9 @@
     def __len__(self) -> int:
         return len(self._tasks)
 
-    def start(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
-        """Starts a task."""
-        task = asyncio.get_running_loop().create_task(work)
+    def start(self, coroutine: Coroutine[object, object, None]) -> asyncio.Task[None]:
+        """Starts a task that runs the coroutine."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
--- a/quincepier/net/peers/datagram_socket.py
+++ b/quincepier/net/peers/datagram_socket.py
@@ -9,11 +9,11 @@
 from quincepier.checks import Checks
 from quincepier.net.peers.address_book import Address, is_ip_address
 
-RECEIVE_BUFFER_BYTES = 1 << 20  # for datagrams that arrive while this process is paused
+RECEIVE_BUFFER_BYTES = 1 << 20  # holds datagrams that arrive during a process pause
 
 
 class DatagramSocket(asyncio.DatagramProtocol):
-    """Sends and receives datagrams; what can't be sent is dropped and counted."""
+    """Sends and receives datagrams; a datagram that can't be sent is dropped and counted."""
 
     def __init__(self, on_datagram: Callable[[bytes], None], checks: Checks) -> None:
         self._on_datagram = on_datagram
@@ -33,12 +33,12 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
 
     def send(self, data: bytes, address: Address) -> None:
-        """Sends a datagram to an IP address."""
+        """Sends a datagram; it is ignored if the socket is not open or the host is not an IP address."""
         if self._transport is None or not is_ip_address(address[0]):
             return
         try:
             self._transport.sendto(data, address)
-        except (OSError, ValueError, TypeError):  # of another address family than the socket's, for one
+        except (OSError, ValueError, TypeError):  # such as an address of another family than the socket's
             self.count_unsent()
 
     def close(self) -> None:
@@ -51,9 +51,9 @@
         self._checks.count("peer_datagrams_not_sent")
 
     def datagram_received(self, data: bytes, address: object) -> None:  # noqa: ARG002 - asyncio's interface
-        """Hands a datagram on; the sender's address proves nothing."""
+        """Passes a datagram on; the source address is ignored, as it can be forged."""
         self._on_datagram(data)
 
     def error_received(self, error: Exception) -> None:  # noqa: ARG002 - asyncio's interface
-        """Counts a datagram that the system refused, or that the other side did."""
+        """Counts a datagram that the operating system or the remote host refused."""
         self.count_unsent()
--- a/quincepier/net/peers/detector_actor.py
+++ b/quincepier/net/peers/detector_actor.py
@@ -13,7 +13,7 @@
 
 
 class DetectorActor:
-    """Gives the detector its ticks and datagrams and has its actions performed."""
+    """Passes ticks and datagrams to the failure detector and performs its actions."""
 
     def __init__(self, intervals: ProbeIntervals, perform: Callable[[Action], None], checks: Checks) -> None:
         self._intervals = intervals
@@ -24,13 +24,13 @@
         self._last_tick_ns = clock.now()
 
     def start(self, detector: FailureDetector, now_ns: int) -> None:
-        """Runs a detector that was made at a time, from now on."""
+        """Starts to run a detector that was created at `now_ns`."""
         self._detector = detector
         self._last_tick_ns = now_ns
         self._on_timer()
 
     def leave(self) -> None:
-        """Has the detector announce that this front leaves, and stops."""
+        """Announces through the detector that this front leaves, and stops the detector."""
         if self._timer is not None:
             self._timer.cancel()
         if self._detector is None:
@@ -43,15 +43,15 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether there is a detector."""
+        """Whether a detector is running."""
         return self._detector is not None
 
     def record_of(self, name: str) -> MemberRecord | None:
-        """Returns what is known of a member."""
+        """Returns the record of a member; None if the member is unknown."""
         return self._detector.record_of(name) if self._detector is not None else None
 
     def records(self) -> Collection[MemberRecord]:
-        """Returns what is known of all other members."""
+        """Returns the records of all other members."""
         return self._detector.records() if self._detector is not None else ()
 
     def on_datagram(self, data: bytes) -> None:
@@ -61,7 +61,7 @@
             return
         try:
             if clock.now() - self._last_tick_ns > self._max_tick_interval_ns:
-                # After a pause the detector learns of the pause before it hears what waited.
+                # After a process pause the detector must detect it before it handles the queued datagrams.
                 self._tick(detector)
             rejected = detector.rejected_count
             self._perform_all(detector.on_datagram(clock.now(), data))
@@ -81,7 +81,7 @@
             self._checks.count("peer_full_states_rejected")
 
     def encode_full_state(self) -> bytes:
-        """Returns this front's full state, empty where there is no detector."""
+        """Returns this front's full state; empty if no detector is running."""
         return self._detector.encode_full_state(clock.now()) if self._detector is not None else b""
 
     @property
--- a/quincepier/net/peers/frames.py
+++ b/quincepier/net/peers/frames.py
@@ -1,4 +1,4 @@
-"""Frames on a stream between two fronts: two bytes of length, a header in msgpack, then the data. No I/O."""
+"""Frames of a stream between two fronts: header length (two bytes), msgpack header, data. No I/O."""
 
 from __future__ import annotations
 
@@ -10,24 +10,32 @@
 from quincepier.errors import QuincepierError
 
 VERSION = 1
-MAX_FRAME_BYTES = 2 * 1024 * 1024  # of data in one frame
-MAX_HEADER_BYTES = 400  # two names of 64 characters and the numbers take less
+MAX_FRAME_BYTES = 2 * 1024 * 1024  # maximum data in one frame
+MAX_HEADER_BYTES = 400  # more than two names of 64 characters and the numbers take
 LENGTH_BYTES = 2
 CHANNEL_COUNT = 256
-MAX_REASON_LENGTH = 100  # characters of a decoder's own error text
+MAX_REASON_LENGTH = 100  # characters of the decoder's error text that are kept
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 
 
 class PeersError(QuincepierError):
-    """A stream that breaks the protocol, or a setting by which no front can be found."""
+    """A stream violates the protocol, or a setting makes fronts unreachable."""
 
     code = "QP-PEERS"
     remedy = "check `fleet`, `fronts` and `listen` of the section `members`, and that all run the same build"
 
 
 class FrameHeader(msgspec.Struct, frozen=True, array_like=True):
-    """Who sends a frame, on which channel, and how many bytes of data follow."""
+    """The header of a frame.
+
+    Attributes:
+        version: The protocol version.
+        fleet: The fleet's name.
+        sender: The sending front's name.
+        channel: The channel's number.
+        size: The number of data bytes that follow the header.
+    """
 
     version: int
     fleet: Name
@@ -38,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Frame:
-    """One frame as it was received."""
+    """A received frame."""
 
     header: FrameHeader
     data: bytes
@@ -49,13 +57,13 @@
 
 
 def encode_frame(fleet: str, sender: str, channel: int, data: bytes) -> bytes:
-    """Encodes a frame with its header."""
+    """Returns an encoded frame: length, header and data."""
     header = _header_encoder.encode(FrameHeader(VERSION, fleet, sender, channel, len(data)))
     return len(header).to_bytes(LENGTH_BYTES, "big") + header + data
 
 
 class FrameDecoder:
-    """Splits a stream of bytes into frames; keeps one partial frame and what came with its last bytes."""
+    """Splits a byte stream into frames; buffers the bytes of one incomplete frame."""
 
     def __init__(self, fleet: str) -> None:
         self._fleet = fleet
@@ -64,19 +72,19 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """The number of bytes kept for a frame that is not complete."""
+        """The number of buffered bytes of an incomplete frame."""
         return len(self._buffer)
 
     @property
     def has_partial_frame(self) -> bool:
-        """Whether a frame has begun and is not complete."""
+        """Whether part of a frame was received."""
         return self._header is not None or bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Takes received bytes in and returns the frames that are complete.
+        """Adds received bytes and returns the frames that are now complete.
 
         Raises:
-            PeersError: The bytes are no frame of this fleet and version; the stream must be closed.
+            PeersError: The bytes are not a frame of this fleet and version; the stream must be closed.
         """
         self._buffer += data
         frames = []
@@ -99,13 +107,13 @@
         return frames
 
     def _header_size(self, offset: int) -> int | None:
-        """Returns the size of the header at an offset, or None until all of it was received."""
+        """Returns the size of the header at an offset; None until the whole header was received."""
         available = len(self._buffer) - offset
         if available < LENGTH_BYTES:
             return None
         size = int.from_bytes(self._buffer[offset : offset + LENGTH_BYTES], "big")
         if not 0 < size <= MAX_HEADER_BYTES:
-            raise PeersError(f"a frame's head of {size} bytes")
+            raise PeersError(f"invalid frame header size: {size} bytes")
         return size if available >= LENGTH_BYTES + size else None
 
     def _decode_header(self, data: bytes) -> FrameHeader:
@@ -113,7 +121,7 @@
             header = _header_decoder.decode(data)
         except (msgspec.DecodeError, RecursionError, ValueError) as error:
             reason = str(error)[:MAX_REASON_LENGTH]
-            raise PeersError(f"a frame's head is malformed: {reason}") from None
+            raise PeersError(f"malformed frame header: {reason}") from None
         if header.version != VERSION or header.fleet != self._fleet:
-            raise PeersError(f"a frame of fleet {header.fleet!r}, version {header.version}")
+            raise PeersError(f"a frame with fleet {header.fleet!r}, version {header.version}")
         return header
--- a/quincepier/net/peers/peer_network.py
+++ b/quincepier/net/peers/peer_network.py
@@ -1,4 +1,4 @@
-"""This front among the others: membership over UDP, and frames on numbered channels over TCP streams."""
+"""The network to the other fronts: membership over UDP, frames on numbered channels over TCP streams."""
 
 from __future__ import annotations
 
@@ -36,31 +36,31 @@
 
 MAX_LOGGED_NAMES = 100
 OWN_SOCKETS = 2  # the UDP socket and the TCP listener
-INCARNATION_RANDOM_BITS = 10  # beside Unix milliseconds, for two starts within one
+INCARNATION_RANDOM_BITS = 10  # below the Unix milliseconds, to distinguish two starts within one millisecond
 
 
 class PeerNetwork:
-    """The other fronts as this one sees and reaches them; no socket is open before `start`.
+    """Membership of this front and its streams to the others; no socket is open before `start`.
 
     Args:
         fleet: The fleet's name.
         name: This front's name.
-        listen_address: Where it listens.
+        listen_address: The address on which this front listens.
         checks: Counters and log events.
-        descriptors: The account of sockets.
-        seed: Of the source of chance.
-        announced_address: Where others reach this front, if not at `listen_address`.
-        addresses: Where this front reaches others, by name.
-        seeds: More addresses to find the fleet by.
-        intervals: Of the failure detector, if not the usual ones.
+        descriptors: Counts open sockets.
+        seed: Seed of the random number generator.
+        announced_address: The address at which others reach this front; `listen_address` if None.
+        addresses: Addresses at which this front reaches the others, by name.
+        seeds: Further addresses that are contacted to join the fleet.
+        intervals: Intervals and limits of the failure detector; the defaults if None.
 
     Attributes:
         name: This front's name.
-        listen_address: Where it listens, UDP and TCP.
-        intervals: Of the failure detector.
+        listen_address: The address on which it listens, for UDP and TCP.
+        intervals: Intervals and limits of the failure detector.
         checks: Counters and log events.
         streams: The streams to the others.
-        view: The members' names in order, this front's own among them.
+        view: The members' names, sorted, including this front's own.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
 
     @classmethod
     def from_section(cls, section: MembersSection, config: FrontConfig, means: Means) -> PeerNetwork:
-        """Makes the network that the operators' file describes.
+        """Creates the network from the section `members` of the operators' file.
 
         Raises:
             PeersError: The section has no endpoint for a front of this name.
@@ -112,7 +112,7 @@
         announced = section.announced_endpoint(config.name)
         if listen is None or announced is None:
             raise PeersError(
-                f"no place for a front named {config.name!r}", "members.fronts", "add a line, or `listen`"
+                f"no endpoint for a front named {config.name!r}", "members.fronts", "add a line, or `listen`"
             )
         return cls(
             section.fleet,
@@ -127,7 +127,7 @@
         )
 
     async def start(self) -> None:
-        """Listens and joins the fleet.
+        """Opens the sockets and joins the fleet.
 
         Raises:
             PeersError: The listen address can't be bound.
@@ -139,7 +139,7 @@
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def leave(self) -> None:
-        """Announces that this front leaves and closes; what was written to streams is still sent."""
+        """Announces that this front leaves and closes; data already written to streams is still sent."""
         if not self._detector.is_running:
             return
         if self._sweep_timer is not None:
@@ -148,43 +148,43 @@
         self.streams.close()
         if self._server is not None:
             self._server.close()
-        await asyncio.sleep(0)  # the loop sends the datagrams before the socket closes
+        await asyncio.sleep(0)  # lets the loop send the datagrams before the socket closes
         self._socket.close()
         self._descriptors.cache(-OWN_SOCKETS)
 
     def add_view_listener(self, listener: Callable[[ViewChanged], None]) -> None:
-        """Has a function called with each change, after `view` is the new one."""
+        """Registers a function that is called with each view change, after `view` was updated."""
         self._view_listeners.append(listener)
 
     def register_channel(self, channel: int, on_frame: Callable[[str, bytes], None]) -> None:
-        """Has a function called with the sender's name and the data of each frame of a channel.
+        """Registers a function that is called with the sender's name and the data of each frame of a channel.
 
         Args:
-            channel: 1 to 255.
+            channel: The channel's number, 1 to 255.
             on_frame: The function.
 
         Raises:
-            PeersError: The channel is registered already, or out of range.
+            PeersError: The channel is already registered or out of range.
         """
         if not state_sync.CHANNEL < channel < CHANNEL_COUNT or channel in self._frame_handlers:
-            raise PeersError(f"channel {channel} is taken, or none")
+            raise PeersError(f"channel {channel} is already registered or out of range")
         self._frame_handlers[channel] = on_frame
 
     def send(self, name: str, channel: int, data: bytes) -> bool:
-        """Sends a frame of at most 2 MiB, at most once and in order on a stream.
+        """Sends a frame of at most 2 MiB; it is delivered at most once, in order with others of its stream.
 
         Returns:
-            False where it was dropped, as the peer can't be reached or its queue is full. True does not
-            promise that it arrives.
+            False if the frame was dropped because the peer can't be reached or its queue is full. True does
+            not guarantee delivery.
         """
         return self.streams.send(name, channel, data)
 
     def add_address(self, name: str, address: Address) -> None:
-        """Adds where a front is reached that need not be in the view."""
+        """Adds the address of a front, which need not be in the view."""
         self._addresses.add(name, address)
 
     def recently_dead(self, max_age_ns: int) -> frozenset[str]:
-        """Returns the members declared dead within the last nanoseconds; none that announced its leave."""
+        """Returns the members declared dead at most `max_age_ns` ago; members that left are not included."""
         now_ns = clock.now()
         return frozenset(
             record.name
@@ -193,7 +193,7 @@
         )
 
     def departed_members(self) -> list[str]:
-        """Returns the members that announced that they leave."""
+        """Returns the members that announced their leave."""
         return [record.name for record in self._detector.records() if record.state is MemberState.LEFT]
 
     async def _open_sockets(self) -> None:
@@ -207,7 +207,7 @@
             self._socket.close()
             reason = os.strerror(error.errno or 0)
             raise PeersError(
-                f"can't listen: {reason}", self._listen_text, "find the process that has it"
+                f"can't listen: {reason}", self._listen_text, "find the process that uses this address"
             ) from None
         self._descriptors.cache(OWN_SOCKETS)
         logger.bind(
@@ -254,7 +254,7 @@
         for listener in self._view_listeners:
             try:
                 listener(change)
-            except Exception as error:  # noqa: BLE001 - a listener's defect must not keep it from the others
+            except Exception as error:  # noqa: BLE001 - a listener's defect must not stop the others
                 self._log_defect(error)
 
     def _on_frame(self, sender: str, channel: int, data: bytes) -> None:
--- a/quincepier/net/peers/peer_stream.py
+++ b/quincepier/net/peers/peer_stream.py
@@ -1,4 +1,4 @@
-"""One TCP stream to another front, as an asyncio protocol that cuts what it receives into frames."""
+"""One TCP stream to another front, as an asyncio protocol that splits the received bytes into frames."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 from quincepier import clock
 from quincepier.net.peers.frames import Frame, FrameDecoder, PeersError
 
-WRITE_BUFFER_BYTES = 256 << 10  # in the transport before a peer that does not read counts as stalled
+WRITE_BUFFER_BYTES = 256 << 10  # unsent bytes in the transport from which the stream counts as stalled
 
 
 class PeerStreamListener(Protocol):
-    """Who is told what happens on a stream."""
+    """Receives the events of streams."""
 
     def on_opened(self, stream: PeerStream) -> None:
-        """The stream is connected."""
+        """Called when the stream is connected."""
 
     def on_frame(self, stream: PeerStream, frame: Frame) -> None:
-        """A frame was received; raises PeersError where the stream must be closed."""
+        """Called with a received frame; raises PeersError if the stream must be closed."""
 
     def on_rejected(self, error: PeersError) -> None:
-        """The peer broke the protocol; the stream is being aborted."""
+        """Called when the peer violated the protocol, before the stream is aborted."""
 
     def on_writable(self, stream: PeerStream) -> None:
-        """The peer reads again after a stall."""
+        """Called when the peer reads again after a stall."""
 
     def on_closed(self, stream: PeerStream) -> None:
-        """The stream has ended."""
+        """Called when the stream has closed."""
 
 
 class PeerStream(asyncio.Protocol):
     """A connection to another front.
 
     Attributes:
-        is_dialled: Whether this front opened it.
-        opened_at_ns: When it was created.
+        is_dialled: Whether this front opened the connection.
+        opened_at_ns: When this object was created.
     """
 
     def __init__(
@@ -53,42 +53,42 @@
 
     @property
     def name(self) -> str:
-        """The peer's name, empty until the first frame of a stream that the peer dialled."""
+        """The peer's name; empty until the first frame if it was not known at creation."""
         return self._name
 
     @property
     def last_used_ns(self) -> int:
-        """When data was last sent or received, or the close began."""
+        """When data was last sent or received, or when closing began."""
         return self._last_used_ns
 
     @property
     def stalled_since_ns(self) -> int:
-        """Since when the peer reads nothing more, 0 while it reads."""
+        """The time since which the stream is stalled; 0 if it is not."""
         return self._stalled_since_ns
 
     @property
     def is_closing(self) -> bool:
-        """Whether nothing more is to be sent."""
+        """Whether the stream is closing; no more data must be sent."""
         return self._is_closing
 
     @property
     def is_connected(self) -> bool:
-        """Whether the connection is up."""
+        """Whether the connection is established."""
         return self._transport is not None
 
     @property
     def is_stalled(self) -> bool:
-        """Whether the peer reads nothing more at the moment."""
+        """Whether the write buffer is full because the peer does not read."""
         return self._stalled_since_ns != 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Takes the transport."""
+        """Stores the transport and notifies the listener."""
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self._listener.on_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hands complete frames to the listener; aborts where the peer breaks the protocol."""
+        """Passes complete frames to the listener; aborts the stream if the peer violates the protocol."""
         self._last_used_ns = clock.now()
         try:
             for frame in self._decoder.feed(data):
@@ -100,46 +100,46 @@
             self.abort()
 
     def pause_writing(self) -> None:
-        """The write buffer is full: the peer does not read."""
+        """Marks the stream as stalled: the write buffer is full."""
         self._stalled_since_ns = clock.now()
 
     def resume_writing(self) -> None:
-        """The write buffer has drained."""
+        """Ends the stall after the write buffer has drained."""
         self._stalled_since_ns = 0
         self._listener.on_writable(self)
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's interface
-        """Tells the listener, once."""
+        """Notifies the listener, once."""
         if self._transport is not None:
             self._transport = None
             self._is_closing = True
             self._listener.on_closed(self)
 
     def identify(self, name: str) -> None:
-        """Takes the peer's name from its first frame."""
+        """Sets the peer's name, known from its first frame."""
         self._name = name
 
     def write(self, data: bytes) -> None:
-        """Sends bytes, if the connection is up."""
+        """Writes bytes; they are dropped if the connection is not established."""
         if self._transport is not None:
             self._last_used_ns = clock.now()
             self._transport.write(data)
 
     def restart_timeouts(self, now_ns: int) -> None:
-        """Counts idle time and a stall from now on: this process was paused."""
+        """Restarts the idle and stall times at `now_ns`, after a pause of this process."""
         self._last_used_ns = now_ns
         if self.is_stalled:
             self._stalled_since_ns = now_ns
 
     def close(self) -> None:
-        """Closes it once what was written is sent."""
+        """Closes the stream after the written data is sent."""
         if self._transport is not None and not self._is_closing:
             self._is_closing = True
             self._last_used_ns = clock.now()
             self._transport.close()
 
     def abort(self) -> None:
-        """Closes it at once and drops what was not sent."""
+        """Closes the stream at once and drops unsent data."""
         if self._transport is not None:
             self._is_closing = True
             self._transport.abort()
--- a/quincepier/net/peers/peer_stream_queue.py
+++ b/quincepier/net/peers/peer_stream_queue.py
@@ -1,4 +1,4 @@
-"""What is on its way to one peer: its stream, the frames that wait for it, and the backoff between dials."""
+"""The outgoing state of one peer: its stream, the queued frames, and the backoff between dials."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 MAX_QUEUED_BYTES = 4 << 20  # for one peer
 MAX_TOTAL_QUEUED_BYTES = 64 << 20  # for all peers
 MAX_QUEUED_FRAMES = 4096
-MIN_BACKOFF_S = 0.1  # between dials of a peer that can't be reached; doubled with each failure
+MIN_BACKOFF_S = 0.1  # between dials of an unreachable peer; doubled after each failure
 MAX_BACKOFF_S = 1.0
 MAX_COUNTED_FAILURES = 10
 
 
 class QueuedBytes:
-    """The size of the frames that wait for all peers together."""
+    """The total size of the queued frames of all peers."""
 
     def __init__(self) -> None:
         self._total = 0
 
     @property
     def total(self) -> int:
-        """The bytes that wait."""
+        """The number of queued bytes."""
         return self._total
 
     def has_space_for(self, data: bytes) -> bool:
-        """Whether one more frame may wait."""
+        """Whether a frame may be queued within the total limit."""
         return self._total + len(data) <= MAX_TOTAL_QUEUED_BYTES
 
     def add(self, count: int) -> None:
-        """Counts bytes that wait from now on, or, negative, that do no longer."""
+        """Adds queued bytes; negative for bytes that have left a queue."""
         self._total += count
 
 
 class PeerStreamQueue:
-    """The frames that wait for the stream to one peer.
+    """The queued frames and the stream to one peer.
 
     Attributes:
         name: The peer's name.
@@ -61,54 +61,54 @@
         self._frames = deque[bytes]()
         self._queued_bytes = 0
         self._total_queued_bytes = total_queued_bytes
-        self._failed_dials = 0  # in a row
+        self._failed_dials = 0  # consecutive
         self._retry_at_ns = 0
 
     @property
     def stream(self) -> PeerStream | None:
-        """The stream that frames are written to, None while there is none."""
+        """The stream to which frames are written; None without a stream."""
         return self._stream
 
     @property
     def is_dialling(self) -> bool:
-        """Whether a dial is under way."""
+        """Whether a dial is in progress."""
         return self._is_dialling
 
     @property
     def is_empty(self) -> bool:
-        """Whether no frame waits."""
+        """Whether no frame is queued."""
         return not self._frames
 
     def is_backing_off(self, now_ns: int) -> bool:
-        """Whether the peer is not to be dialled yet."""
+        """Whether the peer must not be dialled yet, after a failed dial."""
         return now_ns < self._retry_at_ns
 
     def is_unused(self, now_ns: int) -> bool:
-        """Whether nothing is lost when it is dropped."""
+        """Whether the queue can be removed: no stream, dial, queued frame or backoff."""
         has_work = self._stream is not None or self._is_dialling or bool(self._frames)
         return not has_work and now_ns > self._retry_at_ns
 
     def has_space_for(self, data: bytes) -> bool:
-        """Whether one more frame may wait."""
+        """Whether a frame may be queued within the limits of this peer and of all peers."""
         if len(self._frames) >= MAX_QUEUED_FRAMES or self._queued_bytes + len(data) > MAX_QUEUED_BYTES:
             return False
         return self._total_queued_bytes.has_space_for(data)
 
     def attach(self, stream: PeerStream) -> None:
-        """Writes to this stream from now on, first what waits."""
+        """Sets the stream and writes the queued frames to it."""
         self._stream = stream
         self.flush()
 
     def detach(self) -> None:
-        """The stream has ended."""
+        """Removes the stream after it has closed."""
         self._stream = None
 
     def begin_dial(self) -> None:
-        """A dial is under way from now on."""
+        """Records that a dial has started."""
         self._is_dialling = True
 
     def end_dial(self) -> None:
-        """The dial has ended."""
+        """Records that the dial has ended."""
         self._is_dialling = False
 
     def append(self, data: bytes) -> None:
@@ -117,7 +117,7 @@
         self._count_bytes(len(data))
 
     def flush(self) -> None:
-        """Writes queued frames to the stream while its peer reads."""
+        """Writes queued frames to the stream until it is stalled."""
         stream = self._stream
         while self._frames and stream is not None and stream.is_connected and not stream.is_stalled:
             data = self._frames.popleft()
@@ -125,7 +125,7 @@
             stream.write(data)
 
     def clear(self) -> int:
-        """Drops all queued frames and returns how many there were."""
+        """Drops all queued frames and returns their number."""
         dropped = len(self._frames)
         self._frames.clear()
         self._count_bytes(-self._queued_bytes)
@@ -138,7 +138,7 @@
         self._retry_at_ns = clock.now() + int(backoff_s * clock.SECOND)
 
     def record_contact(self) -> None:
-        """The peer was heard: it may be dialled at once."""
+        """Resets the backoff after a frame of the peer was received."""
         self._failed_dials = 0
         self._retry_at_ns = 0
 
--- a/quincepier/net/peers/quota_allocator.py
+++ b/quincepier/net/peers/quota_allocator.py
@@ -1,4 +1,4 @@
-"""Scales the settings of the decisions to this front's quota of what all fronts share."""
+"""Scales the router's settings to this front's quota of the limits that all fronts share."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 
 
 def scale_settings(settings: Settings, front_count: int) -> Settings:
-    """Returns the settings for a number of fronts; zones keep their proportions, rounded up."""
+    """Returns the settings for a number of fronts; the counts per zone are scaled and rounded up."""
     configured = max(settings.fronts, 1)
     by_zone = tuple(-(-count * front_count // configured) for count in settings.fronts_by_zone)
     return replace(settings, fronts=front_count, fronts_by_zone=by_zone)
 
 
 class QuotaAllocator:
-    """Follows the view and the quota lease; a change counts from the next decision on."""
+    """Updates the router's settings after changes of the view or the quota lease.
+
+    A change applies from the next decision on.
+    """
 
     def __init__(self, module: ModuleActor, peers: PeerNetwork) -> None:
         self._module = module
@@ -36,17 +39,17 @@
         peers.add_view_listener(self.on_view_changed)
 
     def use_leases(self, holder: QuotaHolder) -> None:
-        """Takes the quota from the lease of a holder; `update` is to be called as a lease comes or ends."""
+        """Takes the quota from a lease holder from now on; call `update` when a lease starts or ends."""
         self._holder = holder
         self.update()
 
     def on_view_changed(self, change: ViewChanged) -> None:
-        """Counts the members anew."""
+        """Updates the number of members."""
         self._live_count.on_view_changed(clock.now(), change.members, self._peers.departed_members())
         self.update()
 
     def update(self) -> None:
-        """Puts the quota as it is now into the settings of the decisions."""
+        """Applies the current quota to the router's settings."""
         front_count = math.ceil(1 / self._current_quota())
         if front_count != self._front_count:
             self._front_count = front_count
--- a/quincepier/net/peers/state_sync.py
+++ b/quincepier/net/peers/state_sync.py
@@ -8,12 +8,12 @@
 from quincepier.net.peers.stream_pool import StreamPool
 
 CHANNEL = 0
-REQUEST = b"?"  # first byte of a state that asks for the receiver's own
-RESPONSE = b"="
+REQUEST = b"?"  # first byte of a frame that also requests the receiver's state
+RESPONSE = b"="  # first byte of the answer to a request
 
 
 class StateSync:
-    """Sends this front's full state and merges what others send."""
+    """Sends this front's full state and merges the states of others."""
 
     def __init__(
         self, detector: DetectorActor, addresses: AddressBook, streams: StreamPool, checks: Checks
@@ -24,7 +24,7 @@
         self._checks = checks
 
     def start(self, address: Address) -> None:
-        """Sends the full state to whoever announces an address and asks for its own."""
+        """Sends the full state to the member that announces an address and requests its state."""
         if not self._detector.is_running:
             return
         request = REQUEST + self._detector.encode_full_state()
@@ -37,7 +37,7 @@
             self._checks.count("peer_datagrams_not_sent")
 
     def on_frame(self, sender: str, data: bytes) -> None:
-        """Merges a received state, and answers a request with this front's own."""
+        """Merges a received state; answers a request with this front's state."""
         if not self._detector.is_running:
             return
         self._detector.merge_full_state(data[1:])
--- a/quincepier/net/peers/stream_pool.py
+++ b/quincepier/net/peers/stream_pool.py
@@ -1,7 +1,8 @@
-"""The streams to all peers: one a pair, dialled when there is something to send, closed when idle.
+"""The streams to all peers: one per pair of fronts, dialled when a frame is to be sent, closed when idle.
 
-Where both sides dial at once, the stream that the front with the lower name dialled stays. A frame is written
-to one stream once: what a broken stream had not delivered is lost, and the users of a channel send it again.
+If both sides dial at the same time, the stream dialled by the front with the lower name is kept. A frame is
+written to one stream once: frames that a broken stream had not delivered are lost, and the users of a channel
+must send them again.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 MAX_PEERS = 4096
 MAX_STREAMS = 1024
 MIN_STREAM_LIMIT = 8
-MAX_DIALS_TO_UNNAMED = 8  # dials at once to addresses whose front is not known yet
+MAX_DIALS_TO_UNNAMED = 8  # concurrent dials to addresses of unknown fronts
 DIAL_TIMEOUT_S = 1.0
-FAILED_DIAL_AGE_NS = clock.SECOND  # a dialled stream that ends sooner counts as a failed dial
-MIN_EVICTION_IDLE_NS = clock.SECOND  # a stream used more recently is not closed in favour of another
+FAILED_DIAL_AGE_NS = clock.SECOND  # a dialled stream that closes sooner counts as a failed dial
+MIN_EVICTION_IDLE_NS = clock.SECOND  # a stream used more recently is not closed to make room for another
 IDLE_TIMEOUT_NS = 30 * clock.SECOND
 STALL_TIMEOUT_NS = 5 * clock.SECOND
 FIRST_FRAME_TIMEOUT_NS = 5 * clock.SECOND
@@ -35,7 +36,7 @@
 
 
 class StreamPool:
-    """Sends frames to peers by name, and hands received ones on."""
+    """Sends frames to peers by name and passes received frames on."""
 
     def __init__(
         self,
@@ -52,11 +53,11 @@
         Args:
             fleet: The fleet's name.
             own_name: This front's name.
-            find_address: Returns where a peer is reached, None where that is not known.
+            find_address: Returns the address of a peer by name; None if it is unknown.
             on_frame: Called with a received frame's sender, channel and data; must not raise.
             checks: Counters and log events.
-            descriptors: The account of sockets.
-            rng: The source of jitter.
+            descriptors: Counts open sockets.
+            rng: The random number generator for jitter.
         """
         self._fleet = fleet
         self._own_name = own_name
@@ -80,11 +81,11 @@
 
     @property
     def queued_bytes(self) -> int:
-        """The size of the frames that wait for a stream, of all peers."""
+        """The total size in bytes of the queued frames of all peers."""
         return self._queued_bytes.total
 
     def send(self, name: str, channel: int, data: bytes) -> bool:
-        """Sends a frame to a peer; returns whether it was written to a stream, or waits for one."""
+        """Sends a frame to a peer; returns whether it was written to a stream or queued."""
         if self._is_closed or name == self._own_name or len(data) > MAX_FRAME_BYTES:
             return self._drop("unsendable")
         queue = self._queue_for(name)
@@ -104,22 +105,22 @@
         return True
 
     def send_to_address(self, address: Address, channel: int, data: bytes) -> None:
-        """Sends one frame to whoever is at an address; its name is learned from its answer."""
+        """Sends a frame to the front at an address; its name is learned from its response."""
         if not self._is_closed and len(self._dials) < MAX_DIALS_TO_UNNAMED + len(self._queues):
             frame = encode_frame(self._fleet, self._own_name, channel, data)
             self._dials.start(self._dial_address(address, frame))
 
     def accept(self) -> PeerStream:
-        """Returns the protocol of a stream that a peer dialled."""
+        """Returns the asyncio protocol for a stream that a peer dialled."""
         return PeerStream(self, self._fleet)
 
     def sweep(self) -> None:
-        """Closes idle and stalled streams and forgets unused queues; to be called about every second."""
+        """Closes idle and stalled streams and removes unused queues; must be called about every second."""
         now_ns = clock.now()
         elapsed_ns = now_ns - self._last_sweep_ns
         self._last_sweep_ns = now_ns
         if elapsed_ns > 2 * SWEEP_INTERVAL_S * clock.SECOND:
-            # This process was paused: what the peers sent meanwhile is read before they are judged.
+            # This process was paused: data received during the pause is read before timeouts are checked.
             for stream in self._streams:
                 stream.restart_timeouts(now_ns)
             return
@@ -130,14 +131,14 @@
                 del self._queues[queue.name]
 
     def close(self) -> None:
-        """Sends nothing more; what was written to streams is still sent."""
+        """Stops sending and closes the streams; data already written to them is still sent."""
         self._is_closed = True
         self._dials.cancel_all()
         for stream in list(self._streams):
             stream.close()
 
     def on_opened(self, stream: PeerStream) -> None:
-        """Counts a stream; one that was accepted beyond the limit is aborted."""
+        """Registers a stream; an accepted stream beyond the limit is aborted."""
         self._streams.add(stream)
         self._descriptors.cache(1)
         is_over_limit = not stream.is_dialled and len(self._streams) > self._max_streams
@@ -145,16 +146,16 @@
             stream.abort()
 
     def on_frame(self, stream: PeerStream, frame: Frame) -> None:
-        """Hands a frame on.
+        """Passes a frame on.
 
         Raises:
-            PeersError: The sender is this front, or not the one that the stream belongs to.
+            PeersError: The sender is this front, or another front than the peer of this stream.
         """
         header = frame.header
         if stream.name != header.sender:
             if stream.name or header.sender == self._own_name:
                 owner = stream.name or "this front"
-                raise PeersError(f"a stream of {owner!r} says it is {header.sender!r}")
+                raise PeersError(f"a stream of {owner!r} has a frame of sender {header.sender!r}")
             self._on_identified(stream, header.sender)
         queue = self._queues.get(header.sender)
         if queue is not None:
@@ -162,17 +163,17 @@
         self._on_frame(header.sender, header.channel, frame.data)
 
     def on_rejected(self, error: PeersError) -> None:
-        """Logs that a peer broke the protocol."""
+        """Logs that a peer violated the protocol."""
         self._checks.event("peer_stream_rejected", error.line())
 
     def on_writable(self, stream: PeerStream) -> None:
-        """Writes what waits for the stream."""
+        """Writes the frames queued for the stream."""
         queue = self._queues.get(stream.name)
         if queue is not None and queue.stream is stream:
             queue.flush()
 
     def on_closed(self, stream: PeerStream) -> None:
-        """Dials again where frames wait, or backs off where the stream had hardly opened."""
+        """Dials again if frames are queued, or backs off if the stream closed soon after the dial."""
         self._streams.discard(stream)
         self._descriptors.cache(-1)
         queue = self._queues.get(stream.name)
@@ -205,7 +206,7 @@
         address = self._find_address(queue.name)
         try:
             stream = await self._connect(address, queue.name) if address is not None else None
-        except OSError:  # refused, or not up in time
+        except OSError:  # refused or timed out
             stream = None
         finally:
             queue.end_dial()
@@ -217,7 +218,7 @@
                 queue.attach(stream)
             else:
                 queue.flush()
-        else:  # the peer's own dial came first, and stays
+        else:  # the stream that the peer dialled is kept
             stream.close()
 
     async def _connect(self, address: Address, name: str = "") -> PeerStream:
@@ -236,28 +237,31 @@
         self._drop_queued(queue)
 
     def _on_identified(self, stream: PeerStream, name: str) -> None:
-        """Decides, alike at both ends, which of two streams with a peer stays."""
+        """Decides which of two streams with a peer is kept; both ends decide the same."""
         stream.identify(name)
         queue = self._queue_for(name)
         if queue is None or stream.is_closing:
             return
-        old = queue.stream
-        if old is not None and not old.is_closing:
-            if stream.is_dialled or (old.is_dialled and self._own_name < name):
-                return  # the old one stays; this one is read until it is idle
-            old.close()
+        existing = queue.stream
+        if existing is not None and not existing.is_closing:
+            if stream.is_dialled or (existing.is_dialled and self._own_name < name):
+                return  # the existing stream is kept; the new one is read until it is idle
+            existing.close()
         queue.attach(stream)
 
     def _ensure_capacity(self) -> bool:
-        """Whether one more stream may be opened, if need be in place of the least recently used one."""
+        """Returns whether a stream may be opened; closes the least recently used one if necessary."""
         if len(self._streams) < self._max_streams:
             return True
         self._checks.count("peer_stream_limit_reached")
         candidates = [stream for stream in self._streams if not stream.is_closing]
-        oldest = min(candidates, key=lambda stream: stream.last_used_ns, default=None)
-        if oldest is None or clock.now() - oldest.last_used_ns < MIN_EVICTION_IDLE_NS:
+        least_recently_used = min(candidates, key=lambda stream: stream.last_used_ns, default=None)
+        if (
+            least_recently_used is None
+            or clock.now() - least_recently_used.last_used_ns < MIN_EVICTION_IDLE_NS
+        ):
             return False
-        oldest.close()
+        least_recently_used.close()
         return True
 
     def _check_timeouts(self, now_ns: int, stream: PeerStream) -> None:
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -109,7 +109,7 @@
         file.write_text(operators_file(0, fleet).replace("n0: ", "other: "))
         await fleet.fronts[0].start()
         log = (fleet.fronts[0].folder / "log").read_text()
-        assert "QP-PEERS" in log and "no place for a front named 'n0'" in log
+        assert "QP-PEERS" in log and "no endpoint for a front named 'n0'" in log
         fleet.story.crashes.clear()  # that one was meant to end
 
     run_scenario(tmp_path, scenario, 3)
