--- a/quincepier/net/fleet/__init__.py
+++ b/quincepier/net/fleet/__init__.py
@@ -1,6 +1,7 @@
-"""One front among those that agree on rule versions: its voter, its lease, its reports, what a version does.
+"""The agreement on rule versions at one front: its voter, its lease, its reports, the effects of a version.
 
-It carries what the pure packages say between fronts, disk and router, and gives the router its endpoint list
-and placements by the version that the front has adopted. It plans nothing itself: the planners do, at the
-voter that leads. Read `node.py` first; docs/agreement.md.
+The package connects the packages without I/O (`consensus`, `rules`, `maintenance`, `tenancy`) to the network,
+the disk and the router, and gives the router its endpoint list and placements by the version that the front
+has adopted. Changes are planned by the planners of those packages, at the voter that leads. Start with
+`node.py`; see also docs/agreement.md.
 """
--- a/quincepier/net/fleet/active_rules.py
+++ b/quincepier/net/fleet/active_rules.py
@@ -1,7 +1,8 @@
-"""What this front's operators' file and a rule version say together, by the sections that the file has.
+"""Combines the operators' file of this front with a rule version, section by section.
 
-`maintenance` says which machines are cordoned, `tenants` where requests are placed; where this front leads,
-both plan by what its own file requests. Tenancy is imported only where the file has its section.
+The section `maintenance` determines which machines are cordoned, `tenants` where requests are placed. If this
+front leads, the planners of both sections work with the requests in this front's file. Tenancy is imported
+only if the file has its section.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 if TYPE_CHECKING:
     from quincepier.tenancy import PlacementTable, TenantLookup
 
-DEFAULT_GRACE_PERIOD_NS = 60 * clock.SECOND  # where the file has no section `tenants`
+DEFAULT_GRACE_PERIOD_NS = 60 * clock.SECOND  # if the file has no section `tenants`
 
 
 class RequestTenant(NamedTuple):
-    """The tenant of a request; number 0 and no name for a request of none."""
+    """The tenant of a request; number 0 and an empty name without a tenant."""
 
     number: int
     name: str
@@ -35,21 +36,20 @@
 
 
 class ActiveRules:
-    """The sections of the operators' file that concern rule versions, as they were loaded last.
+    """The sections of the operators' file that concern rule versions, as loaded last.
 
     Attributes:
-        is_unsafe_class: By number of the request class: whether its requests may not simply be repeated.
-        grace_period_ns: After a lease has ended, until a migration may have started that this front does not
-            know of.
-        requested_hosts: Machines that the file requests maintenance for.
-        decommissioned_fronts: Fronts that exist no more, as the file says.
-        tenants: Tells tenants apart; None without the section.
-        file_count: How many files were loaded.
+        is_unsafe_class: By number of the request class, whether its requests are unsafe to repeat.
+        grace_period_ns: After this time without a lease, a migration unknown to this front may have started.
+        requested_hosts: Host ids for which the file requests maintenance.
+        decommissioned_fronts: Names of the fronts that the file lists as decommissioned.
+        tenants: Finds the tenant of a request; None without the section `tenants`.
+        file_count: The number of files that were loaded.
     """
 
     def __init__(self, module: ModuleActor, file: OperatorFile) -> None:
         classes = module.config.settings.classes
-        self.is_unsafe_class = [one.effect is not Idempotency.SAFE for one in classes]
+        self.is_unsafe_class = [request_class.effect is not Idempotency.SAFE for request_class in classes]
         self.grace_period_ns = DEFAULT_GRACE_PERIOD_NS
         self.requested_hosts = frozenset[str]()
         self.decommissioned_fronts = frozenset[str]()
@@ -61,15 +61,17 @@
         self.load(file)
 
     def load(self, file: OperatorFile) -> None:
-        """Put a file in force."""
+        """Replace the sections with those of a file."""
         section = MaintenanceSection()
         if file.named("maintenance") is not None:
             section = file.get(MaintenanceSection) or section
         self.requested_hosts = requested_hosts(section)
         self.decommissioned_fronts = frozenset(section.decommissioned_fronts)
         self._waiting_messages = ()
-        # The same planner ends a task that nobody requests any more, so there is one without a section.
-        self._planners = [lambda version, seen: self._plan_maintenance(section, version, seen)]
+        # The planner is needed without a section too: it ends tasks that are no longer requested.
+        self._planners = [
+            lambda version, observations: self._plan_maintenance(section, version, observations)
+        ]
         self.tenants = None
         self.grace_period_ns = DEFAULT_GRACE_PERIOD_NS
         self.file_count += 1
@@ -103,16 +105,16 @@
         return self._planners
 
     def cordoned_hosts(self, version: RuleVersion, is_cautious: bool) -> frozenset[str]:
-        """Return the machines that nothing new is sent to."""
+        """Return the host ids of the cordoned machines, to which no new request is sent."""
         return cordoned_hosts(version, is_cautious, self._module.config.name, self.requested_hosts)
 
     def placement_table(
         self, version: RuleVersion, is_cautious: bool, may_lack_migrations: bool
     ) -> PlacementTable | None:
-        """Return what places requests by a version; None where the file has no tenants.
+        """Return the table that places requests by a version; None if the file has no tenants.
 
         Raises:
-            TenancyError: The version can't be used.
+            TenancyError: The placements of the version can't be used.
         """
         if self.tenants is None:
             return None
@@ -129,7 +131,7 @@
         )
 
     def _ready_endpoints(self) -> tuple[frozenset[int], frozenset[int]]:
-        """Numbers of the caches and of the parents that are listed as ready."""
+        """Return the numbers of the caches and of the parents that are listed as ready."""
         settings = self._module.config.settings
         ready = [
             entry.machine
@@ -142,7 +144,7 @@
         return caches, parents
 
     def tenant_of(self, object_key: str) -> RequestTenant:
-        """Return the tenant that an object belongs to."""
+        """Return the tenant that owns an object."""
         if self.tenants is None:
             return NO_TENANT
         number = self.tenants.tenant_of(object_key)
--- a/quincepier/net/fleet/consistency_service.py
+++ b/quincepier/net/fleet/consistency_service.py
@@ -1,7 +1,7 @@
-"""The consistency checker of a running front: its messages over the peer network, and what follows.
+"""Runs the consistency checker of a front: exchanges its messages and acts on its findings.
 
-A front that is found to diverge enters cautious mode until a round finds it consistent again. The module
-is imported only where the operators' file has the section `consistency`.
+A front whose decisions diverge enters cautious mode until a round finds it consistent again. This module is
+imported only if the operators' file has the section `consistency`.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 DIVERGED_REASON = "its decisions diverge from the majority"
 CONSISTENT_REASON = "its decisions match the majority again"
-MAX_RECORD_LENGTH = 200
+MAX_RECORD_LENGTH = 200  # characters of a decision record in a log event
 
 
 @dataclass(slots=True, frozen=True)
 class _InputsIdentity:
-    """Identifies the inputs that the checker holds; any change means that it must be given new ones."""
+    """Identifies the inputs that the checker holds; if it changes, the checker needs new inputs."""
 
     list_revision: int
     rule_version: int
@@ -60,11 +60,11 @@
 
         Args:
             module: The actor that owns the router.
-            peers: Carries the messages.
-            effects: Supplies the adopted rule version and puts cautious mode in force.
+            peers: Sends and receives the messages.
+            effects: Supplies the adopted rule version and applies cautious mode.
             rules: Supplies tenants and placements.
-            section: Settings.
-            find_leader: Name of the leader; empty where nobody leads.
+            section: Settings of the consistency checks.
+            find_leader: Returns the name of the leader; empty without a leader.
         """
         self._module = module
         self._peers = peers
@@ -86,7 +86,7 @@
         peers.register_channel(CONSISTENCY_CHANNEL, self.on_message)
 
     def on_tick(self, now_ns: int) -> None:
-        """Give the checker changed views and inputs, and do what is due."""
+        """Pass changed views and inputs to the checker and perform the work that is due."""
         self._update_view()
         self._update_inputs()
         if now_ns >= self.checker.next_tick_ns:
@@ -95,7 +95,7 @@
             self._perform(self.checker.on_tick(now_ns))
 
     def on_message(self, sender: str, raw: bytes) -> None:
-        """Handle a message of another front."""
+        """Handle a message from another front."""
         now_ns = clock.boot()
         self._perform(self.checker.on_message(now_ns, sender, raw))
         if self.checker.next_tick_ns <= now_ns:
@@ -111,7 +111,7 @@
     def _update_inputs(self) -> None:
         version = self._effects.version
         known = self._inputs_identity
-        # The digest is taken of the whole version, so it is computed once for each number.
+        # The digest covers the whole version, so it is computed only once per version number.
         is_known = known is not None and known.rule_version == version.number
         digest = known.rule_version_digest if known is not None and is_known else version.digest
         identity = _InputsIdentity(
@@ -155,9 +155,9 @@
                 self._peers.send(action.to, CONSISTENCY_CHANNEL, action.data)
             else:
                 self._log_finding(action)
-        doubt = DIVERGED_REASON if self.checker.is_cautious else ""
-        if doubt != self._effects.divergence_reason:
-            self._effects.divergence_reason = doubt
+        divergence_reason = DIVERGED_REASON if self.checker.is_cautious else ""
+        if divergence_reason != self._effects.divergence_reason:
+            self._effects.divergence_reason = divergence_reason
             self._effects.apply(CONSISTENT_REASON)
 
     def _log_finding(self, finding: Finding) -> None:
--- a/quincepier/net/fleet/endpoint_overlay.py
+++ b/quincepier/net/fleet/endpoint_overlay.py
@@ -1,8 +1,8 @@
-"""The endpoint list as the router hears it: as the change log says, but cordoned machines drain. Pure.
+"""The endpoint list as the router receives it: as in the change log, but cordoned machines drain. No I/O.
 
-A cordoned machine is never READY to the router, whatever the change log says of it meanwhile, and is as the
-log says once it is cordoned no more. This guards against a restarted machine that is listed as ready before
-its maintenance task has ended.
+The router never receives a cordoned machine as READY, whatever state the change log reports for it. Once the
+machine is no longer cordoned, it has the state of the change log again. This guards against a restarted
+machine that is listed as ready before its maintenance task has ended.
 """
 
 from __future__ import annotations
@@ -14,10 +14,13 @@
 
 
 class EndpointOverlay:
-    """Puts the state of cordoned machines over the endpoint list.
+    """Overrides the state of cordoned machines in the endpoint list.
 
     Args:
-        host_by_number: Host ids by the router's numbers, as the machine directory has them.
+        host_by_number: Host ids by the router's numbers, from the machine directory.
+
+    Attributes:
+        cordoned: Host ids of the cordoned machines.
     """
 
     def __init__(self, host_by_number: Mapping[int, str]) -> None:
@@ -25,33 +28,34 @@
         self.cordoned: frozenset[str] = frozenset()
 
     def overlay(self, update: EndpointUpdate) -> EndpointUpdate:
-        """Return an update of the change log as the router is to hear it."""
+        """Return an update from the change log with the states that the router must receive."""
         if not self.cordoned:
             return update
-        return EndpointUpdate(update.scope, tuple(map(self._overlaid, update.machines)))
+        return EndpointUpdate(update.scope, tuple(map(self._overlay_machine, update.machines)))
 
     def set_cordoned(self, cordoned: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
-        """Cordon other machines from now on.
+        """Replace the set of cordoned machines.
 
         Args:
-            cordoned: Host ids.
-            listed: All machines, as the change log listed them last.
+            cordoned: Host ids of the cordoned machines.
+            listed: All machines, as last listed by the change log.
 
         Returns:
-            What the router must hear at once, machines that are released among it; None for nothing.
+            The update that the router must receive at once, including machines that are no longer cordoned;
+            None if no listed machine changes.
         """
         changed = self.cordoned ^ cordoned
         self.cordoned = cordoned
         if not changed:
             return None
         machines = tuple(
-            self._overlaid(machine)
+            self._overlay_machine(machine)
             for machine in listed
             if self.host_by_number.get(machine.cache, "") in changed
         )
         return EndpointUpdate(UpdateScope.CHANGES, machines) if machines else None
 
-    def _overlaid(self, machine: Endpoint) -> Endpoint:
+    def _overlay_machine(self, machine: Endpoint) -> Endpoint:
         is_cordoned = self.host_by_number.get(machine.cache, "") in self.cordoned
         if machine.state is EndpointState.READY and is_cordoned:
             return replace(machine, state=EndpointState.DRAINING)
--- a/quincepier/net/fleet/follower.py
+++ b/quincepier/net/fleet/follower.py
@@ -1,6 +1,6 @@
-"""A front as a follower: it reports to the leader, finds out who leads, and holds its lease. Pure.
+"""A front as a follower: it reports to the leader, discovers which voter leads, and holds its lease. No I/O.
 
-Times are nanoseconds of `clock.boot`.
+Times are in nanoseconds of `clock.boot`.
 """
 
 from __future__ import annotations
@@ -21,36 +21,38 @@
 )
 
 NS_PER_MS = 1_000_000
-MAX_UNANSWERED_REPORTS = 2  # in a row; then another voter is asked
-REDIRECT_DELAY_NS = 40 * NS_PER_MS  # between a voter's word of who leads and a report there
-MIN_REDIRECT_INTERVAL_NS = 4 * REDIRECT_DELAY_NS  # two voters that name each other cause no storm
-ADOPTION_REPORT_DELAY_NS = 20 * NS_PER_MS  # after adopting a version, until that is reported
+MAX_UNANSWERED_REPORTS = 2  # consecutive; after them the follower tries another voter
+REDIRECT_DELAY_NS = 40 * NS_PER_MS  # from a redirection to another voter until the report to that voter
+MIN_REDIRECT_INTERVAL_NS = 4 * REDIRECT_DELAY_NS  # limits reports if two voters redirect to each other
+ADOPTION_REPORT_DELAY_NS = 20 * NS_PER_MS  # from adopting a version until it is reported
 
 
 @dataclass(slots=True, frozen=True)
 class OutgoingReport:
-    """A report and the voter that it goes to."""
+    """A report and the voter to send it to."""
 
     to: str
     message: ReportMessage
 
 
 class Follower:
-    """Keeps the lease of one front up.
+    """Keeps the lease of one front.
 
     Args:
-        name: Of the front.
+        name: The front's name.
         voters: Names of the voters.
-        incarnation: Of the front; higher at each start.
-        now_ns: The time.
+        incarnation: The front's incarnation; higher at each start.
+        now_ns: The current time.
         timings: Timing of leases.
-        seed: Of the choice of a voter to ask.
+        seed: Seed of the random choice of a voter.
 
     Attributes:
-        lease: The lease.
-        target: The voter that it reports to.
-        has_held_lease: Whether it ever held a lease.
-        known_leader: Who answered last with a grant; "" for nobody.
+        name: The front's name.
+        incarnation: The front's incarnation.
+        lease: The front's side of the lease.
+        target: The voter that receives the reports.
+        has_held_lease: Whether the front has ever held a lease.
+        known_leader: The voter that sent the last grant; "" before the first grant.
     """
 
     def __init__(
@@ -81,7 +83,7 @@
         return self.lease.version
 
     def version_digest(self) -> str:
-        """Return the digest of the adopted version, computed once for each number."""
+        """Return the digest of the adopted version; it is computed once per version number."""
         if self._digest_number != self.version.number:
             self._digest = self.version.digest
             self._digest_number = self.version.number
@@ -93,11 +95,11 @@
         return self.lease.next_request_ns
 
     def is_cautious(self, now_ns: int) -> bool:
-        """Whether it holds no lease."""
+        """Whether the front holds no lease."""
         return self.lease.is_cautious(now_ns)
 
     def on_tick(self, now_ns: int, make_report: Callable[[], FrontReport]) -> OutgoingReport | None:
-        """Return the report that is due, if one is; `now_ns` is read before the report is made."""
+        """Return the report that is due, or None; `now_ns` must be read before the report is made."""
         if now_ns < self.lease.next_request_ns:
             return None
         if self._unanswered_reports >= MAX_UNANSWERED_REPORTS:
@@ -109,13 +111,13 @@
     def on_message(
         self, now_ns: int, sender: str, message: LeaseGranted | NotLeader | VersionCommitted
     ) -> bool:
-        """Take a message of another front.
+        """Handle a message from another front.
 
         Returns:
             Whether a newer version was adopted.
 
         Raises:
-            RulesError: The version in it is damaged, or another one under the same number.
+            RulesError: The version in the message is damaged, or differs from one with the same number.
         """
         match message:
             case VersionCommitted(_, version_bytes):
@@ -136,7 +138,7 @@
         grant = message.grant
         version = decode_version(message.version_bytes) if message.version_bytes else None
         if version is not None and version.number != grant.version_number:
-            raise RulesError("a grant comes with another version than it names")
+            raise RulesError("a grant contains another version than it names")
         is_adopted = self.lease.on_grant(now_ns, grant, version)
         if grant.incarnation == self.incarnation:
             self._unanswered_reports = 0
@@ -160,7 +162,7 @@
             self._report_within(now_ns, REDIRECT_DELAY_NS)
 
     def _report_soon(self, now_ns: int) -> None:
-        """What was adopted is reported at once, so that it becomes active."""
+        """Report an adopted version soon, so that it becomes active."""
         self._report_within(now_ns, ADOPTION_REPORT_DELAY_NS)
 
     def _report_within(self, now_ns: int, delay_ns: int) -> None:
--- a/quincepier/net/fleet/leader.py
+++ b/quincepier/net/fleet/leader.py
@@ -1,6 +1,7 @@
-"""What a front does while it leads: it grants leases, asks the planners for the next version and proposes it.
+"""The leader: it grants leases, asks the planners for the next version and proposes that version.
 
-One proposal is under way at a time. Nothing is planned before all that earlier leaders committed is known.
+There is at most one pending proposal. Planning starts only when all entries committed by earlier leaders are
+known.
 """
 
 from __future__ import annotations
@@ -32,22 +33,22 @@
 )
 
 Planner = Callable[[RuleVersion, Observations], VersionChange | None]
-PROPOSAL_TIMEOUT_NS = 3 * clock.SECOND  # a proposal that is not committed then is made again, the same
+PROPOSAL_TIMEOUT_NS = 3 * clock.SECOND  # after it, the same uncommitted proposal is repeated
 DEFAULT_REASON = "the first version, or numbers go on above those of the fronts"
 
 
 @dataclass(slots=True, frozen=True)
 class FleetSources:
-    """Where the leader reads what it plans by, as this front has it at the moment.
+    """Functions that return the current inputs of the planners, as known to this front.
 
     Attributes:
-        planners: What proposes changes.
-        observe_machines: Machines of the endpoint list.
-        list_members: Fronts in the membership view.
-        is_consistent: Whether all fronts decide alike by the version of a number; None: not known.
-        recently_dead: Fronts removed from the view no longer ago than a duration in nanoseconds; they may
-            serve on by an older version.
-        decommissioned_fronts: Fronts that exist no more, as operators say.
+        planners: The planners, which return changes of the version.
+        observe_machines: Machines of the endpoint list by host id.
+        list_members: Names of the fronts in the membership view.
+        is_consistent: Whether all fronts decide alike by the version with a number; None if unknown.
+        recently_dead: Fronts removed from the view within a duration in nanoseconds; they may still serve by
+            an older version.
+        decommissioned_fronts: Fronts that the operators declared decommissioned.
     """
 
     planners: Callable[[], Sequence[Planner]]
@@ -60,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Proposal:
-    """A version that was proposed and is not committed yet."""
+    """A proposed version that is not committed yet."""
 
     number: int
     proposed_at_ns: int
@@ -68,15 +69,18 @@
 
 
 class Leader:
-    """The leading side of a voter; it does nothing while another voter leads. Times are of `clock.boot`.
+    """The leader role of a voter; it is inactive while another voter leads.
+
+    Times are in nanoseconds of `clock.boot`.
 
     Attributes:
-        committed_version: The newest committed version, as far as this voter knows.
-        lease_table: Leases that it granted; None while it does not lead.
-        proposal: What is under way; None where nothing is.
-        last_proposed_at_ns: When the last proposal was made.
-        reason_by_number: Why the last version was proposed.
-        sources: What it plans by.
+        checks: Counters and log events.
+        committed_version: The newest committed version known to this voter.
+        lease_table: The leases it granted; None while it does not lead.
+        proposal: The pending proposal; None without one.
+        last_proposed_at_ns: The time of the last proposal.
+        reason_by_number: The reason of the last proposed version, by its number.
+        sources: The inputs of the planners.
     """
 
     def __init__(
@@ -102,10 +106,10 @@
         self._term = -1
         self._active_number = -1
         self._baseline = ServiceBaseline()
-        self._unknown_number = 0  # that some front decides by and the voters do not have
+        self._unknown_number = 0  # highest version number reported by a front but unknown to the voters
 
     def on_committed(self, version: RuleVersion) -> bool:
-        """Take a committed version; return whether it is newer than all before."""
+        """Handle a committed version; return whether it is newer than all earlier ones."""
         if version.number <= self.committed_version.number:
             self.checks.count("stale_versions_committed")
             return False
@@ -117,7 +121,7 @@
         return True
 
     def on_report(self, now_ns: int, message: ReportMessage) -> LeaseGranted | NotLeader | None:
-        """Return the answer to a report, if there is one."""
+        """Return the response to a report; None without one."""
         self._update_leadership(now_ns)
         raft = self._raft_node.raft
         lease_table = self.lease_table
@@ -128,7 +132,7 @@
             return NotLeader(request.token, leader if leader != self._name else "")
         committed = self.committed_version
         if report.version_number > committed.number:
-            # Of a history that the voters have lost: no lease by it.
+            # The version belongs to a log that the voters have lost: no lease is granted for it.
             self._unknown_number = max(self._unknown_number, report.version_number)
             detail = f"{report.front} decides by {report.version_number}"
             self.checks.event("unknown_version_reported", detail)
@@ -140,7 +144,7 @@
         return LeaseGranted(raft.term, grant, b"" if has_newest else encode_version(committed))
 
     def on_tick(self, now_ns: int) -> None:
-        """Observe the fleet and propose what follows from it."""
+        """Observe the fleet and propose the version that the planners derive from it."""
         self._update_leadership(now_ns)
         if self.lease_table is None:
             return
@@ -150,8 +154,8 @@
         if self.proposal is None:
             self._plan(now_ns, observations)
         elif now_ns - self.proposal.proposed_at_ns >= PROPOSAL_TIMEOUT_NS:
-            # Never another version of that number: where the first is committed late, both would be in the
-            # log, and a voter that starts from its newest entry would have the other.
+            # Never another version with that number: if the first proposal were committed late, the log would
+            # have both, and a voter that restarts from its newest entry would use the other one.
             self.last_proposed_at_ns = now_ns
             self.proposal = Proposal(self.proposal.number, now_ns, self.proposal.version_bytes)
             self._raft_node.propose(self.proposal.version_bytes)
@@ -207,13 +211,13 @@
     def _plan(self, now_ns: int, observations: Observations) -> None:
         changes = list(self._planned_changes(observations))
         base = self.committed_version
-        if self._unknown_number > base.number:  # numbers go on above all that any front ever decided by
+        if self._unknown_number > base.number:  # new numbers exceed all that any front decided by
             base = replace(base, number=self._unknown_number)
-        elif not changes and base.number:  # 0: nothing is committed, and nothing is planned from there
+        elif not changes and base.number:  # the first version is proposed even without changes
             return
         try:
             version = apply_changes(base, self._term, tuple(changes))
-        except RulesError as error:  # a defect of a planner: the first change alone
+        except RulesError as error:  # a defect of a planner: apply the first change only
             self.checks.event("conflicting_changes", error.line())
             changes = changes[:1]
             version = apply_changes(base, self._term, tuple(changes))
@@ -223,7 +227,7 @@
         version_bytes = encode_version(version)
         try:
             decode_version(version_bytes)
-        except RulesError as error:  # a defect of a planner: what no front could read is not proposed
+        except RulesError as error:  # a defect of a planner: fronts could not decode it
             self.checks.event("invalid_version_not_proposed", error.line())
             return
         self._unknown_number = 0
--- a/quincepier/net/fleet/machine_observations.py
+++ b/quincepier/net/fleet/machine_observations.py
@@ -1,4 +1,4 @@
-"""The endpoint list of this front as machines that planners decide about."""
+"""Converts the endpoint list of this front to the machine observations that planners use."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from quincepier.net.module import ModuleActor
 from quincepier.rules import MachineObservation
 
-UNKNOWN_UPTIME_NS = 1 << 61  # of a machine without a start time: long ago
+UNKNOWN_UPTIME_NS = 1 << 61  # for a machine without a start time: as if started long ago
 
 
 def observe_machines(module: ModuleActor) -> dict[str, MachineObservation]:
-    """Return all listed machines by host id."""
+    """Return observations of all listed machines by host id."""
     settings = module.config.settings
     now_ns = clock.now()
     return {
--- a/quincepier/net/fleet/messages.py
+++ b/quincepier/net/fleet/messages.py
@@ -1,8 +1,8 @@
-"""Messages between fronts about rule versions, as msgpack arrays; one that can't be decoded is dropped.
+"""Messages between fronts about rule versions, as msgpack arrays; undecodable messages are dropped.
 
-A follower sends `ReportMessage`; the leader answers `LeaseGranted`, with the newest version where the
-follower lacks it; any other voter answers `NotLeader`. `VersionCommitted` goes to all as a version is
-committed: adoption waits for no report.
+A follower sends `ReportMessage`. The leader responds with `LeaseGranted`, including the newest version if the
+follower lacks it; any other voter responds with `NotLeader`. When a version is committed, `VersionCommitted`
+is sent to all fronts, so that adoption does not wait for the next report.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from quincepier.rules import LeaseGrant, LeaseRequest
 from quincepier.rules.version import MAX_NAME_LENGTH, MAX_VERSION_BYTES
 
-# Channels of the peer network: between voters, the messages below, and digests of decisions.
+# Channels of the peer network: for messages between voters, the messages below, and digests of decisions.
 CONSENSUS_CHANNEL = 1
 RULES_CHANNEL = 2
 CONSISTENCY_CHANNEL = 3
@@ -30,12 +30,13 @@
 
 
 class LeaseGranted(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The leader's answer to a report.
+    """The leader's response to a report.
 
     Attributes:
-        term: Of the leader.
+        term: The leader's term.
         grant: The lease.
-        version_bytes: The version that the grant names, where the report was of another; else empty.
+        version_bytes: The encoded version that the grant names, if the report named another; otherwise
+            empty.
     """
 
     term: Number
@@ -44,11 +45,11 @@
 
 
 class NotLeader(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """The answer of a voter that does not lead.
+    """The response of a voter that does not lead.
 
     Attributes:
-        token: Of the request.
-        leader: Who leads as far as it knows, "" for nobody.
+        token: The token of the request.
+        leader: The leader known to this voter; "" if none is known.
     """
 
     token: Number
@@ -56,7 +57,12 @@
 
 
 class VersionCommitted(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A version was committed in a term."""
+    """Reports that a version was committed.
+
+    Attributes:
+        term: The term of the committed entry.
+        version_bytes: The encoded version.
+    """
 
     term: Number
     version_bytes: bytes
@@ -68,7 +74,7 @@
 
 
 def decode(raw: bytes) -> Message | None:
-    """Decode a message; None for bytes that are none."""
+    """Decode a message; return None for invalid bytes."""
     if len(raw) > MAX_MESSAGE_BYTES:
         return None
     try:
--- a/quincepier/net/fleet/node.py
+++ b/quincepier/net/fleet/node.py
@@ -1,7 +1,7 @@
-"""The agreement of one front: follower, voter and effects together, their messages and their ticks.
+"""The agreement node of one front: connects follower, voter and version effects, and runs their ticks.
 
-Every front follows; one that the section names as a voter votes too, and may lead. No request waits for
-anything here: a front that hears of no leader serves on in cautious mode.
+Every front is a follower; a front that the section names as a voter also votes and may lead. No request waits
+for this module: a front without a known leader continues to serve in cautious mode.
 """
 
 from __future__ import annotations
@@ -44,24 +44,27 @@
 
 MIN_TICK_INTERVAL_S = 0.005
 MAX_TICK_INTERVAL_S = 0.1
-LOAD_TIMEOUT_S = 0.2  # that a start waits for the stored version
-ATTEMPT_DEADLINES = 2  # times its class's deadline: the longest that an attempt may be open,
-DELIVERY_NS = clock.SECOND  # and for so long its command may be on its way after it was given up
+LOAD_TIMEOUT_S = 0.2  # maximum time that a start waits for the stored version
+MAX_ATTEMPT_DEADLINES = 2  # maximum duration of an attempt, in deadlines of its request class
+MAX_COMMAND_DELIVERY_NS = clock.SECOND  # after it, the command of an abandoned attempt can no longer arrive
 
 
 class AgreementNode:
-    """Takes part in the agreement for one front.
+    """Runs the agreement for one front.
 
     Args:
         module: The actor that owns the router.
-        peers: Carries the messages.
-        section: Settings.
-        active_rules: What the operators' file says.
+        peers: Sends and receives the messages.
+        section: Settings of the agreement.
+        active_rules: The sections of the operators' file that concern rule versions.
         consistency_section: Settings of the consistency checks; None without them.
 
     Attributes:
-        active_rules: What the operators' file says.
-        effects: What the version does to the router.
+        checks: Counters and log events.
+        active_rules: The sections of the operators' file that concern rule versions.
+        follower: Reports to the leader and holds the lease.
+        effects: Applies the adopted version to the router.
+        has_first_answer: Set after the first response of a leader to a report.
     """
 
     def __init__(
@@ -86,7 +89,7 @@
             self._name, self._voters, incarnation, clock.boot(), self._timings, module.config.seed
         )
         self.effects = VersionEffects(module, self.follower, active_rules, section.statistics_window_s)
-        module.overrides = self.effects  # from the first entry of the endpoint list on, which it counts
+        module.overrides = self.effects  # set before the first endpoint update, which it must count
         self._version_store = VersionStore(section.folder_of(self._name))
         self._voter: Voter | None = None
         self._consistency: ConsistencyService | None = None
@@ -97,7 +100,7 @@
             peers.add_address(voter, (host.strip("[]"), int(port)))
 
     async def start(self) -> None:
-        """Take part, and wait a little for the committed version: it may say what not to send to."""
+        """Start, and wait up to the startup timeout for a version, as it may cordon machines."""
         self._module.shared.stale = self.effects.are_decisions_stale
         thread = WorkerThread("version-store")
         self.effects.stored_version = await self._load_stored_version(thread)
@@ -114,10 +117,12 @@
         try:
             await asyncio.wait_for(self.has_first_answer.wait(), self._section.startup_timeout_ms / 1000)
         except TimeoutError:
-            self.checks.event("startup_without_version", "serves in cautious mode until one is heard")
+            self.checks.event(
+                "startup_without_version", "serves in cautious mode until a version is received"
+            )
 
     def close(self) -> None:
-        """Take part no more."""
+        """Stop the ticks."""
         if self._task is not None:
             self._task.cancel()
 
@@ -125,7 +130,7 @@
         try:
             outcome = await asyncio.wait_for(thread.run(self._version_store.load), LOAD_TIMEOUT_S)
         except TimeoutError:
-            outcome = TimeoutError("it can't be read in time")
+            outcome = TimeoutError("the stored version could not be read in time")
         if isinstance(outcome, Exception):
             self.checks.event("stored_version_not_used", f"{type(outcome).__name__}: {outcome}")
         return outcome if isinstance(outcome, RuleVersion) else None
@@ -177,11 +182,11 @@
             await asyncio.sleep(wait_s)
 
     def _tick(self) -> float:
-        """Do what is due; return the seconds until something is due again."""
+        """Perform the work that is due; return the seconds until the next tick."""
         now_ns = clock.boot()
         if self._voter is not None:
             self._voter.on_tick(now_ns)
-        self.effects.apply()  # a lease may have ended with no request since
+        self.effects.apply()  # a lease may have ended while no request arrived
         outgoing = self.follower.on_tick(clock.boot(), self.effects.report)
         if outgoing is not None:
             self._send(outgoing.to, outgoing.message)
@@ -216,7 +221,7 @@
                     self.follower.on_message(now_ns, sender, message)
                 except RulesError as error:
                     self.checks.event("rule_version_rejected", f"from {sender}: {error.line()}")
-                self._on_followed(sender)
+                self._apply_adopted_version(sender)
 
     def _on_report(self, now_ns: int, sender: str, message: ReportMessage) -> None:
         request = message.request
@@ -224,14 +229,14 @@
             self.checks.count("rule_messages_rejected")
             return
         if self._voter is not None:
-            answer = self._voter.on_report(now_ns, message)
+            response = self._voter.on_report(now_ns, message)
         else:
-            answer = NotLeader(request.token, self.follower.known_leader)
-        if answer is not None:
-            self._send(sender, answer)
+            response = NotLeader(request.token, self.follower.known_leader)
+        if response is not None:
+            self._send(sender, response)
 
-    def _on_followed(self, sender: str) -> None:
-        """Put in force what the follower has learned."""
+    def _apply_adopted_version(self, sender: str) -> None:
+        """Apply the version and the lease of the follower to the router."""
         before = self.effects.applied_number
         self.effects.apply(f"a lease by {sender}")
         number = self.effects.applied_number
@@ -239,16 +244,16 @@
             log = logger.bind(event="version_adopted", number=number, by=sender)
             log.info("version {} adopted", number)
             self.checks.count("versions_adopted")
-        # What was heard in passing, as from this voter's own log, may be old.
+        # A version that is not a response to a report, such as one from this voter's own log, may be old.
         if not self.follower.lease.is_awaiting_first_answer():
             self.has_first_answer.set()
 
 
 def _lease_timings(module: ModuleActor, section: AgreementSection) -> LeaseTimings:
     classes = module.config.settings.classes
-    longest_deadline_ns = max((one.deadline for one in classes), default=clock.SECOND)
+    longest_deadline_ns = max((request_class.deadline for request_class in classes), default=clock.SECOND)
     return LeaseTimings(
         lease_ns=section.lease_duration_ms * clock.MS,
         request_interval_ns=section.report_interval_ms * clock.MS,
-        max_attempt_ns=ATTEMPT_DEADLINES * longest_deadline_ns + DELIVERY_NS,
+        max_attempt_ns=MAX_ATTEMPT_DEADLINES * longest_deadline_ns + MAX_COMMAND_DELIVERY_NS,
     )
--- a/quincepier/net/fleet/raft_node.py
+++ b/quincepier/net/fleet/raft_node.py
@@ -1,7 +1,7 @@
 """The I/O around the Raft core: a voter's log on disk and its messages on the network.
 
-A message that depends on a write is sent when that write is on disk, never before. A disk that is full,
-broken or hangs silences this voter; its front serves on and follows the other voters.
+A message that depends on a write is sent only after that write is on disk. If the disk is full, fails or
+hangs, this voter sends nothing; its front continues to serve and follows the other voters.
 """
 
 from __future__ import annotations
@@ -26,37 +26,41 @@
 from quincepier.state.voter_records import Record, VoterState
 
 WRITE_RETRY_INTERVAL_S = 1.0
-MAX_HELD_MESSAGES = 4096  # the oldest are dropped: voters repeat themselves
+MAX_HELD_MESSAGES = 4096  # the oldest are dropped, as voters repeat messages
 MAX_PENDING_WRITES = 64
 STORAGE_FAILED = "voter_storage_failed"
 
 
 class VoterStorage(Protocol):
-    """Blocking storage, as `state.voter_store.VoterStore`; a failed save may be retried."""
+    """Blocking storage, such as `state.voter_store.VoterStore`; a failed save may be retried."""
 
     def open(self) -> None:
         """Lock the storage for this process."""
 
     def load(self) -> VoterState | None:
-        """Read the stored state."""
+        """Return the stored state; None if there is none."""
 
     def save(self, records: tuple[Record, ...]) -> int:
-        """Write the records; they are durable on return."""
+        """Write the records; they are durable when the call returns."""
 
 
 class RaftNode:
     """Runs one voter: performs the actions of its `Raft`.
 
     Args:
-        name: This voter.
-        voters: All voters, this one among them.
-        storage: Where its log is.
-        thread: Runs the storage's blocking calls.
-        seed: Of random election timeouts; different at each start.
+        name: This voter's name.
+        voters: Names of all voters, including this one.
+        storage: Stores this voter's log.
+        thread: Runs the blocking calls of the storage.
+        seed: Seed of random election timeouts; different at each start.
         send: Sends a message to a voter, at most once.
-        on_event: Told committed entries and changes of the leader.
-        checks: Counters.
-        timeouts: Timing; the default if None.
+        on_event: Called with committed entries and changes of the leader.
+        checks: Counters and log events.
+        timeouts: Timing of elections; the defaults if None.
+
+    Attributes:
+        raft: The Raft core; None until the log is read, and after a final failure.
+        persisted_ticket: The ticket of the last write that is on disk.
     """
 
     def __init__(
@@ -78,13 +82,13 @@
         self._send = send
         self._on_event = on_event
         self._checks = checks
-        self.raft: Raft | None = None  # None until the log is read, and after a failure that is final
+        self.raft: Raft | None = None
         self._held_messages: deque[SendMessage] = deque(maxlen=MAX_HELD_MESSAGES)
-        self._pending_writes: deque[PersistRecords] = deque()  # the first is being written
+        self._pending_writes: deque[PersistRecords] = deque()  # the first one is being written
         self.persisted_ticket = 0
 
     def start(self) -> None:
-        """Read the log; the voter takes part once that is done."""
+        """Read the log in the thread; the voter participates once the log is read."""
 
         def read() -> VoterState | None:
             self._storage.open()
@@ -100,7 +104,7 @@
         self.tick()
 
     def _fail(self, error: Exception) -> None:
-        """Take no part any more."""
+        """Stop this voter for good."""
         self.raft = None
         self._held_messages.clear()
         self._pending_writes.clear()
@@ -109,32 +113,32 @@
 
     @property
     def next_tick_ns(self) -> int:
-        """When `tick` is to be called next, by `clock.boot`."""
+        """When `tick` must be called next, in nanoseconds of `clock.boot`."""
         return self.raft.next_tick_ns if self.raft is not None else clock.boot() + clock.SECOND
 
     @property
     def has_leader_lease(self) -> bool:
-        """Whether it leads by a lease that still runs, and knows all that was committed before."""
+        """Whether this voter leads with a valid leader lease and knows all entries committed before."""
         raft = self.raft
         return raft is not None and raft.has_committed_in_term and clock.boot() < raft.lease_until_ns
 
     @property
     def leader(self) -> str:
-        """Name of the leader; "" while none is known."""
+        """The name of the leader; "" while none is known."""
         return (self.raft.leader or "") if self.raft is not None else ""
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Perform the work that is due."""
         if self.raft is not None:
             self._perform(self.raft.tick(clock.boot()))
 
     def on_message(self, sender: str, raw: bytes) -> None:
-        """A message of another voter arrived."""
+        """Handle a message from another voter."""
         if self.raft is not None:
             self._perform(self.raft.step(clock.boot(), sender, raw))
 
     def propose(self, data: bytes) -> None:
-        """Propose an entry; it is reported as `EntryCommitted`, or is lost."""
+        """Propose an entry; it is reported by `EntryCommitted`, or is lost."""
         if self.raft is not None:
             self._perform(self.raft.propose(clock.boot(), data))
 
@@ -154,15 +158,15 @@
     def _queue_write(self, write: PersistRecords) -> None:
         self._pending_writes.append(write)
         if len(self._pending_writes) > MAX_PENDING_WRITES:
-            self._fail(OSError("the disk is behind by too many writes"))
+            self._fail(OSError("too many writes are waiting for the disk"))
         elif len(self._pending_writes) == 1:
             self._write_next()
 
     def _write_next(self) -> None:
         """Write the oldest records that are not on disk.
 
-        The next go to the disk only after them: a write that failed and is retried behind a newer one would
-        take that one back, a vote among it.
+        Newer records are written only after them: a failed write retried after a newer one would undo the
+        newer one, which may contain a vote.
         """
         if not self._pending_writes or self.raft is None:
             return
@@ -171,7 +175,7 @@
             lambda: self._storage.save(write.records), lambda outcome: self._on_written(write, outcome)
         )
         if not is_queued:
-            self._fail(OSError("the disk is behind by too many writes"))
+            self._fail(OSError("too many writes are waiting for the disk"))
 
     def _on_written(self, write: PersistRecords, outcome: object) -> None:
         if self.raft is None:
--- a/quincepier/net/fleet/report_counters.py
+++ b/quincepier/net/fleet/report_counters.py
@@ -1,8 +1,8 @@
-"""What a front counts for its reports in a sliding window: commands by machine, service by tenant and shard.
+"""Counts for a front's reports in a sliding window: commands by machine, service by tenant and shard.
 
-The window starts anew with each version, so counts are of one version alone. It is bounded: a second counts
-`MAX_ROWS` pairs of tenant and shard and `MAX_HOSTS` machines; what is beyond counts only for all tenants
-together.
+The window is reset with each version, so that all counts belong to one version. Memory is bounded: each
+second has at most `MAX_ROWS` pairs of tenant and shard and `MAX_HOSTS` machines. Requests of further pairs
+are counted only in the totals of all tenants.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from quincepier.memory.open_requests import OpenAttempt, OpenRequest
 from quincepier.rules import FrontReport, HostCount, ServiceStatistics, TenantAge, TenantCount
 
-MAX_ROWS = 256
+MAX_ROWS = 256  # pairs of tenant and shard
 MAX_HOSTS = 4096
 MAX_EJECTED_HOSTS = 512
-DEFAULT_SHARD = "common"  # in reports the name of the default shard, as "" stands for all shards
+DEFAULT_SHARD = "common"  # name of the default shard in reports, where "" stands for all shards
 ORIGIN_FETCHES = (CacheStatus.FILLED, CacheStatus.FROM_ORIGIN)
-UNSAFE_AGE_LIMIT_NS = 3600 * clock.SECOND  # after which it is forgotten when an unsafe request was sent
+UNSAFE_AGE_LIMIT_NS = 3600 * clock.SECOND  # after it, the time of an unsafe request is removed
 HTTP_OK = 200
 HTTP_UNAVAILABLE = 503
 
 
 class RowKey(NamedTuple):
-    """A tenant at a shard; "" stands for all tenants, or all shards."""
+    """A tenant at a shard; "" stands for all tenants or all shards."""
 
     tenant: str
     shard: str
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class ServiceCounts:
-    """Counts of one row; the fields are those of `ServiceStatistics`."""
+    """The counts of one tenant and shard, with the fields of `ServiceStatistics`."""
 
     responses: int = 0
     requested_weight: float = 0.0
@@ -60,7 +60,7 @@
         self.origin_fetches += other.origin_fetches
 
     def to_statistics(self, key: RowKey) -> ServiceStatistics:
-        """Return the counts as a report has them."""
+        """Return the counts as an entry of a report."""
         return ServiceStatistics(
             tenant=key.tenant,
             shard=key.shard,
@@ -85,12 +85,12 @@
 
 
 class ReportCounters:
-    """Counters of one front. Times are nanoseconds of `clock.now`.
+    """Counters of one front. Times are in nanoseconds of `clock.now`.
 
     Args:
         classes: Request classes by number, as in the settings.
-        now_ns: The time.
-        window_s: The longest that the counts of a report cover.
+        now_ns: The current time.
+        window_s: The maximum length of the window in seconds.
     """
 
     def __init__(self, classes: tuple[RequestClass, ...], now_ns: int, window_s: int) -> None:
@@ -100,11 +100,11 @@
         self._last_unsafe_at_ns: dict[RowKey, int] = {}
 
     def reset(self, now_ns: int) -> None:
-        """Start the window anew: the front decides by another version."""
+        """Reset the window, as the front decides by another version from now on."""
         self._seconds.clear()
         self._seconds.append(_Second(now_ns))
 
-    def on_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
+    def on_command_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
         """Count a command that is sent."""
         commands = self._second_at(now_ns).commands_by_machine
         if attempt.cache in commands or len(commands) < MAX_HOSTS:
@@ -115,8 +115,8 @@
             if key in self._last_unsafe_at_ns or len(self._last_unsafe_at_ns) < MAX_ROWS:
                 self._last_unsafe_at_ns[key] = now_ns
 
-    def on_answered(self, request: OpenRequest, status: int, now_ns: int) -> None:
-        """Count the final response of a request by its HTTP status."""
+    def on_response(self, request: OpenRequest, status: int, now_ns: int) -> None:
+        """Count the final response of a request by its HTTP status and time."""
         request_class = self._classes[request.class_index]
         is_on_time = status == HTTP_OK and now_ns - request.received_at_ns <= request_class.on_time
         for counts in self._rows_of(request, now_ns):
@@ -126,7 +126,7 @@
             counts.rejected += status == HTTP_UNAVAILABLE
 
     def on_attempt_completed(self, request: OpenRequest, cache_status: CacheStatus, now_ns: int) -> None:
-        """Count where an attempt's content came from."""
+        """Count the cache status of a completed attempt."""
         if cache_status is CacheStatus.HIT:
             for counts in self._rows_of(request, now_ns):
                 counts.hits += 1
@@ -142,10 +142,10 @@
         ejected_hosts: Iterable[str],
         host_by_number: dict[int, str],
     ) -> FrontReport:
-        """Return a report with all that was counted and what is open now.
+        """Return a report with the counts of the window and the attempts and requests that are open now.
 
         Args:
-            now_ns: The time.
+            now_ns: The current time.
             base: The report without counts.
             requests: Open requests.
             ejected_hosts: Machines that outlier detection has ejected.
@@ -183,7 +183,7 @@
         return last
 
     def _rows_of(self, request: OpenRequest, now_ns: int) -> Iterator[ServiceCounts]:
-        """Rows that a request counts for: all requests, its tenant, its tenant at its shard."""
+        """Yield the counts to which a request adds: all requests, its tenant, its tenant at its shard."""
         counts_by_row = self._second_at(now_ns).counts_by_row
         yield counts_by_row[ALL_REQUESTS]
         for key in _row_keys(request):
@@ -223,7 +223,7 @@
                 attempts[attempt.cache] += 1
                 if attempt.source >= 0 and attempt.source != attempt.cache:
                     attempts[attempt.source] += 1
-            # A queued request counts too: it may be sent under the version by which it was received.
+            # A queued request counts too: it may still be sent by the version in force when it was received.
             is_open = has_open_attempt or not request.is_finished
             if is_open and request.tenant and self._is_unsafe(request):
                 unsafe_requests[RowKey(request.tenant, request.shard or DEFAULT_SHARD)] += 1
--- a/quincepier/net/fleet/version_diff.py
+++ b/quincepier/net/fleet/version_diff.py
@@ -1,4 +1,4 @@
-"""Log lines of a new version: each step of a maintenance task or a migration with its reason."""
+"""Logs the changes of a new version: each step of a maintenance task or a migration with its reason."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def log_version_change(before: RuleVersion, after: RuleVersion, reason: str, took_ms: float) -> None:
-    """Log a committed version and what it changes; the leader does, once for a version.
+    """Log a committed version and its changes; called by the leader, once per version.
 
     Args:
-        before: The version before it.
-        after: The version.
+        before: The previous version.
+        after: The committed version.
         reason: Why it was proposed.
-        took_ms: Since it was proposed.
+        took_ms: Time from its proposal to its commit, in milliseconds.
     """
     log = logger.bind(
         event="version_committed",
@@ -42,7 +42,9 @@
     for task in after.maintenance_tasks:
         if step_by_task.get((task.request_id, task.target)) != task.step:
             yield task
-    progress_by_request = {one.request_id: (one.step, one.moved_slots) for one in before.migrations}
+    progress_by_request = {
+        migration.request_id: (migration.step, migration.moved_slots) for migration in before.migrations
+    }
     for migration in after.migrations:
         if progress_by_request.get(migration.request_id) != (migration.step, migration.moved_slots):
             yield migration
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -1,8 +1,8 @@
-"""What a rule version does to this front's router: machines that drain, placements, and cautious mode.
+"""Applies a rule version to this front's router: draining machines, placements, and cautious mode.
 
-The router knows of no maintenance task: cordoned machines are listed as draining. A command that was decided
-by a lease which has ended is never written: the lease is looked at before each event of the router and before
-each command's first byte.
+The router does not know maintenance tasks: it receives cordoned machines as draining. A command that was
+decided under a lease that has since ended is never written: the lease is checked before each event of the
+router and before the first byte of each command.
 """
 
 from __future__ import annotations
@@ -30,15 +30,19 @@
 
 
 class VersionEffects:
-    """Puts the adopted version in force at the router; the module's actor asks it before it acts.
+    """Applies the adopted version to the router; the module's actor calls it as `RouterOverrides`.
 
     Attributes:
-        stored_version: Adopted by an earlier incarnation of this front, if any.
+        module: The actor that owns the router.
+        follower: Supplies the adopted version and the lease.
+        active_rules: The sections of the operators' file that concern rule versions.
+        checks: Counters and log events.
+        stored_version: The version that an earlier incarnation of this front adopted; None without one.
         is_cautious: Whether the front is in cautious mode.
-        applied_number: Of the version in force at the router.
-        list_revision: Number in the change log of the last change of the endpoint list.
-        divergence_reason: Why its decisions are not to be trusted; empty if they are.
-        on_applied: Called after each change.
+        applied_number: Number of the version in force at the router.
+        list_revision: Sequence number in the change log of the last change of the endpoint list.
+        divergence_reason: Why the decisions diverge from other fronts; empty if they do not.
+        on_applied: Called after each change of the version, the mode or the placements.
     """
 
     def __init__(
@@ -62,15 +66,15 @@
         self._change_log_sequence = 0
         self._applied_file_count = -1
         self._is_updating_list = False
-        self._unusable_number = -1  # of a version whose placements can't be used
+        self._unusable_number = -1  # number of the version whose placements can't be used
         self._last_usable_version = initial_version()
 
     @property
     def version(self) -> RuleVersion:
         """The version by which this front decides.
 
-        Before the first answer of a leader it is the stored one, where that is newer: what a voter reads from
-        its own log at the start may be older than what its earlier incarnation was granted.
+        Before the first response of a leader it is the stored version if that is newer: a voter's own log may
+        at its start be older than the version that its earlier incarnation was granted.
         """
         adopted = self.follower.version
         stored = self.stored_version
@@ -80,7 +84,7 @@
         return adopted
 
     def caution_reason(self, now_ns: int) -> str:
-        """Return why this front must be in cautious mode; empty if it need not be."""
+        """Return why this front must be in cautious mode; empty if it is not required."""
         if self._unusable_number == self.version.number:
             return "a version that can't be used"
         if self.follower.is_cautious(now_ns):
@@ -88,10 +92,10 @@
         return self.divergence_reason
 
     def apply(self, reason: str = "") -> None:
-        """Put the version and the mode in force at the router; cheap where nothing has changed.
+        """Apply the version and the mode to the router; cheap if nothing has changed.
 
         Args:
-            reason: For the log, why cautious mode may have ended.
+            reason: Why cautious mode may have ended, for the log.
         """
         now_ns = clock.boot()
         version = self.version
@@ -114,7 +118,7 @@
         self.is_cautious = is_cautious
         self._may_lack_migrations = may_lack_migrations
         if is_mode_changed and is_cautious:
-            self._take_back_unsafe_attempts()
+            self._revoke_unsafe_attempts()
         self.module.router.find_home = self._placements
         cordoned = self.active_rules.cordoned_hosts(version, is_cautious)
         listed = [entry.machine for entry in self.module.directory.entry_by_host.values()]
@@ -126,14 +130,14 @@
         self.on_applied()
 
     def _may_lack_migrations_at(self, now_ns: int, version: RuleVersion, is_cautious: bool) -> bool:
-        """Whether a migration may have started that this front does not know of."""
+        """Whether a migration unknown to this front may have started."""
         if version.number == self._unusable_number:
             return True
         cautious_for_ns = now_ns - self._cautious_since_ns
         return is_cautious and (not version.number or cautious_for_ns > self.active_rules.grace_period_ns)
 
     def _has_changed(self, version: RuleVersion, is_cautious: bool, may_lack_migrations: bool) -> bool:
-        # Another file tells tenants apart in another way.
+        # Another operators' file may assign requests to other tenants.
         return (
             version.number != self.applied_number
             or is_cautious != self.is_cautious
@@ -142,14 +146,14 @@
         )
 
     def _update_placements(self, version: RuleVersion, is_cautious: bool, may_lack_migrations: bool) -> bool:
-        """Place requests by the version, or by the last usable one; False where it can't be used."""
+        """Place requests by the version, or by the last usable one; return False if it can't be used."""
         self._applied_file_count = self.active_rules.file_count
         is_unusable = version.number == self._unusable_number
         placed_version = self._last_usable_version if is_unusable else version
         try:
             placements = self.active_rules.placement_table(placed_version, is_cautious, may_lack_migrations)
         except QuincepierError as error:
-            # Its maintenance tasks are in force all the same, and no lease is held by it.
+            # Its maintenance tasks still apply, but the front takes no lease for it.
             self.checks.event("rule_version_rejected", error.line())
             self._unusable_number = version.number
             return False
@@ -158,11 +162,11 @@
         self._placements = placements
         return True
 
-    def _take_back_unsafe_attempts(self) -> None:
-        """Return unsafe attempts that are not written to the router.
+    def _revoke_unsafe_attempts(self) -> None:
+        """Revoke unsafe attempts whose first byte was not sent.
 
-        After a process pause their time is over, and the tenant may be served at another shard. Other
-        attempts are seen to by the endpoint list.
+        After a process pause the lease has ended, and the tenant may be served at another shard. Other
+        attempts are handled by the endpoint list.
         """
         for request in list(self.module.requests.request_by_number.values()):
             if request.tenant and self.active_rules.is_unsafe_class[request.class_index]:
@@ -183,35 +187,40 @@
         finally:
             self._is_updating_list = False
 
-    # What the module's actor asks and tells (net/router_overrides.py).
+    # Methods that the module's actor calls (net/router_overrides.py).
 
     def are_decisions_stale(self) -> bool:
-        """Whether a command decided before may not hold any more; asked right before its first byte."""
+        """Whether earlier decisions may be invalid; called just before the first byte of a command."""
         return not self.is_cautious and self.follower.is_cautious(clock.boot())
 
-    def before_event(self, now_ns: int) -> None:  # noqa: ARG002 - leases need the clock that runs in sleep
+    def before_event(self, now_ns: int) -> None:  # noqa: ARG002 - leases use a clock that runs in sleep
         """Enter cautious mode before the router's next event if the lease has ended."""
         if self._is_updating_list or not self.are_decisions_stale():
             return
         try:
             self.apply()
-        except Exception as error:  # noqa: BLE001 - a defect must not fail the request decided next
+        except Exception as error:  # noqa: BLE001 - a defect must not fail the next request
             self.checks.exception("exception_in_agreement_node", error)
 
     def override_list(self, update: EndpointUpdate) -> EndpointUpdate:
-        """Return an update of the endpoint list as the router is to hear it."""
+        """Return an endpoint update with the states that the router must receive."""
         if self._placements is not None:
             self._placements.renew()
         return self._overlay.overlay(update)
 
     def on_change_log_read(self, sequence: int, is_list_change: bool) -> None:
-        """The change log was read up to a number; `is_list_change`: that entry changes the endpoint list."""
+        """Record the last sequence number read from the change log.
+
+        Args:
+            sequence: The sequence number.
+            is_list_change: Whether that entry changes the endpoint list.
+        """
         self._change_log_sequence = max(self._change_log_sequence, sequence)
         if is_list_change:
             self.list_revision = self._change_log_sequence
 
     def on_request(self, event: RequestReceived, request: OpenRequest) -> None:
-        """Set the tenant and the shard of a request that was received."""
+        """Set the tenant and the shard of a received request."""
         tenant = self.active_rules.tenant_of(request.object_key)
         event.tenant = tenant.number
         request.tenant = tenant.name
@@ -222,7 +231,7 @@
 
     def on_command_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
         """Count a command that is sent."""
-        self._counters.on_sent(attempt, now_ns)
+        self._counters.on_command_sent(attempt, now_ns)
 
     def on_attempt_completed(self, attempt: OpenAttempt, cache_status: CacheStatus) -> None:
         """Count an attempt that was completed."""
@@ -231,9 +240,9 @@
 
     def on_response(self, request: OpenRequest, status: int) -> None:
         """Count the final response of a request."""
-        self._counters.on_answered(request, status, clock.now())
+        self._counters.on_response(request, status, clock.now())
 
-    # What is reported to the leader.
+    # Reports to the leader.
 
     def report(self) -> FrontReport:
         """Return this front's report."""
--- a/quincepier/net/fleet/version_store.py
+++ b/quincepier/net/fleet/version_store.py
@@ -1,8 +1,8 @@
-"""The version that a front adopted last, stored over its restarts.
+"""Stores the version that a front adopted last, across its restarts.
 
-A front that restarts in the middle of a maintenance task would otherwise send to a machine that is being
-worked on until it hears of the task. What is stored counts for cautious mode alone, never as a version to
-decide by.
+Without it, a front that restarts during a maintenance task would send requests to a machine under maintenance
+until it receives the version with the task. The stored version is used only in cautious mode, never to hold a
+lease.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 
 class VersionStore:
-    """The file of one front, in a folder of its own. Its calls block: they are for a thread."""
+    """The stored version of one front, in its own folder. Its methods block; call them in a thread."""
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
 
     def load(self) -> RuleVersion | None:
-        """Read the stored version; None where there is none.
+        """Return the stored version; None if there is none.
 
         Raises:
-            OSError: It can't be read.
-            RulesError: It is damaged.
+            OSError: The file can't be read.
+            RulesError: The file is damaged.
         """
         try:
             with (self.folder / FILE_NAME).open("rb") as file:
@@ -43,7 +43,7 @@
         """Replace the stored version atomically.
 
         Raises:
-            OSError: It can't be written.
+            OSError: The file can't be written.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
         new_path = self.folder / NEW_FILE_NAME
@@ -56,13 +56,13 @@
 
 
 class VersionWriter:
-    """Stores each newer version that the front adopts; one write is under way at a time.
+    """Stores each newer version that the front adopts; there is at most one write at a time.
 
     Args:
-        store: Where to.
+        store: The store.
         thread: Runs the writes.
-        current_version: The version that the front has adopted.
-        checks: Counters.
+        current_version: Returns the version that the front has adopted.
+        checks: Counters and log events.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._is_writing = False
 
     def on_version_applied(self) -> None:
-        """Store the version if it is newer than any that was stored."""
+        """Store the adopted version if it is newer than all versions stored so far."""
         number = self._current_version().number
         if number > self._number_to_store:
             self._number_to_store = number
--- a/quincepier/net/fleet/voter.py
+++ b/quincepier/net/fleet/voter.py
@@ -1,4 +1,4 @@
-"""A front that votes: its Raft node, what it does while it leads, and what follows from a committed entry."""
+"""A front that votes: its Raft node, its leader role, and the handling of committed entries."""
 
 from __future__ import annotations
 
@@ -24,11 +24,14 @@
 from quincepier.rules import LeaseTimings, RulesError, RuleVersion, decode_version, encode_version
 
 LEADER_TICK_INTERVAL_NS = 100 * clock.MS
-DEFAULT_LEASE_MS = 1500  # that the default election timeouts are made for
+DEFAULT_LEASE_MS = 1500  # the lease duration that the default election timeouts suit
 
 
 def election_timeouts_for(lease_ms: int) -> ElectionTimeouts:
-    """Return the voters' timeouts; longer leases are for slower networks, so voters wait longer too."""
+    """Return the election timeouts for a lease duration in milliseconds.
+
+    Longer leases are for slower networks, so the timeouts grow in proportion.
+    """
     default = ElectionTimeouts()
     scale = max(lease_ms / DEFAULT_LEASE_MS, 1.0)
     return ElectionTimeouts(
@@ -45,17 +48,17 @@
     """Runs one voter of the agreement.
 
     Args:
-        name: Of this front.
+        name: This front's name.
         voters: Names of all voters.
-        storage: Where the voter's log is.
-        seed: Of random election timeouts; different at each start.
+        storage: Stores the voter's log.
+        seed: Seed of random election timeouts; different at each start.
         lease_timings: Timing of leases.
         election_timeouts: Timing of elections.
-        sources: What the leader plans by.
-        peers: Carries the messages.
+        sources: The inputs of the leader's planners.
+        peers: Sends and receives the messages.
         send: Sends a message about rule versions to a front.
-        on_version: Told each newer committed version, as this front's own follower is to hear it.
-        checks: Counters.
+        on_version: Called with each newer committed version, for this front's own follower.
+        checks: Counters and log events.
     """
 
     def __init__(
@@ -93,7 +96,7 @@
         self._leader = Leader(name, voters, self._raft_node, lease_timings, sources, checks)
 
     def start(self) -> None:
-        """Read the log and take part."""
+        """Read the log and participate in the votes."""
         self._peers.register_channel(CONSENSUS_CHANNEL, self._raft_node.on_message)
         self._raft_node.start()
 
@@ -104,11 +107,14 @@
 
     @property
     def next_tick_ns(self) -> int:
-        """When `on_tick` is to be called next, by `clock.boot`; the leader's turns come besides."""
+        """When `on_tick` must be called next for Raft, in nanoseconds of `clock.boot`.
+
+        The ticks of the leader are not included.
+        """
         return self._raft_node.next_tick_ns
 
     def on_tick(self, now_ns: int) -> None:
-        """Do what is due."""
+        """Perform the work of the Raft node and the leader that is due."""
         if now_ns >= self._raft_node.next_tick_ns:
             self._raft_node.tick()
         if now_ns - self._leader_ticked_at_ns >= LEADER_TICK_INTERVAL_NS:
@@ -116,7 +122,7 @@
             self._leader.on_tick(now_ns)
 
     def on_report(self, now_ns: int, message: ReportMessage) -> LeaseGranted | NotLeader | None:
-        """Return the answer to a front's report, if there is one."""
+        """Return the response to a front's report; None without one."""
         return self._leader.on_report(now_ns, message)
 
     def _on_raft_event(self, event: EntryCommitted | LeaderChanged) -> None:
@@ -148,15 +154,15 @@
         self._on_version(message)
 
     def _has_proposed(self, entry: EntryCommitted) -> bool:
-        """Whether this voter leads and the entry is of its own term, also while its lease has lapsed.
+        """Whether this voter leads and the entry is of its term, even if its leader lease has expired.
 
-        Entries of earlier terms are committed again after a start; who led then has announced them.
+        Entries of earlier terms are committed again after a start; the leader of that term announced them.
         """
         raft = self._raft_node.raft
         return raft is not None and raft.leader == self._name and raft.term == entry.term
 
     def _announce(self, before: RuleVersion, version: RuleVersion, message: VersionCommitted) -> None:
-        """Log the version and tell it to all fronts."""
+        """Log the version and send it to all other fronts."""
         took_ms = (clock.boot() - self._leader.last_proposed_at_ns) / clock.MS
         reason = self._leader.reason_by_number.pop(version.number, "")
         log_version_change(before, version, reason, took_ms)
--- a/quincepier/net/fleet/worker_thread.py
+++ b/quincepier/net/fleet/worker_thread.py
@@ -1,4 +1,4 @@
-"""A thread for blocking disk work: a bounded queue of jobs, whose outcomes go to the event loop."""
+"""A thread for blocking disk work: a bounded queue of jobs whose outcomes are passed to the event loop."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Job:
-    """A blocking call and who is told its outcome, in the event loop."""
+    """A blocking call and the function that receives its outcome in the event loop."""
 
     work: Callable[[], Any]
     on_done: Callable[[Any], None]
 
 
 class WorkerThread:
-    """Runs blocking jobs in their order; a disk that hangs delays them and nothing else.
+    """Runs blocking jobs in order; a disk that hangs delays only these jobs.
 
-    To be created in a running event loop. The thread ends with the process.
+    It must be created in a running event loop. The thread ends with the process.
+
+    Attributes:
+        loop: The event loop that receives the outcomes.
     """
 
     def __init__(self, name: str) -> None:
@@ -48,7 +51,7 @@
         return True
 
     async def run(self, work: Callable[[], Any]) -> Any:
-        """Run a job and return its result, or the exception that it raised as a value."""
+        """Run a job and return its result, or the exception that it raised, as a value."""
         future: asyncio.Future[Any] = self.loop.create_future()
 
         def on_done(outcome: Any) -> None:
@@ -56,7 +59,7 @@
                 future.set_result(outcome)
 
         if not self.submit(work, on_done):
-            return OSError("the disk is behind")
+            return OSError("too many jobs are waiting for the disk")
         return await future
 
     def _run_jobs(self) -> None:
@@ -64,9 +67,9 @@
             job = self._jobs.get()
             try:
                 outcome = job.work()
-            except Exception as error:  # noqa: BLE001 - the owner of the job gets it as the outcome
+            except Exception as error:  # noqa: BLE001 - it is passed on as the outcome
                 outcome = error
             try:
                 self.loop.call_soon_threadsafe(job.on_done, outcome)
-            except RuntimeError:  # the loop has been closed meanwhile
+            except RuntimeError:  # the loop was closed
                 return
--- a/tests/test_agreement_node.py
+++ b/tests/test_agreement_node.py
@@ -19,10 +19,10 @@
         effects=effects, follower=follower, has_first_answer=asyncio.Event(), checks=Checks()
     )
     hear_version(follower, make_version(4))
-    AgreementNode._on_followed(node, "a")
+    AgreementNode._apply_adopted_version(node, "a")
     assert not node.has_first_answer.is_set()
     grant_lease(follower, 4, 0)
-    AgreementNode._on_followed(node, "a")
+    AgreementNode._apply_adopted_version(node, "a")
     assert node.has_first_answer.is_set()
 
 
--- a/tests/test_agreement_section.py
+++ b/tests/test_agreement_section.py
@@ -22,7 +22,7 @@
         (', c: "127.0.0.1:3"', "", "names 2 fronts"),
         ("127.0.0.1:3", "127.0.0.1:1", "one address twice"),
         ("127.0.0.1:3", "nowhere", "voters.c holds 'nowhere', not host:port"),
-        ("/var", "var", "an absolute path is wanted"),
+        ("/var", "var", "an absolute path is required"),
         ("voters:", "lease_ms: 400\n  report_ms: 200\n  voters:", "under 3 times report_ms"),
     ],
 )
--- a/tests/test_version_effects.py
+++ b/tests/test_version_effects.py
@@ -121,7 +121,7 @@
 class LenientEffects(VersionEffects):
     """Mutant: what was decided by the lease that has ended is written by and by."""
 
-    def _take_back_unsafe_attempts(self) -> None: ...
+    def _revoke_unsafe_attempts(self) -> None: ...
 
 
 @pytest.mark.parametrize("effects_type", [VersionEffects, LenientEffects])
