--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -50,19 +50,19 @@
                 ("pause of 2 s, a tenth", (), lambda: fleet.pause(some, 2)),
                 ("pause of 5 s, a tenth", some, lambda: fleet.pause(some, 5)),
                 ("pause of 10 s, a tenth", some, lambda: fleet.pause(some, 10)),
-                ("5% lost, 15 s", (), lambda: fleet.strike_paths("loss", everyone, 15, size=0.05)),
-                ("20% lost, 15 s", (), lambda: fleet.strike_paths("loss", everyone, 15, size=0.2)),
-                ("40% lost, 15 s", (), lambda: fleet.strike_paths("loss", everyone, 15, size=0.4)),
+                ("5% lost, 15 s", (), lambda: fleet.inject_path_fault("loss", everyone, 15, size=0.05)),
+                ("20% lost, 15 s", (), lambda: fleet.inject_path_fault("loss", everyone, 15, size=0.2)),
+                ("40% lost, 15 s", (), lambda: fleet.inject_path_fault("loss", everyone, 15, size=0.4)),
                 ("one-way partition, a tenth to half, 10 s", (),
-                 lambda: fleet.strike_paths("silent", some, 10, way="out", apart=list(other))),
+                 lambda: fleet.inject_path_fault("silent", some, 10, way="out", apart=list(other))),
                 ("one killed for 8 s", [count - 1], lambda: fleet.kill([count - 1], 8)),
                 ("seven in ten killed for 12 s", list(seven), lambda: fleet.kill(list(seven), 12)),
                 ("partition in halves, 10 s", everyone,
-                 lambda: fleet.strike_paths("cut", half, 10, apart=list(other))),
+                 lambda: fleet.inject_path_fault("cut", half, 10, apart=list(other))),
             ]  # fmt: skip
             for name, faulty, inject in faults:
                 try:
-                    effect = await fleet.effect_of(inject, faulty, timeout_s=90)
+                    effect = await fleet.measure_effect(inject, faulty, timeout_s=90)
                 except TimeoutError as error:
                     print(f"{name}: NOT recovered: {error}", flush=True)
                     continue
--- a/tests/membershipkit.py
+++ b/tests/membershipkit.py
@@ -128,7 +128,7 @@
         fault: dict[str, Any] = {"kind": kind, "path": relay.PEERS, "way": "both", "size": 0.0}
         self.relays[relay.PEERS].say(**{**fault, **more}, fronts=list(fronts), heal=heal)
 
-    async def effect_of(
+    async def measure_effect(
         self, inject: Callable[[], Any], faulty: Sequence[int] = (), timeout_s: float = 60.0
     ) -> FaultEffect:
         """Injects a fault that ends and waits for the views to recover; `faulty`: rightly removed."""
@@ -158,7 +158,9 @@
         await asyncio.sleep(down_s)
         await asyncio.gather(*(self.fronts[n].start() for n in fronts))
 
-    async def strike_paths(self, kind: str, fronts: Sequence[int], duration_s: float, **more: Any) -> None:
+    async def inject_path_fault(
+        self, kind: str, fronts: Sequence[int], duration_s: float, **more: Any
+    ) -> None:
         self.set_fault(kind, fronts, **more)
         await asyncio.sleep(duration_s)
         self.set_fault(kind, fronts, heal=True, **more)
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -36,12 +36,12 @@
 
     async def scenario(fleet: Fleet) -> None:
         for inject in (
-            lambda: fleet.strike_paths("loss", EVERYONE, 6, size=0.2),
+            lambda: fleet.inject_path_fault("loss", EVERYONE, 6, size=0.2),
             lambda: fleet.pause([0], 0.5),
             lambda: fleet.pause([1], 2),
-            lambda: fleet.strike_paths("silent", [0], 5, way="out", apart=FAR),
+            lambda: fleet.inject_path_fault("silent", [0], 5, way="out", apart=FAR),
         ):
-            effect = await fleet.effect_of(inject)
+            effect = await fleet.measure_effect(inject)
             assert effect.wrong_removals == 0 and not any(effect.changes)
 
     run_scenario(tmp_path, scenario)
@@ -50,7 +50,7 @@
 @pytest.mark.fleet(12)
 def test_a_death_is_one_change_of_each_view_and_so_is_the_return(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        effect = await fleet.effect_of(lambda: fleet.kill([7], 6), faulty=[7])
+        effect = await fleet.measure_effect(lambda: fleet.kill([7], 6), faulty=[7])
         assert effect.wrong_removals == 0 and len(effect.detection_s) == COUNT - 1
         # sooner than the shortest suspicion timeout would be a defect; the longest is with one suspicion
         intervals = ProbeIntervals()
@@ -84,9 +84,9 @@
 
     async def scenario(fleet: Fleet) -> None:
         killed = [3, 4, 5, 6, 7]
-        effect = await fleet.effect_of(lambda: fleet.kill(killed, 9), faulty=killed)
+        effect = await fleet.measure_effect(lambda: fleet.kill(killed, 9), faulty=killed)
         assert effect.wrong_removals == 0 and len(effect.detection_s) == 3 * len(killed)
-        effect = await fleet.effect_of(lambda: fleet.pause([2], 10), faulty=[2])
+        effect = await fleet.measure_effect(lambda: fleet.pause([2], 10), faulty=[2])
         assert effect.wrong_removals == 0 and len(effect.detection_s) == COUNT - 1
         assert set(effect.changes) == {2}
         alone = [change for change in fleet.changes() if change.front == 2 and change.members == 1]
