--- a/tests/fleetkit.py
+++ b/tests/fleetkit.py
@@ -1,4 +1,4 @@
-"""Voters, versions, reports, machines and fronts for the tests of quincepier/net/fleet."""
+"""Helpers that make voters, versions, reports, machines and fronts for the tests of quincepier/net/fleet."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 def make_front(
     stored: RuleVersion | None = None, effects_type: Any = VersionEffects
 ) -> tuple[Any, Follower, list[EndpointUpdate]]:
-    """Effects, the follower that they rest on, and the updates that the router is told."""
+    """Return version effects, their follower, and the list of endpoint updates that the router receives."""
     updates: list[EndpointUpdate] = []
     classes = (SimpleNamespace(effect=Idempotency.SAFE, worth=1.0, on_time=clock.SECOND),)
     entry_by_host = {
@@ -76,11 +76,13 @@
     return effects, follower, updates
 
 
-def hear_version(follower: Follower, version: RuleVersion) -> None:
+def deliver_version(follower: Follower, version: RuleVersion) -> None:
+    """Deliver a committed version to a follower, not in response to a report."""
     follower.on_message(clock.boot(), "a", VersionCommitted(1, encode_version(version)))
 
 
 def grant_lease(follower: Follower, number: int, lease_ms: int = 1000) -> None:
+    """Send a report and deliver the leader's grant for it; 0 ms grants no lease."""
     follower.on_tick(follower.next_report_ns, lambda: make_report("f", number))
     token = follower.lease.last_token
     follower.lease.request_time_by_token[token] = clock.boot()
--- a/tests/membershipkit.py
+++ b/tests/membershipkit.py
@@ -1,4 +1,4 @@
-"""A fleet of processes with membership, for fault injection; their views are read from their logs."""
+"""A fleet of front processes with membership, for fault injection; their views are read from their logs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,15 @@
 
 
 class Change(NamedTuple):
-    """A change of one front's view; `at` in seconds of Unix time."""
+    """A change of one front's view.
+
+    Attributes:
+        at: Unix time in seconds.
+        front: The front's number.
+        members: The number of members after the change.
+        joined: Names of the added members.
+        removed: Names of the removed members.
+    """
 
     at: float
     front: int
@@ -39,16 +47,16 @@
 
 
 class FaultEffect(NamedTuple):
-    """What one fault did to the views of the fronts that it did not strike."""
+    """The effect of one fault on the views of the fronts that were not faulty."""
 
-    wrong_removals: int  # of members that were well, over all views
-    detection_s: tuple[float, ...]  # from the fault until each front had removed each faulty one
-    changes: tuple[int, ...]  # of the view, of each front
-    recovery_s: float  # from the end of the fault until all see all
+    wrong_removals: int  # of healthy members, summed over all views
+    detection_s: tuple[float, ...]  # from the fault to each removal of a faulty front from a view
+    changes: tuple[int, ...]  # number of view changes of each front
+    recovery_s: float  # from the end of the fault until all views are complete
 
 
 def operators_file(front: int, rig: Rig) -> str:
-    """The operators' file of a front: it reaches the others by paths of its own through the relay."""
+    """The operators' file of a front, which reaches the others through its own addresses at the relay."""
     count = rig.experiment.fleet.fronts
     own = f"n{front}: '{front_address(front)}:{rig.peer_port}'"
     others = [f"n{n}: '{pair_address(front, n)}:{rig.ports['peers']}'" for n in range(count) if n != front]
@@ -57,7 +65,7 @@
 
 
 class Fleet(Rig):
-    """Started whole; the test that holds it injects the faults."""
+    """A started fleet, into which the test injects faults."""
 
     def __init__(
         self, folder: Path, count: int, operators: Callable[[int, Rig], str] = operators_file
@@ -82,14 +90,15 @@
         await self._end()
 
     def log_records(self, event: str) -> list[tuple[float, int, dict[str, Any]]]:
-        found = []
+        """Time, front and fields of the log records of an event, sorted by time."""
+        records = []
         for front in self.fronts:
             for line in (front.folder / "log").read_text(errors="replace").splitlines():
                 if f'"{event}"' in line and line.startswith("{") and line.endswith("}"):
                     record = json.loads(line)
                     at = datetime.datetime.fromisoformat(record["time"]).timestamp()
-                    found.append((at, front.number, record["fields"]))
-        return sorted(found, key=lambda record: record[:2])
+                    records.append((at, front.number, record["fields"]))
+        return sorted(records, key=lambda record: record[:2])
 
     def changes(self, since: float = 0.0) -> list[Change]:
         def names(text: str) -> tuple[str, ...]:
@@ -102,40 +111,50 @@
         ]
 
     def member_counts(self) -> list[int]:
-        """How many members each front that runs sees."""
-        seen = dict.fromkeys(range(self.count), 1)
-        starts = self.log_records("member_listening")  # a front sees itself alone at first
+        """The number of members in the view of each running front."""
+        count_by_front = dict.fromkeys(range(self.count), 1)
+        starts = self.log_records("member_listening")  # at first a view has only the front itself
         records = self.log_records("view_changed") + starts
         for _, front, fields in sorted(records, key=lambda record: record[0]):
-            seen[front] = fields.get("members", 1)
-        return [seen[front.number] for front in self.fronts if front.alive]
+            count_by_front[front] = fields.get("members", 1)
+        return [count_by_front[front.number] for front in self.fronts if front.alive]
 
     async def wait_for_views(
         self, count: int, timeout_s: float, observers: Sequence[int] | None = None
     ) -> float:
-        """Seconds until all observers see so many members; TimeoutError with what they see."""
+        """Wait until all observers' views have `count` members; return the seconds waited.
+
+        Raises:
+            TimeoutError: The timeout has passed; the message has the counts.
+        """
         began = time.monotonic()
         while True:
-            seen = self.member_counts()
-            if all(n == count for n in ([seen[i] for i in observers] if observers is not None else seen)):
+            counts = self.member_counts()
+            if all(n == count for n in ([counts[i] for i in observers] if observers is not None else counts)):
                 return time.monotonic() - began
             if time.monotonic() - began > timeout_s:
-                raise TimeoutError(f"{count} wanted, seen: {seen}")
+                raise TimeoutError(f"{count} members expected, in the views: {counts}")
             await asyncio.sleep(0.1)
 
     def set_fault(self, kind: str, fronts: Sequence[int], heal: bool = False, **more: Any) -> None:
-        """Has the relay strike, or heal, the paths between the fronts."""
+        """Make the relay inject a fault into the paths of these fronts, or remove it."""
         fault: dict[str, Any] = {"kind": kind, "path": relay.PEERS, "way": "both", "size": 0.0}
         self.relays[relay.PEERS].say(**{**fault, **more}, fronts=list(fronts), heal=heal)
 
     async def measure_effect(
         self, inject: Callable[[], Any], faulty: Sequence[int] = (), timeout_s: float = 60.0
     ) -> FaultEffect:
-        """Injects a fault that ends and waits for the views to recover; `faulty`: rightly removed."""
+        """Inject a temporary fault, wait for the views to recover, and return its effect.
+
+        Args:
+            inject: Injects the fault and returns when it has ended.
+            faulty: Numbers of the fronts that are expected to be removed.
+            timeout_s: The maximum recovery time.
+        """
         since = time.time()
         await inject()
         recovery_s = await self.wait_for_views(self.count, timeout_s)
-        await asyncio.sleep(3.0)  # suspicions raised now would time out
+        await asyncio.sleep(3.0)  # long enough for pending suspicions to time out
         faulty_names = {f"n{n}" for n in faulty}
         observed = [change for change in self.changes(since) if change.front not in faulty]
         wrong_removals = sum(len(set(change.removed) - faulty_names) for change in observed)
@@ -167,5 +186,5 @@
 
 
 def median(values: Sequence[float]) -> float:
-    """The median, 0 where there is none."""
+    """The median; 0 for no values."""
     return statistics.median(values) if values else 0.0
--- a/tests/test_agreement_node.py
+++ b/tests/test_agreement_node.py
@@ -1,4 +1,4 @@
-"""The agreement of one front as a whole: its start, and what is imported without its sections."""
+"""The agreement node of one front: its start, and the imports without its sections."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from quincepier.checks import Checks
 from quincepier.net.fleet.node import AgreementNode
-from tests.fleetkit import grant_lease, hear_version, make_front, make_version
+from tests.fleetkit import deliver_version, grant_lease, make_front, make_version
 
 
-def test_a_start_waits_for_an_answer_and_not_for_a_version_heard_in_passing() -> None:
+def test_a_start_waits_for_a_response_and_not_for_an_announced_version() -> None:
     effects, follower, _ = make_front()
     node: Any = SimpleNamespace(
         effects=effects, follower=follower, has_first_answer=asyncio.Event(), checks=Checks()
     )
-    hear_version(follower, make_version(4))
+    deliver_version(follower, make_version(4))
     AgreementNode._apply_adopted_version(node, "a")
     assert not node.has_first_answer.is_set()
     grant_lease(follower, 4, 0)
@@ -26,12 +26,12 @@
     assert node.has_first_answer.is_set()
 
 
-def test_nothing_of_it_is_imported_without_its_sections() -> None:
+def test_the_agreement_packages_are_not_imported_without_their_sections() -> None:
     code = (
         "import sys, quincepier.lifecycle.front, quincepier.lifecycle.operators\n"
-        "wrong = [m for m in sys.modules if m.startswith('quincepier.') and m.split('.')[1] in\n"
+        "imported = [m for m in sys.modules if m.startswith('quincepier.') and m.split('.')[1] in\n"
         "         ('consensus', 'consistency', 'maintenance', 'membership', 'rules', 'tenancy')\n"
         "         or m.startswith(('quincepier.net.fleet', 'quincepier.net.peers'))]\n"
-        "assert not wrong, wrong"
+        "assert not imported, imported"
     )
     subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
--- a/tests/test_agreement_section.py
+++ b/tests/test_agreement_section.py
@@ -1,4 +1,4 @@
-"""The section `agreement` of the operators' file: what is wrong in it is said with the key."""
+"""The section `agreement` of the operators' file: errors name the invalid key."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
         ("voters:", "lease_ms: 400\n  report_ms: 200\n  voters:", "under 3 times report_ms"),
     ],
 )
-def test_a_fault_in_the_section_is_told(text: str, replacement: str, message: str) -> None:
+def test_an_invalid_section_is_reported_with_its_key(text: str, replacement: str, message: str) -> None:
     with pytest.raises(OperatorError, match=message):
         read(VALID_SECTION.replace(text, replacement), "operator.yaml")
     assert read(VALID_SECTION, "operator.yaml").names == ["agreement"]
 
 
-def test_a_section_that_would_do_nothing_alone_is_refused(tmp_path: Path) -> None:
+def test_a_section_without_the_section_that_it_requires_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text(VALID_SECTION + "maintenance: {}\n")
     with pytest.raises(OperatorError, match="agreement: needs the section members: add it"):
--- a/tests/test_endpoint_overlay.py
+++ b/tests/test_endpoint_overlay.py
@@ -1,4 +1,4 @@
-"""Cordoned machines drain in the router's endpoint list, whatever the change log says."""
+"""Cordoned machines drain in the router's endpoint list, whatever state the change log reports."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 
 
 class TransparentOverlay(EndpointOverlay):
-    """Mutant: an entry of the change log ends a task."""
+    """Mutant: a change-log event ends a task."""
 
     def overlay(self, update: EndpointUpdate) -> EndpointUpdate:
         return update
 
 
 class ForgetfulOverlay(EndpointOverlay):
-    """Mutant: the router is not told of machines that are released."""
+    """Mutant: the router is not notified of machines that are no longer cordoned."""
 
     def set_cordoned(self, cordoned: frozenset[str], listed: Iterable[Endpoint]) -> EndpointUpdate | None:
         return super().set_cordoned(self.cordoned | cordoned, listed)
 
 
 def is_overlaid_throughout(overlay: EndpointOverlay, events: Sequence[tuple[str, Any]]) -> bool:
-    """Whether after each event the router has each machine as the log says, but for cordoned ones."""
+    """Whether the router has the state of the change log for each uncordoned machine after each event."""
     state_in_log = {number: EndpointState.READY for number in HOST_BY_NUMBER}
     state_in_router = dict(state_in_log)
 
-    def tell_router(update: EndpointUpdate | None) -> None:
+    def update_router(update: EndpointUpdate | None) -> None:
         for machine in update.machines if update is not None else ():
             state_in_router[machine.cache] = machine.state
 
@@ -56,12 +56,12 @@
                 for number, state in state_in_log.items()
                 if state is not EndpointState.GONE
             ]
-            tell_router(overlay.set_cordoned(cordoned, listed))
+            update_router(overlay.set_cordoned(cordoned, listed))
         else:
             number, state = value
             state_in_log[number] = state
             update = EndpointUpdate(UpdateScope.CHANGES, (make_endpoint(number, state),))
-            tell_router(overlay.overlay(update))
+            update_router(overlay.overlay(update))
         for number, state in state_in_log.items():
             must_drain = HOST_BY_NUMBER[number] in cordoned and state is EndpointState.READY
             if state_in_router[number] is not (EndpointState.DRAINING if must_drain else state):
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("mutant", [TransparentOverlay, ForgetfulOverlay])
-def test_the_property_finds_a_wrong_overlay(mutant: type[EndpointOverlay]) -> None:
+def test_the_property_detects_a_faulty_overlay(mutant: type[EndpointOverlay]) -> None:
     events = [("cordon", frozenset({"s-1"})), ("log", (1, EndpointState.READY)), ("cordon", frozenset[str]())]
     assert is_overlaid_throughout(EndpointOverlay(HOST_BY_NUMBER), events)
     assert not is_overlaid_throughout(mutant(HOST_BY_NUMBER), events)
--- a/tests/test_fleet_messages.py
+++ b/tests/test_fleet_messages.py
@@ -1,4 +1,4 @@
-"""Messages between fronts about rule versions: each is decoded as it was encoded, others are dropped."""
+"""Messages between fronts about rule versions: encoding and decoding, and rejection of invalid bytes."""
 
 from __future__ import annotations
 
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower: whom it reports to, and what it adopts."""
+"""The follower: the voter that it reports to, and the versions that it adopts."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     leader = next(voter for voter in VOTERS if voter != report.to)
     assert not follower.on_message(1, report.to, NotLeader(report.message.request.token, leader))
     assert follower.target == leader
-    # It reports soon, to the leader.
+    # It reports to the leader before the normal interval has passed.
     assert follower.on_tick(TIMINGS.request_interval_ns // 2, lambda: make_report("f", 0)) is not None
     grant = LeaseGrant(1, follower.lease.last_token, 3, 0)
     assert follower.on_message(2, leader, LeaseGranted(1, grant, encode_version(make_version(3))))
     assert follower.version.number == 3
-    assert follower.is_cautious(3)  # only the next request is answered with a lease
+    assert follower.is_cautious(3)  # the lease is granted only in response to the next request
     follower.on_tick(3 + TIMINGS.request_interval_ns, lambda: make_report("f", 3))
     grant = LeaseGrant(1, follower.lease.last_token, 3, 1000)
     follower.on_message(4 + TIMINGS.request_interval_ns, leader, LeaseGranted(1, grant))
@@ -30,7 +30,7 @@
     assert follower.is_cautious(3 + TIMINGS.request_interval_ns + TIMINGS.lease_ns)
 
 
-def test_a_version_is_taken_from_voters_alone_and_undamaged() -> None:
+def test_only_undamaged_versions_from_voters_are_adopted() -> None:
     follower = Follower("f", VOTERS, 1, 0, TIMINGS, 7)
     follower.on_message(2, "a", VersionCommitted(1, encode_version(make_version(3))))
     assert not follower.on_message(6, "x", VersionCommitted(1, encode_version(make_version(9))))
@@ -39,7 +39,7 @@
         follower.on_message(7, "a", VersionCommitted(1, encode_version(make_version(9))[:-1]))
 
 
-def test_a_voter_that_does_not_answer_is_not_asked_for_ever() -> None:
+def test_a_follower_without_responses_tries_all_voters() -> None:
     follower = Follower("f", VOTERS, 1, 0, TIMINGS, 7)
     targets = set[str]()
     for count in range(40):
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""The leader: leases for reports, one proposal at a time, planners with defects."""
+"""The leader: lease grants for reports, one proposal at a time, defective planners."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def make_leader(planner: Any, has_lease: bool = True) -> tuple[Leader, list[bytes], Any]:
-    """A leader, what it proposes, and its Raft node."""
+    """Return a leader, the list of its proposals, and its Raft node."""
     proposed: list[bytes] = []
     raft = SimpleNamespace(term=1, lease_until_ns=1 << 60)
     node: Any = SimpleNamespace(raft=raft, has_leader_lease=has_lease, leader="b", propose=proposed.append)
@@ -47,11 +47,11 @@
     leader, proposed, node = make_leader(planner)
     leader.on_tick(0)
     leader.on_tick(clock.SECOND)
-    # No more until the first is committed, or lost.
+    # No second proposal until the first is committed or lost.
     assert [decode_version(raw).number for raw in proposed] == [1]
     assert leader.on_committed(decode_version(proposed[0]))
     assert not leader.on_committed(decode_version(proposed[0]))
-    assert leader.on_report(2 * clock.SECOND, request(1, "f", 40)) is None  # no lease by it
+    assert leader.on_report(2 * clock.SECOND, request(1, "f", 40)) is None  # no lease for an unknown version
     leader.on_tick(2 * clock.SECOND)
     assert decode_version(proposed[-1]).number == 41
     answer = leader.on_report(2 * clock.SECOND, request(2, "g", 0))
@@ -63,8 +63,8 @@
     assert leader.on_report(3 * clock.SECOND, request(3, "g", 0)) == NotLeader(3, "b")
 
 
-def test_a_late_proposal_is_made_again_the_same_and_no_other_of_its_number() -> None:
-    """The other voters' disks hang for seconds: the first is committed after all, and the second besides."""
+def test_an_overdue_proposal_is_repeated_unchanged_and_no_other_has_its_number() -> None:
+    """The other voters' disks hang for seconds: the first and the repeated proposal are both committed."""
     leader, proposed, node = make_leader(
         lambda committed, observations: VersionChange(
             f"at {observations.now_ns}", maintenance_tasks=(DRAINING_TASK,) * observations.now_ns
@@ -81,12 +81,12 @@
     leader.on_committed(decode_version(proposed[0]))
     leader.on_tick(5 * clock.SECOND)
     assert decode_version(proposed[2]).number == 2
-    node.raft.term = 2  # what an earlier term left was committed by then, or is gone
+    node.raft.term = 2  # entries of the earlier term are by now committed or lost
     leader.on_tick(6 * clock.SECOND)
     assert decode_version(proposed[3]).number == 2 and decode_version(proposed[3]).term == 2
 
 
-def test_a_version_that_no_front_could_read_is_not_proposed() -> None:
+def test_a_version_that_no_front_could_decode_is_not_proposed() -> None:
     def planner(committed: RuleVersion, observations: Any) -> VersionChange:
         invalid = msgspec.structs.replace(DRAINING_TASK, request_id="")
         return VersionChange("a defect", maintenance_tasks=(invalid,))
@@ -101,7 +101,7 @@
     assert decode_version(encode_version(at_default_shard)).home_shard_of("acme") == ""
 
 
-def test_a_planner_that_raises_stops_nothing_else() -> None:
+def test_a_planner_that_raises_does_not_stop_the_leader() -> None:
     def planner(committed: RuleVersion, observations: Any) -> VersionChange:
         raise ValueError("a defect")
 
@@ -114,7 +114,7 @@
 def test_a_new_leader_waits_for_a_front_that_membership_removed_before_its_election(
     decommissioned: frozenset[str],
 ) -> None:
-    """Cut off, that front serves on by an older version, and this leader never heard it."""
+    """The unreachable front may still serve by an older version; the new leader has no report of it."""
     observed: list[Any] = []
     leader, _, _ = make_leader(lambda committed, observations: observed.append(observations))
     leader.sources = replace(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The failure detector: many of them over a network with loss, delay, pauses and one-way partitions."""
+"""Failure detectors over a simulated network with loss, delay, process pauses and one-way partitions."""
 
 from __future__ import annotations
 
@@ -31,44 +31,49 @@
 )
 from quincepier.membership.probe_intervals import MS, SECOND
 
-TOLERATED_PAUSE = 2 * SECOND  # shorter than the isolation timeout by more than a probe interval
+TOLERATED_PAUSE = 2 * SECOND  # more than a probe interval below the isolation timeout
 
 
-def converged_net(count: int, seed: int = 1, **more: float) -> PeerNet:
-    net = PeerNet(count, seed, loss=more.get("loss", 0.0), late=int(more.get("late", 0)))
+def converged_net(count: int, seed: int = 1, **options: float) -> PeerNet:
+    net = PeerNet(count, seed, loss=options.get("loss", 0.0), late=int(options.get("late", 0)))
     net.start()
     net.run(8 * SECOND)
     assert net.whole()
     return net
 
 
-def removals(net: PeerNet, since: int, observers: Iterable[Peer] | None = None) -> list[str]:
-    """Members that were removed from a view of these observers after that moment, once for each."""
+def removed_names(net: PeerNet, since: int, observers: Iterable[Peer] | None = None) -> list[str]:
+    """Names of the members removed from the observers' views after a time, one entry per view and removal."""
     peers = net.peers if observers is None else observers
     return [name for peer in peers for at, view in peer.views if at > since for name in view.removed]
 
 
-def converge(net: PeerNet, within: int) -> int:
-    """Runs until all views are right again; returns how long that took."""
+def converge(net: PeerNet, timeout_ns: int) -> int:
+    """Runs the net until all views are correct; returns the time in nanoseconds that this took."""
     since = net.now
     while not net.whole():
-        assert net.now - since < within, "views do not agree"
+        assert net.now - since < timeout_ns, "views do not agree"
         net.run(100 * MS)
     return net.now - since
 
 
 @pytest.mark.parametrize("count", [2, 3, 10, 40])
-def test_a_fleet_converges_from_three_seeds_and_stays_quiet(count: int) -> None:
+def test_a_fleet_converges_from_three_seeds_and_stays_stable_with_little_traffic(count: int) -> None:
     net = converged_net(count)
-    since, sent = net.now, sum(net.bytes.values())
+    since, sent_bytes = net.now, sum(net.bytes.values())
     net.run(10 * SECOND)
-    assert not removals(net, since) and net.whole()
-    assert (sum(net.bytes.values()) - sent) / count / 10 < 4000  # bytes a second of one member
+    assert not removed_names(net, since) and net.whole()
+    assert (sum(net.bytes.values()) - sent_bytes) / count / 10 < 4000  # bytes per second of one member
 
 
-def halves(net: PeerNet) -> set[tuple[str, str]]:
-    near = {peer.name for peer in net.peers[: len(net.peers) // 2]}
-    return {(a.name, b.name) for a in net.peers for b in net.peers if (a.name in near) != (b.name in near)}
+def paths_between_halves(net: PeerNet) -> set[tuple[str, str]]:
+    first_half = {peer.name for peer in net.peers[: len(net.peers) // 2]}
+    return {
+        (a.name, b.name)
+        for a in net.peers
+        for b in net.peers
+        if (a.name in first_half) != (b.name in first_half)
+    }
 
 
 @pytest.mark.parametrize(
@@ -84,11 +89,13 @@
         (12, 0.0, 0, TOLERATED_PAUSE, ""),
         (20, 0.0, 0, 0, "one-way partition of a tenth"),
         (12, 0.0, 0, 0, "partition in halves for a second"),
-        (12, 0.0, 0, 0, "one restarts each second"),
+        (12, 0.0, 0, 0, "a member restarts each second"),
     ],
 )
-def test_tolerated_faults_remove_nobody(count: int, loss: float, delay: int, pause: int, fault: str) -> None:
-    """Loss, delay, pauses of a third, one-way and short partitions, a member that restarts."""
+def test_tolerated_faults_remove_no_member(
+    count: int, loss: float, delay: int, pause: int, fault: str
+) -> None:
+    """Loss, delay, pauses of a third of the members, one-way and short partitions, a restarting member."""
     net = PeerNet(count, 3, loss=loss, late=delay)
     net.start()
     net.run(15 * SECOND)
@@ -98,46 +105,46 @@
     if "tenth" in fault:
         net.cuts = {(f"f{a}", f"f{b}") for a in range(2) for b in range(10, 20)}
     elif "halves" in fault:
-        net.cuts = halves(net)
+        net.cuts = paths_between_halves(net)
         net.run(SECOND)
         net.cuts.clear()
     elif "restarts" in fault:
-        observers = net.peers[:-1]  # the one that restarts has a view of its own to find
+        observers = net.peers[:-1]  # a restarting member has to build its view first
         for _ in range(10):
             net.peers[-1].kill()
             net.run(500 * MS)
             net.peers[-1].start()
             net.run(500 * MS)
     net.run(30 * SECOND)
-    assert net.whole() and not removals(net, since, observers)
+    assert net.whole() and not removed_names(net, since, observers)
 
 
-def test_a_process_paused_past_the_isolation_timeout_is_alone_until_it_hears_others() -> None:
+def test_a_process_paused_longer_than_the_isolation_timeout_is_isolated_until_a_message() -> None:
     net = converged_net(12)
     since, paused = net.now, net.peers[0]
     paused.pause(5 * SECOND)
     net.run(4 * SECOND)
     others = net.peers[1:]
-    assert set(removals(net, since, others)) == {paused.name}  # it was removed, with one change of each view
-    assert len(removals(net, since, others)) == len(others)
+    assert set(removed_names(net, since, others)) == {paused.name}  # one change of each view removed it
+    assert len(removed_names(net, since, others)) == len(others)
     net.run(SECOND + MS)
     first = next(view for at, view in paused.views if at > since)
-    assert first.members == (paused.name,)  # before anything else
+    assert first.members == (paused.name,)  # its first new view is the isolated one
     converge(net, 10 * SECOND)
 
 
-def test_a_member_that_only_receives_is_removed_by_all_and_nobody_else_is() -> None:
+def test_a_member_that_only_receives_is_removed_by_all_and_no_other_member_is() -> None:
     net = converged_net(12)
     since, receiver = net.now, net.peers[0]
     net.cuts = {(receiver.name, peer.name) for peer in net.peers[1:]}
     net.run(10 * SECOND)
-    assert set(removals(net, since, net.peers[1:])) == {receiver.name}
-    assert len(removals(net, since, net.peers[1:])) == 11
+    assert set(removed_names(net, since, net.peers[1:])) == {receiver.name}
+    assert len(removed_names(net, since, net.peers[1:])) == 11
     net.cuts.clear()
     converge(net, 20 * SECOND)
 
 
-def test_a_member_that_only_sends_is_alone_within_the_isolation_timeout() -> None:
+def test_a_member_that_only_sends_is_isolated_after_the_isolation_timeout() -> None:
     net = converged_net(12)
     sender = net.peers[0]
     net.cuts = {(peer.name, sender.name) for peer in net.peers[1:]}
@@ -145,11 +152,11 @@
     assert sender.members == {sender.name}
 
 
-@pytest.mark.parametrize("lasts", [10, 60])
-def test_both_halves_of_a_partition_merge_again(lasts: int) -> None:
+@pytest.mark.parametrize("duration_s", [10, 60])
+def test_both_halves_of_a_partition_merge_again(duration_s: int) -> None:
     net = converged_net(12)
-    net.cuts = halves(net)
-    net.run(lasts * SECOND)
+    net.cuts = paths_between_halves(net)
+    net.run(duration_s * SECOND)
     assert all(len(peer.members) == 6 for peer in net.peers)
     net.cuts.clear()
     converge(net, 15 * SECOND)
@@ -170,22 +177,22 @@
 
 
 def test_a_kill_is_one_change_of_each_view_within_seconds() -> None:
-    times = []
+    detection_times_ns = []
     for seed in range(5):
         net = converged_net(30, seed)
         since, dead = net.now, net.peers[-1]
         dead.kill()
         net.run(8 * SECOND)
-        assert removals(net, since) == [dead.name] * 29
-        times += [at - since for peer in net.peers for at, _ in peer.views if at > since]
-    assert sorted(times)[len(times) // 2] <= 3 * SECOND  # of virtual time
+        assert removed_names(net, since) == [dead.name] * 29
+        detection_times_ns += [at - since for peer in net.peers for at, _ in peer.views if at > since]
+    assert sorted(detection_times_ns)[len(detection_times_ns) // 2] <= 3 * SECOND  # of virtual time
 
 
 def test_a_restart_with_the_clock_set_back_and_during_a_suspicion() -> None:
     net = converged_net(12)
     peer = net.peers[-1]
     peer.kill()
-    net.run(SECOND)  # suspected, and not declared dead yet
+    net.run(SECOND)  # suspected but not yet declared dead
     peer.start(number=3)
     converge(net, 5 * SECOND)
     peer.kill()
@@ -232,9 +239,10 @@
 
 
 def test_any_loss_or_duplication_of_six_datagrams_ends_in_one_view() -> None:
-    """Three members, one paused until both suspect it: all 729 fates of the first six datagrams after.
+    """Three members, one paused until both others suspect it: all 729 outcomes for the next six datagrams.
 
-    Incarnations never go back, a member that refuted stays, and all views agree within three seconds.
+    Incarnations never decrease, a member that refuted stays in the views, and all views agree within three
+    seconds.
     """
     for copies in itertools.product((0, 1, 2), repeat=6):
         net = PeerNet(3, 1)
@@ -242,11 +250,11 @@
         net.run(2 * SECOND)
         net.peers[0].pause(1500 * MS)
         net.run(1500 * MS)
-        remaining, deliver, since = list(copies), net.send, net.now
-        highest = dict.fromkeys((p.name for p in net.peers), 0)
+        remaining_copies, deliver, since = list(copies), net.send, net.now
+        highest_incarnation = dict.fromkeys((p.name for p in net.peers), 0)
 
         def send(sender: Peer, address: tuple[str, int], data: bytes) -> None:
-            for _ in range(remaining.pop(0) if remaining else 1):  # noqa: B023
+            for _ in range(remaining_copies.pop(0) if remaining_copies else 1):  # noqa: B023
                 deliver(sender, address, data)  # noqa: B023
 
         net.send = send  # type: ignore[method-assign]
@@ -254,10 +262,13 @@
             net.run(100 * MS)
             for peer in net.peers:
                 for record in peer.detector.records():
-                    assert record.incarnation >= 0 and peer.detector.incarnation >= highest[peer.name]
+                    assert (
+                        record.incarnation >= 0
+                        and peer.detector.incarnation >= highest_incarnation[peer.name]
+                    )
                     assert record.incarnation <= net.peers[int(record.name[1:])].detector.incarnation
-                highest[peer.name] = peer.detector.incarnation
-        assert net.whole() and not removals(net, since), copies
+                highest_incarnation[peer.name] = peer.detector.incarnation
+        assert net.whole() and not removed_names(net, since), copies
 
 
 def test_datagrams_and_state_stay_within_their_limits() -> None:
@@ -289,7 +300,7 @@
     assert all(len(record.suspected_by) <= 2 * intervals.required_suspicions for record in detector.records())
 
 
-def test_a_lone_front_has_itself_in_view_and_pings_its_seeds() -> None:
+def test_a_front_without_others_has_itself_in_view_and_pings_its_seeds() -> None:
     detector = FailureDetector(
         "fleet", "me", ("10.0.0.1", 1), 1, 0, 1, seeds=[("10.0.0.2", 2), ("10.0.0.1", 1)]
     )
@@ -300,19 +311,24 @@
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.binary(max_size=200), st.integers(0, 60), st.integers(0, 255))
-def test_hostile_datagrams_change_nothing(random_bytes: bytes, at: int, value: int) -> None:
+def test_hostile_datagrams_change_nothing(random_bytes: bytes, position: int, value: int) -> None:
     updates = (MembershipUpdate("b", ("10.0.0.2", 2), 5, MemberState.SUSPECT, 7, "c"),)
-    good = bytearray(
+    datagram = bytearray(
         encode(Message(VERSION, "fleet", MessageKind.ACK, 3, "c", ("10.0.0.3", 3), 1, "", updates))
     )
-    good[at % len(good)] = value
-    for raw in (random_bytes, bytes(good), bytes(good[: at % len(good)]), bytes(good) + random_bytes):
+    datagram[position % len(datagram)] = value
+    for raw in (
+        random_bytes,
+        bytes(datagram),
+        bytes(datagram[: position % len(datagram)]),
+        bytes(datagram) + random_bytes,
+    ):
         detector = FailureDetector("fleet", "a", ("10.0.0.1", 1), 1, 0, 1)
         detector.on_datagram(MS, raw)
         assert "a" in detector.members and len(detector.members) <= 3 and len(detector.records()) <= 2
-        for read in (decode, decode_full_state):
+        for decode_message in (decode, decode_full_state):
             try:
-                read(raw, "fleet")
+                decode_message(raw, "fleet")
             except InvalidMessageError:
                 continue
 
--- a/tests/test_peer_network.py
+++ b/tests/test_peer_network.py
@@ -1,4 +1,4 @@
-"""The network between the fronts, in network process on loopback: section, datagrams, streams, quotas."""
+"""The network between the fronts, in one process on loopback: section, datagrams, streams, quotas."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     asyncio.run(run())
 
 
-def test_one_list_of_fronts_serves_all() -> None:
+def test_one_list_of_fronts_serves_all_fronts() -> None:
     listed = read_section("{fleet: web, fronts: {a: '10.0.0.1:7400', b: '[fd00::2]:7400'}}")
     assert (
         listed.listen_endpoint("a") == listed.announced_endpoint("a") and listed.listen_endpoint("c") is None
@@ -84,7 +84,7 @@
         ("{fleet: web, port: 1, fronts: {a: '10.0.0.1:7400'}}", "no such key"),
     ],
 )
-def test_an_unusable_section_says_what_to_write(text: str, message: str) -> None:
+def test_the_error_for_an_invalid_section_says_what_to_write(text: str, message: str) -> None:
     with pytest.raises(OperatorError, match=message):
         read_section(text)
 
@@ -113,10 +113,10 @@
 
 
 def test_all_join_and_frames_keep_their_order_on_one_stream_a_pair() -> None:
-    networks, got = make_networks(4), dict[tuple[str, str], list[bytes]]()
+    networks, received = make_networks(4), dict[tuple[str, str], list[bytes]]()
 
     def receive(receiver: str, sender: str, data: bytes) -> None:
-        got.setdefault((receiver, sender), []).append(data)
+        received.setdefault((receiver, sender), []).append(data)
 
     async def scenario() -> None:
         for network in networks:
@@ -126,14 +126,16 @@
             for network in networks:
                 for other in networks:
                     assert network is other or network.send(other.name, 5, b"%d" % n)
-        await until(lambda: sum(map(len, got.values())) == 12 * 200, "all frames are there")
-        assert len(got) == 12 and all(data == [b"%d" % n for n in range(200)] for data in got.values())
+        await until(lambda: sum(map(len, received.values())) == 12 * 200, "all frames are received")
+        assert len(received) == 12 and all(
+            data == [b"%d" % n for n in range(200)] for data in received.values()
+        )
         await until(
             lambda: all(network.streams.stream_count == 3 for network in networks),
-            "one stream a pair is left",
+            "one stream per pair is left",
         )
         assert networks[0].send("n1", 5, bytes(MAX_FRAME_BYTES))
-        await until(lambda: len(got["n1", "n0"][-1]) == MAX_FRAME_BYTES, "the greatest frame is there")
+        await until(lambda: len(received["n1", "n0"][-1]) == MAX_FRAME_BYTES, "the largest frame is received")
         assert not networks[0].send("n1", 5, bytes(MAX_FRAME_BYTES + 1))
         assert not networks[0].send("n0", 5, b"")
         await networks[3].leave()
@@ -146,27 +148,27 @@
     run_scenario(networks, scenario)
 
 
-def test_an_unreachable_or_stalled_peer_costs_frames_and_bounded_memory() -> None:
+def test_frames_to_an_unreachable_or_stalled_peer_are_dropped_and_memory_is_bounded() -> None:
     network = make_networks(2)[0]
-    silent = socket.socket()
+    stalled = socket.socket()
 
     async def scenario() -> None:
-        silent.bind(("127.0.0.1", 0))
+        stalled.bind(("127.0.0.1", 0))
         assert not network.send("nobody", 5, b"x")
         assert network.send("n1", 5, b"x")  # queued until the dial ends
-        refused = "peer_frames_dropped_peer_unreachable"
-        await until(lambda: network.checks.counts[refused] >= 2, "the dial is refused")
-        silent.listen(1)
-        network.add_address("silent", silent.getsockname())
-        sent = sum(network.send("silent", 5, bytes(MAX_FRAME_BYTES)) for _ in range(50))
+        counter = "peer_frames_dropped_peer_unreachable"
+        await until(lambda: network.checks.counts[counter] >= 2, "the dial has failed")
+        stalled.listen(1)
+        network.add_address("stalled", stalled.getsockname())
+        sent = sum(network.send("stalled", 5, bytes(MAX_FRAME_BYTES)) for _ in range(50))
         assert 0 < sent < 4 and network.checks.counts["peer_frames_dropped_queue_full"] == 50 - sent
         assert network.streams.queued_bytes <= 4 << 20
 
     run_scenario([network], scenario)
-    silent.close()
+    stalled.close()
 
 
-def test_handlers_that_raise_and_hostile_bytes_end_nothing() -> None:
+def test_handlers_that_raise_and_hostile_bytes_do_not_stop_the_network() -> None:
     networks, received = make_networks(2), list[str]()
 
     def on_frame(sender: str, data: bytes) -> None:
@@ -176,18 +178,18 @@
     async def scenario() -> None:
         networks[1].register_channel(9, on_frame)
         networks[1].add_view_listener(lambda change: on_frame("view", b""))
-        await until(lambda: len(networks[1].view) == 2, "they see each other")
+        await until(lambda: len(networks[1].view) == 2, "the view has both fronts")
         with pytest.raises(PeersError):
             networks[1].register_channel(9, on_frame)
         reader, writer = await asyncio.open_connection(*networks[1].listen_address)
         writer.write(b"GET / HTTP/1.1\r\n\r\n")
         assert await reader.read() == b""
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(b"\xc1" * 50, networks[1].listen_address)
-        networks[0]._socket.send(b"\xc1" * 50, networks[1].listen_address)  # from a member's own address
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as foreign_socket:
+            foreign_socket.sendto(b"\xc1" * 50, networks[1].listen_address)
+        networks[0]._socket.send(b"\xc1" * 50, networks[1].listen_address)  # from the address of a member
         for _ in range(2):
             assert networks[0].send("n1", 9, b"x")
-        await until(lambda: received.count("n0") == 2, "frames still come")
+        await until(lambda: received.count("n0") == 2, "frames are still received")
         counts = networks[1].checks.counts
         await until(lambda: counts["peer_datagrams_rejected"] == 2, "the datagrams are dropped")
         assert counts["peer_network_exception"] == len(received) and counts["peer_stream_rejected"] == 1
@@ -202,25 +204,31 @@
     def make_module(settings: Any) -> Any:
         return SimpleNamespace(router=SimpleNamespace(settings=settings), checks=Checks())
 
-    few, enough = make_module(configured), make_module(replace(configured, fronts=6, fronts_by_zone=(1, 5)))
-    QuotaAllocator(few, networks[0])
-    allocator = QuotaAllocator(enough, networks[1])
+    with_two, with_six = (
+        make_module(configured),
+        make_module(replace(configured, fronts=6, fronts_by_zone=(1, 5))),
+    )
+    QuotaAllocator(with_two, networks[0])
+    allocator = QuotaAllocator(with_six, networks[1])
 
     async def scenario() -> None:
-        await until(lambda: few.router.settings.fronts == 4, "four are seen where two are configured")
-        assert few.router.settings.fronts_by_zone == (0, 4)
-        await until(lambda: len(networks[1].view) == 4, "four are seen where six are configured")
-        assert enough.router.settings.fronts == 6
+        await until(
+            lambda: with_two.router.settings.fronts == 4, "four fronts are in the view, two are configured"
+        )
+        assert with_two.router.settings.fronts_by_zone == (0, 4)
+        await until(lambda: len(networks[1].view) == 4, "four fronts are in the view, six are configured")
+        assert with_six.router.settings.fronts == 6
         await networks[3].leave()
         await until(
-            lambda: few.router.settings.fronts == 3, "the one that announced its leave counts no longer"
+            lambda: with_two.router.settings.fronts == 3,
+            "the front that announced its leave no longer counts",
         )
         holder = QuotaHolder(6, 10 * clock.SECOND, 0)
         allocator.use_leases(holder)
-        assert enough.router.settings.fronts == 24, "without a lease a quarter of a fraction"
+        assert with_six.router.settings.fronts == 24, "without a lease a quarter of a fraction"
         holder.on_grant(clock.now(), clock.now(), QuotaGrant(GrantNumber(1, 1), 2))
         allocator.update()
-        assert enough.router.settings.fronts == 3  # two share 5 in 6 of the whole
+        assert with_six.router.settings.fronts == 3  # two holders share 5/6 of the whole
 
     run_scenario(networks, scenario)
     assert (
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of what all fronts share: never more than the whole, whatever is lost, late, cut off or killed."""
+"""Quotas of shared limits: their sum never exceeds the whole, despite loss, delay, partitions and kills."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     quota_fraction,
 )
 
-LEASE, MAX_ATTEMPT = 4, 2  # steps
-MAX_IN_FLIGHT = 3  # requests, and as many responses
-MUTANT_SEEDS = 40  # seeds that a mutant is tried with
+LEASE, MAX_ATTEMPT = 4, 2  # steps of simulated time
+MAX_MESSAGES_IN_FLIGHT = 3  # of requests, and the same of responses
+MUTANT_SEEDS = 40  # seeds with which each mutant is run
 
 
 class Request(NamedTuple):
@@ -38,7 +38,7 @@
 
 
 class Response(NamedTuple):
-    """The answer to a request that was sent at that time."""
+    """The response to a request that was sent at `requested_at`."""
 
     front: int
     requested_at: int
@@ -52,16 +52,16 @@
     quota: Fraction
 
 
-Event = tuple[Any, ...]  # its name, and which front or message it strikes
+Event = tuple[Any, ...]  # the name, and the index of the front or message, or a number of steps
 
 
 class QuotaSimulation:
-    """Holders, the leader's table and messages in flight; any of `events` may come next."""
+    """Holders, the leader's table and messages in flight; any of `events` may happen next."""
 
     def __init__(self, front_count: int) -> None:
         self.now, self.front_count, self.term = 100, front_count, 1
         self.holders = [QuotaHolder(front_count, LEASE, MAX_ATTEMPT) for _ in range(front_count)]
-        self.down_until = [0] * front_count  # of one that was killed and has not started again
+        self.down_until = [0] * front_count  # by front; it is down until then after a kill
         self.uses = [[Use(self.now, holder.quota(self.now))] for holder in self.holders]
         self.table = QuotaTable(1, LEASE, MAX_ATTEMPT, self.now - 100)
         self.requests: list[Request] = []
@@ -73,7 +73,7 @@
         events += [("request arrives", index) for index in range(len(self.requests))]
         return events + [("response arrives", index) for index in range(len(self.responses))]
 
-    def play(self, name: str, index: int = 0) -> None:
+    def apply_event(self, name: str, index: int = 0) -> None:
         match name:
             case "time":
                 for _ in range(index):
@@ -95,16 +95,16 @@
         self.record_uses()
 
     def send_request(self, front: int) -> None:
-        if len(self.requests) < MAX_IN_FLIGHT and self.now >= self.down_until[front]:
+        if len(self.requests) < MAX_MESSAGES_IN_FLIGHT and self.now >= self.down_until[front]:
             self.requests.append(Request(front, self.now, self.holders[front].reported_grant(self.now)))
 
     def deliver_request(self, request: Request) -> None:
         grant = self.table.on_request(self.now, str(request.front), request.reported)
-        if grant is not None and len(self.responses) < MAX_IN_FLIGHT:
+        if grant is not None and len(self.responses) < MAX_MESSAGES_IN_FLIGHT:
             self.responses.append(Response(request.front, request.sent_at, grant))
 
     def deliver_response(self, response: Response) -> None:
-        if response.requested_at >= self.down_until[response.front]:  # not by the process before
+        if response.requested_at >= self.down_until[response.front]:  # not requested by an earlier process
             self.holders[response.front].on_grant(self.now, response.requested_at, response.grant)
 
     def record_uses(self) -> None:
@@ -115,11 +115,11 @@
 
     @property
     def total_use(self) -> Fraction:
-        """The sum over all fronts, each with what may still be open under an earlier quota."""
+        """The sum over all fronts of the largest quota under which attempts may still be open."""
         return sum((max(use.quota for use in uses) for uses in self.uses), Fraction(0))
 
     def state(self) -> Any:
-        """All that decides what can follow, with times relative to now."""
+        """The state that determines all further behaviour, with times relative to now."""
         now, table = self.now, self.table
         return (
             tuple(
@@ -143,8 +143,8 @@
         )
 
 
-def random_run(seed: int, steps: int, front_count: int) -> Fraction:
-    """The most that was used at once."""
+def highest_use_of_random_run(seed: int, steps: int, front_count: int) -> Fraction:
+    """Returns the highest total use in a random run."""
     rng, simulation, highest = random.Random(seed), QuotaSimulation(front_count), Fraction(0)
     weights = {
         "time": 3,
@@ -156,13 +156,13 @@
     }
     for _ in range(steps):
         events = simulation.events()
-        simulation.play(*rng.choices(events, [weights[event[0]] for event in events])[0])
+        simulation.apply_event(*rng.choices(events, [weights[event[0]] for event in events])[0])
         highest = max(highest, simulation.total_use)
     return highest
 
 
 @pytest.fixture(autouse=True)
-def _margin_of_one_step(monkeypatch: pytest.MonkeyPatch) -> None:
+def _drift_margin_of_one_step(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(quotas, "CLOCK_DRIFT_MARGIN_NS", 1)
 
 
@@ -172,120 +172,129 @@
         assert holder_count * quota_fraction(configured_fronts, holder_count) + unleased == 1
 
 
-def test_every_short_run_keeps_to_the_whole() -> None:
-    """Two fronts: each order of requests, responses, losses, kills, new leaders and time, explored whole."""
+def test_every_short_run_stays_within_the_whole() -> None:
+    """Two fronts: all sequences of up to six events (messages, losses, kills, new leaders, time)."""
 
     def replay(run: tuple[Event, ...]) -> QuotaSimulation:
         simulation = QuotaSimulation(2)
         for event in run:
-            simulation.play(*event)
+            simulation.apply_event(*event)
         return simulation
 
-    seen, enlarged, frontier = set[Any](), 0, list[tuple[Event, ...]]([()])
+    seen_states, enlarged_count, frontier = set[Any](), 0, list[tuple[Event, ...]]([()])
     for _ in range(6):
         next_frontier = list[tuple[Event, ...]]()
         for run in frontier:
             for event in replay(run).events():
                 simulation = replay((*run, event))
                 state = simulation.state()
-                if state in seen:
+                if state in seen_states:
                     continue
-                seen.add(state)
+                seen_states.add(state)
                 assert simulation.total_use <= 1, (*run, event)
-                enlarged += any(h.quota(simulation.now) > Fraction(1, 2) for h in simulation.holders)
+                enlarged_count += any(
+                    holder.quota(simulation.now) > Fraction(1, 2) for holder in simulation.holders
+                )
                 next_frontier.append((*run, event))
         frontier = next_frontier
-    assert enlarged and len(seen) > 2000
+    assert enlarged_count and len(seen_states) > 2000
 
 
 @pytest.mark.parametrize("front_count", [2, 3, 7])
-def test_long_random_runs_keep_to_the_whole_and_come_near_it(front_count: int) -> None:
-    highest = max(random_run(seed, 1500, front_count) for seed in range(5))
+def test_long_random_runs_stay_within_the_whole_and_approach_it(front_count: int) -> None:
+    highest = max(highest_use_of_random_run(seed, 1500, front_count) for seed in range(5))
     assert Fraction(9, 10) < highest <= 1
 
 
 class Mutant(NamedTuple):
-    """A fault planted in a method of the quotas, by its text."""
+    """A fault in a method of the quotas: a piece of its source and the replacement."""
 
     method: Callable[..., Any]
     text: str
-    wrong: str
+    replacement: str
 
 
 MUTANTS = [
-    # a lease is gone before it ends for its holder
+    # a lease ends in the table before it ends at its holder
     Mutant(QuotaTable.__init__, "lease_ns + CLOCK_DRIFT_MARGIN_NS + max_attempt_ns", "lease_ns - 1"),
-    # a new leader enlarges quotas at once
+    # a new leader enlarges quotas immediately
     Mutant(QuotaTable.__init__, "now_ns + self._expiry_ns  #", "now_ns  #"),
-    # a front joins before the others went down
+    # a front joins before the others reported smaller quotas
     Mutant(QuotaTable.on_request, "return None  # the others", "pass  # the others"),
     # a lease never ends
     Mutant(QuotaHolder.current_grant, "now_ns < self._expires_ns", "self._expires_ns"),
-    # an older grant is taken
+    # an older grant is accepted
     Mutant(QuotaHolder.on_grant, "grant.number >= self._grant.number and ", ""),
-    # a front without a lease does not go down
+    # a front without a lease does not reduce its quota
     Mutant(
         QuotaHolder.quota,
         "UNLEASED_FRACTION / self._configured_fronts",
         "Fraction(1, self._configured_fronts)",
     ),
-    # a lease counts from the response on
+    # a lease is counted from the response
     Mutant(
         QuotaHolder.on_grant,
         "max(requested_at_ns + self._lease_ns, self._expires_ns)",
         "now_ns + 2 * self._lease_ns",
     ),
-    # a front reports that it went down while more is open
+    # a front reports the smaller quota while attempts under the larger one are open
     Mutant(QuotaHolder.reported_grant, "now_ns < self._larger_until_ns", "False"),
 ]
 
 
-@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.wrong[:30])
-def test_each_rule_left_out_is_found(mutant: Mutant, monkeypatch: pytest.MonkeyPatch) -> None:
-    source, made = textwrap.dedent(inspect.getsource(mutant.method)), dict[str, Any]()
+@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.replacement[:30])
+def test_each_mutant_of_the_rules_is_detected(mutant: Mutant, monkeypatch: pytest.MonkeyPatch) -> None:
+    source, namespace = textwrap.dedent(inspect.getsource(mutant.method)), dict[str, Any]()
     assert source.count(mutant.text) == 1
-    changed = source.replace(mutant.text, mutant.wrong)
-    exec("from __future__ import annotations\n" + changed, vars(quotas), made)
+    changed = source.replace(mutant.text, mutant.replacement)
+    exec("from __future__ import annotations\n" + changed, vars(quotas), namespace)
     owner = getattr(quotas, mutant.method.__qualname__.split(".")[0])
-    monkeypatch.setattr(owner, mutant.method.__name__, made[mutant.method.__name__])
+    monkeypatch.setattr(owner, mutant.method.__name__, namespace[mutant.method.__name__])
     assert any(
-        random_run(seed, 1500, front_count) > 1 for seed in range(MUTANT_SEEDS) for front_count in (2, 3)
+        highest_use_of_random_run(seed, 1500, front_count) > 1
+        for seed in range(MUTANT_SEEDS)
+        for front_count in (2, 3)
     )
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_views_of_a_fleet_in_trouble_never_enlarge_a_quota_beyond_the_settings(seed: int) -> None:
-    """Twelve fronts through a partition, pauses, kills and returns; the settings say twelve, and ten."""
+def test_views_of_a_fleet_with_faults_never_enlarge_a_quota_beyond_the_settings(seed: int) -> None:
+    """Twelve fronts with a partition, pauses, kills and restarts; twelve or ten fronts are configured."""
     net, rng = PeerNet(12, seed), random.Random(seed)
     counts = [LiveMemberCount(peer.name, 12, 600 * SECOND) for peer in net.peers]
     counts_of_ten = [LiveMemberCount(peer.name, 10, 600 * SECOND) for peer in net.peers]
     net.start()
     net.run(5 * SECOND)
-    near = {peer.name for peer in net.peers[:6]}
-    halves = {(a.name, b.name) for a in net.peers for b in net.peers if (a.name in near) != (b.name in near)}
-    for turn in range(40):
-        if turn == 10:
-            net.cuts = halves
-        elif turn == 25:
+    first_half = {peer.name for peer in net.peers[:6]}
+    paths_between_halves = {
+        (a.name, b.name)
+        for a in net.peers
+        for b in net.peers
+        if (a.name in first_half) != (b.name in first_half)
+    }
+    for step in range(40):
+        if step == 10:
+            net.cuts = paths_between_halves
+        elif step == 25:
             net.cuts = set()
-        if turn % 7 == 3:
+        if step % 7 == 3:
             net.peers[rng.randrange(12)].pause(2 * SECOND)
-        if turn in (12, 30):
+        if step in (12, 30):
             net.peers[0].kill()
-        elif turn in (15, 33):
+        elif step in (15, 33):
             net.peers[0].start()
         net.run(SECOND // 2)
-        used = [
+        used_fractions = [
             Fraction(1, count.on_view_changed(net.now, peer.members))
             for count, peer in zip(counts, net.peers, strict=True)
             if peer.alive
         ]
-        assert sum(used) <= 1
-        used = [
+        assert sum(used_fractions) <= 1
+        used_fractions = [
             Fraction(1, count.on_view_changed(net.now, peer.members))
             for count, peer in zip(counts_of_ten, net.peers, strict=True)
         ]
-        assert sum(used) <= 1, "who was seen once counts on"
+        assert sum(used_fractions) <= 1, "a front that was seen once still counts"
 
 
 def test_a_front_that_announced_its_leave_counts_no_longer_and_one_that_vanished_until_forgotten() -> None:
--- a/tests/test_raft_node.py
+++ b/tests/test_raft_node.py
@@ -1,4 +1,4 @@
-"""RaftNode: messages wait for the writes that they depend on, and writes stay in order."""
+"""RaftNode: messages wait for the writes that they depend on, and writes keep their order."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
         return super().save(records)
 
 
-class HastyNode(RaftNode):
-    """Mutant: sends what depends on a write before that is on disk."""
+class PrematureSendNode(RaftNode):
+    """Mutant: sends messages before the writes that they depend on are on disk."""
 
     def _perform(self, actions: Any) -> None:
         super()._perform([without_ticket(action) for action in actions])
@@ -48,17 +48,23 @@
 
 @dataclass
 class Outcome:
-    """What three voters did."""
+    """The result of a run of three voters.
+
+    Attributes:
+        data_by_voter: The committed entry by voter.
+        sent: Sender and receiver of each message.
+        checks: Counters of all voters.
+    """
 
     data_by_voter: dict[str, bytes] = field(default_factory=dict)
-    sent: list[tuple[str, str]] = field(default_factory=list)  # sender and receiver
+    sent: list[tuple[str, str]] = field(default_factory=list)
     checks: Checks = field(default_factory=Checks)
 
 
 async def run_three_voters(
     folder: Path, node_type: Callable[..., RaftNode], failing_voter: str = ""
 ) -> Outcome:
-    """Run three voters in one loop until they commit an entry; with a failing one four seconds at most."""
+    """Run three voters until they commit an entry; with a failing voter, for at most four seconds."""
     nodes = dict[str, RaftNode]()
     outcome = Outcome()
     loop = asyncio.get_running_loop()
@@ -105,16 +111,16 @@
     assert outcome.data_by_voter == dict.fromkeys(VOTERS, b"one")
 
 
-@pytest.mark.parametrize("node_type", [RaftNode, HastyNode])
+@pytest.mark.parametrize("node_type", [RaftNode, PrematureSendNode])
 def test_a_voter_whose_storage_fails_sends_nothing_that_depends_on_it(tmp_path: Path, node_type: Any) -> None:
-    """All messages of a first start depend on its first record, so a failed write shows as silence."""
+    """All messages of a first start depend on its first record, so after a failed write none is sent."""
     outcome = asyncio.run(run_three_voters(tmp_path, node_type, failing_voter="a"))
     is_silent = not [receiver for sender, receiver in outcome.sent if sender == "a"]
     assert is_silent is (node_type is RaftNode) and outcome.checks.counts[STORAGE_FAILED] > 0
 
 
-def test_a_failed_write_is_not_retried_behind_a_newer_one() -> None:
-    """Full for a moment: retried later, the older record would take back the vote of a later term."""
+def test_a_failed_write_is_not_retried_after_a_newer_one() -> None:
+    """A disk is full for a moment: an older record written later would undo the vote of a later term."""
     saved: list[Any] = []
     receivers: list[str] = []
     delayed: list[Callable[[], None]] = []
@@ -145,7 +151,7 @@
         ]
     )
     run_job(OSError("full"))
-    while jobs:  # the newer one, where it goes ahead
+    while jobs:  # the newer write, if the node did not hold it back
         run_job()
     assert saved == receivers == []
     delayed.pop()()
@@ -154,14 +160,14 @@
     assert saved == [("vote in 5",), ("vote in 6",)] and receivers == ["b"] and node.persisted_ticket == 2
 
 
-def test_a_queue_that_is_full_as_a_write_completes_ends_the_voter_and_raises_nothing() -> None:
-    """The next write is refused between the end of one and the report of it to the voter."""
+def test_a_queue_that_is_full_when_a_write_completes_stops_the_voter_without_an_exception() -> None:
+    """The next write is rejected after a write has ended and before the voter is notified of that."""
     jobs: list[Callable[[Any], None]] = []
     reported: list[int] = []
 
     def submit(work: Callable[[], Any], on_done: Callable[[Any], None]) -> bool:
         jobs.append(on_done)
-        return len(jobs) == 1  # the second finds no room
+        return len(jobs) == 1  # the second is rejected
 
     def on_persisted(now: int, ticket: int) -> list[Any]:
         reported.append(ticket)
--- a/tests/test_report_counters.py
+++ b/tests/test_report_counters.py
@@ -1,4 +1,4 @@
-"""What a front counts for its reports."""
+"""The counts of a front's reports."""
 
 from __future__ import annotations
 
@@ -35,11 +35,14 @@
     assert dict(report.open_attempts) == {"s-1": 1, "p-1": 1}
     assert report.open_unsafe_requests == (("acme", "north", 1),)
     queued = make_request([], is_finished=False)
-    of_queued = counters.report(clock.SECOND, base, [queued], [], {})
-    assert of_queued.open_unsafe_requests == report.open_unsafe_requests
+    report_of_queued = counters.report(clock.SECOND, base, [queued], [], {})
+    assert report_of_queued.open_unsafe_requests == report.open_unsafe_requests
     assert dict(report.sent_commands) == {"s-1": 1}
     assert report.last_unsafe_request_ages == (("acme", "north", 1000),)
-    rows = {(s.tenant, s.shard): (s.responses, s.on_time_weight, s.hits) for s in report.service_statistics}
+    rows = {
+        (row.tenant, row.shard): (row.responses, row.on_time_weight, row.hits)
+        for row in report.service_statistics
+    }
     assert rows == dict.fromkeys((("", ""), ("acme", ""), ("acme", "north")), (1, 2.0, 1))
     counters.reset(2 * clock.SECOND)  # another version
     assert counters.report(2 * clock.SECOND, base, [], [], {}).service_statistics[0].responses == 0
--- a/tests/test_version_effects.py
+++ b/tests/test_version_effects.py
@@ -1,4 +1,4 @@
-"""What a rule version does to the router, without a process: cordoned machines, placements, cautious mode."""
+"""Effects of a rule version on the router, in one process: cordoned machines, placements, cautious mode."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.fleetkit import (
     DRAINING_TASK,
     PENDING_TASK,
+    deliver_version,
     grant_lease,
-    hear_version,
     make_endpoint,
     make_front,
     make_version,
@@ -28,8 +28,8 @@
 READY = make_endpoint(1, EndpointState.READY)
 
 
-class TrustingEffects(VersionEffects):
-    """Mutant: a lease that has ended is not looked at before a decision."""
+class UncheckedLeaseEffects(VersionEffects):
+    """Mutant: the lease is not checked before a decision."""
 
     def before_event(self, now_ns: int) -> None: ...
 
@@ -37,25 +37,25 @@
         return False
 
 
-@pytest.mark.parametrize("effects_type", [VersionEffects, TrustingEffects])
+@pytest.mark.parametrize("effects_type", [VersionEffects, UncheckedLeaseEffects])
 def test_a_front_whose_lease_ended_avoids_machines_with_active_tasks_before_its_next_decision(
     effects_type: Any,
 ) -> None:
     effects, follower, updates = make_front(effects_type=effects_type)
-    hear_version(follower, make_version(2, PENDING_TASK))
+    deliver_version(follower, make_version(2, PENDING_TASK))
     effects.apply()
     grant_lease(follower, 2)
     effects.apply()
     assert not effects.is_cautious and not effects.are_decisions_stale()
     assert not updates[-1].machines[0].state.value
     follower.lease.lease_until_ns = clock.boot()  # as after a process pause
-    is_safe = effects.are_decisions_stale()
+    is_protected = effects.are_decisions_stale()
     effects.before_event(clock.now())
-    is_safe = is_safe and updates[-1].machines == (DRAINING,)
-    assert is_safe is (effects_type is VersionEffects)
+    is_protected = is_protected and updates[-1].machines == (DRAINING,)
+    assert is_protected is (effects_type is VersionEffects)
 
 
-def test_a_restart_in_the_middle_of_a_task_avoids_what_was_stored(tmp_path: Path) -> None:
+def test_a_restart_during_a_task_avoids_the_machines_of_the_stored_version(tmp_path: Path) -> None:
     store = VersionStore(str(tmp_path))
     assert store.load() is None
     store.save(make_version(5, PENDING_TASK))
@@ -63,7 +63,7 @@
     effects.apply()
     assert updates[-1].machines[0].state is EndpointState.DRAINING
     assert effects.report().version_number == 0
-    hear_version(follower, make_version(6))
+    deliver_version(follower, make_version(6))
     effects.apply()
     assert updates[-1].machines == (READY,)
     (tmp_path / "adopted").write_bytes(b"damaged")
@@ -71,21 +71,21 @@
         store.load()
 
 
-def test_an_older_version_heard_at_a_start_does_not_replace_the_stored_one() -> None:
-    """A voter that was behind reads version 4 from its own log; its earlier incarnation was granted 5."""
+def test_an_older_version_received_at_a_start_does_not_replace_the_stored_version() -> None:
+    """A voter reads version 4 from its incomplete log; its earlier incarnation was granted version 5."""
     effects, follower, updates = make_front(make_version(5, DRAINING_TASK))
     effects.apply()
-    hear_version(follower, make_version(4))
+    deliver_version(follower, make_version(4))
     effects.apply()
     assert updates[-1].machines == (DRAINING,) and effects.applied_number == 5
-    grant_lease(follower, 4)  # the voters have lost it: what they answer holds
+    grant_lease(follower, 4)  # the voters have lost version 5: their response counts
     effects.apply()
     assert updates[-1].machines == (READY,) and effects.applied_number == 4
 
 
-def test_an_entry_of_the_change_log_does_not_end_a_task() -> None:
+def test_a_change_log_event_does_not_end_a_task() -> None:
     effects, follower, _ = make_front()
-    hear_version(follower, make_version(2, DRAINING_TASK))
+    deliver_version(follower, make_version(2, DRAINING_TASK))
     grant_lease(follower, 2)
     effects.apply()
     update = effects.override_list(EndpointUpdate(UpdateScope.CHANGES, (READY,)))
@@ -102,31 +102,31 @@
         return placed.append((version.number, is_cautious, may_lack_migrations))
 
     effects.active_rules.placement_table = placement_table
-    hear_version(follower, make_version(2))
+    deliver_version(follower, make_version(2))
     grant_lease(follower, 2)
     effects.apply()
-    hear_version(follower, make_version(3, DRAINING_TASK))
+    deliver_version(follower, make_version(3, DRAINING_TASK))
     effects.apply()
     effects.apply()
     report = effects.report()
     assert effects.is_cautious and report.version_number == 2 and report.is_cautious
     assert updates[-1].machines == (DRAINING,)
-    assert placed == [(2, False, False), (2, True, True)]  # unsafe requests are refused
-    hear_version(follower, make_version(4, DRAINING_TASK))
+    assert placed == [(2, False, False), (2, True, True)]  # unsafe requests are rejected
+    deliver_version(follower, make_version(4, DRAINING_TASK))
     grant_lease(follower, 4)
     effects.apply()
     assert not effects.is_cautious and effects.report().version_number == 4
 
 
-class LenientEffects(VersionEffects):
-    """Mutant: what was decided by the lease that has ended is written by and by."""
+class UnrevokedAttemptEffects(VersionEffects):
+    """Mutant: unsafe attempts decided under an ended lease are not revoked."""
 
     def _revoke_unsafe_attempts(self) -> None: ...
 
 
-@pytest.mark.parametrize("effects_type", [VersionEffects, LenientEffects])
+@pytest.mark.parametrize("effects_type", [VersionEffects, UnrevokedAttemptEffects])
 def test_an_unsafe_attempt_that_is_not_written_does_not_outlast_the_lease(effects_type: Any) -> None:
-    """After a process pause the node's own tick may come before the writer's, and its look at the lease."""
+    """After a process pause the node's tick may run before the writer, which checks the lease."""
     effects, follower, _ = make_front(effects_type=effects_type)
     taken_back: list[str] = []
     effects.active_rules.is_unsafe_class = [True, False]
@@ -135,7 +135,7 @@
         effects.module.requests.request_by_number[number] = SimpleNamespace(
             tenant=tenant, class_index=class_index, attempts=[f"{tenant} {class_index}"]
         )
-    hear_version(follower, make_version(2))
+    deliver_version(follower, make_version(2))
     grant_lease(follower, 2)
     effects.apply()
     assert not effects.is_cautious and not taken_back
--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -1,9 +1,9 @@
-"""The voter of a front: a committed version is logged and told by whoever leads the voters then.
+"""The voter of a front: the leader logs and announces a committed version, even without a leader lease.
 
-Two tests of a run beside other work failed as a step of a maintenance task was in no front's log, though all
-fronts adopted it. A leader's lease lapses for a moment where its voters answer late; if that was between the
-proposal and its commit, the leader took the version itself, and neither logged it nor told it to the fronts,
-which heard of it as they asked for their next lease.
+Guards against this failure: a leader's lease expires for a moment when the other voters respond late. If that
+happened between a proposal and its commit, the leader adopted the version but neither logged it nor sent it
+to the fronts. A step of a maintenance task was then in no front's log, and fronts received the version only
+with their next lease.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 
 @pytest.mark.parametrize(
-    ("leader", "has_lease", "term", "is_told"),
+    ("leader", "has_lease", "term", "is_announced"),
     [("a", True, 1, True), ("a", False, 2, True), ("a", False, 1, False), ("b", False, 2, False)],
-    ids=["leads", "leads, its lease has lapsed", "leads anew, committed again", "follows"],
+    ids=["leads", "leads, its lease has expired", "leads in a later term, committed again", "follows"],
 )
-def test_a_committed_version_is_logged_and_told_by_the_leader_of_the_voters(
-    tmp_path: Path, leader: str, has_lease: bool, term: int, is_told: bool
+def test_a_committed_version_is_logged_and_announced_by_the_leader(
+    tmp_path: Path, leader: str, has_lease: bool, term: int, is_announced: bool
 ) -> None:
-    told: list[str] = []
+    recipients: list[str] = []
     adopted: list[Any] = []
-    lines: list[str] = []
+    logged_steps: list[str] = []
 
     async def scenario() -> None:
         peers: Any = SimpleNamespace(view=VOTERS, send=lambda *_: None, register_channel=lambda *_: None)
@@ -50,7 +50,7 @@
             election_timeouts=ElectionTimeouts(),
             sources=FleetSources(list, dict, lambda: VOTERS),
             peers=peers,
-            send=lambda to, message: told.append(to),
+            send=lambda to, message: recipients.append(to),
             on_version=adopted.append,
             checks=Checks(),
         )
@@ -64,15 +64,15 @@
         voter._on_raft_event(EntryCommitted(1, term, encode_version(make_version(1, DRAINING_TASK))))
 
     sink = logger.add(
-        lambda line: lines.append(str(line)), format="{extra[event]} {extra[step]}", filter=_is_step
+        lambda line: logged_steps.append(str(line)), format="{extra[event]} {extra[step]}", filter=_is_step
     )
     try:
         asyncio.run(scenario())
     finally:
         logger.remove(sink)
     assert len(adopted) == 1
-    assert told == (["b", "c"] if is_told else [])
-    assert lines == (["maintenance_step draining\n"] if is_told else [])
+    assert recipients == (["b", "c"] if is_announced else [])
+    assert logged_steps == (["maintenance_step draining\n"] if is_announced else [])
 
 
 def _is_step(record: Any) -> bool:
