--- a/quincepier/membership/failure_detector.py
+++ b/quincepier/membership/failure_detector.py
@@ -193,6 +193,7 @@
         return self._actions
 
     def _begin(self, now_ns: int) -> None:
+        """Resets the actions and detects a pause of this process; called before each event is handled."""
         self._actions = []
         elapsed_ns = now_ns - self._last_run_ns
         self._last_run_ns = max(now_ns, self._last_run_ns)
