--- a/quincepier/membership/messages.py
+++ b/quincepier/membership/messages.py
@@ -31,7 +31,7 @@
     """A datagram or full state is invalid; it is dropped and counted."""
 
     code = "QP-MEMBERS"
-    remedy = "check that `members.fleet` and the build are the same at all fronts, and who else sends there"
+    remedy = "check that `members.fleet` and the build are alike at all fronts, and who else sends there"
 
 
 class MessageKind(IntEnum):
