--- a/quincepier/maintenance/__init__.py
+++ b/quincepier/maintenance/__init__.py
@@ -1,8 +1,8 @@
 """Maintenance of machines and fronts: cordon, drain and restore under a disruption budget.
 
-It decides from the version, the operators' requests and what the leader observes, and returns a change of
-the maintenance tasks, or none. It never sends, stores, reads a clock or touches a machine. Start with
-`task_progress.py`, then `planner.py`; docs/maintenance.md.
+From the rule version, the operators' requests and the leader's observations the package computes the next
+change of the maintenance tasks, if any. It sends and stores nothing, reads no clock and controls no machine.
+Start reading at `task_progress.py`, then `planner.py`; docs/maintenance.md describes the procedure.
 """
 
 from quincepier.maintenance.candidates import Candidate, ranked_candidates
--- a/quincepier/maintenance/candidates.py
+++ b/quincepier/maintenance/candidates.py
@@ -1,8 +1,9 @@
-"""Which target goes next: a total order over the candidates of a request, with reasons.
+"""The order in which the targets of a request get maintenance, with the reason for each target.
 
-The least costly go first: machines that most fronts have ejected; then zone after zone, first the zone that
-was started before any other, then the one with the least load; within a zone by load; then by name. Fronts
-go by load too, voters after the others, and the leader last.
+The order is total and starts with the least costly targets: machines that are unavailable already, then the
+machines of a zone in which the request has started maintenance, then those of the zone with the least load.
+Within a zone, targets are ordered by load, then by name. Fronts are ordered by load too; voters follow the
+other fronts, and the leader is last.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """A target that may get a maintenance task, and why it goes at its place."""
+    """A target that may get a maintenance task, and the reason for its position in the order."""
 
     target: str
     kind: TargetKind
@@ -32,7 +33,10 @@
 
 
 def find_targets(request: MaintenanceRequest, observations: Observations) -> dict[str, TargetGroup | None]:
-    """Return the targets that a request means by now; None for those that are not listed."""
+    """Return the targets that a request names or selects now, each with its group.
+
+    A named target that is not listed has the group None.
+    """
     if request.kind == "front":
         return {name: TargetGroup("front") for name in observations.members}
     if request.kind is not None:
@@ -41,34 +45,36 @@
             for host, machine in observations.machine_by_host.items()
             if machine.kind == request.kind and request.zone in ("", machine.zone)
         }
-    found: dict[str, TargetGroup | None] = {
+    group_by_target: dict[str, TargetGroup | None] = {
         name: TargetGroup("front") if name in observations.members else None for name in request.fronts
     }
     for host in request.machines:
         machine = observations.machine_by_host.get(host)
-        found[host] = group_of_machine(machine) if machine is not None else None
-    return found
+        group_by_target[host] = group_of_machine(machine) if machine is not None else None
+    return group_by_target
 
 
 def commands_per_second(observations: Observations) -> dict[str, float]:
-    """Return the load by target: commands sent to a machine, or by a front."""
-    found = dict[str, float]()
+    """Return the commands per second by target: those sent to a machine, or sent by a front."""
+    rate_by_target = dict[str, float]()
     for name, report in observations.report_by_front.items():
-        if name != report.front:  # an earlier start of the front
+        if name != report.front:  # the report of an earlier start of the front
             continue
         for host, count in report.sent_commands:
             rate = count * 1000 / max(report.window_ms, 1)
-            found[host] = found.get(host, 0.0) + rate
-            found[name] = found.get(name, 0.0) + rate
-    return found
+            rate_by_target[host] = rate_by_target.get(host, 0.0) + rate
+            rate_by_target[name] = rate_by_target.get(name, 0.0) + rate
+    return rate_by_target
 
 
 def ranked_candidates(request: MaintenanceRequest, budget: DisruptionBudget) -> list[Candidate]:
-    """Return the listed targets of a request in the order in which they go."""
+    """Return the listed targets of a request in the order in which they get maintenance."""
     return _Ranking(request, budget).ranked()
 
 
 class _Ranking:
+    """The order of one request's candidates, with the loads and groups that it depends on."""
+
     def __init__(self, request: MaintenanceRequest, budget: DisruptionBudget) -> None:
         self.observations = budget.observations
         self.failed_targets = budget.failed_group_by_target.keys()
--- a/quincepier/maintenance/disruption_budget.py
+++ b/quincepier/maintenance/disruption_budget.py
@@ -1,9 +1,10 @@
-"""How many targets are unavailable, and whether one more may become so (a disruption budget).
+"""The disruption budget: how many targets are unavailable, and whether one more may become unavailable.
 
-Unavailable is a target under a task from its drain until it is warm again, and one that failed by itself:
-listed and not ready, started and not warm, or ejected by more than half of the fronts. A pending task keeps
-its place in the budget. A machine that neither the list nor a task names is not counted;
-`min_available_per_zone` guards against many such.
+A target is unavailable while it is under a maintenance task, from the start of its drain until it is warm
+again. It is also unavailable when it has failed by itself: it is listed and not ready, it has started and is
+not warm, or more than half of the fronts have ejected it. A pending task counts against the budget too. A
+machine that is missing from both the machine list and the tasks is not counted; `min_available_per_zone`
+guards against the loss of many such machines.
 """
 
 from __future__ import annotations
@@ -15,10 +16,9 @@
 from quincepier.rules.reports import MachineObservation, Observations
 from quincepier.rules.version import MaintenanceTask, RuleVersion
 
-MIN_START_WINDOW_MS = (
-    30_000  # a machine counts as recently started for so long, also where it is warm at once
-)
-MAX_NAMED_TARGETS = 4  # in a reason
+# A machine counts as recently started for at least this time, even if it needs no warm-up.
+MIN_START_WINDOW_MS = 30_000
+MAX_NAMED_TARGETS = 4  # listed by name in a denial reason
 RELATED_KIND = {"cache": "parent", "parent": "cache"}
 
 
@@ -31,13 +31,13 @@
 
 
 def group_of_machine(machine: MachineObservation) -> TargetGroup | None:
-    """Return the group of a machine, None where its kind gets no maintenance tasks."""
+    """Return the group of a machine, or None if machines of its kind get no maintenance tasks."""
     kind = next((kind for kind in TARGET_KINDS if kind == machine.kind), None)
     return TargetGroup(kind, machine.zone) if kind is not None else None
 
 
 def is_recently_started(machine: MachineObservation) -> bool:
-    """Whether the machine's last start is so young that it can be told from an earlier one."""
+    """Whether the machine started so recently that this start can be distinguished from an earlier one."""
     return machine.uptime_ms < max(machine.warm_up_ms, MIN_START_WINDOW_MS)
 
 
@@ -45,10 +45,10 @@
     """The budget of one planning round.
 
     Args:
-        version: The rule version that is in force.
-        tasks: The tasks as far as the round has worked them out; the planner goes on changing this list.
-        limits: What the operators allow.
-        observations: What the leader observes of fronts and machines.
+        version: The newest rule version.
+        tasks: The tasks as planned so far in this round; the planner changes this list during the round.
+        limits: The operators' limits of unavailable targets.
+        observations: The leader's observations of fronts and machines.
     """
 
     def __init__(
@@ -69,21 +69,21 @@
         }
 
     def zone_by_unavailable_target(self, kind: str, include_pending: bool) -> dict[str, str]:
-        """Return the unavailable targets of a kind with their zones, those of pending tasks as asked."""
-        found = {
+        """Return the zones of unavailable targets of a kind; `include_pending` adds pending tasks."""
+        zone_by_target = {
             target: group.zone for target, group in self.failed_group_by_target.items() if group.kind == kind
         }
         for task in self.tasks:
             if task.kind == kind and (task.is_unavailable or (include_pending and task.is_active)):
-                found[task.target] = task.zone
-        return found
+                zone_by_target[task.target] = task.zone
+        return zone_by_target
 
     def excess_reason(self, kind: str, zone: str) -> str:
-        """Return why too many are unavailable as it is; empty where they are not."""
+        """Return which limit the unavailable targets exceed already; empty if they exceed none."""
         return self._limit_reason(kind, zone, self.zone_by_unavailable_target(kind, include_pending=False))
 
     def denial_reason(self, target: str, kind: str, zone: str, include_pending: bool) -> str:
-        """Return why the target may not become unavailable now; empty where it may."""
+        """Return why the target may not become unavailable now; empty if it may."""
         unavailable = self.zone_by_unavailable_target(kind, include_pending)
         unavailable[target] = zone
         return (
@@ -112,7 +112,7 @@
         return f"{available} would be available in zone {zone}, under {limits.min_available_per_zone}"
 
     def _related_reason(self, target: str, kind: str, zone: str) -> str:
-        # What an unavailable cache lost would have to be fetched past its unavailable parent.
+        # While a cache and its parent are both unavailable, their objects must be fetched from the origin.
         related_kind = RELATED_KIND.get(kind)
         if related_kind is None:
             return ""
@@ -124,11 +124,11 @@
                 return f"{related_kind} {host} of the same shard is unavailable"
         return ""
 
-    def _are_in_one_shard(self, target: str, other: str) -> bool:
-        return any({target, other} <= {*shard.caches, *shard.parents} for shard in self.version.shards)
+    def _are_in_one_shard(self, target: str, host: str) -> bool:
+        return any({target, host} <= {*shard.caches, *shard.parents} for shard in self.version.shards)
 
     def _quorum_reason(self, target: str, kind: str) -> str:
-        # One voter at most, whatever the limits are: two of three are needed for a quorum.
+        # At most one voter may be unavailable, whatever the limits are: two of three make a quorum.
         observed = self.observations
         if kind != "front" or target not in observed.voters:
             return ""
@@ -141,24 +141,24 @@
 
 
 def _failed_machines(observations: Observations) -> dict[str, TargetGroup]:
-    """Return the machines that are unavailable by themselves."""
+    """Return the machines that are unavailable without a maintenance task, with their groups."""
     reports = [report for name, report in observations.report_by_front.items() if name == report.front]
     ejections = Counter(host for report in reports for host in set(report.ejected_hosts))
-    found = dict[str, TargetGroup]()
+    group_by_host = dict[str, TargetGroup]()
     for host, machine in observations.machine_by_host.items():
         is_warming = machine.uptime_ms < machine.warm_up_ms
         is_ejected = 2 * ejections[host] > len(reports)
         group = group_of_machine(machine)
         if group is not None and (not machine.is_ready or is_warming or is_ejected):
-            found[host] = group
-    return found
+            group_by_host[host] = group
+    return group_by_host
 
 
 def _maximum_reason(limits: UnavailableLimits, zone: str, zone_by_target: dict[str, str]) -> str:
-    in_zone = sorted(target for target, target_zone in zone_by_target.items() if target_zone == zone)
-    exceeds_zone = len(in_zone) > limits.max_per_zone
+    targets_in_zone = sorted(target for target, target_zone in zone_by_target.items() if target_zone == zone)
+    exceeds_zone = len(targets_in_zone) > limits.max_per_zone
     if not exceeds_zone and len(zone_by_target) <= limits.max_total:
         return ""
-    named = (in_zone if exceeds_zone else sorted(zone_by_target))[:MAX_NAMED_TARGETS]
+    named_targets = (targets_in_zone if exceeds_zone else sorted(zone_by_target))[:MAX_NAMED_TARGETS]
     limit = f"over {limits.max_per_zone} in a zone or {limits.max_total} in all"
-    return f"{', '.join(named)} would be unavailable at once, {limit}"
+    return f"{', '.join(named_targets)} would be unavailable at once, {limit}"
--- a/quincepier/maintenance/draining.py
+++ b/quincepier/maintenance/draining.py
@@ -1,4 +1,4 @@
-"""Which hosts one front cordons under the version that it decides by."""
+"""The hosts that a front cordons under its rule version."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 def cordoned_hosts(
     version: RuleVersion, is_cautious: bool, front: str, requested: frozenset[str] = frozenset()
 ) -> frozenset[str]:
-    """Return the host ids that a front sends nothing new to; its own name is among them where it drains.
+    """Return the host ids that a front sends no new requests to; its own name is among them if it drains.
 
-    A front without a lease can't know how far a task went on without it. It keeps away from every machine
-    with an active task, pending ones too: for its sake each task is made known as pending first.
+    A front without a lease can't know to which step a task has advanced meanwhile, so it cordons every
+    machine with an active task. This includes pending tasks: each task is first committed as pending, so that
+    such a front knows of it before the drain starts.
 
     Args:
-        version: The version that the front decides by.
+        version: The front's rule version.
         is_cautious: Whether the front has no lease.
         front: The front's own name.
-        requested: The hosts of the front's own file, for one that has started and had no version yet.
+        requested: The hosts with maintenance requests in the front's own file, for a front that has started
+            and received no version yet.
     """
     cordoned = {
         task.target
@@ -30,9 +32,9 @@
 
 
 def requested_hosts(section: MaintenanceSection | None) -> frozenset[str]:
-    """Return the host ids that a file requests maintenance for.
+    """Return the host ids for which an operators' file requests maintenance.
 
-    Requests for a whole kind or zone are left out: those machines are too many to keep away from.
+    Requests for a whole kind or zone are left out: they name too many machines to cordon at once.
     """
     requests = section.requests if section is not None else ()
     return frozenset(host for request in requests if not request.stop for host in request.machines)
--- a/quincepier/maintenance/errors.py
+++ b/quincepier/maintenance/errors.py
@@ -12,10 +12,10 @@
     """
 
     code = "QP-MAINTENANCE"
-    remedy = "correct the section maintenance of the operators' file and send SIGHUP; the old one stays"
+    remedy = "correct the section maintenance of the operators' file and send SIGHUP; the old one is kept"
 
 
 class TransitionError(MaintenanceError):
-    """A task was to enter a step that can't follow its own: a defect of the planner."""
+    """The planner attempted a step transition of a task that is not allowed: a defect."""
 
-    remedy = "report it with the log; the rule version stays as it was"
+    remedy = "report it with the log; the rule version is unchanged"
--- a/quincepier/maintenance/planner.py
+++ b/quincepier/maintenance/planner.py
@@ -1,12 +1,13 @@
-"""The maintenance part of the next rule version: tasks advance, and new ones are added for requests.
+"""Planning of maintenance tasks for the next rule version: tasks advance, and requests get new tasks.
 
-A pure function from version, requests and observations to the next change, or none. Beside the invariants of
-`task_progress.py`:
+A pure function computes the next change, if any, from rule version, requests and observations. In addition to
+the invariants of `task_progress.py`, these hold:
 
-1. A parent and its caches are never unavailable together; of voters one at a time, the leader last.
-2. The next task is added when service is as before and the budget allows it; the request of a cancelled task
-   gets no more.
-3. Without reports, or before a new leader's wait is over, nothing advances.
+1. A parent and its caches are never unavailable together. At most one voter is unavailable at a time, and the
+   leader is last.
+2. A task is added only while the service level is close to its baseline and the budget allows it. After one
+   of its tasks was cancelled, a request gets no more tasks.
+3. No task advances without reports, or before a new leader has waited for the leases of its predecessor.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """The outcome of a planning round: the change, if any, and for the log what waits for what."""
+    """The outcome of a planning round: the change, if any, and log messages about waiting tasks."""
 
     change: VersionChange | None
     messages: tuple[str, ...]
@@ -48,12 +49,15 @@
 def advance(
     version: RuleVersion, section: MaintenanceSection, observations: Observations
 ) -> VersionChange | None:
-    """Return the next change of the tasks. The same input gives the same change; it is safe to lose it."""
+    """Return the next change of the tasks, if any.
+
+    Equal arguments give the same change, so a change that is lost is planned again in the next round.
+    """
     return plan(version, section, observations).change
 
 
 def plan(version: RuleVersion, section: MaintenanceSection, observations: Observations) -> Plan:
-    """Work out the next change of the tasks, and what they wait for."""
+    """Return the next change of the tasks, if any, and why tasks and requests wait."""
     missing = _missing_observations(observations)
     if not missing:
         return _PlanningRound(version, section, observations).plan()
@@ -71,7 +75,7 @@
 
 
 class _PlanningRound:
-    """The tasks as far as one round has worked them out; later ones see what earlier ones became."""
+    """One planning round; each task is planned with the new steps of the tasks before it."""
 
     def __init__(self, version: RuleVersion, section: MaintenanceSection, observations: Observations) -> None:
         self.version = version
@@ -114,10 +118,10 @@
         self.reasons.append(f"{host} warming: {reason}")
 
     def _add_tasks(self, request: MaintenanceRequest) -> None:
-        """Add pending tasks for a request, as many as may be unavailable.
+        """Add pending tasks for a request, as many as the budget allows to be unavailable.
 
-        Only those are named, so that a front which lost touch keeps away from these few and not from all
-        that is ever to be worked on.
+        A front without a lease cordons the targets of pending tasks, so the request's other targets get their
+        tasks later.
         """
         groups = find_targets(request, self.observations)
         started = {task.target for task in self.tasks if task.request_id == request.id}
@@ -157,12 +161,12 @@
         self.reasons.append(f"{target} pending: {candidate.reason}")
 
     def _request_obstacle(self, request: MaintenanceRequest) -> str:
-        """Return why the request gets no more tasks; empty where it may."""
+        """Return why the request gets no more tasks for now; empty if it may get some."""
         if len(self.tasks) >= MAX_MAINTENANCE_TASKS:
-            return "too many tasks are kept; take old requests out of the file"
+            return "the limit of tasks is reached; remove old requests from the file"
         for task in self.tasks:
             if task.request_id == request.id and task.step is MaintenanceStep.CANCELLED:
-                return f"{task.target} was cancelled ({task.reason}); request it anew under another id"
+                return f"{task.target} was cancelled ({task.reason}); request it again under another id"
         if request.stop:
             return "stopped"
         if request.pause:
@@ -170,16 +174,16 @@
         return self._context(request).start_reason
 
     def _candidate_obstacle(self, target: str, is_last: bool) -> str:
-        """Return why this target gets no task yet, whatever the budget says; empty where it may."""
+        """Return why this target gets no task yet, apart from the budget; empty if it may get one."""
         for task in self.tasks:
             if task.target == target and task.is_active:
                 return f"it has a task of request {task.request_id}"
         machine = self.observations.machine_by_host.get(target)
         if machine is not None and machine.is_ready and is_recently_started(machine):
-            return "it started a moment ago"
+            return "it started recently"
         has_others = not is_last or any(task.is_active for task in self.tasks)
         if target == self.observations.leader and has_others:
-            return "it is the leader, and goes last"
+            return "it is the leader, which is last"
         return ""
 
     def _to_change(self) -> VersionChange | None:
--- a/quincepier/maintenance/section.py
+++ b/quincepier/maintenance/section.py
@@ -1,6 +1,6 @@
-"""The section `maintenance` of the operators' file: requested maintenance and limits of unavailability.
+"""The section `maintenance` of the operators' file: maintenance requests and limits of unavailable targets.
 
-The keys of the file keep their first wording; each struct maps them to its fields in `rename`.
+Some keys of the file differ from the field names; each struct maps its keys to fields in `rename`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from quincepier.rules.version import Name
 
 MAX_REQUESTS = 64
-MAX_TARGETS = 4096  # machines or fronts that one request names
+MAX_TARGETS = 4096  # machines or fronts named by one request
 Names = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_TARGETS)]
 NameByHost = Annotated[dict[str, str], msgspec.Meta(max_length=MAX_TARGETS)]
 Zone = Annotated[str, msgspec.Meta(max_length=64)]
@@ -29,7 +29,7 @@
     forbid_unknown_fields=True,
     rename={"max_per_zone": "zone", "max_total": "all", "min_available_per_zone": "least"},
 ):
-    """How many targets of one kind may be unavailable at once, and how many must stay in service."""
+    """How many targets of one kind may be unavailable at once, and how many must remain available."""
 
     max_per_zone: Count = 1
     max_total: Count = 1
@@ -44,7 +44,7 @@
     front: UnavailableLimits = UnavailableLimits()
 
     def for_kind(self, kind: str) -> UnavailableLimits:
-        """Return the limits of `kind`; any other text than cache or parent means fronts."""
+        """Return the limits of `kind`; any value other than "cache" and "parent" selects those of fronts."""
         return {"cache": self.cache, "parent": self.parent}.get(kind, self.front)
 
 
@@ -54,30 +54,31 @@
     forbid_unknown_fields=True,
     rename={"finished_targets": "finished", "replacement_by_host": "replaced"},
 ):
-    """Maintenance that operators request once.
+    """A maintenance request of the operators; each target gets maintenance once.
 
-    Targets are machines by host id, fronts by name, or all of a kind, in one zone or in all.
+    The targets are machines by host id, fronts by name, or all machines or fronts of a kind, where machines
+    may be restricted to one zone.
     """
 
     id: Name
     machines: Names = ()
     fronts: Names = ()
     kind: TargetKind | None = None
-    zone: Zone = ""  # with `kind`; empty: every zone
-    pause: bool = False  # no task starts, and no target is declared empty
-    stop: bool = False  # tasks that are not empty yet are cancelled; the others run to their end
-    finished_targets: Names = ()  # their maintenance is over, though no restart was observed
-    replacement_by_host: NameByHost = {}  # old host id to new
+    zone: Zone = ""  # with `kind`; empty for all zones
+    pause: bool = False  # no task starts, and no target becomes drained
+    stop: bool = False  # cancels the tasks whose targets are not drained yet; the others continue
+    finished_targets: Names = ()  # their maintenance is over, although no restart was observed
+    replacement_by_host: NameByHost = {}  # new host id by the old one
 
     def __post_init__(self) -> None:
         if not (self.machines or self.fronts or self.kind):
             raise MaintenanceError("names no machines, no fronts and no kind", f"wish {self.id}")
         if self.kind and (self.machines or self.fronts):
-            raise MaintenanceError("names a kind, and machines or fronts besides", f"wish {self.id}")
+            raise MaintenanceError("names a kind and also machines or fronts besides", f"wish {self.id}")
         if self.zone and not self.kind:
             raise MaintenanceError("names a zone without a kind", f"wish {self.id}")
         if self.kind == "front" and self.zone:
-            raise MaintenanceError("zones of fronts are not known to the fleet", f"wish {self.id}")
+            raise MaintenanceError("names a zone, but fronts have none", f"wish {self.id}")
 
 
 class MaintenanceSection(
@@ -95,25 +96,25 @@
 ):
     """Maintenance requests and the limits that hold for all of them.
 
-    Service ratios are of the baseline: the share of priority weight that was served within the latency
-    objective, over the share that is usual for the tenant.
+    A service ratio is the share of priority weight that was served within the latency objective, divided by
+    the tenant's baseline of this share.
     """
 
     requests: Annotated[tuple[MaintenanceRequest, ...], msgspec.Meta(max_length=MAX_REQUESTS)] = ()
     unavailable_limits: UnavailableByKind = UnavailableByKind()
-    min_service_ratio: Ratio = 0.9  # below it tasks that are not empty yet are cancelled
-    min_service_ratio_to_start: Ratio = 0.98  # below it no task starts
-    min_responses: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 200  # of a tenant, to be judged
-    decommissioned_fronts: Names = ()  # their processes have ended for good; nothing waits for them
+    min_service_ratio: Ratio = 0.9  # below it, tasks whose targets are not drained yet are cancelled
+    min_service_ratio_to_start: Ratio = 0.98  # below it, no task starts
+    min_responses: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 200  # a tenant with fewer is not judged
+    decommissioned_fronts: Names = ()  # stopped for good: their leases are not waited for
 
     def __post_init__(self) -> None:
         ids = [request.id for request in self.requests]
         duplicate = next((i for i in ids if ids.count(i) > 1), None)
         if duplicate is not None:
-            raise MaintenanceError("two wishes have this id; each is one text", f"wish {duplicate}")
+            raise MaintenanceError("two wishes have this id; each needs its own", f"wish {duplicate}")
         if self.min_service_ratio > self.min_service_ratio_to_start:
             raise MaintenanceError("floor is above as_before")
 
     def find_request(self, request_id: str) -> MaintenanceRequest | None:
-        """Return the request of that id, or None."""
+        """Return the request with the id, or None."""
         return next((request for request in self.requests if request.id == request_id), None)
--- a/quincepier/maintenance/service_level.py
+++ b/quincepier/maintenance/service_level.py
@@ -1,4 +1,4 @@
-"""Whether tenants are served as before: the share of priority weight served in time, against the baseline."""
+"""The service level of tenants: the share of priority weight served in time, compared with its baseline."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceLevel:
-    """Why maintenance has to hold back; each reason is empty where service is good enough."""
+    """Why maintenance must not go on; each reason is empty while the service level is sufficient."""
 
-    cancel_reason: str  # service is below the floor: tasks that are not drained yet are cancelled
-    wait_reason: str  # service is not as before: no task starts
+    cancel_reason: str  # below `min_service_ratio`: tasks that are not drained yet are cancelled
+    wait_reason: str  # below `min_service_ratio_to_start`, or without a baseline: no task starts
 
 
 @dataclass(slots=True)
@@ -26,10 +26,10 @@
 
 
 def service_level(section: MaintenanceSection, observations: Observations) -> ServiceLevel:
-    """Compare the service of each tenant with its baseline.
+    """Compare the service level of each tenant with its baseline.
 
-    A tenant with too few responses, or without a baseline, is not judged. Where there are requests and no
-    baseline at all, service is not known to be as before.
+    A tenant with too few responses, or without a baseline, is not judged. If there are enough responses and
+    no baseline at all, no task may start.
     """
     totals_by_tenant = _sum_by_tenant(observations)
     cancel_reason = wait_reason = ""
@@ -43,8 +43,8 @@
             cancel_reason = cancel_reason or reason
         if ratio < baseline * section.min_service_ratio_to_start:
             wait_reason = wait_reason or reason
-    has_requests = any(totals.responses >= section.min_responses for totals in totals_by_tenant.values())
-    if not observations.baseline_on_time_ratio_by_tenant and has_requests:
+    has_responses = any(totals.responses >= section.min_responses for totals in totals_by_tenant.values())
+    if not observations.baseline_on_time_ratio_by_tenant and has_responses:
         wait_reason = "the baseline of service is not known yet"
     return ServiceLevel(cancel_reason, wait_reason)
 
@@ -52,13 +52,13 @@
 def _sum_by_tenant(observations: Observations) -> dict[str, _ServiceTotals]:
     totals_by_tenant = dict[str, _ServiceTotals]()
     for name, report in observations.report_by_front.items():
-        if name != report.front:  # an earlier start of the front
+        if name != report.front:  # the report of an earlier start of the front
             continue
-        for row in report.service_statistics:
-            if row.shard:  # a part of the tenant's row over all shards
+        for statistics in report.service_statistics:
+            if statistics.shard:  # included in the tenant's statistics over all shards
                 continue
-            totals = totals_by_tenant.setdefault(row.tenant, _ServiceTotals())
-            totals.responses += row.responses
-            totals.requested_weight += row.requested_weight
-            totals.on_time_weight += row.on_time_weight
+            totals = totals_by_tenant.setdefault(statistics.tenant, _ServiceTotals())
+            totals.responses += statistics.responses
+            totals.requested_weight += statistics.requested_weight
+            totals.on_time_weight += statistics.on_time_weight
     return totals_by_tenant
--- a/quincepier/maintenance/task_progress.py
+++ b/quincepier/maintenance/task_progress.py
@@ -1,20 +1,21 @@
-"""The state machine of one maintenance task: whether it may go to its next step, and why not.
+"""The state machine of one maintenance task: whether it may enter its next step, or why it waits.
 
-Invariants, kept over every change of leader, since all that they rest on is in the version or observed:
+These invariants hold across changes of leader, since they depend only on the rule version and on
+observations:
 
-1. A task goes on only once its step is in force: no front with a lease decides by an older version.
-2. It is made known as pending to every front before it drains, to those without a lease too
+1. A task advances only after its step is in force: no front with a lease has an older version.
+2. A task does not drain before every front, with or without a lease, knows it as pending
    (`Observations.acknowledged_number`).
-3. No more targets are unavailable than allowed; pending, warming and failed ones count
+3. No more targets are unavailable than allowed; targets that are pending, warming or failed count too
    (`disruption_budget.py`).
-4. A target is drained only once no front may send to it or has a request open there: the drain is in force,
-   every report is of that version or a later one and shows nothing open, and fronts without a report hold no
-   lease.
-5. Below the service floor, tasks that are not drained yet are cancelled; others go on, since work may be
-   under way.
-6. The start and the end of work are facts of the machine list: the target is off it, not ready or restarted,
-   then ready after a new start. A list that was read again is no start; where the work needs none, operators
-   name the target in `finished`.
+4. A target is drained only when no front may send to it or has a request open there: the drain is in force,
+   every report is of that version or a later one and shows no open requests, and fronts without a report hold
+   no lease.
+5. If service falls below the floor, tasks that are not drained yet are cancelled. The others continue, since
+   work on their targets may be in progress.
+6. The start and the end of the work are taken from the machine list: the target is missing, not ready or
+   restarted, and later ready after a new start. Reading the list again does not count as a start. If the work
+   needs no restart, operators name the target in `finished`.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Enter:
-    """The task enters a step; with `replacement`, that host goes on in place of the target."""
+    """The task enters a step; `replacement` is the host that continues in place of the target, if any."""
 
     step: MaintenanceStep
     reason: str
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TaskContext:
-    """All that a task's next step may depend on; `request` is None where it is gone from the file."""
+    """The inputs of a task's next step; `request` is None if it was removed from the file."""
 
     request: MaintenanceRequest | None
     observations: Observations
@@ -74,18 +75,18 @@
 
     @property
     def is_paused(self) -> bool:
-        """Whether operators pause the request."""
+        """Whether operators have paused the request."""
         return self.request is not None and self.request.pause
 
     @property
     def acknowledged_number(self) -> int:
-        """The highest version number that every front was told of, with a lease or without."""
+        """The highest version number that every front has received, with or without a lease."""
         acknowledged = self.observations.acknowledged_number
         return self.observations.active_number if acknowledged is None else acknowledged
 
     @property
     def start_reason(self) -> str:
-        """Why no task may start, whichever it is; empty where one may."""
+        """Why no task at all may start now; empty if tasks may start."""
         if not self.observations.unleased_fronts_idle:
             return "a front without a lease may have requests open"
         return self.service.wait_reason
@@ -95,15 +96,15 @@
         return self.request is not None and target in self.request.finished_targets
 
     def replacement_of(self, target: str) -> str:
-        """Return the host id that operators name in place of the target, "" for none."""
+        """Return the host id that operators name as the target's replacement, or "" for none."""
         return self.request.replacement_by_host.get(target, "") if self.request is not None else ""
 
 
 def next_progress(task: MaintenanceTask, context: TaskContext) -> Progress:
-    """Return the next step of an active task, or why it waits.
+    """Return the next step of an active task, or the reason why it waits.
 
     Raises:
-        TransitionError: The step is not one that `TRANSITIONS` allows.
+        TransitionError: `TRANSITIONS` does not allow the step.
     """
     progress = _next_progress(task, context)
     if isinstance(progress, Enter) and progress.step not in TRANSITIONS[task.step]:
@@ -129,7 +130,7 @@
 
 
 def _cancel_reason(task: MaintenanceTask, context: TaskContext) -> str:
-    # Using a target again is safe at any time before it is drained, and needs no consent of others.
+    # Before a target is drained, fronts may safely use it again at any time, without an agreement.
     if task.step > MaintenanceStep.DRAINING:
         return ""
     if context.request is None:
@@ -143,7 +144,7 @@
     if context.is_paused:
         return Wait("paused")
     if context.acknowledged_number < task.since_version:
-        return Wait("a front that fell silent has not acknowledged it")
+        return Wait("a front that no longer reports has not acknowledged it")
     if task.kind != "front" and task.target not in context.observations.machine_by_host:
         return Wait("it is not listed")
     if reason := context.start_reason:
@@ -166,21 +167,21 @@
             return Wait(reason)
     machine = observations.machine_by_host.get(task.target)
     if machine is not None and machine.is_ready and is_recently_started(machine):
-        return Wait("it restarted by itself; another start could not be told from this one")
+        return Wait("it restarted by itself a short time ago; its next restart would not be recognized")
     return Enter(MaintenanceStep.DRAINED, "no requests are open there and no front may send to it")
 
 
 def _open_request_reason(task: MaintenanceTask, name: str, report: FrontReport) -> str:
-    """Return why the report does not show that the target is drained; empty where it does."""
+    """Return why the front's report does not show the target as drained; empty if it does."""
     if report.version_number < task.since_version:
-        return f"{name} reported by version {report.version_number}"
+        return f"{name} still reports version {report.version_number}"
     if task.kind != "front":
         has_open_attempts = any(host == task.target and count for host, count in report.open_attempts)
         return f"{name} has requests open there" if has_open_attempts else ""
     if report.front != task.target:
         return ""
     if name != task.target:
-        return "an earlier start of it may have requests open"
+        return "the process before its restart may have requests open"
     has_open_attempts = any(count for _, count in report.open_attempts)
     if has_open_attempts or any(count for _, _, count in report.open_unsafe_requests):
         return "it has requests open"
@@ -188,7 +189,7 @@
 
 
 def _follow_machine(task: MaintenanceTask, context: TaskContext) -> Progress:
-    """Follow a drained machine through the list until it is warm again."""
+    """Return the progress of a drained machine by its state in the machine list, until it is warm again."""
     machine = context.observations.machine_by_host.get(task.target)
     is_ready = machine is not None and machine.is_ready
     replacement = context.replacement_of(task.target)
@@ -204,7 +205,7 @@
         case MaintenanceStep.RESTORED:
             return Enter(MaintenanceStep.IN_MAINTENANCE, "away again")
     if machine is None or not is_ready:
-        return Wait("it failed while it warmed up")
+        return Wait("it failed during its warm-up")
     if machine.uptime_ms < machine.warm_up_ms:
         return Wait("not warm yet")
     return Enter(MaintenanceStep.COMPLETED, "warm")
@@ -224,23 +225,27 @@
 
 def _await_return(machine: MachineObservation | None, is_finished: bool) -> Progress:
     if machine is None or not machine.is_ready:
-        return Wait("away; name it in `replaced` where it returned under another id")
+        return Wait("not listed or not ready; if it returned under another id, name it in `replaced`")
     if is_recently_started(machine):
         return Enter(MaintenanceStep.RESTORED, "ready after a restart")
     if is_finished:
         return Enter(MaintenanceStep.RESTORED, "operators say that work is over")
-    return Wait("listed again without a restart; name it in `finished` where the work needs none")
+    return Wait("listed again without a restart; if the work needs none, name it in `finished`")
 
 
 def _replace(task: MaintenanceTask, context: TaskContext, replacement: str) -> Progress:
     machine = context.observations.machine_by_host.get(replacement)
     if machine is None or not machine.is_ready or (machine.kind, machine.zone) != (task.kind, task.zone):
-        return Wait(f"{replacement} is not ready, or of another kind or zone")
+        return Wait(f"{replacement} is not ready, or is of another kind or zone")
     return Enter(MaintenanceStep.COMPLETED, f"replaced by {replacement}", replacement)
 
 
 def _follow_front(task: MaintenanceTask, context: TaskContext) -> Progress:
-    """Follow a drained front: it is away while it holds no lease; a restart shows as a second report."""
+    """Return the progress of a drained front.
+
+    It is in maintenance while it holds no lease. After a restart there is a second report for its earlier
+    process.
+    """
     report_by_front = context.observations.report_by_front
     report = report_by_front.get(task.target)
     has_restarted = any(
