--- a/quincepier/tenancy/__init__.py
+++ b/quincepier/tenancy/__init__.py
@@ -1,8 +1,8 @@
-"""Tenants placed at shards, and their migrations from one shard to another, step by step.
+"""Placement of tenants at shards, and stepwise migration of a tenant from one shard to another.
 
-It decides which shard serves a request under a rule version, and what the next step of a migration is. It
-never sends, stores or waits, and never touches a machine. Start with `placement.py`, then `migration.py`;
-docs/tenants.md.
+The package decides which shard serves a request under a rule version, and which step of a migration is next.
+It sends and stores nothing, never waits and controls no machine. Start reading at `placement.py`, then
+`migration.py`; docs/tenants.md describes the procedure.
 """
 
 from quincepier.tenancy.errors import TenancyError
--- a/quincepier/tenancy/errors.py
+++ b/quincepier/tenancy/errors.py
@@ -6,13 +6,13 @@
 
 
 class TenancyError(QuincepierError):
-    """A rule version's shards, tenants or migrations can't be used."""
+    """The shards, tenants or migrations of a rule version are invalid."""
 
     code = "QP-TENANTS"
-    remedy = "correct the section `tenants`, ask check-config, send SIGHUP; a move begun keeps its wish"
+    remedy = "correct the section `tenants`, run check-config, send SIGHUP; keep the wish of a started move"
 
 
 class TransitionError(TenancyError):
-    """A migration was to enter a step that can't follow its own: a defect of the planner."""
+    """The planner attempted a step transition of a migration that is not allowed: a defect."""
 
-    remedy = "report it with the log; the rule version stays as it was"
+    remedy = "report it with the log; the rule version is unchanged"
--- a/quincepier/tenancy/migration.py
+++ b/quincepier/tenancy/migration.py
@@ -1,11 +1,11 @@
-"""The state machine of one migration: which step comes next, by what is requested and observed.
+"""The state machine of one migration: the next step by the operators' request and the observations.
 
-Invariants, each held by a mutant in the tests:
+Invariants, each with a mutant in the tests that violates it:
 
-1. Unsafe requests go to the other shard only once a version that rejects their retries is active at
-   all fronts.
-2. Their retries are accepted again only once the write pause has passed since.
-3. Retries are not rejected for longer than `MAX_PAUSING_NS` because a front or the leader is away.
+1. Unsafe requests go to the other shard only after a version that rejects their retries is active at all
+   fronts.
+2. Retries of unsafe requests are accepted again only after the write pause has passed since then.
+3. If a front or the leader is unreachable, retries are not rejected for longer than `MAX_PAUSING_NS`.
 """
 
 from __future__ import annotations
@@ -35,15 +35,16 @@
 )
 from quincepier.tenancy.write_pause import MigrationPolicy
 
-MAX_PAUSING_NS = 10 * SECOND  # a pause committed for so long and not active everywhere is taken back
-MIN_VERIFYING_NS = 10 * SECOND  # also the time between two tries of a write pause
+# A write pause that is not active at all fronts after this time since its commit is withdrawn.
+MAX_PAUSING_NS = 10 * SECOND
+MIN_VERIFYING_NS = 10 * SECOND  # also the time between two attempts of a write pause
 MAX_REASON_CHARS = 200
 
 STEPS_BEFORE_CUTOVER = frozenset(
     {MigrationStep.PLANNED, MigrationStep.RAMPING_UP, MigrationStep.VERIFYING, MigrationStep.PAUSING_WRITES}
 )
 
-# A rollback after the cutover passes CUT_OVER with no moved slots, so that safe requests return first.
+# A rollback after the cutover goes through CUT_OVER with no moved slots, so that safe requests return first.
 TRANSITIONS: dict[MigrationStep, frozenset[MigrationStep]] = {
     MigrationStep.PLANNED: frozenset({MigrationStep.RAMPING_UP, MigrationStep.ROLLED_BACK}),
     MigrationStep.RAMPING_UP: frozenset({MigrationStep.VERIFYING, MigrationStep.ROLLED_BACK}),
@@ -62,7 +63,7 @@
 def enter_step(
     migration: Migration, step: MigrationStep, reason: str = "", moved_slots: int | None = None
 ) -> Migration:
-    """Return the migration at `step`, which is its own or one that `TRANSITIONS` allows.
+    """Return the migration at `step`, which is its current step or one that `TRANSITIONS` allows.
 
     Raises:
         TransitionError: The transition is not allowed.
@@ -78,9 +79,10 @@
 
 @dataclass(slots=True, frozen=True)
 class MigrationContext:
-    """All that a migration's next step may depend on.
+    """The inputs of a migration's next step.
 
-    `request` is None where it was withdrawn or now says something else; that counts as a pause.
+    `request` is None if it was removed from the file or now names another tenant or target; this counts as a
+    pause.
     """
 
     version: RuleVersion
@@ -90,7 +92,7 @@
 
     @property
     def is_paused(self) -> bool:
-        """Whether the migration is to stay where it is."""
+        """Whether the migration must stay at its step."""
         return self.request is None or self.request.pause
 
     @property
@@ -99,7 +101,7 @@
         return self.request is not None and self.request.rollback
 
     def may_leave(self, step: MigrationStep) -> bool:
-        """Whether the request allows a step after this one."""
+        """Whether the request allows the migration to go beyond `step`."""
         return self.request is not None and not self.request.pause and step < self.request.last_step
 
     def has_ready_host(self, shard: str) -> bool:
@@ -115,14 +117,14 @@
         return is_under_maintenance(self.version, shard)
 
     def is_newest_version_active(self) -> bool:
-        """Whether every front decides by the newest version, those without a lease by none."""
+        """Whether every front with a lease has the newest version, and those without one are idle."""
         observed = self.observations
         return observed.active_number >= self.version.number and observed.unleased_fronts_idle
 
     def are_all_fronts_current(self) -> bool:
-        """Whether every member reports and decides alike by the newest version.
+        """Whether every member reports, and all decide alike by the newest version.
 
-        A write pause that starts then is short.
+        A write pause is short if it starts in this state.
         """
         observed = self.observations
         do_all_report = set(observed.members) <= set(observed.report_by_front)
@@ -130,7 +132,7 @@
 
 
 def next_migration(migration: Migration, context: MigrationContext) -> Migration:
-    """Return the migration after this planning round; the same one where it has to wait."""
+    """Return the migration after this planning round; it is unchanged if it has to wait."""
     if migration.step in STEPS_BEFORE_CUTOVER:
         if context.wants_rollback:
             return enter_step(migration, MigrationStep.ROLLED_BACK, "rollback requested", 0)
@@ -154,12 +156,12 @@
 
 
 def is_in_force(migration: Migration, observations: Observations) -> bool:
-    """Whether no front decides by a version from before this step, and none will."""
+    """Whether no front has, or may still use, a version older than the start of this step."""
     return observations.active_number >= migration.since_version and observations.unleased_fronts_idle
 
 
 def time_in_force_ns(migration: Migration, observations: Observations) -> int:
-    """Return for how many nanoseconds the step is surely in force."""
+    """Return the time in nanoseconds for which the step is known to be in force."""
     if not is_in_force(migration, observations):
         return 0
     return observations.active_ns_by_number.get(migration.since_version, observations.active_for_ns)
@@ -168,8 +170,8 @@
 def _start_ramp_up(migration: Migration, context: MigrationContext) -> Migration:
     if not context.may_leave(migration.step):
         return migration
-    # A front without a lease may not know of the migration. It accepts unsafe requests for the grace
-    # period only.
+    # A front without a lease may not know of the migration, but accepts unsafe requests for no longer than
+    # the grace period.
     if time_in_force_ns(migration, context.observations) < context.policy.grace_period_ns:
         return migration
     if not context.are_all_fronts_current() or not _is_target_ready(migration, context):
@@ -190,7 +192,7 @@
 
 
 def _shares_shard_with_another(migration: Migration, version: RuleVersion) -> bool:
-    # One migration at a time at each shard: added origin fetches are judged by their sum.
+    # Only one migration at a time may use a shard, since only the sum of added origin fetches is observed.
     shards = {migration.source_shard, migration.target_shard}
     return any(
         other is not migration
@@ -259,14 +261,14 @@
         return enter_step(migration, MigrationStep.VERIFYING, "fronts decide differently")
     if is_in_force(migration, observations):
         return enter_step(migration, MigrationStep.CUT_OVER)
-    if observations.committed_for_ns >= MAX_PAUSING_NS:  # nobody waits for a front or leader that is away
+    if observations.committed_for_ns >= MAX_PAUSING_NS:  # a front or the leader is unreachable
         reason = "not all fronts followed in time: tried again later"
         return enter_step(migration, MigrationStep.VERIFYING, reason)
     return migration
 
 
 def _finish(migration: Migration, context: MigrationContext) -> Migration:
-    """Advance from CUT_OVER or DRAINING; with no moved slots a rollback is on its way."""
+    """Advance from CUT_OVER or DRAINING; a migration with no moved slots is being rolled back."""
     if migration.moved_slots == 0:
         if context.is_newest_version_active():
             return enter_step(migration, MigrationStep.ROLLING_BACK, migration.reason)
@@ -311,7 +313,7 @@
 
 
 def _finish_rollback(migration: Migration, context: MigrationContext) -> Migration:
-    # Without a request the rollback goes on: only an explicit pause holds it up.
+    # A rollback continues even if its request was removed; only an explicit pause stops it.
     is_paused = context.request is not None and context.request.pause
     if is_paused or time_in_force_ns(migration, context.observations) < context.policy.write_pause_ns:
         return migration
--- a/quincepier/tenancy/placement.py
+++ b/quincepier/tenancy/placement.py
@@ -1,4 +1,4 @@
-"""Which shard serves a request under one rule version: a pure function of version, tenant and key."""
+"""The shard that serves a request: a pure function of rule version, tenant and key."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class RequestPlacement(NamedTuple):
-    """The shard of a request, and whether the request is rejected for now."""
+    """The shard of a request, and whether the request is rejected at the moment."""
 
     shard: str
     is_rejected: bool
 
 
 def slot_of_key(key: int) -> int:
-    """Return the slot, of `HASH_SLOTS`, of an object key (64 bits): the same at every front."""
+    """Return the slot (0 to `HASH_SLOTS` - 1) of a 64-bit object key; it is the same at every front."""
     return xxhash.xxh3_64_intdigest((key & KEY_MASK).to_bytes(8, "little")) % HASH_SLOTS
 
 
@@ -35,15 +35,15 @@
 ) -> RequestPlacement:
     """Place a request of a tenant under an active migration.
 
-    The first attempt of an unsafe request needs no pause: it runs at one shard only, and each of two
-    neighbouring versions rejects its retries. A retry may have run at the other shard, so it waits until no
-    cache could recognize it any more.
+    The first attempt of an unsafe request is not rejected: it runs at one shard only, and both the version
+    before a change of shard and the version after it reject its retries. A retry is rejected because the
+    request may have run at the other shard; it is accepted again when no cache could recognize it any more.
 
     Args:
-        migration: The tenant's migration, as the front's version has it.
+        migration: The tenant's migration in the front's version.
         slot: The slot of the request's key.
-        is_safe: Whether the request's class may simply be repeated.
-        is_retry: Whether the client says that it sent the request before.
+        is_safe: Whether requests of this class may be repeated without deduplication.
+        is_retry: Whether the client marks the request as sent before.
         is_cautious: Whether the front has no lease, so that its version may be outdated.
     """
     if is_safe:
@@ -69,21 +69,21 @@
 class PlacementTable:
     """Places requests by one rule version.
 
-    Made anew for each version and each change of `is_cautious` or `may_lack_migrations`; `renew` follows
-    each new list of machines.
+    A new table is built for each version and each change of `is_cautious` or `may_lack_migrations`; `renew`
+    must be called after each endpoint update.
 
     Args:
         version: The rule version.
         is_cautious: Whether this front has no lease.
-        number_of: A host id's number, None for one that is not known.
-        tenants: How tenants are told apart.
+        number_of: Returns the number of a host id, or None if it is not known.
+        tenants: Maps requests to tenants.
         classes: Request classes by number, as in the settings.
-        listed: Numbers of the caches and of the parents that are listed and ready.
-        may_lack_migrations: Whether no version is known, or the lease ended longer ago than the grace period,
-            so that a migration may have started that this front does not know of.
+        listed: Returns the numbers of the caches and of the parents that are listed and ready.
+        may_lack_migrations: Whether a migration may have started that this front does not know of, because it
+            has no version or its lease ended longer ago than the grace period.
 
     Raises:
-        TenancyError: The version can't be used.
+        TenancyError: A cache is in two shards of the version.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
         self.renew()
 
     def renew(self) -> None:
-        """Follow a new list of machines; to be called before the next request is placed."""
+        """Apply an endpoint update; must be called before the next request is placed."""
         caches, parents = self._listed()
         listed_caches = frozenset(caches)
         listed_parents = frozenset(parents)
@@ -142,7 +142,7 @@
         return frozenset(number for number in map(self._number_of, hosts) if number is not None)
 
     def __call__(self, request: io.RequestReceived) -> io.HomeShard | None:
-        """Return the request's home, or None for the ordinary placement: there are no shards."""
+        """Return the request's home shard, or None if there are no shards, for the ordinary placement."""
         has_unknown_migrations = self.may_lack_migrations and request.tenant
         if not self.version.shards and not self._migration_by_tenant and not has_unknown_migrations:
             return None
@@ -153,7 +153,7 @@
             home = self._home_by_placement[RequestPlacement(DEFAULT_SHARD, True)]
         if home.caches or not placement.shard:
             return home
-        # The shard has lost its last cache: only safe requests may run elsewhere.
+        # The shard has no ready cache: only safe requests may run at another shard.
         if is_safe:
             return self._home_by_placement[RequestPlacement(DEFAULT_SHARD, False)]
         if placement.is_rejected:
@@ -161,7 +161,7 @@
         return self._home_by_placement[RequestPlacement(placement.shard, True)]
 
     def decide(self, tenant: int, key: int, is_safe: bool, is_retry: bool) -> RequestPlacement:
-        """Return the request's shard and whether it is rejected, whatever machines are listed."""
+        """Return the request's shard and whether it is rejected, regardless of the listed machines."""
         if not 0 <= tenant < len(self._shard_by_tenant):
             tenant = NO_TENANT
         migration = self._migration_by_tenant.get(tenant)
@@ -175,21 +175,21 @@
 
 
 def _check_caches_are_disjoint(version: RuleVersion) -> None:
-    # Keys of two shards would meet in one cache, and neither shard could be compared with the other.
+    # If two shards shared a cache, their service statistics could not be compared.
     caches = [host for shard in version.shards for host in shard.caches]
     if len(caches) > len(set(caches)):
         raise TenancyError("a cache is in two shards", f"rule version {version.number}")
 
 
 def _active_migrations(version: RuleVersion, tenants: TenantLookup) -> dict[int, Migration]:
-    found = dict[int, Migration]()
+    migration_by_tenant = dict[int, Migration]()
     for number, name in enumerate(tenants.names):
         migration = version.migration_of(name) if number != NO_TENANT else None
         if migration is not None and migration.is_active:
-            found[number] = migration
-    return found
+            migration_by_tenant[number] = migration
+    return migration_by_tenant
 
 
 def home_number(shard: str) -> int:
-    """Return `Home.name`: 0 for the default shard, for others a number that follows from the name."""
+    """Return the number in `HomeShard.name`: 0 for the default shard, else a hash of the shard's name."""
     return xxhash.xxh3_64_intdigest(shard.encode()) | 1 if shard else 0
--- a/quincepier/tenancy/planner.py
+++ b/quincepier/tenancy/planner.py
@@ -1,4 +1,4 @@
-"""The tenancy part of the next rule version, from the last one, the requests and what is observed."""
+"""Planning of shards, placements and migrations for the next rule version."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from quincepier.tenancy.section import DEFAULT_SHARD_NAME, MigrationRequest, shard_of_name
 from quincepier.tenancy.write_pause import MigrationPolicy
 
-MAX_RETAINED_MIGRATIONS = 32  # of requests that are gone from the file
+MAX_RETAINED_MIGRATIONS = 32  # finished migrations whose requests were removed from the file
 
 
 def advance(
     version: RuleVersion, policy: MigrationPolicy, observations: Observations
 ) -> VersionChange | None:
-    """Return what tenancy wants changed by now, or None.
+    """Return the next change of shards, placements and migrations, or None.
 
-    Called by the leader at each planning round, with the policy of its own file.
+    The leader calls this in each planning round with the policy of its own operators' file.
     """
     planner = _Planner(version, policy, observations)
     planner.advance_migrations()
@@ -35,10 +35,10 @@
 
 
 def hosts_under_migration(version: RuleVersion) -> frozenset[str]:
-    """Return the host ids of machines that no maintenance task is to start with.
+    """Return the host ids of machines for which no maintenance task may start.
 
-    They are those of the shards of migrations that have started. The default shard is left out: its machines
-    are too many to belong to one migration.
+    These are the machines of the shards of started migrations. Machines of the default shard are left out:
+    they are too many to be reserved for one migration.
     """
     shard_names = {
         name
@@ -55,7 +55,7 @@
 
 
 class _Planner:
-    """One planning round: the parts of the next version as far as they are worked out."""
+    """One planning round with the parts of the next version planned so far."""
 
     def __init__(self, version: RuleVersion, policy: MigrationPolicy, observations: Observations) -> None:
         self.version = version
@@ -78,8 +78,8 @@
                 self.migrations.append(migration)
 
     def _forgotten_ids(self, request_by_id: dict[str, MigrationRequest]) -> list[str]:
-        # Some are kept though their request is gone: another leader's file may still have it, and the
-        # migration is not to start again.
+        # Some finished migrations are kept after their requests are removed: the file of another leader may
+        # still have such a request, and the migration must not start again.
         finished_ids = [
             migration.request_id
             for migration in self.version.migrations
@@ -123,11 +123,11 @@
             return False
         if len(self.migrations) >= MAX_MIGRATIONS:
             return False
-        # A shard that comes with this very change is known from the next round on.
+        # A shard that this change adds is known in the next planning round.
         return not request.target_shard or self.version.find_shard(request.target_shard) is not None
 
     def update_shards(self) -> None:
-        """Take over the file's shards, unless machines of a home shard would change under a migration."""
+        """Adopt the file's shards; during a migration only add shards, so that no used shard changes."""
         shards = self.section.to_shards()
         names = {shard.name for shard in shards}
         used_names = self._used_shard_names()
@@ -150,7 +150,7 @@
         return used_names
 
     def place_new_tenants(self) -> None:
-        """Place each tenant that is new to the version at the home shard of the file."""
+        """Place each tenant that is missing from the version at its home shard in the file."""
         for name, tenant in sorted(self.section.tenant_by_name.items()):
             if any(placement.tenant == name for placement in self.placements):
                 continue
@@ -158,7 +158,7 @@
             self.reasons.append(f"{name} placed at {tenant.home_shard}")
 
     def to_change(self) -> VersionChange | None:
-        """Return the change that leads to what was planned, or None."""
+        """Return the planned change, or None if nothing changes."""
         placements = tuple(self.placements)
         migrations = tuple(self.migrations)
         version = self.version
@@ -174,13 +174,13 @@
 
 
 def _share_a_cache(shards: tuple[Shard, ...]) -> bool:
-    """Whether two shards have a cache in common, as where one was renamed while it is a home shard."""
+    """Whether two shards have a cache in common, such as after a home shard was renamed in the file."""
     caches = [host for shard in shards for host in shard.caches]
     return len(caches) > len(set(caches))
 
 
 def _add_disjoint_shards(current: tuple[Shard, ...], wanted: tuple[Shard, ...]) -> tuple[Shard, ...]:
-    """Return the current shards and those new ones that have no cache in common with them, by name."""
+    """Return the current shards and the new shards that share no cache with them, sorted by name."""
     names = {shard.name for shard in current}
     caches = {host for shard in current for host in shard.caches}
     added = (shard for shard in wanted if shard.name not in names and not caches & set(shard.caches))
--- a/quincepier/tenancy/ramp_up.py
+++ b/quincepier/tenancy/ramp_up.py
@@ -1,4 +1,4 @@
-"""How fast a tenant's keys move to the target shard: origin fetches stay bounded, its machines are warm."""
+"""The pace at which a tenant's keys move to the target shard: it bounds the additional origin fetches."""
 
 from __future__ import annotations
 
@@ -8,27 +8,29 @@
 from quincepier.rules.version import HASH_SLOTS
 from quincepier.tenancy.verification import counts_cover_active_version, sum_statistics
 
-STEP_SIZES = (32, 16, 8, 4, 2, 1)  # slots that move at once: the largest that origin fetches allow
+STEP_SIZES = (32, 16, 8, 4, 2, 1)  # slots moved at once: the largest size that origin fetches allow
 NO_TRAFFIC_STEP = 0  # index in STEP_SIZES
 FEW_RESPONSES_STEP = 3  # index in STEP_SIZES
-RAMP_UP_SLOTS = HASH_SLOTS // 2  # half of the keys at each shard are compared with the greatest power
-MAX_ADDED_FETCH_RATIO = 0.2  # of all baseline fetches, by the first step; they are to stay under 1.3 of them
-MAX_REMAINING_FETCH_RATIO = 0.1  # of all baseline fetches: what the last step may still add before the next
-MIN_SOURCE_RESPONSES = 50  # to know the source's origin fetches a response
+RAMP_UP_SLOTS = HASH_SLOTS // 2  # the comparison has the greatest power with half of the keys at each shard
+# Additional origin fetches of the first step, as a share of all baseline fetches. All fetches must stay below
+# 1.3 times the baseline.
+MAX_ADDED_FETCH_RATIO = 0.2
+MAX_REMAINING_FETCH_RATIO = 0.1  # additional fetches of the last step, above which the next step waits
+MIN_SOURCE_RESPONSES = 50  # needed to estimate the source's origin fetches per response
 MIN_MISS_RATIO = 0.01
-STEP_DIVISOR = 8  # a later step adds up to an eighth of what has moved
+STEP_DIVISOR = 8  # a later step may always add an eighth of the slots that have moved
 
 
 @dataclass(slots=True, frozen=True)
 class RampUpStep:
-    """How many slots are to be at the target, and why not more."""
+    """The number of slots to be placed at the target, and the reason why it is not higher."""
 
     moved_slots: int
     reason: str
 
 
 def ready_hosts(observations: Observations, version: RuleVersion, shard_name: str) -> list[str]:
-    """Return the caches of a shard that are listed and ready; the default shard has all outside of shards."""
+    """Return the listed and ready caches of a shard; the default shard has all caches of no other shard."""
     shard = version.find_shard(shard_name)
     hosts_in_shards = {host for s in version.shards for host in s.caches}
     ready_caches = (
@@ -62,9 +64,9 @@
 
 
 def next_ramp_up_step(observations: Observations, migration: Migration, max_slots: int) -> RampUpStep:
-    """Return how many slots may be at the target next, at most `max_slots`.
+    """Return the number of slots to be placed at the target next, at most `max_slots`.
 
-    The slots stay as they are while origin fetches of the last step are still above the baseline.
+    No slots move while the last step still causes too many origin fetches above the baseline.
     """
     moved = migration.moved_slots
     if not counts_cover_active_version(observations):
@@ -85,7 +87,8 @@
     if moved and added_fetches > MAX_REMAINING_FETCH_RATIO * baseline_fetches:
         reason = f"{added_fetches:.0f} origin fetches above a baseline of {baseline_fetches:.0f}"
         return RampUpStep(moved, reason)
-    # The first step counts as if no key were requested twice; a later one adds to what was borne before.
+    # The estimate assumes that every request of moved keys misses. Later steps may always add a fixed
+    # fraction of the slots that have moved, since the fetches of those slots were sustained.
     fetches_if_all_moved = responses * max(1 - source_rate, MIN_MISS_RATIO)
     allowed_slots = max(
         MAX_ADDED_FETCH_RATIO * baseline_fetches * HASH_SLOTS / fetches_if_all_moved, moved / STEP_DIVISOR
--- a/quincepier/tenancy/section.py
+++ b/quincepier/tenancy/section.py
@@ -1,6 +1,6 @@
 """The section `tenants` of the operators' file: shards, tenants, and requested migrations.
 
-The keys of the file keep their first wording; each struct maps them to its fields in `rename`.
+Some keys of the file differ from the field names; each struct maps its keys to fields in `rename`.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 
 
 class ShardSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Host ids of a shard's caches and of the parents behind them; no parents named: all of them."""
+    """Host ids of a shard's caches and of their parents; if no parents are named, all parents are used."""
 
     caches: Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_CACHES)]
     parents: Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_CACHES)] = ()
 
     def __post_init__(self) -> None:
         if not self.caches:
-            raise ValueError("a shard without a cache serves nobody: name at least one")
+            raise ValueError("a shard without a cache can't serve requests: name at least one")
 
 
 class TenantSettings(
@@ -56,7 +56,7 @@
     forbid_unknown_fields=True,
     rename={"item_prefixes": "items", "home_shard": "home"},
 ):
-    """A tenant, known by how its items begin (hex, as on the wire), and its home shard."""
+    """A tenant: the prefixes of its items (hex, as on the wire) and its home shard."""
 
     item_prefixes: Annotated[tuple[str, ...], msgspec.Meta(max_length=MAX_PREFIXES)]
     home_shard: Name = DEFAULT_SHARD_NAME
@@ -77,7 +77,7 @@
     forbid_unknown_fields=True,
     rename={"target": "to", "last_checkpoint": "until"},
 ):
-    """A requested migration of a tenant; it starts once under its id.
+    """A requested migration of a tenant; each id starts at most one migration.
 
     `last_checkpoint` is the last step that the migration may reach.
     """
@@ -100,7 +100,7 @@
         return STEP_BY_CHECKPOINT[self.last_checkpoint]
 
     def matches(self, migration: Migration) -> bool:
-        """Whether the migration is the one requested; an id with two meanings makes no progress."""
+        """Whether the migration has the requested id, tenant and target; otherwise it makes no progress."""
         return (migration.request_id, migration.tenant, migration.target_shard) == (
             self.id,
             self.tenant,
@@ -121,8 +121,9 @@
 ):
     """Shards, tenants and requested migrations.
 
-    `grace_period_s`: a front without a lease may go on accepting unsafe requests of a named tenant
-    for so long. A migration stays planned for the same time, so that every front knows of it by then.
+    `grace_period_s` is the time in seconds for which a front without a lease still accepts unsafe requests of
+    a named tenant. A migration stays planned for the same time, so that afterwards no front accepts such
+    requests without knowing of the migration.
     """
 
     shard_by_name: Annotated[dict[Name, ShardSettings], msgspec.Meta(max_length=MAX_SHARDS)] = {}
@@ -139,7 +140,7 @@
         self._check_migrations()
 
     def to_shards(self) -> tuple[Shard, ...]:
-        """Return the shards as a rule version holds them, by name."""
+        """Return the shards in the form of a rule version, sorted by name."""
         return tuple(
             Shard(name, shard.caches, shard.parents) for name, shard in sorted(self.shard_by_name.items())
         )
@@ -150,7 +151,7 @@
                 raise ValueError(f"{key}: a name has 1 to 64 characters")
         if DEFAULT_SHARD_NAME in self.shard_by_name:
             raise ValueError(
-                f"shards.{DEFAULT_SHARD_NAME}: that is all caches outside of shards: take another name"
+                f"shards.{DEFAULT_SHARD_NAME}: this name means all caches outside of shards: choose another"
             )
 
     def _check_caches(self) -> None:
@@ -159,7 +160,7 @@
             for cache in shard.caches:
                 if cache in shard_by_cache:
                     other = shard_by_cache[cache]
-                    raise ValueError(f"shards.{name}: cache {cache} is of {other} too: leave it in one")
+                    raise ValueError(f"shards.{name}: cache {cache} is in {other} too: name it in one shard")
                 shard_by_cache[cache] = name
 
     def _check_prefixes(self) -> None:
@@ -170,7 +171,7 @@
             if next_prefix.startswith(prefix):
                 raise ValueError(
                     f"tenants.{next_name}: items {next_prefix} are of {name} too, by {prefix}: "
-                    "no prefix within another"
+                    "no prefix may begin with another"
                 )
 
     def _check_migrations(self) -> None:
@@ -178,7 +179,7 @@
         for index, migration in enumerate(self.migrations):
             key = f"moves.{index}"
             if migration.id in ids:
-                raise ValueError(f"{key}.id: {migration.id} stands there twice: a new wish has a new id")
+                raise ValueError(f"{key}.id: {migration.id} is used twice: give each move its own id")
             ids.add(migration.id)
             if migration.tenant not in self.tenant_by_name:
                 raise ValueError(f"{key}.tenant: no tenant {migration.tenant}: name it under tenants.tenants")
@@ -188,5 +189,5 @@
         if name != DEFAULT_SHARD_NAME and name not in self.shard_by_name:
             shard_names = ", ".join([DEFAULT_SHARD_NAME, *sorted(self.shard_by_name)])
             raise ValueError(
-                f"{key}: no shard {name}: name it under tenants.shards, or take one of {shard_names}"
+                f"{key}: no shard {name}: name it under tenants.shards, or use one of {shard_names}"
             )
--- a/quincepier/tenancy/tenant_lookup.py
+++ b/quincepier/tenancy/tenant_lookup.py
@@ -1,4 +1,4 @@
-"""Which tenant a request belongs to; the wire has no field for it, so the prefix of its item decides."""
+"""Lookup of a request's tenant by the prefix of its item, since the wire has no field for the tenant."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TenantLookup:
-    """Tenants numbered from 1 in the order of their names; `NO_TENANT` is for requests of none."""
+    """Tenants numbered from 1 in the order of their names; `NO_TENANT` is for requests without a tenant."""
 
     def __init__(self, section: TenantsSection) -> None:
         self.names: tuple[str, ...] = ("", *sorted(section.tenant_by_name))
@@ -21,12 +21,12 @@
         self._prefix_lengths = sorted({len(prefix) for prefix in self._number_by_prefix})
 
     def tenant_of(self, item: str) -> int:
-        """Return the tenant's number; no prefix begins another, so at most one matches."""
+        """Return the number of an item's tenant. No prefix begins with another, so at most one matches."""
         for length in self._prefix_lengths:
             if number := self._number_by_prefix.get(item[:length]):
                 return number
         return NO_TENANT
 
     def name_of(self, number: int) -> str:
-        """Return the tenant's name, or "" for `NO_TENANT` and for numbers unknown to this section."""
+        """Return the tenant's name, or "" for `NO_TENANT` and for unknown numbers."""
         return self.names[number] if 0 <= number < len(self.names) else ""
--- a/quincepier/tenancy/verification.py
+++ b/quincepier/tenancy/verification.py
@@ -1,8 +1,8 @@
 """Statistical comparison of a tenant's two shards during a migration, over the same seconds.
 
-Proportions at the target shard are held against those at the source by a one-sided two-proportion z-test of
-non-inferiority (Schuirmann 1987). Priority weight is treated as a proportion of equal requests. A failure
-needs far more certainty than a success, since it is tested for at every planning round.
+Proportions at the target shard are compared with those at the source by a one-sided two-proportion z-test of
+non-inferiority (Schuirmann 1987). A share of priority weight is treated as a proportion of equal requests. A
+failure needs far more certainty than a success, since every planning round tests for it.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 PASS_Z_SCORE = 1.645  # one-sided: a false pass in 20
 FAIL_Z_SCORE = 4.0  # a false failure in 30,000
-VARIANCE_INFLATION = 2.0  # requests of one second share their fate
+VARIANCE_INFLATION = 2.0  # outcomes of requests of the same second are correlated
 MIN_RESPONSES = 200  # at each shard
-# Margins of non-inferiority: by how much a proportion may be worse at the target.
+# Margins of non-inferiority: the most by which a proportion may be worse at the target.
 MAX_LATE_INCREASE = 0.02
 MAX_REJECTED_INCREASE = 0.02
 MAX_MISS_INCREASE = 0.10
-MAX_ORIGIN_FETCH_INCREASE = 0.3  # of the source's origin fetches a response
-MIN_ORIGIN_FETCH_MARGIN = 0.05  # of responses
+MAX_ORIGIN_FETCH_INCREASE = 0.3  # as a share of the source's origin fetches per response
+MIN_ORIGIN_FETCH_MARGIN = 0.05  # origin fetches per response
 MAX_SUMMARY_CHARS = 200
 
 
 class VerificationVerdict(Enum):
-    """What the collected responses show."""
+    """The outcome of a comparison of statistics."""
 
     PASS = "passes"
     INCONCLUSIVE = "inconclusive"
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VerificationResult:
-    """A verdict with the measures that it rests on."""
+    """A verdict and the compared measures that led to it."""
 
     verdict: VerificationVerdict
     reasons: tuple[str, ...]
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    """A share of bad outcomes and the number of outcomes that it is of; 0: it is known exactly."""
+    """A proportion of bad outcomes among `count` outcomes; with count 0 it is known exactly."""
 
     proportion: float
     count: int = 0
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Comparison:
-    """One measure at the shard under test beside its reference."""
+    """One measure at the shard under test, compared with its reference."""
 
     measure: str
     verdict: VerificationVerdict
@@ -68,7 +68,7 @@
 
     @property
     def summary(self) -> str:
-        """The measure with both proportions."""
+        """The measure and both proportions as text."""
         return f"{self.measure} {self.proportion:.3f} against {self.reference:.3f}"
 
 
@@ -78,22 +78,22 @@
     Args:
         observations: The reports of all fronts.
         tenant: A tenant's name, or "" for all requests.
-        shard: A shard as rule versions name it, or None for all shards. Reports name the default shard by
-            its word, as "" stands for all shards there.
+        shard: A shard as rule versions name it, or None for all shards. Reports name the default shard
+            `DEFAULT_SHARD_NAME`, since they use "" for all shards.
     """
     shard_name = "" if shard is None else shard or DEFAULT_SHARD_NAME
     responses = rejected = hits = origin_fetches = 0
     requested_weight = on_time_weight = 0.0
     for report in observations.report_by_front.values():
-        for row in report.service_statistics:
-            if (row.tenant, row.shard) != (tenant, shard_name):
+        for statistics in report.service_statistics:
+            if (statistics.tenant, statistics.shard) != (tenant, shard_name):
                 continue
-            responses += row.responses
-            requested_weight += row.requested_weight
-            on_time_weight += row.on_time_weight
-            rejected += row.rejected
-            hits += row.hits
-            origin_fetches += row.origin_fetches
+            responses += statistics.responses
+            requested_weight += statistics.requested_weight
+            on_time_weight += statistics.on_time_weight
+            rejected += statistics.rejected
+            hits += statistics.hits
+            origin_fetches += statistics.origin_fetches
     return ServiceStatistics(
         tenant, shard_name, responses, requested_weight, on_time_weight, rejected, hits, origin_fetches
     )
@@ -107,7 +107,7 @@
 
 
 def compare_proportions(sample: Sample, reference: Sample, margin: float) -> VerificationVerdict:
-    """Test whether a share of bad outcomes is no worse than a reference by more than the margin."""
+    """Test whether a proportion of bad outcomes exceeds a reference by no more than the margin."""
     variance = VARIANCE_INFLATION * (_variance(sample) + _variance(reference))
     standard_error = math.sqrt(variance)
     increase = sample.proportion - reference.proportion
@@ -121,14 +121,13 @@
 def _variance(sample: Sample) -> float:
     if not sample.count:
         return 0.0
-    smoothed = (sample.proportion * sample.count + 1) / (
-        sample.count + 2
-    )  # none observed is not none (Laplace)
+    # Laplace smoothing, so that a proportion of 0 or 1 does not have a variance of 0.
+    smoothed = (sample.proportion * sample.count + 1) / (sample.count + 2)
     return smoothed * (1 - smoothed) / sample.count
 
 
 def counts_cover_active_version(observations: Observations) -> bool:
-    """Whether all counts are of seconds in which the newest version was active."""
+    """Whether the counts of all reports were collected while the newest version was active."""
     return all(
         report.window_ms * MS <= observations.active_for_ns
         for report in observations.report_by_front.values()
@@ -143,8 +142,8 @@
     Args:
         observations: The reports of all fronts.
         migration: Names the tenant and both shards.
-        include_cache_hits: Compare hits and origin fetches too, which are worse while keys are new to the
-            target's caches.
+        include_cache_hits: Compare hits and origin fetches too. Both are worse as long as the target's caches
+            do not hold the moved keys.
     """
     target = sum_statistics(observations, migration.tenant, migration.target_shard)
     source = sum_statistics(observations, migration.tenant, migration.source_shard)
@@ -190,7 +189,7 @@
 
 
 def compare_with_baseline(observations: Observations, tenants: Iterable[str]) -> VerificationResult:
-    """Compare the late share of each tenant ("" for all) with its baseline; those without one are skipped."""
+    """Compare the late ratio of each tenant ("" for all) with its baseline; skip those without a baseline."""
     comparisons = []
     for tenant in tenants:
         statistics = sum_statistics(observations, tenant)
@@ -213,9 +212,9 @@
 
 
 def verify_migration(observations: Observations, migration: Migration) -> VerificationResult:
-    """Judge a migration at its verification step, by all measures.
+    """Verify a migration at its verification step by all measures.
 
-    A tenant without requests can't be compared: it passes.
+    A tenant without requests passes, since there is nothing to compare.
     """
     if not counts_cover_active_version(observations):
         return VerificationResult(
@@ -237,7 +236,7 @@
 
 
 def other_tenants(observations: Observations, migration: Migration) -> list[str]:
-    """Return the names of all tenants with a baseline but the one that migrates, and "" for all requests."""
+    """Return all tenants with a baseline except the migrating one, and "" for all requests."""
     return sorted({*observations.baseline_on_time_ratio_by_tenant, ""} - {migration.tenant})
 
 
--- a/quincepier/tenancy/write_pause.py
+++ b/quincepier/tenancy/write_pause.py
@@ -1,4 +1,4 @@
-"""The times for which retries are rejected so that no request runs at two shards (docs/tenants.md)."""
+"""The write pause: how long retries are rejected, so that no request runs at two shards (docs/tenants.md)."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 from quincepier.interface import Idempotency, RequestClass
 from quincepier.tenancy.section import SECOND, TenantsSection
 
-MAX_WAIT_DEADLINES = 2  # a client waits at most so many of its class's deadlines (translate.py)
-MAX_DELIVERY_DELAY_NS = SECOND  # a command that its front gave up may still start so long after
+MAX_WAIT_DEADLINES = 2  # the longest wait of a client, in deadlines of its class (translate.py)
+MAX_DELIVERY_DELAY_NS = SECOND  # a command may still start this long after its front has abandoned it
 
 
 def write_pause_ns(classes: Iterable[RequestClass]) -> int:
-    """Return for how long retries of unsafe requests are rejected, in nanoseconds.
+    """Return the time in nanoseconds for which retries of unsafe requests are rejected.
 
-    A request accepted before the pause may still start after the longest wait of a client and the delivery
-    delay, and its cache recognizes a retry for the deduplication window after that. Once the pause is over
-    no cache could have recognized the retry either. The longest over all unsafe classes holds.
+    A request accepted before the pause may start as late as a client's longest wait plus the delivery delay
+    after its acceptance. Its cache recognizes a retry for the deduplication window after that start. When the
+    pause is over, no cache would recognize the retry any more, at either shard. The pause is the longest such
+    time over all unsafe classes.
     """
     pauses = [
         c.window + MAX_WAIT_DEADLINES * c.deadline + MAX_DELIVERY_DELAY_NS
@@ -29,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MigrationPolicy:
-    """The leader's section, and the times in nanoseconds that follow from it and from the settings."""
+    """The leader's section, and the times in nanoseconds derived from it and from the settings."""
 
     section: TenantsSection
     write_pause_ns: int
