--- a/quincepier/consistency/__init__.py
+++ b/quincepier/consistency/__init__.py
@@ -1,8 +1,9 @@
-"""Whether all fronts decide alike: rule decisions, their digests, divergences, and explained real decisions.
+"""Consistency checks between fronts: rule decisions, their digests, divergences, and explained attempts.
 
-The package finds which front is outside the majority, by which input, key and field, and whether a real
-decision has a reason. It never routes, sends, reads a clock or changes what a front decides. Start reading at
-`decision.py`, then `checker.py`; docs/consistency.md describes the protocol.
+The package finds the fronts that diverge from the majority, with the input, key and field that differ, and
+explains a front's attempts by the rules or by another reason. It routes and sends nothing, reads no clock and
+changes no decision. Start reading at `decision.py`, then `checker.py`; docs/consistency.md describes the
+protocol.
 """
 
 from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
--- a/quincepier/consistency/arithmetic.py
+++ b/quincepier/consistency/arithmetic.py
@@ -1,4 +1,4 @@
-"""Hash and floating-point arithmetic that placement rests on, and canary digests of both.
+"""Hash and floating-point arithmetic used for placement, and canary digests of both.
 
 Weighted rendezvous hashing after Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates"
 (IEEE/ACM Transactions on Networking, 1998), with the score -ln(u) / weight.
@@ -15,12 +15,12 @@
 
 from quincepier.keys import mix
 
-HashFunction = Callable[..., int]  # integers to a 64-bit hash
-ScoreFunction = Callable[[int, float], float]  # hash and weight to a score
+HashFunction = Callable[..., int]  # maps integers to a 64-bit hash
+ScoreFunction = Callable[[int, float], float]  # maps a hash and a weight to a score
 
 CANARY_HASHES = 64
 CANARY_SCORES = 256
-GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2^64 divided by the golden ratio: spreads successive integers
+GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2^64 divided by the golden ratio; multiples spread evenly
 MASK_64 = (1 << 64) - 1
 
 
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Arithmetic:
-    """The functions that every rule decision is computed with; tests replace them to plant faults."""
+    """The functions used to compute every rule decision; tests replace them to inject faults."""
 
     hash: HashFunction = mix
     score: ScoreFunction = rendezvous_score
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CanaryDigests:
-    """Digests (16 bytes each) of fixed computations, equal at all fronts whose arithmetic is equal."""
+    """Digests (16 bytes each) of fixed computations; fronts with equal arithmetic have equal digests."""
 
     hash: bytes
     floats: bytes
 
 
 def compute_canaries(arithmetic: Arithmetic = STANDARD_ARITHMETIC) -> CanaryDigests:
-    """Compute the canary digests; one bit of difference in any hash or score changes them."""
+    """Compute the canary digests; a difference of one bit in any hash or score changes them."""
     hashes = [arithmetic.hash(n, 3 * n + 1, 7) for n in range(CANARY_HASHES)]
     arguments = ((n * GOLDEN_RATIO_64 & MASK_64, 0.1 + n / 7) for n in range(1, CANARY_SCORES + 1))
     scores = [arithmetic.score(hash_value, weight) for hash_value, weight in arguments]
--- a/quincepier/consistency/checker.py
+++ b/quincepier/consistency/checker.py
@@ -1,8 +1,9 @@
-"""One front's part in the comparison of rule decisions: it answers collectors, and collects where it must.
+"""The consistency checker of one front: it responds to collectors, and collects digests itself if required.
 
-The leader collects; where no member leads, the three members first by a hash of their names do, each for
-itself. A front sends its digests to collectors alone, so messages grow with the number of fronts, not with
-its square. Pure: messages and times in, messages and findings out.
+The leader collects the digests of all fronts. Without a leader, the three members with the lowest name hashes
+collect, independently of each other. Fronts send digests only to collectors, so the number of messages grows
+linearly with the number of fronts. The checker does no I/O: it takes messages and times, and returns messages
+and findings.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 from quincepier.consistency.section import ConsistencySection
 
 COLLECTORS_WITHOUT_LEADER = 3
-MAX_HASHES_PER_SLICE = 2000  # some 5 ms between two turns of the front's other work
+MAX_HASHES_PER_SLICE = 2000  # about 5 ms, for which the front's other work is delayed
 ROUND_ID_BITS = 40
 
 
@@ -68,8 +69,8 @@
         arithmetic: Arithmetic = STANDARD_ARITHMETIC,
         ranking_cache: RankingCache | None = None,
     ) -> None:
-        """Make the checker of the front `name`; its first round as a collector is at a random time."""
-        self.last_result: RoundResult | None = None  # of the last round that this front collected
+        """Create the checker of the front `name`; its first round as a collector starts at a random time."""
+        self.last_result: RoundResult | None = None  # of the last round collected by this front
         self._invalid_messages = 0
         self._name = name
         self._section = section or ConsistencySection()
@@ -79,42 +80,42 @@
         self._inputs: DecisionInputs | None = None
         draw = random.Random(seed)
         self._next_round_ns = now_ns + draw.randrange(self._round_interval_ns)
-        self._round_id = draw.getrandbits(ROUND_ID_BITS)  # so that a new collector draws other samples
+        self._round_id = draw.getrandbits(ROUND_ID_BITS)  # so that a new collector draws different samples
         self._responder = DigestResponder(name, self._round_interval_ns, arithmetic, ranking_cache)
         self._collector: DigestCollector | None = None
         self._list_history = ListRevisionHistory()
         self._unexplained_decisions = 0
         self._stale_rankings = 0
-        self._diverged_version: int | None = None  # rule version by which this front was found to diverge
-        self._local_messages: deque[Message] = deque()  # of this front to itself
+        self._diverged_version: int | None = None  # rule version at which this front was found to diverge
+        self._local_messages: deque[Message] = deque()  # from this front to itself
 
     def on_view_changed(self, members: Iterable[str], leader: str) -> None:
-        """Take the living members, this front among them, and the leader; empty where nobody leads."""
+        """Store the live members, which include this front, and the leader's name, "" without a leader."""
         self._members = frozenset(members) | {self._name}
         self._leader = leader
         self._responder.retain_collectors(self._members)
 
     def on_inputs_changed(self, inputs: DecisionInputs) -> None:
-        """Take the inputs by which this front decides from now on, all of one moment."""
+        """Store the front's new decision inputs, all taken at the same moment."""
         self._inputs = inputs
 
     def add_router_faults(self, unexplained_decisions: int = 0, stale_rankings: int = 0) -> None:
-        """Count faults of this front's router, which its next digest response reports."""
+        """Count faults of this front's router; its next digest response reports them."""
         self._unexplained_decisions += unexplained_decisions
         self._stale_rankings += stale_rankings
 
     @property
     def is_cautious(self) -> bool:
-        """Whether this front was found to diverge by the rule version that it has."""
+        """Whether this front was found to diverge at its current rule version."""
         return self._inputs is not None and self._diverged_version == self._inputs.rule_version.number
 
     @property
     def dropped_messages(self) -> int:
-        """Messages that were invalid, or requests that came too early."""
+        """Number of messages that were invalid, and of digest requests that arrived too early."""
         return self._invalid_messages + self._responder.rejected_requests
 
     def is_consistent(self, rule_version: int) -> bool | None:
-        """Whether all fronts decide alike by a rule version; None where this collector does not know."""
+        """Return whether all fronts decide alike by a rule version, or None if this front does not know."""
         result = self.last_result
         if result is None or result.rule_version != rule_version:
             return None
@@ -124,7 +125,7 @@
 
     @property
     def collectors(self) -> tuple[str, ...]:
-        """The members that collect digests now."""
+        """The members that currently collect digests."""
         if self._leader in self._members:
             return (self._leader,)
         by_hash = sorted(self._members, key=lambda name: xxhash.xxh3_64_intdigest(name.encode()))
@@ -132,25 +133,25 @@
 
     @property
     def next_tick_ns(self) -> int:
-        """When `on_tick` is due next; 0 where a slice of work waits."""
+        """Time at which `on_tick` is due next; 0 if a slice of work is pending."""
         if self._responder.has_work:
             return 0
         is_collector = self._name in self.collectors
-        own = self._next_round_ns if is_collector else self._next_round_ns + self._round_interval_ns
-        return own if self._collector is None else min(own, self._collector.next_tick_ns)
+        due_ns = self._next_round_ns if is_collector else self._next_round_ns + self._round_interval_ns
+        return due_ns if self._collector is None else min(due_ns, self._collector.next_tick_ns)
 
     def on_message(self, now_ns: int, sender: str, raw: bytes) -> list[CheckerAction]:
-        """Handle a member's message; an invalid one is dropped and counted."""
+        """Handle a member's message; an invalid message is dropped and counted."""
         try:
             if sender not in self._members:
                 raise ConsistencyError("not a member", sender[:64])
-            return self._drain_local(now_ns, self._handle(now_ns, sender, decode(raw)))
+            return self._handle_local_messages(now_ns, self._handle(now_ns, sender, decode(raw)))
         except ConsistencyError:
             self._invalid_messages += 1
             return []
 
     def on_tick(self, now_ns: int) -> list[CheckerAction]:
-        """Do one slice of work, and start a round or send requests again where that is due."""
+        """Do one slice of work; start a round or retry requests if due."""
         actions = list[CheckerAction]()
         collector = self._responder.advance(MAX_HASHES_PER_SLICE)
         if collector is not None:
@@ -161,11 +162,11 @@
             self._next_round_ns = max(next_ns, now_ns + self._round_interval_ns // 2)
         if self._collector is not None:
             actions += self._dispatch(self._collector.on_tick(now_ns))
-            self._take_result(self._collector)
-        return self._drain_local(now_ns, actions)
+            self._store_result(self._collector)
+        return self._handle_local_messages(now_ns, actions)
 
     def start_round(self, now_ns: int) -> list[CheckerAction]:
-        """Start a round by the rule version that this front has."""
+        """Start a round with this front's rule version."""
         if self._inputs is None:
             return []
         self._round_id += 1
@@ -174,7 +175,7 @@
         self._collector = DigestCollector(
             now_ns, request, self._members, self._list_history, self._section.max_list_lag_ns
         )
-        return self._drain_local(now_ns, self._dispatch(self._collector.on_tick(now_ns)))
+        return self._handle_local_messages(now_ns, self._dispatch(self._collector.on_tick(now_ns)))
 
     def _handle(self, now_ns: int, sender: str, message: Message) -> list[CheckerAction]:
         match message:
@@ -204,11 +205,11 @@
             actions = self._dispatch(collector.on_digest_response(now_ns, sender, response))
         else:
             actions = self._dispatch(collector.on_tree_response(now_ns, sender, response))
-        self._take_result(collector)
+        self._store_result(collector)
         return actions
 
     def _respond(self, collector: str) -> list[CheckerAction]:
-        """Send the digests of a complete snapshot, and the faults counted since the last response."""
+        """Send the digests of a complete snapshot and the faults counted since the last response."""
         response = self._responder.complete(
             collector, self._unexplained_decisions, self._stale_rankings, self._diverged_version
         )
@@ -216,7 +217,7 @@
         self._stale_rankings = 0
         return self._send(collector, response)
 
-    def _take_result(self, collector: DigestCollector) -> None:
+    def _store_result(self, collector: DigestCollector) -> None:
         if collector.result is not None:
             self.last_result = collector.result
 
@@ -235,8 +236,8 @@
                 actions.append(output)
         return actions
 
-    def _drain_local(self, now_ns: int, actions: list[CheckerAction]) -> list[CheckerAction]:
-        """Handle what this front sent to itself."""
+    def _handle_local_messages(self, now_ns: int, actions: list[CheckerAction]) -> list[CheckerAction]:
+        """Handle the messages that this front has sent to itself."""
         while self._local_messages:
             try:
                 actions += self._handle(now_ns, self._name, self._local_messages.popleft())
--- a/quincepier/consistency/decision.py
+++ b/quincepier/consistency/decision.py
@@ -1,7 +1,7 @@
-"""The rule decision of a key: what follows from rule version, settings and endpoint list alone.
+"""Rule decisions: the decision for a key that depends only on rule version, settings and endpoint list.
 
-Every front with equal inputs makes equal rule decisions. Placement is the policy's own weighted rendezvous
-hash without its latency weights, which are one front's local observation.
+Fronts with equal inputs make equal rule decisions. Placement is the policy's weighted rendezvous hash without
+its latency weights, since each front observes latencies of its own.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
 from quincepier.rules import RuleVersion
 
-HomeShardLookup = Callable[
-    [str, io.RequestReceived], io.HomeShard | None
-]  # tenant name and a request of the tenant
-RankingCache = Callable[[int, int], Sequence[int] | None]  # zone and key hash: endpoint numbers, best first
-PARENT_ZONE = -1  # stands for the parents of all zones in a ranking cache
+# Maps a tenant's name and one of its requests to the home shard of the request.
+HomeShardLookup = Callable[[str, io.RequestReceived], io.HomeShard | None]
+# Maps a zone and a key hash to endpoint numbers, best first; None if they are not cached.
+RankingCache = Callable[[int, int], Sequence[int] | None]
+PARENT_ZONE = -1  # zone number by which a ranking cache is asked for the parents of all zones
 MAX_TIER = 2
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True, array_like=True):
-    """An entry of the endpoint list, as far as rule decisions depend on it."""
+    """The fields of an endpoint list entry on which rule decisions depend."""
 
     host: str
     number: int  # a hash of the host id
     kind: int
     zone: int
     cell: int
-    size: float  # transfers that it can send at once at client speed; 0 where the list has no size
+    size: float  # concurrent transfers that it can send at client speed; 0 if the list has no size
     ready: bool
 
 
 @dataclass(slots=True, frozen=True)
 class DecisionInputs:
-    """Everything that rule decisions follow from, as one front holds it at one moment.
+    """All inputs of one front's rule decisions at one moment.
 
     Attributes:
-        rule_version: The rule version that the front decides by.
-        settings: The settings of the front; its own zone is not used.
+        rule_version: The front's rule version.
+        settings: The front's settings; its own zone is not used.
         endpoints: The endpoint list.
         list_revision: Sequence number in the change log of the last change to the list.
         build: Version of the software.
-        find_home_shard: Home shard of a tenant's request. It must follow from `rule_version` and `endpoints`
-            alone, for the caches of all zones, and never be that of a front in cautious mode.
+        find_home_shard: Returns the home shard of a tenant's request. The result must depend only on
+            `rule_version` and `endpoints`, include the caches of all zones, and ignore cautious mode.
     """
 
     rule_version: RuleVersion
@@ -74,38 +74,38 @@
 
 
 class CopyAgeLimits(msgspec.Struct, frozen=True, array_like=True):
-    """Oldest age at which a copy may be served, in nanoseconds; 0: the class has no limit."""
+    """Highest age at which a copy may be served, in nanoseconds; 0 if the class has no limit."""
 
     fresh_ns: int
-    stale_ns: int  # the freshness lifetime and the grace after it
+    stale_ns: int  # the freshness lifetime plus the grace period
 
 
 class RetryRules(msgspec.Struct, frozen=True, array_like=True):
     """Whether and how a request of the class may be repeated."""
 
     idempotency: str
-    deduplication_scope: str  # group of caches that suppress repeats
+    deduplication_scope: str  # group of caches among which repeated requests are suppressed
     deduplication_window_ns: int
 
 
 class RuleDecision(msgspec.Struct, frozen=True, array_like=True):
-    """What the rules give for a key. Endpoints are numbers, the first choice first."""
+    """The rules' decision for a key. Endpoints are given by number in order of preference."""
 
     tier: int
-    bypasses_caches: bool  # the class is never stored and goes straight to the origin
+    bypasses_caches: bool  # requests of the class are never cached and go directly to the origin
     caches: tuple[int, ...]
     sources: tuple[int, ...]  # parents, then origins
     max_copy_age: CopyAgeLimits
     home_shard: str
-    is_write_paused: bool  # requests that may not simply be repeated are rejected
+    is_write_paused: bool  # unsafe requests are rejected
     retries: RetryRules
 
 
 def class_tiers(classes: Sequence[io.RequestClass]) -> list[int]:
-    """Tier of each class by its priority weight among the storable ones: 0 is the highest, 2 the lowest."""
+    """Return each class's tier, 0 (highest) to 2, by its priority weight among the cacheable classes."""
     weights = sorted({c.worth for c in classes if not c.never_kept}, reverse=True)
     steps = max(len(weights) - 1, 1)
-    tier_by_weight = {weight: math.ceil(MAX_TIER * place / steps) for place, weight in enumerate(weights)}
+    tier_by_weight = {weight: math.ceil(MAX_TIER * rank / steps) for rank, weight in enumerate(weights)}
     return [tier_by_weight.get(c.worth, 0) for c in classes]
 
 
@@ -115,7 +115,7 @@
     by_size: bool,
     arithmetic: Arithmetic = STANDARD_ARITHMETIC,
 ) -> list[int]:
-    """Order endpoint numbers by rendezvous hash, weighted by size if `by_size` and all sizes are known."""
+    """Return endpoint numbers ordered by rendezvous hash, weighted by size if `by_size` and all are known."""
     is_weighted = by_size and all(endpoint.size > 0 for endpoint in endpoints)
     scored = [
         (
@@ -136,7 +136,7 @@
         arithmetic: Arithmetic = STANDARD_ARITHMETIC,
         ranking_cache: RankingCache | None = None,
     ) -> None:
-        """Prepare the endpoint lists; `ranking_cache`: rankings that the front's router holds already."""
+        """Prepare the endpoint lists; `ranking_cache` gives rankings that the front's router has cached."""
         settings = inputs.settings
         self._inputs = inputs
         self._arithmetic = arithmetic
@@ -149,7 +149,7 @@
         for endpoint in by_number:
             if endpoint.kind not in (settings.parent_kind, settings.origin_kind):
                 self._caches_by_zone.setdefault(endpoint.zone, []).append(endpoint)
-        cordoned = {order.target for order in inputs.rule_version.maintenance_tasks if order.is_cordoned}
+        cordoned = {task.target for task in inputs.rule_version.maintenance_tasks if task.is_cordoned}
         self._unavailable = {e.number for e in inputs.endpoints if not e.ready or e.host in cordoned}
 
     def decide(self, key: DecisionKey) -> RuleDecision:
@@ -174,7 +174,7 @@
         )
 
     def count_hashes(self, key: DecisionKey) -> int:
-        """Number of hashes that the decision of a key takes: a measure of its work."""
+        """Return the number of hashes that the decision of a key needs, as a measure of its cost."""
         return len(self._caches_by_zone.get(key.zone, ())) + len(self._parents) + 1
 
     def _find_home_shard(self, key: DecisionKey, request_class: io.RequestClass) -> io.HomeShard | None:
@@ -186,7 +186,7 @@
         return self._inputs.find_home_shard(key.tenant, request)
 
     def _rank(self, key: DecisionKey) -> tuple[Sequence[int], Sequence[int]]:
-        """Caches of the key's zone and parents, ranked."""
+        """Return the ranked caches of the key's zone and the ranked parents."""
         hash_of = self._arithmetic.hash
         zone_caches = self._caches_by_zone.get(key.zone, [])
         caches = self._rank_group(key.zone, zone_caches, hash_of(key.object, key.part))
@@ -203,5 +203,5 @@
 def decide(
     inputs: DecisionInputs, key: DecisionKey, arithmetic: Arithmetic = STANDARD_ARITHMETIC
 ) -> RuleDecision:
-    """Make the rule decision of one key, without any ranking cache."""
+    """Make the rule decision of one key without a ranking cache."""
     return DecisionRules(inputs, arithmetic).decide(key)
--- a/quincepier/consistency/decision_recorder.py
+++ b/quincepier/consistency/decision_recorder.py
@@ -1,6 +1,6 @@
-"""Records real decisions: of a share of the requests each attempt, explained by the rules.
+"""Recording of real decisions: each attempt of a share of the requests, with the reason for its target.
 
-It changes nothing of the router, and what it holds is bounded.
+The recorder does not change the router, and its memory is bounded.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class DecisionRecorder:
-    """A callable for `Router.observer`, which the router calls for each attempt that it is about to make."""
+    """An observer that the router's sender calls before each attempt."""
 
     def __init__(
         self,
@@ -31,14 +31,14 @@
         on_unexplained: Callable[[DecisionRecord], None] | None = None,
         arithmetic: Arithmetic = STANDARD_ARITHMETIC,
     ) -> None:
-        """Record the attempts of a share of the requests.
+        """Create a recorder for the attempts of a share of the requests.
 
         Args:
             router: The router that makes the attempts.
-            share: Of the requests, from 0 to 1.
-            seed: Which requests are recorded.
+            share: Share of the requests, from 0 to 1.
+            seed: Selects which requests are recorded.
             on_unexplained: Called once for each attempt without a reason.
-            arithmetic: What the rules are computed with.
+            arithmetic: The arithmetic that the rules use.
         """
         self.count_by_reason = Counter[Reason]()
         self.records: deque[DecisionRecord] = deque(maxlen=MAX_RECORDS)
@@ -51,7 +51,7 @@
         self._last_target_by_request: OrderedDict[int, AttemptTarget] = OrderedDict()
 
     def __call__(self, event: io.RequestReceived, node: RouterNode, source: RouterNode | None) -> None:
-        """Explain an attempt at `node`, with `source` to fetch from, if its request is in the share."""
+        """Explain an attempt at `node` that may fetch from `source`, if its request is in the share."""
         if not self._is_recorded(event.request):
             return
         target = AttemptTarget(node_number(node), None if source is None else node_number(source))
--- a/quincepier/consistency/digest_collector.py
+++ b/quincepier/consistency/digest_collector.py
@@ -1,4 +1,4 @@
-"""One comparison round at its collector: requests and retries, judgement, descents and verdicts."""
+"""One comparison round at its collector: requests, retries, comparison, descents and verdicts."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 NS_PER_MS = 1_000_000
 RETRY_INTERVAL_NS = 400 * NS_PER_MS
 MAX_ATTEMPTS = 8
-MAX_DESCENTS = 8  # in one round; further divergences are reported without the value that differs
+MAX_DESCENTS = 8  # per round; further divergences are reported without the differing value
 MAX_LIST_REVISIONS = 256
 NEVER_NS = 1 << 62
-DIGEST_PREFIX_BYTES = 4  # of a canary, in a finding
+DIGEST_PREFIX_BYTES = 4  # of a canary digest shown in a finding
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,9 +57,9 @@
 
     Attributes:
         rule_version: The collector's rule version.
-        is_unanimous: Whether all fronts answered, by equal inputs and with equal decisions.
-        has_fault: Whether some front has a fault, or nobody answered.
-        duration_ns: Time until all had answered, or were given up.
+        is_unanimous: Whether all fronts responded, with equal inputs and equal decisions.
+        has_fault: Whether a front has a fault, or no front responded.
+        duration_ns: Time until all fronts had responded or all retries were used.
     """
 
     rule_version: int
@@ -69,39 +69,39 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Answer:
-    """What must be equal at consistent fronts."""
+class _DecisionDigests:
+    """Digests that are equal at consistent fronts."""
 
     inputs: DecisionInputDigests
     decisions_digest: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class _Superseded:
-    """When a list revision first was that of most fronts."""
+class _ReferenceRevision:
+    """A list revision and the time at which it first was the reference revision."""
 
     revision: int
-    at_ns: int
+    since_ns: int
 
 
 class ListRevisionHistory:
-    """Since when each revision of the endpoint list has been behind that of most fronts."""
+    """The times at which revisions of the endpoint list became the reference for the fronts' lag."""
 
     def __init__(self) -> None:
-        self._history: deque[_Superseded] = deque(maxlen=MAX_LIST_REVISIONS)
+        self._history: deque[_ReferenceRevision] = deque(maxlen=MAX_LIST_REVISIONS)
 
     def record(self, now_ns: int, revision: int) -> None:
-        """Note the revision that most fronts have now."""
+        """Store the current reference revision."""
         if not self._history or revision > self._history[-1].revision:
-            self._history.append(_Superseded(revision, now_ns))
+            self._history.append(_ReferenceRevision(revision, now_ns))
 
     def lag_ns(self, now_ns: int, revision: int) -> int:
-        """Nanoseconds since a revision was superseded; 0 for one that is not behind."""
-        return next((now_ns - newer.at_ns for newer in self._history if newer.revision > revision), 0)
+        """Return the nanoseconds since a revision was superseded; 0 if it was not."""
+        return next((now_ns - newer.since_ns for newer in self._history if newer.revision > revision), 0)
 
 
 class DigestCollector:
-    """Collects the digests of all fronts, judges them, and locates what differs."""
+    """Collects the digests of all fronts, compares them and locates the values that differ."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         list_history: ListRevisionHistory,
         max_list_lag_ns: int,
     ) -> None:
-        self.result: RoundResult | None = None  # once the digests are judged
+        self.result: RoundResult | None = None  # set when the digests have been compared
         self._started_at_ns = now_ns
         self._request = request
         self._attempts_by_missing_front = dict.fromkeys(sorted(members), 0)
@@ -123,14 +123,14 @@
 
     @property
     def next_tick_ns(self) -> int:
-        """When `on_tick` is due next."""
+        """Time at which `on_tick` is due next."""
         if self.result is None:
             return self._next_request_ns
         due = (descent.requested_at_ns + RETRY_INTERVAL_NS for descent in self._descents)
         return min(due, default=NEVER_NS)
 
     def on_tick(self, now_ns: int) -> Iterator[CollectorOutput]:
-        """Send requests that are due, again where they were not answered."""
+        """Send the requests that are due, including retries of requests without a response."""
         if self.result is None and now_ns >= self._next_request_ns:
             yield from self._request_digests(now_ns)
         for descent in list(self._descents):
@@ -140,19 +140,19 @@
     def on_digest_response(
         self, now_ns: int, sender: str, response: DigestResponse
     ) -> Iterator[CollectorOutput]:
-        """Take a front's digests; the last ones lead to the judgement."""
+        """Store a front's digests; compare all digests when none is missing."""
         if response.round_id != self._request.round_id or self.result is not None:
             return
         if self._attempts_by_missing_front.pop(sender, None) is None:
             return
         self._responses[sender] = response
         if not self._attempts_by_missing_front:
-            yield from self._judge(now_ns)
+            yield from self._compare_digests(now_ns)
 
     def on_tree_response(
         self, now_ns: int, sender: str, response: SubtreeResponse | LeafResponse
     ) -> Iterator[CollectorOutput]:
-        """Take a subtree or leaf for the descents that asked for it."""
+        """Pass a subtree or leaf to the descents that requested it."""
         if response.round_id != self._request.round_id:
             return
         for descent in list(self._descents):
@@ -161,7 +161,7 @@
 
     def _request_digests(self, now_ns: int) -> Iterator[CollectorOutput]:
         if all(attempts >= MAX_ATTEMPTS for attempts in self._attempts_by_missing_front.values()):
-            yield from self._judge(now_ns)
+            yield from self._compare_digests(now_ns)
             return
         for front in self._attempts_by_missing_front:
             self._attempts_by_missing_front[front] += 1
@@ -180,28 +180,28 @@
         for front in descent.awaited_fronts:
             yield OutgoingMessage(front, descent.request)
 
-    def _judge(self, now_ns: int) -> Iterator[CollectorOutput]:
-        """Compare the digests that have come, report divergences and send verdicts."""
+    def _compare_digests(self, now_ns: int) -> Iterator[CollectorOutput]:
+        """Compare the received digests, report divergences and send verdicts."""
         self._list_history.record(now_ns, reference_list_revision(self._responses))
         divergences = find_divergences(
             self._responses,
             lambda revision: self._list_history.lag_ns(now_ns, revision),
             self._max_list_lag_ns,
         )
-        fronts_by_answer = Counter(map(_answer_of, self._responses.values()))
+        front_count_by_digests = Counter(map(_decision_digests, self._responses.values()))
         is_complete = not self._attempts_by_missing_front
         self.result = RoundResult(
             rule_version=self._request.rule_version,
-            is_unanimous=is_complete and len(fronts_by_answer) == 1 and not divergences,
+            is_unanimous=is_complete and len(front_count_by_digests) == 1 and not divergences,
             has_fault=not self._responses or any(divergence.is_fault for divergence in divergences),
             duration_ns=now_ns - self._started_at_ns,
         )
         for divergence in divergences:
             yield from self._report(now_ns, divergence)
-        yield from self._verdicts(divergences, fronts_by_answer)
+        yield from self._send_verdicts(divergences, front_count_by_digests)
 
     def _report(self, now_ns: int, divergence: Divergence) -> Iterator[CollectorOutput]:
-        """Begin the descent to the value that differs, or report the divergence as it is."""
+        """Start the descent to the differing value, or report the divergence without it."""
         round_id = self._request.round_id
         rule_version = self._request.rule_version
         reference = self._find_reference(divergence)
@@ -220,10 +220,10 @@
                 self._describe(divergence),
             )
 
-    def _verdicts(
-        self, divergences: list[Divergence], fronts_by_answer: Counter[_Answer]
+    def _send_verdicts(
+        self, divergences: list[Divergence], front_count_by_digests: Counter[_DecisionDigests]
     ) -> Iterator[CollectorOutput]:
-        """Tell fronts that must be cautious, and cautious ones that agree with another front again."""
+        """Notify fronts that must become cautious, and cautious fronts that agree with others again."""
         reason_by_front = dict[str, DivergenceKind]()
         for divergence in divergences:
             if divergence.requires_caution:
@@ -236,12 +236,12 @@
                 reason = reason_by_front[front].value
                 yield OutgoingMessage(front, ConsistencyVerdict(round_id, number, False, reason))
                 continue
-            agrees_with_another = fronts_by_answer[_answer_of(response)] > 1
+            agrees_with_another = front_count_by_digests[_decision_digests(response)] > 1
             if response.is_cautious and front not in diverging and agrees_with_another:
                 yield OutgoingMessage(front, ConsistencyVerdict(round_id, number, True))
 
     def _find_reference(self, divergence: Divergence) -> str:
-        """The front whose tree the diverging one is compared with; empty where there is none."""
+        """Return the front with whose tree the diverging front's is compared; empty if there is none."""
         tree = TREE_BY_KIND.get(divergence.kind)
         if tree is None or not divergence.affects_decisions:
             return ""
@@ -250,7 +250,7 @@
         return divergence.reference or self._find_input_reference(divergence.front, tree)
 
     def _find_decision_reference(self, diverging: str) -> str:
-        """Among fronts with equal inputs and other decisions, one with the most frequent decisions."""
+        """Return a front with equal inputs and with the most frequent other decisions."""
         own = self._responses[diverging]
         peers = {
             f: r.decisions_digest
@@ -262,14 +262,14 @@
         return min(others, key=lambda front: (-counts[peers[front]], front), default="")
 
     def _find_input_reference(self, diverging: str, tree: TreeKind) -> str:
-        """The first front by name that holds another content of the same input."""
+        """Return the first front by name whose content of the same input differs."""
         own = _compared_input(tree, self._responses[diverging])
         inputs = {front: _compared_input(tree, response) for front, response in self._responses.items()}
-        others = (f for f, its in inputs.items() if its.number == own.number and its.digest != own.digest)
+        others = (f for f, peer in inputs.items() if peer.number == own.number and peer.digest != own.digest)
         return min(others, default="")
 
     def _describe(self, divergence: Divergence) -> DivergentValue:
-        """The value that differs, as far as the digests themselves tell it."""
+        """Return the differing value if the digest responses contain it, else an empty value."""
         own = self._responses[divergence.front]
         reference = self._responses.get(divergence.reference)
         match divergence.kind:
@@ -292,7 +292,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _ComparedInput:
-    """Fronts with the same number must have the same digest."""
+    """Number and digest of an input; fronts with the same number must have the same digest."""
 
     number: int
     digest: bytes
@@ -306,8 +306,8 @@
     return _ComparedInput(0, response.settings_digest)
 
 
-def _answer_of(response: DigestResponse) -> _Answer:
-    return _Answer(input_digests(response), response.decisions_digest)
+def _decision_digests(response: DigestResponse) -> _DecisionDigests:
+    return _DecisionDigests(input_digests(response), response.decisions_digest)
 
 
 def _describe_canary(diverging: bytes, reference: bytes) -> DivergentValue:
--- a/quincepier/consistency/digest_responder.py
+++ b/quincepier/consistency/digest_responder.py
@@ -1,4 +1,4 @@
-"""A front's answers to collectors: one snapshot for each collector, computed in slices."""
+"""A front's responses to collectors: one snapshot for each collector, computed in slices."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 )
 from quincepier.consistency.snapshot import Snapshot
 
-MAX_COLLECTORS = 8  # whose last round is held; the one that asked the longest ago goes
-MIN_INTERVAL_DIVISOR = 8  # a collector may ask anew after this fraction of the round interval
+# Collectors whose last round is kept; the round with the oldest request is discarded first.
+MAX_COLLECTORS = 8
+# A collector may start another round after the round interval divided by this number.
+MIN_INTERVAL_DIVISOR = 8
 
 
 @dataclass(slots=True)
@@ -33,7 +35,7 @@
 
 
 class DigestResponder:
-    """Holds the last round of each collector and answers its requests."""
+    """Keeps the last round of each collector and responds to its requests."""
 
     def __init__(
         self,
@@ -51,18 +53,18 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether a snapshot is not complete yet."""
+        """Whether a snapshot is still incomplete."""
         return any(not round_.snapshot.is_complete for round_ in self._round_by_collector.values())
 
     def retain_collectors(self, members: Container[str]) -> None:
-        """Forget collectors that are no longer members."""
-        for gone in [name for name in self._round_by_collector if name not in members]:
-            del self._round_by_collector[gone]
+        """Discard the rounds of collectors that are no longer members."""
+        for collector in [name for name in self._round_by_collector if name not in members]:
+            del self._round_by_collector[collector]
 
     def on_digest_request(
         self, now_ns: int, collector: str, request: DigestRequest, inputs: DecisionInputs | None
     ) -> DigestResponse | None:
-        """Begin a round, or give its response again where the collector repeats the request."""
+        """Start a round, or return its response, if complete, when the collector repeats the request."""
         previous = self._round_by_collector.get(collector)
         if previous is not None and previous.snapshot.request.round_id == request.round_id:
             return previous.response
@@ -78,7 +80,7 @@
         return None
 
     def on_subtree_request(self, collector: str, request: SubtreeRequest) -> SubtreeResponse:
-        """Answer from the collector's round.
+        """Return a subtree of the collector's round.
 
         Raises:
             ConsistencyError: The round is over or not complete.
@@ -88,7 +90,7 @@
         return SubtreeResponse(request.round_id, request.tree, request.path, subtree.children, subtree.leaves)
 
     def on_leaf_request(self, collector: str, request: LeafRequest) -> LeafResponse:
-        """Answer from the collector's round.
+        """Return a leaf of the collector's round.
 
         Raises:
             ConsistencyError: The round is over or not complete, or there is no such leaf.
@@ -96,7 +98,7 @@
         return self._find_snapshot(collector, request.round_id).to_leaf_response(request.tree, request.label)
 
     def advance(self, max_hashes: int) -> str | None:
-        """Compute a slice of the oldest incomplete snapshot; the collector's name once it is complete."""
+        """Compute a slice of the oldest incomplete snapshot; return its collector when it is complete."""
         for collector, round_ in self._round_by_collector.items():
             if not round_.snapshot.is_complete:
                 return collector if round_.snapshot.advance(max_hashes) else None
@@ -105,13 +107,13 @@
     def complete(
         self, collector: str, unexplained_decisions: int, stale_rankings: int, diverged_version: int | None
     ) -> DigestResponse:
-        """Make the response of a complete snapshot.
+        """Return the response of a complete snapshot and keep it for retries.
 
         Args:
-            collector: Whose round it is.
-            unexplained_decisions: Decisions without a reason since the last response.
-            stale_rankings: Stale rankings since the last response.
-            diverged_version: Rule version by which this front was found to diverge.
+            collector: Collector of the round.
+            unexplained_decisions: Number of unexplained decisions since the last response.
+            stale_rankings: Number of stale rankings since the last response.
+            diverged_version: Rule version at which this front was found to diverge, if any.
         """
         round_ = self._round_by_collector[collector]
         is_cautious = diverged_version == round_.snapshot.inputs.rule_version.number
@@ -125,5 +127,5 @@
     def _find_snapshot(self, collector: str, round_id: int) -> Snapshot:
         round_ = self._round_by_collector.get(collector)
         if round_ is None or round_.snapshot.request.round_id != round_id or not round_.snapshot.is_complete:
-            raise ConsistencyError("that round is over", str(round_id))
+            raise ConsistencyError("round is over or not complete", str(round_id))
         return round_.snapshot
--- a/quincepier/consistency/explain.py
+++ b/quincepier/consistency/explain.py
@@ -1,7 +1,7 @@
-"""Why a real attempt went where it went: by the rules, or by a reason of the front's own; else unexplained.
+"""Explanation of an attempt's target: by the rules, by a reason local to the front, or unexplained.
 
-The router's state is read as it is when an attempt is made. Each endpoint that the rules have before the
-chosen one needs a reason of its own. Pure.
+The explanation uses the router's state at the time of the attempt. If the rules rank another endpoint before
+the chosen one, that endpoint must have a reason for which it was not chosen. Nothing here changes state.
 """
 
 from __future__ import annotations
@@ -14,36 +14,37 @@
 from quincepier.consistency.arithmetic import STANDARD_ARITHMETIC, Arithmetic
 from quincepier.consistency.router_view import EndpointView, RequestView, RouterView
 
-# The design's constants; the policy has its own, so that one that is changed there alone shows up here.
-HOT_OBJECT_SHARE = 0.25  # of an endpoint's recent requests
+# These repeat constants of the policy: if one is changed in the policy alone, decisions become unexplained.
+HOT_OBJECT_SHARE = 0.25  # share of an endpoint's recent requests above which an object is hot
 RECENT_REQUESTS = 32
-LOAD_SHEDDING_SHARE = 0.85  # of the fetch limit, from which the lowest tier is shed
-SECOND_COPY_SHARE = 0.5  # of the fetch limit, below which a second copy may be fetched
+LOAD_SHEDDING_SHARE = 0.85  # share of the fetch limit at and above which the lowest tier is shed
+SECOND_COPY_SHARE = 0.5  # share of the fetch limit below which a second copy may be fetched
 LOWEST_TIER = 2
-CANDIDATES = 2  # endpoints among which a hot object is spread, and that are tried when one is overloaded
+# Endpoints among which a hot object is spread, and which are tried when the first one is overloaded.
+CANDIDATE_ENDPOINTS = 2
 
 
 class Reason(Enum):
-    """Why an attempt is not where the rules alone have it; of several reasons the first met."""
+    """The reason for an attempt's target; of several reasons, the first one that is found."""
 
     RULE = "first by the rules"
     DRAINING = "draining"  # by the endpoint list or by a maintenance task
-    SHUTTING_DOWN = "shutting down"  # as an earlier start of this front heard
-    AVOIDED = "avoided"  # it failed this request before
+    SHUTTING_DOWN = "shutting down"  # reported to an earlier start of this front
+    AVOIDED = "avoided"  # an earlier attempt of the request failed there
     EJECTED = "ejected"
     WARM_UP_BUDGET = "warm-up budget spent"
     HOT_OBJECT = "hot object"  # the less loaded of the first two
-    LATENCY_WEIGHT = "latency weight"  # slower than its like, so it has a smaller share of the keys
+    LATENCY_WEIGHT = "latency weight"  # slower than others of its kind, so it has a smaller share of the keys
     OVERLOADED = "overloaded"
-    FETCH_LIMIT = "fetch limit"  # asked only for what it holds
-    FETCH_REPEATED = "fetch repeated"  # at the same endpoints, as the source could not give a copy
-    NO_CACHE_USABLE = "no cache usable"  # straight to the source
+    FETCH_LIMIT = "fetch limit"  # the cache may serve only copies that it has
+    FETCH_REPEATED = "fetch repeated"  # at the same endpoints, since the source could not supply a copy
+    NO_CACHE_USABLE = "no cache usable"  # the attempt goes directly to the source
     UNEXPLAINED = "unexplained"
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptTarget:
-    """Where an attempt goes: an endpoint, and the source that it is to fetch from."""
+    """The endpoint of an attempt and the source from which it may fetch; None without a fetch."""
 
     endpoint: int
     source: int | None
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DecisionRecord:
-    """An explained attempt, with the endpoint and source that the rules alone have first."""
+    """An explained attempt, with the endpoint and source that come first by the rules alone."""
 
     reason: Reason
     request: int
@@ -66,17 +67,17 @@
     previous: AttemptTarget | None = None,
     arithmetic: Arithmetic = STANDARD_ARITHMETIC,
 ) -> DecisionRecord:
-    """Explain an attempt as it is made, before or after the router has registered it.
+    """Explain an attempt at the time it is made, before or after the router has registered it.
 
     Args:
         router: The router that made the decision.
         event: The request.
-        target: Where the attempt goes.
-        previous: Where the same request's attempt before this one went.
-        arithmetic: What the rules are computed with.
+        target: Target of the attempt.
+        previous: Target of the previous attempt of the same request, if any.
+        arithmetic: The arithmetic that the rules use.
 
     Returns:
-        The record; its reason is `UNEXPLAINED` where neither the rules nor a reason lead to the target.
+        The record; its reason is `UNEXPLAINED` if neither the rules nor a local reason lead to the target.
     """
     request = router.find_request(event.request)
     if request is None or not _is_listed(router, target):
@@ -98,7 +99,7 @@
     by_latency: bool,
     arithmetic: Arithmetic = STANDARD_ARITHMETIC,
 ) -> list[int]:
-    """Order endpoint numbers by rendezvous hash; with `by_latency` weighted as the router weights them."""
+    """Return endpoint numbers by rendezvous hash; `by_latency` adds the router's latency weights."""
     listed = list(endpoints)
     is_weighted = by_size and all(endpoint.size > 0 for endpoint in listed)
     scored = []
@@ -113,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Rankings:
-    """Endpoints in order: by the rules alone, and as the router weights them by latency."""
+    """Ranked endpoint numbers: by the rules alone, and with the router's latency weights."""
 
     by_rules: Sequence[int]
     by_router: Sequence[int]
@@ -126,7 +127,10 @@
     arithmetic: Arithmetic,
     allowed: Collection[int] | None,
 ) -> Rankings:
-    """Rank all endpoints, then select those of a home shard: each has the hash that it always has."""
+    """Rank all endpoints, then select the allowed ones; `None` allows all.
+
+    The order of two endpoints therefore does not depend on the home shard.
+    """
     by_rules = rank_views(endpoints, key_hash, by_size, False, arithmetic)
     if any(endpoint.latency_divisor != 1 for endpoint in endpoints):
         by_router = rank_views(endpoints, key_hash, by_size, True, arithmetic)
@@ -140,7 +144,7 @@
 
 
 class DecisionReplay:
-    """One request replayed by the rules against the router's state now."""
+    """The decision of one request, recomputed by the rules from the router's current state."""
 
     def __init__(
         self,
@@ -152,7 +156,7 @@
         self._router = router
         self._request = request
         self._event = event
-        self._registered = frozenset[int]()  # endpoints of the attempt, where the router has registered it
+        self._registered = frozenset[int]()  # endpoints of the attempt, if the router has registered it
         self._registered_work = 0.0
         self._origins = [endpoint.number for endpoint in router.origins]
         self._caches, self._sources = self._rank_endpoints(arithmetic)
@@ -162,13 +166,13 @@
 
     @property
     def first_by_rules(self) -> AttemptTarget | None:
-        """The first cache and source by the rules alone; None without any cache."""
+        """The first cache and source by the rules alone; None if there is no cache."""
         endpoint = next(iter(self._caches.by_rules), None)
         source = next(iter(self._sources.by_rules), None)
         return None if endpoint is None else AttemptTarget(endpoint, source)
 
     def explain(self, target: AttemptTarget, previous: AttemptTarget | None) -> Reason:
-        """The reason for an attempt's target; `previous` is that of the request's attempt before."""
+        """Return the reason for an attempt's target; `previous` is the target of the attempt before."""
         self._note_registered(target)
         if self._bypasses_caches:
             return self._explain_bypass(target)
@@ -182,7 +186,7 @@
         return reason
 
     def _rank_endpoints(self, arithmetic: Arithmetic) -> tuple[Rankings, Rankings]:
-        """Caches and sources in order."""
+        """Return the rankings of caches and of sources."""
         event = self._event
         home = self._request.home
         by_size = self._router.settings.sizes_compare
@@ -199,9 +203,9 @@
         return caches, sources
 
     def _note_registered(self, target: AttemptTarget) -> None:
-        """See whether the router has registered the attempt.
+        """Check whether the router has registered the attempt.
 
-        Then its own traces at its endpoints are no reason against them.
+        If so, the attempt's own effects on the state of its endpoints do not exclude them.
         """
         work = self._router.endpoint(target.endpoint).work_of_new_attempt(self._request)
         if work is not None:
@@ -211,7 +215,7 @@
             self._registered_work = work
 
     def _exclusion(self, number: int) -> Reason | None:
-        """Why the router may not use an endpoint now; None where it may."""
+        """Return why the router may not use an endpoint now; None if it may."""
         endpoint = self._router.endpoint(number)
         if not endpoint.is_ready:
             return Reason.DRAINING
@@ -227,14 +231,14 @@
         return None
 
     def _is_budget_spent(self, endpoint: EndpointView) -> bool:
-        """Whether the router found the warm-up budget spent in this turn; it is not touched here."""
+        """Whether the router found the warm-up budget spent in this turn."""
         if not (endpoint.is_warming_up and endpoint.is_budget_checked and endpoint.budget < 0):
             return False
         own_work = self._registered_work if endpoint.number in self._registered else None
         return own_work is None or endpoint.budget + own_work < 0
 
     def _is_usable(self, number: int) -> bool:
-        """Of a chosen endpoint; the budget of one that warms up must have been checked in this turn."""
+        """Whether an endpoint may be used; its warm-up budget, if any, was checked in this turn."""
         endpoint = self._router.endpoint(number)
         is_unchecked = endpoint.is_warming_up and not endpoint.is_budget_checked
         return self._exclusion(number) is None and not is_unchecked
@@ -247,25 +251,31 @@
         return Reason.RULE if is_first and target.source is None else Reason.UNEXPLAINED
 
     def _explain_placement(self, endpoint: int, source: int) -> Reason:
-        """The reason for the endpoint, or for the source where the endpoint is the rules' own."""
+        """Return the reason for the endpoint, or for the source if the rules chose the endpoint."""
         is_cache = endpoint in self._caches.by_rules
-        placed = self._explain_cache(endpoint) if is_cache else self._explain_without_cache(endpoint, source)
-        if placed is Reason.UNEXPLAINED:
+        cache_reason = (
+            self._explain_cache(endpoint) if is_cache else self._explain_without_cache(endpoint, source)
+        )
+        if cache_reason is Reason.UNEXPLAINED:
             return Reason.UNEXPLAINED
         if is_cache and source == endpoint:
-            fetched = self._explain_no_fetch()
+            source_reason = self._explain_no_fetch()
         else:
-            fetched = self._explain_order(self._sources, source)
-        return fetched if fetched is Reason.UNEXPLAINED or placed is Reason.RULE else placed
+            source_reason = self._explain_order(self._sources, source)
+        return (
+            source_reason
+            if source_reason is Reason.UNEXPLAINED or cache_reason is Reason.RULE
+            else cache_reason
+        )
 
     def _explain_without_cache(self, endpoint: int, source: int) -> Reason:
-        """An attempt straight at a source: no cache may be usable."""
+        """Explain an attempt directly at a source, which is correct only if no cache is usable."""
         has_usable = self._first_usable(self._caches.by_rules) is not None
         is_allowed = not has_usable and self._router.settings.direct and endpoint == source
         return Reason.NO_CACHE_USABLE if is_allowed else Reason.UNEXPLAINED
 
     def _explain_order(self, rankings: Rankings, chosen: int) -> Reason:
-        """The chosen must be the first usable in the router's order; the rules' first needs a reason."""
+        """Explain a choice by ranking: it must be the router's first usable endpoint."""
         if chosen != self._first_usable(rankings.by_router):
             return Reason.UNEXPLAINED
         first = rankings.by_rules[0]
@@ -274,35 +284,38 @@
         return self._exclusion(first) or Reason.LATENCY_WEIGHT
 
     def _explain_cache(self, chosen: int) -> Reason:
-        in_order = self._explain_order(self._caches, chosen)
-        if in_order is not Reason.UNEXPLAINED:
-            return in_order
+        order_reason = self._explain_order(self._caches, chosen)
+        if order_reason is not Reason.UNEXPLAINED:
+            return order_reason
         if self._is_spread_for_hot_object(chosen):
             return Reason.HOT_OBJECT
         ranked = self._caches.by_router
-        is_second = chosen in ranked[1:CANDIDATES]
+        is_second = chosen in ranked[1:CANDIDATE_ENDPOINTS]
         if is_second and self._router.endpoint(ranked[0]).is_overloaded(self._request):
             return Reason.OVERLOADED
         return Reason.UNEXPLAINED
 
     def _is_spread_for_hot_object(self, chosen: int) -> bool:
-        """Whether the chosen is the second usable for a hot object, and less loaded than the first."""
-        usable = [n for n in self._caches.by_router if self._exclusion(n) is None][:CANDIDATES]
+        """Whether the object is hot and the chosen second usable cache is less loaded than the first."""
+        usable = [n for n in self._caches.by_router if self._exclusion(n) is None][:CANDIDATE_ENDPOINTS]
         if chosen not in usable[1:]:
             return False
         first = self._router.endpoint(usable[0])
         is_hot = first.count_recent(self._event.object) > HOT_OBJECT_SHARE * RECENT_REQUESTS
-        own = 1 if chosen in self._registered else 0
-        return is_hot and self._router.endpoint(chosen).requests_in_flight - own < first.requests_in_flight
+        own_attempts = 1 if chosen in self._registered else 0
+        return (
+            is_hot
+            and self._router.endpoint(chosen).requests_in_flight - own_attempts < first.requests_in_flight
+        )
 
     def _explain_no_fetch(self) -> Reason:
-        """A cache asked only for what it holds: no source may be asked, or no fetch may begin now."""
+        """Explain an attempt without a fetch: no source is usable, or no fetch may start now."""
         exclusions = [self._exclusion(number) for number in self._sources.by_rules]
         if all(exclusions):
             return next(filter(None, exclusions), Reason.RULE)
         if self._is_fetch_withheld():
             return Reason.FETCH_LIMIT
-        candidates = [n for n in self._caches.by_router[:CANDIDATES] if self._exclusion(n) is None]
+        candidates = [n for n in self._caches.by_router[:CANDIDATE_ENDPOINTS] if self._exclusion(n) is None]
         if all(self._router.endpoint(n).is_overloaded(self._request) for n in candidates):
             return Reason.OVERLOADED
         return Reason.UNEXPLAINED
--- a/quincepier/consistency/findings.py
+++ b/quincepier/consistency/findings.py
@@ -1,4 +1,4 @@
-"""Divergences of a front from the majority, by kind, and the findings that are reported of them."""
+"""Divergences of a front from the majority by kind, and the findings that report them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DivergenceKind(Enum):
-    """In what a front diverges; the values are sent to it in `ConsistencyVerdict.reason`."""
+    """The respect in which a front diverges; the values are sent to it in `ConsistencyVerdict.reason`."""
 
     LAGGING_VERSION = "an older rule version"
     LAGGING_LIST = "an older list"
@@ -25,10 +25,11 @@
     UNEXPLAINED_DECISION = "a real decision without a reason"
 
 
-# A version or list on its way to a front is no fault; another build is one only where its decisions differ.
+# A version or list that has not reached a front yet is no fault. A different build is a fault only if its
+# decisions differ.
 LAGGING_KINDS = frozenset({DivergenceKind.LAGGING_VERSION, DivergenceKind.LAGGING_LIST})
 FAULT_KINDS = frozenset(DivergenceKind) - LAGGING_KINDS - {DivergenceKind.BUILD}
-# Kinds for which a front enters cautious mode: its decisions by the rules are wrong, not late.
+# Kinds for which a front enters cautious mode, since its rule decisions are wrong and not only outdated.
 CAUTIOUS_KINDS = FAULT_KINDS - {DivergenceKind.OUTDATED_LIST, DivergenceKind.UNEXPLAINED_DECISION}
 
 TREE_BY_KIND: dict[DivergenceKind, TreeKind] = {
@@ -44,13 +45,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Divergence:
-    """A front outside the majority in one respect.
+    """A front that differs from the majority in one respect.
 
     Attributes:
-        kind: In what it diverges.
+        kind: The respect in which it diverges.
         front: Name of the front.
-        reference: A front of the majority; empty where no majority has one.
-        affects_decisions: Whether its decisions differ, or can't be compared.
+        reference: A front of the majority; empty if there is no majority.
+        affects_decisions: Whether the front's decisions differ, or can't be compared.
     """
 
     kind: DivergenceKind
@@ -60,7 +61,7 @@
 
     @property
     def is_fault(self) -> bool:
-        """Whether it is a fault, not the usual lag of a change that is being rolled out."""
+        """Whether it is a fault, and not the usual lag during the rollout of a change."""
         return self.kind in FAULT_KINDS or (self.kind is DivergenceKind.BUILD and self.affects_decisions)
 
     @property
@@ -71,12 +72,12 @@
 
 @dataclass(slots=True, frozen=True)
 class DivergentValue:
-    """Where two fronts differ: the item, its field, and the text at each; empty where it is not known."""
+    """A difference between two fronts: item, field and both values as text; empty if not known."""
 
-    item: str = ""  # entry, endpoint, setting or key
+    item: str = ""  # a version entry, endpoint, setting or key
     field: str = ""
-    diverging: str = ""  # at the diverging front
-    reference: str = ""  # at the majority
+    diverging: str = ""  # value at the diverging front
+    reference: str = ""  # value at the majority
 
     def __str__(self) -> str:
         where = " ".join(filter(None, (self.item, self.field)))
@@ -87,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """A divergence as it is reported, once a round, with the value that differs where it was found."""
+    """A divergence as reported once per round, with the differing value if it was located."""
 
     round_id: int
     rule_version: int
@@ -97,7 +98,7 @@
     value: DivergentValue
 
     def to_text(self) -> str:
-        """One line for a log."""
+        """Return the finding as one log line."""
         when = f"by rule version {self.rule_version}, round {self.round_id}"
         value = str(self.value)
         return f"front {self.front} {when}: {self.kind.value}{', ' if value else ''}{value}"
--- a/quincepier/consistency/key_sample.py
+++ b/quincepier/consistency/key_sample.py
@@ -1,4 +1,4 @@
-"""The sample of keys that a comparison round decides: the same at all fronts with equal inputs."""
+"""The sample of keys decided in a comparison round; it is the same at all fronts with equal inputs."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from quincepier.consistency.decision import DecisionInputs, DecisionKey
 
 MAX_SAMPLED_TENANTS = 64
-TENANT_PROBABILITY = 0.5  # of a key to belong to a tenant that the rule version names
-PARTS = 4  # parts of an object that keys are drawn from
+TENANT_PROBABILITY = 0.5  # that a key belongs to a tenant of the rule version
+PARTS = 4  # parts of an object among which keys are drawn
 GROUPS = range(1, 256)
 
 
 def sample_keys(rule_version: int, round_id: int, size: int, inputs: DecisionInputs) -> list[DecisionKey]:
-    """Draw the keys of a round.
+    """Return the randomly drawn keys of a round.
 
     Args:
         rule_version: Number of the collector's rule version; seeds the draw together with `round_id`.
         round_id: Id of the round.
         size: Number of keys.
-        inputs: Supplies the zones that have caches and the tenants that the rule version names.
+        inputs: Supplies the zones with caches, the classes, and the tenants of the rule version.
     """
-    draw = random.Random(rule_version << 64 | round_id)  # independent of the hash, which is itself compared
+    draw = random.Random(rule_version << 64 | round_id)  # independent of the hash, which is compared too
     classes = len(inputs.settings.classes)
     zones = _zones_with_caches(inputs)
     tenants = _named_tenants(inputs)
@@ -47,6 +47,6 @@
 def _named_tenants(inputs: DecisionInputs) -> Sequence[str]:
     version = inputs.rule_version
     names = {migration.tenant for migration in version.migrations} | {
-        home.tenant for home in version.placements
+        placement.tenant for placement in version.placements
     }
     return sorted(names)[:MAX_SAMPLED_TENANTS]
--- a/quincepier/consistency/leaf_fields.py
+++ b/quincepier/consistency/leaf_fields.py
@@ -1,7 +1,7 @@
-"""Leaves of the compared trees: each as labelled fields of text, and its digest.
+"""Leaves of the compared trees: each leaf as text fields with labels, and its digest.
 
-Labels and texts are compared between fronts of different builds, so they are part of the message format:
-where a field of the code is renamed, a table here keeps its label.
+Labels and texts are compared between fronts of different builds, so they are part of the message format. If a
+field is renamed in the code, a table here keeps its label.
 """
 
 from __future__ import annotations
@@ -48,26 +48,26 @@
     "retries": "repeats",
 }
 ENUM_LABELS: dict[type[Enum], str] = {Idempotency: "Effect", DeduplicationScope: "Group"}
-MAX_LISTED_VALUES = 8  # of a long order of endpoints, as text
+MAX_LISTED_VALUES = 8  # of a long list of endpoints, as text
 
 encode_leaf = msgspec.msgpack.Encoder().encode
 
 
 def leaf_digest(value: object) -> bytes:
-    """Digest (16 bytes) of a leaf's value."""
+    """Return the digest (16 bytes) of a leaf's value."""
     return xxhash.xxh3_128_digest(encode_leaf(value))
 
 
 def version_leaves(inputs: DecisionInputs) -> dict[str, LeafFields]:
-    """Fields of each entry of the rule version, by a label that names the entry."""
+    """Return the fields of each entry of the rule version, by the entry's label."""
     version = inputs.rule_version
     leaves: dict[str, LeafFields] = {
         "version": (LeafField("number", str(version.number)), LeafField("term", str(version.term)))
     }
     for field_name, kind in VERSION_LABELS.items():
-        for place, entry in enumerate(getattr(version, field_name)):
+        for index, entry in enumerate(getattr(version, field_name)):
             label = f"{kind} {_entry_name(entry)}"[:MAX_LABEL_LENGTH]
-            leaves[label] = (LeafField("place", str(place)), *_entry_fields(entry))
+            leaves[label] = (LeafField("place", str(index)), *_entry_fields(entry))
     return leaves
 
 
@@ -82,16 +82,16 @@
 
 
 def settings_leaves(inputs: DecisionInputs) -> dict[str, LeafFields]:
-    """Each setting by its label; the zone is the front's own place and is not compared."""
+    """Return each setting by its label, except the zone, which differs between fronts."""
     settings = inputs.settings
     names = [name for name in settings.__dataclass_fields__ if name not in ("zone", "classes")]
     leaves: dict[str, LeafFields] = {
         name: (LeafField(name, _setting_text(getattr(settings, name))),) for name in names
     }
-    for place, request_class in enumerate(settings.classes):
+    for index, request_class in enumerate(settings.classes):
         for name in request_class.__dataclass_fields__:
             text = _setting_text(getattr(request_class, name))
-            leaves[f"classes[{place}].{name}"] = (LeafField(name, text),)
+            leaves[f"classes[{index}].{name}"] = (LeafField(name, text),)
     return leaves
 
 
@@ -102,12 +102,12 @@
 
 
 def endpoint_fields(endpoint: ListedEndpoint) -> LeafFields:
-    """Fields of an endpoint list entry."""
+    """Return the fields of an endpoint list entry."""
     return tuple(LeafField(name, str(getattr(endpoint, name))) for name in endpoint.__struct_fields__)
 
 
 def decision_fields(decision: RuleDecision) -> LeafFields:
-    """Fields of a rule decision; of a long order of endpoints its beginning and a digest of all."""
+    """Return the fields of a rule decision; a long list of endpoints becomes its first ones and a digest."""
     return tuple(
         LeafField(label, _decision_text(getattr(decision, name))) for name, label in DECISION_LABELS.items()
     )
@@ -123,7 +123,7 @@
 
 
 def truncate_fields(fields: LeafFields, max_fields: int) -> LeafFields:
-    """Cut fields to what a message may hold."""
+    """Return the fields, truncated to the limits of a message."""
     return tuple(
         LeafField(field.name[:MAX_LABEL_LENGTH], field.text[:MAX_LABEL_LENGTH])
         for field in fields[:max_fields]
--- a/quincepier/consistency/messages.py
+++ b/quincepier/consistency/messages.py
@@ -1,7 +1,7 @@
 """Messages between fronts about their rule decisions, in msgpack, validated before use.
 
-The trust boundary is the network, as for membership: a sender that is a member is believed. Messages are
-arrays, so the order of fields and the tags are the format.
+As for membership, the trust boundary is the network: messages of members are trusted. Messages are encoded as
+arrays, so the order of fields and the tags are part of the format.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class TreeKind(StrEnum):
-    """What a Merkle tree is built over; the values are part of the format."""
+    """The contents of a Merkle tree; the values are part of the format."""
 
     RULE_VERSION = "version"
     SETTINGS = "settings"
@@ -41,20 +41,19 @@
 
 
 class DigestRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A collector asks a front to decide the keys that rule version and round draw, and to send digests."""
+    """A collector's request to decide the sample of a rule version and round, and to send the digests."""
 
     round_id: Count
     rule_version: Count
-    sample_size: Annotated[
-        int, msgspec.Meta(ge=1, le=MAX_SAMPLE_SIZE)
-    ]  # the collector's: settings may differ
+    # The collector's setting, since the settings of fronts may differ.
+    sample_size: Annotated[int, msgspec.Meta(ge=1, le=MAX_SAMPLE_SIZE)]
 
 
 class DigestResponse(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Digests of a front's decisions and of their inputs, all of one moment."""
+    """Digests of a front's decisions and of their inputs, all taken at the same moment."""
 
     round_id: Count
-    rule_version: Count  # the front's own
+    rule_version: Count  # of the responding front
     rule_version_digest: Digest
     list_revision: Count
     endpoints_digest: Digest
@@ -64,21 +63,21 @@
     float_canary: Digest
     decisions_digest: Digest
     unexplained_decisions: Count = 0  # since the front's last response
-    stale_rankings: Count = 0  # rankings in its router's cache that the endpoint list no longer gives
+    stale_rankings: Count = 0  # cached rankings of its router that differ from the endpoint list's
     is_cautious: bool = False
 
 
 class SubtreeRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Ask for the level of a tree below a path."""
+    """A request for the level of a tree below a path."""
 
     round_id: Count
     tree: TreeKind
     path: TreePath
-    expand: bool = False  # digests of children even where leaves are few
+    expand: bool = False  # send digests of children even if there are few leaves
 
 
 class SubtreeResponse(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Digests of the 16 children below a path, or else the few leaves."""
+    """The digests of the 16 children below a path, or all its leaves if they are few."""
 
     round_id: Count
     tree: TreeKind
@@ -88,7 +87,7 @@
 
 
 class LeafRequest(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Ask for the fields of one leaf."""
+    """A request for the fields of one leaf."""
 
     round_id: Count
     tree: TreeKind
@@ -103,11 +102,11 @@
     label: Label
     key: Label  # the decided key as text; empty for other trees
     fields: Annotated[tuple[LeafField, ...], msgspec.Meta(max_length=MAX_LEAF_FIELDS)]
-    recomputed_digest: bytes = b""  # of a decision, computed anew without the ranking cache
+    recomputed_digest: bytes = b""  # of a decision recomputed without the ranking cache
 
 
 class ConsistencyVerdict(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """A collector tells a front whether its decisions by a rule version agree with the majority."""
+    """A collector's verdict whether a front's decisions by a rule version agree with the majority."""
 
     round_id: Count
     rule_version: Count
@@ -132,7 +131,7 @@
     """Decode and validate a message.
 
     Raises:
-        ConsistencyError: The bytes are too many, or no valid message.
+        ConsistencyError: The message is too long or invalid.
     """
     if len(raw) > MAX_MESSAGE_BYTES:
         raise ConsistencyError(f"message over {MAX_MESSAGE_BYTES} bytes")
--- a/quincepier/consistency/router_rankings.py
+++ b/quincepier/consistency/router_rankings.py
@@ -1,4 +1,4 @@
-"""The rankings that the router holds: as a cache for the digests, and compared with the endpoint list."""
+"""The router's cached rankings: their use for digests, and their comparison with its endpoints."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 def count_stale_rankings(
     router: RouterView, limit: int = MAX_CHECKED_RANKINGS, arithmetic: Arithmetic = STANDARD_ARITHMETIC
 ) -> int:
-    """Count, of the last `limit` rankings that the router holds, those that its endpoints no longer give."""
+    """Return how many of the router's last `limit` cached rankings do not match its endpoints."""
     return sum(_is_stale(router, ranking, arithmetic) for ranking in router.cached_rankings(limit))
 
 
 def _is_stale(router: RouterView, ranking: CachedRanking, arithmetic: Arithmetic) -> bool:
     by_size = router.settings.sizes_compare
-    held = list(ranking.endpoints)
+    cached = list(ranking.endpoints)
     for group in (router.caches, router.parents):
         ranked = rank_views(group, ranking.key_hash, by_size, True, arithmetic)
-        kept = [n for n in ranked if not ranking.is_of_home_shard or n in held]
-        if kept[:MAX_RANKED] == held:  # of longer ones the router keeps the first
+        expected = [n for n in ranked if not ranking.is_of_home_shard or n in cached]
+        if expected[:MAX_RANKED] == cached:  # the router caches at most the first MAX_RANKED endpoints
             return False
     return True
 
 
 class RouterRankingCache:
-    """Rankings as the router itself makes and holds them, for the digests; a `RankingCache`.
+    """A `RankingCache` that supplies the router's own rankings to the rule decisions of digests.
 
-    It answers for the router's own zone and the parents, while no endpoint has a latency weight and the
-    router's endpoints are those of the round; else the rules are computed without it.
+    It covers the router's zone and the parents, as long as no endpoint has a latency weight and the router's
+    endpoints are those of the round. Otherwise it returns None, and the rules compute the ranking.
     """
 
     def __init__(self, router: RouterView, endpoints: Callable[[], Sequence[ListedEndpoint]]) -> None:
-        """`endpoints` gives the endpoint list that the round goes by."""
+        """Create the cache; `endpoints` returns the endpoint list of the round."""
         self._router = router
         self._endpoints = endpoints
 
     def __call__(self, zone: int, key_hash: int) -> Sequence[int] | None:
-        """The router's order for a key; None where it can't be compared."""
+        """Return the router's ranking for a key hash, or None if it can't be compared."""
         settings = self._router.settings
         is_parents = zone == PARENT_ZONE
         if not is_parents and zone != settings.zone:
@@ -62,7 +62,7 @@
 def _group_of(
     endpoints: Iterable[ListedEndpoint], zone: int, settings: io.Settings
 ) -> set[tuple[int, float]]:
-    """Number and size of the parents, or of the caches of a zone."""
+    """Return number and size of each parent, or of each cache of a zone."""
     if zone == PARENT_ZONE:
         return {(e.number, e.size) for e in endpoints if e.kind == settings.parent_kind}
     source_kinds = (settings.parent_kind, settings.origin_kind)
--- a/quincepier/consistency/router_view.py
+++ b/quincepier/consistency/router_view.py
@@ -1,6 +1,6 @@
-"""What the comparison reads of the policy's router: the one place that knows its attributes.
+"""Read access to the policy's router; no other module of this package uses the router's attributes.
 
-Nothing here changes the router's state. Times are those of the router's clock, in nanoseconds.
+The views never change the router's state. Times are those of the router's clock, in nanoseconds.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 def node_number(node: RouterNode) -> int:
-    """The number of an endpoint that the router names by its own record."""
+    """Return the number of the endpoint of a router's record."""
     return node.endpoint.cache
 
 
 class EndpointView:
-    """An endpoint, as the router has it now."""
+    """The current state of an endpoint in the router."""
 
     def __init__(self, router: Router, node: RouterNode) -> None:
         self._router = router
@@ -37,38 +37,38 @@
 
     @property
     def size(self) -> float:
-        """Its size in the endpoint list; 0 where the list has none."""
+        """Its size in the endpoint list; 0 if the list has no size."""
         return self._node.endpoint.size
 
     @property
     def latency_divisor(self) -> float:
-        """By what the router divides its weight, as it is slower than its like; 1 for a quick one."""
+        """Divisor of its weight: over 1 if the endpoint is slower than others of its kind, else 1."""
         divisor: float = 2 ** (self._node.weight_step / 2)
         return divisor
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint list has it as ready."""
+        """Whether it is ready by the endpoint list."""
         return self._node.endpoint.state is EndpointState.READY
 
     @property
     def is_shutting_down(self) -> bool:
-        """Whether an earlier start of this front heard that it leaves, and that still holds."""
+        """Whether a report of its shutdown, which an earlier start of this front received, is still valid."""
         return self._router.now < self._node.draining_until
 
     @property
     def is_ejected(self) -> bool:
-        """Whether outlier detection has it ejected, and its next trial is not due."""
+        """Whether outlier detection has ejected it and its next trial is not due."""
         return self._node.is_ejected and self._router.now < self._node.trial_at
 
     @property
     def is_on_trial(self) -> bool:
-        """Whether its trial was begun in this turn of the router."""
+        """Whether its trial started in this turn of the router."""
         return self._node.trial_at == self._router.now + self._node.ejection_time
 
     @property
     def is_warming_up(self) -> bool:
-        """Whether it started lately and so has a warm-up budget."""
+        """Whether it started recently and has a warm-up budget."""
         return self._router.slow_start.warmth(self._node).multiple < math.inf
 
     @property
@@ -78,33 +78,33 @@
 
     @property
     def budget(self) -> float:
-        """What is left of its warm-up budget; below 0: it may not be used."""
+        """The rest of its warm-up budget; below 0 it may not be used."""
         return self._node.credit
 
     @property
     def requests_in_flight(self) -> int:
-        """Attempts that are open there."""
+        """Number of its open attempts."""
         return len(self._node.in_flight)
 
     def count_recent(self, object_hash: int) -> int:
-        """How many of its last requests were for an object."""
+        """Return how many of its recent requests were for an object."""
         return list(self._node.recent_objects).count(object_hash)
 
     def work_of_new_attempt(self, request: RequestView) -> float | None:
-        """Work of the request's last attempt there if it was begun in this turn; else None."""
+        """Return the work of the request's last attempt if it was made here in this turn, else None."""
         attempt = self._node.in_flight.get((request.id, request.attempts - 1))
         if attempt is None or attempt.sent_at != self._router.now:
             return None
         return attempt.booked_work
 
     def is_overloaded(self, request: RequestView) -> bool:
-        """Whether one more request of that class would be late there."""
+        """Whether it is too crowded to serve one more such request in time."""
         return self._router.placement.is_crowded(self._node, request.record)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestView:
-    """A request, as the router has it now; `record` is the router's own."""
+    """The current state of a request in the router; `record` is the router's own record."""
 
     record: Any
     id: int
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CachedRanking:
-    """An order of endpoints that the router holds for a key; of one home shard or of all."""
+    """A ranking of endpoints cached by the router for a key, either of one home shard or of all endpoints."""
 
     key_hash: int
     is_of_home_shard: bool
@@ -124,7 +124,7 @@
 
 
 class RouterView:
-    """Reads one router."""
+    """Read access to one router."""
 
     def __init__(self, router: Router) -> None:
         self._router = router
@@ -151,7 +151,7 @@
 
     @property
     def fetches_in_flight(self) -> int:
-        """Origin fetches in flight."""
+        """Number of origin fetches in flight."""
         return self._router.fetch_limit.in_flight
 
     @property
@@ -164,11 +164,11 @@
         return number in self._router.placement.table.by_id
 
     def endpoint(self, number: int) -> EndpointView:
-        """An endpoint by its number."""
+        """Return the view of an endpoint by its number."""
         return EndpointView(self._router, self._router.placement.table.by_id[number])
 
     def find_request(self, request_id: int) -> RequestView | None:
-        """An open request by its id."""
+        """Return an open request by its id, or None."""
         record = self._router.requests.get(request_id)
         if record is None:
             return None
@@ -176,25 +176,25 @@
         return RequestView(record, request_id, record.attempts_sent, record.tier, avoided, record.home)
 
     def is_at_fetch_limit(self, request: RequestView) -> bool:
-        """Whether no origin fetch may begin for a request, by the limit or the zone's link."""
+        """Whether the fetch limit or the zone's link forbids another origin fetch for a request."""
         return self._router.fetch_limit.is_blocked(request.record)
 
     def rank_caches(self, key_hash: int) -> Sequence[int]:
-        """The router's own order of its caches for a key."""
+        """Return the router's own ranking of its caches for a key hash."""
         return [
             node.endpoint.cache
             for node in self._router.placement.rank_all(self._router.placement.table.caches, key_hash)
         ]
 
     def rank_parents(self, key_hash: int) -> Sequence[int]:
-        """The router's own order of the parents for a key."""
+        """Return the router's own ranking of the parents for a key hash."""
         return [
             node.endpoint.cache
             for node in self._router.placement.rank_all(self._router.placement.table.parents, key_hash)
         ]
 
     def cached_rankings(self, limit: int) -> Iterator[CachedRanking]:
-        """The last rankings that the router holds, `limit` at most."""
+        """Yield the most recent cached rankings of the router, at most `limit`."""
         for key, ranked in list(self._router.placement.rankings.items())[-limit:]:
             key_hash = key if isinstance(key, int) else key[0]
             yield CachedRanking(key_hash, not isinstance(key, int), [node.endpoint.cache for node in ranked])
--- a/quincepier/consistency/section.py
+++ b/quincepier/consistency/section.py
@@ -20,13 +20,13 @@
         "max_list_lag_s": "late_list_s",
     },
 ):
-    """Settings of the comparison; the operators' file has its own key names.
+    """Settings of the comparison; key names of the operators' file stand in parentheses.
 
     Attributes:
-        sample_size: Keys that a round decides (`sample`).
-        round_interval_s: Seconds between two rounds (`every_s`).
+        sample_size: Number of keys decided in a round (`sample`).
+        round_interval_s: Seconds between the starts of two rounds (`every_s`).
         recorded_share: Share of the requests whose decisions are recorded and explained (`witnessed`).
-        max_list_lag_s: Seconds for which a front may hold an older endpoint list (`late_list_s`).
+        max_list_lag_s: Seconds for which a front may have an outdated endpoint list (`late_list_s`).
     """
 
     sample_size: Annotated[int, msgspec.Meta(ge=1, le=4096)] = 64
@@ -41,5 +41,5 @@
 
     @property
     def max_list_lag_ns(self) -> int:
-        """The longest lag of an endpoint list that is no fault, in nanoseconds."""
+        """The longest lag of an endpoint list that is not a fault, in nanoseconds."""
         return int(self.max_list_lag_s * NS_PER_S)
--- a/quincepier/consistency/snapshot.py
+++ b/quincepier/consistency/snapshot.py
@@ -1,4 +1,4 @@
-"""A front's inputs and rule decisions at one moment, with a Merkle tree of each, computed in slices."""
+"""A snapshot of a front's inputs and rule decisions, with Merkle trees over them, computed in slices."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     TreeKind,
 )
 
-CANARY_COST = 320  # work of the canaries, in hashes
-SETTINGS_COST = 100  # work of the settings tree, in hashes
-ENDPOINTS_PER_YIELD = 64  # leaves of the endpoint list between two points at which a slice may end
+CANARY_COST = 320  # cost of the canaries, in hashes
+SETTINGS_COST = 100  # cost of the settings tree, in hashes
+ENDPOINTS_PER_YIELD = 64  # endpoints processed before a slice may end
 
 
 class Snapshot:
-    """One round of one front: `advance` until it is complete, then the trees and leaves can be read."""
+    """One front's snapshot for one round: call `advance` until it is complete, then read trees and leaves."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._work = self._compute()
 
     def advance(self, max_hashes: int) -> bool:
-        """Do about `max_hashes` of work (2 to 3 us each), at most one decision more; True when complete."""
+        """Do work of about `max_hashes` hashes (2 to 3 us each), or one decision more; True when complete."""
         spent = 0
         while not self.is_complete and spent < max_hashes:
             cost = next(self._work, None)
@@ -61,9 +61,9 @@
         return self.is_complete
 
     def _compute(self) -> Iterator[int]:
-        """Compute everything anew and yield the cost of each step.
+        """Compute all digests and yield the cost of each step, in hashes.
 
-        Nothing is reused from the round before: a stored digest would hide what was corrupted since.
+        No digest of an earlier round is reused, since it would hide a later corruption of the inputs.
         """
         inputs = self.inputs
         self._canaries = compute_canaries(self._arithmetic)
@@ -76,9 +76,9 @@
 
     def _compute_endpoints(self) -> Iterator[int]:
         digests = dict[str, bytes]()
-        for place, endpoint in enumerate(self.inputs.endpoints):
+        for index, endpoint in enumerate(self.inputs.endpoints):
             digests[endpoint.host] = leaf_digest(endpoint)
-            if place % ENDPOINTS_PER_YIELD == ENDPOINTS_PER_YIELD - 1:
+            if index % ENDPOINTS_PER_YIELD == ENDPOINTS_PER_YIELD - 1:
                 yield ENDPOINTS_PER_YIELD
         self._trees[TreeKind.ENDPOINTS] = MerkleTree(digests)
 
@@ -86,15 +86,15 @@
         request = self.request
         digests = dict[str, bytes]()
         self._keys = sample_keys(request.rule_version, request.round_id, request.sample_size, self.inputs)
-        for place, key in enumerate(self._keys):
-            digests[str(place)] = leaf_digest((key, self._rules.decide(key)))
+        for index, key in enumerate(self._keys):
+            digests[str(index)] = leaf_digest((key, self._rules.decide(key)))
             yield self._rules.count_hashes(key)
         self._trees[TreeKind.DECISIONS] = MerkleTree(digests)
 
     def to_digest_response(
         self, unexplained_decisions: int, stale_rankings: int, is_cautious: bool
     ) -> DigestResponse:
-        """The digests of the complete snapshot, with what the front counted since its last response."""
+        """Return the digests of the complete snapshot, with the faults counted since the last response."""
         return DigestResponse(
             round_id=self.request.round_id,
             rule_version=self.inputs.rule_version.number,
@@ -112,13 +112,13 @@
         )
 
     def tree(self, kind: TreeKind) -> MerkleTree:
-        """The tree of a kind; that of the rule version is built only once it is asked for."""
+        """Return the tree of a kind; the tree of the rule version is built on first use."""
         if kind is TreeKind.RULE_VERSION and kind not in self._trees:
             self._trees[kind] = _tree_of(version_leaves(self.inputs))
         return self._trees[kind]
 
     def to_leaf_response(self, kind: TreeKind, label: str) -> LeafResponse:
-        """The fields of a leaf.
+        """Return the fields of a leaf.
 
         Raises:
             ConsistencyError: There is no such key or endpoint.
@@ -134,10 +134,10 @@
         return LeafResponse(round_id, kind, label, "", fields)
 
     def _find_key(self, label: str) -> DecisionKey:
-        place = int(label) if label.isdecimal() else len(self._keys)
-        if place >= len(self._keys):
+        index = int(label) if label.isdecimal() else len(self._keys)
+        if index >= len(self._keys):
             raise ConsistencyError("no such key in the sample", label)
-        return self._keys[place]
+        return self._keys[index]
 
     def _find_fields(self, kind: TreeKind, label: str) -> LeafFields:
         if kind is TreeKind.RULE_VERSION:
