--- a/tests/maintenancekit.py
+++ b/tests/maintenancekit.py
@@ -1,6 +1,7 @@
-"""Exploration of the model of a fleet under maintenance: all events up to a depth, random walks, mutants.
+"""Exploration of the maintenance model: all events up to a depth, random walks, and mutants.
 
-`python -m tests.maintenancekit DEPTH FRONTS WALKS` prints how many states there are.
+`python -m tests.maintenancekit DEPTH FRONTS WALKS` prints the number of visited states, and how many
+walks reached each step of a task.
 """
 
 from __future__ import annotations
@@ -23,28 +24,28 @@
 def load_mutant(
     module: types.ModuleType, replacements: dict[str, str], **attributes: Any
 ) -> types.ModuleType:
-    """A copy of a module with pieces of its text replaced, and some of its attributes."""
+    """Return a copy of a module with replaced parts of its source text and with replaced attributes."""
     file = module.__file__
     assert file is not None
     text = Path(file).read_text()
     for old, new in replacements.items():
-        assert old in text, f"{old!r} stands no more in {file}"
+        assert old in text, f"{old!r} is no longer in {file}"
         text = text.replace(old, new)
     mutant = types.ModuleType(f"{module.__name__}_{next(MUTANT_NUMBERS)}")
-    sys.modules[mutant.__name__] = mutant  # dataclasses look their module up
+    sys.modules[mutant.__name__] = mutant  # dataclasses look up their module by name
     exec(compile(text, file, "exec"), mutant.__dict__)
     mutant.__dict__.update(attributes)
     return mutant
 
 
 def states_of_run(components: Components, front_count: int, faults: int) -> list[ClusterModel]:
-    """A run without faults, as it stands at each new version: both machines get their maintenance."""
+    """Return the states at each version of a run without faults; both machines get maintenance."""
     model, found = ClusterModel(components, front_count, faults), list[ClusterModel]()
     while True:
         found.append(model.copy())
         for index in range(front_count):
             model.exchange_lease(index)
-            model.exchange_lease(index)  # the first brings the version, the second the lease
+            model.exchange_lease(index)  # the first exchange delivers the version, the second one the lease
         number = model.version.number
         model.plan_tasks()
         work_events = [event for event in model.enabled_events() if event[0] == "work"]
@@ -56,7 +57,7 @@
 
 
 def states_of_partition(model: ClusterModel) -> Iterator[ClusterModel]:
-    """From there on the last front is partitioned and sends whatever it may; the others go on."""
+    """Yield the states after a partition of the last front, which sends all commands that it may send."""
     partitioned = len(model.fronts) - 1
     for _ in range(PARTITIONED_TICKS):
         front = model.fronts[partitioned]
@@ -74,9 +75,13 @@
 def explore(
     components: Components, front_count: int, depth: int, faults: int = 1, with_tasks: bool = True
 ) -> int:
-    """Count the states within `depth` events; raise with the path to one that violates an invariant.
+    """Return the number of states reachable within `depth` events.
 
-    With tasks: from each state of a run, and from each state of a partition that begins there.
+    With tasks, exploration starts from each state of a run, and from each state of a partition that starts
+    there.
+
+    Raises:
+        InvariantViolatedError: A state violates an invariant; the text has the path to it.
     """
     starts = [ClusterModel(components, front_count, faults, with_tasks)]
     if with_tasks:
@@ -100,6 +105,7 @@
 
 
 def apply_with_path(model: ClusterModel, event: Event, path: EventPath) -> None:
+    """Apply an event; if it violates an invariant, add the path of events to the error."""
     try:
         model.apply(event)
     except InvariantViolatedError as error:
@@ -107,7 +113,7 @@
 
 
 DEFAULT_WEIGHT = 0.5
-WEIGHT_BY_EVENT = {  # how often each is drawn in a walk
+WEIGHT_BY_EVENT = {  # relative frequency of each event in a walk
     "exchange_lease": 8,
     "plan_tasks": 5,
     "adopt_version": 3,
@@ -122,22 +128,23 @@
 def count_steps_of_walks(
     components: Components, front_count: int, walks: int, length: int, seed: int, faults: int = 4
 ) -> dict[str, int]:
-    """Seeded walks, deeper than what can be explored; how many of them came to each step of a task."""
-    chance = random.Random(seed)
+    """Run seeded random walks, longer than exploration allows; return how many reached each task step."""
+    rng = random.Random(seed)
     walks_by_step = dict[str, int]()
     for _ in range(walks):
-        for step in steps_of_walk(ClusterModel(components, front_count, faults), chance, length):
+        for step in steps_of_walk(ClusterModel(components, front_count, faults), rng, length):
             walks_by_step[step] = walks_by_step.get(step, 0) + 1
     return walks_by_step
 
 
-def steps_of_walk(model: ClusterModel, chance: random.Random, length: int) -> set[str]:
+def steps_of_walk(model: ClusterModel, rng: random.Random, length: int) -> set[str]:
+    """Run one random walk of `length` events and return the task steps that it reached."""
     path: EventPath = ()
     steps = set[str]()
     for _ in range(length):
         events = list(model.enabled_events())
         weights = [WEIGHT_BY_EVENT.get(event[0], DEFAULT_WEIGHT) for event in events]
-        event = chance.choices(events, weights)[0]
+        event = rng.choices(events, weights)[0]
         apply_with_path(model, event, path)
         path = (*path, event)
         if event[0] == "plan_tasks":
--- a/tests/maintenancemodel.py
+++ b/tests/maintenancemodel.py
@@ -1,9 +1,9 @@
 """A model of a fleet under maintenance: its states, the events between them, and its invariants.
 
-A state is one leader's lease table, each front's lease holder with its open attempts, the messages in flight,
-and the machines; agreement itself is one step. A tick is a quarter of a lease; clocks run 1 in 100 fast or
-slow. A front that does nothing is one whose process is paused. Faults are drawn from small budgets, so that
-the states are finite.
+A state consists of the leader's lease table, each front's lease holder and open attempts, the messages in
+flight, and the machines; committing a version is one step. A tick is a quarter of a lease; clocks run 1 %
+fast or slow. A front without events models a paused process. The number of faults is limited, so the number
+of states is finite.
 """
 
 from __future__ import annotations
@@ -47,16 +47,16 @@
 NO_OTHER_LEADER_NS = 1 << 60
 WARM_UP_MS = 60_000
 LONG_UPTIME_MS = 10 * WARM_UP_MS
-OFF_THE_LIST = -1  # in place of an uptime
-MAX_VERSIONS = 4  # where versions change at any time
+OFF_THE_LIST = -1  # uptime value of a machine that is not listed
+MAX_VERSIONS = 4  # limit for models without tasks, in which versions change at any time
 HOSTS = ("m0", "m1")
 
-Event = tuple[Any, ...]  # the name of a method of ClusterModel, and its arguments
+Event = tuple[Any, ...]  # name of a method of ClusterModel, and its arguments
 
 
 @dataclass(slots=True, frozen=True)
 class Components:
-    """What is explored; a mutant replaces one of them."""
+    """The components under test; a mutant replaces one of them."""
 
     lease_holder: Any = LeaseHolder
     lease_table: Any = LeaseTable
@@ -67,16 +67,16 @@
 
 
 class InvariantViolatedError(AssertionError):
-    """A state that must not be reached; the text has the path to it."""
+    """A state violates an invariant; the text has the path to it."""
 
 
 @dataclass(slots=True)
 class Front:
     name: str
     lease_holder: Any
-    clock_rate: int  # of 100
+    clock_rate: int  # in percent of real time
     clock_ns: int = 0
-    attempt_ticks: dict[str, int] = field(default_factory=dict)  # host to how long an attempt is open there
+    attempt_ticks: dict[str, int] = field(default_factory=dict)  # age in ticks of the open attempt, by host
 
     def copy(self) -> Front:
         holder = copy.copy(self.lease_holder)
@@ -85,7 +85,7 @@
 
 
 class ClusterModel:
-    """One state; without tasks, versions change at any time and only leases are looked at."""
+    """One state of the model; without tasks, versions change at any time and only leases are checked."""
 
     def __init__(
         self, components: Components, front_count: int, faults: int = 2, with_tasks: bool = True
@@ -110,7 +110,7 @@
             for n in range(front_count)
         ]
         self.messages: tuple[LeaseRequest | LeaseGrant, ...] = ()  # in flight
-        self.message_fronts: tuple[int, ...] = ()  # of which front each is
+        self.message_fronts: tuple[int, ...] = ()  # index of the front of each message
         self.lease_table = components.lease_table(-(10**12), components.timings, self.versions[1])
         for index in range(front_count):
             self.exchange_lease(index)
@@ -130,7 +130,7 @@
         }
         return new
 
-    # what tells states apart: times from now on, tokens as they follow each other
+    # Fingerprints of states: times are relative to now, and tokens count only by their order.
 
     def fingerprint(self) -> tuple[Any, ...]:
         messages = tuple(sorted(map(self.message_fingerprint, self.messages, self.message_fronts)))
@@ -202,7 +202,7 @@
         )
         return 0, index, report.incarnation, report.version_number, report.open_attempts, is_new, age
 
-    # which events may come next
+    # Events that may happen next.
 
     def enabled_events(self) -> Iterator[Event]:
         yield ("tick",)
@@ -251,7 +251,7 @@
         is_cautious = holder.is_cautious(front.clock_ns)
         return host not in components.cordoned_hosts(holder.version, is_cautious, front.name)
 
-    # events
+    # Events.
 
     def apply(self, event: Event) -> None:
         getattr(self, event[0])(*event[1:])
@@ -266,7 +266,7 @@
             }
 
     def work(self, host: str) -> None:
-        """Off the list, then restarted, then warm."""
+        """Advance the maintenance work of a machine: off the list, then restarted, then warm."""
         uptime = self.uptime_ms_by_host[host]
         if uptime == OFF_THE_LIST:
             self.uptime_ms_by_host[host] = 10
@@ -301,26 +301,27 @@
         return LeaseRequest(token, report)
 
     def exchange_lease(self, index: int) -> None:
-        """A request and its grant without delay."""
+        """Exchange a lease request and its grant without delay."""
         front = self.fronts[index]
         grant = self.lease_table.on_request(self.clock_ns, self.new_request(front), NO_OTHER_LEADER_NS)
         if grant is not None:
             front.lease_holder.on_grant(front.clock_ns, grant, self.versions[grant.version_number])
 
     def request_lease(self, index: int) -> None:
-        """A request that is in flight until it is delivered."""
+        """Send a lease request that stays in flight until it is delivered."""
         self.remaining_faults -= 1
         self.messages += (self.new_request(self.fronts[index]),)
         self.message_fronts += (index,)
 
-    def deliver(self, at: int, stays_in_flight: bool) -> None:
-        message, index = self.messages[at], self.message_fronts[at]
+    def deliver(self, position: int, stays_in_flight: bool) -> None:
+        """Deliver the message at a position; if it stays in flight, it may be delivered again."""
+        message, index = self.messages[position], self.message_fronts[position]
         front = self.fronts[index]
         if stays_in_flight:
             self.remaining_faults -= 1
         else:
-            self.messages = self.messages[:at] + self.messages[at + 1 :]
-            self.message_fronts = self.message_fronts[:at] + self.message_fronts[at + 1 :]
+            self.messages = self.messages[:position] + self.messages[position + 1 :]
+            self.message_fronts = self.message_fronts[:position] + self.message_fronts[position + 1 :]
         if isinstance(message, LeaseGrant):
             front.lease_holder.on_grant(front.clock_ns, message, self.versions[message.version_number])
             return
@@ -368,12 +369,12 @@
             if earlier is None or earlier.step is not MaintenanceStep.DRAINED:
                 self.check_drained(task.target, task.step)
 
-    # invariants
+    # Invariants.
 
     def check_drained(self, host: str, step: MaintenanceStep) -> None:
         for front in self.fronts:
             if step is MaintenanceStep.DRAINED and host in front.attempt_ticks:
-                raise InvariantViolatedError(f"{host} is drained and {front.name} has an attempt open there")
+                raise InvariantViolatedError(f"{host} is drained, but {front.name} has an open attempt there")
 
     def check_invariants(self) -> None:
         active_number = self.lease_table.active_number(self.clock_ns)
--- a/tests/tenancycases.py
+++ b/tests/tenancycases.py
@@ -1,4 +1,4 @@
-"""Sections, versions and observations of small tenancy tests: one tenant that migrates to shard north."""
+"""Sections, versions and observations for tenancy tests: one tenant that migrates to shard north."""
 
 from __future__ import annotations
 
@@ -93,9 +93,12 @@
 )
 
 
-def observe(*rows: ServiceStatistics, **changes: Any) -> Observations:
+def observe(*statistics_of_a: ServiceStatistics, **changes: Any) -> Observations:
+    """Return observations of fronts a and b, where a reports the statistics, with changed fields."""
     reports = {
-        name: FrontReport(name, 1, 9, "", False, 1000, service_statistics=rows if name == "a" else ())
+        name: FrontReport(
+            name, 1, 9, "", False, 1000, service_statistics=statistics_of_a if name == "a" else ()
+        )
         for name in "ab"
     }
     values: dict[str, Any] = dict(
@@ -118,14 +121,14 @@
 
 
 def policy_with(**request: Any) -> MigrationPolicy:
-    """The policy of a file whose migration has more keys."""
+    """Return the policy of a file whose migration request has additional keys."""
     keys = "".join(f", {key}: {str(value).lower()}" for key, value in request.items())
     section = read_section(FILE.replace("to: north}", f"to: north{keys}}}"))
     return MigrationPolicy.from_section(section, CLASSES)
 
 
 def planned(version: RuleVersion, policy: MigrationPolicy, observations: Observations) -> Migration:
-    """The version's migration after a planning round."""
+    """Return the version's migration after a planning round."""
     change = advance(version, policy, observations)
     return version.migrations[0] if change is None or change.migrations is None else change.migrations[0]
 
--- a/tests/tenancykit.py
+++ b/tests/tenancykit.py
@@ -1,8 +1,9 @@
 """Model checking of migrations at small size: the real `advance` and `PlacementTable`, one unsafe request.
 
-There are two fronts and two shards. Time is in ticks of ten seconds. A lease, an adoption, a run at a cache,
-a retry, a crash, a lost folder, a change of leader and a request of operators may come in any order and any
-number of times; ages are capped where nothing depends on more, so the states are finite and all are visited.
+There are two fronts and two shards. Time is in ticks of ten seconds. Lease grants, adoptions of a version,
+runs at a cache, retries, crashes, lost folders, changes of leader and requests of operators may happen in any
+order and any number of times. Ages are capped at the highest value that matters, so the number of states is
+finite, and all are visited.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
 from quincepier.tenancy.section import MigrationRequest, ShardSettings, TenantSettings
 
 TICK_NS = 10 * clock.SECOND
-DEDUPLICATION_TICKS = 1  # for so long a cache recognizes a retry
-DELIVERY_DELAY_TICKS = 1  # an accepted request runs at last so long after
+DEDUPLICATION_TICKS = 1  # time after a run for which a cache recognizes a retry
+DELIVERY_DELAY_TICKS = 1  # longest time between acceptance and run of a request
 GRACE_PERIOD_TICKS = 2
 WRITE_PAUSE_TICKS = DEDUPLICATION_TICKS + DELIVERY_DELAY_TICKS
-LONG_AGO = 9  # ticks, for what is too old to matter
+LONG_AGO = 9  # ticks; stands for any run that is too old to matter
 LONG_NS = 1 << 62
 SECTION = TenantsSection(
     {"north": ShardSettings(("s-1",))},
@@ -45,37 +46,39 @@
 )
 SOURCE, TARGET = 0, 1
 SHARD_NAMES = ("old", "new")
-ALL_FAULTS = frozenset({"leader", "rollback", "pause", "folder"})  # beside leases, ticks and retries
+ALL_FAULTS = frozenset({"leader", "rollback", "pause", "folder"})  # in addition to leases, ticks and retries
 
 
 class MigrationPoint(NamedTuple):
-    """Step and moved slots of the migration, as a version has them."""
+    """Step and moved slots of the migration in a version."""
 
     step: int
     moved_slots: int
 
 
-NO_MIGRATION = MigrationPoint(-1, 0)  # a version in which the tenant is under no migration yet
+NO_MIGRATION = MigrationPoint(-1, 0)  # a version without the migration
 
 
 class Front(NamedTuple):
-    point: MigrationPoint  # in its version
-    rank: int  # 2: the newest version, 1: one of the newest step, 0: an older one
+    point: MigrationPoint  # in the front's version
+    rank: int  # 2: newest version, 1: older version of the newest step, 0: version of an older step
     has_lease: bool
     has_reported: bool  # its lease is known to the leader
     ticks_without_lease: int  # capped
-    has_lost_folder: bool = False  # no version since
+    has_lost_folder: bool = False  # and has adopted no version since
 
 
 class State(NamedTuple):
     point: MigrationPoint
-    is_step_newest: bool  # the newest version is the one in which the step started
+    is_step_newest: bool  # the step started in the newest version
     fronts: tuple[Front, ...]
-    ages: tuple[int, int]  # ticks for which the step and the newest version are active, as the leader knows
+    # Ticks for which, by the leader's knowledge, the step and the newest version are active.
+    ages: tuple[int, int]
     rollback: bool = False
     pause: bool = False
     is_retry: bool = False  # the client has sent the request before
-    accepted: tuple[tuple[int, int], ...] = ()  # shard, and ticks left in which it may run there, also again
+    # Shards that accepted the request, with the ticks left in which it may run there, even repeatedly.
+    accepted: tuple[tuple[int, int], ...] = ()
     ticks_since_run: tuple[int, int] = (LONG_AGO, LONG_AGO)  # at the source and at the target, capped
 
 
@@ -83,13 +86,13 @@
 class ExplorationResult:
     states: int
     depth: int
-    violation: list[str]  # the shortest path to a run at both shards within the window; empty: there is none
+    violation: list[str]  # shortest path to runs at both shards within the window; empty if there is none
     reached_steps: set[int]
 
 
 @dataclass(slots=True)
 class ExplorationSettings:
-    """What a mutant changes outside of the functions that it replaces."""
+    """Settings of the model, which mutants change."""
 
     write_pause_ticks: int = WRITE_PAUSE_TICKS
     grace_period_ticks: int = GRACE_PERIOD_TICKS
@@ -115,7 +118,7 @@
         return RuleVersion(number, 1, (), (), shards, (TenantPlacement("acme", home_shard),), migrations)
 
     def place(self, front: Front, is_retry: bool) -> int | None:
-        """The shard at which a front would run the request; None where it rejects it."""
+        """Return the shard at which a front would run the request, or None if it rejects the request."""
         settings = self.settings
         is_cautious = not front.has_lease and settings.respects_lease
         is_grace_over = front.ticks_without_lease >= GRACE_PERIOD_TICKS or front.has_lost_folder
@@ -138,7 +141,7 @@
         return TARGET if home.caches == {NUMBER_BY_HOST["s-1"]} else SOURCE
 
     def plan(self, state: State, is_late: bool) -> MigrationPoint:
-        """The migration after a planning round; `is_late`: the newest version was committed long ago."""
+        """Return the migration after a planning round; `is_late`: the last commit was long ago."""
         all_leases_known, rank = _known_leases(state)
         reporting = sum(front.has_reported for front in state.fronts)
         key = (
@@ -186,7 +189,7 @@
         )
 
     def successors(self, state: State) -> Iterator[tuple[str, State]]:
-        """Each event that may come next, and the state after it."""
+        """Yield each event that may happen next, with the state after it."""
         yield from self.after_planning(state)
         for index, front in enumerate(state.fronts):
             yield from self.after_front_event(state, index, front)
@@ -202,7 +205,7 @@
         if "rollback" in faults and not state.rollback:
             yield "operators request a rollback", state._replace(rollback=True)
         if "pause" in faults:
-            yield "operators pause or go on", state._replace(pause=not state.pause)
+            yield "operators pause or resume", state._replace(pause=not state.pause)
 
     def after_planning(self, state: State) -> Iterator[tuple[str, State]]:
         for is_late in (False, True):
@@ -240,11 +243,11 @@
         if shard is not None:
             others = {(other, left) for other, left in state.accepted if other != shard}
             accepted = tuple(sorted(others | {(shard, DELIVERY_DELAY_TICKS)}))
-            what = "a retry" if state.is_retry else "the request"
-            yield f"{index} accepts {what}", state._replace(is_retry=True, accepted=accepted)
+            request_text = "a retry" if state.is_retry else "the request"
+            yield f"{index} accepts {request_text}", state._replace(is_retry=True, accepted=accepted)
 
     def explore(self, max_states: int = 10**8) -> ExplorationResult:
-        """Visit all states breadth first, up to a run at both shards within the window."""
+        """Visit all states breadth first, or stop at the first run at both shards within the window."""
         front = Front(NO_MIGRATION, 0, True, True, 0)
         first = State(MigrationPoint(0, 0), True, (front, front), (0, 0))
         predecessors: dict[State, tuple[State, str] | None] = {first: None}
@@ -262,13 +265,15 @@
                         return ExplorationResult(len(predecessors), depth + 1, path, reached_steps)
                     following.append(successor)
             if len(predecessors) > max_states:
-                return ExplorationResult(len(predecessors), depth, ["more states than wanted"], reached_steps)
+                return ExplorationResult(
+                    len(predecessors), depth, ["more states than max_states"], reached_steps
+                )
             frontier, depth = following, depth + bool(following)
         return ExplorationResult(len(predecessors), depth, [], reached_steps)
 
 
 def _known_leases(state: State) -> tuple[bool, int]:
-    """Whether the leader knows of all leases, and the lowest rank under one; 0 where it does not."""
+    """Return whether the leader knows all leases, and the lowest rank of a leased front; else rank 0."""
     leased = [front for front in state.fronts if front.has_lease]
     are_all_known = all(front.has_reported for front in leased)
     rank = min((front.rank for front in leased), default=2) if are_all_known else 0
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -1,7 +1,4 @@
-"""All fronts decide alike: which divergences are found, how they are named, which are no fault.
-
-Real decisions are either the rule's or have a reason.
-"""
+"""Consistency of fronts: which divergences are found, how they are reported, and which are no fault."""
 
 from __future__ import annotations
 
@@ -57,11 +54,11 @@
     return [front.name for front in fleet.fronts if front.checker.is_cautious]
 
 
-# Planted faults: each is found within two rounds of the collector, and named rightly
+# Injected faults: each is found within two rounds of the collector and reported with its kind and place.
 
 
 def flip_bit_in_version(front: SimulatedFront) -> None:
-    """One bit of a maintenance task in the version that it holds."""
+    """Flip one bit of a maintenance task in the front's version."""
 
     def corrupt(inputs: DecisionInputs) -> DecisionInputs:
         first, *others = inputs.rule_version.maintenance_tasks
@@ -85,7 +82,7 @@
 
 
 def keep_stale_rankings(front: SimulatedFront) -> None:
-    """It ranks the caches of a zone as they were before one was added."""
+    """Let the front rank the caches of a zone without the last one, as before it was added."""
 
     def ranking_cache(zone: int, key_hash: int) -> Sequence[int] | None:
         before = [endpoint for endpoint in ENDPOINTS if endpoint.zone == zone and endpoint.kind == 0][:-1]
@@ -109,7 +106,7 @@
 
 @dataclass(frozen=True)
 class PlantedFault:
-    """What is done to a front, and how it must be found; `item` is what the finding's item starts with."""
+    """A fault injected into a front, and the finding expected for it; `item` is the prefix of its item."""
 
     plant: Callable[[SimulatedFront], None]
     kind: DivergenceKind
@@ -138,15 +135,15 @@
 @pytest.mark.parametrize("at", ["f0", "f5"], ids=["at the leader", "at another"])
 @pytest.mark.parametrize("name", FAULTS)
 def test_a_planted_fault_is_found_within_two_rounds_and_named(name: str, at: str) -> None:
-    planted = FAULTS[name]
+    fault = FAULTS[name]
     fleet = make_fleet(rule_version=VERSION_WITH_TASK)
-    planted.plant(fleet.front_by_name[at])
+    fault.plant(fleet.front_by_name[at])
     fleet.start()
     fleet.run(2 * SECTION.round_interval_ns)
     found = fleet.divergence_findings()
-    assert found and {(f.front, f.kind) for f in found} == {(at, planted.kind)}
+    assert found and {(f.front, f.kind) for f in found} == {(at, fault.kind)}
     value = found[0].value
-    assert value.item.startswith(planted.item) and value.field == planted.field, found[0].to_text()
+    assert value.item.startswith(fault.item) and value.field == fault.field, found[0].to_text()
     is_fault = name != "one build changed"
     assert found[0].is_fault is is_fault
     assert cautious_fronts(fleet) == ([at] if is_fault else [])
@@ -167,14 +164,14 @@
 
 
 def test_of_two_that_differ_both_are_reported_and_of_many_only_the_few() -> None:
-    """Nobody knows which of two is right; two of eight are outvoted."""
-    for count, planted, blamed in ((2, 1, 2), (8, 2, 2)):
+    """Two fronts alone have no majority; of eight fronts, two are the minority."""
+    for count, faulty_count, reported_count in ((2, 1, 2), (8, 2, 2)):
         fleet = make_fleet(count)
-        for front in fleet.fronts[:planted]:
+        for front in fleet.fronts[:faulty_count]:
             remove_endpoint(front)
         fleet.start()
         fleet.run(4 * SECOND)
-        assert len({finding.front for finding in fleet.divergence_findings()}) == blamed
+        assert len({finding.front for finding in fleet.divergence_findings()}) == reported_count
 
 
 def test_a_list_that_lags_is_late_for_so_long_and_then_reported_by_name() -> None:
@@ -187,11 +184,11 @@
     fleet.run(4 * SECOND)
     kinds = {reported.finding.kind for reported in fleet.findings}
     assert not fleet.divergence_findings() and kinds <= {DivergenceKind.LAGGING_LIST}
-    assert collector.checker.is_consistent(1) is None  # not known while one has another list
+    assert collector.checker.is_consistent(1) is None  # not known while a front has another list
     fleet.run(6 * SECOND)
     found = {(finding.front, finding.kind) for finding in fleet.divergence_findings()}
     assert found == {("f4", DivergenceKind.OUTDATED_LIST)}
-    assert not late.checker.is_cautious  # behind, not wrong
+    assert not late.checker.is_cautious  # its list is outdated, but its decisions follow from it
 
 
 def test_without_a_leader_three_members_collect() -> None:
@@ -209,15 +206,15 @@
     checker.on_inputs_changed(make_inputs())
     checker.on_view_changed(["a", "b", "c"], "b")
     request = encode(DigestRequest(3, 7, 24))
-    assert checker.on_message(0, "b", request) == []  # the snapshot is begun, not complete
+    assert checker.on_message(0, "b", request) == []  # the snapshot is started and not complete
     checker.on_view_changed(["a", "c"], "c")
-    assert checker.next_tick_ns > 0  # nothing of its round is left to be computed
+    assert checker.next_tick_ns > 0  # its round was discarded, so no work is pending
     assert checker.on_message(0, "c", request) == [] and checker.next_tick_ns == 0
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_alarm_in_a_healthy_fleet(seed: int) -> None:
-    """Messages are lost, versions and lists roll out, fronts restart, a half is cut off and healed."""
+    """Messages are lost, versions and lists roll out, fronts restart, and at times half are partitioned."""
     fleet, draw = make_fleet(9, seed, loss_probability=0.2), random.Random(seed)
     fleet.start()
     for turn in range(30):
@@ -237,7 +234,7 @@
     assert result is not None and result.duration_ns > 0
 
 
-# Rule decisions
+# Rule decisions.
 
 
 def make_inputs(**changes: Any) -> DecisionInputs:
@@ -247,7 +244,7 @@
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.randoms(use_true_random=False), st.integers(0, 2**40))
 def test_a_decision_follows_from_the_inputs_alone(draw: random.Random, round_id: int) -> None:
-    """Not from the order of endpoints, nor from the front's own zone; a cordoned endpoint is not in it."""
+    """Neither the order of endpoints nor the front's zone matters, and cordoned endpoints are left out."""
     shuffled = list(ENDPOINTS)
     draw.shuffle(shuffled)
     here = make_inputs()
@@ -275,7 +272,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.integers(0, 400), st.integers(0, 399), st.booleans())
-@example(count=338, place=25, is_missing=True)  # sixteen leaves at one, seventeen at the other
+@example(count=338, place=25, is_missing=True)  # sixteen leaves in one tree, seventeen in the other
 def test_the_tree_leads_to_the_leaf_that_differs(count: int, place: int, is_missing: bool) -> None:
     leaves = {f"l{n}": n.to_bytes(16, "big") for n in range(count)}
     others = dict(leaves)
@@ -290,7 +287,7 @@
         assert len(ours.children) == len(theirs.children) == 16 and not ours.leaves and not theirs.leaves
         path += f"{next(n for n in range(16) if ours.children[n] != theirs.children[n]):x}"
         ours, theirs = here.subtree(path), there.subtree(path)
-        if not ours.children and not theirs.children:  # sixteen beside seventeen leaves: once more by digests
+        if not ours.children and not theirs.children:  # else only one lists its leaves, so descend by digests
             ours_by_label = {leaf.label: leaf.digest for leaf in ours.leaves}
             theirs_by_label = {leaf.label: leaf.digest for leaf in theirs.leaves}
             differing = ours_by_label.items() ^ theirs_by_label.items()
@@ -312,15 +309,17 @@
     assert checker.on_message(0, "stranger", raw) == [] and checker.dropped_messages >= 1
 
 
-# Each rule of the comparison has a mutant that some test above would notice
+# Mutants of the comparison; each must fail one of the tests above.
 
 
 def plant_comparison_mutant(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if name == "no majority asked":
         monkeypatch.setattr(majority, "find_minority", lambda values, front_count: majority.Minority())
     elif name == "small groups judged":
-        plain = majority.find_minority
-        monkeypatch.setattr(majority, "find_minority", lambda values, front_count: plain(values, len(values)))
+        original = majority.find_minority
+        monkeypatch.setattr(
+            majority, "find_minority", lambda values, front_count: original(values, len(values))
+        )
     elif name == "lists of any revision compared":
         monkeypatch.setattr(majority, "reference_list_revision", lambda responses: 0)
     elif name == "cordoned endpoints decided for":
@@ -328,7 +327,7 @@
 
 
 def test_late_fronts_that_differ_are_not_blamed_by_so_few() -> None:
-    """Two of nine are one list behind, and one of them decides otherwise: nothing says which."""
+    """Two of nine fronts lag by one list, and one of them decides differently: the two have no majority."""
     fleet = make_fleet(9)
     for name in ("f4", "f5"):
         fleet.front_by_name[name].list_delay_ns = 60 * SECOND
--- a/tests/test_decision_recorder.py
+++ b/tests/test_decision_recorder.py
@@ -1,4 +1,4 @@
-"""Real decisions are either the rules' or have a reason, and the router's rankings are the rules'."""
+"""Real decisions follow the rules or have another reason, and the router's rankings equal the rules'."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def test_the_rule_is_where_the_router_itself_sends() -> None:
-    """All warm and idle: the router's own order is the rule's, and its ranking cache serves the digests."""
+    """While all endpoints are warm and idle, rankings and ranking cache of the router equal the rules'."""
     bench = Bench()
     machines = [node.endpoint for node in bench.router.placement.table.by_id.values()]
     endpoints = tuple(
@@ -56,7 +56,7 @@
 
 
 def play(world: World, recorder: DecisionRecorder, seed: int, steps: int) -> None:
-    """A random run in which each attempt is held against the rule."""
+    """Run random steps of the world; the recorder explains each attempt."""
     world.router.sender.observer = recorder
     draw = random.Random(seed)
     for _ in range(steps):
@@ -82,7 +82,7 @@
 
 
 def test_a_bad_day_in_the_laboratory_is_explained(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Machines die and come back, fronts are killed: wherever requests then go has a reason."""
+    """Machines crash and restart and fronts are killed; the target of each attempt still has a reason."""
     day = load("experiments/bad-day.yaml")
     start, recorders = WorldFront.start, list[DecisionRecorder]()
 
@@ -121,7 +121,7 @@
 
 
 def first_ranking(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    """What was ranked first is used for ever, as far as it is still listed."""
+    """Use the first ranking of each key forever, without endpoints that are no longer listed."""
     ranked = [n.endpoint.cache for n in ORIGINAL_RANK(self, nodes, key)]
     first = FIRST_RANKINGS.setdefault((id(self), key), ranked)
     return [self.table.by_id[n] for n in first if n in self.table.by_id]
@@ -153,7 +153,7 @@
     for seed in range(8):
         try:
             found = record_random_run("mixed", seed).count_by_reason[Reason.UNEXPLAINED]
-        except AssertionError:  # it breaks another rule too, which the world itself notices
+        except AssertionError:  # the mutant also violates a rule that the world checks itself
             continue
         if found:
             break
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance: the steps of a task, what each waits for, which target is next, and exhaustive small cases."""
+"""Maintenance tasks: their steps, what each step waits for, and the order of targets."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class Fleet:
-    """Three fronts that adopt each version at once, unless a test says otherwise."""
+    """Three fronts and their machines; the fronts adopt each version at once unless a test changes that."""
 
     def __init__(
         self,
@@ -71,26 +71,28 @@
         return replace(observed, **self.changed_observations)  # type: ignore[arg-type]
 
     def plan_round(self) -> tuple[str, ...]:
-        """One planning round; returns its messages."""
+        """Run one planning round and return its messages."""
         found = plan(self.version, self.section, self.observations())
         if found.change is not None:
             self.version = apply_changes(self.version, 1, (found.change,))
         return found.messages
 
     def plan_until_stable(self, max_rounds: int = 50) -> None:
+        """Run planning rounds until one does not change the version."""
         for _ in range(max_rounds):
             number = self.version.number
             self.plan_round()
             if self.version.number == number:
                 return
-        raise AssertionError("the versions never settle")
+        raise AssertionError("the version still changes after the last round")
 
     def plan_until(self, target: str, step: MaintenanceStep) -> None:
+        """Run planning rounds until the target's task is at the step."""
         for _ in range(9):
             if self.is_at(target, step):
                 return
             self.plan_round()
-        raise AssertionError(f"{target} never came to {step}: {self.version.maintenance_tasks}")
+        raise AssertionError(f"{target} did not reach {step}: {self.version.maintenance_tasks}")
 
     def is_at(self, target: str, step: MaintenanceStep) -> bool:
         task = self.version.task_for(target)
@@ -148,8 +150,8 @@
     for obstacle in obstacles:
         fleet.changed_observations = obstacle
         assert fleet.plan_round() and fleet.is_at("c0", MaintenanceStep.DRAINING), obstacle
-    elsewhere = report("f1", number, open_attempts=(("c1", 1),))
-    fleet.changed_observations = {"report_by_front": {"f1": elsewhere}}
+    open_at_other_machine = report("f1", number, open_attempts=(("c1", 1),))
+    fleet.changed_observations = {"report_by_front": {"f1": open_at_other_machine}}
     fleet.plan_round()
     assert fleet.is_at("c0", MaintenanceStep.DRAINED)
 
@@ -236,12 +238,16 @@
     assert [candidate.target for candidate in found] == ["c0", "b0", "b1", "a1", "a0"]
     assert found[0].reason == "unavailable already" and "zone b of least load, 39.0/s," in found[1].reason
     budget.tasks.append(MaintenanceTask("w", "a0", "cache", "a", MaintenanceStep.COMPLETED, 1))
-    assert ranked_candidates(request, budget)[1].target == "a1", "the zone that was started comes first"
+    assert (
+        ranked_candidates(request, budget)[1].target == "a1"
+    ), "the zone in which maintenance has started comes first"
 
 
 def reports_with_on_time_ratio(number: int, ratio: float) -> dict[str, FrontReport]:
-    row = ServiceStatistics("", "", responses=500, requested_weight=500.0, on_time_weight=500.0 * ratio)
-    return {f"f{n}": report(f"f{n}", number, service_statistics=(row,)) for n in range(3)}
+    statistics = ServiceStatistics(
+        "", "", responses=500, requested_weight=500.0, on_time_weight=500.0 * ratio
+    )
+    return {f"f{n}": report(f"f{n}", number, service_statistics=(statistics,)) for n in range(3)}
 
 
 def test_service_below_the_floor_cancels_a_task_and_its_request_but_not_what_is_drained() -> None:
@@ -251,7 +257,7 @@
     )
     baseline: dict[str, object] = {"baseline_on_time_ratio_by_tenant": {"": 0.9}}
     fleet.changed_observations = baseline
-    fleet.reports = reports_with_on_time_ratio(1, 0.87)  # under 0.98 of 0.9
+    fleet.reports = reports_with_on_time_ratio(1, 0.87)  # below 0.98 of the baseline 0.9
     assert "0.870, baseline 0.900" in fleet.plan_round()[0] and not fleet.version.maintenance_tasks
     fleet.changed_observations = {}
     assert "not known" in fleet.plan_round()[0] and not fleet.version.maintenance_tasks
@@ -284,7 +290,7 @@
     fleet.plan_until("c0", MaintenanceStep.DRAINED)
     fleet.section = MaintenanceSection((MaintenanceRequest("w", ("c0",), stop=True),))
     fleet.plan_until_stable()
-    assert fleet.is_at("c0", MaintenanceStep.DRAINED), "somebody may be at work there"
+    assert fleet.is_at("c0", MaintenanceStep.DRAINED), "work on the target may be in progress"
     finished = MaintenanceRequest("w", ("c0",), stop=True, finished_targets=("c0",))
     fleet.section = MaintenanceSection((finished,))
     fleet.plan_until_stable()
@@ -360,8 +366,8 @@
 def test_a_step_that_may_not_follow_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     fleet = Fleet(MaintenanceRequest("w", ("c0",)))
     fleet.plan_until("c0", MaintenanceStep.PENDING)
-    skipped = task_progress.Enter(MaintenanceStep.DRAINED, "")
-    monkeypatch.setattr(task_progress, "_start_drain", lambda task, context: skipped)
+    invalid_step = task_progress.Enter(MaintenanceStep.DRAINED, "")
+    monkeypatch.setattr(task_progress, "_start_drain", lambda task, context: invalid_step)
     with pytest.raises(TransitionError, match="from PENDING to DRAINED"):
         fleet.plan_round()
 
--- a/tests/test_maintenance_model.py
+++ b/tests/test_maintenance_model.py
@@ -1,4 +1,4 @@
-"""Invariants of maintenance and leases: small cases explored completely, a mutant for each rule."""
+"""Invariants of maintenance and leases: complete exploration of small cases, with a mutant for each rule."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests import maintenancemodel as model
 
 
-# What is explored of the model: leases alone, two fronts of which one is partitioned, or a whole run.
+# Explorations of the model: leases only, two fronts one of which is partitioned, and a run of all steps.
 def explore_leases(components: model.Components) -> int:
     return kit.explore(components, 1, 9, faults=1, with_tasks=False)
 
@@ -29,7 +29,7 @@
     return kit.explore(components, 1, 4, faults=1)
 
 
-# How a component is made of the mutant's text.
+# Functions that build the model's components from a module with replaced source text.
 def mutate_lease_holder(replacements: dict[str, str]) -> model.Components:
     return model.Components(lease_holder=kit.load_mutant(lease_holder, replacements).LeaseHolder)
 
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """One rule taken out, and the exploration that has to find it."""
+    """A removed rule, and the exploration that must detect its removal."""
 
     mutate: Callable[[dict[str, str]], model.Components]
     replacements: dict[str, str]
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -1,4 +1,4 @@
-"""Tenants: their section of the operators' file, how requests are told apart, and which shard serves them."""
+"""Tenants: the section of the operators' file, the tenant of a request, and the shard that serves it."""
 
 from __future__ import annotations
 
@@ -113,8 +113,8 @@
 
 
 def test_a_ramp_up_only_adds_keys_and_none_goes_back() -> None:
-    chance = random.Random(1)
-    keys = [chance.getrandbits(64) for _ in range(2000)]
+    rng = random.Random(1)
+    keys = [rng.getrandbits(64) for _ in range(2000)]
     moved_before: set[int] = set()
     for moved_slots in (0, 4, 64, 128, 256):
         table = placement_table(version(MigrationStep.RAMPING_UP, moved_slots))
--- a/tests/test_tenancy_migration.py
+++ b/tests/test_tenancy_migration.py
@@ -51,7 +51,7 @@
 
 
 def test_a_shard_renamed_while_it_is_a_home_shard_puts_no_cache_into_two() -> None:
-    """The old one stays while it is a home shard, so the new one waits."""
+    """The old shard stays while it is a home shard, so the renamed one is not added yet."""
     placements = (TenantPlacement("acme", "north"),)
     before = RuleVersion(1, 1, shards=NORTH, placements=placements)
     text = "tenants: {shards: {polar: {caches: [s-2, s-3]}}, tenants: {acme: {items: ['00']}}}"
@@ -98,7 +98,7 @@
     for text in (FILE.replace("id: m", "id: other"), FILE.replace("to: north}", "to: common}")):
         policy = MigrationPolicy.from_section(read_section(text), (KEYED,))
         change = advance(version(MigrationStep.VERIFYING, BALANCED_SLOTS), policy, observe())
-        assert change is None, "it stays, and no second migration of the tenant starts"
+        assert change is None, "the migration stays at its step, and no second one of the tenant starts"
 
 
 def test_rollback_from_each_step_up_to_completion() -> None:
@@ -197,10 +197,10 @@
 
 
 def test_equal_shards_pass_and_do_not_fail_by_chance() -> None:
-    chance = random.Random(7)
+    rng = random.Random(7)
     count_by_verdict = dict.fromkeys(VerificationVerdict, 0)
     for _ in range(40):
-        late = [sum(chance.random() < 0.01 for _ in range(5000)) / 5000 for _ in range(2)]
+        late = [sum(rng.random() < 0.01 for _ in range(5000)) / 5000 for _ in range(2)]
         observations = observe(
             statistics("acme", DEFAULT_SHARD_NAME, 5000, late[0]), statistics("acme", "north", 5000, late[1])
         )
--- a/tests/test_tenancy_model.py
+++ b/tests/test_tenancy_model.py
@@ -1,4 +1,4 @@
-"""The rule of the write pause, explored completely at small size, with a mutant for each part of it."""
+"""The rules of the write pause: complete exploration of a small model, with a mutant for each rule."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """One rule taken out: by the settings of the exploration, or by functions put in place of others."""
+    """A removed rule: by the settings of the exploration, or by replaced functions."""
 
     settings: ExplorationSettings = field(default_factory=lambda: ExplorationSettings(faults=frozenset()))
     place_request: Callable[..., RequestPlacement] = place_request
@@ -78,7 +78,9 @@
 
 @pytest.fixture
 def single_ramp_up_step(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ramp_up, "STEP_SIZES", (128,) * 6)  # sizes do not matter here
+    monkeypatch.setattr(
+        ramp_up, "STEP_SIZES", (128,) * 6
+    )  # few large steps, since step sizes do not matter here
 
 
 def test_no_unsafe_request_runs_at_both_shards_in_any_order_of_events(single_ramp_up_step: None) -> None:
@@ -97,5 +99,5 @@
 
 
 def test_a_simulated_migration_starts_rejects_no_first_attempt_and_is_reproducible() -> None:
-    one, two = (Fleet(5, 3, "steps").run(rate=100, warm=90, lasts=40) for _ in range(2))
-    assert one == two and one.step in ("RAMPING_UP", "VERIFYING") and one.gaps == []
+    first, second = (Fleet(5, 3, "steps").run(rate=100, warm=90, lasts=40) for _ in range(2))
+    assert first == second and first.step in ("RAMPING_UP", "VERIFYING") and first.gaps == []
