--- a/quincepier/maintenance/planner.py
+++ b/quincepier/maintenance/planner.py
@@ -171,7 +171,7 @@
             return "stopped"
         if request.pause:
             return "paused"
-        return self._context(request).start_reason
+        return self._context(request).start_denial_reason
 
     def _candidate_obstacle(self, target: str, is_last: bool) -> str:
         """Return why this target gets no task yet, apart from the budget; empty if it may get one."""
--- a/quincepier/maintenance/task_progress.py
+++ b/quincepier/maintenance/task_progress.py
@@ -85,7 +85,7 @@
         return self.observations.active_number if acknowledged is None else acknowledged
 
     @property
-    def start_reason(self) -> str:
+    def start_denial_reason(self) -> str:
         """Why no task at all may start now; empty if tasks may start."""
         if not self.observations.unleased_fronts_idle:
             return "a front without a lease may have requests open"
@@ -147,7 +147,7 @@
         return Wait("a front that no longer reports has not acknowledged it")
     if task.kind != "front" and task.target not in context.observations.machine_by_host:
         return Wait("it is not listed")
-    if reason := context.start_reason:
+    if reason := context.start_denial_reason:
         return Wait(reason)
     if denial := context.budget.denial_reason(task.target, task.kind, task.zone, include_pending=False):
         return Wait(denial)
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -201,7 +201,7 @@
     def override_list(self, update: EndpointUpdate) -> EndpointUpdate:
         """Return an update of the endpoint list as the router is to hear it."""
         if self._placements is not None:
-            self._placements.renew()
+            self._placements.update_endpoints()
         return self._overlay.overlay(update)
 
     def on_change_log_read(self, sequence: int, is_list_change: bool) -> None:
--- a/quincepier/tenancy/placement.py
+++ b/quincepier/tenancy/placement.py
@@ -109,9 +109,9 @@
             for number, name in enumerate(tenants.names)
         ]
         self._home_by_placement = dict[RequestPlacement, io.HomeShard]()
-        self.renew()
+        self.update_endpoints()
 
-    def renew(self) -> None:
+    def update_endpoints(self) -> None:
         """Apply an endpoint update; must be called before the next request is placed."""
         caches, parents = self._listed()
         listed_caches = frozenset(caches)
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -163,7 +163,7 @@
     assert not front.checker.is_cautious and fleet.fronts[0].checker.is_consistent(1) is True
 
 
-def test_of_two_that_differ_both_are_reported_and_of_many_only_the_few() -> None:
+def test_both_of_two_differing_fronts_are_reported_and_of_many_the_minority() -> None:
     """Two fronts alone have no majority; of eight fronts, two are the minority."""
     for count, faulty_count, reported_count in ((2, 1, 2), (8, 2, 2)):
         fleet = make_fleet(count)
@@ -174,7 +174,7 @@
         assert len({finding.front for finding in fleet.divergence_findings()}) == reported_count
 
 
-def test_a_list_that_lags_is_late_for_so_long_and_then_reported_by_name() -> None:
+def test_a_lagging_list_is_reported_only_after_the_allowed_lag() -> None:
     fleet = make_fleet()
     late, collector = fleet.front_by_name["f4"], fleet.fronts[0]
     late.list_delay_ns = 60 * SECOND
@@ -259,7 +259,7 @@
         assert set(decision.caches) == usable and decision.sources[-1] == 999
 
 
-def test_work_comes_in_slices_and_a_round_is_the_same_however_it_is_cut() -> None:
+def test_work_is_done_in_slices_and_digests_do_not_depend_on_them() -> None:
     request = DigestRequest(3, 7, 24)
     whole = Snapshot(request, make_inputs(), STANDARD_ARITHMETIC, None)
     assert whole.advance(10**9)
@@ -326,7 +326,7 @@
         monkeypatch.setattr(MaintenanceTask, "is_cordoned", False)
 
 
-def test_late_fronts_that_differ_are_not_blamed_by_so_few() -> None:
+def test_two_lagging_fronts_that_differ_are_not_reported() -> None:
     """Two of nine fronts lag by one list, and one of them decides differently: the two have no majority."""
     fleet = make_fleet(9)
     for name in ("f4", "f5"):
@@ -340,15 +340,13 @@
     assert not fleet.front_by_name["f4"].checker.is_cautious
 
 
-def test_the_comparison_without_one_of_its_rules_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_mutant_of_the_comparison_fails_a_test(monkeypatch: pytest.MonkeyPatch) -> None:
     test_by_mutant: dict[str, Callable[[], None]] = {
         "no majority asked": lambda: test_a_planted_fault_is_found_within_two_rounds_and_named(
             "one endpoint missing", "f5"
         ),
-        "small groups judged": test_late_fronts_that_differ_are_not_blamed_by_so_few,
-        "lists of any revision compared": (
-            test_a_list_that_lags_is_late_for_so_long_and_then_reported_by_name
-        ),
+        "small groups judged": test_two_lagging_fronts_that_differ_are_not_reported,
+        "lists of any revision compared": (test_a_lagging_list_is_reported_only_after_the_allowed_lag),
         "cordoned endpoints decided for": test_a_decision_follows_from_the_inputs_alone,
     }
     for name, test in test_by_mutant.items():
--- a/tests/test_decision_recorder.py
+++ b/tests/test_decision_recorder.py
@@ -35,7 +35,7 @@
 from tests.test_policy_properties import SITES, World
 
 
-def test_the_rule_is_where_the_router_itself_sends() -> None:
+def test_rule_decisions_equal_the_rankings_of_the_router() -> None:
     """While all endpoints are warm and idle, rankings and ranking cache of the router equal the rules'."""
     bench = Bench()
     machines = [node.endpoint for node in bench.router.placement.table.by_id.values()]
@@ -97,7 +97,7 @@
     assert counts.total() > 500 and Reason.EJECTED in counts and Reason.UNEXPLAINED not in counts
 
 
-def test_within_home_shards_the_rule_is_the_shards_own() -> None:
+def test_rule_decisions_are_restricted_to_the_home_shard() -> None:
     """Objects of two tenants, each with a home shard of some of the caches."""
     world = World(SITES["mixed"])
     shards = [HomeShard(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
@@ -160,7 +160,7 @@
     assert found > 0
 
 
-def test_a_drained_endpoint_is_explained_and_a_request_nobody_made_is_not() -> None:
+def test_a_drained_endpoint_is_explained_and_an_unknown_request_is_not() -> None:
     bench = Bench()
     recorder = DecisionRecorder(RouterView(bench.router), 1.0, 1)
     [first] = attempts(bench.ask(1))
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -390,11 +390,11 @@
         ("allowed: {cache: {zone: -1}}", "allowed.cache.zone"),
     ],
 )
-def test_requests_without_a_meaning_are_refused_with_line_and_key(text: str, reason: str) -> None:
+def test_invalid_requests_are_refused_with_line_and_key(text: str, reason: str) -> None:
     with pytest.raises(OperatorError, match=reason):
         read(f"maintenance: {text if text[0] == '{' else '{' + text + '}'}", "f")
 
 
-def test_the_example_is_a_section() -> None:
+def test_the_example_file_has_a_valid_maintenance_section() -> None:
     found = load(str(Path(__file__).parent.parent / "deploy" / "operator.yaml")).get(MaintenanceSection)
     assert found is not None and found.requests[0].pause
--- a/tests/test_maintenance_model.py
+++ b/tests/test_maintenance_model.py
@@ -169,6 +169,6 @@
     assert found.done_s > 0 and found.between == 0 and found.out_most == 1 and found.sent > 500
 
 
-def test_a_tenth_at_once_sends_to_machines_under_work_where_some_fronts_are_partitioned() -> None:
+def test_without_agreement_partitioned_fronts_send_to_machines_under_work() -> None:
     fleet = SimulatedFleet(8, 3, Faults(cut=0.5), machines=4, zones=2, agreed=False)
     assert fleet.run(200 * SECOND).between > 0
--- a/tests/test_tenancy_migration.py
+++ b/tests/test_tenancy_migration.py
@@ -246,7 +246,7 @@
     assert hosts_under_migration(version(MigrationStep.RAMPING_UP)) == {"s-1", "s-2"}
 
 
-def test_a_target_that_loses_its_last_machine_is_left() -> None:
+def test_a_target_shard_that_loses_its_last_machine_causes_a_rollback() -> None:
     observations = observe(*BALANCED)
     for host in ("s-1", "s-2"):
         observations.machine_by_host[host] = cache(host, is_ready=False, uptime_ms=10)
--- a/tests/test_tenancy_model.py
+++ b/tests/test_tenancy_model.py
@@ -78,9 +78,8 @@
 
 @pytest.fixture
 def single_ramp_up_step(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        ramp_up, "STEP_SIZES", (128,) * 6
-    )  # few large steps, since step sizes do not matter here
+    # Few large steps: the rules do not depend on step sizes.
+    monkeypatch.setattr(ramp_up, "STEP_SIZES", (128,) * 6)
 
 
 def test_no_unsafe_request_runs_at_both_shards_in_any_order_of_events(single_ramp_up_step: None) -> None:
