--- a/quincepier/consistency/findings.py
+++ b/quincepier/consistency/findings.py
@@ -80,10 +80,10 @@
     reference: str = ""  # value at the majority
 
     def __str__(self) -> str:
-        where = " ".join(filter(None, (self.item, self.field)))
-        if not where:
+        location = " ".join(filter(None, (self.item, self.field)))
+        if not location:
             return ""
-        return f"{where}: {self.diverging or 'missing'} there, {self.reference or 'missing'} at the others"
+        return f"{location}: {self.diverging or 'missing'} there, {self.reference or 'missing'} at the others"
 
 
 @dataclass(slots=True, frozen=True)
--- a/quincepier/tenancy/placement.py
+++ b/quincepier/tenancy/placement.py
@@ -35,9 +35,10 @@
 ) -> RequestPlacement:
     """Place a request of a tenant under an active migration.
 
-    The first attempt of an unsafe request is not rejected: it runs at one shard only, and both the version
-    before a change of shard and the version after it reject its retries. A retry is rejected because the
-    request may have run at the other shard; it is accepted again when no cache could recognize it any more.
+    The first attempt of an unsafe request needs no write pause: it runs at one shard only, and both the
+    version before a change of shard and the version after it reject its retries. A retry is rejected because
+    the request may have run at the other shard; it is accepted again when no cache could recognize it any
+    more.
 
     Args:
         migration: The tenant's migration in the front's version.
@@ -69,8 +70,8 @@
 class PlacementTable:
     """Places requests by one rule version.
 
-    A new table is built for each version and each change of `is_cautious` or `may_lack_migrations`; `renew`
-    must be called after each endpoint update.
+    A new table is built for each version and each change of `is_cautious` or `may_lack_migrations`;
+    `update_endpoints` must be called after each endpoint update.
 
     Args:
         version: The rule version.
@@ -175,7 +176,7 @@
 
 
 def _check_caches_are_disjoint(version: RuleVersion) -> None:
-    # If two shards shared a cache, their service statistics could not be compared.
+    # In a shared cache, keys of both shards would mix, and the shards' statistics could not be compared.
     caches = [host for shard in version.shards for host in shard.caches]
     if len(caches) > len(set(caches)):
         raise TenancyError("a cache is in two shards", f"rule version {version.number}")
--- a/quincepier/tenancy/ramp_up.py
+++ b/quincepier/tenancy/ramp_up.py
@@ -15,7 +15,8 @@
 # Additional origin fetches of the first step, as a share of all baseline fetches. All fetches must stay below
 # 1.3 times the baseline.
 MAX_ADDED_FETCH_RATIO = 0.2
-MAX_REMAINING_FETCH_RATIO = 0.1  # additional fetches of the last step, above which the next step waits
+# The next step waits while the last one adds more than this share of all baseline fetches.
+MAX_REMAINING_FETCH_RATIO = 0.1
 MIN_SOURCE_RESPONSES = 50  # needed to estimate the source's origin fetches per response
 MIN_MISS_RATIO = 0.01
 STEP_DIVISOR = 8  # a later step may always add an eighth of the slots that have moved
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -247,13 +247,13 @@
     """Neither the order of endpoints nor the front's zone matters, and cordoned endpoints are left out."""
     shuffled = list(ENDPOINTS)
     draw.shuffle(shuffled)
-    here = make_inputs()
-    there = make_inputs(endpoints=tuple(shuffled), settings=make_settings(zone=2))
-    keys = sample_keys(7, round_id, 8, here)
-    assert keys == sample_keys(7, round_id, 8, there) and keys != sample_keys(8, round_id, 8, here)
+    inputs = make_inputs()
+    other_inputs = make_inputs(endpoints=tuple(shuffled), settings=make_settings(zone=2))
+    keys = sample_keys(7, round_id, 8, inputs)
+    assert keys == sample_keys(7, round_id, 8, other_inputs) and keys != sample_keys(8, round_id, 8, inputs)
     for key in keys:
-        decision = decide(here, key)
-        assert decision == decide(there, key)
+        decision = decide(inputs, key)
+        assert decision == decide(other_inputs, key)
         cordoned = next(endpoint.number for endpoint in ENDPOINTS if endpoint.host == DRAINED_HOST)
         usable = {e.number for e in ENDPOINTS if e.kind == 0 and e.zone == key.zone} - {cordoned}
         assert set(decision.caches) == usable and decision.sources[-1] == 999
@@ -275,22 +275,27 @@
 @example(count=338, place=25, is_missing=True)  # sixteen leaves in one tree, seventeen in the other
 def test_the_tree_leads_to_the_leaf_that_differs(count: int, place: int, is_missing: bool) -> None:
     leaves = {f"l{n}": n.to_bytes(16, "big") for n in range(count)}
-    others = dict(leaves)
-    if f"l{place}" in others:
-        others[f"l{place}"] = bytes(16) if place else b"x" * 16
+    other_leaves = dict(leaves)
+    if f"l{place}" in other_leaves:
+        other_leaves[f"l{place}"] = bytes(16) if place else b"x" * 16
         if is_missing:
-            del others[f"l{place}"]
-    here, there, path = MerkleTree(leaves), MerkleTree(others), ""
-    assert (here.root == there.root) == (leaves == others)
-    while here.root != there.root:
-        ours, theirs = here.subtree(path, expand=True), there.subtree(path, expand=True)
-        assert len(ours.children) == len(theirs.children) == 16 and not ours.leaves and not theirs.leaves
-        path += f"{next(n for n in range(16) if ours.children[n] != theirs.children[n]):x}"
-        ours, theirs = here.subtree(path), there.subtree(path)
-        if not ours.children and not theirs.children:  # else only one lists its leaves, so descend by digests
-            ours_by_label = {leaf.label: leaf.digest for leaf in ours.leaves}
-            theirs_by_label = {leaf.label: leaf.digest for leaf in theirs.leaves}
-            differing = ours_by_label.items() ^ theirs_by_label.items()
+            del other_leaves[f"l{place}"]
+    tree, other_tree, path = MerkleTree(leaves), MerkleTree(other_leaves), ""
+    assert (tree.root == other_tree.root) == (leaves == other_leaves)
+    while tree.root != other_tree.root:
+        level, other_level = tree.subtree(path, expand=True), other_tree.subtree(path, expand=True)
+        assert (
+            len(level.children) == len(other_level.children) == 16
+            and not level.leaves
+            and not other_level.leaves
+        )
+        path += f"{next(n for n in range(16) if level.children[n] != other_level.children[n]):x}"
+        level, other_level = tree.subtree(path), other_tree.subtree(path)
+        # If only one tree lists its leaves here, the descent continues by digests.
+        if not level.children and not other_level.children:
+            digest_by_label = {leaf.label: leaf.digest for leaf in level.leaves}
+            other_digest_by_label = {leaf.label: leaf.digest for leaf in other_level.leaves}
+            differing = digest_by_label.items() ^ other_digest_by_label.items()
             assert {label for label, _ in differing} == {f"l{place}"}
             break
 
