--- a/tests/test_decision_recorder.py
+++ b/tests/test_decision_recorder.py
@@ -1,4 +1,4 @@
-"""Real decisions are either the rules' or have a reason, and the router's rankings are the rules'."""
+"""Real decisions follow the rules or have another reason, and the router's rankings equal the rules'."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 from tests.test_policy_properties import SITES, RuleChecker
 
 
-def test_the_rule_is_where_the_router_itself_sends() -> None:
-    """All warm and idle: the router's own order is the rule's, and its ranking cache serves the digests."""
+def test_rule_decisions_equal_the_rankings_of_the_router() -> None:
+    """While all endpoints are warm and idle, rankings and ranking cache of the router equal the rules'."""
     bench = RouterBench()
     machines = [node.endpoint for node in bench.router.placement.table.by_id.values()]
     endpoints = tuple(
@@ -56,7 +56,7 @@
 
 
 def play(world: RuleChecker, recorder: DecisionRecorder, seed: int, steps: int) -> None:
-    """A random run in which each attempt is held against the rule."""
+    """Run random steps of the world; the recorder explains each attempt."""
     world.router.sender.observer = recorder
     draw = random.Random(seed)
     for _ in range(steps):
@@ -82,7 +82,7 @@
 
 
 def test_a_bad_day_in_the_laboratory_is_explained(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Machines die and come back, fronts are killed: wherever requests then go has a reason."""
+    """Machines crash and restart and fronts are killed; the target of each attempt still has a reason."""
     day = load("experiments/bad-day.yaml")
     start, recorders = WorldFront.start, list[DecisionRecorder]()
 
@@ -97,7 +97,7 @@
     assert counts.total() > 500 and Reason.EJECTED in counts and Reason.UNEXPLAINED not in counts
 
 
-def test_within_home_shards_the_rule_is_the_shards_own() -> None:
+def test_rule_decisions_are_restricted_to_the_home_shard() -> None:
     """Objects of two tenants, each with a home shard of some of the caches."""
     world = RuleChecker(SITES["mixed"])
     shards = [HomeShard(n + 1, frozenset(CACHES[n : n + 2]), frozenset(PARENTS)) for n in range(2)]
@@ -121,7 +121,7 @@
 
 
 def first_ranking(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    """What was ranked first is used for ever, as far as it is still listed."""
+    """Use the first ranking of each key forever, without endpoints that are no longer listed."""
     ranked = [n.endpoint.number for n in ORIGINAL_RANK(self, nodes, key)]
     first = FIRST_RANKINGS.setdefault((id(self), key), ranked)
     return [self.table.by_id[n] for n in first if n in self.table.by_id]
@@ -153,14 +153,14 @@
     for seed in range(8):
         try:
             found = record_random_run("mixed", seed).count_by_reason[Reason.UNEXPLAINED]
-        except AssertionError:  # it breaks another rule too, which the world itself notices
+        except AssertionError:  # the mutant also violates a rule that the world checks itself
             continue
         if found:
             break
     assert found > 0
 
 
-def test_a_drained_endpoint_is_explained_and_a_request_nobody_made_is_not() -> None:
+def test_a_drained_endpoint_is_explained_and_an_unknown_request_is_not() -> None:
     bench = RouterBench()
     recorder = DecisionRecorder(RouterView(bench.router), 1.0, 1)
     [first] = attempts(bench.send_request(1))
--- a/tests/test_version_effects.py
+++ b/tests/test_version_effects.py
@@ -89,7 +89,7 @@
     grant_lease(follower, 2)
     effects.apply()
     update = effects.override_list(EndpointUpdate(UpdateScope.CHANGES, (READY,)))
-    assert update.machines[0].state is EndpointState.DRAINING
+    assert update.endpoints[0].state is EndpointState.DRAINING
 
 
 def test_a_version_whose_placements_are_unusable_gives_no_lease_and_its_tasks_are_in_force() -> None:
