--- a/quincepier/__main__.py
+++ b/quincepier/__main__.py
@@ -16,7 +16,7 @@
 Commands:
   serve         Run one front in the foreground until SIGTERM or SIGINT.
   check-config  Read and check the configuration, print a summary, and exit.
-  lab run       Run an experiment in virtual time, check the rules, and compare its variants (docs/lab.md).
+  lab run       Run an experiment in virtual time, check its invariants, compare its variants (docs/lab.md).
   lab compare   Compare two files of runs, or two variants in the file named by --runs, paired by seed.
   lab list      List the experiments in a folder.
   lab fleet     Run an experiment with real processes on loopback and faults between them (docs/lab.md).
@@ -47,9 +47,10 @@
   ROUTER_NAME      The front's name; takes precedence over the file's.
   ROUTER_LISTEN    Where clients connect, such as 127.0.0.1:5050; takes precedence over the file's.
 
-Exit codes: 0 success; 1 the address is not available, or a rule was broken in the laboratory; 2 a file or the
-command line is invalid, or the rig can't be set up on this machine; 3 a run of the rig is void. `state`: 1 a
-record can't be read, 2 the folder can't be used, 3 a record is of a newer version, 4 a front uses the folder.
+Exit codes: 0 success; 1 the address is not available, or an experiment violated an invariant; 2 a file or the
+command line is invalid, or the processes of a fleet run can't be set up on this machine; 3 a fleet run is
+invalid and must be repeated. `state`: 1 a record can't be read, 2 the folder can't be used, 3 a record is of
+a newer version, 4 a front uses the folder.
 """
 
 from __future__ import annotations
--- a/quincepier/config.py
+++ b/quincepier/config.py
@@ -328,9 +328,9 @@
             root.get("known", "the change-log events so far", dict), parse_address
         )
     except ProtocolError as error:
-        raise SettingsError(f"configuration holds known: {error}") from None
+        raise SettingsError(f"configuration key known is invalid: {error}") from None
     if not any(isinstance(event, FleetChange) and event.is_full_list for event in events):
-        raise SettingsError("configuration holds known without a full endpoint list that can be read")
+        raise SettingsError("configuration key known has no readable full endpoint list")
     return last_seq, events
 
 
@@ -401,13 +401,13 @@
         with Path(config_path).open("rb") as file:
             raw = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise SettingsError(f"ROUTER_CONFIG={config_path} can't be read: {error.strerror}") from None
+        raise SettingsError(f"configuration file {config_path} can't be read: {error.strerror}") from None
     if len(raw) > MAX_FILE_BYTES:
-        raise SettingsError(f"ROUTER_CONFIG={config_path} is over {MAX_FILE_BYTES} bytes")
+        raise SettingsError(f"configuration file {config_path} is over {MAX_FILE_BYTES} bytes")
     try:
         value = json.loads(raw)
     except (ValueError, RecursionError) as error:
-        raise SettingsError(f"ROUTER_CONFIG={config_path} is not JSON: {error}") from None
+        raise SettingsError(f"configuration file {config_path} is not JSON: {error}") from None
     try:
         return read_front(value, environment, parse_address)
     except SettingsError as error:
--- a/quincepier/context.py
+++ b/quincepier/context.py
@@ -81,39 +81,41 @@
         """Cancel an attempt whose response is no longer needed."""
         self.actions.append(CancelAttempt(attempt.request.id, attempt.number))
 
-    def forward(self, attempt: Attempt, timeout: int, within: int) -> None:
-        """Send an attempt to an upstream that answers without fetching from a source.
+    def forward(self, attempt: Attempt, timeout: int, first_byte_within: int) -> None:
+        """Send an attempt directly to an origin.
 
         Args:
             attempt: The attempt.
             timeout: Time until the attempt times out, ns.
-            within: Time within which its first byte may be sent, ns; 0: no limit.
+            first_byte_within: Time within which its first byte may be sent, ns; 0: no limit.
         """
         target = attempt.upstream.endpoint.number
-        self.actions.append(ForwardRequest(attempt.request.id, target, timeout, within))
+        self.actions.append(ForwardRequest(attempt.request.id, target, timeout, first_byte_within))
 
     def fetch(
         self,
         attempt: Attempt,
         source: Upstream,
-        rank: int,
+        source_level: int,
         timeout: int,
         max_age: int,
         join: bool,
         renew: bool,
-        within: int,
+        first_byte_within: int,
     ) -> None:
-        """Send an attempt to a cache, which fetches the object from a source if it has no usable copy.
+        """Send an attempt to a cache, or directly to its source if no cache is usable.
+
+        The target fetches the object from `source` if it has no usable copy.
 
         Args:
             attempt: The attempt.
-            source: The source of the fetch; the cache itself: it must not fetch.
-            rank: Tier of the source in the cache hierarchy, from 1.
+            source: The source of the fetch; the target itself: it uses no source.
+            source_level: Level of the source in the cache hierarchy, from 1; sent in the `tier` field.
             timeout: Time until the attempt times out, ns.
             max_age: Maximum age of the copy that is served, ns; 0: that of the request class.
             join: Whether the attempt may share a fetch of the same object that is already in flight.
             renew: Whether the cache shall renew a copy that has expired.
-            within: Time within which the first byte of the attempt may be sent, ns; 0: no limit.
+            first_byte_within: Time within which the first byte of the attempt may be sent, ns; 0: no limit.
         """
         target, source_id = attempt.upstream.endpoint.number, source.endpoint.number
         action = FetchThrough(
@@ -121,13 +123,13 @@
             target,
             timeout,
             source_id,
-            rank,
+            source_level,
             max_age,
             join,
             renew,
             attempt.is_source_cache_only,
         )
-        action.first_byte_within = within
+        action.first_byte_within = first_byte_within
         self.actions.append(action)
 
     def watch_endpoints(self) -> None:
--- a/quincepier/interface.py
+++ b/quincepier/interface.py
@@ -293,8 +293,8 @@
         number: Distinguishes home shards from each other.
         caches: Numbers of its caches.
         parents: Numbers of its parents.
-        is_write_paused: Whether requests that are not safe to repeat are rejected, with a retry delay, while
-            the tenant is being migrated.
+        is_write_paused: Whether new requests of all classes whose effect is not `Idempotency.SAFE` are
+            rejected, with a retry delay, while the tenant is being migrated.
     """
 
     number: int
@@ -335,7 +335,7 @@
         cache: Number of the machine that it was sent to.
         outcome: How it ended.
         elapsed: Time since it was sent, ns.
-        last: Whether the request is finished, by this outcome or earlier.
+        last: Whether the request has its final response, from this attempt or an earlier one.
         cache_status: What the cache reported about its copy or its fetch.
         waited: How long the request waited at the cache for a fetch, ns.
         report: The machine's load report, values in the order of `Settings.reports`; empty: none.
@@ -363,7 +363,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckCompleted:
-    """A health check has completed.
+    """A health check has completed; the present router ignores this event.
 
     Attributes:
         cache: Number of the machine.
@@ -380,7 +380,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message from another front; only the simulator sends it."""
+    """A message from another front; only the simulator sends it, and the present router ignores it."""
 
     peer: int
     text: bytes
@@ -429,9 +429,10 @@
         class_index: Index of the class.
         is_hit: Whether it is of responses from a cache's own copies, not of fetches.
         is_relative: Whether latencies are relative to the transfer time given by the size, not in ms.
-        mean_log: Mean of the logarithms.
+        mean_log: Running mean of the logarithms.
         sample_count: Number of responses.
-        min_log: Least of the logarithms.
+        min_log: Minimum that the running mean of the logarithms has had; it rises slowly over time
+            (`Baseline.minimum`).
         age: Time since the last response, ns, at the time of export.
     """
 
@@ -446,7 +447,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedFetchLimit:
-    """The limit on fetches in flight."""
+    """The limit on fetches in flight; `age` is the time since it was learned, ns.
+
+    It is exported but not restored.
+    """
 
     limit: int
     age: int
@@ -525,7 +529,7 @@
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """Send an attempt to a machine that needs no fetch for it: the origin, or a cache with a fresh copy.
+    """Send an attempt directly to an origin, for a request class that caches never keep.
 
     Attributes:
         request: The request's number.
@@ -543,13 +547,15 @@
 
 @dataclass(slots=True)
 class FetchThrough:
-    """Send an attempt to a cache, which fetches the object from a source if it has no usable copy.
+    """Send an attempt to a cache, or directly to its source if no cache is usable.
+
+    The target fetches the object from `source` if it has no usable copy.
 
     Attributes:
         request: The request's number.
-        cache: Number of the cache.
+        cache: Number of the target: a cache, a parent or an origin.
         timeout: Time after which no response is waited for, ns; 0: the request's deadline.
-        source: Number of the machine that the cache fetches from; the cache itself: it must not fetch.
+        source: Number of the machine that the target fetches from; the target itself: it uses no source.
         tier: Value of the command's `tier` field; 0: without the field.
         max_copy_age: The greatest age of a copy that may be served, ns; 0: that of the class.
         join: Whether the request may join a fetch of the same object that is under way (single-flight).
@@ -618,7 +624,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Request the endpoint list's changes from now on."""
+    """Request the endpoint list and all later changes to it."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/quincepier/keys.py
+++ b/quincepier/keys.py
@@ -27,13 +27,13 @@
         self._ones = int.from_bytes((1).to_bytes(LANE_BYTES, "little") * len(numbers), "little")
         self._mask = self._ones * MASK
 
-    def mix_each(self, first: int) -> list[int]:
+    def hash_each(self, first: int) -> list[int]:
         """Return `mix(first, number)` for each number, in their order."""
         lanes = self._multiply(first) & self._mask
         lanes ^= lanes >> 32 & self._mask
         return memoryview(lanes.to_bytes(self._size, "little")).cast("Q")[::2].tolist()
 
-    def mix_above(self, first: int, bounds: Sequence[int], least: int) -> dict[int, int]:
+    def hashes_at_least(self, first: int, bounds: Sequence[int], least: int) -> dict[int, int]:
         """Return `mix(first, number)` by index, for the numbers whose hash is not below their bound.
 
         The last step of a hash does not change its highest byte, so most numbers are skipped by that byte.
--- a/quincepier/operator/reading.py
+++ b/quincepier/operator/reading.py
@@ -98,7 +98,9 @@
                 elif isinstance(event, yaml.CollectionEndEvent):
                     depth -= 1
                 if depth > MAX_DEPTH or count > MAX_EVENTS:
-                    self.add_fault(line, "", f"nested over {MAX_DEPTH} deep, or over {MAX_EVENTS} nodes")
+                    self.add_fault(
+                        line, "", f"more than {MAX_DEPTH} levels of nesting or {MAX_EVENTS} YAML events"
+                    )
                     raise _UnusableValueError
             self.loader = yaml.CSafeLoader(text)
             return self.loader.get_single_node()
--- a/quincepier/operator/schema.py
+++ b/quincepier/operator/schema.py
@@ -1,7 +1,7 @@
 """The sections that an operators' file may have, by name, and the struct of each.
 
 A section is a frozen msgspec struct. If its fields have types that msgspec can't convert, its attribute
-`MADE` maps each type to a function that makes it from a plain value and raises ValueError for an invalid one.
+`MADE` maps each such type to a function that converts a plain value to it, or raises ValueError.
 A new subsystem adds its section here.
 """
 
--- a/quincepier/policy/admission.py
+++ b/quincepier/policy/admission.py
@@ -19,7 +19,9 @@
 from quincepier.structures import FairQueue
 
 LOWEST_TIER = 2
-MAX_HELD_LOWEST_TIER = 2  # held while it is shed; an object that is never fetched would never be cached
+# Requests of the lowest tier that may be held while the tier is shed; without any, their objects would never
+# be fetched and so never cached.
+MAX_HELD_LOWEST_TIER = 2
 HOLD_SHARE = 0.15  # longest hold, as a share of the request's objective
 MAX_COPY_CACHES = 2  # first caches in the hash order of a key at which a copy may be made
 
@@ -40,8 +42,9 @@
     Attributes:
         disposition: What happens to the request.
         upstream: The upstream it is forwarded to; None if it is not forwarded.
-        source: Where that upstream fetches an object that it does not hold; the upstream itself: it must not
-            fetch. None: the upstream answers by itself.
+        source: Machine from which the upstream fetches an object that it does not hold. The upstream itself:
+            a cache must answer from its own copies; a parent or origin is used directly, without a source.
+            None: plain forward to an origin.
     """
 
     disposition: Disposition
@@ -154,7 +157,8 @@
     def shed(self, request: Request, was_held: bool = False) -> None:
         """Serve a request from a cached copy, or give it up.
 
-        A request that was held may also make a copy at a further cache, if capacity is to spare.
+        A request that was held may instead be sent, with a fetch allowed, to one of the first
+        `MAX_COPY_CACHES` caches of its key if the fetch limit has spare capacity.
         """
         placement = self.placement
         cache = placement.find_cache(request)
@@ -171,7 +175,10 @@
             self._forward(request, cache, cache)
 
     def _find_unsaturated_cache(self, request: Request) -> Upstream | None:
-        """Return the first usable cache in the hash order of the request's key that is not saturated."""
+        """Return the first usable, unsaturated cache in the hash order of the request's key; None: none.
+
+        Only the first `MAX_COPY_CACHES` caches are considered.
+        """
         placement = self.placement
         ranked = placement.rank(placement.table.caches, request.key, request.home)
         for cache in ranked[:MAX_COPY_CACHES]:
--- a/quincepier/policy/early_rejection.py
+++ b/quincepier/policy/early_rejection.py
@@ -25,8 +25,9 @@
         tiers: The tier of each request class, 0 the highest.
 
     Attributes:
-        overloaded_since: Time since which every request has waited too long, ns; -1: the last one has not.
-        last_wait_at: Time at which a request last had waited too long, ns.
+        overloaded_since: Time since which every request has waited longer than the smallest maximum wait of
+            any class, ns; -1: the last request has not.
+        last_wait_at: Time at which a request last had waited longer than that, ns.
     """
 
     def __init__(self, context: Context, tiers: list[int]) -> None:
@@ -40,14 +41,21 @@
         self.overloaded_since = -1
         self.last_wait_at = -1
 
-    def is_due(self, event: RequestReceived) -> bool:
-        """Return whether to reject a request; classes that are never cached are exempt."""
+    def should_reject(self, event: RequestReceived) -> bool:
+        """Record how long a request waited, and return whether to reject it.
+
+        Classes that are never cached are exempt.
+        """
         is_overloaded = self._note_wait(event.waited)
         max_wait = self._max_waits.get(event.class_index)
         return is_overloaded and max_wait is not None and event.waited > max_wait
 
     def _note_wait(self, waited: int) -> bool:
-        """Note the time that a request waited, ns; return whether waits were too long for an interval."""
+        """Record how long a request waited, ns.
+
+        Returns:
+            Whether every wait has been too long for at least `OVERLOAD_INTERVAL`.
+        """
         now = self.context.now
         if waited <= self._min_max_wait:
             self.overloaded_since = -1
--- a/quincepier/policy/event_age.py
+++ b/quincepier/policy/event_age.py
@@ -74,7 +74,11 @@
         return max(now_ns - age, 1)
 
     def latest_start_of(self, unix_ms: int, now_ns: int) -> int:
-        """Convert a server's start time like `start_of`, but no earlier than the dates in the log prove."""
+        """Convert a server's start time to a time of the monotonic clock, ns.
+
+        The result is the later of `start_of` and the time that follows from the distance of the start to the
+        newest date in the log; 0 (started long ago) stays 0.
+        """
         start = self.start_of(unix_ms, now_ns)
         return start and max(start, now_ns - self._age_by_log(unix_ms))
 
@@ -90,7 +94,10 @@
         return is_old or self.latest_start_of(unix_ms, now_ns) == self.start_of(unix_ms, now_ns)
 
     def consume_date_step(self) -> bool:
-        """Whether the newest date has advanced by `DATE_STEP_MS` since this method last returned True."""
+        """Return whether the newest date has advanced by `DATE_STEP_MS` since this last returned True.
+
+        If so, the next step is counted from the present newest date.
+        """
         has_advanced = self._newest_ms - self._dated_by_ms >= DATE_STEP_MS
         if has_advanced:
             self._dated_by_ms = self._newest_ms
--- a/quincepier/policy/fetch_limit.py
+++ b/quincepier/policy/fetch_limit.py
@@ -20,9 +20,10 @@
 BACKOFF_DECREASE = 0.3  # factor for the backoff after a successful fetch
 BACKOFF_SPREAD = (0.5, 1.5)  # random factors for the backoff, so that fronts do not retry at the same time
 LINK_HALF_LIFE = 2 * SECOND  # ns; half-life of a load report's value for the link
-# Share of the saturating slowdown at which many fronts treat the link as saturated if no report tells of it.
+# With many fronts in the zone and no recent load report, the share of the saturating slowdown from which the
+# link counts as saturated.
 LINK_SHARE = 0.35
-FAULTS_OF_SOURCE = (CacheStatus.SOURCE_BROKEN, CacheStatus.SOURCE_MISS)  # says nothing of the origin's load
+FAULTS_OF_SOURCE = (CacheStatus.SOURCE_BROKEN, CacheStatus.SOURCE_MISS)  # do not indicate the origin's load
 BAD_OUTCOMES = (AttemptOutcome.OVERLOADED, AttemptOutcome.TIMEOUT)
 
 
@@ -32,7 +33,7 @@
     Args:
         context: State shared by the components of the router.
         latency: Expected latencies.
-        recovery: Notified when the limit has held over as many fetches.
+        recovery: Notified when as many fetches as the limit have completed without changing the limit.
 
     Attributes:
         limit: How many fetches may be in flight.
@@ -88,7 +89,7 @@
         return slowdown > max(share * objective / transfer_time, 1)
 
     def on_sent(self, attempt: Attempt) -> None:
-        """Count an attempt that may be a fetch."""
+        """Add an attempt to the fetches in flight if its `is_fetch` is set."""
         self.in_flight += attempt.is_fetch
 
     def on_abandoned(self, attempt: Attempt) -> None:
@@ -106,7 +107,7 @@
         return self.context.now >= self.next_retry_at
 
     def on_process_pause(self) -> None:
-        """Lower the limit to its initial value after a process pause, as it was learned before it."""
+        """Lower the limit to at most its initial value: it was learned before the process pause."""
         self.limit = min(self.limit, INITIAL_LIMIT)
 
     def on_completed(self, completion: Completion, is_awaited: bool) -> None:
--- a/quincepier/policy/outliers.py
+++ b/quincepier/policy/outliers.py
@@ -73,7 +73,7 @@
         upstream.last_refused_cache = None
         if upstream.is_ejected:
             upstream.is_ejected = False
-            # a trial failed, so it was down: cold restart
+            # at least one trial failed, so the upstream was probably down: treat this as a cold restart
             if upstream.trial_interval > 2 * INITIAL_TRIAL_INTERVAL:
                 upstream.started_at = self.context.now
             self.log.write(f"machine {upstream.endpoint.number} answers again")
--- a/quincepier/policy/responses.py
+++ b/quincepier/policy/responses.py
@@ -8,8 +8,8 @@
 from quincepier.recovery import RecoveryTracker
 from quincepier.structures import FairQueue
 
-# Share of the configured retry time from which the retry time is drawn, so that clients don't retry all at
-# once.
+# Lowest share of the configured maximum retry delay; the delay is drawn between it and the maximum, so that
+# clients don't all retry at once.
 MIN_RETRY_AFTER_SHARE = 0.8
 
 
--- a/quincepier/policy/retries.py
+++ b/quincepier/policy/retries.py
@@ -81,7 +81,7 @@
             self.admission.route(request)
 
     def _find_source_without_copy(self, completion: Completion) -> Upstream | None:
-        """Return the source if it was asked for a copy that it holds, and holds none."""
+        """Return the attempt's source if it was limited to copies that it holds and has none; else None."""
         attempt = completion.attempt
         is_miss = completion.outcome is AttemptOutcome.MISS
         return attempt.source if attempt.is_source_cache_only and is_miss else None
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -25,7 +25,7 @@
 FLOOR_INTERVAL = SECOND  # ns; a tier without a release for this long goes first
 SCAN_LIMIT = 16  # held keys of a tier that are examined per release
 MIN_FIRST_RESPONSES = 8  # successful responses of all classes before the front counts as responding
-MIN_PROCESS_PAUSE = 2 * SECOND  # ns; after a longer process pause the learned limits are discarded
+MIN_PROCESS_PAUSE = 2 * SECOND  # ns; from this length on, a process pause lowers the fetch limit
 NEVER_RAN = frozenset(  # outcomes which prove that the attempt was not executed
     (
         interface.AttemptOutcome.OVERLOADED,
@@ -137,7 +137,7 @@
         settings = context.settings
         cls = settings.classes[event.class_index]
         self.response_coverage.expected.add(event.class_index)
-        is_overloaded = self.early_rejection.is_due(event)
+        is_overloaded = self.early_rejection.should_reject(event)
         if is_overloaded or event.time_left <= settings.step:
             self.responder.reject(event.request)
             context.log(self.recovery.on_request_finished(context.now, cls.worth, False))
@@ -223,7 +223,7 @@
                 self.check_overdue(self.timers.overdue.on_fired())
 
     def check_overdue(self, delay: int) -> None:
-        """Check for overdue attempts; after a long process pause, discard the learned limits.
+        """Check for overdue attempts; after a long process pause, lower the fetch limit and restart recovery.
 
         Args:
             delay: How late the timer of this check fired, ns.
--- a/quincepier/policy/sending.py
+++ b/quincepier/policy/sending.py
@@ -59,8 +59,9 @@
         Args:
             request: The request.
             target: A cache, a parent or the origin.
-            source: Where the target fetches an object that it does not hold; the target itself: it must not
-                fetch. None: the target answers by itself.
+            source: Machine from which the target fetches an object that it does not hold. The target itself:
+                a cache must answer from its own copies; a parent or origin is used directly, without a
+                source. None: plain forward to an origin.
             during_backoff: Whether the source may fetch even though fetches are backing off.
 
         Returns:
@@ -88,7 +89,8 @@
         attempt.is_cache_only = source is target and target in self.placement.table.caches
         needs_no_fetch = request.cls.never_kept or self.placement.is_known_hit(target, request)
         attempt.is_fetch = not (attempt.is_cache_only or needs_no_fetch)
-        # during a backoff parents only give copies that they hold; one other object is fetched per interval
+        # during a backoff, sources serve only copies that they hold; one fetch per backoff interval is
+        # allowed as a trial (`during_backoff`)
         is_backing_off = self.fetch_limit.is_backing_off and not during_backoff
         attempt.is_source_cache_only = attempt.is_fetch and source is not None and is_backing_off
         self.fetch_limit.on_sent(attempt)
--- a/quincepier/policy/slow_start.py
+++ b/quincepier/policy/slow_start.py
@@ -103,7 +103,7 @@
         return WarmUpState(share, settings.parent_cold_multiple if is_parent else settings.cold_multiple)
 
     def has_budget(self, upstream: Upstream) -> bool:
-        """Whether an upstream's slow-start budget allows one more attempt.
+        """Update an upstream's slow-start credit to now; return whether it allows one more attempt.
 
         A front earns credit over time and pays for its attempts. If many fronts share few permitted attempts,
         they take turns: each starts with a random debt, and credit that is not used within the turn is lost,
--- a/quincepier/records.py
+++ b/quincepier/records.py
@@ -70,7 +70,8 @@
         started_at: Start of its process, as listed or as derived from its failures; 0: long ago.
         last_response_at: Time of the last response that showed that it works.
         failures: Weighted number of failures since then.
-        last_refused_cache: The cache whose last request for a copy held here was refused.
+        last_refused_cache: The cache whose request for a copy that this upstream already holds was the last
+            to be refused; None: no such refusal since its last success.
         is_ejected: Whether outlier detection has ejected it.
         trial_at: Time from which one request may try it while it is ejected.
         trial_interval: Present time between two trials.
@@ -136,7 +137,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt was executed, or is open and may still be executed."""
+        """Whether an attempt may have been executed, or is open and may still be executed."""
         return self.first_execution is not None or bool(self.open_attempts)
 
 
@@ -170,7 +171,7 @@
         return [self.upstream] if self.source is None else [self.upstream, self.source]
 
 
-AbandonUpstream = Callable[[Upstream], None]  # releases the fetch slots of its open attempts
+AbandonUpstream = Callable[[Upstream], None]  # releases fetch slots of its attempts, cancels the safe ones
 
 
 class AttemptTable(dict[tuple[int, int], Attempt]):
@@ -199,7 +200,7 @@
 class LinkLoad:
     """How much the link of this front's zone slows transfers, according to load reports.
 
-    A reported value loses half of its weight per `half_life` ns.
+    The last reported value is halved every `half_life` ns.
 
     Attributes:
         zone: The zone of this front.
--- a/quincepier/recovery/initial_limits.py
+++ b/quincepier/recovery/initial_limits.py
@@ -1,6 +1,7 @@
 """Initial limits of a front after a start.
 
-All fronts may restart at the same time, so each keeps to its share until the first responses arrive.
+All fronts may restart at the same time, so each limits its connects to a machine to its share until its first
+connections are established, and draws a random wait for its first poll.
 """
 
 import random
--- a/quincepier/recovery/learned_facts.py
+++ b/quincepier/recovery/learned_facts.py
@@ -66,7 +66,7 @@
     """Ejection of upstreams; `quincepier.policy.outliers`."""
 
     def eject(self, upstream: Upstream) -> None:
-        """Eject an upstream, with a health-check request due at once."""
+        """Eject an upstream; one client request may try it at once."""
 
 
 class FetchLimit(Protocol):
@@ -90,7 +90,8 @@
     """The parts of a router that hold learned facts; `quincepier.policy.Router` is one.
 
     Attributes:
-        expiries: When restored facts expire, in the order of time; the router calls each then.
+        expiries: Times at which restored facts expire, ns, in ascending order, each with the function that
+            discards the fact; the router calls the function at that time.
     """
 
     expiries: list[tuple[int, Callable[[], None]]]
@@ -138,9 +139,10 @@
 
 
 def export_facts(router: LearningRouter) -> Iterator[interface.Learned]:
-    """Yield all facts that may count after a restart.
+    """Yield all learned facts.
 
-    Each is small, so that the caller can collect them over several turns of its event loop.
+    Each is small, so that the caller can collect them over several turns of its event loop. The fetch limit
+    is exported for information only: `restore_facts` ignores it.
     """
     yield interface.LearnedFetchLimit(router.fetch_limit.limit, 0)
     yield from _export_class_facts(router)
@@ -206,7 +208,7 @@
 
 
 class _FactRestorer:
-    """Restores facts of one age, and collects when they expire."""
+    """Restores facts that were exported at the same time, and collects the times at which they expire."""
 
     def __init__(self, router: LearningRouter, age: int | None) -> None:
         self.router = router
@@ -216,7 +218,7 @@
         self._age = age or 0
 
     def restore(self, fact: interface.Learned) -> bool:
-        """Restore a fact; returns whether it counts."""
+        """Restore a fact; return whether it was accepted (an endpoint: whether it changed the upstream)."""
         match fact:
             case interface.LearnedEndpoint():
                 return self._restore_endpoint(fact)
@@ -301,7 +303,7 @@
             upstream.started_at = max(upstream.started_at, self._now - age, 1)
 
     def _restore_ejection(self, upstream: Upstream, fact: interface.LearnedEndpoint) -> None:
-        """Restore an ejection; one health-check request is due at once."""
+        """Restore an ejection; one client request may try the upstream at once."""
         if fact.ejection_age >= 0 and fact.ejection_age + self._age <= MAX_EJECTION_AGE:
             self.router.outliers.eject(upstream)
 
--- a/quincepier/recovery/phases.py
+++ b/quincepier/recovery/phases.py
@@ -17,7 +17,7 @@
 MIN_EVIDENCE_S = 2  # seconds over which full service must be observed
 MAX_EVIDENCE_S = 10  # seconds that are kept for that
 MIN_EVIDENCE_REQUESTS = 50  # with fewer requests, a single late one would decide
-MIN_LIMIT_NS = NS_PER_S // 2  # after the first responses, before the limit can be confirmed
+MIN_TIME_TO_CONFIRM_NS = NS_PER_S // 2  # minimum time in FIRST_RESPONSES before the limit can be confirmed
 
 
 class RecoveryPhase(IntEnum):
@@ -26,7 +26,8 @@
     STARTED = 0
     LIST_RECEIVED = 1  # the endpoint list was received
     FIRST_RESPONSES = 2  # each request class that was requested has had a successful response
-    LIMIT_CONFIRMED = 3  # as many fetches as the limit completed without a change of it, or none waits for it
+    # As many fetches as the fetch limit have completed without changing the limit, or no request is held.
+    LIMIT_CONFIRMED = 3
     FULL_SERVICE = 4  # nearly all requests are served in time
 
 
@@ -124,7 +125,7 @@
     def _confirm_limit(self, now: int, reason: str) -> list[str]:
         if self.phase is not RecoveryPhase.FIRST_RESPONSES:
             return []
-        if now - self._entered_at_by_phase[RecoveryPhase.FIRST_RESPONSES] < MIN_LIMIT_NS:
+        if now - self._entered_at_by_phase[RecoveryPhase.FIRST_RESPONSES] < MIN_TIME_TO_CONFIRM_NS:
             return []
         return self._enter(RecoveryPhase.LIMIT_CONFIRMED, now, reason)
 
--- a/quincepier/structures/backoff.py
+++ b/quincepier/structures/backoff.py
@@ -18,11 +18,11 @@
 
     __slots__ = ("decrease_factor", "max_wait", "min_wait", "reset_below", "wait")
 
-    def __init__(self, shortest: int, longest: int, ease_factor: float, end_below: float) -> None:
-        self.min_wait = shortest
-        self.max_wait = longest
-        self.decrease_factor = ease_factor
-        self.reset_below = end_below
+    def __init__(self, min_wait: int, max_wait: int, decrease_factor: float, reset_below: float) -> None:
+        self.min_wait = min_wait
+        self.max_wait = max_wait
+        self.decrease_factor = decrease_factor
+        self.reset_below = reset_below
         self.wait = 0.0
 
     def increase(self) -> None:
--- a/quincepier/structures/recency_map.py
+++ b/quincepier/structures/recency_map.py
@@ -17,7 +17,8 @@
 
         Args:
             key: The key.
-            at: The time, ns; it must not be lower than in earlier calls.
+            at: The time, ns; not lower than the time recorded for this key. Old keys are removed exactly only
+                if the times increase over all keys.
             oldest: Keys with a time before this one are removed, ns.
         """
         self[key] = at
--- a/quincepier/structures/rendezvous.py
+++ b/quincepier/structures/rendezvous.py
@@ -50,7 +50,7 @@
             first = self._rank_candidates(key, count)
             if first is not None:
                 return first
-        scores = self._scores(dict(enumerate(self._packed_ids.mix_each(key))))
+        scores = self._scores(dict(enumerate(self._packed_ids.hash_each(key))))
         if count is None or count >= len(self._nodes):
             order = sorted(scores, key=scores.__getitem__)
         else:
@@ -61,7 +61,7 @@
         """Rank only the nodes with a high hash; None: the first nodes are not certain to be among them."""
         if self._count != count:
             self._prepare(count)
-        hashes = self._packed_ids.mix_above(key, self._min_hashes, self._min_hash)
+        hashes = self._packed_ids.hashes_at_least(key, self._min_hashes, self._min_hash)
         scores = self._scores(hashes)
         order = heapq.nsmallest(count, scores, key=scores.__getitem__)
         if len(order) < count or scores[order[-1]] >= self._bound:
--- a/quincepier/translate.py
+++ b/quincepier/translate.py
@@ -22,7 +22,7 @@
 HEX_16 = re.compile(r"[0-9a-f]{16}")
 INTEGER = re.compile(r"[0-9]{1,10}")
 MAX_PART, MAX_GROUP = 0xFFFF, 255
-MAX_ALLOWED_DEADLINES = 2  # the longest wait that a client may state, in deadlines of its class
+MAX_ALLOWED_DEADLINES = 2  # maximum of HTTP_X_ALLOW_MS, as a multiple of the class's deadline
 OUTCOME_BY_WORD = {
     "data": AttemptOutcome.OK,
     "unchanged": AttemptOutcome.OK,
@@ -79,9 +79,7 @@
     """Return the error that names the first invalid field."""
     for name, pattern in FIELDS:
         if not re.fullmatch(pattern, params.get(name, "")):
-            return BadRequestError(
-                400, f"{name} is {'not of the stated form' if name in params else 'missing'}"
-            )
+            return BadRequestError(400, f"{name} is {'invalid' if name in params else 'missing'}")
     return BadRequestError(400, "a field holds a line break")
 
 
@@ -119,7 +117,7 @@
     if not name.isascii():  # parameters are decoded as Latin-1, class names are UTF-8
         name = name.encode("latin-1", "replace").decode("utf-8", "replace")
     if not path.startswith(PATH) or name not in classes:
-        raise BadRequestError(404, "the path names no class")
+        raise BadRequestError(404, "the path does not name a known request class")
     class_index, deadline = classes[name]
     length = get("CONTENT_LENGTH") or str(len(fastcgi_request.body))
     if not INTEGER.fullmatch(length) or int(length) != len(fastcgi_request.body):
@@ -164,8 +162,8 @@
     return io.ObjectPurged(record.group, record.object or 0, age)
 
 
-class End(Protocol):
-    """How an attempt ended, as reported by the actor of its cache, and when, in ns.
+class AttemptResult(Protocol):
+    """How and when (ns) an attempt ended, as reported by the actor of its cache.
 
     The other fields are those of `io.AttemptCompleted`.
     """
@@ -178,8 +176,8 @@
     has_alternative_address: bool
 
 
-def make_attempt_completed(attempt: OpenAttempt, end: End) -> io.AttemptCompleted:
-    """Return the event for an attempt that has ended; `last`: its request is finished, by this or earlier."""
+def make_attempt_completed(attempt: OpenAttempt, end: AttemptResult) -> io.AttemptCompleted:
+    """Return the event for an attempt that has ended; `last`: its request is finished."""
     r, last = attempt.request, attempt.request.is_finished or end.outcome is AttemptOutcome.OK
     return io.AttemptCompleted(
         request=r.number,
@@ -231,7 +229,7 @@
     directory: MachineDirectory,
     timeout: int,
 ) -> list[tuple[str, str]]:
-    """Return the fields of the `serve` command for an attempt; `via` only if its source is not itself."""
+    """Return the fields of the `serve` command for an attempt; `via` only if the source is not the target."""
     fields = [("class", request.class_name), ("key", request.object_key), ("part", str(request.part))]
     fields.append(("wait", str(max(timeout // clock.MS, 1))))
     if isinstance(action, io.FetchThrough):
--- a/quincepier/wire/fastcgi.py
+++ b/quincepier/wire/fastcgi.py
@@ -235,7 +235,7 @@
     ) -> list[FastCgiRequest | RequestAborted | Reply] | None:
         """Return the result of a record that is discarded because of its header; None: it is buffered."""
         if request == 0 or kind in (BEGIN, ABORT):
-            raise ProtocolError(f"a record of kind {kind} of {size} bytes")
+            raise ProtocolError(f"a record of kind {kind} with {size} bytes is too long for its kind")
         partial = self.partial_requests.get(request)
         if partial is None or kind not in (PARAMS, STDIN):
             return self._count_stray()
@@ -299,7 +299,7 @@
         self, partial: _PartialRequest, content: bytes
     ) -> list[FastCgiRequest | RequestAborted | Reply]:
         if partial.params_ended:
-            raise ProtocolError("PARAMS after their end")
+            raise ProtocolError("PARAMS record after the end of PARAMS")
         if not content:
             partial.params_ended = True
         else:
@@ -317,7 +317,7 @@
 
     def _begin_request(self, request: int, content: bytes) -> list[FastCgiRequest | RequestAborted | Reply]:
         if len(content) != BEGIN_BODY.size:
-            raise ProtocolError(f"BEGIN_REQUEST of {len(content)} bytes")
+            raise ProtocolError(f"BEGIN_REQUEST body has {len(content)} bytes, not {BEGIN_BODY.size}")
         if request in self.partial_requests or request in self.unanswered_ids:
             raise ProtocolError(f"request {request} begins while it is open")
         role, flags = BEGIN_BODY.unpack(content)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -76,7 +76,7 @@
         ("1: 2", "the key 1 is not a string"),
         ("log: {format: !!int 0b}", "tags are not supported"),
         ("log: {format: 2026-13-45}", "log.format"),
-        ("[" * 40 + "]" * 40, "nested over 16 deep"),
+        ("[" * 40 + "]" * 40, "more than 16 levels of nesting"),
         ("addresses: {machines: {s-1: [" + ", ".join(["unix:/a"] * 17) + "]}}", "17 items, over 16"),
         ("addresses: {dials: {machine: 9, front: 8}}", "machine <= front is wanted"),
         ("log: {format: text}\n---\nlog: {}", "not YAML"),
