--- a/quincepier/consistency/arithmetic.py
+++ b/quincepier/consistency/arithmetic.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from quincepier.keys import mix
+from quincepier.keys import stable_hash
 
 HashFunction = Callable[..., int]  # integers to a 64-bit hash
 ScoreFunction = Callable[[int, float], float]  # hash and weight to a score
@@ -38,7 +38,7 @@
 class Arithmetic:
     """The functions that every rule decision is computed with; tests replace them to plant faults."""
 
-    hash: HashFunction = mix
+    hash: HashFunction = stable_hash
     score: ScoreFunction = rendezvous_score
 
 
--- a/quincepier/keys.py
+++ b/quincepier/keys.py
@@ -28,13 +28,13 @@
         self._mask = self._ones * MASK
 
     def hash_each(self, first: int) -> list[int]:
-        """Return `mix(first, number)` for each number, in their order."""
+        """Return `stable_hash(first, number)` for each number, in their order."""
         lanes = self._multiply(first) & self._mask
         lanes ^= lanes >> 32 & self._mask
         return memoryview(lanes.to_bytes(self._size, "little")).cast("Q")[::2].tolist()
 
     def hashes_at_least(self, first: int, bounds: Sequence[int], least: int) -> dict[int, int]:
-        """Return `mix(first, number)` by index, for the numbers whose hash is not below their bound.
+        """Return `stable_hash(first, number)` by index, for the numbers whose hash is not below their bound.
 
         The last step of a hash does not change its highest byte, so most numbers are skipped by that byte.
 
@@ -60,12 +60,12 @@
 
     def _multiply(self, first: int) -> int:
         """Return all hashes before their last step; the upper half of each lane has no meaning."""
-        lanes = self._packed ^ self._ones * mix(first)
+        lanes = self._packed ^ self._ones * stable_hash(first)
         lanes = lanes * 0xBF58476D1CE4E5B9 & self._mask
         return (lanes ^ lanes >> 29 & self._mask) * 0x94D049BB133111EB
 
 
-def mix(*numbers: int) -> int:
+def stable_hash(*numbers: int) -> int:
     """Return a 64-bit hash of integers; it is the same at every front and in every process."""
     h = 0x9E3779B97F4A7C15
     for n in numbers:
--- a/quincepier/lab/consistency_trial.py
+++ b/quincepier/lab/consistency_trial.py
@@ -29,7 +29,7 @@
     SendMessage,
 )
 from quincepier.consistency.findings import LAGGING_KINDS
-from quincepier.keys import mix
+from quincepier.keys import stable_hash
 from quincepier.rules import RuleVersion
 
 MS = 1_000_000
@@ -44,11 +44,13 @@
 ) -> tuple[ListedEndpoint, ...]:
     """Make an endpoint list of caches in zones 1 to `zones`, and parents and one origin in zone 0."""
     caches = [
-        ListedEndpoint(f"s-{zone}-{n}", mix(zone, n) & 0xFFFFFFFF, 0, zone, n % 8, 30.0 + n % 3, True)
+        ListedEndpoint(f"s-{zone}-{n}", stable_hash(zone, n) & 0xFFFFFFFF, 0, zone, n % 8, 30.0 + n % 3, True)
         for zone in range(1, zones + 1)
         for n in range(first_cache, first_cache + caches_per_zone)
     ]
-    upper = [ListedEndpoint(f"p-{n}", mix(77, n) & 0xFFFFFFFF, 1, 0, n, 90.0, True) for n in range(parents)]
+    upper = [
+        ListedEndpoint(f"p-{n}", stable_hash(77, n) & 0xFFFFFFFF, 1, 0, n, 90.0, True) for n in range(parents)
+    ]
     return (*caches, *upper, ListedEndpoint("o-1", ORIGIN_NUMBER, 2, 0, 0, 90.0, True))
 
 
@@ -277,11 +279,11 @@
 
 def arithmetic_with_other_seed() -> Arithmetic:
     """A hash function that starts from another seed."""
-    return Arithmetic(lambda *numbers: mix(1, *numbers), STANDARD_ARITHMETIC.score)
+    return Arithmetic(lambda *numbers: stable_hash(1, *numbers), STANDARD_ARITHMETIC.score)
 
 
 def arithmetic_with_other_float_order() -> Arithmetic:
     """The same score in another order of operations (ln u as a difference), so that last bits differ."""
     return Arithmetic(
-        mix, lambda hash_value, weight: (64 * math.log(2) - math.log(hash_value + 1)) * (1 / weight)
+        stable_hash, lambda hash_value, weight: (64 * math.log(2) - math.log(hash_value + 1)) * (1 / weight)
     )
--- a/quincepier/lab/experiment.py
+++ b/quincepier/lab/experiment.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from quincepier.interface import DeduplicationScope, Idempotency, RequestClass, Settings
-from quincepier.keys import mix
+from quincepier.keys import stable_hash
 from quincepier.operator.reading import OperatorError, read_struct
 
 MS = 1_000_000
@@ -244,7 +244,7 @@
         c = self.classes[cls]
         if not c.sigma:
             return c.send_ms * MS
-        drawn = NormalDist().inv_cdf(((mix(obj, SIZES) >> 12) + 0.5) / 2**52)
+        drawn = NormalDist().inv_cdf(((stable_hash(obj, SIZES) >> 12) + 0.5) / 2**52)
         return c.send_ms * MS * math.exp(min(c.sigma * drawn, SIZE_MOST * c.sigma) - c.sigma**2 / 2)
 
     def settings(self, zone: int, variant: Variant) -> Settings:
--- a/quincepier/policy/placement.py
+++ b/quincepier/policy/placement.py
@@ -5,7 +5,7 @@
 
 from quincepier.context import Context, RouterComponent
 from quincepier.interface import Endpoint, EndpointState, EndpointUpdate, HomeShard
-from quincepier.keys import MAX_REMEMBERED_KEYS, mix
+from quincepier.keys import MAX_REMEMBERED_KEYS, stable_hash
 from quincepier.policy.latency import SLOW_FACTOR, SLOWNESS_HALF_LIFE, SLOWNESS_PRIOR, LatencyEstimates
 from quincepier.policy.slow_start import SlowStart
 from quincepier.records import SECOND, Completion, Request, Upstream
@@ -168,7 +168,7 @@
 
     def find_source(self, request: Request) -> Upstream | None:
         """Return the first usable parent by hash, or a usable origin if there is no such parent."""
-        parents = self.find_usable(self.table.parents, mix(request.event.object), request, 1)
+        parents = self.find_usable(self.table.parents, stable_hash(request.event.object), request, 1)
         sources = parents + self.table.origins
         return next((source for source in sources if self.is_usable(source, request)), None)
 
--- a/quincepier/records.py
+++ b/quincepier/records.py
@@ -22,7 +22,7 @@
     RequestReceived,
     Settings,
 )
-from quincepier.keys import mix
+from quincepier.keys import stable_hash
 from quincepier.structures import DecayingMean
 
 MS, SECOND = 1_000_000, 1_000_000_000  # ns
@@ -126,7 +126,7 @@
         self.event, self.tier, self.received_at, self.home = event, tier, now, home
         self.id = event.request
         self.cls: RequestClass = settings.classes[event.class_index]
-        self.key = mix(event.object, event.part)
+        self.key = stable_hash(event.object, event.part)
         self.deadline = now + event.time_left
         kb = settings.client_kb_per_s
         self.known_transfer_time = event.size_kb / kb * SECOND if kb else 0.0
--- a/tests/test_decision_recorder.py
+++ b/tests/test_decision_recorder.py
@@ -24,7 +24,7 @@
     sample_keys,
 )
 from quincepier.interface import EndpointState, EndpointUpdate, HomeShard, UpdateScope
-from quincepier.keys import mix
+from quincepier.keys import stable_hash
 from quincepier.lab.experiment import load
 from quincepier.lab.front import Front as WorldFront
 from quincepier.lab.world import World as LabWorld
@@ -45,7 +45,9 @@
     inputs = DecisionInputs(RuleVersion(0, 0), bench.settings, endpoints, 3, "b")
     ranking_cache = RouterRankingCache(RouterView(bench.router), lambda: endpoints)
     for key in sample_keys(0, 5, 32, inputs):
-        ranked = bench.router.placement.rank(bench.router.placement.table.caches, mix(key.object, key.part))
+        ranked = bench.router.placement.rank(
+            bench.router.placement.table.caches, stable_hash(key.object, key.part)
+        )
         decision = decide(inputs, key)
         assert decision.caches == tuple(node.endpoint.number for node in ranked)
         assert decision == DecisionRules(inputs, ranking_cache=ranking_cache).decide(key)
@@ -110,7 +112,7 @@
 
 
 def wrong_hash(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: mix(key + 1, n.endpoint.number))
+    return sorted(nodes, key=lambda n: stable_hash(key + 1, n.endpoint.number))
 
 
 def by_id(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
@@ -128,7 +130,7 @@
 
 
 def unweighted(self: Placement, nodes: list[Any], key: int, home: Any = None) -> list[Any]:
-    return sorted(nodes, key=lambda n: -math.log((mix(key, n.endpoint.number) + 1) / 2**64))
+    return sorted(nodes, key=lambda n: -math.log((stable_hash(key, n.endpoint.number) + 1) / 2**64))
 
 
 def always_true(self: object, *args: object) -> bool:
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from quincepier.keys import mix
+from quincepier.keys import stable_hash
 from quincepier.lab.experiment import SECOND, Experiment, Variant
 from quincepier.lab.front import Front
 from quincepier.lab.front import Request as Try
@@ -128,7 +128,7 @@
         )
         for row in mine:
             thirds[int((row.sent_at - START) * THIRDS / experiment.seconds / SECOND) % THIRDS].append(row)
-            tenants[mix(row.object, 7) % TENANTS].append(row)
+            tenants[stable_hash(row.object, 7) % TENANTS].append(row)
         parts = dict(zip(("largest", "next"), largest(mine), strict=True))
         parts |= {f"third {t}": part for t, part in enumerate(thirds)}
         parts |= {f"tenant {t}": part for t, part in enumerate(tenants)}
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quincepier.keys import PackedNumbers, mix
+from quincepier.keys import PackedNumbers, stable_hash
 from quincepier.structures import (
     Backoff,
     Baseline,
@@ -230,7 +230,7 @@
 
 @given(st.integers(0, 2**64 - 1), st.lists(st.integers(0, 2**64 - 1), max_size=20))
 def test_hashes_of_many_numbers_are_those_of_each(first: int, seconds: list[int]) -> None:
-    assert PackedNumbers(seconds).hash_each(first) == [mix(first, second) for second in seconds]
+    assert PackedNumbers(seconds).hash_each(first) == [stable_hash(first, second) for second in seconds]
 
 
 @given(
@@ -240,7 +240,7 @@
 def test_hashes_above_bounds_are_found_by_index(first: int, pairs: list[tuple[int, int]]) -> None:
     packed = PackedNumbers([number for number, _ in pairs])
     bounds = [bound for _, bound in pairs]
-    hashes = [mix(first, number) for number, _ in pairs]
+    hashes = [stable_hash(first, number) for number, _ in pairs]
     wanted = {at: h for at, h in enumerate(hashes) if h >= bounds[at]}
     assert packed.hashes_at_least(first, bounds, min(bounds)) == wanted
     assert packed.hashes_at_least(first, hashes, min(hashes)) == dict(enumerate(hashes))
