--- a/quincepier/interface.py
+++ b/quincepier/interface.py
@@ -335,7 +335,7 @@
         cache: Number of the machine that it was sent to.
         outcome: How it ended.
         elapsed: Time since it was sent, ns.
-        last: Whether the request has its final response, from this attempt or an earlier one.
+        is_request_finished: Whether the request has its final response, from this attempt or an earlier one.
         cache_status: What the cache reported about its copy or its fetch.
         waited: How long the request waited at the cache for a fetch, ns.
         report: The machine's load report, values in the order of `Settings.reports`; empty: none.
@@ -347,7 +347,7 @@
     cache: int
     outcome: AttemptOutcome
     elapsed: int
-    last: bool
+    is_request_finished: bool
     cache_status: CacheStatus
     waited: int
     report: tuple[float, ...]
--- a/quincepier/policy/router.py
+++ b/quincepier/policy/router.py
@@ -183,7 +183,7 @@
         if event.outcome not in NEVER_RAN and (first is None or attempt.sent_at < first.sent_at):
             request.first_execution = Execution(attempt.sent_at, attempt.upstream.endpoint)
         if self.requests.get(event.request) is request:
-            if event.last:
+            if event.is_request_finished:
                 self.responder.close(request, completion.is_ok)
             elif not completion.is_ok and not request.open_attempts:
                 self.retries.on_failure(completion)
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -153,7 +153,7 @@
     actor.handle_safely(AttemptFinished(attempt, AttemptOutcome.OK, clock.now(), body=body))
     assert actor.context.pool.used == 0 and inbox.responses == []
     event = router.events[-1]
-    assert isinstance(event, io.AttemptCompleted) and event.last
+    assert isinstance(event, io.AttemptCompleted) and event.is_request_finished
 
 
 def test_an_attempt_at_an_unlisted_machine_is_not_processed() -> None:
@@ -170,7 +170,7 @@
     assert (
         isinstance(event, io.AttemptCompleted)
         and event.outcome is AttemptOutcome.NOT_PROCESSED
-        and not event.last
+        and not event.is_request_finished
     )
 
 
--- a/tests/test_policy_mechanism.py
+++ b/tests/test_policy_mechanism.py
@@ -56,7 +56,9 @@
     ]
     assert bench.router.fetch_limit.limit == 32
     for sent in more + send_many(bench, 0, 100, 32):
-        bench.complete_attempt(sent, AttemptOutcome.OVERLOADED, CacheStatus.NO_FETCH_SLOT, last=True)
+        bench.complete_attempt(
+            sent, AttemptOutcome.OVERLOADED, CacheStatus.NO_FETCH_SLOT, is_request_finished=True
+        )
     assert bench.router.fetch_limit.limit == 16
 
 
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -44,7 +44,7 @@
     (sent,) = attempts(bench.send_request(1))
     ends = final_responses(bench.advance(6 * SECOND))
     assert ends == [io.FailRequest(1)]
-    after = bench.complete_attempt(sent, AttemptOutcome.TIMEOUT, last=True)
+    after = bench.complete_attempt(sent, AttemptOutcome.TIMEOUT, is_request_finished=True)
     assert attempts(after) == [] and final_responses(after) == []
 
 
@@ -59,7 +59,7 @@
     bench = RouterBench()
     (sent,) = attempts(bench.send_request(1))
     assert bench.handle(io.ClientDisconnected(1)) == [io.CancelAttempt(1, 0)]
-    assert attempts(bench.complete_attempt(sent, AttemptOutcome.CANCELLED, last=True)) == []
+    assert attempts(bench.complete_attempt(sent, AttemptOutcome.CANCELLED, is_request_finished=True)) == []
     assert final_responses(bench.advance(10 * SECOND)) == []
 
 
@@ -284,7 +284,7 @@
         if n % 3 == 2:
             bench.complete_attempt(sent, AttemptOutcome.OK, CacheStatus.HIT)
         else:
-            bench.complete_attempt(sent, AttemptOutcome.RESET, last=True)
+            bench.complete_attempt(sent, AttemptOutcome.RESET, is_request_finished=True)
     assert not any(node.is_ejected for node in bench.router.placement.table.by_id.values())
 
 
--- a/tests/test_translate.py
+++ b/tests/test_translate.py
@@ -156,7 +156,7 @@
     attempt = OpenAttempt(request, 0, 5, 1000)
 
     def last(outcome: AttemptOutcome) -> bool:
-        return make_attempt_completed(attempt, AttemptFinished(attempt, outcome, 1500)).last
+        return make_attempt_completed(attempt, AttemptFinished(attempt, outcome, 1500)).is_request_finished
 
     assert (
         make_attempt_completed(
@@ -258,7 +258,18 @@
                     attempt, AttemptFinished(attempt, outcome, now, CacheStatus.FILLED, 5)
                 )
                 request.is_finished = outcome is AttemptOutcome.OK
-                fields = (3, request.number, 0, action.cache, code, 20 * clock.MS, ended.last, 2, 5, 0)
+                fields = (
+                    3,
+                    request.number,
+                    0,
+                    action.cache,
+                    code,
+                    20 * clock.MS,
+                    ended.is_request_finished,
+                    2,
+                    5,
+                    0,
+                )
                 handle_in_both(ended, 1040, struct.pack("<IIHIBQBBQB", *fields))
     assert attempt_count >= 40
     purge = make_object_purged(PurgeRecord(9, 3, 0, 0), 70 * clock.SECOND)
