--- a/quincepier/net/client_session.py
+++ b/quincepier/net/client_session.py
@@ -32,11 +32,11 @@
         chunks = self.body.chunks() if self.body is not None else iter(())
         first = next(chunks, memoryview(b""))
         lead = first[: fastcgi.MAX_RECORD_CONTENT - len(head)]
-        yield fastcgi.record(fastcgi.STDOUT, self.stream_id, head + bytes(lead))
+        yield fastcgi.encode_record(fastcgi.STDOUT, self.stream_id, head + bytes(lead))
         if len(lead) < len(first):
-            yield fastcgi.record(fastcgi.STDOUT, self.stream_id, first[len(lead) :])
+            yield fastcgi.encode_record(fastcgi.STDOUT, self.stream_id, first[len(lead) :])
         for chunk in chunks:
-            yield fastcgi.record(fastcgi.STDOUT, self.stream_id, chunk)
+            yield fastcgi.encode_record(fastcgi.STDOUT, self.stream_id, chunk)
 
     def release(self) -> None:
         """Return the body's buffers to the pool."""
--- a/quincepier/net/client_write_side.py
+++ b/quincepier/net/client_write_side.py
@@ -132,7 +132,7 @@
         if body is None or not body.length:
             if body is not None:
                 body.release()
-            session.short_responses.append((stream_id, fastcgi.short(stream_id, head)))
+            session.short_responses.append((stream_id, fastcgi.encode_head_only_response(stream_id, head)))
             session.decoder.on_answered(stream_id)
             self.is_last_response_queued = self.is_last_response_queued or not keep_open
         else:
@@ -231,7 +231,7 @@
                 batch += record
                 session.outgoing.append(response)
             else:
-                batch += fastcgi.finish(response.stream_id)
+                batch += fastcgi.encode_response_end(response.stream_id)
                 response.release()
                 session.decoder.on_answered(response.stream_id)
                 self.closes_when_sent = self.closes_when_sent or not response.keep_open
--- a/quincepier/wire/fastcgi.py
+++ b/quincepier/wire/fastcgi.py
@@ -65,25 +65,25 @@
         self.params, self.body = bytearray(), bytearray()
 
 
-def record(kind: int, request: int, content: bytes | bytearray | memoryview) -> bytes:
+def encode_record(kind: int, request: int, content: bytes | bytearray | memoryview) -> bytes:
     """Encode a record."""
     return HEADER.pack(1, kind, request, len(content), 0) + bytes(content)
 
 
-def end(request: int, status: int = COMPLETE) -> bytes:
+def encode_end_request(request: int, status: int = COMPLETE) -> bytes:
     """Encode an END_REQUEST record."""
-    return record(END, request, END_BODY.pack(0, status))
+    return encode_record(END, request, END_BODY.pack(0, status))
 
 
 @lru_cache(maxsize=4096)
-def finish(request: int) -> bytes:
+def encode_response_end(request: int) -> bytes:
     """Encode the end of STDOUT and END_REQUEST."""
-    return record(STDOUT, request, b"") + end(request)
+    return encode_record(STDOUT, request, b"") + encode_end_request(request)
 
 
-def short(request: int, head: bytes) -> bytes:
+def encode_head_only_response(request: int, head: bytes) -> bytes:
     """Encode a complete response that has only a head."""
-    return record(STDOUT, request, head) + finish(request)
+    return encode_record(STDOUT, request, head) + encode_response_end(request)
 
 
 def _read_length(raw: bytes, offset: int) -> tuple[int, int]:
@@ -107,16 +107,16 @@
     while at < size:
         if at + 1 < size and raw[at] < 128 and raw[at + 1] < 128:
             value_start = at + 2 + raw[at]
-            end, at = value_start + raw[at + 1], at + 2
+            value_end, at = value_start + raw[at + 1], at + 2
         else:
             name_size, at = _read_length(raw, at)
             value_size, at = _read_length(raw, at)
             value_start = at + name_size
-            end = value_start + value_size
-        if end > size:
+            value_end = value_start + value_size
+        if value_end > size:
             raise ProtocolError("a parameter exceeds its record stream")
-        pairs[text[at:value_start]] = text[value_start:end]
-        at, count = end, count + 1
+        pairs[text[at:value_start]] = text[value_start:value_end]
+        at, count = value_end, count + 1
     if len(pairs) != count:
         raise ProtocolError("a parameter is given twice")
     return pairs
@@ -323,15 +323,15 @@
         role, flags = BEGIN_BODY.unpack(content)
         keep_connection = bool(flags & KEEP_CONN)
         if role != RESPONDER:
-            return [Reply(end(request, UNKNOWN_ROLE), not keep_connection)]
+            return [Reply(encode_end_request(request, UNKNOWN_ROLE), not keep_connection)]
         if len(self.partial_requests) + len(self.unanswered_ids) >= MAX_OPEN_REQUESTS:
-            return [Reply(end(request, OVERLOADED), not keep_connection)]
+            return [Reply(encode_end_request(request, OVERLOADED), not keep_connection)]
         self.partial_requests[request] = _PartialRequest(keep_connection)
         return []
 
     def _answer_management(self, kind: int, content: bytes) -> Reply:
         if kind != GET_VALUES:
-            return Reply(record(UNKNOWN_TYPE, 0, struct.pack(">B7x", kind)))
+            return Reply(encode_record(UNKNOWN_TYPE, 0, struct.pack(">B7x", kind)))
         queried = read_pairs(content)
         known = [(name, self.values[name]) for name in queried if name in self.values]
-        return Reply(record(GET_VALUES_RESULT, 0, write_pairs(known)))
+        return Reply(encode_record(GET_VALUES_RESULT, 0, write_pairs(known)))
--- a/tests/goldenkit.py
+++ b/tests/goldenkit.py
@@ -287,10 +287,10 @@
     "sim.reply": lambda batch, *records: simwire.encode_reply(
         batch, [_to_bytes(record) for record in records]
     ),
-    "fastcgi.record": lambda kind, request, content: fastcgi.record(kind, request, _to_bytes(content)),
-    "fastcgi.end": fastcgi.end,
-    "fastcgi.finish": fastcgi.finish,
-    "fastcgi.short": lambda request, head: fastcgi.short(request, _to_bytes(head)),
+    "fastcgi.record": lambda kind, request, content: fastcgi.encode_record(kind, request, _to_bytes(content)),
+    "fastcgi.end": fastcgi.encode_end_request,
+    "fastcgi.finish": fastcgi.encode_response_end,
+    "fastcgi.short": lambda request, head: fastcgi.encode_head_only_response(request, _to_bytes(head)),
     "fastcgi.pairs": fastcgi.write_pairs,
     "lines.serve": lambda id, listed, body: lines.serve(id, listed, _to_bytes(body)),
     "lines.cancel": lines.cancel,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -36,7 +36,7 @@
 
     def pieces(self: OutgoingResponse, head: bytes) -> Iterator[bytes]:
         yield from plain(self, head)
-        yield fastcgi.record(3, self.stream_id, bytes(8))  # END_REQUEST; the right one follows
+        yield fastcgi.encode_record(3, self.stream_id, bytes(8))  # END_REQUEST; the right one follows
 
     OutgoingResponse._encode = pieces  # type: ignore[method-assign]
 
--- a/tests/test_wire_fastcgi.py
+++ b/tests/test_wire_fastcgi.py
@@ -105,7 +105,7 @@
     for n in range(1, 33):
         decoder.feed(encode_request(n, params(JOB)))
     (item,) = decoder.feed(encode_begin(33))
-    assert item == fastcgi.Reply(fastcgi.end(33, fastcgi.OVERLOADED), False)
+    assert item == fastcgi.Reply(fastcgi.encode_end_request(33, fastcgi.OVERLOADED), False)
     decoder.on_answered(5)
     assert decoder.feed(encode_begin(34)) == []
 
@@ -113,7 +113,7 @@
 def test_other_roles_and_management_records() -> None:
     decoder = fastcgi.Decoder(100)
     (role,) = decoder.feed(encode_begin(1, role=3, keep=False))
-    assert role == fastcgi.Reply(fastcgi.end(1, fastcgi.UNKNOWN_ROLE), True)
+    assert role == fastcgi.Reply(fastcgi.encode_end_request(1, fastcgi.UNKNOWN_ROLE), True)
     (values,) = decoder.feed(
         encode_record(9, 0, encode_pairs({"FCGI_MPXS_CONNS": "", "FCGI_MAX_CONNS": "", "OTHER": ""}))
     )
@@ -254,10 +254,12 @@
 
 def test_finish_closes_stdout_and_ends_once() -> None:
     reader = ResponseReader()
-    reader.feed(fastcgi.record(fastcgi.STDOUT, 6, b"Status: 200\r\n\r\nabc") + fastcgi.finish(6))
+    reader.feed(
+        fastcgi.encode_record(fastcgi.STDOUT, 6, b"Status: 200\r\n\r\nabc") + fastcgi.encode_response_end(6)
+    )
     assert (
         reader.response_by_request[6].status,
         reader.response_by_request[6].body,
         reader.response_by_request[6].protocol_status,
     ) == (200, b"abc", 0)
-    assert struct.unpack(">IB3x", fastcgi.end(6)[8:]) == (0, 0)
+    assert struct.unpack(">IB3x", fastcgi.encode_end_request(6)[8:]) == (0, 0)
