--- a/quincepier/consistency/arithmetic.py
+++ b/quincepier/consistency/arithmetic.py
@@ -13,7 +13,7 @@
 
 import xxhash
 
-from quincepier.keys import mix
+from quincepier.keys import stable_hash
 
 HashFunction = Callable[..., int]  # maps integers to a 64-bit hash
 ScoreFunction = Callable[[int, float], float]  # maps a hash and a weight to a score
@@ -38,7 +38,7 @@
 class Arithmetic:
     """The functions used to compute every rule decision; tests replace them to inject faults."""
 
-    hash: HashFunction = mix
+    hash: HashFunction = stable_hash
     score: ScoreFunction = rendezvous_score
 
 
