--- a/quincepier/addresses/address_book.py
+++ b/quincepier/addresses/address_book.py
@@ -48,7 +48,7 @@
         precedence: By RFC 6724; higher is tried first.
         grade: By the operators' preference; lower is tried first.
         failures: Consecutive failures.
-        backoff_began_at: When the last backoff began_at, ns.
+        backoff_began_at: When the last backoff began, ns.
         backoff_until: When the backoff ends, ns; 0: not in backoff.
         trial_dial: Number of the dial that tries the address after its backoff; 0: none.
         last_response: Number, among the machine's responses, of the last one over this address; 0: none.
--- a/quincepier/addresses/break_outcome.py
+++ b/quincepier/addresses/break_outcome.py
@@ -1,7 +1,7 @@
 """What happens to an attempt whose connection closed: moved to another connection, or reported to the router.
 
-Rule two in one place. An attempt of which no byte was sent may go on as the same attempt, as no machine can
-have read it. One that was partly or wholly sent may have been read and run, so only the router may retry it.
+An attempt of which no byte was sent may go on as the same attempt, as no machine can have read it. One that
+was partly or wholly sent may have been read and run, so only the router may retry it.
 """
 
 from __future__ import annotations
--- a/quincepier/addresses/race.py
+++ b/quincepier/addresses/race.py
@@ -218,7 +218,7 @@
         stagger = self.book.stagger
         for other in list(race.address_by_dial):
             began_at = self.dial_by_number[other].started_at
-            # A dial that was overtaken although it had a whole stagger of advance counts as failed.
+            # A dial counts as failed if a dial that started at least one stagger later connected first.
             if not race.is_timing_unreliable and pending.started_at - began_at >= stagger:
                 self.book.on_failure(self.dial_by_number[other].address, began_at, now)
             self._cancel_dial(other, race)
--- a/quincepier/addresses/section.py
+++ b/quincepier/addresses/section.py
@@ -76,7 +76,7 @@
         stagger_ms: Time between two dials of one race.
         aside_ms: Backoff of addresses that failed.
         dials: Limits on dials in progress.
-        MADE: How values of types other than those of msgspec are parsed.
+        MADE: Parser for each field type that msgspec does not decode itself.
     """
 
     machines: Annotated[
--- a/quincepier/clients/ready_queue.py
+++ b/quincepier/clients/ready_queue.py
@@ -38,7 +38,7 @@
         return False
 
     def enqueue(self, connection: K) -> None:
-        """Queue a connection that has been served in this turn and is still ready."""
+        """Queue a ready connection to be served in a later turn; a queued connection keeps its position."""
         self.waiting[connection] = None
         self.max_length = max(self.max_length, len(self.waiting))
 
--- a/quincepier/clients/registry.py
+++ b/quincepier/clients/registry.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLimits:
-    """Limits on connections. The defaults are those without an operators' file.
+    """Limits on connections. The defaults apply without the section `clients` of the operators' file.
 
     Attributes:
         max_connections: Limit on all connections.
--- a/quincepier/clients/section.py
+++ b/quincepier/clients/section.py
@@ -46,7 +46,7 @@
         rest_least_ms: A connection idle for less is not closed for a new one.
         rest_most_s: A connection idle for longer is closed; 0: idle time is not limited.
         slack: Connections closed at once for a new one at the limit.
-        MADE: Constructors of the types that YAML does not have.
+        MADE: Parser for each field type that msgspec does not decode itself.
     """
 
     networks: Annotated[tuple[NetworkCap, ...], msgspec.Meta(max_length=MAX_NETWORKS)] = ()
--- a/quincepier/lifecycle/front.py
+++ b/quincepier/lifecycle/front.py
@@ -74,7 +74,7 @@
         )
         budget = divide_memory(config.memory_mb, resident_bytes(), config.max_open)
         self.descriptors = Descriptors(config.sockets)
-        reserve = self.descriptors.max_clients + self.descriptors.max_caches
+        reserve = self.descriptors.max_clients + self.descriptors.max_outbound
         self.pool = BufferPool(budget.max_buffers, min(reserve, budget.max_buffers // 2))
         self.module = ModuleActor(
             config, self.checks, self.pool, self.descriptors, self._free_buffers, budget
@@ -198,7 +198,10 @@
             self.change_log_watcher.on_address_changed()
 
     async def _drain(self, listener: Listener) -> None:
-        """Serve while clients may still connect, then until none is open; return before the kill."""
+        """Serve while clients may still connect, then until no request is open.
+
+        Return before the process is killed.
+        """
         started_at_ns = clock.now()
         deadlines = [c.deadline / clock.SECOND for c in self.config.settings.classes]
         max_drain_s = min(max(deadlines, default=0.0), MAX_DRAINED_DEADLINE_S) + 0.7 - DRAIN_END_MARGIN_S
--- a/quincepier/lifecycle/signals.py
+++ b/quincepier/lifecycle/signals.py
@@ -54,7 +54,7 @@
 
 
 def ignore_signals() -> None:
-    """Ignore all signals until the process has ended."""
+    """Ignore SIGHUP, SIGTERM and SIGINT until the process has ended."""
     for number in (signal.SIGHUP, *STOP_SIGNALS):
         # the interpreter resets Python handlers to the default as it finalizes, but not SIG_IGN
         signal.signal(number, signal.SIG_IGN)
--- a/quincepier/memory/machine_directory.py
+++ b/quincepier/memory/machine_directory.py
@@ -18,8 +18,8 @@
 CELL_MASK = 0xFFFF
 
 
-def _unix_ms_to_ns(born_ms: int) -> int:
-    return born_ms * MS
+def _unix_ms_to_ns(started_at_ms: int) -> int:
+    return started_at_ms * MS
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
 
     def _to_machine(self, record: HostRecord) -> Endpoint:
         if record.zone not in self.zone_by_name or record.kind not in self.kind_by_name:
-            raise ProtocolError(f"host {record.host[:40]} has an unknown site or class")
+            raise ProtocolError(f"host {record.host[:40]} has an unknown zone or kind")
         return Endpoint(
             self.assign_number(record.host),
             self.kind_by_name[record.kind],
--- a/quincepier/memory/open_requests.py
+++ b/quincepier/memory/open_requests.py
@@ -70,7 +70,7 @@
         disconnected_at_ns: When `is_cancelled` was set; 0 if it is not.
         tenant: Its tenant, if tenants are placed on shards.
         shard: The shard at which the tenant was placed.
-        allows_second_copy: Whether an attempt may begin while another attempt is not closed.
+        allows_concurrent_attempts: Whether an attempt may begin while another attempt is not closed.
         attempts: All attempts, in their order.
     """
 
@@ -96,7 +96,7 @@
     disconnected_at_ns: int = 0
     tenant: str = ""
     shard: str = ""
-    allows_second_copy: bool = True
+    allows_concurrent_attempts: bool = True
     attempts: list[OpenAttempt] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -126,7 +126,8 @@
         is_completed: Its outcome was reported to the router. Its server may still run it; see `state`.
         state: Its state at its server.
         is_revoked: Its first byte must not be sent any more, after a purge or as its cache or source leaves.
-        first_byte_deadline_ns: Its first byte must not be sent later, as a repeat might do harm; 0 for none.
+        first_byte_deadline_ns: Latest time to send its first byte, since caches deduplicate a retried request
+            only for a limited time; 0: no limit.
         deadline_ns: When it times out.
         revoked_at_ns: When it was revoked; 0 if it was not.
         first_byte_at_ns: When its first byte was sent; 0 if it was not.
--- a/quincepier/net/actor.py
+++ b/quincepier/net/actor.py
@@ -60,7 +60,7 @@
         return True
 
     def push(self, message: M) -> None:
-        """Queue a message without a limit: for messages whose number open requests and attempts bound."""
+        """Queue a message without a limit: for messages bounded in number by open requests and attempts."""
         self.queue.append(message)
         self.wake()
 
--- a/quincepier/net/cache.py
+++ b/quincepier/net/cache.py
@@ -49,13 +49,14 @@
         fronts: How many fronts send requests to this machine.
 
     Attributes:
-        ramp: Limits how many connections may be connecting at once.
+        dial_limit: Limits how many connections may be connecting at once.
         route: The machine's addresses, where machines may have several.
         move_counts: How often an exchange has been moved to another connection.
-        connections: The connections, the most recently unused one last.
+        connections: The connections; the one that most recently became unused is last.
         in_flight: Exchanges without an outcome, with their id and connection.
         timers: Their deadlines.
-        is_leaving: The machine is off the endpoint list: nothing new is sent.
+        is_leaving: The machine has left the endpoint list, or the actor is being cancelled: exchanges are not
+            moved to other connections, and unused connections are closed.
         probe_count: Probes sent so far.
     """
 
@@ -70,7 +71,7 @@
         fronts: int = 1,
     ) -> None:
         super().__init__(context.checks, MAX_MAILBOX_LENGTH)
-        self.ramp = DialLimit(fronts)
+        self.dial_limit = DialLimit(fronts)
         self.context, self.number, self.host, self.address = context, number, host, address
         self.route: Route | None = None if context.dialer is None else context.dialer.get_route(number, host)
         self.move_counts: dict[OpenAttempt | Probe, int] = {}
@@ -189,7 +190,7 @@
         ]
         usable = [c for c in usable if not c.has_unwanted_response]
         connecting = [c for c in usable if c.sock is None]
-        if len(connecting) >= self.ramp.max_dials:
+        if len(connecting) >= self.dial_limit.max_dials:
             least_loaded = min(connecting, key=lambda c: len(c.awaited_by_id))
             if len(least_loaded.awaited_by_id) < streams and id not in least_loaded.awaited_by_id:
                 return least_loaded
@@ -199,7 +200,7 @@
                 return min(busy, key=lambda c: (len(c.awaited_by_id), c.sock is None))
             if not self.context.ensure_descriptor():
                 return None
-        self.context.descriptors.add_caches(1)
+        self.context.descriptors.add_outbound(1)
         connection = Connection(self)
         self.connections.append(connection)
         self.context.connected_actors.add(self)
@@ -221,10 +222,10 @@
             self.context.connected_actors.discard(self)
 
     def on_connection_unused(self, connection: Connection) -> None:
-        """Send over this connection what waits for one that is still connecting.
+        """Send over this connection the first command that is queued on one still being established.
 
-        If nothing waits, the connection becomes the first choice for the next attempt. Connections that are
-        not chosen for long are closed by `sweep`.
+        If no such command is queued, the connection becomes the first choice for the next attempt.
+        Connections that are not chosen for long are closed by `sweep`.
         """
         self.connections.remove(connection)
         self.connections.append(connection)
@@ -369,18 +370,18 @@
                 connection.close()
 
     def set_addresses(
-        self, address: tuple[str, int] | None, dials: tuple[str, ...], force: bool = False
+        self, address: tuple[str, int] | None, listed_addresses: tuple[str, ...], force: bool = False
     ) -> None:
         """Use these addresses for new connections; connections to other addresses are closed once unused.
 
         Args:
             address: The address from the endpoint list, where machines have one each.
-            dials: All addresses from the endpoint list, where machines may have several.
-            force: Apply `dials` even if they are unchanged, since limits or preferences changed.
+            listed_addresses: All addresses from the endpoint list, where machines may have several.
+            force: Apply `listed_addresses` even if they are unchanged, since limits or preferences changed.
         """
         if self.route is not None:
-            if force or dials != self.route.listed_addresses:
-                removed = self.route.replace_addresses(dials)
+            if force or listed_addresses != self.route.listed_addresses:
+                removed = self.route.replace_addresses(listed_addresses)
                 for connection in self.connections:
                     connection.is_retired = connection.is_retired or connection.address in removed
         elif address is not None and address != self.address:
--- a/quincepier/net/cache_connection_context.py
+++ b/quincepier/net/cache_connection_context.py
@@ -32,7 +32,8 @@
         connected_actors: Actors that have a connection. Thousands of machines may be listed, few are in use.
         connections_by_last_use: All connections, the least recently used first.
         dialer: Dials machines that have several addresses; None unless the operators' file configures that.
-        are_decisions_stale: Returns whether earlier decisions may no longer hold; None: they always hold.
+        are_decisions_stale: Returns whether the front's lease has ended since the router's last event, so
+            that queued attempts may no longer be permitted; None without agreement between fronts.
     """
 
     def __init__(self, dependencies: ActorDependencies, free_buffers: Callable[[], None]) -> None:
@@ -68,14 +69,14 @@
 
     def connection_limit(self) -> int:
         """Return how many connections one machine may have, as a fair share of the descriptors."""
-        return max(self.descriptors.max_caches // (len(self.connected_actors) + 1), 1)
+        return max(self.descriptors.max_outbound // (len(self.connected_actors) + 1), 1)
 
     def ensure_descriptor(self) -> bool:
         """Return whether a connection may be opened; closes the least recently used one if necessary.
 
         Only a connection on which no exchange waits is closed.
         """
-        if self.descriptors.caches < self.descriptors.max_caches:
+        if self.descriptors.outbound < self.descriptors.max_outbound:
             return True
         oldest = next(
             (connection for connection in self.connections_by_last_use if connection.is_unused), None
--- a/quincepier/net/cache_fleet.py
+++ b/quincepier/net/cache_fleet.py
@@ -19,7 +19,7 @@
     Args:
         context: What all the actors share; the table of actors is kept there.
         directory: The listed machines.
-        front_count: Returns how many fronts send requests to a machine, by the machine's site.
+        front_count: Returns how many fronts send requests to a machine, by the name of its zone.
     """
 
     def __init__(
--- a/quincepier/net/command_writer.py
+++ b/quincepier/net/command_writer.py
@@ -21,7 +21,10 @@
 
 
 class CommandStalledError(OSError):
-    """The rest of a command could not be written before the deadline in it became too late."""
+    """The rest of a partly written command could not be written in time.
+
+    The command states a relative deadline, so the server would end the attempt too late.
+    """
 
 
 @dataclass(slots=True, eq=False)
--- a/quincepier/net/connection.py
+++ b/quincepier/net/connection.py
@@ -269,7 +269,7 @@
             finally:  # also if `close` cancels this task while it waits for the reader and the writer
                 if self.sock is not None:
                     shutdown_and_close(self.sock)
-                self.context.descriptors.add_caches(-1)
+                self.context.descriptors.add_outbound(-1)
                 self._on_closed()
 
     async def _establish(self) -> bool:
@@ -279,7 +279,7 @@
         except OSError as error:
             self.is_machine_absent = count_connect_failure(error, self.context.checks, self.actor.host)
             return False
-        self.actor.ramp.on_connected()
+        self.actor.dial_limit.on_connected()
         return True
 
     async def _connect(self) -> None:
@@ -300,7 +300,7 @@
         """
         self.is_closing = True
         if self.is_machine_absent:
-            self.actor.ramp.on_connect_failed()
+            self.actor.dial_limit.on_connect_failed()
         self.actor.on_connection_closed(self)
         if self.body is not None:
             self.body.release()
@@ -457,7 +457,7 @@
             and head.word == "unchanged"
             and not exchange.request.known_version
         ):
-            raise ProtocolError("response 'unchanged' to a command that named no copy")
+            raise ProtocolError("response 'unchanged' to a command without a known version")
         if isinstance(exchange, OpenAttempt) and head.word == "data":
             self.body = await self.context.allocate_body(head.length)
 
--- a/quincepier/net/connection_manager.py
+++ b/quincepier/net/connection_manager.py
@@ -26,7 +26,7 @@
     from quincepier.clients.section import ClientNetworks
 
 TIMER_TICK_NS = 20 * clock.MS  # resolution of the connections' timers
-# Longest step of the active clock; more time between two sweeps is a process pause and not counted.
+# Longest step of the active clock; more time between two readings is a process pause and not counted.
 MAX_CLOCK_STEP_NS = clock.SECOND // 4
 MAX_TIMERS_PER_SWEEP = 2000  # the rest is handled by the next sweep
 # Connections read in one turn of the event loop: active ones, and ones that have been idle for long.
@@ -36,7 +36,8 @@
 FLUSH_TIMEOUT_S = 0.1  # at the end of the front, for responses that are being written
 LINGER_TIMEOUT_S = 0.15  # after that, for clients to close their side
 DISCONNECT_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
-# A client that has taken nothing for this long may be closed for a new one if no other can be.
+# A connection whose client has read no bytes for this long may be closed to admit a new one, if no other
+# connection can be closed.
 MIN_STALL_S = 2.0
 # Share of the body limit that partial requests may use; beyond it the largest of them is stopped.
 MAX_PARTIAL_SHARE = 0.5
@@ -51,14 +52,15 @@
         pool: The buffer pool of response bodies.
         descriptors: The count of open descriptors.
         module: The module's mailbox.
-        is_ready: Whether the front is ready to serve, for `/ping`.
+        is_ready: Returns whether the front is ready to serve; used to answer `/ping`.
         pauses: The detector of process pauses.
         classes: Index and deadline of each request class, by name.
         connections: All connections whose socket is not closed yet.
         busy_connections: The connections that have a session: they are not idle.
         stalled: Connections whose socket takes no bytes: the time of their last byte, ns, and since when they
             have been seen stalled, by the active clock, ns.
-        networks: The operators' limits by network; None without an operators' file.
+        networks: Connection limits by client network; None without the section `clients` of the operators'
+            file.
         registry: Decides on admission and on the connections to close for new ones.
         body_bytes: Bytes of bodies of open requests and of partial requests.
         max_body_bytes: Limit on `body_bytes`.
@@ -125,7 +127,8 @@
     def find_network(self, host: str) -> tuple[Hashable, int]:
         """Return the network of an address and its cap on connections.
 
-        Without an operators' file all addresses are in one network. 0: the cap that applies to all networks.
+        Without the section `clients` of the operators' file all addresses belong to one network. A cap of 0
+        means that `max_per_network` applies.
         """
         return ("", 0) if self.networks is None else self.networks.find_network(host)
 
@@ -213,7 +216,8 @@
     def sweep(self, now: int) -> None:
         """Handle the timers that are due and update `stalled`.
 
-        Time between two sweeps beyond `MAX_CLOCK_STEP_NS` is the front's own and does not count.
+        Time beyond `MAX_CLOCK_STEP_NS` between two readings of the active clock is a process pause and does
+        not count.
         """
         time = self.active_clock.read(now)
         for _ in range(MAX_TIMERS_PER_SWEEP):
@@ -266,7 +270,8 @@
     def _queue_for(self, connection: ClientConnection) -> ReadyQueue[ClientConnection]:
         """Return the connection's queue.
 
-        There are two, so that a crowd of waking connections does not delay active ones, nor these starve it.
+        There are two, so that many waking connections do not delay active ones, and active ones do not starve
+        waking ones.
         """
         is_active = (
             connection.session is not None or clock.now() - connection.last_activity_ns < ACTIVE_WITHIN_NS
--- a/quincepier/net/dialer.py
+++ b/quincepier/net/dialer.py
@@ -178,7 +178,7 @@
         """Count the descriptors of extra dials, and let routes retry that wait for the limit on dials."""
         extra_dials = self.races.extra_dials
         if extra_dials != self.extra_dials:
-            self.dialer.dependencies.descriptors.add_caches(extra_dials - self.extra_dials)
+            self.dialer.dependencies.descriptors.add_outbound(extra_dials - self.extra_dials)
             self.extra_dials = extra_dials
         self.dialer.retry_waiting_routes()
 
@@ -221,10 +221,10 @@
 
     # Events
 
-    def replace_addresses(self, dials: tuple[str, ...]) -> set[Address]:
+    def replace_addresses(self, listed_addresses: tuple[str, ...]) -> set[Address]:
         """Use the addresses of the endpoint list and the operators' file. Return those that were removed."""
-        self.listed_addresses = dials
-        addresses = self.dialer.list_addresses(self.host, dials)
+        self.listed_addresses = listed_addresses
+        addresses = self.dialer.list_addresses(self.host, listed_addresses)
         removed = self.book.replace_addresses(addresses)
         if not self.book.state_by_address:
             self.dialer.checks.event("endpoint_addresses_forbidden", self.host)
@@ -313,10 +313,10 @@
         for route in self.route_by_number.values():
             route.book.limits, route.book.preference = section.limits, self.preference
 
-    def list_addresses(self, host: str, dials: Iterable[str]) -> list[Address]:
+    def list_addresses(self, host: str, listed_addresses: Iterable[str]) -> list[Address]:
         """Return a machine's addresses, the change log's first; at most MAX_ADDRESSES."""
         addresses: dict[Address, None] = {}
-        for text in dials:
+        for text in listed_addresses:
             try:
                 addresses[parse(text)] = None
             except AddressError as error:
--- a/quincepier/net/event_dates.py
+++ b/quincepier/net/event_dates.py
@@ -10,7 +10,9 @@
 
 
 class EventDates:
-    """Reads both clocks for `EventAges`, and keeps the start times that a later date in the log may correct.
+    """Reads the Unix and the monotonic clock for `EventAges`.
+
+    It also keeps the start times that a later date in the change log may correct.
 
     Args:
         config: The configuration that the front starts with.
@@ -20,9 +22,9 @@
         self._known_seq = config.known_seq
         self._warm_after_ns = longest_slow_start(config.settings)
         self._ages = EventAges(clock.unix(), clock.now())
-        self._unsettled_starts_ms: set[int] = (
-            set()
-        )  # few: those less than a slow start before the newest date
+        # Start times that a later date may still correct. They are few: only those within one slow start of the
+        # newest date.
+        self._unsettled_starts_ms: set[int] = set()
 
     def observe(self, event: ChangeEvent) -> None:
         """Note the dates that an event of the log contains."""
@@ -37,7 +39,7 @@
 
         Args:
             purge: The purge.
-            absent_at_ns: Time of the last response of the log without it; 0: unknown.
+            absent_at_ns: Time of the last change-log response that did not contain the purge; 0: unknown.
         """
         now = clock.now()
         self._ages.observe_clocks(clock.unix(), now)
@@ -45,16 +47,19 @@
             return self._ages.age_of_initial_event(purge.time_ms, now)
         return self._ages.age_of_new_event(purge.time_ms, now, absent_at_ns)
 
-    def start_time_of(self, born_ms: int) -> int:
+    def convert_start_time(self, started_at_ms: int) -> int:
         """Convert a server's start, Unix milliseconds, to ns of the monotonic clock; 0 (long ago) stays 0."""
         now = clock.now()
         self._ages.observe_clocks(clock.unix(), now)
-        if not self._ages.is_start_final(born_ms, now, self._warm_after_ns):
-            self._unsettled_starts_ms.add(born_ms)
-        return self._ages.latest_start_of(born_ms, now)
+        if not self._ages.is_start_final(started_at_ms, now, self._warm_after_ns):
+            self._unsettled_starts_ms.add(started_at_ms)
+        return self._ages.latest_start_of(started_at_ms, now)
 
     def take_unsettled_starts(self) -> frozenset[int]:
-        """Return and forget the starts, Unix milliseconds, to convert again: none without a later date."""
+        """Return and forget the start times (Unix ms) that must be converted again.
+
+        The result is empty while the newest date in the log has not advanced enough since the last result.
+        """
         if not self._ages.consume_date_step():
             return frozenset()
         starts = frozenset(self._unsettled_starts_ms)
--- a/quincepier/net/first_byte_checks.py
+++ b/quincepier/net/first_byte_checks.py
@@ -1,7 +1,7 @@
 """Checks, when an attempt has ended, that its first byte was sent only when the rules allowed it.
 
 policy/send_permission.py denies first bytes that would break the rules. These checks use the recorded times
-and count any first byte that was sent in spite of it.
+and count any first byte that was sent although it should have been denied.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 def _overlaps_other_attempt(attempt: OpenAttempt) -> bool:
     """Whether an earlier attempt might still have been running, and two must not run at once."""
     first_byte, request = attempt.first_byte_at_ns, attempt.request
-    if not first_byte or request.allows_second_copy:
+    if not first_byte or request.allows_concurrent_attempts:
         return False
     sent = [other for other in request.attempts[: attempt.number] if other.first_byte_at_ns]
     return any(not other.closed_at_ns or other.closed_at_ns > first_byte for other in sent)
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -220,7 +220,7 @@
             placement = self._placements.decide(event.tenant, event.object, not is_unsafe, event.is_repeat)
             request.shard = placement.shard
 
-    def on_command_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
+    def on_command_queued(self, attempt: OpenAttempt, now_ns: int) -> None:
         """Count a command that is sent."""
         self._counters.on_sent(attempt, now_ns)
 
--- a/quincepier/net/lingering_sockets.py
+++ b/quincepier/net/lingering_sockets.py
@@ -14,7 +14,9 @@
 from quincepier.net.sockets import Descriptors
 
 LINGER_TIMEOUT_S = 1.0  # for the peer to close its side
-SPARE_DESCRIPTORS = 8  # that lingering sockets may use beside those of clients, out of the spare ones
+# Descriptors that lingering sockets may use in addition to unused client descriptors; taken from
+# `RESERVED_DESCRIPTORS`.
+SPARE_DESCRIPTORS = 8
 POLL_INTERVAL_S = 0.005  # between checks whether all sockets are closed
 
 
--- a/quincepier/net/listener.py
+++ b/quincepier/net/listener.py
@@ -11,7 +11,8 @@
 from quincepier.net.sockets import set_no_delay
 
 MAX_ACCEPTS = 8  # clients accepted in one turn of the event loop, so that a burst does not delay others
-# The same once clients may have waited for `MAX_WAIT_NS`: their requests' time has been running.
+# Clients accepted in one turn once they may have waited for `MAX_WAIT_NS`; their wait counts towards the time
+# of their requests.
 MAX_ACCEPTS_AFTER_WAIT = 256
 MIN_WAIT_NS = 20 * clock.MS  # time in the backlog that is counted towards a request's time
 MAX_WAIT_NS = 250 * clock.MS  # time in the backlog up to which `MAX_ACCEPTS` applies
--- a/quincepier/net/module.py
+++ b/quincepier/net/module.py
@@ -78,7 +78,7 @@
     Attributes:
         config: The configuration that the front started with.
         dependencies: Configuration and resources shared by all actors.
-        shared: State shared by the actors of all caches.
+        context: State shared by the actors of all caches.
         dates: Converts dates of the change log.
         directory: The listed machines and their numbers.
         fleet: Creates and ends the actors of listed machines.
@@ -107,7 +107,7 @@
         self.dependencies = ActorDependencies(config, checks, pool, descriptors, self.mailbox, budget)
         self.context = CacheConnectionContext(self.dependencies, free_buffers)
         self.dates = EventDates(config)
-        self.directory = MachineDirectory(config.zones, config.kinds, self.dates.start_time_of)
+        self.directory = MachineDirectory(config.zones, config.kinds, self.dates.convert_start_time)
         self.fleet = CacheFleet(self.context, self.directory, self._count_requesting_fronts)
         self.requests = OpenRequestTable(budget.max_open_requests)
         self.caches: dict[int, CacheActor] = self.context.actor_by_number
@@ -223,14 +223,14 @@
             request.is_finished = True
             request.receiver.push(Response(request, 409))
             return
-        request.allows_second_copy = self._allows_second_copy(request.class_index)
+        request.allows_concurrent_attempts = self._allows_concurrent_attempts(request.class_index)
         self.requests.add(request)
         event = make_request_received(request, clock.now())
         if self.overrides is not None:
             self.overrides.on_request(event, request)
         self._dispatch(event, request)
 
-    def _allows_second_copy(self, class_index: int) -> bool:
+    def _allows_concurrent_attempts(self, class_index: int) -> bool:
         """Whether two attempts of a request of this class may run at the same time."""
         settings = self.config.settings
         return settings.second_copies and settings.classes[class_index].effect is io.Idempotency.SAFE
@@ -332,11 +332,11 @@
             self.context.dialer.configure(section)
             self.fleet.update_all(force=True)
 
-    def _count_requesting_fronts(self, site: str) -> int:
+    def _count_requesting_fronts(self, zone_name: str) -> int:
         """Return how many fronts send requests to the machines of a zone, given by its name."""
         settings = self.config.settings
         return count_requesting_fronts(
-            settings.fronts, settings.fronts_by_zone, self.directory.zone_by_name[site]
+            settings.fronts, settings.fronts_by_zone, self.directory.zone_by_name[zone_name]
         )
 
     # Actions
@@ -406,7 +406,7 @@
             self.mailbox.push(AttemptFinished(attempt, AttemptOutcome.NOT_PROCESSED, now))
             return
         if self.overrides is not None:
-            self.overrides.on_command_sent(attempt, now)
+            self.overrides.on_command_queued(attempt, now)
         fields = tuple(make_serve_fields(action, request, self.directory, timeout))
         cache.mailbox.push(SendCommand(attempt, ServeCommand(request.job_id, fields, request.body)))
 
--- a/quincepier/net/peers/peer_network.py
+++ b/quincepier/net/peers/peer_network.py
@@ -152,7 +152,7 @@
             self._server.close()
         await asyncio.sleep(0)  # the loop sends the datagrams before the socket closes
         self._socket.close()
-        self._descriptors.add_caches(-OWN_SOCKETS)
+        self._descriptors.add_outbound(-OWN_SOCKETS)
 
     def add_view_listener(self, listener: Callable[[ViewChanged], None]) -> None:
         """Has a function called with each change, after `view` is the new one."""
@@ -211,7 +211,7 @@
             raise PeersError(
                 f"can't listen: {reason}", self._listen_text, "find the process that has it"
             ) from None
-        self._descriptors.add_caches(OWN_SOCKETS)
+        self._descriptors.add_outbound(OWN_SOCKETS)
         logger.bind(
             event="member_listening", fleet=self._fleet, name=self.name, address=self._listen_text
         ).info("member {} of fleet {} listens on {}", self.name, self._fleet, self._listen_text)
--- a/quincepier/net/peers/stream_pool.py
+++ b/quincepier/net/peers/stream_pool.py
@@ -68,7 +68,7 @@
         self._queues: dict[str, PeerStreamQueue] = {}  # by peer
         self._queued_bytes = QueuedBytes()
         self._streams: set[PeerStream] = set()
-        self._max_streams = min(MAX_STREAMS, max(descriptors.max_caches // 2, MIN_STREAM_LIMIT))
+        self._max_streams = min(MAX_STREAMS, max(descriptors.max_outbound // 2, MIN_STREAM_LIMIT))
         self._dials = BackgroundTasks(checks, "peer_stream_exception")
         self._last_sweep_ns = clock.now()
         self._is_closed = False
@@ -139,7 +139,7 @@
     def on_opened(self, stream: PeerStream) -> None:
         """Counts a stream; one that was accepted beyond the limit is aborted."""
         self._streams.add(stream)
-        self._descriptors.add_caches(1)
+        self._descriptors.add_outbound(1)
         is_over_limit = not stream.is_dialled and len(self._streams) > self._max_streams
         if self._is_closed or (is_over_limit and not self._ensure_capacity()):
             stream.abort()
@@ -174,7 +174,7 @@
     def on_closed(self, stream: PeerStream) -> None:
         """Dials again where frames wait, or backs off where the stream had hardly opened."""
         self._streams.discard(stream)
-        self._descriptors.add_caches(-1)
+        self._descriptors.add_outbound(-1)
         queue = self._queues.get(stream.name)
         if queue is None or queue.stream is not stream:
             return
--- a/quincepier/net/router_overrides.py
+++ b/quincepier/net/router_overrides.py
@@ -15,7 +15,7 @@
     """
 
     def before_event(self, now_ns: int) -> None:
-        """Called before each event of the router; a front without a lease decides in cautious mode."""
+        """Called before each event of the router; enters cautious mode if the front holds no valid lease."""
 
     def override_list(self, update: EndpointUpdate) -> EndpointUpdate:
         """Return the update of the endpoint list to pass to the router in place of `update`."""
@@ -26,8 +26,8 @@
     def on_request(self, event: RequestReceived, request: OpenRequest) -> None:
         """Called when a request arrives, to set its tenant."""
 
-    def on_command_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
-        """Called when the command of an attempt is passed to a cache's actor."""
+    def on_command_queued(self, attempt: OpenAttempt, now_ns: int) -> None:
+        """Called when the command of an attempt is about to be queued for a cache's actor."""
 
     def on_attempt_completed(self, attempt: OpenAttempt, cache_status: CacheStatus) -> None:
         """Called when an attempt is completed."""
--- a/quincepier/net/sockets.py
+++ b/quincepier/net/sockets.py
@@ -35,9 +35,9 @@
 
     Attributes:
         max_clients: Limit on connections of clients.
-        max_caches: Limit on sockets to caches, the change log and other fronts.
+        max_outbound: Limit on sockets to caches, the change log and other fronts.
         clients: Connections of clients that are open.
-        caches: Sockets to caches, the change log and other fronts that are open.
+        outbound: Sockets to caches, the change log and other fronts that are open.
         lingering: Clients' sockets that are closed for writing and still read, see `add_lingering`.
         peak: The largest sum of these so far.
     """
@@ -45,17 +45,17 @@
     def __init__(self, limit: int) -> None:
         usable = max(limit - RESERVED_DESCRIPTORS, 8)
         self.max_clients = usable // 2
-        self.max_caches = usable - self.max_clients
-        self.clients = self.caches = self.lingering = self.peak = 0
+        self.max_outbound = usable - self.max_clients
+        self.clients = self.outbound = self.lingering = self.peak = 0
 
     def add_clients(self, by: int) -> None:
         """Add to the number of open client connections."""
         self.clients += by
         self._update_peak()
 
-    def add_caches(self, by: int) -> None:
+    def add_outbound(self, by: int) -> None:
         """Add to the number of open sockets to caches, the change log and other fronts."""
-        self.caches += by
+        self.outbound += by
         self._update_peak()
 
     def add_lingering(self, by: int) -> None:
@@ -64,7 +64,7 @@
         self._update_peak()
 
     def _update_peak(self) -> None:
-        self.peak = max(self.peak, self.clients + self.caches + self.lingering)
+        self.peak = max(self.peak, self.clients + self.outbound + self.lingering)
 
 
 def make_socket() -> socket.socket:
--- a/quincepier/net/state_persistence.py
+++ b/quincepier/net/state_persistence.py
@@ -68,7 +68,7 @@
         loading = run_in_daemon_thread(self._open_and_load, THREAD_NAME)
         await asyncio.wait((loading,), timeout=LOAD_TIMEOUT_S)
         if not loading.done():
-            self.checks.event("state_not_used", "it can't be read in time")
+            self.checks.event("state_not_used", "the stored state was not read in time")
             loading.add_done_callback(lambda done: self._on_loaded(done.result()))
             return
         loaded = self._on_loaded(loading.result())
@@ -94,7 +94,9 @@
     def _restore_state(self, state: LearnedState, size_bytes: int) -> None:
         age_ns = age_of(state.written_at, current_timestamp())
         if age_ns is None:
-            self.checks.event("state_age_unknown", "its clocks are ahead of this machine's")
+            self.checks.event(
+                "state_age_unknown", "the stored timestamps are later than this machine's clocks"
+            )
         facts = list(facts_from_state(state, self._name_mapping()))
         try:
             restored = restore_facts(self.module.router, facts, age_ns)
@@ -145,7 +147,7 @@
             jitter = self.random.uniform(1 - WRITE_INTERVAL_JITTER, 1 + WRITE_INTERVAL_JITTER)
             await asyncio.sleep(self.section.write_interval_s * jitter)
             if self.is_writing:
-                self.checks.event("state_not_written", "the last write is not over")
+                self.checks.event("state_not_written", "the previous write is still in progress")
             else:
                 await self._start_write()
 
--- a/quincepier/net/watch.py
+++ b/quincepier/net/watch.py
@@ -23,14 +23,14 @@
 from quincepier.wire.errors import ProtocolError
 
 # The timeout requested of the log for one long poll in ms, and the seconds beyond it until the response is
-# overdue. A stopped log whose connection stays open is detected after both; the front is held to have
-# received an event 2 s after the poll's timeout.
+# overdue. A stopped log whose connection stays open is detected after both; other parts of the
+# system assume that a front has received an event no later than 2 s after the poll's timeout.
 POLL_TIMEOUT_MS, POLL_GRACE_S = 1000, 0.75
 CONNECT_TIMEOUT_S = 0.5  # until a connect is overdue and another poll starts
 MAX_POLLS = 4  # in parallel; the oldest is closed for a further one
-# Backoff between failed polls: none after the first failure, then doubled at each failure in a row. At the
-# end of an outage of 8 s, the front has been held for 1 s to have received an event from the start of the
-# outage; a drain's grace period is 2 s.
+# Backoff between failed polls: none after the first failure, then doubled at each failure in a row. After an
+# outage of 8 s, an event from its start is 1 s past the time by which a front must have received it; that is
+# within the 2 s grace period of a drain.
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 0.75
 # A front starts serving once it has received the events that the log had at its start: after a response, or
 # after QUIET_PERIOD_S without one, as the log responds at once if it has events. If the log can't be
@@ -192,7 +192,11 @@
 
     def _on_overdue(self) -> None:
         """Start another poll beside the overdue ones."""
-        reason = "not up in time" if self.polls[-1].requested_at_s is None else "no response in time"
+        reason = (
+            "connection not established in time"
+            if self.polls[-1].requested_at_s is None
+            else "no response in time"
+        )
         self._on_poll_failed(self.polls[-1].started_at_s, f"TimeoutError: {reason}, polling again")
         self._start_additional_poll()
 
@@ -242,7 +246,7 @@
         sock, self.idle_socket = self.idle_socket, None
         if sock is not None:
             sock.close()
-            self.descriptors.add_caches(-1)
+            self.descriptors.add_outbound(-1)
 
     def _deliver_events(self, last: int, events: tuple[ChangeEvent, ...]) -> None:
         """Pass new events on, each once and in order; ProtocolError at a gap or invalid record, a few times.
--- a/quincepier/net/watch_poll.py
+++ b/quincepier/net/watch_poll.py
@@ -13,7 +13,8 @@
 from quincepier.wire.errors import ProtocolError
 
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-MAX_POLL_DURATION_S = 7.0  # by then the front is held to have received the events, whether or not it has
+# By then a front must have received the events, so a longer poll is of no use.
+MAX_POLL_DURATION_S = 7.0
 MAX_LATE_READS = 64  # reads after that time, for bytes that arrived during a process pause
 
 
@@ -109,7 +110,7 @@
         host, port = self.dependencies.config.changelog
         if self.sock is None:
             self.sock = await connect((host, port), MAX_POLL_DURATION_S, self.dependencies.checks)
-            self.dependencies.descriptors.add_caches(1)
+            self.dependencies.descriptors.add_outbound(1)
         self.requested_at_s = loop.time()
         http_request = f"GET {self.make_target()} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
         async with asyncio.timeout_at(deadline_s):
@@ -160,4 +161,4 @@
         self.task.cancel()
         if (sock := self.take_connection()) is not None:
             sock.close()
-            self.dependencies.descriptors.add_caches(-1)
+            self.dependencies.descriptors.add_outbound(-1)
--- a/quincepier/policy/send_permission.py
+++ b/quincepier/policy/send_permission.py
@@ -45,7 +45,9 @@
         return Denial.RETRY_WINDOW_EXPIRED
     if attempt.deadline_ns - now_ns < MIN_TIME_LEFT:
         return Denial.DEADLINE_EXPIRED
-    if not attempt.request.allows_second_copy and any(other.may_run for other in attempt.request.attempts):
+    if not attempt.request.allows_concurrent_attempts and any(
+        other.may_run for other in attempt.request.attempts
+    ):
         return Denial.CONCURRENT_ATTEMPT
     return Denial.LEASE_EXPIRED if is_lease_expired else None
 
--- a/tests/attemptkit.py
+++ b/tests/attemptkit.py
@@ -264,7 +264,7 @@
         for connection in self.connections():
             connection.close()
         await until(lambda: not self.connections(), "the connections are closed")
-        assert (self.descriptors.caches, self.pool.used) == (0, 0)
+        assert (self.descriptors.outbound, self.pool.used) == (0, 0)
         assert not [c for cache in self.module.caches.values() for c in (cache.in_flight or cache.timers)]
         assert not [
             kind
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -155,7 +155,7 @@
     plain = connection.Connection.cancel
 
     def cancel(self: connection.Connection, id: str, attempt: OpenAttempt, outcome: Any) -> None:
-        if attempt not in self.started or attempt.request.allows_second_copy:
+        if attempt not in self.started or attempt.request.allows_concurrent_attempts:
             plain(self, id, attempt, outcome)
             return
         self.awaited_by_id.pop(id, None)
--- a/tests/test_attempt_closing.py
+++ b/tests/test_attempt_closing.py
@@ -123,9 +123,9 @@
 
 
 def out_of_descriptors(harness: FrontHarness, connection: Connection, wire: Wire) -> None:
-    harness.descriptors.max_caches = harness.descriptors.caches
+    harness.descriptors.max_outbound = harness.descriptors.outbound
     assert connection.context.ensure_descriptor()
-    harness.descriptors.max_caches = 500
+    harness.descriptors.max_outbound = 500
 
 
 def not_taken_for_too_long(harness: FrontHarness, connection: Connection, wire: Wire) -> None:
@@ -319,7 +319,7 @@
     async def scenario() -> None:
         harness = FrontHarness(TWO, limits={"may_duplicate": False})
         request, connection, first = await cancelled_attempt(harness, cls=cls)
-        assert not request.allows_second_copy
+        assert not request.allows_concurrent_attempts
         await run_turns(200)
         assert len(harness.serve_wires(request)) == 1
         limit_socket(connection, None)
@@ -336,8 +336,8 @@
     run_on_uvloop(scenario)
 
 
-def attempts(allows_second_copy: bool) -> tuple[OpenAttempt, OpenAttempt]:
-    request = open_request(Inbox(), allows_second_copy=allows_second_copy)
+def attempts(allows_concurrent_attempts: bool) -> tuple[OpenAttempt, OpenAttempt]:
+    request = open_request(Inbox(), allows_concurrent_attempts=allows_concurrent_attempts)
     first, second = OpenAttempt(request, 0, 1, 0), OpenAttempt(request, 1, 2, 0)
     request.attempts = [first, second]
     first.deadline_ns = second.deadline_ns = 10 * clock.SECOND
@@ -345,7 +345,7 @@
 
 
 def test_no_attempt_begins_beside_one_that_is_not_closed_where_no_second_copy_is_allowed() -> None:
-    first, second = attempts(allows_second_copy=False)
+    first, second = attempts(allows_concurrent_attempts=False)
     assert find_denial(second, 1) is None
     first.on_first_byte(1)
     assert find_denial(second, 2) is Denial.CONCURRENT_ATTEMPT
@@ -356,14 +356,14 @@
 
 
 def test_an_attempt_may_begin_beside_another_where_second_copies_are_allowed() -> None:
-    first, second = attempts(allows_second_copy=True)
+    first, second = attempts(allows_concurrent_attempts=True)
     first.on_first_byte(1)
     assert find_denial(second, 2) is None
 
 
 @pytest.mark.parametrize("closed", [0, 8])
 def test_an_attempt_that_began_beside_one_not_closed_is_told(closed: int) -> None:
-    first, second = attempts(allows_second_copy=False)
+    first, second = attempts(allows_concurrent_attempts=False)
     first.on_first_byte(1)
     second.on_first_byte(5)
     if closed:
@@ -373,7 +373,7 @@
 
 
 def test_an_attempt_that_began_after_the_one_before_was_closed_is_in_order() -> None:
-    first, second = attempts(allows_second_copy=False)
+    first, second = attempts(allows_concurrent_attempts=False)
     first.on_first_byte(1)
     first.on_closed(4)
     second.on_first_byte(5)
@@ -384,7 +384,7 @@
 
 @pytest.mark.parametrize("state", [AttemptState.QUEUED, AttemptState.CANCELLED, AttemptState.CLOSED])
 def test_a_change_of_state_that_is_not_allowed_is_refused(state: AttemptState) -> None:
-    attempt = attempts(allows_second_copy=True)[0]
+    attempt = attempts(allows_concurrent_attempts=True)[0]
     attempt.state = state
     with pytest.raises(AssertionError):
         if state is AttemptState.QUEUED:
--- a/tests/test_crossings_answers.py
+++ b/tests/test_crossings_answers.py
@@ -237,7 +237,7 @@
         harness = FrontHarness(ONE)
         wire = await harness.serve_one(BID)
         (connection,) = harness.connections()
-        harness.descriptors.max_caches = 1
+        harness.descriptors.max_outbound = 1
         wire.send(encode_response("0" * 16, b"z" * 100_000)[:300])
         await until(lambda: not connection.is_between_responses, "the response has begun")
         other = await harness.serve_one(BID)
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -137,7 +137,7 @@
         assert await harness.wait_for_status(request) == 502 and harness.outcomes(request) == [
             AttemptOutcome.CANCELLED
         ]
-        assert len(harness.connections()) == harness.descriptors.caches
+        assert len(harness.connections()) == harness.descriptors.outbound
         await harness.serve_one(BID)
         written = "written" in order
         assert (len(harness.serve_wires(request)), harness.count_cancels(request)) == (written, written)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -46,7 +46,7 @@
         assert (await new.wait_for_poll(1)).since == 2
         new.polls[0].respond(2, 3)
         await rig.expect_delivered(2, 3)
-        assert len(rig.log.polls) == 1 and rig.watch.descriptors.caches == 1
+        assert len(rig.log.polls) == 1 and rig.watch.descriptors.outbound == 1
 
     run_with_watcher(monkeypatch, scenario)
 
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -166,7 +166,7 @@
             "all dials have ended",
         )
         assert route.extra_dials == 0 and harness.dialer.limiter.in_use == 0
-        assert harness.module.dependencies.descriptors.caches == sum(
+        assert harness.module.dependencies.descriptors.outbound == sum(
             len(cache.connections) for cache in harness.module.caches.values()
         )
         await harness.close()
@@ -254,7 +254,7 @@
         harness.disconnect_client(request)
         await until(lambda: not harness.route("o-1").task_by_dial, "its dials are cancelled")
         await until(lambda: not harness.cache("o-1").connections, "its connection is closed")
-        assert (harness.module.dependencies.descriptors.caches, harness.dialer.limiter.in_use) == (0, 0)
+        assert (harness.module.dependencies.descriptors.outbound, harness.dialer.limiter.in_use) == (0, 0)
         assert inbox.responses == [] and origin.whole[job] == 0
         counts = harness.checks.counts
         assert counts["dials_cancelled"] and not counts["dials_failed_timed_out"]
@@ -298,9 +298,9 @@
         asked = [harness.submit(UNSAFE) for _ in range(40)]
         peak = 0
         while not all(inbox.responses for _, inbox, _ in asked):
-            peak = max(peak, descriptors.caches)
+            peak = max(peak, descriptors.outbound)
             await asyncio.sleep(0.001)
-        assert peak <= descriptors.max_caches
+        assert peak <= descriptors.max_outbound
         assert {inbox.responses[0].status for _, inbox, _ in asked} == {200}
         assert all(origin.whole[job] == 1 for job, _, _ in asked)
         await harness.close()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -74,8 +74,8 @@
         harness = FrontHarness(ONE)
         wire = await harness.serve_one(BID)
         cache = harness.cache("o-1")
-        dials_before = cache.ramp.max_dials
-        assert dials_before > cache.ramp.initial_max_dials
+        dials_before = cache.dial_limit.max_dials
+        assert dials_before > cache.dial_limit.initial_max_dials
         monkeypatch.setattr(FailingSocket, "takes_nothing", True)
         request = harness.submit(BID)
         await until(
@@ -87,7 +87,7 @@
         monkeypatch.setattr(FailingSocket, "error", 0)
         monkeypatch.setattr(FailingSocket, "takes_nothing", False)
         assert harness.outcomes(request)[0] is AttemptOutcome.NOT_PROCESSED
-        assert cache.ramp.max_dials >= dials_before
+        assert cache.dial_limit.max_dials >= dials_before
         again = await harness.wait_for_command(request)
         again.respond(request.job_id)
         assert await harness.wait_for_status(request) == 200
