--- a/quincepier/net/event_dates.py
+++ b/quincepier/net/event_dates.py
@@ -22,8 +22,8 @@
         self._known_seq = config.known_seq
         self._warm_after_ns = longest_slow_start(config.settings)
         self._ages = EventAges(clock.unix(), clock.now())
-        # Start times that a later date may still correct. They are few: only those within one slow start of the
-        # newest date.
+        # Start times that a later date may still correct. They are few: only those within one slow start of
+        # the newest date.
         self._unsettled_starts_ms: set[int] = set()
 
     def observe(self, event: ChangeEvent) -> None:
