--- a/quincepier/net/fleet/report_counters.py
+++ b/quincepier/net/fleet/report_counters.py
@@ -104,7 +104,7 @@
         self._seconds.clear()
         self._seconds.append(_Second(now_ns))
 
-    def on_command_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
+    def on_command_queued(self, attempt: OpenAttempt, now_ns: int) -> None:
         """Count a command that is sent."""
         commands = self._second_at(now_ns).commands_by_machine
         if attempt.cache in commands or len(commands) < MAX_HOSTS:
--- a/quincepier/net/fleet/version_effects.py
+++ b/quincepier/net/fleet/version_effects.py
@@ -229,9 +229,9 @@
             placement = self._placements.decide(event.tenant, event.object, not is_unsafe, event.is_repeat)
             request.shard = placement.shard
 
-    def on_command_sent(self, attempt: OpenAttempt, now_ns: int) -> None:
+    def on_command_queued(self, attempt: OpenAttempt, now_ns: int) -> None:
         """Count a command that is sent."""
-        self._counters.on_command_sent(attempt, now_ns)
+        self._counters.on_command_queued(attempt, now_ns)
 
     def on_attempt_completed(self, attempt: OpenAttempt, cache_status: CacheStatus) -> None:
         """Count an attempt that was completed."""
--- a/quincepier/net/peers/peer_network.py
+++ b/quincepier/net/peers/peer_network.py
@@ -152,7 +152,7 @@
             self._server.close()
         await asyncio.sleep(0)  # lets the loop send the datagrams before the socket closes
         self._socket.close()
-        self._descriptors.add_caches(-OWN_SOCKETS)
+        self._descriptors.add_outbound(-OWN_SOCKETS)
 
     def add_view_listener(self, listener: Callable[[ViewChanged], None]) -> None:
         """Registers a function that is called with each view change, after `view` was updated."""
@@ -211,7 +211,7 @@
             raise PeersError(
                 f"can't listen: {reason}", self._listen_text, "find the process that uses this address"
             ) from None
-        self._descriptors.add_caches(OWN_SOCKETS)
+        self._descriptors.add_outbound(OWN_SOCKETS)
         logger.bind(
             event="member_listening", fleet=self._fleet, name=self.name, address=self._listen_text
         ).info("member {} of fleet {} listens on {}", self.name, self._fleet, self._listen_text)
--- a/tests/test_report_counters.py
+++ b/tests/test_report_counters.py
@@ -27,7 +27,7 @@
     counters = ReportCounters((request_class,), 0, 2)
     attempt: Any = SimpleNamespace(cache=1, source=2, is_completed=False)
     attempt.request = make_request([attempt], is_finished=True)
-    counters.on_command_sent(attempt, 0)
+    counters.on_command_queued(attempt, 0)
     counters.on_response(attempt.request, 200, clock.SECOND // 2)
     counters.on_attempt_completed(attempt.request, CacheStatus.HIT, clock.SECOND // 2)
     base = make_report("f", 2)
