--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -32,7 +32,7 @@
 from loguru import logger
 
 from quincepier.addresses import parse_term
-from quincepier.lab.scripted import Moment, Script
+from quincepier.lab.scripted_cache import Moment, Script
 from tests.addresskit import SAFE, Inside, Machine, play
 
 HIGHEST = 10_000_000  # microseconds
@@ -122,7 +122,7 @@
             histogram.record_value(max(int((took - usual) * 1e6), 1))
         quantiles = [histogram.get_value_at_percentile(q) / 1000 for q in (50, 90, 99, 100)]
         ran = script.moment in (Moment.WHOLE, Moment.ANSWER)  # then a read may be asked again
-        twice = 0 if ran else sum(n > 1 for n in rig.machine.whole.values())
+        twice = 0 if ran else sum(n > 1 for n in rig.machine.received_count_by_id.values())
         dials = (counts["dials"] - before) / len(times)
         await rig.inside.close()
     if twice:
--- a/bench/consistency.py
+++ b/bench/consistency.py
@@ -10,7 +10,7 @@
 import sys
 
 from quincepier.consistency import ConsistencySection
-from quincepier.lab.consistency_trial import SimulatedFleet, make_endpoint_list
+from quincepier.lab.consistency_simulation import SimulatedFleet, make_endpoint_list
 from tests.rig import MS, SECOND, make_settings
 
 ENDPOINTS = make_endpoint_list(12, 16, 8)  # 192 caches in 12 zones, 8 parents
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -13,7 +13,7 @@
 import sys
 from typing import NamedTuple
 
-from quincepier.lab.peers import PeerNet
+from quincepier.lab.membership_simulation import SimulatedPeerNetwork
 from quincepier.membership import ProbeIntervals
 from quincepier.membership.probe_intervals import MS, SECOND
 
@@ -45,7 +45,7 @@
 
 
 def run_detector(count: int, seed: int, intervals: ProbeIntervals | None, fault: str) -> RunResult:
-    net = PeerNet(count, seed, intervals, loss=LOSS if fault == "loss" else 0.0)
+    net = SimulatedPeerNetwork(count, seed, intervals, loss=LOSS if fault == "loss" else 0.0)
     net.start()
     net.run(8 * SECOND)
     since, bytes_before = net.now, sum(net.bytes.values())
@@ -55,7 +55,7 @@
         for peer in net.peers[:tenth]:
             peer.pause(PAUSE)
     elif fault == "partition":
-        net.cuts = {(f"f{a}", f"f{b}") for a in range(tenth) for b in range(count // 2, count)}
+        net.blocked_links = {(f"f{a}", f"f{b}") for a in range(tenth) for b in range(count // 2, count)}
     elif fault == "kill":
         killed.kill()
     net.run(RUN_S * SECOND)
--- a/quincepier/lab/command.py
+++ b/quincepier/lab/command.py
@@ -13,7 +13,7 @@
 from quincepier.config import SettingsError
 from quincepier.lab.compare import Verdict, compare
 from quincepier.lab.experiment import load
-from quincepier.lab.runs import Kept, Run, keep, play_all, read_kept
+from quincepier.lab.runs import Run, StoredRuns, keep, play_all, read_kept
 from quincepier.lab.tally import Figures
 
 # What is compared: the figure's name, and whether more of it is better.
@@ -93,7 +93,7 @@
     return table
 
 
-def _side(name: str, kept: Kept) -> tuple[str, dict[int, Figures]]:
+def _side(name: str, kept: StoredRuns) -> tuple[str, dict[int, Figures]]:
     variant = name if name in kept.variants else kept.variants[0]
     return variant, kept.of(variant)
 
--- a/quincepier/lab/experiment.py
+++ b/quincepier/lab/experiment.py
@@ -26,7 +26,7 @@
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=60)]
 
 
-class Kind(Enum):
+class FaultKind(Enum):
     """What a fault does. All but `purge` last for `lasts` seconds, and strike part of a tier or of fronts."""
 
     CRASH = "crash"  # processes die: connections refused; they come back empty and cold
@@ -57,10 +57,28 @@
 
 
 ON_FRONTS = frozenset(
-    (Kind.KILL, Kind.TERM, Kind.ROLL, Kind.PAUSE, Kind.STARVE, Kind.RELOAD, Kind.SIGNALS, Kind.CROWD)
+    (
+        FaultKind.KILL,
+        FaultKind.TERM,
+        FaultKind.ROLL,
+        FaultKind.PAUSE,
+        FaultKind.STARVE,
+        FaultKind.RELOAD,
+        FaultKind.SIGNALS,
+        FaultKind.CROWD,
+    )
 )
 ON_PATHS = frozenset(
-    (Kind.CUT, Kind.SILENT, Kind.RESET, Kind.DELAY, Kind.THROTTLE, Kind.LOSS, Kind.REPEAT, Kind.SHUFFLE)
+    (
+        FaultKind.CUT,
+        FaultKind.SILENT,
+        FaultKind.RESET,
+        FaultKind.DELAY,
+        FaultKind.THROTTLE,
+        FaultKind.LOSS,
+        FaultKind.REPEAT,
+        FaultKind.SHUFFLE,
+    )
 )
 
 
@@ -73,13 +91,13 @@
     PEERS = "peers"  # between fronts
 
 
-class Way(Enum):
+class LinkDirection(Enum):
     OUT = "out"  # what a front says
     IN = "in"  # what it hears
     BOTH = "both"
 
 
-class Disk(Enum):
+class StorageDamage(Enum):
     """What becomes of a front's folder of state while it is down."""
 
     KEEP = "keep"
@@ -102,7 +120,7 @@
     START = "start"  # the front is started anew once it has ended; the series goes on at once
 
 
-class Counted(Enum):
+class CountedEvent(Enum):
     """What a fault may wait for."""
 
     FILLS = "fills"
@@ -174,23 +192,23 @@
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     at: AtLeast0
-    kind: Kind
+    kind: FaultKind
     tier: Annotated[int, msgspec.Meta(ge=0, le=2)] = EDGE
     part: Share = 0.25
     lasts: AtLeast0 = 10.0
     size: AtLeast0 = 4.0
     path: NetPath = NetPath.CACHES
-    way: Way = Way.BOTH
-    state: Disk = Disk.KEEP
+    way: LinkDirection = LinkDirection.BOTH
+    state: StorageDamage = StorageDamage.KEEP
     series: tuple[Signal, ...] = ()
     settled: bool = (
         False  # by processes, on fronts: strikes once those struck serve, so that none is down yet
     )
-    counted: Counted | None = None  # strikes at the `nth` such event from `at` on
+    counted: CountedEvent | None = None  # strikes at the `nth` such event from `at` on
     nth: Count = 1
 
     def __post_init__(self) -> None:
-        if self.kind in (Kind.LOSS, Kind.REPEAT, Kind.SHUFFLE) and self.size > 1:
+        if self.kind in (FaultKind.LOSS, FaultKind.REPEAT, FaultKind.SHUFFLE) and self.size > 1:
             raise ValueError("size <= 1 is wanted")
 
 
@@ -226,7 +244,7 @@
         if self.fleet.fronts < self.fleet.zones or self.fleet.caches < self.fleet.zones:
             raise ValueError("fleet: a front and a cache for each zone are wanted")
 
-    def keeps(self, variant: Variant, front: int) -> float:
+    def state_write_interval_s(self, variant: Variant, front: int) -> float:
         """How often that front writes what it learned, in seconds; 0: never."""
         every = self.fleet.keeps_s if variant.keeps_s is None else variant.keeps_s
         return every if front < self.fleet.keeps_part * self.fleet.fronts else 0.0
@@ -236,10 +254,10 @@
         """The longest time in which a client waits, in seconds."""
         return max(cls.deadline_ms for cls in self.classes) / 1000
 
-    def group(self, obj: int) -> int:
+    def group_of_object(self, obj: int) -> int:
         return obj * 0x9E3779B1 % self.load.groups
 
-    def sending(self, cls: int, obj: int) -> float:
+    def send_time_ns(self, cls: int, obj: int) -> float:
         """The sending time of an object alone, in nanoseconds; the class's mean is kept."""
         c = self.classes[cls]
         if not c.sigma:
--- a/quincepier/lab/fleet/claims.py
+++ b/quincepier/lab/fleet/claims.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from quincepier.lab.experiment import SECOND
-from quincepier.lab.returns import FULL, SETTLES
+from quincepier.lab.recovery_metrics import FULL_SERVICE_SHARE, SETTLING_DIVISOR
 
 LOOKED_FOR, LEAST_TRIES, LEAST_SHARE = 3 * SECOND, 20, 0.9  # after a claim; of the usual share
 OPEN_FOR = SECOND // 2  # what came so shortly before a fault may be open as it strikes
@@ -38,7 +38,7 @@
     @property
     def is_false(self) -> bool:
         """Whether it serves less than it says."""
-        return self.tries >= LEAST_TRIES and self.share < LEAST_SHARE * FULL * self.usual
+        return self.tries >= LEAST_TRIES and self.share < LEAST_SHARE * FULL_SERVICE_SHARE * self.usual
 
 
 class Claims:
@@ -59,7 +59,7 @@
         if not struck:
             return
         calm = min(struck)
-        since = start + (calm - start) // SETTLES
+        since = start + (calm - start) // SETTLING_DIVISOR
         usual = _share(one for tries in self._tries.values() for one in tries if since <= one.when < calm)
         for when, front in claims:
             next_fault = min((at for at in struck if at > when), default=when + LOOKED_FOR)
--- a/quincepier/lab/fleet/disk.py
+++ b/quincepier/lab/fleet/disk.py
@@ -6,7 +6,7 @@
 import shutil
 from pathlib import Path
 
-from quincepier.lab.experiment import Disk
+from quincepier.lab.experiment import StorageDamage
 
 
 def read(folder: Path) -> dict[str, bytes]:
@@ -14,20 +14,20 @@
     return {str(p.relative_to(folder)): p.read_bytes() for p in sorted(folder.rglob("*")) if p.is_file()}
 
 
-def strike(folder: Path, how: Disk, older: dict[str, bytes], chance: random.Random) -> None:
+def strike(folder: Path, how: StorageDamage, older: dict[str, bytes], chance: random.Random) -> None:
     """`older` is what the folder held as the run began."""
     files = [p for p in sorted(folder.rglob("*")) if p.is_file()]
-    if how in (Disk.EMPTY, Disk.OLDER):
+    if how in (StorageDamage.EMPTY, StorageDamage.OLDER):
         shutil.rmtree(folder)
         folder.mkdir(parents=True)
-        for name, content in older.items() if how is Disk.OLDER else ():
+        for name, content in older.items() if how is StorageDamage.OLDER else ():
             (folder / name).parent.mkdir(parents=True, exist_ok=True)
             (folder / name).write_bytes(content)
-    elif how is Disk.READ_ONLY:
+    elif how is StorageDamage.READ_ONLY:
         folder.chmod(0o500)
-    for path in files if how in (Disk.CUT, Disk.FLIP) else ():
+    for path in files if how in (StorageDamage.CUT, StorageDamage.FLIP) else ():
         content = bytearray(path.read_bytes())
-        if how is Disk.CUT:
+        if how is StorageDamage.CUT:
             del content[len(content) // 2 :]
         elif content:
             content[chance.randrange(len(content))] ^= 1 << chance.randrange(8)
--- a/quincepier/lab/fleet/evidence.py
+++ b/quincepier/lab/fleet/evidence.py
@@ -15,17 +15,19 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from quincepier.lab.experiment import MS, ORIGIN, SECOND, Experiment, Kind, NetPath, Way
+from quincepier.lab.experiment import MS, ORIGIN, SECOND, Experiment, FaultKind, LinkDirection, NetPath
 from quincepier.lab.fleet.claims import Claims
 from quincepier.lab.fleet.copies import Copies
-from quincepier.lab.judge import Judge
+from quincepier.lab.rule_checker import RuleChecker
 from quincepier.lab.tally import START, Figures, Tally
 
 CROSSED = 50 * MS  # a request that crosses the close of its connection was never taken
 RESUMED = 500 * MS  # after a stop: what was due by then may be late, as the front had no time for it
 TERM_TAKES = 700 * MS  # what comes later than this after SIGTERM is nobody's
 TOLD_AFTER = 7 * SECOND  # since the log has it
-HOLDING = frozenset((Kind.CUT, Kind.SILENT, Kind.DELAY, Kind.THROTTLE))  # what is said over a path
+HOLDING = frozenset(
+    (FaultKind.CUT, FaultKind.SILENT, FaultKind.DELAY, FaultKind.THROTTLE)
+)  # what is said over a path
 HELD_AFTER_CROWD = SECOND  # a crowd goes by and by
 HELD_AFTER = 1.0  # seconds after such a fault: what it kept is passed on then
 US = 1000
@@ -103,7 +105,7 @@
 class Evidence:
     def __init__(self, experiment: Experiment, story: Story, folder: Path) -> None:
         self.experiment, self.story = experiment, story
-        self.judge, self.tally = Judge(int(experiment.load.lost_ms * MS)), Tally(experiment)
+        self.judge, self.tally = RuleChecker(int(experiment.load.lost_ms * MS)), Tally(experiment)
         self.folder = folder
         self.notes = sorted(_read(folder), key=lambda n: n[0])
         self.notes += [[at, "started", front, seq] for at, front, seq in story.starts]
@@ -136,7 +138,7 @@
         return any(
             fault.kind in HOLDING
             and fault.path is NetPath.CACHES
-            and fault.way is not Way.IN
+            and fault.way is not LinkDirection.IN
             and fault.at <= since <= fault.at + fault.lasts + HELD_AFTER
             for fault in self.experiment.faults
         )
@@ -162,10 +164,10 @@
         self._claims()
         self._copies()
         for front, line in self._faults_told():
-            self.judge.accuse("invariant", -1, f"front {front}: {line}", front)
+            self.judge.report_violation("invariant", -1, f"front {front}: {line}", front)
         for front, why in self.story.crashes:
-            self.judge.accuse("crash", -1, f"front {front} {why}", front)
-        self.judge.end(self._at(self.last))
+            self.judge.report_violation("crash", -1, f"front {front} {why}", front)
+        self.judge.finish(self._at(self.last))
 
     def _faults_told(self) -> Iterator[tuple[int, str]]:
         """Lines in which a front itself tells of a fault: an invariant that broke, an exception survived."""
@@ -178,15 +180,15 @@
         pass
 
     def _came(self, when: int, cls: int, intended: int) -> None:
-        self.tally.asked(self._at(intended), cls)
+        self.tally.on_request(self._at(intended), cls)
 
     def _asked(self, when: int, job: int, front: int, effect: str, due: int, group: int) -> None:
         due += self._stood(when, due + SECOND)
-        self.judge.asked(self._at(when), job, front, effect, self._at(due))
+        self.judge.on_request(self._at(when), job, front, effect, self._at(due))
         self.open[front][job] = when
         self.last = max(self.last, when)
         if self._excused(front, when, due):
-            self.judge.abandoned(job)
+            self.judge.on_abandoned(job)
 
     def _sent(
         self, when: int, job: int, front: int, machine: int, source: int, serial: int, wait_ms: int
@@ -197,40 +199,42 @@
         if job in self.crossed:
             self._accuse_crossed(job)
         if not self._holds_commands(when):
-            self.judge.began(self._at(when), job, wait_ms * MS, self._stood(when - SECOND, when + SECOND))
-        self.judge.sent(self._at(when), job, front, machine, source or None)
+            self.judge.on_attempt_received(
+                self._at(when), job, wait_ms * MS, self._stood(when - SECOND, when + SECOND)
+            )
+        self.judge.on_attempt_sent(self._at(when), job, front, machine, source or None)
 
     def _ran(self, when: int, job: int, machine: int) -> None:
-        self.judge.ran(self._at(when), job, machine)
+        self.judge.on_effect_run(self._at(when), job, machine)
 
     def _fell(self, when: int, machine: int, job: int) -> None:
-        self.judge.fell(self._at(when), machine, job)
+        self.judge.on_cold_machine_overloaded(self._at(when), machine, job)
 
     def _machines(self, when: int, colds: int, strain: float) -> None:
         self.strain = strain
         for _ in range(colds):
-            self.judge.looked_cold()
+            self.judge.count_cold_check()
 
     def _answer(self, when: int, job: int, status: str, serial: int, minted: int, group: int) -> None:
         if status == "spoilt":
-            self.judge.accuse("answer", job, "bytes that no machine made")
+            self.judge.report_violation("answer", job, "bytes that no machine made")
         sent = self.sent.get(serial, (0, 0))[0]
         if status == "served" and not sent:
-            self.judge.accuse("answer", job, "an answer of no attempt")
+            self.judge.report_violation("answer", job, "an answer of no attempt")
         copy = self._at(minted) if minted >= 0 else None
-        self.judge.answered(self._at(when), job, status, copy, self._at(sent), group)
+        self.judge.on_response(self._at(when), job, status, copy, self._at(sent), group)
         for jobs in self.open.values():
             jobs.pop(job, None)
 
     def _surplus(self, when: int, front: int, kind: int) -> None:
-        self.judge.accuse("answer", -1, f"front {front} says more after a request's end", front)
+        self.judge.report_violation("answer", -1, f"front {front} says more after a request's end", front)
 
     def _left(self, when: int, job: int) -> None:
         """Before its time its client gave it up; past it and the client's patience it was never answered."""
         self.last = max(self.last, when)
-        trace = self.judge.traces.get(job)
-        if trace is not None and self._at(when) < trace.due + self.judge.late:
-            self.judge.client_left(self._at(when), job)
+        trace = self.judge.trace_by_request.get(job)
+        if trace is not None and self._at(when) < trace.deadline + self.judge.late_tolerance:
+            self.judge.on_client_disconnected(self._at(when), job)
             for jobs in self.open.values():
                 jobs.pop(job, None)
 
@@ -243,30 +247,32 @@
     def _accuse_crossed(self, job: int) -> None:
         """What crosses the end of its connection is not read, or it is answered."""
         front = self.crossed.pop(job)
-        self.judge.accuse("answer", job, "forwarded, and its connection ended with no answer", front)
+        self.judge.report_violation(
+            "answer", job, "forwarded, and its connection ended with no answer", front
+        )
 
     def _lost(self, when: int, job: int, front: int, is_new: bool = False) -> None:
         came = self.open[front].pop(job, when)
         shut = is_new and any(f == front and a <= when < b for f, a, b in self.crowds)
         if self._excused(front, came, when):
-            self.judge.abandoned(job)
+            self.judge.on_abandoned(job)
         elif shut or when - came < CROSSED:
-            self.judge.abandoned(job)
+            self.judge.on_abandoned(job)
             self.crossed[job] = front
             if job in self.forwarded:
                 self._accuse_crossed(job)
         else:
-            self.judge.accuse("answer", job, "its connection ended with no answer")
-            self.judge.abandoned(job)
+            self.judge.report_violation("answer", job, "its connection ended with no answer")
+            self.judge.on_abandoned(job)
 
     def _killed(self, when: int, front: int) -> None:
         for job in self.open[front]:
-            self.judge.abandoned(job)
+            self.judge.on_abandoned(job)
         self.open[front].clear()
 
     def _struck(self, when: int, what: str, fronts: bool) -> None:
         self.tally.mark(self._at(when), what)
-        self.tally.returns.struck(self._at(when), fronts)
+        self.tally.recovery.on_fault(self._at(when), fronts)
 
     # What a front knows
 
@@ -275,7 +281,7 @@
         if what == "purged":
             group, at = about
             self.told[seq] = {}
-            self.judge.purged(self._at(at), group, self.told[seq])
+            self.judge.on_purge(self._at(at), group, self.told[seq])
 
     def _knows(self, when: int, front: int, seq: int) -> None:
         for one in range(self.heard[front] + 1, seq + 1):
@@ -284,9 +290,9 @@
                 self.told[one].setdefault(front, self._at(when))
             for machine, ready in about if what == "listed" else ():
                 if ready:
-                    self.judge.told_back(front, machine)
+                    self.judge.on_return_reported(front, machine)
                 else:
-                    self.judge.told_leaving(self._at(when), front, machine)
+                    self.judge.on_leaving_reported(self._at(when), front, machine)
         self.heard[front] = max(self.heard[front], seq)
 
     def _counts_as_told(self, when: int, seq: int) -> None:
@@ -295,7 +301,7 @@
             self._knows(when, front, seq)
 
     def _call(self, when: int, front: int, since: int) -> None:
-        self.tally.returns.count("calls for the list", self._at(when))
+        self.tally.recovery.count("calls for the list", self._at(when))
         self._knows(when, front, since)
 
     def _started(self, when: int, front: int, seq: int) -> None:
@@ -304,18 +310,18 @@
     # What it adds up to
 
     def _dial(self, when: int, front: int, machine: int) -> None:
-        self.tally.returns.count("dials", self._at(when), machine, front)
+        self.tally.recovery.count("dials", self._at(when), machine, front)
 
     def _fill(self, when: int, kind: int, source: int) -> None:
-        self.tally.filled(self._at(when), kind == ORIGIN, source)
+        self.tally.on_fetch_started(self._at(when), kind == ORIGIN, source)
 
     def _fetch(self, when: int) -> None:
-        self.tally.fetched(self._at(when))
+        self.tally.on_origin_fetch(self._at(when))
 
     def _again(self, when: int, cls: int, status: str, front: int, is_usual: bool) -> None:
         if is_usual:
             self.claims.on_try(front, when, self.experiment.classes[cls].worth, 0.0)
-        self.tally.turned(self._at(when), cls, status)
+        self.tally.on_retry(self._at(when), cls, status)
 
     def _over(
         self,
@@ -330,7 +336,9 @@
     ) -> None:
         c, sent = self.experiment.classes[cls], self.sent.get(serial, (0, 0))[0]
         stale = c.fresh_s > 0 and sent - minted > c.fresh_s * SECOND and status == "served"
-        self.tally.over(self._at(when), cls, "failed" if status == "spoilt" else status, when - came, stale)
+        self.tally.on_request_finished(
+            self._at(when), cls, "failed" if status == "spoilt" else status, when - came, stale
+        )
         if is_usual:
             self.claims.on_try(front, when, c.worth, c.worth if status == "served" else 0.0)
         if status == "served":
@@ -341,32 +349,34 @@
         if self.allows_copies:
             return
         for job, since, until in self.copies.beside_each_other():
-            self.judge.checked["copies"] += 1
+            self.judge.check_count_by_rule["copies"] += 1
             span = until - since
             if span > CROSSED + self._stood(since - SECOND, until + SECOND):
-                self.judge.accuse("copies", job, f"two attempts run at once for {span / SECOND:.3f} s")
+                self.judge.report_violation(
+                    "copies", job, f"two attempts run at once for {span / SECOND:.3f} s"
+                )
 
     def _claims(self) -> None:
         """A front that says it is back at full service serves nearly what the fleet served before."""
         marks = [at for at, _, _ in self.story.marks]
         for claim in self.claims.judged(self.story.claims, self.story.start, marks):
-            self.judge.checked["claim"] += 1
+            self.judge.check_count_by_rule["claim"] += 1
             if claim.is_false:
                 share = f"{claim.share:.2f} of {claim.usual:.2f}"
                 why = f"front {claim.front} says full service and serves {share}"
-                self.judge.accuse("claim", -1, why, claim.front)
+                self.judge.report_violation("claim", -1, why, claim.front)
 
     def run(self, variant: str, seed: int, void: str, parts: dict[str, Part]) -> FleetRun:
         self.hear()
         story, experiment = self.story, self.experiment
         for at in story.returns:
-            self.tally.returns.returned(self._at(at))
+            self.tally.recovery.on_front_returned(self._at(at))
         for front, _, at, _ in story.downs:
-            self.tally.returns.restarted(self._at(at), front)
+            self.tally.recovery.on_front_restarted(self._at(at), front)
         self.tally.finish(self.judge, "", len(self.notes), self.strain)
         halves = int(experiment.seconds * 2) + 1
         series = {}
-        for what, times in self.tally.returns.series.items():
+        for what, times in self.tally.recovery.times_by_event.items():
             counts = [0] * halves
             for at in times:
                 n = (at - START) * 2 // SECOND
@@ -391,5 +401,7 @@
             percentiles_ms={f"{p:g}": self.histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES},
             parts=parts,
             starts_s=tuple(round(t, 3) for t in story.took),
-            accused={rule: tuple(sorted(fronts)) for rule, fronts in self.judge.accused.items()},
+            accused={
+                rule: tuple(sorted(fronts)) for rule, fronts in self.judge.accused_fronts_by_rule.items()
+            },
         )
--- a/quincepier/lab/fleet/load.py
+++ b/quincepier/lab/fleet/load.py
@@ -165,7 +165,7 @@
         part = self.random.randrange(experiment.classes[cls].parts)
         self.notes.note("came", cls, intended)
         self.open += 1
-        self._ask(Try(cls, obj, part, experiment.group(obj), intended, 0))
+        self._ask(Try(cls, obj, part, experiment.group_of_object(obj), intended, 0))
 
     def _ask(self, one: Try) -> None:
         one.front = self.random.choice(self.shown or list(self.pools))
--- a/quincepier/lab/fleet/processes.py
+++ b/quincepier/lab/fleet/processes.py
@@ -143,7 +143,7 @@
         self.state.mkdir(parents=True)
         rig = self.rig
         text = rig.operators(self.number, rig) if rig.operators else rig.settling(self.number)
-        if every := rig.experiment.keeps(rig.variant, self.number):
+        if every := rig.experiment.state_write_interval_s(rig.variant, self.number):
             text += f"\nstate: {{folder: {self.state}, every_s: {every}}}\n"
         self.told = self.folder / "operator.yaml" if text else None
         if self.told is not None:
--- a/quincepier/lab/fleet/rig.py
+++ b/quincepier/lab/fleet/rig.py
@@ -21,7 +21,16 @@
 from pathlib import Path
 from typing import Any
 
-from quincepier.lab.experiment import ON_FRONTS, ON_PATHS, SECOND, Experiment, Fault, Kind, NetPath, Variant
+from quincepier.lab.experiment import (
+    ON_FRONTS,
+    ON_PATHS,
+    SECOND,
+    Experiment,
+    Fault,
+    FaultKind,
+    NetPath,
+    Variant,
+)
 from quincepier.lab.fleet import disk, load, relay, standins
 from quincepier.lab.fleet.evidence import Evidence, FleetRun, Part, Story
 from quincepier.lab.fleet.ports import Ports
@@ -236,7 +245,7 @@
     async def _strike(self, fault: Fault) -> None:
         fronts = fault.kind in ON_FRONTS or fault.kind in ON_PATHS
         self.story.marks.append((time.monotonic_ns(), fault.kind.value, fronts))
-        if fault.kind is Kind.RUSH:
+        if fault.kind is FaultKind.RUSH:
             self._say_to_loads(rush=fault.size)
             await asyncio.sleep(fault.lasts)
             self._say_to_loads(rush=1.0)
@@ -270,23 +279,23 @@
         self.story.returns.append(time.monotonic_ns())
 
     async def _on_fronts(self, fault: Fault, struck: list[FrontProcess]) -> None:
-        if fault.kind is Kind.KILL:
+        if fault.kind is FaultKind.KILL:
             for front in struck:  # all at once, then what follows
                 front.kill()
             await asyncio.gather(*(self._again(front, fault) for front in struck))
-        elif fault.kind in (Kind.TERM, Kind.ROLL):
-            apart = fault.lasts / len(struck) if fault.kind is Kind.ROLL else 0.0
+        elif fault.kind in (FaultKind.TERM, FaultKind.ROLL):
+            apart = fault.lasts / len(struck) if fault.kind is FaultKind.ROLL else 0.0
             await asyncio.gather(*(self._term(front, fault, n * apart) for n, front in enumerate(struck)))
-        elif fault.kind is Kind.RELOAD:
+        elif fault.kind is FaultKind.RELOAD:
             await asyncio.gather(*(self._reload(front, fault) for front in struck))
-        elif fault.kind is Kind.SIGNALS:
+        elif fault.kind is FaultKind.SIGNALS:
             await asyncio.gather(*(play_series(front, fault, self.random) for front in struck))
-        elif fault.kind is Kind.CROWD:
+        elif fault.kind is FaultKind.CROWD:
             for front in struck:
                 self.loads[0].say(crowd=front.number, count=int(fault.size), lasts=fault.lasts)
             await asyncio.sleep(fault.lasts)
             self.story.returns.append(time.monotonic_ns())
-        elif fault.kind is Kind.PAUSE:
+        elif fault.kind is FaultKind.PAUSE:
             await asyncio.gather(*(self._pause(front, fault.lasts) for front in struck))
             self.story.returns.append(time.monotonic_ns())
         else:
@@ -323,7 +332,7 @@
         await asyncio.sleep(wait)
         starts = front.starts
         await front.term()
-        await asyncio.sleep(fault.lasts if fault.kind is Kind.TERM else 0.0)
+        await asyncio.sleep(fault.lasts if fault.kind is FaultKind.TERM else 0.0)
         disk.strike(front.state, fault.state, front.first, self.random)
         if front.starts == starts:
             await front.start()
--- a/quincepier/lab/fleet/standins.py
+++ b/quincepier/lab/fleet/standins.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState
-from quincepier.lab.experiment import EDGE, MS, SECOND, Experiment, Fault, Kind, load
+from quincepier.lab.experiment import EDGE, MS, SECOND, Experiment, Fault, FaultKind, load
 from quincepier.lab.fleet import child
 from quincepier.lab.fleet.places import pair_address, pair_of
 from quincepier.lab.machines import ON_MACHINES, Machine, Machines
@@ -53,7 +53,19 @@
 class Order:
     """A `serve` command; see machines.Order. `serial` is told in the answer's body."""
 
-    __slots__ = ("age", "cls", "door", "held", "id", "join", "key", "machine", "number", "serial", "source")
+    __slots__ = (
+        "cls",
+        "door",
+        "held_only",
+        "id",
+        "join",
+        "key",
+        "machine",
+        "max_copy_age",
+        "number",
+        "serial",
+        "source",
+    )
 
     def __init__(
         self, door: Door, id: str, cls: int, key: tuple[int, int], machine: int, serial: int
@@ -61,7 +73,7 @@
         self.door, self.id, self.cls, self.key, self.machine = door, id, cls, key, machine
         self.number, self.serial = int(id, 16), serial
         self.source: int | None = None
-        self.age, self.join, self.held = 0, False, False
+        self.max_copy_age, self.join, self.held_only = 0, False, False
 
 
 class Door(asyncio.Protocol):
@@ -85,7 +97,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         for order in self.open.values():
             self._over(order)
-            self.hall.machines.stop(order)
+            self.hall.machines.cancel(order)
         self.open.clear()
 
     def data_received(self, data: bytes) -> None:
@@ -104,7 +116,7 @@
                 for order in [o for o in self.open.values() if o.id == words[1]]:
                     del self.open[order.serial]
                     self._over(order)
-                    self.hall.machines.stop(order)
+                    self.hall.machines.cancel(order)
             elif self.transport is not None and self.machine is not None and self.machine.state == "up":
                 self.transport.write(f"{words[1]} well - 0\r\n\r\n".encode())
         if len(self.buffer) > LINE_MOST and self.transport is not None:
@@ -117,15 +129,15 @@
         key = int(fields["key"], 16), int(fields["part"])
         order = Order(self, id, hall.classes[fields["class"]], key, machine.number, hall.serial())
         opts = fields.get("opts", "").split("+")
-        order.join, order.held = "join" in opts, "held" in opts
-        order.age = int(fields.get("fresh", "0")) * MS
+        order.join, order.held_only = "join" in opts, "held" in opts
+        order.max_copy_age = int(fields.get("fresh", "0")) * MS
         source = hall.by_host.get(fields.get("via", ""))
         order.source = source.number if source else None
         via = source.index if source else 0
         wait = int(fields["wait"])
         hall.notes.note("sent", order.number, self.front, machine.index, via, order.serial, wait)
         self.open[order.serial] = order
-        hall.after(hall.way(machine), hall.reach, order)
+        hall.schedule(hall.way(machine), hall.reach, order)
 
     def _over(self, order: Order) -> None:
         """It does not run here any more."""
@@ -157,8 +169,8 @@
         self.plan, self.experiment, self.notes = plan, experiment, notes
         self.loop = asyncio.get_running_loop()
         self.machines = Machines(self, experiment, random.Random(f"{plan.seed} machines"))
-        self.by_index = {m.index: m for m in self.machines.all.values()}
-        self.by_host = {host_name(m): m for m in self.machines.all.values()}
+        self.by_index = {m.index: m for m in self.machines.machine_by_number.values()}
+        self.by_host = {host_name(m): m for m in self.machines.machine_by_number.values()}
         self.classes = {c.name: n for n, c in enumerate(experiment.classes)}
         self.serials, self.lag, self.colds, self.port = 0, 0, 0, 0
         self.counts: Counter[str] = Counter()
@@ -169,7 +181,7 @@
     def now(self) -> int:
         return time.monotonic_ns()
 
-    def after(self, wait: int, what: Callable[..., None], *about: Any) -> None:
+    def schedule(self, wait: int, what: Callable[..., None], *about: Any) -> None:
         self.loop.call_later(wait / SECOND, what, *about)
 
     def serial(self) -> int:
@@ -182,13 +194,13 @@
 
     def reach(self, order: Order) -> None:
         if order.serial in order.door.open:
-            self.machines.reach(order)
+            self.machines.on_attempt(order)
 
     def reply(
         self, order: Order, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
     ) -> None:
-        machine = self.machines.all[order.machine]
-        self.after(self.way(machine), order.door.answer, order, ending, note, waited, minted)
+        machine = self.machines.machine_by_number[order.machine]
+        self.schedule(self.way(machine), order.door.answer, order, ending, note, waited, minted)
 
     def counted(self, what: str) -> None:
         self.counts[what] += 1
@@ -196,19 +208,19 @@
             self.armed.remove(one)
             child.tell(strike=one[2])
 
-    def listed(self, machines: Sequence[Machine]) -> None:
-        delay = self.experiment.fleet.told_ms * MS * self.machines.chance.uniform(0.5, 1) + self.lag
-        states = [(m.index, m.standing is EndpointState.READY) for m in machines]
+    def on_endpoints_changed(self, machines: Sequence[Machine]) -> None:
+        delay = self.experiment.fleet.told_ms * MS * self.machines.random.uniform(0.5, 1) + self.lag
+        states = [(m.index, m.endpoint_state is EndpointState.READY) for m in machines]
         hosts = [self.host(m) for m in machines]
         for m in machines:
             if m.index not in self.by_index:
                 self.by_index[m.index] = self.by_host[host_name(m)] = m
                 child.tell(machines=m.index)
-            if m.standing is EndpointState.GONE:
+            if m.endpoint_state is EndpointState.GONE:
                 child.tell(live="caches", other=m.index, how="refused")
             elif m.state == "up":
                 child.tell(live="caches", other=m.index, how="open")
-        self.after(int(delay), self.log.add, "listed", states, {"fleet": {"whole": False, "hosts": hosts}})
+        self.schedule(int(delay), self.log.add, "listed", states, {"fleet": {"whole": False, "hosts": hosts}})
 
     def host(self, m: Machine) -> dict[str, Any]:
         states = {
@@ -218,52 +230,52 @@
         }
         return {
             "host": host_name(m), "dial": str(m.index), "site": f"z{m.zone}" if m.kind == EDGE else "hub",
-            "class": KINDS[m.kind], "block": m.zone, "health": states[m.standing], "share": m.sends,
-            "born_ms": (m.born + self.plan.wall) // MS if m.born else 0,
+            "class": KINDS[m.kind], "block": m.zone, "health": states[m.endpoint_state],
+            "share": m.send_capacity, "born_ms": (m.started_at + self.plan.wall) // MS if m.started_at else 0,
         }  # fmt: skip
 
-    def ran(self, request: int, machine: int) -> None:
-        self.notes.note("ran", request, self.machines.all[machine].index)
+    def on_effect_run(self, request: int, machine: int) -> None:
+        self.notes.note("ran", request, self.machines.machine_by_number[machine].index)
 
-    def asked_cold(self, machine: int, work: float) -> None:
+    def on_cold_request(self, machine: int, work: float) -> None:
         self.colds += 1
 
-    def fell(self, machine: int, request: int) -> None:
-        index = self.machines.all[machine].index
+    def on_cold_machine_overloaded(self, machine: int, request: int) -> None:
+        index = self.machines.machine_by_number[machine].index
         self.notes.note("fell", index, request)
         child.tell(live="caches", other=index, how="refused")
 
-    def filled(self, machine: int, source: int) -> None:
+    def on_fetch_started(self, machine: int, source: int) -> None:
         self.counted("fills")
-        at = self.machines.all.get(source)
+        at = self.machines.machine_by_number.get(source)
         self.notes.note("fill", at.kind if at else -1, at.index if at else 0)
 
-    def fetched(self, by: int) -> None:
+    def on_origin_fetch(self, by: int) -> None:
         self.notes.note("fetch")
 
     def strike(self, fault: Fault) -> None:
         lasts = int(fault.lasts * SECOND)
         if fault.kind in ON_MACHINES:
-            before = {m.number: m.state for m in self.machines.all.values()}
-            self.machines.strike(fault)
-            for m in self.machines.all.values():
+            before = {m.number: m.state for m in self.machines.machine_by_number.values()}
+            self.machines.inject_fault(fault)
+            for m in self.machines.machine_by_number.values():
                 if m.state != before[m.number]:
                     how = "refused" if m.state == "dead" else "deaf"
                     child.tell(live="caches", other=m.index, how=how)
-        elif fault.kind is Kind.LAG:
+        elif fault.kind is FaultKind.LAG:
             self.lag = int(fault.size * SECOND)
-            self.after(lasts, lambda: setattr(self, "lag", 0))
-        elif fault.kind is Kind.PURGE:
+            self.schedule(lasts, lambda: setattr(self, "lag", 0))
+        elif fault.kind is FaultKind.PURGE:
             delay, at = int(self.experiment.fleet.told_ms * MS) + self.lag, self.now
             for group in self.machines.purge(fault.part):
                 purge = {"bucket": group, "time": (at + self.plan.wall) // MS}
-                self.after(delay, self.log.add, "purged", [group, at], {"invalidate": purge})
+                self.schedule(delay, self.log.add, "purged", [group, at], {"invalidate": purge})
 
     def work(self, machine: Machine, lasts: int) -> None:
         """That one machine is worked on: down for a while, then started anew, empty."""
-        self.machines.down(machine, "dead")
+        self.machines.stop_machine(machine, "dead")
         child.tell(live="caches", other=machine.index, how="refused")
-        self.after(lasts, self.machines.back, machine)
+        self.schedule(lasts, self.machines.restart_machine, machine)
 
     def hear(self, words: dict[str, Any]) -> None:
         if "strike" in words:
@@ -280,7 +292,11 @@
     def __init__(self, hall: Hall) -> None:
         self.hall = hall
         first = {
-            "fleet": {"seq": 0, "whole": True, "hosts": [hall.host(m) for m in hall.machines.all.values()]}
+            "fleet": {
+                "seq": 0,
+                "whole": True,
+                "hosts": [hall.host(m) for m in hall.machines.machine_by_number.values()],
+            }
         }
         self.events: list[dict[str, Any]] = [{"seq": 1} | first]
         self.more = asyncio.Event()
@@ -354,7 +370,7 @@
     child.tell(ready=True, machines=server.sockets[0].getsockname()[1], log=log.sockets[0].getsockname()[1],
                events=hall.log.events)  # fmt: skip
     if await child.obey(hear, notes):
-        strains = [m.cold.strain for m in hall.machines.all.values()]
+        strains = [m.cold.strain for m in hall.machines.machine_by_number.values()]
         notes.note("machines", hall.colds, max(strains))
         notes.flush()
 
--- a/quincepier/lab/machines.py
+++ b/quincepier/lab/machines.py
@@ -13,12 +13,12 @@
 
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState
-from quincepier.lab.experiment import EDGE, MS, ORIGIN, PARENT, SECOND, Experiment, Fault, Kind
-from quincepier.lab.model import Cold, Sharing, Store
+from quincepier.lab.experiment import EDGE, MS, ORIGIN, PARENT, SECOND, Experiment, Fault, FaultKind
+from quincepier.lab.machine_model import ColdStart, CopyStore, ProcessorSharing
 
 FILL_PACE, FILL_WITHIN = 0.4, 2 * SECOND  # a fill's sending time over a client's; when one is given up
 DRAINS_FOR, SETTLES = 3 * SECOND, 6 * SECOND  # from a drain's notice to its end; until a purge is carried out
-ON_MACHINES = frozenset((Kind.CRASH, Kind.LOST, Kind.SLOW, Kind.DRAIN))
+ON_MACHINES = frozenset((FaultKind.CRASH, FaultKind.LOST, FaultKind.SLOW, FaultKind.DRAIN))
 Key = tuple[int, int]  # object and part
 Waiter = Callable[[int | None], None]  # hears when the copy was minted, or that none came
 
@@ -37,28 +37,28 @@
     @property
     def source(self) -> int | None: ...
     @property
-    def age(self) -> int: ...  # ns; 0: the class's own
+    def max_copy_age(self) -> int: ...  # ns; 0: the class's own
     @property
     def join(self) -> bool: ...
     @property
-    def held(self) -> bool: ...  # the source gives only what it holds
+    def held_only(self) -> bool: ...  # the source gives only what it holds
 
 
 class Host(Protocol):
     @property
     def now(self) -> int: ...  # ns
-    def after(self, wait: int, what: Callable[..., None], *about: Any) -> None: ...
+    def schedule(self, wait: int, what: Callable[..., None], *about: Any) -> None: ...
     def reply(
         self, order: Any, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
     ) -> None: ...
-    def listed(self, machines: Sequence[Machine]) -> None:
+    def on_endpoints_changed(self, machines: Sequence[Machine]) -> None:
         """The list says something else of these now."""
 
-    def ran(self, request: int, machine: int) -> None: ...
-    def asked_cold(self, machine: int, work: float) -> None: ...
-    def fell(self, machine: int, request: int) -> None: ...
-    def filled(self, machine: int, source: int) -> None: ...
-    def fetched(self, by: int) -> None: ...
+    def on_effect_run(self, request: int, machine: int) -> None: ...
+    def on_cold_request(self, machine: int, work: float) -> None: ...
+    def on_cold_machine_overloaded(self, machine: int, request: int) -> None: ...
+    def on_fetch_started(self, machine: int, source: int) -> None: ...
+    def on_origin_fetch(self, by: int) -> None: ...
 
 
 class Machine:
@@ -66,96 +66,106 @@
 
     def __init__(self, number: int, index: int, kind: int, zone: int, born: int, plan: Experiment) -> None:
         fleet = plan.fleet
-        self.sends: float = (fleet.cache_sends, fleet.parent_sends, fleet.origin_runs)[kind]
-        self.keeps = (fleet.cache_keeps, fleet.parent_keeps, 1)[kind]
-        self.number, self.index, self.kind, self.zone, self.born = number, index, kind, zone, born
-        self.state, self.standing, self.plan = "up", EndpointState.READY, plan
-        self.share, self.store = Sharing(self.sends), Store(self.keeps)
-        self.cold = self._cold()
-        self.filling: dict[Key, list[Waiter]] = {}
-        self.out: dict[Any, int] = {}  # orders here, and their transfer (0: none yet)
-        self.looks = 0  # the next look at the share that counts
-
-    def _cold(self) -> Cold:
-        f = self.plan.fleet
-        born = 0 if self.kind == ORIGIN else self.born
-        return Cold(born, f.cold_from, f.cold_s, f.fall_multiple, int(f.fall_s * SECOND), self.sends)
-
-    def empty(self, now: int) -> None:
+        self.send_capacity: float = (fleet.cache_sends, fleet.parent_sends, fleet.origin_runs)[kind]
+        self.max_copies = (fleet.cache_keeps, fleet.parent_keeps, 1)[kind]
+        self.number, self.index, self.kind, self.zone, self.started_at = number, index, kind, zone, born
+        self.state, self.endpoint_state, self.experiment = "up", EndpointState.READY, plan
+        self.sending, self.store = ProcessorSharing(self.send_capacity), CopyStore(self.max_copies)
+        self.cold = self._cold_start()
+        self.fetch_waiters: dict[Key, list[Waiter]] = {}
+        self.active_attempts: dict[Any, int] = {}  # orders here, and their transfer (0: none yet)
+        self.completion_check = 0  # the next look at the share that counts
+
+    def _cold_start(self) -> ColdStart:
+        f = self.experiment.fleet
+        born = 0 if self.kind == ORIGIN else self.started_at
+        return ColdStart(
+            born, f.cold_from, f.cold_s, f.fall_multiple, int(f.fall_s * SECOND), self.send_capacity
+        )
+
+    def cold_restart(self, now: int) -> None:
         """It starts anew."""
-        self.born, self.state = now, "up"
-        self.share.clear(now)
-        self.share.move(now)
-        self.store, self.cold = Store(self.keeps), self._cold()
-        self.filling.clear()
-        self.out.clear()
-
-    def as_listed(self) -> io.Endpoint:
+        self.started_at, self.state = now, "up"
+        self.sending.clear(now)
+        self.sending.advance(now)
+        self.store, self.cold = CopyStore(self.max_copies), self._cold_start()
+        self.fetch_waiters.clear()
+        self.active_attempts.clear()
+
+    def to_endpoint(self) -> io.Endpoint:
         zone = self.zone if self.kind == EDGE else 0
-        return io.Endpoint(self.number, self.kind, zone, self.zone, self.sends, self.born, self.standing)
+        return io.Endpoint(
+            self.number, self.kind, zone, self.zone, self.send_capacity, self.started_at, self.endpoint_state
+        )
 
 
 class Machines:
     def __init__(self, host: Host, plan: Experiment, chance: random.Random) -> None:
-        self.host, self.plan, self.chance = host, plan, chance
-        self.all: dict[int, Machine] = {}
+        self.host, self.experiment, self.random = host, plan, chance
+        self.machine_by_number: dict[int, Machine] = {}
         self.purged_before: dict[int, int] = {}  # by group: when it was purged, once that has settled
-        self.made = 0
+        self.machine_count = 0
         fleet = plan.fleet
         for n in range(fleet.caches):
-            self.make(EDGE, 1 + n % fleet.zones, 0)
+            self.add_machine(EDGE, 1 + n % fleet.zones, 0)
         for n in range(fleet.parents):
-            self.make(PARENT, 1 + n % fleet.zones, 0)
-        self.origin = self.make(ORIGIN, 0, 0)
+            self.add_machine(PARENT, 1 + n % fleet.zones, 0)
+        self.origin = self.add_machine(ORIGIN, 0, 0)
 
-    def make(self, kind: int, zone: int, born: int) -> Machine:
-        self.made += 1
-        digest = hashlib.blake2b(b"%d" % self.made, digest_size=4).digest()
+    def add_machine(self, kind: int, zone: int, born: int) -> Machine:
+        self.machine_count += 1
+        digest = hashlib.blake2b(b"%d" % self.machine_count, digest_size=4).digest()
         number = int.from_bytes(digest, "little") or 1
-        machine = self.all[number] = Machine(number, self.made, kind, zone, born, self.plan)
+        machine = self.machine_by_number[number] = Machine(
+            number, self.machine_count, kind, zone, born, self.experiment
+        )
         return machine
 
-    def listed(self) -> tuple[io.Endpoint, ...]:
-        return tuple(m.as_listed() for m in self.all.values() if m.standing is not EndpointState.GONE)
+    def endpoints(self) -> tuple[io.Endpoint, ...]:
+        return tuple(
+            m.to_endpoint()
+            for m in self.machine_by_number.values()
+            if m.endpoint_state is not EndpointState.GONE
+        )
 
     # Orders
 
-    def reach(self, order: Order) -> None:
+    def on_attempt(self, order: Order) -> None:
         """An order has come to its machine."""
-        machine, now = self.all.get(order.machine), self.host.now
+        machine, now = self.machine_by_number.get(order.machine), self.host.now
         if machine is None or machine.state != "up":
             if machine is None or machine.state != "silent":
                 self.host.reply(order, AttemptOutcome.CONNECT_FAILED, CacheStatus.NONE, 0, None)
             return
-        c = self.plan.classes[order.cls]
-        work = self.plan.sending(order.cls, order.key[0])
-        if not self._asked(machine, work, order.number):
+        c = self.experiment.classes[order.cls]
+        work = self.experiment.send_time_ns(order.cls, order.key[0])
+        if not self._accept_work(machine, work, order.number):
             self.host.reply(order, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
             return
-        machine.out[order] = 0
+        machine.active_attempts[order] = 0
         if machine.kind == ORIGIN:
-            self._from_origin(
-                order, lambda minted: self._deliver(order, machine, work, CacheStatus.NONE, 0, minted)
+            self._fetch_from_origin(
+                order, lambda minted: self._send_copy(order, machine, work, CacheStatus.NONE, 0, minted)
             )
             return
-        limit = order.age or int(c.fresh_s * SECOND)
+        limit = order.max_copy_age or int(c.fresh_s * SECOND)
         minted = machine.store.get(order.key)
         if minted is not None and (limit == 0 or now - minted <= limit):
             stale = c.fresh_s > 0 and now - minted > c.fresh_s * SECOND
-            self._deliver(order, machine, work, CacheStatus.STALE if stale else CacheStatus.HIT, 0, minted)
+            self._send_copy(order, machine, work, CacheStatus.STALE if stale else CacheStatus.HIT, 0, minted)
         elif order.source is None:
             self._reply(order, AttemptOutcome.MISS)
         else:
-            self._fill(order, order.source, machine, work, limit)
+            self._fetch(order, order.source, machine, work, limit)
 
-    def stop(self, order: Order) -> None:
+    def cancel(self, order: Order) -> None:
         """Nobody waits for it any more."""
-        machine = self.all.get(order.machine)
+        machine = self.machine_by_number.get(order.machine)
         if machine is not None:
-            transfer = machine.out.pop(order, None)
+            transfer = machine.active_attempts.pop(order, None)
             if transfer:
-                machine.share.stop(self.host.now, transfer)
-                self._look(machine)
+                machine.sending.cancel(self.host.now, transfer)
+                self._schedule_completion_check(machine)
 
     def _reply(
         self,
@@ -165,63 +175,67 @@
         waited: int = 0,
         minted: int | None = None,
     ) -> None:
-        machine = self.all.get(order.machine)
+        machine = self.machine_by_number.get(order.machine)
         if machine is not None:
-            machine.out.pop(order, None)
+            machine.active_attempts.pop(order, None)
         self.host.reply(order, ending, note, waited, minted)
 
-    def _transfer(self, machine: Machine, work: float, then: Callable[[], None]) -> int:
-        number = machine.share.begin(self.host.now, work, then)
-        self._look(machine)
+    def _start_transfer(self, machine: Machine, work: float, then: Callable[[], None]) -> int:
+        number = machine.sending.start(self.host.now, work, then)
+        self._schedule_completion_check(machine)
         return number
 
-    def _look(self, machine: Machine) -> None:
+    def _schedule_completion_check(self, machine: Machine) -> None:
         """Look again when the next transfer ends; an earlier look that was planned is void."""
-        machine.looks += 1
-        due = machine.share.next()
+        machine.completion_check += 1
+        due = machine.sending.next_completion()
         if due is not None:
-            self.host.after(max(due - self.host.now, 0), self._looked, machine, machine.looks)
+            self.host.schedule(
+                max(due - self.host.now, 0), self._check_completions, machine, machine.completion_check
+            )
 
-    def _looked(self, machine: Machine, look: int) -> None:
-        if look == machine.looks and machine.state == "up":
-            for then in machine.share.done(self.host.now):
+    def _check_completions(self, machine: Machine, look: int) -> None:
+        if look == machine.completion_check and machine.state == "up":
+            for then in machine.sending.pop_completed(self.host.now):
                 then()
-            self._look(machine)
+            self._schedule_completion_check(machine)
 
-    def _asked(self, machine: Machine, work: float, request: int) -> bool:
+    def _accept_work(self, machine: Machine, work: float, request: int) -> bool:
         """Whether it stands so much more; else it has fallen over."""
-        if machine.kind == ORIGIN or not machine.cold.born:
+        if machine.kind == ORIGIN or not machine.cold.started_at:
             return True
-        self.host.asked_cold(machine.number, work)
-        if not machine.cold.ask(self.host.now, work):
+        self.host.on_cold_request(machine.number, work)
+        if not machine.cold.add_request(self.host.now, work):
             return True
-        self.host.fell(machine.number, request)
-        self.down(machine, "dead")
+        self.host.on_cold_machine_overloaded(machine.number, request)
+        self.stop_machine(machine, "dead")
         return False
 
-    def _deliver(
+    def _send_copy(
         self, order: Order, machine: Machine, work: float, note: CacheStatus, waited: int, minted: int | None
     ) -> None:
         """The transfer to the front, and its answer at the end."""
-        if order not in machine.out:  # called off, or the machine went down
+        if order not in machine.active_attempts:  # called off, or the machine went down
             return
 
         def sent() -> None:
             self._reply(order, AttemptOutcome.OK, note, waited, minted)
 
-        machine.out[order] = self._transfer(machine, work / machine.cold.share(self.host.now), sent)
+        machine.active_attempts[order] = self._start_transfer(
+            machine, work / machine.cold.capacity_share(self.host.now), sent
+        )
 
-    def _from_origin(self, order: Order, then: Callable[[int], None]) -> None:
+    def _fetch_from_origin(self, order: Order, then: Callable[[int], None]) -> None:
         """One fetch at the origin: work there, then the copy it gives out. A write runs there."""
-        self.host.fetched(order.machine)
-        if self.plan.classes[order.cls].never_kept:
-            self.host.ran(order.number, self.origin.number)
-        work = self.plan.fleet.origin_ms * MS
-        self._transfer(self.origin, work, lambda: then(self.host.now))
+        self.host.on_origin_fetch(order.machine)
+        if self.experiment.classes[order.cls].never_kept:
+            self.host.on_effect_run(order.number, self.origin.number)
+        work = self.experiment.fleet.origin_ms * MS
+        self._start_transfer(self.origin, work, lambda: then(self.host.now))
 
-    def _fill(self, order: Order, source: int, machine: Machine, work: float, limit: int) -> None:
-        began, key, kept = self.host.now, order.key, not self.plan.classes[order.cls].never_kept
-        waiting = machine.filling.get(key)
+    def _fetch(self, order: Order, source: int, machine: Machine, work: float, limit: int) -> None:
+        began, key, kept = self.host.now, order.key, not self.experiment.classes[order.cls].never_kept
+        waiting = machine.fetch_waiters.get(key)
 
         def filled(note: CacheStatus) -> Waiter:
             def come(minted: int | None) -> None:
@@ -234,153 +248,157 @@
                 elif minted < 0 or (limit and self.host.now - minted > limit):
                     self._reply(order, AttemptOutcome.MISS)
                 else:
-                    self._deliver(order, machine, work, note, self.host.now - began, minted)
+                    self._send_copy(order, machine, work, note, self.host.now - began, minted)
 
             return come
 
         if order.join and kept and waiting is not None:
             waiting.append(filled(CacheStatus.COLLAPSED))
             return
-        at = self.all.get(source)
+        at = self.machine_by_number.get(source)
         far = at is not None and at.kind == ORIGIN
         mine: list[Waiter] = [filled(CacheStatus.FROM_ORIGIN if far else CacheStatus.FILLED)]
-        if not order.held:  # nobody waits for what may be a miss
-            machine.filling[key] = mine
-        self.host.filled(machine.number, source)
+        if not order.held_only:  # nobody waits for what may be a miss
+            machine.fetch_waiters[key] = mine
+        self.host.on_fetch_started(machine.number, source)
 
         def done(minted: int | None) -> None:
-            if machine.filling.get(key) is mine:
-                del machine.filling[key]
+            if machine.fetch_waiters.get(key) is mine:
+                del machine.fetch_waiters[key]
             if minted is not None and minted >= 0 and machine.state == "up" and kept:
-                self._keep(machine, key, minted)
+                self._store_copy(machine, key, minted)
             waiters, mine[:] = list(mine), []
             for one in waiters:
                 one(minted)
 
-        self.host.after(FILL_WITHIN, lambda: done(None) if mine else None)
-        way = int(self.plan.fleet.far_ms * MS)
-        self.host.after(way, self._source, order, at, work, limit, done, way)
+        self.host.schedule(FILL_WITHIN, lambda: done(None) if mine else None)
+        way = int(self.experiment.fleet.far_ms * MS)
+        self.host.schedule(way, self._serve_fetch, order, at, work, limit, done, way)
 
-    def _source(
+    def _serve_fetch(
         self, order: Order, source: Machine | None, work: float, limit: int, done: Waiter, way: int
     ) -> None:
         """At the source of a fill: what it holds, or what it fetches from the origin."""
         host, key = self.host, order.key
         if source is None or source.state != "up":
             if source is None or source.state != "silent":
-                host.after(way, done, None)
+                host.schedule(way, done, None)
             return
-        if not self._asked(source, work, order.number):
-            host.after(way, done, None)
+        if not self._accept_work(source, work, order.number):
+            host.schedule(way, done, None)
             return
 
         def pass_on(minted: int | None) -> None:
             if minted is not None:
-                sending = FILL_PACE * work / source.cold.share(host.now)
-                self._transfer(source, sending, lambda: host.after(way, done, minted))
+                sending = FILL_PACE * work / source.cold.capacity_share(host.now)
+                self._start_transfer(source, sending, lambda: host.schedule(way, done, minted))
 
         def straight(minted: int) -> None:
-            host.after(way, done, minted)
+            host.schedule(way, done, minted)
 
-        if source.kind == ORIGIN or self.plan.classes[order.cls].never_kept:
-            self._from_origin(order, straight)
+        if source.kind == ORIGIN or self.experiment.classes[order.cls].never_kept:
+            self._fetch_from_origin(order, straight)
             return
         minted = source.store.get(key)
         if minted is not None and (limit == 0 or host.now - minted <= limit):
             pass_on(minted)
             return
-        if order.held:  # it gives nothing that it does not hold: a miss
-            host.after(way, done, -1)
+        if order.held_only:  # it gives nothing that it does not hold: a miss
+            host.schedule(way, done, -1)
             return
-        waiting = source.filling.get(key)
+        waiting = source.fetch_waiters.get(key)
         if waiting is not None:
             waiting.append(pass_on)
             return
         mine: list[Waiter] = [pass_on]
-        source.filling[key] = mine
+        source.fetch_waiters[key] = mine
 
         def fetched(minted: int) -> None:
-            if source.filling.get(key) is mine:
-                del source.filling[key]
-                self._keep(source, key, minted)
+            if source.fetch_waiters.get(key) is mine:
+                del source.fetch_waiters[key]
+                self._store_copy(source, key, minted)
                 for one in mine:
                     one(minted)
 
-        self._from_origin(order, fetched)
+        self._fetch_from_origin(order, fetched)
 
     # What befalls them
 
-    def down(self, machine: Machine, state: str) -> None:
+    def stop_machine(self, machine: Machine, state: str) -> None:
         machine.state = state
-        machine.looks += 1
-        machine.share.clear(self.host.now)
-        machine.filling.clear()
-        out, machine.out = list(machine.out), {}
+        machine.completion_check += 1
+        machine.sending.clear(self.host.now)
+        machine.fetch_waiters.clear()
+        out, machine.active_attempts = list(machine.active_attempts), {}
         if state != "silent":
             for order in out:
                 self.host.reply(order, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
 
-    def back(self, machine: Machine) -> None:
-        if machine.standing is not EndpointState.GONE:
-            machine.empty(self.host.now)
-            self.host.listed((machine,))
+    def restart_machine(self, machine: Machine) -> None:
+        if machine.endpoint_state is not EndpointState.GONE:
+            machine.cold_restart(self.host.now)
+            self.host.on_endpoints_changed((machine,))
 
-    def strike(self, fault: Fault) -> None:
+    def inject_fault(self, fault: Fault) -> None:
         """A fault of one tier (ON_MACHINES)."""
-        struck = [m for m in self.all.values() if m.kind == fault.tier and m.state == "up"]
-        struck = self.chance.sample(struck, min(max(round(fault.part * len(struck)), 1), len(struck)))
+        struck = [m for m in self.machine_by_number.values() if m.kind == fault.tier and m.state == "up"]
+        struck = self.random.sample(struck, min(max(round(fault.part * len(struck)), 1), len(struck)))
         lasts = int(fault.lasts * SECOND)
         for n, machine in enumerate(struck):
             match fault.kind:
-                case Kind.CRASH | Kind.LOST:
-                    self.down(machine, "dead" if fault.kind is Kind.CRASH else "silent")
-                    self.host.after(lasts, self.back, machine)
-                case Kind.SLOW:
-                    self._pace(machine, fault.size)
-                    self.host.after(lasts, self._pace, machine, 1.0)
-                case Kind.DRAIN:
-                    self.host.after(int(lasts * n / len(struck)), self._drain, machine)
-
-    def _pace(self, machine: Machine, slower: float) -> None:
-        machine.share.move(self.host.now)
-        machine.share.slower = max(slower, 0.01)
-        self._look(machine)
-
-    def _drain(self, machine: Machine) -> None:
-        machine.standing = EndpointState.DRAINING
-        self.host.listed((machine,))
-        self.host.after(DRAINS_FOR, self._replace, machine)
-
-    def _replace(self, machine: Machine) -> None:
-        self.down(machine, "dead")
-        machine.standing = EndpointState.GONE
-        new = self.make(machine.kind, machine.zone, self.host.now)
-        self.host.listed((machine, new))
+                case FaultKind.CRASH | FaultKind.LOST:
+                    self.stop_machine(machine, "dead" if fault.kind is FaultKind.CRASH else "silent")
+                    self.host.schedule(lasts, self.restart_machine, machine)
+                case FaultKind.SLOW:
+                    self._set_slowdown(machine, fault.size)
+                    self.host.schedule(lasts, self._set_slowdown, machine, 1.0)
+                case FaultKind.DRAIN:
+                    self.host.schedule(int(lasts * n / len(struck)), self._start_drain, machine)
+
+    def _set_slowdown(self, machine: Machine, slower: float) -> None:
+        machine.sending.advance(self.host.now)
+        machine.sending.slowdown = max(slower, 0.01)
+        self._schedule_completion_check(machine)
+
+    def _start_drain(self, machine: Machine) -> None:
+        machine.endpoint_state = EndpointState.DRAINING
+        self.host.on_endpoints_changed((machine,))
+        self.host.schedule(DRAINS_FOR, self._replace_drained, machine)
+
+    def _replace_drained(self, machine: Machine) -> None:
+        self.stop_machine(machine, "dead")
+        machine.endpoint_state = EndpointState.GONE
+        new = self.add_machine(machine.kind, machine.zone, self.host.now)
+        self.host.on_endpoints_changed((machine, new))
 
     def purge(self, part: float) -> list[int]:
         """The groups, drawn by chance; each machine drops what is older within the time a purge settles."""
-        groups = self.plan.load.groups
-        chosen = self.chance.sample(range(groups), max(round(part * groups), 1))
-        for machine in self.all.values():
-            wait = int(self.chance.uniform(0, 1) * SETTLES)
-            self.host.after(wait, self._sweep, machine, frozenset(chosen), self.host.now)
-        self.host.after(SETTLES, self._settle, frozenset(chosen), self.host.now)
+        groups = self.experiment.load.groups
+        chosen = self.random.sample(range(groups), max(round(part * groups), 1))
+        for machine in self.machine_by_number.values():
+            wait = int(self.random.uniform(0, 1) * SETTLES)
+            self.host.schedule(wait, self._drop_purged_copies, machine, frozenset(chosen), self.host.now)
+        self.host.schedule(SETTLES, self._complete_purge, frozenset(chosen), self.host.now)
         return chosen
 
-    def _settle(self, groups: frozenset[int], before: int) -> None:
+    def _complete_purge(self, groups: frozenset[int], before: int) -> None:
         """From now on no machine has an older copy or keeps one that comes later.
 
         One that had dropped its own may have been filled with another's meanwhile.
         """
         self.purged_before.update(dict.fromkeys(groups, before))
-        for machine in self.all.values():
-            self._sweep(machine, groups, before)
+        for machine in self.machine_by_number.values():
+            self._drop_purged_copies(machine, groups, before)
 
-    def _keep(self, machine: Machine, key: Key, minted: int) -> None:
-        if minted >= self.purged_before.get(self.plan.group(key[0]), 0):
+    def _store_copy(self, machine: Machine, key: Key, minted: int) -> None:
+        if minted >= self.purged_before.get(self.experiment.group_of_object(key[0]), 0):
             machine.store.put(key, minted)
 
-    def _sweep(self, machine: Machine, groups: frozenset[int], before: int) -> None:
+    def _drop_purged_copies(self, machine: Machine, groups: frozenset[int], before: int) -> None:
         for key, minted in list(machine.store.copies.items()):
-            if minted < before and isinstance(key, tuple) and self.plan.group(key[0]) in groups:
+            if (
+                minted < before
+                and isinstance(key, tuple)
+                and self.experiment.group_of_object(key[0]) in groups
+            ):
                 del machine.store.copies[key]
--- a/quincepier/lab/orders.py
+++ b/quincepier/lab/maintenance_simulation.py
@@ -47,12 +47,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Faults:
-    late: int = 0  # at most, of words between fronts, each way
-    loss: float = 0.0  # of those words
-    cut: float = 0.0  # part of the fronts that nobody hears from 3 s to 15 s, and that serve on
-    pauses: float = 0.0  # part of the fronts that stand still for 3 s, one after the other
-    kill: MaintenanceStep | None = None  # the leader, as an order first comes to this step
-    crashes: int = 0  # fronts that are killed and started anew every 2 s, without anything kept
+    max_delay: int = 0  # at most, of words between fronts, each way
+    loss_rate: float = 0.0  # of those words
+    partitioned_share: float = 0.0  # part of the fronts that nobody hears from 3 s to 15 s, and that serve on
+    paused_share: float = 0.0  # part of the fronts that stand still for 3 s, one after the other
+    kill_leader_at: MaintenanceStep | None = None  # the leader, as an order first comes to this step
+    crashing_fronts: int = 0  # fronts that are killed and started anew every 2 s, without anything kept
 
 
 @dataclass(slots=True)
@@ -80,13 +80,13 @@
 @dataclass(slots=True, frozen=True)
 class Outcome:
     fronts: int
-    done_s: float  # from the wish to the last machine warm again; -1: not within the time
-    between: int  # commands at a machine between empty and back
-    out_most: int
-    sent: int
+    duration_s: float  # from the wish to the last machine warm again; -1: not within the time
+    commands_in_maintenance: int  # commands at a machine between empty and back
+    max_unavailable: int
+    commands_sent: int
     versions: int
-    words: int  # asks and grants
-    word_bytes: int
+    message_count: int  # asks and grants
+    message_bytes: int
 
 
 class Fleet:
@@ -161,12 +161,12 @@
             front.still = self.now + 3 * SECOND
 
         others, faults = self.fronts[1:], self.faults
-        chosen = self.random.sample(others, int(len(others) * faults.cut))
+        chosen = self.random.sample(others, int(len(others) * faults.partitioned_share))
         self.after(3 * SECOND, cut, True, chosen)
         self.after(15 * SECOND, cut, False, chosen)
-        for front in self.random.sample(others, int(len(others) * faults.pauses)):
+        for front in self.random.sample(others, int(len(others) * faults.paused_share)):
             self.after(self.random.randrange(20 * SECOND), pause, front)
-        for front in self.random.sample(others, faults.crashes):
+        for front in self.random.sample(others, faults.crashing_fronts):
             for at in range(2, 120, 2):
                 self.after(at * SECOND, self.crash, front)
 
@@ -211,9 +211,9 @@
 
     def carry(self, front: Front, call: Callable[..., None], *given: object) -> None:
         self.words += 1
-        if front.cut or self.random.random() < self.faults.loss:
+        if front.cut or self.random.random() < self.faults.loss_rate:
             return
-        self.after(WAY + self.random.randrange(self.faults.late + 1), call, *given)
+        self.after(WAY + self.random.randrange(self.faults.max_delay + 1), call, *given)
 
     def heard(self, front: Front, ask: LeaseRequest) -> None:
         leader, ledger = self.leader, self.ledger
@@ -315,7 +315,7 @@
             if before is not None and before.step == order.step:
                 continue
             self.entered(order.target, order.step)
-            if order.step is self.faults.kill and not self.killed:
+            if order.step is self.faults.kill_leader_at and not self.killed:
                 self.killed, self.leader, self.ledger, leader.alive = True, None, None, False
                 self.after(ELECTED, self.lead, self.fronts[1])
                 self.after(3 * SECOND, self.crash, leader)
@@ -364,16 +364,16 @@
 
     STORIES = {
         "calm": Faults(),
-        "20% lost, 0.5 s late": Faults(late=500 * MS, loss=0.2),
-        "a tenth cut off 12 s": Faults(cut=0.1),
-        "a fifth stands still 3 s": Faults(pauses=0.2),
-        "two crash every 2 s": Faults(crashes=2),
-        **{f"leader killed at {s.name.lower()}": Faults(kill=s) for s in list(MaintenanceStep)[:7]},
+        "20% lost, 0.5 s late": Faults(max_delay=500 * MS, loss_rate=0.2),
+        "a tenth cut off 12 s": Faults(partitioned_share=0.1),
+        "a fifth stands still 3 s": Faults(paused_share=0.2),
+        "two crash every 2 s": Faults(crashing_fronts=2),
+        **{f"leader killed at {s.name.lower()}": Faults(kill_leader_at=s) for s in list(MaintenanceStep)[:7]},
     }
     size, seeds, *names = sys.argv[1:]  # stories by number; none: all
     for name in [list(STORIES)[int(n)] for n in names] or STORIES:
         faults = STORIES[name]
-        for agreed in (True, False) if faults.kill is None else (True,):
+        for agreed in (True, False) if faults.kill_leader_at is None else (True,):
             begun = time.process_time()
             found = [
                 Fleet(int(size), seed, faults, agreed=agreed).run(400 * SECOND)
@@ -383,12 +383,12 @@
                 size,
                 name,
                 "orders" if agreed else "a tenth at once",
-                "done", [round(o.done_s, 1) for o in found],
-                "between", [o.between for o in found],
-                "out", max(o.out_most for o in found),
-                "sent", sum(o.sent for o in found),
+                "done", [round(o.duration_s, 1) for o in found],
+                "between", [o.commands_in_maintenance for o in found],
+                "out", max(o.max_unavailable for o in found),
+                "sent", sum(o.commands_sent for o in found),
                 "versions", found[0].versions,
-                "words", found[0].words, "bytes", found[0].word_bytes,
+                "words", found[0].message_count, "bytes", found[0].message_bytes,
                 "cpu", round(time.process_time() - begun, 1),
                 flush=True,
             )  # fmt: skip
--- a/quincepier/lab/runs.py
+++ b/quincepier/lab/runs.py
@@ -21,7 +21,7 @@
     figures: Figures
 
 
-class Kept(msgspec.Struct, frozen=True):
+class StoredRuns(msgspec.Struct, frozen=True):
     """What a file of runs holds."""
 
     format: int
@@ -39,14 +39,14 @@
 def play(experiment: Experiment, variant: str, seed: int) -> Run:
     """One run, in this process."""
     chosen = next(v for v in experiment.variants if v.name == variant)
-    return Run(variant, seed, World(experiment, chosen, seed).play().result())
+    return Run(variant, seed, World(experiment, chosen, seed).run().result())
 
 
 def _play(path: str, variant: str, seed: int) -> Run:
     return play(load(path), variant, seed)
 
 
-def play_all(path: str, processes: int, done: Callable[[Run], None]) -> Kept:
+def play_all(path: str, processes: int, done: Callable[[Run], None]) -> StoredRuns:
     """Every variant with every seed, the order of the file whatever ends first."""
     experiment = load(path)
     wanted = [(variant.name, seed) for seed in experiment.seeds for variant in experiment.variants]
@@ -54,7 +54,7 @@
     for run in _runs(path, experiment, wanted, processes):
         done(run)
         runs.append(run)
-    return Kept(FORMAT, experiment.name, tuple(runs))
+    return StoredRuns(FORMAT, experiment.name, tuple(runs))
 
 
 def _runs(path: str, experiment: Experiment, wanted: list[tuple[str, int]], processes: int) -> Iterator[Run]:
@@ -66,7 +66,7 @@
         yield from pool.map(_play, [path] * len(wanted), *zip(*wanted, strict=True))
 
 
-def keep(kept: Kept, path: str) -> None:
+def keep(kept: StoredRuns, path: str) -> None:
     """Written beside and moved into place: whole or not at all."""
     place = Path(path)
     beside = place.with_name(place.name + ".new")
@@ -74,10 +74,10 @@
     beside.replace(place)
 
 
-def read_kept(path: str) -> Kept:
+def read_kept(path: str) -> StoredRuns:
     """Raises ValueError for a file that is none of ours."""
     try:
-        kept = msgspec.json.decode(Path(path).read_bytes(), type=Kept)
+        kept = msgspec.json.decode(Path(path).read_bytes(), type=StoredRuns)
     except (OSError, msgspec.DecodeError) as error:
         raise ValueError(f"{path}: no runs can be read: {error}") from None
     if kept.format != FORMAT:
--- a/quincepier/lab/scripted.py
+++ b/quincepier/lab/scripted_cache.py
@@ -54,9 +54,9 @@
     """One address of the machine."""
 
     kind: str  # "ipv4", "ipv6" or "unix"
-    text: str  # the address as it is told
+    address: str  # the address as it is told
     script: Script = field(default_factory=Script)
-    sock: socket.socket | None = None
+    listener: socket.socket | None = None
     fillers: list[socket.socket] = field(default_factory=list)
     accepted = 0
 
@@ -66,19 +66,19 @@
 
     def __init__(self, folder: Path, kinds: tuple[str, ...] = ("ipv4", "ipv6", "unix")) -> None:
         self.folder, self.kinds = folder, kinds
-        self.doors: dict[str, Door] = {}
-        self.whole: Counter[str] = Counter()
-        self.began: Counter[str] = Counter()  # commands of which at least a line was read
+        self.endpoint_by_kind: dict[str, Door] = {}
+        self.received_count_by_id: Counter[str] = Counter()
+        self.started_count_by_id: Counter[str] = Counter()  # commands of which at least a line was read
         self.cancelled: list[str] = []
-        self.at: list[tuple[str, str]] = []  # (kind, id) of whole commands, in order
+        self.received_commands: list[tuple[str, str]] = []  # (kind, id) of whole commands, in order
         self.tasks: set[asyncio.Task[None]] = set()
-        self.open: set[socket.socket] = set()
+        self.open_sockets: set[socket.socket] = set()
 
     async def start(self) -> None:
         for kind in self.kinds:
             sock, text = self._listen(kind)
-            self.doors[kind] = Door(kind, text, sock=sock)
-            self._spawn(self._accept(self.doors[kind], sock))
+            self.endpoint_by_kind[kind] = Door(kind, text, listener=sock)
+            self._spawn(self._accept(self.endpoint_by_kind[kind], sock))
 
     def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
         if kind == "unix":
@@ -99,38 +99,38 @@
 
     def set(self, kind: str, script: Script) -> None:
         """From now on that door does so."""
-        door = self.doors[kind]
+        door = self.endpoint_by_kind[kind]
         door.script = script
         if script.moment is Moment.REFUSE:
-            self._shut(door)
+            self._close_listener(door)
         elif script.moment is Moment.FULL:
-            self._shut(door)
-            door.sock, _ = self._listen(kind, door.text, 0)
-            self._fill(door)
-        elif door.sock is None:
-            door.sock, _ = self._listen(kind, door.text)
-            self._spawn(self._accept(door, door.sock))
-
-    def _shut(self, door: Door) -> None:
-        if door.sock is not None:
-            asyncio.get_running_loop().remove_reader(door.sock)
-            door.sock.close()
-            door.sock = None
+            self._close_listener(door)
+            door.listener, _ = self._listen(kind, door.address, 0)
+            self._fill_backlog(door)
+        elif door.listener is None:
+            door.listener, _ = self._listen(kind, door.address)
+            self._spawn(self._accept(door, door.listener))
+
+    def _close_listener(self, door: Door) -> None:
+        if door.listener is not None:
+            asyncio.get_running_loop().remove_reader(door.listener)
+            door.listener.close()
+            door.listener = None
         if door.kind == "unix":
             with contextlib.suppress(OSError):
-                os.unlink(door.text.removeprefix("unix:"))
+                os.unlink(door.address.removeprefix("unix:"))
         for filler in door.fillers:
             filler.close()
         door.fillers.clear()
 
-    def _fill(self, door: Door) -> None:
+    def _fill_backlog(self, door: Door) -> None:
         """Take the places of the backlog: whoever comes then is neither accepted nor refused."""
-        assert door.sock is not None
+        assert door.listener is not None
         for _ in range(4):
-            filler = socket.socket(door.sock.family)
+            filler = socket.socket(door.listener.family)
             filler.setblocking(False)
             with contextlib.suppress(BlockingIOError):
-                filler.connect(door.sock.getsockname())
+                filler.connect(door.listener.getsockname())
             door.fillers.append(filler)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -140,20 +140,20 @@
 
     async def _accept(self, door: Door, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        while door.sock is sock:
+        while door.listener is sock:
             ready = loop.create_future()
             loop.add_reader(sock, lambda f=ready: f.done() or f.set_result(None))  # type: ignore[misc]
             try:
                 await ready
             except asyncio.CancelledError:
                 return
-            if door.sock is not sock:
+            if door.listener is not sock:
                 return
             loop.remove_reader(sock)
             script = door.script
             if script.moment is Moment.BEFORE and script.times > 0:
                 script.times -= 1
-                self._shut(door)
+                self._close_listener(door)
                 return
             if script.moment is Moment.LATE:
                 await asyncio.sleep(script.wait)
@@ -161,14 +161,14 @@
                 peer, _ = sock.accept()
                 peer.setblocking(False)
                 door.accepted += 1
-                self.open.add(peer)
+                self.open_sockets.add(peer)
                 self._spawn(self._serve(door, peer, script))
 
     def _drop(self, peer: socket.socket, rst: bool) -> None:
         if rst:
             with contextlib.suppress(OSError):
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_0)
-        self.open.discard(peer)
+        self.open_sockets.discard(peer)
         peer.close()
 
     async def _serve(self, door: Door, peer: socket.socket, script: Script) -> None:
@@ -201,7 +201,7 @@
                 if words[0] in ("health", "gauges"):
                     await loop.sock_sendall(peer, f"{words[1]} well - 0\r\n\r\n".encode())
                     continue
-                self.began[words[1]] += 1
+                self.started_count_by_id[words[1]] += 1
                 size = int(words[3]) + 2
                 while len(buffer) < size:
                     data = await loop.sock_recv(peer, 65536)
@@ -209,8 +209,8 @@
                         return
                     buffer += data
                 buffer = buffer[size:]
-                self.whole[words[1]] += 1
-                self.at.append((door.kind, words[1]))
+                self.received_count_by_id[words[1]] += 1
+                self.received_commands.append((door.kind, words[1]))
                 if drops is Moment.WHOLE:
                     script.times -= 1
                     return
@@ -232,13 +232,13 @@
             self._drop(peer, rst)
 
     def addresses(self, order: tuple[str, ...] | None = None) -> list[str]:
-        return [self.doors[kind].text for kind in order or self.kinds]
+        return [self.endpoint_by_kind[kind].address for kind in order or self.kinds]
 
     async def close(self) -> None:
-        for door in self.doors.values():
-            self._shut(door)
+        for door in self.endpoint_by_kind.values():
+            self._close_listener(door)
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        for peer in list(self.open):
+        for peer in list(self.open_sockets):
             self._drop(peer, False)
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -16,7 +16,7 @@
 from quincepier.addresses.section import AddressesSection, Aside, Dials, Stagger
 from quincepier.checks import Checks
 from quincepier.config import FrontConfig, read_front
-from quincepier.lab import scripted
+from quincepier.lab import scripted_cache
 from quincepier.memory.buffer_pool import BufferPool
 from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.memory.open_requests import OpenRequest
@@ -35,7 +35,7 @@
 SAFE, KEYED, UNSAFE = 1, 0, 2  # the classes, by their number
 
 
-class Machine(scripted.Machine):
+class Machine(scripted_cache.Machine):
     """Its doors are shut and opened again, so their ports are its own."""
 
     def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
@@ -72,7 +72,7 @@
 
     async def start(self, order: tuple[str, ...] | None = None, sockets: int = 1024) -> None:
         for machine in self.machines.values():
-            if not machine.doors:
+            if not machine.endpoint_by_kind:
                 await machine.start()
         checks, pool = Checks(), BufferPool(BUDGET.max_buffers)
         descriptors = Descriptors(sockets)
--- a/tests/policy_recording.py
+++ b/tests/policy_recording.py
@@ -475,7 +475,7 @@
         "restore_facts": take,
     }
     with mock.patch.multiple(lab_front, **hooks):
-        World(experiment, chosen, seed).play()
+        World(experiment, chosen, seed).run()
     first = (seed * 1000 + front) * 100  # seeds of the starts of this front
     return [router.lines for router in made if first <= router.seed < first + 100]
 
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -31,7 +31,7 @@
 from quincepier.consistency.merkle_tree import MerkleTree
 from quincepier.consistency.messages import DigestRequest, decode, encode
 from quincepier.consistency.snapshot import Snapshot
-from quincepier.lab.consistency_trial import (
+from quincepier.lab.consistency_simulation import (
     SimulatedFleet,
     SimulatedFront,
     arithmetic_with_other_float_order,
--- a/tests/test_decision_recorder.py
+++ b/tests/test_decision_recorder.py
@@ -92,7 +92,7 @@
         self.router.sender.observer = recorders[-1]
 
     monkeypatch.setattr(WorldFront, "start", start_recorded)
-    LabWorld(day, day.variants[0], day.seeds[0]).play()
+    LabWorld(day, day.variants[0], day.seeds[0]).run()
     counts = sum((recorder.count_by_reason for recorder in recorders), Counter[Reason]())
     assert counts.total() > 500 and Reason.EJECTED in counts and Reason.UNEXPLAINED not in counts
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
 
 from quincepier.config import read_front
 from quincepier.lab import report
-from quincepier.lab.experiment import Disk, Experiment, Fault, Kind, Variant, load
+from quincepier.lab.experiment import Experiment, Fault, FaultKind, StorageDamage, Variant, load
 from quincepier.lab.fleet import disk, relay
 from quincepier.lab.fleet.evidence import FleetRun
 from quincepier.lab.fleet.places import NOBODY, front_address, pair_address, pair_of
@@ -32,7 +32,7 @@
 from quincepier.lab.fleet.rig import SERVE, Rig
 from quincepier.lab.fleet.setup import configuration
 from quincepier.lab.fleet.ways import MS, SECOND, Way
-from quincepier.lab.returns import Returns
+from quincepier.lab.recovery_metrics import RecoveryMetrics
 from quincepier.lab.runs import play
 from tests.standins import until
 
@@ -127,7 +127,7 @@
 
 
 def test_stampede_and_time_to_full_service_from_counts() -> None:
-    returns = Returns(0)
+    returns = RecoveryMetrics(0)
     for n in range(
         1000
     ):  # ten a second, then forty more for half a second, all of them at one machine of two
@@ -136,15 +136,15 @@
         returns.count("dials", 50 * SECOND + n * SECOND // 40, 1)
     for n in range(1000):
         at = n * SECOND // 10
-        returns.over(at, 1.0, 0.0 if 50 * SECOND <= at < 53 * SECOND else 1.0)
-    returns.struck(50 * SECOND, True)
-    returns.returned(51 * SECOND)
-    factor, full = returns.stampede("dials"), returns.to_full_service(99 * SECOND)
+        returns.on_request_finished(at, 1.0, 0.0 if 50 * SECOND <= at < 53 * SECOND else 1.0)
+    returns.on_fault(50 * SECOND, True)
+    returns.on_front_returned(51 * SECOND)
+    factor, full = returns.stampede("dials"), returns.time_to_full_service(99 * SECOND)
     assert factor is not None and 4.8 <= factor <= 5.4  # forty and ten a second over ten
     assert full is not None and 1.9 <= full <= 2.1
-    assert returns.to_full_service(54 * SECOND) is None  # not three good seconds by then
+    assert returns.time_to_full_service(54 * SECOND) is None  # not three good seconds by then
     assert returns.stampede("fills") is None
-    worst = returns.worst("dials")
+    worst = returns.worst_stampede("dials")
     assert worst is not None and 8.4 <= worst <= 9.7  # forty and five over five
 
 
@@ -155,18 +155,18 @@
     first = disk.read(folder)
     (folder / "a").write_bytes(b"x" * 60)
     (folder / "b").write_bytes(b"y" * 10)
-    disk.strike(folder, Disk.KEEP, first, chance)
+    disk.strike(folder, StorageDamage.KEEP, first, chance)
     assert set(disk.read(folder)) == {"a", "b"}
-    disk.strike(folder, Disk.FLIP, first, chance)
+    disk.strike(folder, StorageDamage.FLIP, first, chance)
     flipped = disk.read(folder)["a"]
     assert len(flipped) == 60 and sum(byte != ord("x") for byte in flipped) == 1
-    disk.strike(folder, Disk.CUT, first, chance)
+    disk.strike(folder, StorageDamage.CUT, first, chance)
     assert [len(c) for c in disk.read(folder).values()] == [30, 5]
-    disk.strike(folder, Disk.OLDER, first, chance)
+    disk.strike(folder, StorageDamage.OLDER, first, chance)
     assert disk.read(folder) == first
-    disk.strike(folder, Disk.READ_ONLY, first, chance)
+    disk.strike(folder, StorageDamage.READ_ONLY, first, chance)
     assert folder.stat().st_mode & 0o777 == 0o500
-    disk.strike(folder, Disk.EMPTY, first, chance)
+    disk.strike(folder, StorageDamage.EMPTY, first, chance)
     assert disk.read(folder) == {}
 
 
@@ -425,7 +425,7 @@
         assert done.returncode == 2 and says in done.stderr, done
     assert not list(there.iterdir())
     with pytest.raises(ValueError, match="for processes"):
-        play(Experiment("x", load(good).classes, faults=(Fault(1, Kind.CUT),)), "as it is", 1)
+        play(Experiment("x", load(good).classes, faults=(Fault(1, FaultKind.CUT),)), "as it is", 1)
 
 
 @pytest.mark.fleet(2)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,9 +13,9 @@
 from quincepier import interface as io
 from quincepier.lab.compare import Verdict, compare
 from quincepier.lab.experiment import MS, SECOND, Experiment, Variant, load
-from quincepier.lab.judge import DRAIN_GRACE, PURGE_GRACE, Judge
-from quincepier.lab.model import Cold, Sharing, Store
-from quincepier.lab.runs import Kept, keep, play, read_kept
+from quincepier.lab.machine_model import ColdStart, CopyStore, ProcessorSharing
+from quincepier.lab.rule_checker import DRAIN_GRACE, PURGE_GRACE, RuleChecker
+from quincepier.lab.runs import StoredRuns, keep, play, read_kept
 from quincepier.lab.world import World
 from quincepier.operator import OperatorError
 from quincepier.operator.reading import read_struct
@@ -43,7 +43,7 @@
 @given(st.lists(st.tuples(st.integers(0, 50), st.integers(1, 80)), min_size=1, max_size=9), st.integers(1, 4))
 def test_shared_sending_against_small_steps(script: list[tuple[int, int]], places: int) -> None:
     """The clock of service gives the ends that sending it bit by bit gives."""
-    sharing, now, ends = Sharing(places), 0, dict[int, float]()
+    sharing, now, ends = ProcessorSharing(places), 0, dict[int, float]()
     arrivals, at = list[tuple[int, int]](), 0
     for wait, work in script:
         at += wait
@@ -61,72 +61,78 @@
         clock += step
     scale = 1000
     for n, (start, work) in enumerate(arrivals):
-        while (due := sharing.next()) is not None and due <= start * scale:
+        while (due := sharing.next_completion()) is not None and due <= start * scale:
             now = due
-            ends |= {done: now / scale for done in sharing.done(now)}
+            ends |= {done: now / scale for done in sharing.pop_completed(now)}
         now = start * scale
-        ends |= {done: now / scale for done in sharing.done(now)}
-        sharing.begin(now, work * scale, n)
-    while (due := sharing.next()) is not None:
-        ends |= {done: due / scale for done in sharing.done(due)}
-    assert ends.keys() == slow.keys() and not sharing.busy
+        ends |= {done: now / scale for done in sharing.pop_completed(now)}
+        sharing.start(now, work * scale, n)
+    while (due := sharing.next_completion()) is not None:
+        ends |= {done: due / scale for done in sharing.pop_completed(due)}
+    assert ends.keys() == slow.keys() and not sharing.active_count
     assert all(abs(ends[n] - slow[n]) <= 0.2 + 0.02 * len(arrivals) for n in ends)
 
 
 def test_a_transfer_called_off_gives_its_share_back() -> None:
-    sharing = Sharing(1)
-    first, _ = sharing.begin(0, 1000, "a"), sharing.begin(0, 1000, "b")
-    sharing.stop(500, first)
-    assert sharing.next() == 1251 and sharing.done(1251) == ["b"] and not sharing.busy
+    sharing = ProcessorSharing(1)
+    first, _ = sharing.start(0, 1000, "a"), sharing.start(0, 1000, "b")
+    sharing.cancel(500, first)
+    assert (
+        sharing.next_completion() == 1251
+        and sharing.pop_completed(1251) == ["b"]
+        and not sharing.active_count
+    )
 
 
 def test_what_a_store_lets_go_of_and_when_a_cold_machine_falls() -> None:
-    store = Store(2)
+    store = CopyStore(2)
     store.put("a", 1)
     store.put("b", 1)
     assert store.get("a") == 1
     store.put("c", 1)
     assert store.get("b") is None and store.get("a") == 1
-    cold = Cold(10 * SECOND, 0.2, 10.0, 2.5, SECOND, places=4)
-    assert cold.share(10 * SECOND) == 0.2 and cold.share(20 * SECOND) == 1.0
-    asks = [cold.ask(12 * SECOND + n * 10 * MS, 100 * MS) for n in range(60)]
+    cold = ColdStart(10 * SECOND, 0.2, 10.0, 2.5, SECOND, places=4)
+    assert cold.capacity_share(10 * SECOND) == 0.2 and cold.capacity_share(20 * SECOND) == 1.0
+    asks = [cold.add_request(12 * SECOND + n * 10 * MS, 100 * MS) for n in range(60)]
     assert not any(asks[:25]) and any(asks)  # 2.5 times 0.28 of four places for a second is 2.8 s of work
-    warm = Cold(0, 0.2, 10.0, 2.5, SECOND, places=4)
-    assert not any(warm.ask(n, 10 * SECOND) for n in range(50))
+    warm = ColdStart(0, 0.2, 10.0, 2.5, SECOND, places=4)
+    assert not any(warm.add_request(n, 10 * SECOND) for n in range(50))
 
 
 # The judge
 
 
 def judged(*steps: tuple[str, tuple[object, ...]]) -> list[str]:
-    judge = Judge()
-    judge.asked(SECOND, 7, 0, "unsafe", 4 * SECOND)
+    judge = RuleChecker()
+    judge.on_request(SECOND, 7, 0, "unsafe", 4 * SECOND)
     for name, arguments in steps:
         getattr(judge, name)(*arguments)
-    judge.end(9 * SECOND)
-    return [b.rule for b in judge.broken]
+    judge.finish(9 * SECOND)
+    return [b.rule for b in judge.violations]
 
 
 def test_the_judge_finds_each_broken_rule_and_no_other() -> None:
-    good = ("answered", (2 * SECOND, 7, "served", None, 0, 0))
+    good = ("on_response", (2 * SECOND, 7, "served", None, 0, 0))
     assert judged(good) == []
     assert judged() == ["answer"]  # never answered
     assert judged(good, good) == ["answer"]
-    assert judged(("answered", (4 * SECOND + 60 * MS, 7, "failed", None, 0, 0))) == ["answer"]
-    assert judged(("ran", (SECOND, 7, 3)), ("ran", (SECOND, 7, 4)), good) == ["effect"]
-    assert judged(("ran", (SECOND, 7, 3)), ("answered", (2 * SECOND, 7, "refused", None, 0, 0))) == ["effect"]
-    told = ("told_leaving", (SECOND, 0, 3))
+    assert judged(("on_response", (4 * SECOND + 60 * MS, 7, "failed", None, 0, 0))) == ["answer"]
+    assert judged(("on_effect_run", (SECOND, 7, 3)), ("on_effect_run", (SECOND, 7, 4)), good) == ["effect"]
+    assert judged(
+        ("on_effect_run", (SECOND, 7, 3)), ("on_response", (2 * SECOND, 7, "refused", None, 0, 0))
+    ) == ["effect"]
+    told = ("on_leaving_reported", (SECOND, 0, 3))
     late = SECOND + DRAIN_GRACE + 60 * MS
-    assert judged(told, ("sent", (SECOND + DRAIN_GRACE, 7, 0, 3, None)), good) == []
-    assert judged(told, ("sent", (late, 7, 0, 3, None)), good) == ["drain"]
-    assert judged(told, ("sent", (late, 7, 0, 9, 3)), good) == ["drain"]  # as a source
-    assert judged(told, ("sent", (late, 7, 1, 3, None)), good) == []  # another front, not told
-    purge = ("purged", (SECOND, 5, {0: SECOND}))
+    assert judged(told, ("on_attempt_sent", (SECOND + DRAIN_GRACE, 7, 0, 3, None)), good) == []
+    assert judged(told, ("on_attempt_sent", (late, 7, 0, 3, None)), good) == ["drain"]
+    assert judged(told, ("on_attempt_sent", (late, 7, 0, 9, 3)), good) == ["drain"]  # as a source
+    assert judged(told, ("on_attempt_sent", (late, 7, 1, 3, None)), good) == []  # another front, not told
+    purge = ("on_purge", (SECOND, 5, {0: SECOND}))
     after = SECOND + PURGE_GRACE + 60 * MS
-    assert judged(purge, ("answered", (2 * SECOND, 7, "served", SECOND - 1, after, 5))) == ["purge"]
-    assert judged(purge, ("answered", (2 * SECOND, 7, "served", SECOND + 1, after, 5))) == []
-    assert judged(purge, ("answered", (2 * SECOND, 7, "served", SECOND - 1, SECOND, 5))) == []
-    assert judged(("fell", (SECOND, 3, 7)), good) == ["cold"]
+    assert judged(purge, ("on_response", (2 * SECOND, 7, "served", SECOND - 1, after, 5))) == ["purge"]
+    assert judged(purge, ("on_response", (2 * SECOND, 7, "served", SECOND + 1, after, 5))) == []
+    assert judged(purge, ("on_response", (2 * SECOND, 7, "served", SECOND - 1, SECOND, 5))) == []
+    assert judged(("on_cold_machine_overloaded", (SECOND, 3, 7)), good) == ["cold"]
 
 
 class Careless(Router):
@@ -143,14 +149,14 @@
     monkeypatch.setattr("quincepier.lab.front.Router", Careless)
     world = World(experiment, Variant("as it is"), 1)
     for front in world.fronts:  # each attempt is given a short time, so that it is asked for again
-        send = front._send
+        send = front._send_attempt
 
         def short(action: io.ForwardRequest | io.FetchThrough, send=send) -> None:  # type: ignore[no-untyped-def]
             action.timeout = min(action.timeout or SECOND, SECOND)
             send(action)
 
-        front._send = short  # type: ignore[method-assign]
-    figures = world.play().result()
+        front._send_attempt = short  # type: ignore[method-assign]
+    figures = world.run().result()
     assert figures.broken and any("an unsafe request ran" in line for line in figures.first_broken)
     assert any("runs at" in line for line in figures.first_broken)
 
@@ -202,7 +208,7 @@
     for path in FOLDER.glob("*.yaml"):
         assert load(str(path)).says
     run = play(small(), "as it is", 1)
-    kept = Kept(1, "small", (run,))
+    kept = StoredRuns(1, "small", (run,))
     keep(kept, str(tmp_path / "runs.json"))
     assert read_kept(str(tmp_path / "runs.json")) == kept and kept.of("as it is") == {1: run.figures}
     (tmp_path / "bad.json").write_text("{")
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -44,16 +44,16 @@
         self.first: list[tuple[int, int, int]] = []
         self.done: set[tuple[int, int, int]] = set()
 
-    def _ask(self, cls: int, obj: int, part: int, group: int, first: int, tries: int) -> None:
+    def _send_request(self, cls: int, obj: int, part: int, group: int, first: int, tries: int) -> None:
         if tries == 0:
             self.first.append((cls, obj, first))
-        super()._ask(cls, obj, part, group, first, tries)
+        super()._send_request(cls, obj, part, group, first, tries)
 
     def answered(
         self, front: Front, request: Try, status: str, minted: int | None, sent: int, wait: int
     ) -> None:
         if status == "served":
-            self.done.add((request.cls, request.object, request.first))
+            self.done.add((request.cls, request.object, request.first_sent_at))
         super().answered(front, request, status, minted, sent, wait)
 
 
@@ -91,9 +91,9 @@
     experiment, rows = read_struct(text, "sizes.yaml", Experiment), list[Row]()
     for seed in seeds:
         world = Counted(experiment, Variant("sizes", settings), seed)
-        assert world.play().result().broken == 0
+        assert world.run().result().broken == 0
         rows += [
-            Row(cls, obj, first, experiment.sending(cls, obj), (cls, obj, first) in world.done)
+            Row(cls, obj, first, experiment.send_time_ns(cls, obj), (cls, obj, first) in world.done)
             for cls, obj, first in world.first
         ]
     return experiment, rows
--- a/tests/test_maintenance_model.py
+++ b/tests/test_maintenance_model.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from quincepier.lab.orders import MS, SECOND, Faults
-from quincepier.lab.orders import Fleet as SimulatedFleet
+from quincepier.lab.maintenance_simulation import MS, SECOND, Faults
+from quincepier.lab.maintenance_simulation import Fleet as SimulatedFleet
 from quincepier.maintenance import UnavailableLimits, disruption_budget, draining, planner, task_progress
 from quincepier.rules import MaintenanceStep, lease_holder, lease_table, lease_timings
 from tests import maintenancekit as kit
@@ -156,19 +156,24 @@
 @pytest.mark.parametrize(
     "faults",
     [
-        Faults(late=300 * MS, loss=0.2),
-        Faults(cut=0.25),
-        Faults(pauses=0.5),
-        Faults(kill=MaintenanceStep.DRAINING),
+        Faults(max_delay=300 * MS, loss_rate=0.2),
+        Faults(partitioned_share=0.25),
+        Faults(paused_share=0.5),
+        Faults(kill_leader_at=MaintenanceStep.DRAINING),
     ],
 )
 def test_a_simulated_fleet_keeps_the_rules_through_faults(faults: Faults) -> None:
     limits = UnavailableLimits(1, 1)
     fleet = SimulatedFleet(8, 3, faults, machines=4, zones=2, unavailable_limits=limits)
     found = fleet.run(200 * SECOND)
-    assert found.done_s > 0 and found.between == 0 and found.out_most == 1 and found.sent > 500
+    assert (
+        found.duration_s > 0
+        and found.commands_in_maintenance == 0
+        and found.max_unavailable == 1
+        and found.commands_sent > 500
+    )
 
 
 def test_a_tenth_at_once_sends_to_machines_under_work_where_some_fronts_are_partitioned() -> None:
-    fleet = SimulatedFleet(8, 3, Faults(cut=0.5), machines=4, zones=2, agreed=False)
-    assert fleet.run(200 * SECOND).between > 0
+    fleet = SimulatedFleet(8, 3, Faults(partitioned_share=0.5), machines=4, zones=2, agreed=False)
+    assert fleet.run(200 * SECOND).commands_in_maintenance > 0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quincepier.lab.peers import Peer, PeerNet
+from quincepier.lab.membership_simulation import SimulatedPeer, SimulatedPeerNetwork
 from quincepier.membership import (
     MAX_DATAGRAM_BYTES,
     FailureDetector,
@@ -34,24 +34,26 @@
 TOLERATED_PAUSE = 2 * SECOND  # shorter than the isolation timeout by more than a probe interval
 
 
-def converged_net(count: int, seed: int = 1, **more: float) -> PeerNet:
-    net = PeerNet(count, seed, loss=more.get("loss", 0.0), late=int(more.get("late", 0)))
+def converged_net(count: int, seed: int = 1, **more: float) -> SimulatedPeerNetwork:
+    net = SimulatedPeerNetwork(count, seed, loss=more.get("loss", 0.0), late=int(more.get("late", 0)))
     net.start()
     net.run(8 * SECOND)
-    assert net.whole()
+    assert net.has_converged()
     return net
 
 
-def removals(net: PeerNet, since: int, observers: Iterable[Peer] | None = None) -> list[str]:
+def removals(
+    net: SimulatedPeerNetwork, since: int, observers: Iterable[SimulatedPeer] | None = None
+) -> list[str]:
     """Members that were removed from a view of these observers after that moment, once for each."""
     peers = net.peers if observers is None else observers
     return [name for peer in peers for at, view in peer.views if at > since for name in view.removed]
 
 
-def converge(net: PeerNet, within: int) -> int:
+def converge(net: SimulatedPeerNetwork, within: int) -> int:
     """Runs until all views are right again; returns how long that took."""
     since = net.now
-    while not net.whole():
+    while not net.has_converged():
         assert net.now - since < within, "views do not agree"
         net.run(100 * MS)
     return net.now - since
@@ -62,11 +64,11 @@
     net = converged_net(count)
     since, sent = net.now, sum(net.bytes.values())
     net.run(10 * SECOND)
-    assert not removals(net, since) and net.whole()
+    assert not removals(net, since) and net.has_converged()
     assert (sum(net.bytes.values()) - sent) / count / 10 < 4000  # bytes a second of one member
 
 
-def halves(net: PeerNet) -> set[tuple[str, str]]:
+def halves(net: SimulatedPeerNetwork) -> set[tuple[str, str]]:
     near = {peer.name for peer in net.peers[: len(net.peers) // 2]}
     return {(a.name, b.name) for a in net.peers for b in net.peers if (a.name in near) != (b.name in near)}
 
@@ -89,18 +91,18 @@
 )
 def test_tolerated_faults_remove_nobody(count: int, loss: float, delay: int, pause: int, fault: str) -> None:
     """Loss, delay, pauses of a third, one-way and short partitions, a member that restarts."""
-    net = PeerNet(count, 3, loss=loss, late=delay)
+    net = SimulatedPeerNetwork(count, 3, loss=loss, late=delay)
     net.start()
     net.run(15 * SECOND)
     since, observers = net.now, net.peers
     for peer in net.peers[: count // 3] if pause else []:
         peer.pause(pause)
     if "tenth" in fault:
-        net.cuts = {(f"f{a}", f"f{b}") for a in range(2) for b in range(10, 20)}
+        net.blocked_links = {(f"f{a}", f"f{b}") for a in range(2) for b in range(10, 20)}
     elif "halves" in fault:
-        net.cuts = halves(net)
+        net.blocked_links = halves(net)
         net.run(SECOND)
-        net.cuts.clear()
+        net.blocked_links.clear()
     elif "restarts" in fault:
         observers = net.peers[:-1]  # the one that restarts has a view of its own to find
         for _ in range(10):
@@ -109,7 +111,7 @@
             net.peers[-1].start()
             net.run(500 * MS)
     net.run(30 * SECOND)
-    assert net.whole() and not removals(net, since, observers)
+    assert net.has_converged() and not removals(net, since, observers)
 
 
 def test_a_process_paused_past_the_isolation_timeout_is_alone_until_it_hears_others() -> None:
@@ -129,18 +131,18 @@
 def test_a_member_that_only_receives_is_removed_by_all_and_nobody_else_is() -> None:
     net = converged_net(12)
     since, receiver = net.now, net.peers[0]
-    net.cuts = {(receiver.name, peer.name) for peer in net.peers[1:]}
+    net.blocked_links = {(receiver.name, peer.name) for peer in net.peers[1:]}
     net.run(10 * SECOND)
     assert set(removals(net, since, net.peers[1:])) == {receiver.name}
     assert len(removals(net, since, net.peers[1:])) == 11
-    net.cuts.clear()
+    net.blocked_links.clear()
     converge(net, 20 * SECOND)
 
 
 def test_a_member_that_only_sends_is_alone_within_the_isolation_timeout() -> None:
     net = converged_net(12)
     sender = net.peers[0]
-    net.cuts = {(peer.name, sender.name) for peer in net.peers[1:]}
+    net.blocked_links = {(peer.name, sender.name) for peer in net.peers[1:]}
     net.run(3 * SECOND)
     assert sender.members == {sender.name}
 
@@ -148,10 +150,10 @@
 @pytest.mark.parametrize("lasts", [10, 60])
 def test_both_halves_of_a_partition_merge_again(lasts: int) -> None:
     net = converged_net(12)
-    net.cuts = halves(net)
+    net.blocked_links = halves(net)
     net.run(lasts * SECOND)
     assert all(len(peer.members) == 6 for peer in net.peers)
-    net.cuts.clear()
+    net.blocked_links.clear()
     converge(net, 15 * SECOND)
 
 
@@ -192,16 +194,16 @@
     net.run(6 * SECOND)  # declared dead
     peer.start(number=4)
     converge(net, 10 * SECOND)
-    assert not peer.twins
+    assert not peer.duplicate_count
 
 
 def test_two_processes_with_one_name_are_reported_to_both() -> None:
     net = converged_net(8)
-    duplicate = Peer(net, "f0", ("10.0.0.9", 9), [net.peers[1].address])
-    net.at[duplicate.address] = duplicate
+    duplicate = SimulatedPeer(net, "f0", ("10.0.0.9", 9), [net.peers[1].address])
+    net.peer_by_address[duplicate.address] = duplicate
     duplicate.start()
     net.run(6 * SECOND)
-    assert duplicate.twins and net.peers[0].twins
+    assert duplicate.duplicate_count and net.peers[0].duplicate_count
 
 
 def test_a_leave_removes_at_once_and_a_reused_address_belongs_to_the_new_member() -> None:
@@ -210,20 +212,20 @@
     leaver._perform(leaver.detector.leave(net.now))
     leaver.kill()
     assert converge(net, 3 * SECOND) < 2 * SECOND
-    successor = Peer(net, "successor", leaver.address, net.peers[0].seeds)
-    net.at[successor.address] = successor
+    successor = SimulatedPeer(net, "successor", leaver.address, net.peers[0].seeds)
+    net.peer_by_address[successor.address] = successor
     net.peers[-1] = successor
     successor.start()
     converge(net, 5 * SECOND)
 
 
 def test_dead_seeds_are_tolerated_and_another_fleet_is_rejected() -> None:
-    net = PeerNet(10, 4)
+    net = SimulatedPeerNetwork(10, 4)
     for peer in net.peers:
         peer.seeds = [("10.9.9.9", 1), *peer.seeds]
     net.start()
     net.run(10 * SECOND)
-    assert net.whole()
+    assert net.has_converged()
     message = Message(VERSION, "another", MessageKind.PING, 1, "x", ("10.0.0.7", 7), 1)
     detector = net.peers[0].detector
     rejected = detector.rejected_count
@@ -237,7 +239,7 @@
     Incarnations never go back, a member that refuted stays, and all views agree within three seconds.
     """
     for copies in itertools.product((0, 1, 2), repeat=6):
-        net = PeerNet(3, 1)
+        net = SimulatedPeerNetwork(3, 1)
         net.start()
         net.run(2 * SECOND)
         net.peers[0].pause(1500 * MS)
@@ -245,7 +247,7 @@
         remaining, deliver, since = list(copies), net.send, net.now
         highest = dict.fromkeys((p.name for p in net.peers), 0)
 
-        def send(sender: Peer, address: tuple[str, int], data: bytes) -> None:
+        def send(sender: SimulatedPeer, address: tuple[str, int], data: bytes) -> None:
             for _ in range(remaining.pop(0) if remaining else 1):  # noqa: B023
                 deliver(sender, address, data)  # noqa: B023
 
@@ -257,7 +259,7 @@
                     assert record.incarnation >= 0 and peer.detector.incarnation >= highest[peer.name]
                     assert record.incarnation <= net.peers[int(record.name[1:])].detector.incarnation
                 highest[peer.name] = peer.detector.incarnation
-        assert net.whole() and not removals(net, since), copies
+        assert net.has_converged() and not removals(net, since), copies
 
 
 def test_datagrams_and_state_stay_within_their_limits() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -17,7 +17,7 @@
 from quincepier.addresses import Family
 from quincepier.addresses.section import AddressesSection
 from quincepier.consistency import ConsistencySection
-from quincepier.lab.scripted import Machine
+from quincepier.lab.scripted_cache import Machine
 from quincepier.operator import SECTIONS, LogSection, OperatorError, load, read
 from quincepier.state.section import StateSection
 from tests.frontkit import raw_config
@@ -194,12 +194,12 @@
         assert "addresses.prefer.0" in lines("configuration_rejected")[0]["fields"]["detail"]
         client.ask(2, "bid", b"offer")
         await client.ended(2)
-        assert not moved.at  # nothing of it is in force
+        assert not moved.received_commands  # nothing of it is in force
         operator.write_text(good)
         front.signal(signal.SIGHUP)
         await until(lambda: front.logged("reloaded: log, addresses changed"), "the good one is taken")
         client.ask(3, "bid", b"offer")
-        assert (await client.ended(3)).status == 200 and len(moved.at) == 1
+        assert (await client.ended(3)).status == 200 and len(moved.received_commands) == 1
         front.signal(signal.SIGTERM)
         assert await front.code() == 0
         await moved.close()
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from quincepier.lab.peers import PeerNet
+from quincepier.lab.membership_simulation import SimulatedPeerNetwork
 from quincepier.membership import quotas
 from quincepier.membership.probe_intervals import SECOND
 from quincepier.membership.quotas import (
@@ -256,7 +256,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_views_of_a_fleet_in_trouble_never_enlarge_a_quota_beyond_the_settings(seed: int) -> None:
     """Twelve fronts through a partition, pauses, kills and returns; the settings say twelve, and ten."""
-    net, rng = PeerNet(12, seed), random.Random(seed)
+    net, rng = SimulatedPeerNetwork(12, seed), random.Random(seed)
     counts = [LiveMemberCount(peer.name, 12, 600 * SECOND) for peer in net.peers]
     counts_of_ten = [LiveMemberCount(peer.name, 10, 600 * SECOND) for peer in net.peers]
     net.start()
@@ -265,9 +265,9 @@
     halves = {(a.name, b.name) for a in net.peers for b in net.peers if (a.name in near) != (b.name in near)}
     for turn in range(40):
         if turn == 10:
-            net.cuts = halves
+            net.blocked_links = halves
         elif turn == 25:
-            net.cuts = set()
+            net.blocked_links = set()
         if turn % 7 == 3:
             net.peers[rng.randrange(12)].pause(2 * SECOND)
         if turn in (12, 30):
@@ -278,7 +278,7 @@
         used = [
             Fraction(1, count.on_view_changed(net.now, peer.members))
             for count, peer in zip(counts, net.peers, strict=True)
-            if peer.alive
+            if peer.is_alive
         ]
         assert sum(used) <= 1
         used = [
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -15,7 +15,7 @@
 from quincepier.addresses import Address, Cause, Preference, parse, parse_term
 from quincepier.addresses.section import Aside, Dials
 from quincepier.interface import AttemptOutcome
-from quincepier.lab.scripted import Moment, Script
+from quincepier.lab.scripted_cache import Moment, Script
 from quincepier.net import dialer as dialing
 from tests.addresskit import KEYED, SAFE, UNSAFE, Inside, Machine, play, quick
 from tests.standins import until
@@ -55,7 +55,10 @@
                 served[cls] = await inside.answered(inbox), job
                 inboxes.append(inbox)
             await inside.quiet()
-            received = {cls: sum(m.whole[job] for m in machines.values()) for cls, (_, job) in served.items()}
+            received = {
+                cls: sum(m.received_count_by_id[job] for m in machines.values())
+                for cls, (_, job) in served.items()
+            }
             assert received[UNSAFE] <= 1, "a bid arrives once at most"
             assert [len(inbox.got) for inbox in inboxes] == [1, 1, 1], "one final answer each"
             assert served[SAFE][0] == served[KEYED][0] == 200, "another address serves what may be repeated"
@@ -76,10 +79,10 @@
         await inside.start()
         origin.set("unix", Script(Moment.WHOLE, True))
         job, status = await inside.serve(UNSAFE)
-        assert (status, origin.whole[job]) == (502, 1)
-        assert inside.way("o-1").resting(parse(origin.doors["unix"].text))
+        assert (status, origin.received_count_by_id[job]) == (502, 1)
+        assert inside.way("o-1").resting(parse(origin.endpoint_by_kind["unix"].address))
         again, status = await inside.serve(UNSAFE)
-        assert (status, origin.at[-1]) == (200, ("ipv6", again))
+        assert (status, origin.received_commands[-1]) == (200, ("ipv6", again))
         await inside.close()
 
     play(scenario)
@@ -95,8 +98,10 @@
         for part in range(6):
             job, status = await inside.serve(SAFE, part)
             assert status == 200
-            (home,) = [m for m in machines.values() if m.whole[job]]  # the hashed cache, and no other
-            assert [kind for kind, id in home.at if id == job][-1] == "ipv6"
+            (home,) = [
+                m for m in machines.values() if m.received_count_by_id[job]
+            ]  # the hashed cache, and no other
+            assert [kind for kind, id in home.received_commands if id == job][-1] == "ipv6"
         assert not any(node.is_ejected for node in inside.module.router.placement.table.by_id.values())
         await inside.close()
 
@@ -153,7 +158,7 @@
         for _, inbox, _ in jobs:
             assert await inside.answered(inbox) == 200
         await opening
-        assert all(machine.whole[job] == 1 for job, _, _ in jobs)
+        assert all(machine.received_count_by_id[job] == 1 for job, _, _ in jobs)
         way = inside.way("s-1")
         await until(lambda: not (way.races.races or way.tasks or way.up), "no dial is left")
         assert way.extras == 0 and inside.dialer.account.used == 0
@@ -192,8 +197,8 @@
             edge.set(kind, Script())
         assert await inside.answered(inbox) == 200
         if news in ("drain", "gone"):
-            assert edge.whole[job] == 0
-        assert sum(machine.whole[job] for machine in machines.values()) == 1
+            assert edge.received_count_by_id[job] == 0
+        assert sum(machine.received_count_by_id[job] for machine in machines.values()) == 1
         await inside.close()
 
     play(scenario)
@@ -224,7 +229,11 @@
 
         connection.send = tell  # type: ignore[method-assign]
         second, status = await inside.serve(UNSAFE)
-        assert (endings, status, origin.whole[second]) == ([AttemptOutcome.NOT_PROCESSED], 200, 1)
+        assert (endings, status, origin.received_count_by_id[second]) == (
+            [AttemptOutcome.NOT_PROCESSED],
+            200,
+            1,
+        )
         await inside.close()
 
     play(scenario)
@@ -242,7 +251,7 @@
         await until(lambda: not inside.way("o-1").tasks, "nothing is dialled for nobody")
         await until(lambda: not inside.cache("o-1").connections, "its connection is gone")
         assert (inside.module.means.descriptors.caches, inside.dialer.account.used) == (0, 0)
-        assert inbox.got == [] and origin.whole[job] == 0
+        assert inbox.got == [] and origin.received_count_by_id[job] == 0
         counts = inside.checks.counts
         assert counts["dials_cancelled"] and not counts["dials_failed_timed_out"]
         await inside.close()
@@ -255,7 +264,7 @@
         inside = Inside(tmp_path, {"o-1": (origin := Machine(tmp_path, ("ipv4", "ipv6")))}, **quick())
         await inside.start()
         await inside.serve(UNSAFE)
-        assert origin.at[0][0] == "ipv6"
+        assert origin.received_commands[0][0] == "ipv6"
         origin.set("ipv6", Script(Moment.REFUSE))
         for connection in inside.cache("o-1").connections:
             connection.close()
@@ -264,7 +273,7 @@
         asked = [inside.ask(UNSAFE) for _ in range(300)]
         for _, inbox, _ in asked:
             assert await inside.answered(inbox) == 200
-        assert all(origin.whole[job] == 1 for job, _, _ in asked)
+        assert all(origin.received_count_by_id[job] == 1 for job, _, _ in asked)
         refused = inside.checks.counts["dials_failed_refused"] - before.get("dials_failed_refused", 0)
         assert 1 <= refused <= 8, refused
         assert inside.dialer.account.peak <= 64
@@ -287,7 +296,7 @@
             await asyncio.sleep(0.001)
         assert most <= descriptors.caches_most
         assert {inbox.got[0].status for _, inbox, _ in asked} == {200}
-        assert all(origin.whole[job] == 1 for job, _, _ in asked)
+        assert all(origin.received_count_by_id[job] == 1 for job, _, _ in asked)
         await inside.close()
 
     play(scenario)
@@ -300,13 +309,15 @@
         await inside.start()
         await inside.serve(SAFE, 1)
         way = inside.way("s-1")
-        way.broke(parse(old.doors["unix"].text), clock.now(), "as a test")
+        way.broke(parse(old.endpoint_by_kind["unix"].address), clock.now(), "as a test")
         inside.tell(
             inside.record("s-1", old.addresses(), health="DELETED"), inside.record("s-2", old.addresses())
         )
         await until(lambda: "s-2" in inside.module.directory.entry_by_host, "the list is taken")
         new = inside.way("s-2")
-        assert new is not way and not new.resting(parse(old.doors["unix"].text))  # another machine
+        assert new is not way and not new.resting(
+            parse(old.endpoint_by_kind["unix"].address)
+        )  # another machine
         inside.tell(inside.record("s-3", old.addresses()))
         for part in range(8):
             assert (await inside.serve(SAFE, part))[1] == 200
@@ -324,12 +335,12 @@
         await inside.start(("unix", "ipv6"))
         origin.set("unix", Script(Moment.SILENT))
         silent, inbox, _ = inside.ask(UNSAFE)
-        await until(lambda: origin.whole[silent] == 1, "it is out")
-        inside.tell(inside.record("o-1", [origin.doors["ipv6"].text]))
+        await until(lambda: origin.received_count_by_id[silent] == 1, "it is out")
+        inside.tell(inside.record("o-1", [origin.endpoint_by_kind["ipv6"].address]))
         await until(lambda: len(inside.way("o-1").book.entries) == 1, "the list is taken")
         assert not inbox.got  # what is out stays out over the old address
         job, status = await inside.serve(UNSAFE)
-        assert (status, origin.at[-1]) == (200, ("ipv6", job))
+        assert (status, origin.received_commands[-1]) == (200, ("ipv6", job))
         origin.set("ipv6", Script(Moment.FULL))
         for connection in inside.cache("o-1").connections:
             if connection.idle:
@@ -337,11 +348,14 @@
         waiting, held, _ = inside.ask(UNSAFE)
         await until(lambda: bool(inside.way("o-1").tasks), "it dials")
         section = type(inside.section)(
-            **quick(machines={"o-1": (parse(origin.doors["ipv4"].text),)}, forbid=(parse_term("ipv6"),))
+            **quick(
+                machines={"o-1": (parse(origin.endpoint_by_kind["ipv4"].address),)},
+                forbid=(parse_term("ipv6"),),
+            )
         )
         inside.module.follow_addresses(section)  # SIGHUP: the one being dialled is forbidden
-        assert await inside.answered(held) == 200 and origin.at[-1] == ("ipv4", waiting)
-        assert [str(a) for a in inside.way("o-1").book.entries] == [origin.doors["ipv4"].text]
+        assert await inside.answered(held) == 200 and origin.received_commands[-1] == ("ipv4", waiting)
+        assert [str(a) for a in inside.way("o-1").book.entries] == [origin.endpoint_by_kind["ipv4"].address]
         await inside.close()
 
     play(scenario)
@@ -393,7 +407,7 @@
         await machine.start()
         machine.set("unix", Script(Moment.FULL))
         with pytest.raises(TimeoutError):
-            await dialing.dial(parse(machine.doors["unix"].text), 0.05)
+            await dialing.dial(parse(machine.endpoint_by_kind["unix"].address), 0.05)
         await machine.close()
 
     play(scenario)
@@ -408,9 +422,9 @@
         for _, inbox, _ in first:
             await inside.answered(inbox)
         edge.set("unix", Script(Moment.SILENT))
-        inside.way("s-1").broke(parse(edge.doors["unix"].text), clock.now(), "silent")
+        inside.way("s-1").broke(parse(edge.endpoint_by_kind["unix"].address), clock.now(), "silent")
         job, status = await inside.serve(SAFE, 5)
-        assert (status, edge.at[-1]) == (200, ("ipv6", job))
+        assert (status, edge.received_commands[-1]) == (200, ("ipv6", job))
         await inside.close()
 
     play(scenario)
@@ -444,7 +458,7 @@
             edge.set("unix", scripts[n % 4])
             edge.set("ipv6", scripts[(n + 1) % 4])
             await inside.serve(SAFE, n)
-        assert 0 < sum(edge.whole.values()) <= sum(sent)
+        assert 0 < sum(edge.received_count_by_id.values()) <= sum(sent)
         await inside.close()
 
     play(scenario)
@@ -456,11 +470,11 @@
         inside = Inside(tmp_path, {"o-1": origin}, **quick(forbid=(parse_term("unix"), parse_term("::1"))))
         await inside.start()
         job, status = await inside.serve(UNSAFE)
-        assert (status, origin.at) == (200, [("ipv4", job)])
-        inside.tell(inside.record("o-1", [origin.doors["ipv4"].text, "nonsense", "[::1]:0"]))
+        assert (status, origin.received_commands) == (200, [("ipv4", job)])
+        inside.tell(inside.record("o-1", [origin.endpoint_by_kind["ipv4"].address, "nonsense", "[::1]:0"]))
         await until(lambda: inside.checks.counts["endpoint_address_invalid"] >= 2, "they are told")
         assert (await inside.serve(UNSAFE))[1] == 200
-        assert origin.doors["unix"].accepted == origin.doors["ipv6"].accepted == 0
+        assert origin.endpoint_by_kind["unix"].accepted == origin.endpoint_by_kind["ipv6"].accepted == 0
         await inside.close()
 
     play(scenario)
@@ -495,7 +509,7 @@
         await inside.start()
         assert inside.checks.counts["endpoint_addresses_forbidden"] == 1
         job, status = await inside.serve(UNSAFE)
-        assert status == 503 and origin.whole[job] == 0
+        assert status == 503 and origin.received_count_by_id[job] == 0
         await inside.close()
 
     play(scenario)
@@ -508,7 +522,7 @@
             inside = Inside(tmp_path, {"o-1": origin}, **quick(prefer=(parse_term(kind),)))
             await inside.start()
             await inside.serve(UNSAFE)
-            assert [door for door, _ in origin.at] == [kind]
+            assert [door for door, _ in origin.received_commands] == [kind]
             await inside.close()
         assert Preference([parse_term("::/0")]).grade(Address(parse("[::1]:1").family, "::1", 1)) == 0
 
--- a/tests/test_standing_floors.py
+++ b/tests/test_standing_floors.py
@@ -45,7 +45,7 @@
     asked, good = Counter[str](), Counter[str]()
     for seed in seeds:
         experiment = read_struct(flood(worths), "flood.yaml", Experiment)
-        for name, words in World(experiment, experiment.variants[0], seed).play().by_class.items():
+        for name, words in World(experiment, experiment.variants[0], seed).run().by_class.items():
             asked[name] += words["asked"]
             good[name] += words["served"]
     return {name: good[name] / n for name, n in asked.items()}
--- a/tests/test_tenancy_model.py
+++ b/tests/test_tenancy_model.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quincepier.lab.moves import Fleet
+from quincepier.lab.migration_simulation import Fleet
 from quincepier.rules import (
     Migration,
     MigrationStep,
