--- a/quincepier/lab/__init__.py
+++ b/quincepier/lab/__init__.py
@@ -1,7 +1,7 @@
-"""The laboratory: what a change does, shown by experiments that are the same each time.
+"""The laboratory: reproducible experiments that show the effect of a change.
 
-It plays whole deployments of many decision modules in virtual time, with faults on a schedule, judges the
-rules from the machines' and the clients' side, and compares variants paired by seed. It is never needed by
-`serve`, decides nothing for a front and shares no code with one but the module under test. Read
-`experiment.py`, then `world.py`.
+It simulates whole deployments of many decision modules in virtual time, injects faults on a schedule, checks
+the five rules from the machines' and the clients' observations, and compares variants paired by seed. `serve`
+never imports it. It makes no decisions for a front and shares no code with one except the decision module
+under test. Read `experiment.py` first, then `world.py`.
 """
--- a/quincepier/lab/experiment.py
+++ b/quincepier/lab/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment: a YAML file of a fleet, classes, load, faults, seeds and variants; checked whole."""
+"""The experiment file (YAML): fleet, request classes, load, faults, seeds and variants, with validation."""
 
 from __future__ import annotations
 
@@ -16,44 +16,50 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-SIZES, SIZE_MOST = 0x517E, 3.0  # the draw of sizes by object; where the log-normal's tail is cut, in sigmas
-EDGE, PARENT, ORIGIN = 0, 1, 2  # kinds of machine, by their number
+SIZE_HASH_SEED, MAX_SIZE_SIGMAS = (
+    0x517E,
+    3.0,
+)  # hash seed of an object's size; cut-off of the log-normal tail, in sigmas
+EDGE, PARENT, ORIGIN = 0, 1, 2  # machine kinds
 
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
-AtLeast0 = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=60)]
 
 
 class FaultKind(Enum):
-    """What a fault does. All but `purge` last for `lasts` seconds, and strike part of a tier or of fronts."""
-
-    CRASH = "crash"  # processes die: connections refused; they come back empty and cold
-    LOST = "lost"  # gone without a word: nothing is refused, nothing answered
-    SLOW = "slow"  # `size` times slower
-    DRAIN = "drain"  # told to drain, gone 3 s later, replaced by new ones under new ids
-    LAG = "lag"  # the list is told `size` seconds later
-    PURGE = "purge"  # that part of the groups is purged
-    RUSH = "rush"  # `size` times the load
-    # On fronts. One that was killed or ended is started anew after `lasts`.
+    """Kinds of faults.
+
+    All except `purge` last for `lasts` seconds. `part` is the affected share of a tier or of the fronts.
+    """
+
+    CRASH = "crash"  # processes die and refuse connections; they return empty and cold
+    LOST = "lost"  # machines become unreachable: connections are neither refused nor answered
+    SLOW = "slow"  # transfers take `size` times as long
+    DRAIN = "drain"  # machines drain for 3 s, then new ones with new ids replace them
+    LAG = "lag"  # endpoint updates are delayed by `size` seconds
+    PURGE = "purge"  # `part` of the groups is purged
+    RUSH = "rush"  # the request rate is multiplied by `size`
+    # Faults on fronts. A front that was killed or terminated restarts after `lasts`.
     KILL = "kill"  # SIGKILL
     TERM = "term"  # SIGTERM
-    ROLL = "roll"  # SIGTERM and start anew, one after the other over `lasts`
+    ROLL = "roll"  # rolling restart: SIGTERM and restart, one front after the other, over `lasts`
     PAUSE = "pause"  # SIGSTOP, SIGCONT after `lasts`
-    STARVE = "starve"  # stopped and let go in turn, `size` ms each
-    RELOAD = "reload"  # SIGHUP, `size` times over `lasts`; not in virtual time
-    SIGNALS = "signals"  # the `series`, up to `size` ms apart, then anew after `lasts`; not in virtual time
-    CROWD = "crowd"  # `size` idle clients come to each and stay for `lasts`; not in virtual time
-    # On a path of the net, to and from a part of the fronts; not in virtual time.
-    CUT = "cut"  # what is said is lost; new connections never come up
-    SILENT = "silent"  # open connections stay open and nothing comes through; new ones come up
-    RESET = "reset"  # open connections are reset, new ones refused
-    DELAY = "delay"  # `size` ms more, half as much again by chance
-    THROTTLE = "throttle"  # `size` kB/s for each connection
-    LOSS = "loss"  # of datagrams: `size` of them, 0 to 1
-    REPEAT = "repeat"  # of datagrams: `size` of them come twice
-    SHUFFLE = "shuffle"  # of datagrams: `size` of them come up to 50 ms late
+    STARVE = "starve"  # stopped and resumed alternately, `size` ms each
+    RELOAD = "reload"  # `size` SIGHUPs over `lasts`; processes only
+    SIGNALS = "signals"  # sends `series`, up to `size` ms apart, then restarts after `lasts`; processes only
+    CROWD = "crowd"  # `size` idle clients connect to each front for `lasts`; processes only
+    # Network faults on a path to and from `part` of the fronts; processes only.
+    CUT = "cut"  # data is lost; new connections are never established
+    SILENT = "silent"  # connections are established and stay open, but pass no data
+    RESET = "reset"  # open connections are reset and new ones refused
+    DELAY = "delay"  # adds `size` ms and up to half as much again at random
+    THROTTLE = "throttle"  # limits each connection to `size` kB/s
+    LOSS = "loss"  # drops this share of datagrams (`size`, 0 to 1)
+    REPEAT = "repeat"  # duplicates this share of datagrams
+    SHUFFLE = "shuffle"  # delays this share of datagrams by up to 50 ms
 
 
 ON_FRONTS = frozenset(
@@ -83,45 +89,47 @@
 
 
 class NetPath(Enum):
-    """Where a fault of the net strikes."""
+    """Network path that a fault affects."""
 
     CLIENTS = "clients"
-    CACHES = "caches"  # parents and the origin too
+    CACHES = "caches"  # including parents and the origin
     LOG = "log"
     PEERS = "peers"  # between fronts
 
 
 class LinkDirection(Enum):
-    OUT = "out"  # what a front says
-    IN = "in"  # what it hears
+    """Direction of traffic that a network fault affects, as seen from the front."""
+
+    OUT = "out"
+    IN = "in"
     BOTH = "both"
 
 
 class StorageDamage(Enum):
-    """What becomes of a front's folder of state while it is down."""
+    """Damage to a front's state folder while the front is down."""
 
     KEEP = "keep"
     EMPTY = "empty"
     CUT = "cut"  # each file loses its second half
-    FLIP = "flip"  # one byte of each file is another
-    OLDER = "older"  # as it was when the run began
+    FLIP = "flip"  # one byte of each file is changed
+    OLDER = "older"  # restored to its content at the start of the run
     READ_ONLY = "read-only"
 
 
 class Signal(Enum):
-    """A step of a series of signals."""
+    """One step of a `signals` fault."""
 
-    RELOAD_SAME = "hup same"  # SIGHUP, the configuration as it was
-    RELOAD_NEW = "hup new"  # another one
-    RELOAD_HALF = "hup half"  # cut in the middle, as while it is written
-    RELOAD_WRONG = "hup wrong"  # one that can't be used
+    RELOAD_SAME = "hup same"  # SIGHUP with an unchanged configuration
+    RELOAD_NEW = "hup new"  # SIGHUP with another configuration
+    RELOAD_HALF = "hup half"  # SIGHUP with a truncated configuration, as if it were being written
+    RELOAD_WRONG = "hup wrong"  # SIGHUP with an invalid configuration
     TERM = "term"
     INT = "int"
-    START = "start"  # the front is started anew once it has ended; the series goes on at once
+    START = "start"  # restarts the front once it has exited; the next step does not wait for it
 
 
 class CountedEvent(Enum):
-    """What a fault may wait for."""
+    """Events that a fault can be triggered by."""
 
     FILLS = "fills"
     DIALS = "dials"
@@ -129,95 +137,105 @@
 
 
 class Fleet(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Size and timing of the simulated deployment."""
+
     zones: Count = 2
-    fronts: Count = 4  # in all, by turns to the zones; so are caches
+    fronts: Count = 4  # total; fronts and caches are assigned to zones round-robin
     caches: Count = 8
     parents: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 2
-    cache_sends: Positive = 12  # transfers at full pace at once
+    cache_sends: Positive = 12  # concurrent transfers at full speed
     parent_sends: Positive = 24
     origin_runs: Positive = 24
     cache_keeps: Count = 400  # parts of objects
     parent_keeps: Count = 2000
-    near_ms: Positive = 1.0  # one way, front to cache
-    far_ms: Positive = 8.0  # one way, to parents and the origin
-    origin_ms: Positive = 30.0  # of work there for each fetch
-    cold_from: Share = 0.2
-    cold_s: Positive = 13.0
-    fall_multiple: Positive = 2.5
-    fall_s: Positive = 1.5
-    told_ms: Positive = 150.0  # until the list's changes and purges are told
-    start_s: Positive = 0.5  # in virtual time: until a front that is started serves
-    noticed_s: Positive = 1.0  # until the clients' side leaves out a front that died
-    keeps_s: AtLeast0 = 0.0  # how often a front writes what it learned; 0: nothing is kept
-    keeps_part: Share = 1.0  # of the fronts that keep it
-    dial_ms: Positive = 400.0  # what the settings give a front for a connection to a machine
-    sockets: Annotated[int, msgspec.Meta(ge=64, le=100_000)] = 1024  # descriptors of a front
+    near_ms: Positive = 1.0  # one-way delay between front and cache
+    far_ms: Positive = 8.0  # one-way delay to parents and the origin
+    origin_ms: Positive = 30.0  # origin's work for each fetch
+    cold_from: Share = 0.2  # capacity share of a machine that has just started
+    cold_s: Positive = 13.0  # time until a started machine has its full capacity
+    fall_multiple: Positive = (
+        2.5  # a cold machine crashes if asked for more than this multiple of its capacity
+    )
+    fall_s: Positive = 1.5  # window over which that load is measured
+    told_ms: Positive = 150.0  # until endpoint updates and purges reach the fronts
+    start_s: Positive = 0.5  # virtual time only: start-up time of a front
+    noticed_s: Positive = 1.0  # until clients stop using a front that died
+    keeps_s: NonNegative = 0.0  # interval of a front's state writes; 0: state is not stored
+    keeps_part: Share = 1.0  # share of the fronts that store state
+    dial_ms: Positive = 400.0  # a front's connect timeout
+    sockets: Annotated[int, msgspec.Meta(ge=64, le=100_000)] = 1024  # descriptor limit of a front
 
 
 class Class(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A request class of the workload and its objects."""
+
     name: Name
     share: Positive
     send_ms: Positive
     wanted_ms: Positive
     deadline_ms: Positive
     worth: Positive = 1.0
-    stretch: AtLeast0 = 2.0
+    stretch: NonNegative = 2.0
     effect: Idempotency = Idempotency.SAFE
-    sigma: Annotated[float, msgspec.Meta(ge=0, le=3)] = 0.0  # of the log-normal sizes of objects; 0: alike
+    sigma: Annotated[float, msgspec.Meta(ge=0, le=3)] = (
+        0.0  # sigma of the log-normal object sizes; 0: all objects have the mean size
+    )
     objects: Count = 500
     parts: Count = 1
-    zipf: AtLeast0 = 1.0
-    fresh_s: AtLeast0 = 0.0
-    grace_s: AtLeast0 = 0.0
+    zipf: NonNegative = 1.0
+    fresh_s: NonNegative = 0.0
+    grace_s: NonNegative = 0.0
     never_kept: bool = False
 
     def __post_init__(self) -> None:
         if self.wanted_ms > self.deadline_ms:
-            raise ValueError("wanted_ms <= deadline_ms is wanted")
+            raise ValueError("wanted_ms must not exceed deadline_ms")
 
 
 class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    rate: Positive = 140.0  # first tries a second, of the whole fleet
+    """The client model: request rate, retries and faulty clients."""
+
+    rate: Positive = 140.0  # requests per second of the whole fleet, without retries
     retries: Annotated[int, msgspec.Meta(ge=0, le=10)] = 2
     back_off_ms: Positive = 50.0
     groups: Count = 32
-    lost_ms: Positive = 50.0  # past its time: an answer that comes later is lost
-    leaves: Share = 0.0  # of tries by processes: whose client aborts or closes before its time
-    garbles: Share = 0.0  # of tries by processes: over a new connection, what is no record behind them
-    hurried: Share = 0.0  # of tries by processes: with a small part of their class's time
-    # By processes: after SIGTERM clients go on sending on open connections until the front has ended, and
-    # SIGKILL comes when the protocol page says at the earliest.
+    lost_ms: Positive = 50.0  # a response that is later than the deadline by more than this counts as lost
+    leaves: Share = 0.0  # processes only: share of tries whose client aborts or disconnects early
+    garbles: Share = 0.0  # processes only: share of tries on a new connection followed by invalid data
+    hurried: Share = 0.0  # processes only: share of tries with a small part of the class's deadline
+    # Processes only: after SIGTERM, clients keep sending on open connections until the front has exited, and
+    # SIGKILL follows at the earliest time that the protocol page allows.
     stays: bool = False
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    at: AtLeast0
+    """One fault of the schedule: from second `at` on for `lasts` seconds; `size` depends on the kind."""
+
+    at: NonNegative
     kind: FaultKind
     tier: Annotated[int, msgspec.Meta(ge=0, le=2)] = EDGE
     part: Share = 0.25
-    lasts: AtLeast0 = 10.0
-    size: AtLeast0 = 4.0
+    lasts: NonNegative = 10.0
+    size: NonNegative = 4.0
     path: NetPath = NetPath.CACHES
     way: LinkDirection = LinkDirection.BOTH
     state: StorageDamage = StorageDamage.KEEP
     series: tuple[Signal, ...] = ()
-    settled: bool = (
-        False  # by processes, on fronts: strikes once those struck serve, so that none is down yet
-    )
-    counted: CountedEvent | None = None  # strikes at the `nth` such event from `at` on
+    settled: bool = False  # processes only, on fronts: waits until all affected fronts serve
+    counted: CountedEvent | None = None  # the fault is triggered by the `nth` such event after `at`
     nth: Count = 1
 
     def __post_init__(self) -> None:
         if self.kind in (FaultKind.LOSS, FaultKind.REPEAT, FaultKind.SHUFFLE) and self.size > 1:
-            raise ValueError("size <= 1 is wanted")
+            raise ValueError("size must not exceed 1")
 
 
 class Variant(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What differs: settings of the module by name, as in `quincepier.interface.Settings`; what is kept."""
+    """A variant: decision-module settings by name, see `quincepier.interface.Settings`, and state writes."""
 
     name: Name
     settings: dict[str, Any] = {}
-    keeps_s: AtLeast0 | None = None  # in place of the fleet's
+    keeps_s: NonNegative | None = None  # overrides `Fleet.keeps_s`
 
     def __post_init__(self) -> None:
         known = Settings.__dataclass_fields__
@@ -226,6 +244,8 @@
 
 
 class Experiment(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A whole experiment file. Each variant runs once with each seed."""
+
     name: Name
     classes: Annotated[tuple[Class, ...], msgspec.Meta(min_length=1, max_length=20)]
     says: str = ""
@@ -234,46 +254,51 @@
     fleet: Fleet = Fleet()
     load: Load = Load()
     faults: Annotated[tuple[Fault, ...], msgspec.Meta(max_length=100)] = ()
-    voters: Annotated[int, msgspec.Meta(ge=0, le=7)] = 0  # fronts that vote, by processes; 0: none settle
-    wishes: Annotated[str, msgspec.Meta(max_length=100_000)] = ""  # further sections of the operators' file
+    voters: Annotated[int, msgspec.Meta(ge=0, le=7)] = (
+        0  # processes only: number of voting fronts; 0: no agreement
+    )
+    wishes: Annotated[str, msgspec.Meta(max_length=100_000)] = (
+        ""  # additional sections of the operators' file, as YAML
+    )
     variants: Annotated[tuple[Variant, ...], msgspec.Meta(max_length=10)] = (Variant("as it is"),)
 
     def __post_init__(self) -> None:
         if len({variant.name for variant in self.variants}) < len(self.variants):
-            raise ValueError("two variants have one name")
+            raise ValueError("two variants have the same name")
         if self.fleet.fronts < self.fleet.zones or self.fleet.caches < self.fleet.zones:
-            raise ValueError("fleet: a front and a cache for each zone are wanted")
+            raise ValueError("fleet: each zone needs a front and a cache")
 
     def state_write_interval_s(self, variant: Variant, front: int) -> float:
-        """How often that front writes what it learned, in seconds; 0: never."""
+        """Return the interval of that front's state writes, in seconds; 0 for never."""
         every = self.fleet.keeps_s if variant.keeps_s is None else variant.keeps_s
         return every if front < self.fleet.keeps_part * self.fleet.fronts else 0.0
 
     @property
     def longest_deadline_s(self) -> float:
-        """The longest time in which a client waits, in seconds."""
+        """The longest deadline of any class, in seconds."""
         return max(cls.deadline_ms for cls in self.classes) / 1000
 
     def group_of_object(self, obj: int) -> int:
+        """Return the group that an object belongs to."""
         return obj * 0x9E3779B1 % self.load.groups
 
     def send_time_ns(self, cls: int, obj: int) -> float:
-        """The sending time of an object alone, in nanoseconds; the class's mean is kept."""
+        """Return an object's transfer time at full speed, ns; its mean over objects is `send_ms`."""
         c = self.classes[cls]
         if not c.sigma:
             return c.send_ms * MS
-        drawn = NormalDist().inv_cdf(((mix(obj, SIZES) >> 12) + 0.5) / 2**52)
-        return c.send_ms * MS * math.exp(min(c.sigma * drawn, SIZE_MOST * c.sigma) - c.sigma**2 / 2)
+        drawn = NormalDist().inv_cdf(((mix(obj, SIZE_HASH_SEED) >> 12) + 0.5) / 2**52)
+        return c.send_ms * MS * math.exp(min(c.sigma * drawn, MAX_SIZE_SIGMAS * c.sigma) - c.sigma**2 / 2)
 
     def settings(self, zone: int, variant: Variant) -> Settings:
-        """Of the module of a front in that zone."""
+        """Return the decision-module settings of a front in that zone (zones count from 0)."""
         fleet = self.fleet
         by_zone = [0] + [len(range(z, fleet.fronts, fleet.zones)) for z in range(fleet.zones)]
         plain = Settings(
-            zone=zone + 1,  # zone 0 is the hub's
+            zone=zone + 1,  # zone 0 is the hub
             fronts=fleet.fronts,
             fronts_by_zone=tuple(by_zone),
-            classes=tuple(self._class(c) for c in self.classes),
+            classes=tuple(self._request_class(c) for c in self.classes),
             parent_kind=PARENT,
             origin_kind=ORIGIN,
             direct=True,
@@ -301,7 +326,7 @@
         )
         return Settings(**{f: getattr(plain, f) for f in Settings.__dataclass_fields__} | variant.settings)
 
-    def _class(self, c: Class) -> RequestClass:
+    def _request_class(self, c: Class) -> RequestClass:
         return RequestClass(
             effect=c.effect,
             group=DeduplicationScope.ALL,
@@ -318,7 +343,11 @@
 
 
 def load(path: str) -> Experiment:
-    """Raises OperatorError with all that is wrong, each with line and key."""
+    """Read and validate an experiment file.
+
+    Raises:
+        OperatorError: With every fault of the file, each with its line and key.
+    """
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/quincepier/lab/front.py
+++ b/quincepier/lab/front.py
@@ -1,4 +1,4 @@
-"""A front of the laboratory: a process with its decision module, its clients' tries and their attempts."""
+"""A simulated front process: its decision module, the clients' requests and their attempts."""
 
 from __future__ import annotations
 
@@ -13,14 +13,25 @@
 from quincepier.recovery import first_poll
 from quincepier.recovery.learned_facts import export_facts, restore_facts
 
-if TYPE_CHECKING:  # the world makes the fronts
+if TYPE_CHECKING:  # world.py imports this module
     from quincepier.lab.world import World
 
-POLL = SECOND  # a front's call to the change log ends after this at the latest
+MAX_POLL_TIME = SECOND  # longest long poll of the change log
 
 
 class Attempt:
-    """One attempt; a machine sees it as an order."""
+    """One attempt of a request; implements `machines.MachineAttempt`. Compared by identity.
+
+    Attributes:
+        number: The request's number.
+        attempt_number: Index of the attempt within its request.
+        sent_at: When it was sent, ns.
+        timeout: ns; 0 for none.
+        source: Number of the machine that the cache fetches from; None without a fetch.
+        max_copy_age: Oldest acceptable copy, ns; 0 for the class's own limit.
+        join: Whether it may join a fetch that is under way.
+        held_only: Whether the source may only use a copy that it holds.
+    """
 
     __slots__ = (
         "attempt_number",
@@ -40,9 +51,14 @@
     )  # fmt: skip
 
     def __init__(
-        self, front: Front, request: Request, no: int, action: io.ForwardRequest | io.FetchThrough, at: int
+        self,
+        front: Front,
+        request: Request,
+        attempt_number: int,
+        action: io.ForwardRequest | io.FetchThrough,
+        sent_at: int,
     ) -> None:
-        self.front, self.request, self.attempt_number, self.sent_at = front, request, no, at
+        self.front, self.request, self.attempt_number, self.sent_at = front, request, attempt_number, sent_at
         self.number, self.cls, self.key = request.number, request.cls, (request.object, request.part)
         self.machine, self.timeout, self.is_ended = action.cache, action.timeout, False
         fetch = action if isinstance(action, io.FetchThrough) else None
@@ -52,7 +68,13 @@
 
 
 class Request:
-    """One try of a client."""
+    """One try of a client's request.
+
+    Attributes:
+        first_sent_at: When the client sent its first try, ns.
+        previous_tries: Tries before this one.
+        is_finished: Whether the client has its response or no longer waits.
+    """
 
     __slots__ = (
         "attempts",
@@ -75,7 +97,17 @@
 
 
 class Front:
-    """A process: what it knows goes with it. While it is stopped, what comes waits."""
+    """A front process. Its knowledge is lost when it ends; events queue up while it is paused.
+
+    Attributes:
+        start_count: Number of starts; callbacks of an earlier start are ignored.
+        pause_count: Pauses in effect; 0 while it runs.
+        pending_events: Events received while paused, with their arrival times.
+        connections: Established connections by machine.
+        active_attempts: Attempts under way by machine.
+        state_write_interval: ns; 0 for never.
+        stored_states: Learned facts written to disk, with the time: the first write and the last two.
+    """
 
     def __init__(self, world: World, number: int, zone: int, variant: Variant) -> None:
         self.world, self.number, self.zone, self.variant = world, number, zone, variant
@@ -84,11 +116,10 @@
         self.requests: dict[int, Request] = {}
         self.connections, self.active_attempts = Counter[int](), Counter[int]()  # by machine
         self.state_write_interval = int(world.experiment.state_write_interval_s(variant, number) * SECOND)
-        self.stored_states: list[
-            tuple[int, list[io.Learned]]
-        ] = []  # what it wrote: the first, and the last two
+        self.stored_states: list[tuple[int, list[io.Learned]]] = []
 
     def start(self) -> None:
+        """Start the process with the current endpoint list, past purges and its stored state."""
         world = self.world
         self.start_count, self.is_alive, self.pause_count = self.start_count + 1, True, 0
         self.connections.clear()
@@ -97,7 +128,7 @@
         self.router = Router(
             settings, (world.seed * 1000 + self.number) * 100 + self.start_count - 1, world.now
         )
-        for m in world.machines.machine_by_number.values():  # a list that a front starts with counts as told
+        for m in world.machines.machine_by_number.values():
             world.record_endpoint_state(self, m.to_endpoint())
         self.deliver(io.EndpointUpdate(UpdateScope.RESTORED, world.machines.endpoints()))
         for group, at in world.purges:
@@ -111,15 +142,16 @@
                 self.write_state,
                 self.start_count,
             )
-        self.poll_change_log(self.start_count, first_poll(chance, POLL // MS) * MS)
+        self.poll_change_log(self.start_count, first_poll(chance, MAX_POLL_TIME // MS) * MS)
 
     def restore_state(self, at: int, facts: list[io.Learned]) -> None:
-        """Of machines that are still the same; the list was told before."""
+        """Restore learned facts of machines that are still listed; the endpoint list was delivered before."""
         listed = self.world.machines.machine_by_number
         same = (f for f in facts if not isinstance(f, io.LearnedEndpoint) or f.cache in listed)
         restore_facts(self.router, same, self.world.now - at)
 
     def write_state(self, start: int) -> None:
+        """Write the learned facts and schedule the next write."""
         if self.is_alive and start == self.start_count:
             if not self.pause_count:
                 written = self.world.now, list(export_facts(self.router))
@@ -127,25 +159,23 @@
             self.world.schedule(self.state_write_interval, self.write_state, start)
 
     def damage_storage(self, how: StorageDamage) -> None:
-        """What befalls its folder while it is down: a record that is damaged leaves the one before."""
+        """Damage the state folder while the front is down. A damaged record falls back to the one before."""
         if how is StorageDamage.OLDER:
             self.stored_states = self.stored_states[:1]
-        elif how in (
-            StorageDamage.EMPTY,
-            StorageDamage.CUT,
-            StorageDamage.FLIP,
-        ):  # those two damage both generations
+        elif how in (StorageDamage.EMPTY, StorageDamage.CUT, StorageDamage.FLIP):
+            # CUT and FLIP damage both generations of the record
             self.stored_states = []
         elif how is StorageDamage.READ_ONLY:
             self.state_write_interval = 0
 
-    def poll_change_log(self, start: int, wait: int = POLL) -> None:
+    def poll_change_log(self, start: int, wait: int = MAX_POLL_TIME) -> None:
+        """Count a call to the change log and schedule the next after `wait` ns."""
         if self.is_alive and start == self.start_count:
             self.world.tally.recovery.count("calls for the list", self.world.now)
             self.world.schedule(wait, self.poll_change_log, start)
 
     def kill(self) -> None:
-        """Its clients' connections are reset, its attempts are off."""
+        """Kill the process: client connections are reset and its attempts cancelled."""
         self.is_alive, self.pending_events = False, []
         open_now, self.requests = list(self.requests.values()), {}
         for request in open_now:
@@ -159,15 +189,17 @@
                 self.world.on_request_not_served(self, request, "failed", 0)
 
     def pause(self, stop: bool) -> None:
+        """Pause the process, or end one pause; after the last one, deliver the pending events."""
         self.pause_count += 1 if stop else -1
         if self.pause_count <= 0:
-            self.pause_count, waiting, self.pending_events = 0, self.pending_events, []
-            for at, event in waiting:
-                if isinstance(event, io.RequestReceived):  # its time goes while it lies unread
-                    event.time_left -= self.world.now - at
+            self.pause_count, pending, self.pending_events = 0, self.pending_events, []
+            for arrived_at, event in pending:
+                if isinstance(event, io.RequestReceived):  # the deadline runs while the request is unread
+                    event.time_left -= self.world.now - arrived_at
                 self.deliver(event)
 
     def deliver(self, event: io.Event) -> None:
+        """Pass an event to the decision module and carry out its actions."""
         if not self.is_alive:
             return
         if self.pause_count:
@@ -183,16 +215,16 @@
         match action:
             case io.ForwardRequest() | io.FetchThrough():
                 self._send_attempt(action)
-            case io.CancelAttempt(number, no):
+            case io.CancelAttempt(number, attempt_number):
                 request = self.requests.get(number)
-                if request is not None and no < len(request.attempts):
-                    world.cancel_attempt(request.attempts[no])
+                if request is not None and attempt_number < len(request.attempts):
+                    world.cancel_attempt(request.attempts[attempt_number])
             case io.RejectRequest(number, wait):
                 self._respond(number, "refused", wait)
             case io.FailRequest(number):
                 self._respond(number, "failed", 0)
-            case io.SetTimer(wait, token, about):
-                world.schedule(max(wait, 0), self._on_timer, token, about, self.start_count)
+            case io.SetTimer(wait, token, request_number):
+                world.schedule(max(wait, 0), self._on_timer, token, request_number, self.start_count)
             case io.WatchEndpoints():
                 world.schedule(
                     0, self.deliver, io.EndpointUpdate(UpdateScope.FULL, world.machines.endpoints())
@@ -201,9 +233,11 @@
                 ended = io.HealthCheckCompleted(machine, AttemptOutcome.OK, 0, ())
                 world.schedule(world.one_way_delay(self.zone, machine), self.deliver, ended)
 
-    def _on_timer(self, token: int, about: int, start: int) -> None:
-        request = self.requests.get(about)
-        if start == self.start_count and (about < 0 or (request is not None and not request.is_finished)):
+    def _on_timer(self, token: int, request_number: int, start: int) -> None:
+        request = self.requests.get(request_number)
+        if start == self.start_count and (
+            request_number < 0 or (request is not None and not request.is_finished)
+        ):
             self.deliver(io.TimerFired(token))
 
     def _send_attempt(self, action: io.ForwardRequest | io.FetchThrough) -> None:
@@ -225,28 +259,42 @@
             self.remove_if_finished(request)
 
     def on_attempt_ended(
-        self, attempt: Attempt, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+        self,
+        attempt: Attempt,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus,
+        waited: int,
+        minted: int | None,
     ) -> None:
+        """Report the end of an attempt to the decision module and respond to the client.
+
+        Args:
+            attempt: The attempt.
+            outcome: How it ended.
+            cache_status: Where the copy came from.
+            waited: Time that the machine waited for a fetch, ns.
+            minted: When the origin produced the copy, ns; None without one.
+        """
         if not self.is_alive or self.requests.get(attempt.number) is not attempt.request:
             return
         if self.pause_count:
-            self.world.schedule(MS, self.on_attempt_ended, attempt, ending, note, waited, minted)
+            self.world.schedule(MS, self.on_attempt_ended, attempt, outcome, cache_status, waited, minted)
             return
         request = attempt.request
         self.active_attempts[attempt.machine] -= 1
-        if ending is AttemptOutcome.OK and not request.is_finished:
+        if outcome is AttemptOutcome.OK and not request.is_finished:
             request.is_finished = True
             self.world.answered(self, request, "served", minted, attempt.sent_at, 0)
         event = io.AttemptCompleted(
-            request.number, attempt.attempt_number, attempt.machine, ending,
-            self.world.now - attempt.sent_at, request.is_finished, note, waited, (),
+            request.number, attempt.attempt_number, attempt.machine, outcome,
+            self.world.now - attempt.sent_at, request.is_finished, cache_status, waited, (),
         )  # fmt: skip
         for action in self.router.handle(self.world.now, event):
             self._perform(action)
         self.remove_if_finished(request)
 
     def on_client_disconnected(self, request: Request) -> None:
-        """The client has stopped waiting: no answer is owed."""
+        """The client no longer waits, so no response is due."""
         if not request.is_finished and self.requests.get(request.number) is request:
             request.is_finished = True
             self.world.rule_checker.on_abandoned(request.number)
@@ -255,5 +303,6 @@
             self.world.on_request_not_served(self, request, "failed", 0)
 
     def remove_if_finished(self, request: Request) -> None:
+        """Forget a request once it is finished and all its attempts have ended."""
         if request.is_finished and all(attempt.is_ended for attempt in request.attempts):
             self.requests.pop(request.number, None)
--- a/quincepier/lab/machines.py
+++ b/quincepier/lab/machines.py
@@ -16,14 +16,20 @@
 from quincepier.lab.experiment import EDGE, MS, ORIGIN, PARENT, SECOND, Experiment, Fault, FaultKind
 from quincepier.lab.machine_model import ColdStart, CopyStore, ProcessorSharing
 
-FILL_PACE, FILL_WITHIN = 0.4, 2 * SECOND  # a fill's sending time over a client's; when one is given up
-DRAINS_FOR, SETTLES = 3 * SECOND, 6 * SECOND  # from a drain's notice to its end; until a purge is carried out
+FETCH_TIME_FACTOR, FETCH_TIMEOUT = (
+    0.4,
+    2 * SECOND,
+)  # a fill's sending time over a client's; when one is given up
+DRAIN_DURATION, PURGE_SETTLE_TIME = (
+    3 * SECOND,
+    6 * SECOND,
+)  # from a drain's notice to its end; until a purge is carried out
 ON_MACHINES = frozenset((FaultKind.CRASH, FaultKind.LOST, FaultKind.SLOW, FaultKind.DRAIN))
 Key = tuple[int, int]  # object and part
 Waiter = Callable[[int | None], None]  # hears when the copy was minted, or that none came
 
 
-class Order(Protocol):
+class MachineAttempt(Protocol):
     """An attempt as a machine sees it. Equal only to itself."""
 
     @property
@@ -44,12 +50,17 @@
     def held_only(self) -> bool: ...  # the source gives only what it holds
 
 
-class Host(Protocol):
+class MachineHost(Protocol):
     @property
     def now(self) -> int: ...  # ns
     def schedule(self, wait: int, what: Callable[..., None], *about: Any) -> None: ...
     def reply(
-        self, order: Any, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+        self,
+        attempt: Any,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus,
+        waited: int,
+        minted: int | None,
     ) -> None: ...
     def on_endpoints_changed(self, machines: Sequence[Machine]) -> None:
         """The list says something else of these now."""
@@ -100,7 +111,7 @@
 
 
 class Machines:
-    def __init__(self, host: Host, plan: Experiment, chance: random.Random) -> None:
+    def __init__(self, host: MachineHost, plan: Experiment, chance: random.Random) -> None:
         self.host, self.experiment, self.random = host, plan, chance
         self.machine_by_number: dict[int, Machine] = {}
         self.purged_before: dict[int, int] = {}  # by group: when it was purged, once that has settled
@@ -130,55 +141,57 @@
 
     # Orders
 
-    def on_attempt(self, order: Order) -> None:
+    def on_attempt(self, attempt: MachineAttempt) -> None:
         """An order has come to its machine."""
-        machine, now = self.machine_by_number.get(order.machine), self.host.now
+        machine, now = self.machine_by_number.get(attempt.machine), self.host.now
         if machine is None or machine.state != "up":
             if machine is None or machine.state != "silent":
-                self.host.reply(order, AttemptOutcome.CONNECT_FAILED, CacheStatus.NONE, 0, None)
+                self.host.reply(attempt, AttemptOutcome.CONNECT_FAILED, CacheStatus.NONE, 0, None)
             return
-        c = self.experiment.classes[order.cls]
-        work = self.experiment.send_time_ns(order.cls, order.key[0])
-        if not self._accept_work(machine, work, order.number):
-            self.host.reply(order, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
+        c = self.experiment.classes[attempt.cls]
+        work = self.experiment.send_time_ns(attempt.cls, attempt.key[0])
+        if not self._accept_work(machine, work, attempt.number):
+            self.host.reply(attempt, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
             return
-        machine.active_attempts[order] = 0
+        machine.active_attempts[attempt] = 0
         if machine.kind == ORIGIN:
             self._fetch_from_origin(
-                order, lambda minted: self._send_copy(order, machine, work, CacheStatus.NONE, 0, minted)
+                attempt, lambda minted: self._send_copy(attempt, machine, work, CacheStatus.NONE, 0, minted)
             )
             return
-        limit = order.max_copy_age or int(c.fresh_s * SECOND)
-        minted = machine.store.get(order.key)
+        limit = attempt.max_copy_age or int(c.fresh_s * SECOND)
+        minted = machine.store.get(attempt.key)
         if minted is not None and (limit == 0 or now - minted <= limit):
             stale = c.fresh_s > 0 and now - minted > c.fresh_s * SECOND
-            self._send_copy(order, machine, work, CacheStatus.STALE if stale else CacheStatus.HIT, 0, minted)
-        elif order.source is None:
-            self._reply(order, AttemptOutcome.MISS)
+            self._send_copy(
+                attempt, machine, work, CacheStatus.STALE if stale else CacheStatus.HIT, 0, minted
+            )
+        elif attempt.source is None:
+            self._reply(attempt, AttemptOutcome.MISS)
         else:
-            self._fetch(order, order.source, machine, work, limit)
+            self._fetch(attempt, attempt.source, machine, work, limit)
 
-    def cancel(self, order: Order) -> None:
+    def cancel(self, attempt: MachineAttempt) -> None:
         """Nobody waits for it any more."""
-        machine = self.machine_by_number.get(order.machine)
+        machine = self.machine_by_number.get(attempt.machine)
         if machine is not None:
-            transfer = machine.active_attempts.pop(order, None)
+            transfer = machine.active_attempts.pop(attempt, None)
             if transfer:
                 machine.sending.cancel(self.host.now, transfer)
                 self._schedule_completion_check(machine)
 
     def _reply(
         self,
-        order: Order,
-        ending: AttemptOutcome,
-        note: CacheStatus = CacheStatus.NONE,
+        attempt: MachineAttempt,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus = CacheStatus.NONE,
         waited: int = 0,
         minted: int | None = None,
     ) -> None:
-        machine = self.machine_by_number.get(order.machine)
+        machine = self.machine_by_number.get(attempt.machine)
         if machine is not None:
-            machine.active_attempts.pop(order, None)
-        self.host.reply(order, ending, note, waited, minted)
+            machine.active_attempts.pop(attempt, None)
+        self.host.reply(attempt, outcome, cache_status, waited, minted)
 
     def _start_transfer(self, machine: Machine, work: float, then: Callable[[], None]) -> int:
         number = machine.sending.start(self.host.now, work, then)
@@ -212,53 +225,59 @@
         return False
 
     def _send_copy(
-        self, order: Order, machine: Machine, work: float, note: CacheStatus, waited: int, minted: int | None
+        self,
+        attempt: MachineAttempt,
+        machine: Machine,
+        work: float,
+        cache_status: CacheStatus,
+        waited: int,
+        minted: int | None,
     ) -> None:
         """The transfer to the front, and its answer at the end."""
-        if order not in machine.active_attempts:  # called off, or the machine went down
+        if attempt not in machine.active_attempts:  # called off, or the machine went down
             return
 
         def sent() -> None:
-            self._reply(order, AttemptOutcome.OK, note, waited, minted)
+            self._reply(attempt, AttemptOutcome.OK, cache_status, waited, minted)
 
-        machine.active_attempts[order] = self._start_transfer(
+        machine.active_attempts[attempt] = self._start_transfer(
             machine, work / machine.cold.capacity_share(self.host.now), sent
         )
 
-    def _fetch_from_origin(self, order: Order, then: Callable[[int], None]) -> None:
+    def _fetch_from_origin(self, attempt: MachineAttempt, then: Callable[[int], None]) -> None:
         """One fetch at the origin: work there, then the copy it gives out. A write runs there."""
-        self.host.on_origin_fetch(order.machine)
-        if self.experiment.classes[order.cls].never_kept:
-            self.host.on_effect_run(order.number, self.origin.number)
+        self.host.on_origin_fetch(attempt.machine)
+        if self.experiment.classes[attempt.cls].never_kept:
+            self.host.on_effect_run(attempt.number, self.origin.number)
         work = self.experiment.fleet.origin_ms * MS
         self._start_transfer(self.origin, work, lambda: then(self.host.now))
 
-    def _fetch(self, order: Order, source: int, machine: Machine, work: float, limit: int) -> None:
-        began, key, kept = self.host.now, order.key, not self.experiment.classes[order.cls].never_kept
+    def _fetch(self, attempt: MachineAttempt, source: int, machine: Machine, work: float, limit: int) -> None:
+        began, key, kept = self.host.now, attempt.key, not self.experiment.classes[attempt.cls].never_kept
         waiting = machine.fetch_waiters.get(key)
 
-        def filled(note: CacheStatus) -> Waiter:
+        def filled(cache_status: CacheStatus) -> Waiter:
             def come(minted: int | None) -> None:
                 if minted is None:  # a write that may have run is an error
                     self._reply(
-                        order,
+                        attempt,
                         AttemptOutcome.OVERLOADED if kept else AttemptOutcome.ERROR,
                         CacheStatus.SOURCE_BROKEN,
                     )
                 elif minted < 0 or (limit and self.host.now - minted > limit):
-                    self._reply(order, AttemptOutcome.MISS)
+                    self._reply(attempt, AttemptOutcome.MISS)
                 else:
-                    self._send_copy(order, machine, work, note, self.host.now - began, minted)
+                    self._send_copy(attempt, machine, work, cache_status, self.host.now - began, minted)
 
             return come
 
-        if order.join and kept and waiting is not None:
+        if attempt.join and kept and waiting is not None:
             waiting.append(filled(CacheStatus.COLLAPSED))
             return
         at = self.machine_by_number.get(source)
         far = at is not None and at.kind == ORIGIN
         mine: list[Waiter] = [filled(CacheStatus.FROM_ORIGIN if far else CacheStatus.FILLED)]
-        if not order.held_only:  # nobody waits for what may be a miss
+        if not attempt.held_only:  # nobody waits for what may be a miss
             machine.fetch_waiters[key] = mine
         self.host.on_fetch_started(machine.number, source)
 
@@ -271,39 +290,39 @@
             for one in waiters:
                 one(minted)
 
-        self.host.schedule(FILL_WITHIN, lambda: done(None) if mine else None)
+        self.host.schedule(FETCH_TIMEOUT, lambda: done(None) if mine else None)
         way = int(self.experiment.fleet.far_ms * MS)
-        self.host.schedule(way, self._serve_fetch, order, at, work, limit, done, way)
+        self.host.schedule(way, self._serve_fetch, attempt, at, work, limit, done, way)
 
     def _serve_fetch(
-        self, order: Order, source: Machine | None, work: float, limit: int, done: Waiter, way: int
+        self, attempt: MachineAttempt, source: Machine | None, work: float, limit: int, done: Waiter, way: int
     ) -> None:
         """At the source of a fill: what it holds, or what it fetches from the origin."""
-        host, key = self.host, order.key
+        host, key = self.host, attempt.key
         if source is None or source.state != "up":
             if source is None or source.state != "silent":
                 host.schedule(way, done, None)
             return
-        if not self._accept_work(source, work, order.number):
+        if not self._accept_work(source, work, attempt.number):
             host.schedule(way, done, None)
             return
 
         def pass_on(minted: int | None) -> None:
             if minted is not None:
-                sending = FILL_PACE * work / source.cold.capacity_share(host.now)
+                sending = FETCH_TIME_FACTOR * work / source.cold.capacity_share(host.now)
                 self._start_transfer(source, sending, lambda: host.schedule(way, done, minted))
 
         def straight(minted: int) -> None:
             host.schedule(way, done, minted)
 
-        if source.kind == ORIGIN or self.experiment.classes[order.cls].never_kept:
-            self._fetch_from_origin(order, straight)
+        if source.kind == ORIGIN or self.experiment.classes[attempt.cls].never_kept:
+            self._fetch_from_origin(attempt, straight)
             return
         minted = source.store.get(key)
         if minted is not None and (limit == 0 or host.now - minted <= limit):
             pass_on(minted)
             return
-        if order.held_only:  # it gives nothing that it does not hold: a miss
+        if attempt.held_only:  # it gives nothing that it does not hold: a miss
             host.schedule(way, done, -1)
             return
         waiting = source.fetch_waiters.get(key)
@@ -320,7 +339,7 @@
                 for one in mine:
                     one(minted)
 
-        self._fetch_from_origin(order, fetched)
+        self._fetch_from_origin(attempt, fetched)
 
     # What befalls them
 
@@ -331,8 +350,8 @@
         machine.fetch_waiters.clear()
         out, machine.active_attempts = list(machine.active_attempts), {}
         if state != "silent":
-            for order in out:
-                self.host.reply(order, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
+            for attempt in out:
+                self.host.reply(attempt, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
 
     def restart_machine(self, machine: Machine) -> None:
         if machine.endpoint_state is not EndpointState.GONE:
@@ -363,7 +382,7 @@
     def _start_drain(self, machine: Machine) -> None:
         machine.endpoint_state = EndpointState.DRAINING
         self.host.on_endpoints_changed((machine,))
-        self.host.schedule(DRAINS_FOR, self._replace_drained, machine)
+        self.host.schedule(DRAIN_DURATION, self._replace_drained, machine)
 
     def _replace_drained(self, machine: Machine) -> None:
         self.stop_machine(machine, "dead")
@@ -376,9 +395,9 @@
         groups = self.experiment.load.groups
         chosen = self.random.sample(range(groups), max(round(part * groups), 1))
         for machine in self.machine_by_number.values():
-            wait = int(self.random.uniform(0, 1) * SETTLES)
+            wait = int(self.random.uniform(0, 1) * PURGE_SETTLE_TIME)
             self.host.schedule(wait, self._drop_purged_copies, machine, frozenset(chosen), self.host.now)
-        self.host.schedule(SETTLES, self._complete_purge, frozenset(chosen), self.host.now)
+        self.host.schedule(PURGE_SETTLE_TIME, self._complete_purge, frozenset(chosen), self.host.now)
         return chosen
 
     def _complete_purge(self, groups: frozenset[int], before: int) -> None:
--- a/quincepier/lab/world.py
+++ b/quincepier/lab/world.py
@@ -1,7 +1,8 @@
-"""A whole deployment in virtual time: many decision modules, machines, clients, faults; one heap of events.
+"""Discrete-event simulation of a whole deployment: decision modules, machines, clients and faults.
 
-The same experiment, variant and seed give the same run to the byte. Nothing here decides for a front: each
-Router hears what a real one would hear, and its actions are carried out as a real front does.
+A run is deterministic: the same experiment, variant and seed give identical bytes. Nothing here makes
+decisions for a front: each Router receives the events that a real one would receive, and its actions are
+carried out as a real front would. Times are nanoseconds of virtual time.
 """
 
 from __future__ import annotations
@@ -36,19 +37,33 @@
 from quincepier.lab.rule_checker import RuleChecker
 from quincepier.lab.tally import START, Tally
 
-AFTER = 6 * SECOND  # played after the last arrival, so that all is answered
-DRAIN = 750 * MS  # a front that is told to end serves on for so long
-LEAST_PART = 0.8  # of `start_s`: starts are spread from there to 1.2 times
+SETTLING_TIME = 6 * SECOND  # simulated after the last arrival, so that every request gets its response
+TERM_DRAIN_TIME = 750 * MS  # a front keeps serving for this long after SIGTERM
+MIN_START_FACTOR = 0.8  # start-up times are spread between 0.8 and 1.2 times `start_s`
 
 
 class UnplayableExperimentError(QuincepierError, ValueError):
-    """An experiment that needs processes and sockets."""
+    """The experiment needs real processes and sockets."""
 
     code = "QP-LAB"
     remedy = "play it by `lab fleet`"
 
 
 class World:
+    """One run: virtual clock, event queue, network and client model, and the fault schedule.
+
+    Attributes:
+        now: Virtual time, ns.
+        scheduled_count: Events scheduled so far; orders events that are due at the same time.
+        event_queue: Heap of (due time, sequence number, callback, arguments).
+        extra_list_delay: Additional delay of endpoint updates and purges by a fault, ns.
+        load_factor: Factor on the request rate by a fault.
+        purges: Purged groups and when they were purged, ns.
+        digest: Hash over the time and outcome of every request.
+        fronts_in_rotation: Fronts that the clients use.
+        has_front_pauses: Whether a fault pauses fronts; clients then enforce their own deadlines.
+    """
+
     def __init__(self, experiment: Experiment, variant: Variant, seed: int) -> None:
         if paths := sorted({f.kind.value for f in experiment.faults if f.kind in ON_PATHS}):
             raise UnplayableExperimentError(
@@ -63,37 +78,42 @@
         self.extra_list_delay, self.load_factor = 0, 1.0
         self.purges: list[tuple[int, int]] = []
         self.digest = hashlib.blake2b(digest_size=16)
-        self.cumulative_weights_by_class = [self._cumulative_weights(c) for c in experiment.classes]
+        self.cumulative_weights_by_class = [
+            self._cumulative_weights(request_class) for request_class in experiment.classes
+        ]
         self.machines = Machines(self, experiment, self.random)
         fleet = experiment.fleet
         self.fronts = [Front(self, n, n % fleet.zones, variant) for n in range(fleet.fronts)]
-        self.fronts_in_rotation = list(self.fronts)  # those that the clients' side takes to be well
+        self.fronts_in_rotation = list(self.fronts)
         self.has_front_pauses = any(f.kind in (FaultKind.PAUSE, FaultKind.STARVE) for f in experiment.faults)
 
     def _cumulative_weights(self, cls: Class) -> list[float]:
         return list(accumulate(1 / (n + 1) ** cls.zipf for n in range(cls.objects)))
 
-    # Time
+    # Clock and event queue
 
-    def schedule(self, wait: int, what: Callable[..., None], *about: Any) -> None:
+    def schedule(self, wait: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Call `callback` in `wait` ns; events due at the same time run in the order of scheduling."""
         self.scheduled_count += 1
-        heapq.heappush(self.event_queue, (self.now + wait, self.scheduled_count, what, about))
+        heapq.heappush(self.event_queue, (self.now + wait, self.scheduled_count, callback, arguments))
 
     def run(self) -> Tally:
-        """From the first arrival until all is answered."""
+        """Run the experiment from the first arrival until every request has its response."""
         for front in self.fronts:
             front.start()
         self._on_arrival()
         for fault in self.experiment.faults:
             self.schedule(int(fault.at * SECOND), self._inject_fault, fault)
-        end = START + int(self.experiment.seconds * SECOND) + AFTER
+        end = START + int(self.experiment.seconds * SECOND) + SETTLING_TIME
         while self.event_queue and self.event_queue[0][0] <= end:
-            self.now, _, what, about = heapq.heappop(self.event_queue)
+            self.now, _, callback, arguments = heapq.heappop(self.event_queue)
             self.events_run += 1
-            what(*about)
+            callback(*arguments)
         self.now = end
         self.rule_checker.finish(end)
-        strain = max((m.cold.strain for m in self.machines.machine_by_number.values()), default=0.0)
+        strain = max(
+            (machine.cold.strain for machine in self.machines.machine_by_number.values()), default=0.0
+        )
         self.tally.finish(self.rule_checker, self.digest.hexdigest(), self.events_run, strain)
         return self.tally
 
@@ -106,7 +126,7 @@
         self.schedule(
             int(self.random.expovariate(experiment.load.rate * self.load_factor) * SECOND), self._on_arrival
         )
-        shares = [c.share for c in experiment.classes]
+        shares = [request_class.share for request_class in experiment.classes]
         cls = self.random.choices(range(len(shares)), shares)[0]
         weights = self.cumulative_weights_by_class[cls]
         rank = bisect(weights, self.random.random() * weights[-1])
@@ -117,41 +137,57 @@
 
     def _send_request(self, cls: int, obj: int, part: int, group: int, first: int, tries: int) -> None:
         self.request_count += 1
-        c = self.experiment.classes[cls]
+        request_class = self.experiment.classes[cls]
         front = self.random.choice(self.fronts_in_rotation or self.fronts)
         request = Request(self.request_count, cls, obj, part, group, first, tries)
         if not front.is_alive:  # the connection is refused
             self.on_request_not_served(front, request, "failed", 0, True)
             return
         front.requests[request.number] = request
-        left = int(c.deadline_ms * MS)
-        self.rule_checker.on_request(self.now, request.number, front.number, c.effect.value, self.now + left)
+        left = int(request_class.deadline_ms * MS)
+        self.rule_checker.on_request(
+            self.now, request.number, front.number, request_class.effect.value, self.now + left
+        )
         if self.has_front_pauses:
             self.schedule(left, front.on_client_disconnected, request)
         size = (
             self.experiment.send_time_ns(cls, obj) / SECOND * front.router.settings.client_kb_per_s
-        )  # 0: not told
+        )  # 0: size not sent
         front.deliver(io.RequestReceived(request.number, cls, size, 0, group, obj, part, tries > 0, left))
 
     def answered(
         self, front: Front, request: Request, status: str, minted: int | None, sent: int, wait: int
     ) -> None:
-        c = self.experiment.classes[request.cls]
+        """Handle a front's final response to a client.
+
+        Args:
+            front: The front that responds.
+            request: The client's request.
+            status: "served", "refused" or "failed".
+            minted: When the origin produced the served copy, ns; None if unknown.
+            sent: When the attempt that was served was sent, ns.
+            wait: Retry delay given to the client, ns; 0 for none.
+        """
+        request_class = self.experiment.classes[request.cls]
         self.rule_checker.on_response(self.now, request.number, status, minted, sent, request.group)
         if status != "served":
             self.on_request_not_served(front, request, status, wait)
             return
         self.digest.update(b"%d %d served\n" % (self.now, request.number))
-        stale = minted is not None and c.fresh_s > 0 and sent - minted > c.fresh_s * SECOND
+        stale = (
+            minted is not None
+            and request_class.fresh_s > 0
+            and sent - minted > request_class.fresh_s * SECOND
+        )
         self.tally.on_request_finished(self.now, request.cls, status, self.now - request.first_sent_at, stale)
 
     def on_request_not_served(
-        self, front: Front, request: Request, status: str, wait: int, never_took: bool = False
+        self, front: Front, request: Request, status: str, wait: int, never_accepted: bool = False
     ) -> None:
-        """A client that was not served comes again where that is harmless."""
-        c, load = self.experiment.classes[request.cls], self.experiment.load
+        """Retry a request that was not served, if a retry can't repeat an effect; otherwise count the failure."""
+        request_class, load = self.experiment.classes[request.cls], self.experiment.load
         self.digest.update(b"%d %d %s\n" % (self.now, request.number, status.encode()))
-        harmless = status == "refused" or never_took or c.effect is Idempotency.SAFE
+        harmless = status == "refused" or never_accepted or request_class.effect is Idempotency.SAFE
         if request.previous_tries < load.retries and harmless:
             pause = wait or int(load.back_off_ms * MS * self.random.uniform(0.5, 1.5))
             self.schedule(pause, self._retry, request)
@@ -167,12 +203,13 @@
     # Between fronts and machines
 
     def one_way_delay(self, zone: int, number: int) -> int:
-        """One way, in nanoseconds."""
+        """Return the one-way network delay between a front and a machine, ns."""
         machine, fleet = self.machines.machine_by_number.get(number), self.experiment.fleet
         near = machine is not None and machine.kind == EDGE
         return int((fleet.near_ms if near else fleet.far_ms) * MS)
 
     def send_attempt(self, attempt: Attempt) -> None:
+        """Send an attempt to its machine and start its timeout."""
         self.rule_checker.on_attempt_sent(
             self.now, attempt.number, attempt.front.number, attempt.machine, attempt.source
         )
@@ -191,6 +228,7 @@
             attempt.front.on_attempt_ended(attempt, AttemptOutcome.TIMEOUT, CacheStatus.NONE, 0, None)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel an attempt: the machine is notified, and the front learns of the end at once."""
         if not attempt.is_ended:
             attempt.is_ended = True
             self.schedule(
@@ -207,20 +245,30 @@
             )
 
     def reply(
-        self, order: Attempt, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+        self,
+        attempt: Attempt,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus,
+        waited: int,
+        minted: int | None,
     ) -> None:
-        if not order.is_ended:
-            way = self.one_way_delay(order.front.zone, order.machine)
-            self.schedule(way, self._deliver_reply, order, ending, note, waited, minted)
+        if not attempt.is_ended:
+            delay = self.one_way_delay(attempt.front.zone, attempt.machine)
+            self.schedule(delay, self._deliver_reply, attempt, outcome, cache_status, waited, minted)
 
     def _deliver_reply(
-        self, attempt: Attempt, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+        self,
+        attempt: Attempt,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus,
+        waited: int,
+        minted: int | None,
     ) -> None:
         if not attempt.is_ended:
             attempt.is_ended = True
-            attempt.front.on_attempt_ended(attempt, ending, note, waited, minted)
+            attempt.front.on_attempt_ended(attempt, outcome, cache_status, waited, minted)
 
-    # What the machines tell
+    # Reports of the machines (see MachineHost)
 
     def on_effect_run(self, request: int, machine: int) -> None:
         self.rule_checker.on_effect_run(self.now, request, machine)
@@ -239,7 +287,7 @@
         self.tally.on_origin_fetch(self.now)
 
     def on_endpoints_changed(self, machines: Sequence[Machine]) -> None:
-        listed = tuple(m.to_endpoint() for m in machines)
+        listed = tuple(machine.to_endpoint() for machine in machines)
         delay = int(self.experiment.fleet.told_ms * MS) + self.extra_list_delay
         for front in self.fronts:
             self.schedule(
@@ -251,18 +299,21 @@
             )
 
     def _deliver_endpoint_update(self, front: Front, listed: tuple[io.Endpoint, ...], start: int) -> None:
-        if start != front.start_count or not front.is_alive:  # the list that it starts with has told it
+        if (
+            start != front.start_count or not front.is_alive
+        ):  # it started with a list that already includes this change
             return
-        for m in listed:
-            self.record_endpoint_state(front, m)
+        for machine in listed:
+            self.record_endpoint_state(front, machine)
         self.tally.recovery.count("calls for the list", self.now)
         front.deliver(io.EndpointUpdate(UpdateScope.CHANGES, listed))
 
-    def record_endpoint_state(self, front: Front, m: io.Endpoint) -> None:
-        if m.state is EndpointState.READY:
-            self.rule_checker.on_return_reported(front.number, m.cache)
+    def record_endpoint_state(self, front: Front, machine: io.Endpoint) -> None:
+        """Tell the rule checker which endpoint state a front now knows."""
+        if machine.state is EndpointState.READY:
+            self.rule_checker.on_return_reported(front.number, machine.cache)
         else:
-            self.rule_checker.on_leaving_reported(self.now, front.number, m.cache)
+            self.rule_checker.on_leaving_reported(self.now, front.number, machine.cache)
 
     # Faults
 
@@ -290,10 +341,15 @@
             if fault.kind is FaultKind.KILL:
                 self._stop_front(front, lasts, front.start_count, fault.state)
             elif fault.kind is FaultKind.TERM:
-                self.schedule(DRAIN, self._stop_front, front, lasts, front.start_count, fault.state)
+                self.schedule(TERM_DRAIN_TIME, self._stop_front, front, lasts, front.start_count, fault.state)
             elif fault.kind is FaultKind.ROLL:
                 self.schedule(
-                    lasts * n // count + DRAIN, self._stop_front, front, 0, front.start_count, fault.state
+                    lasts * n // count + TERM_DRAIN_TIME,
+                    self._stop_front,
+                    front,
+                    0,
+                    front.start_count,
+                    fault.state,
                 )
             elif fault.kind is FaultKind.PAUSE:
                 self._set_front_paused(front, True, front.start_count)
@@ -308,7 +364,7 @@
             return
         front.kill()
         front.damage_storage(disk)
-        spread = self.random.uniform(LEAST_PART, 2 - LEAST_PART)
+        spread = self.random.uniform(MIN_START_FACTOR, 2 - MIN_START_FACTOR)
         self.schedule(
             lasts + int(self.experiment.fleet.start_s * spread * SECOND), self._restart_front, front
         )
