--- a/quincepier/lab/machine_model.py
+++ b/quincepier/lab/machine_model.py
@@ -1,4 +1,4 @@
-"""The model of one machine: what it keeps, how its sending is shared, how it is cold; no I/O, no clock.
+"""Model of one machine: copy store, shared sending capacity and cold start; no I/O, no clock.
 
 Times are nanoseconds of the caller's clock.
 """
@@ -14,14 +14,20 @@
 
 
 class ProcessorSharing:
-    """Processor sharing: up to `places` transfers run at full pace, more of them share it.
+    """Processor sharing: up to `capacity` transfers run at full speed; more of them share the capacity.
 
-    Each transfer needs so much time alone. A clock of service runs at the pace each transfer gets, so that
-    the end of each is fixed in it as the transfer begins, however many come and go.
+    The work of a transfer is its duration at full speed, ns. The service clock advances at the current speed
+    of each transfer, so a transfer's end on that clock is known when it starts, whatever else starts or ends.
+
+    Attributes:
+        slowdown: Factor by which a fault slows all transfers.
+        service_clock: Service that each active transfer has received, ns, as of `updated_at`.
+        transfer_heap: End on the service clock, number and payload of each transfer.
+        cancelled: Numbers of cancelled transfers that are still on the heap.
     """
 
-    def __init__(self, places: float) -> None:
-        self.capacity, self.slowdown = places, 1.0
+    def __init__(self, capacity: float) -> None:
+        self.capacity, self.slowdown = capacity, 1.0
         self.service_clock, self.updated_at = 0.0, 0
         self.transfer_heap: list[tuple[float, int, Any]] = []
         self.cancelled: set[int] = set()
@@ -29,6 +35,7 @@
 
     @property
     def pace(self) -> float:
+        """Speed of each transfer, at most 1."""
         return (
             min(1.0, self.capacity / self.active_count) / self.slowdown
             if self.active_count
@@ -36,39 +43,41 @@
         )
 
     def advance(self, now: int) -> None:
+        """Advance the service clock to `now`."""
         self.service_clock += (now - self.updated_at) * self.pace
         self.updated_at = now
 
-    def start(self, now: int, work: float, what: Any) -> int:
+    def start(self, now: int, work: float, payload: Any) -> int:
+        """Start a transfer and return its number."""
         self.advance(now)
         self.last_number += 1
-        heapq.heappush(self.transfer_heap, (self.service_clock + work, self.last_number, what))
+        heapq.heappush(self.transfer_heap, (self.service_clock + work, self.last_number, payload))
         self.active_count += 1
         return self.last_number
 
     def cancel(self, now: int, number: int) -> None:
-        """A transfer that nobody wants any more."""
+        """Cancel an active transfer."""
         self.advance(now)
         self.cancelled.add(number)
         self.active_count -= 1
 
     def pop_completed(self, now: int) -> list[Any]:
-        """The transfers that have ended by now."""
+        """Remove the transfers that are complete and return their payloads."""
         self.advance(now)
         found = []
         while self.transfer_heap and (
             self.transfer_heap[0][1] in self.cancelled or self.transfer_heap[0][0] <= self.service_clock + 0.5
         ):
-            _, number, what = heapq.heappop(self.transfer_heap)
+            _, number, payload = heapq.heappop(self.transfer_heap)
             if number in self.cancelled:
                 self.cancelled.discard(number)
             else:
                 self.active_count -= 1
-                found.append(what)
+                found.append(payload)
         return found
 
     def next_completion(self) -> int | None:
-        """When the next transfer ends if none comes or goes before."""
+        """Return when the next transfer ends unless another starts or is cancelled; None without any."""
         while self.transfer_heap and self.transfer_heap[0][1] in self.cancelled:
             self.cancelled.discard(heapq.heappop(self.transfer_heap)[1])
         return (
@@ -78,11 +87,11 @@
         )
 
     def clear(self, now: int) -> list[Any]:
-        """All that runs, broken off."""
+        """Abort all transfers and return their payloads in the order of starting."""
         self.advance(now)
         found = [
-            what
-            for _, number, what in sorted(self.transfer_heap, key=lambda e: e[1])
+            payload
+            for _, number, payload in sorted(self.transfer_heap, key=lambda e: e[1])
             if number not in self.cancelled
         ]
         self.transfer_heap, self.active_count = [], 0
@@ -91,19 +100,21 @@
 
 
 class CopyStore:
-    """Copies by key with the time the origin gave them out; what was used longest ago goes first."""
+    """LRU store of copies: the time at which the origin produced each, by key."""
 
-    def __init__(self, most: int) -> None:
-        self.max_copies = most
+    def __init__(self, max_copies: int) -> None:
+        self.max_copies = max_copies
         self.copies: OrderedDict[Hashable, int] = OrderedDict()
 
     def get(self, key: Hashable) -> int | None:
+        """Return when the copy was produced and mark it as recently used; None if it is not stored."""
         minted = self.copies.get(key)
         if minted is not None:
             self.copies.move_to_end(key)
         return minted
 
     def put(self, key: Hashable, minted: int) -> None:
+        """Store a copy unless a newer one is stored, and evict the least recently used ones."""
         self.copies[key] = max(minted, self.copies.get(key, 0))
         self.copies.move_to_end(key)
         while len(self.copies) > self.max_copies:
@@ -111,23 +122,39 @@
 
 
 class ColdStart:
-    """What a machine that just started can do, and whether it was pushed over (rule four)."""
+    """Capacity of a machine that started recently, and whether requests overload it (rule four).
+
+    Attributes:
+        started_at: ns; 0: long ago, so the machine is warm.
+        initial_share: Share of the full capacity at the start; it grows linearly over `warm_up_s`.
+        overload_multiple: The machine crashes when asked for more than this multiple of its capacity.
+        window: Period over which that is measured, ns.
+        recent_requests: Arrival time and work of the requests of the last window.
+        strain: Greatest work in a window, as a share of the work that crashes the machine.
+    """
 
     def __init__(
-        self, born: int, start: float, time: float, multiple: float, window: int, places: float
+        self,
+        started_at: int,
+        initial_share: float,
+        warm_up_s: float,
+        overload_multiple: float,
+        window: int,
+        capacity: float,
     ) -> None:
         self.started_at, self.initial_share, self.warm_up_s, self.overload_multiple = (
-            born,
-            start,
-            time,
-            multiple,
+            started_at,
+            initial_share,
+            warm_up_s,
+            overload_multiple,
         )
-        self.window, self.capacity = window, places
+        self.window, self.capacity = window, capacity
         self.recent_requests: deque[tuple[int, float]] = deque()
         self.recent_work = 0.0
-        self.strain = 0.0  # the most it was asked for within a window, over what it stands
+        self.strain = 0.0
 
     def capacity_share(self, now: int) -> float:
+        """Return the share of the full capacity that the machine has now."""
         if not self.started_at:
             return 1.0
         return min(
@@ -137,15 +164,17 @@
         )
 
     def add_request(self, now: int, work: float) -> bool:
-        """Whether it falls over by one more of so much work: over its multiple for a whole window."""
+        """Count a request of so much work; return whether the load over a whole window is too high."""
         if not self.started_at or self.capacity_share(now) >= 1:
             return False
         self.recent_requests.append((now, work))
         self.recent_work += work
         while self.recent_requests[0][0] < now - self.window:
             self.recent_work -= self.recent_requests.popleft()[1]
-        room = self.capacity_share(max(now - self.window, self.started_at)) * self.capacity * self.window
+        window_capacity = (
+            self.capacity_share(max(now - self.window, self.started_at)) * self.capacity * self.window
+        )
         if now - self.started_at <= self.window:
             return False
-        self.strain = max(self.strain, self.recent_work / (self.overload_multiple * room))
-        return self.recent_work > self.overload_multiple * room
+        self.strain = max(self.strain, self.recent_work / (self.overload_multiple * window_capacity))
+        return self.recent_work > self.overload_multiple * window_capacity
--- a/quincepier/lab/machines.py
+++ b/quincepier/lab/machines.py
@@ -1,7 +1,8 @@
-"""What caches, parents and the origin do with an order, in anybody's time: the virtual one's or the loop's.
+"""Simulated caches, parents and origin, for virtual time or an event loop.
 
-The host owns the clock and the net and hears what is worth a note; here are stores, fills that are joined,
-shared sending, cold starts and what befalls a machine.
+The host provides the clock and the network and is notified of notable events. This module holds the copies,
+joined fetches, shared sending capacity, cold starts and faults of the machines. `minted` is the time at which
+the origin produced a copy. Times are nanoseconds of the host's clock.
 """
 
 from __future__ import annotations
@@ -16,24 +17,20 @@
 from quincepier.lab.experiment import EDGE, MS, ORIGIN, PARENT, SECOND, Experiment, Fault, FaultKind
 from quincepier.lab.machine_model import ColdStart, CopyStore, ProcessorSharing
 
-FETCH_TIME_FACTOR, FETCH_TIMEOUT = (
-    0.4,
-    2 * SECOND,
-)  # a fill's sending time over a client's; when one is given up
-DRAIN_DURATION, PURGE_SETTLE_TIME = (
-    3 * SECOND,
-    6 * SECOND,
-)  # from a drain's notice to its end; until a purge is carried out
+# transfer time to another machine over that to a client; when a fetch is given up
+FETCH_TIME_FACTOR, FETCH_TIMEOUT = 0.4, 2 * SECOND
+# from the start of a drain to its end; until a purge is complete
+DRAIN_DURATION, PURGE_SETTLE_TIME = 3 * SECOND, 6 * SECOND
 ON_MACHINES = frozenset((FaultKind.CRASH, FaultKind.LOST, FaultKind.SLOW, FaultKind.DRAIN))
 Key = tuple[int, int]  # object and part
-Waiter = Callable[[int | None], None]  # hears when the copy was minted, or that none came
+Waiter = Callable[[int | None], None]  # called with `minted`; None: the fetch failed, negative: a miss
 
 
 class MachineAttempt(Protocol):
-    """An attempt as a machine sees it. Equal only to itself."""
+    """An attempt as a machine sees it. Compared by identity."""
 
     @property
-    def number(self) -> int: ...  # the request's
+    def number(self) -> int: ...  # of the request
     @property
     def cls(self) -> int: ...
     @property
@@ -43,17 +40,19 @@
     @property
     def source(self) -> int | None: ...
     @property
-    def max_copy_age(self) -> int: ...  # ns; 0: the class's own
+    def max_copy_age(self) -> int: ...  # ns; 0: the class's limit
     @property
     def join(self) -> bool: ...
     @property
-    def held_only(self) -> bool: ...  # the source gives only what it holds
+    def held_only(self) -> bool: ...  # the source may only use a copy that it holds
 
 
 class MachineHost(Protocol):
+    """The clock and network of the machines, and the observer of their events."""
+
     @property
     def now(self) -> int: ...  # ns
-    def schedule(self, wait: int, what: Callable[..., None], *about: Any) -> None: ...
+    def schedule(self, wait: int, callback: Callable[..., None], *arguments: Any) -> None: ...
     def reply(
         self,
         attempt: Any,
@@ -63,7 +62,7 @@
         minted: int | None,
     ) -> None: ...
     def on_endpoints_changed(self, machines: Sequence[Machine]) -> None:
-        """The list says something else of these now."""
+        """The endpoint list has changed for these machines."""
 
     def on_effect_run(self, request: int, machine: int) -> None: ...
     def on_cold_request(self, machine: int, work: float) -> None: ...
@@ -73,19 +72,32 @@
 
 
 class Machine:
-    """One cache, parent or the origin. What it is asked takes its continuations along."""
-
-    def __init__(self, number: int, index: int, kind: int, zone: int, born: int, plan: Experiment) -> None:
-        fleet = plan.fleet
+    """One cache, parent or the origin.
+
+    Attributes:
+        number: Id in the endpoint list.
+        index: Serial number, from 1.
+        state: "up", "dead" (refuses connections) or "silent" (answers nothing).
+        endpoint_state: State in the endpoint list.
+        send_capacity: Concurrent transfers at full speed.
+        fetch_waiters: Callbacks that wait for a fetch, by key.
+        active_attempts: Attempts under way with their transfer number; 0 before the transfer starts.
+        completion_check: Number of the latest scheduled completion check; earlier ones are void.
+    """
+
+    def __init__(
+        self, number: int, index: int, kind: int, zone: int, born: int, experiment: Experiment
+    ) -> None:
+        fleet = experiment.fleet
         self.send_capacity: float = (fleet.cache_sends, fleet.parent_sends, fleet.origin_runs)[kind]
         self.max_copies = (fleet.cache_keeps, fleet.parent_keeps, 1)[kind]
         self.number, self.index, self.kind, self.zone, self.started_at = number, index, kind, zone, born
-        self.state, self.endpoint_state, self.experiment = "up", EndpointState.READY, plan
+        self.state, self.endpoint_state, self.experiment = "up", EndpointState.READY, experiment
         self.sending, self.store = ProcessorSharing(self.send_capacity), CopyStore(self.max_copies)
         self.cold = self._cold_start()
         self.fetch_waiters: dict[Key, list[Waiter]] = {}
-        self.active_attempts: dict[Any, int] = {}  # orders here, and their transfer (0: none yet)
-        self.completion_check = 0  # the next look at the share that counts
+        self.active_attempts: dict[Any, int] = {}
+        self.completion_check = 0
 
     def _cold_start(self) -> ColdStart:
         f = self.experiment.fleet
@@ -95,7 +107,7 @@
         )
 
     def cold_restart(self, now: int) -> None:
-        """It starts anew."""
+        """Restart with an empty store."""
         self.started_at, self.state = now, "up"
         self.sending.clear(now)
         self.sending.advance(now)
@@ -104,6 +116,7 @@
         self.active_attempts.clear()
 
     def to_endpoint(self) -> io.Endpoint:
+        """Return the machine's entry of the endpoint list."""
         zone = self.zone if self.kind == EDGE else 0
         return io.Endpoint(
             self.number, self.kind, zone, self.zone, self.send_capacity, self.started_at, self.endpoint_state
@@ -111,12 +124,19 @@
 
 
 class Machines:
-    def __init__(self, host: MachineHost, plan: Experiment, chance: random.Random) -> None:
-        self.host, self.experiment, self.random = host, plan, chance
+    """All machines of a deployment.
+
+    Attributes:
+        purged_before: Time of the last completed purge by group; older copies are no longer stored.
+        machine_count: Machines created so far.
+    """
+
+    def __init__(self, host: MachineHost, experiment: Experiment, rng: random.Random) -> None:
+        self.host, self.experiment, self.random = host, experiment, rng
         self.machine_by_number: dict[int, Machine] = {}
-        self.purged_before: dict[int, int] = {}  # by group: when it was purged, once that has settled
+        self.purged_before: dict[int, int] = {}
         self.machine_count = 0
-        fleet = plan.fleet
+        fleet = experiment.fleet
         for n in range(fleet.caches):
             self.add_machine(EDGE, 1 + n % fleet.zones, 0)
         for n in range(fleet.parents):
@@ -124,6 +144,7 @@
         self.origin = self.add_machine(ORIGIN, 0, 0)
 
     def add_machine(self, kind: int, zone: int, born: int) -> Machine:
+        """Add a machine that started at `born`, ns; 0: long ago, so it is warm."""
         self.machine_count += 1
         digest = hashlib.blake2b(b"%d" % self.machine_count, digest_size=4).digest()
         number = int.from_bytes(digest, "little") or 1
@@ -133,22 +154,23 @@
         return machine
 
     def endpoints(self) -> tuple[io.Endpoint, ...]:
+        """Return the endpoint list."""
         return tuple(
             m.to_endpoint()
             for m in self.machine_by_number.values()
             if m.endpoint_state is not EndpointState.GONE
         )
 
-    # Orders
+    # Attempts
 
     def on_attempt(self, attempt: MachineAttempt) -> None:
-        """An order has come to its machine."""
+        """Handle an attempt that arrived at its machine."""
         machine, now = self.machine_by_number.get(attempt.machine), self.host.now
         if machine is None or machine.state != "up":
             if machine is None or machine.state != "silent":
                 self.host.reply(attempt, AttemptOutcome.CONNECT_FAILED, CacheStatus.NONE, 0, None)
             return
-        c = self.experiment.classes[attempt.cls]
+        request_class = self.experiment.classes[attempt.cls]
         work = self.experiment.send_time_ns(attempt.cls, attempt.key[0])
         if not self._accept_work(machine, work, attempt.number):
             self.host.reply(attempt, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
@@ -159,10 +181,10 @@
                 attempt, lambda minted: self._send_copy(attempt, machine, work, CacheStatus.NONE, 0, minted)
             )
             return
-        limit = attempt.max_copy_age or int(c.fresh_s * SECOND)
+        limit = attempt.max_copy_age or int(request_class.fresh_s * SECOND)
         minted = machine.store.get(attempt.key)
         if minted is not None and (limit == 0 or now - minted <= limit):
-            stale = c.fresh_s > 0 and now - minted > c.fresh_s * SECOND
+            stale = request_class.fresh_s > 0 and now - minted > request_class.fresh_s * SECOND
             self._send_copy(
                 attempt, machine, work, CacheStatus.STALE if stale else CacheStatus.HIT, 0, minted
             )
@@ -172,7 +194,7 @@
             self._fetch(attempt, attempt.source, machine, work, limit)
 
     def cancel(self, attempt: MachineAttempt) -> None:
-        """Nobody waits for it any more."""
+        """Cancel an attempt: its transfer stops, and no reply is sent."""
         machine = self.machine_by_number.get(attempt.machine)
         if machine is not None:
             transfer = machine.active_attempts.pop(attempt, None)
@@ -199,7 +221,7 @@
         return number
 
     def _schedule_completion_check(self, machine: Machine) -> None:
-        """Look again when the next transfer ends; an earlier look that was planned is void."""
+        """Schedule a check for the end of the next transfer; checks scheduled before are void."""
         machine.completion_check += 1
         due = machine.sending.next_completion()
         if due is not None:
@@ -207,14 +229,14 @@
                 max(due - self.host.now, 0), self._check_completions, machine, machine.completion_check
             )
 
-    def _check_completions(self, machine: Machine, look: int) -> None:
-        if look == machine.completion_check and machine.state == "up":
+    def _check_completions(self, machine: Machine, check: int) -> None:
+        if check == machine.completion_check and machine.state == "up":
             for then in machine.sending.pop_completed(self.host.now):
                 then()
             self._schedule_completion_check(machine)
 
     def _accept_work(self, machine: Machine, work: float, request: int) -> bool:
-        """Whether it stands so much more; else it has fallen over."""
+        """Add work to a cold machine; return False if that overloads it, and it crashes."""
         if machine.kind == ORIGIN or not machine.cold.started_at:
             return True
         self.host.on_cold_request(machine.number, work)
@@ -233,8 +255,8 @@
         waited: int,
         minted: int | None,
     ) -> None:
-        """The transfer to the front, and its answer at the end."""
-        if attempt not in machine.active_attempts:  # called off, or the machine went down
+        """Transfer a copy to the front and reply when the transfer is complete."""
+        if attempt not in machine.active_attempts:  # cancelled, or the machine stopped
             return
 
         def sent() -> None:
@@ -245,7 +267,7 @@
         )
 
     def _fetch_from_origin(self, attempt: MachineAttempt, then: Callable[[int], None]) -> None:
-        """One fetch at the origin: work there, then the copy it gives out. A write runs there."""
+        """Do a fetch's work at the origin, then call `then` with the copy's time. Writes take effect here."""
         self.host.on_origin_fetch(attempt.machine)
         if self.experiment.classes[attempt.cls].never_kept:
             self.host.on_effect_run(attempt.number, self.origin.number)
@@ -256,8 +278,8 @@
         began, key, kept = self.host.now, attempt.key, not self.experiment.classes[attempt.cls].never_kept
         waiting = machine.fetch_waiters.get(key)
 
-        def filled(cache_status: CacheStatus) -> Waiter:
-            def come(minted: int | None) -> None:
+        def make_waiter(cache_status: CacheStatus) -> Waiter:
+            def on_fetched(minted: int | None) -> None:
                 if minted is None:  # a write that may have run is an error
                     self._reply(
                         attempt,
@@ -269,81 +291,88 @@
                 else:
                     self._send_copy(attempt, machine, work, cache_status, self.host.now - began, minted)
 
-            return come
+            return on_fetched
 
         if attempt.join and kept and waiting is not None:
-            waiting.append(filled(CacheStatus.COLLAPSED))
+            waiting.append(make_waiter(CacheStatus.COLLAPSED))
             return
-        at = self.machine_by_number.get(source)
-        far = at is not None and at.kind == ORIGIN
-        mine: list[Waiter] = [filled(CacheStatus.FROM_ORIGIN if far else CacheStatus.FILLED)]
-        if not attempt.held_only:  # nobody waits for what may be a miss
-            machine.fetch_waiters[key] = mine
+        source_machine = self.machine_by_number.get(source)
+        far = source_machine is not None and source_machine.kind == ORIGIN
+        waiters: list[Waiter] = [make_waiter(CacheStatus.FROM_ORIGIN if far else CacheStatus.FILLED)]
+        if not attempt.held_only:  # such a fetch may be a miss, so no other attempt joins it
+            machine.fetch_waiters[key] = waiters
         self.host.on_fetch_started(machine.number, source)
 
         def done(minted: int | None) -> None:
-            if machine.fetch_waiters.get(key) is mine:
+            if machine.fetch_waiters.get(key) is waiters:
                 del machine.fetch_waiters[key]
             if minted is not None and minted >= 0 and machine.state == "up" and kept:
                 self._store_copy(machine, key, minted)
-            waiters, mine[:] = list(mine), []
-            for one in waiters:
-                one(minted)
+            to_notify, waiters[:] = list(waiters), []
+            for waiter in to_notify:
+                waiter(minted)
 
-        self.host.schedule(FETCH_TIMEOUT, lambda: done(None) if mine else None)
-        way = int(self.experiment.fleet.far_ms * MS)
-        self.host.schedule(way, self._serve_fetch, attempt, at, work, limit, done, way)
+        self.host.schedule(FETCH_TIMEOUT, lambda: done(None) if waiters else None)
+        delay = int(self.experiment.fleet.far_ms * MS)
+        self.host.schedule(delay, self._serve_fetch, attempt, source_machine, work, limit, done, delay)
 
     def _serve_fetch(
-        self, attempt: MachineAttempt, source: Machine | None, work: float, limit: int, done: Waiter, way: int
+        self,
+        attempt: MachineAttempt,
+        source: Machine | None,
+        work: float,
+        limit: int,
+        done: Waiter,
+        delay: int,
     ) -> None:
-        """At the source of a fill: what it holds, or what it fetches from the origin."""
+        """Serve a fetch at its source: from its store, or else from the origin."""
         host, key = self.host, attempt.key
         if source is None or source.state != "up":
             if source is None or source.state != "silent":
-                host.schedule(way, done, None)
+                host.schedule(delay, done, None)
             return
         if not self._accept_work(source, work, attempt.number):
-            host.schedule(way, done, None)
+            host.schedule(delay, done, None)
             return
 
-        def pass_on(minted: int | None) -> None:
+        def send_to_cache(minted: int | None) -> None:
             if minted is not None:
                 sending = FETCH_TIME_FACTOR * work / source.cold.capacity_share(host.now)
-                self._start_transfer(source, sending, lambda: host.schedule(way, done, minted))
+                self._start_transfer(source, sending, lambda: host.schedule(delay, done, minted))
 
-        def straight(minted: int) -> None:
-            host.schedule(way, done, minted)
+        def send_without_storing(minted: int) -> None:
+            host.schedule(delay, done, minted)
 
         if source.kind == ORIGIN or self.experiment.classes[attempt.cls].never_kept:
-            self._fetch_from_origin(attempt, straight)
+            self._fetch_from_origin(attempt, send_without_storing)
             return
         minted = source.store.get(key)
         if minted is not None and (limit == 0 or host.now - minted <= limit):
-            pass_on(minted)
+            send_to_cache(minted)
             return
-        if attempt.held_only:  # it gives nothing that it does not hold: a miss
-            host.schedule(way, done, -1)
+        if attempt.held_only:  # it must not fetch: a miss
+            host.schedule(delay, done, -1)
             return
         waiting = source.fetch_waiters.get(key)
         if waiting is not None:
-            waiting.append(pass_on)
+            waiting.append(send_to_cache)
             return
-        mine: list[Waiter] = [pass_on]
-        source.fetch_waiters[key] = mine
+        waiters: list[Waiter] = [send_to_cache]
+        source.fetch_waiters[key] = waiters
 
         def fetched(minted: int) -> None:
-            if source.fetch_waiters.get(key) is mine:
+            if source.fetch_waiters.get(key) is waiters:
                 del source.fetch_waiters[key]
                 self._store_copy(source, key, minted)
-                for one in mine:
-                    one(minted)
+                for waiter in waiters:
+                    waiter(minted)
 
         self._fetch_from_origin(attempt, fetched)
 
-    # What befalls them
+    # Faults and purges
 
     def stop_machine(self, machine: Machine, state: str) -> None:
+        """Stop a machine; unless it becomes "silent", its attempts are reset."""
         machine.state = state
         machine.completion_check += 1
         machine.sending.clear(self.host.now)
@@ -354,16 +383,17 @@
                 self.host.reply(attempt, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
 
     def restart_machine(self, machine: Machine) -> None:
+        """Restart a machine empty and cold, unless it was removed from the endpoint list."""
         if machine.endpoint_state is not EndpointState.GONE:
             machine.cold_restart(self.host.now)
             self.host.on_endpoints_changed((machine,))
 
     def inject_fault(self, fault: Fault) -> None:
-        """A fault of one tier (ON_MACHINES)."""
-        struck = [m for m in self.machine_by_number.values() if m.kind == fault.tier and m.state == "up"]
-        struck = self.random.sample(struck, min(max(round(fault.part * len(struck)), 1), len(struck)))
+        """Start a fault of kind ON_MACHINES on a random part of its tier."""
+        affected = [m for m in self.machine_by_number.values() if m.kind == fault.tier and m.state == "up"]
+        affected = self.random.sample(affected, min(max(round(fault.part * len(affected)), 1), len(affected)))
         lasts = int(fault.lasts * SECOND)
-        for n, machine in enumerate(struck):
+        for n, machine in enumerate(affected):
             match fault.kind:
                 case FaultKind.CRASH | FaultKind.LOST:
                     self.stop_machine(machine, "dead" if fault.kind is FaultKind.CRASH else "silent")
@@ -372,7 +402,7 @@
                     self._set_slowdown(machine, fault.size)
                     self.host.schedule(lasts, self._set_slowdown, machine, 1.0)
                 case FaultKind.DRAIN:
-                    self.host.schedule(int(lasts * n / len(struck)), self._start_drain, machine)
+                    self.host.schedule(int(lasts * n / len(affected)), self._start_drain, machine)
 
     def _set_slowdown(self, machine: Machine, slower: float) -> None:
         machine.sending.advance(self.host.now)
@@ -391,7 +421,7 @@
         self.host.on_endpoints_changed((machine, new))
 
     def purge(self, part: float) -> list[int]:
-        """The groups, drawn by chance; each machine drops what is older within the time a purge settles."""
+        """Purge and return a random share of the groups; each machine drops its copies at a random time."""
         groups = self.experiment.load.groups
         chosen = self.random.sample(range(groups), max(round(part * groups), 1))
         for machine in self.machine_by_number.values():
@@ -401,9 +431,9 @@
         return chosen
 
     def _complete_purge(self, groups: frozenset[int], before: int) -> None:
-        """From now on no machine has an older copy or keeps one that comes later.
+        """Drop the remaining copies from before the purge, and store no such copy from now on.
 
-        One that had dropped its own may have been filled with another's meanwhile.
+        A machine that had dropped its copy may since have fetched an old one from another machine.
         """
         self.purged_before.update(dict.fromkeys(groups, before))
         for machine in self.machine_by_number.values():
--- a/quincepier/lab/recovery_metrics.py
+++ b/quincepier/lab/recovery_metrics.py
@@ -1,6 +1,6 @@
-"""How a fleet comes back: stampede factors and the time to full service, from counts alone; no clock.
+"""Recovery of a fleet after faults: stampede factors and the time to full service; no clock.
 
-Times are nanoseconds of the run. Until the first fault of any kind all is as usual.
+Times are nanoseconds of the run. The time before the first fault of any kind is the baseline.
 """
 
 from __future__ import annotations
@@ -9,70 +9,80 @@
 from collections import defaultdict
 from itertools import accumulate
 
-WINDOW = 500_000_000  # ns in which a stampede is looked for
+STAMPEDE_WINDOW = 500_000_000  # ns; a stampede factor is the peak rate over such a window
 SECOND = 1_000_000_000
-FULL_SERVICE_SHARE, HOLDS = 0.97, 3  # of the usual share of worth served; for so many seconds
-STEP = SECOND // 10  # between the seconds that are looked at
-SETTLING_DIVISOR = 3  # the first third of the time before any fault: connections and stores are made then
-USUAL_LEAST = 5  # events before the fault; fewer tell no usual rate
+FULL_SERVICE_SHARE, FULL_SERVICE_SECONDS = 0.97, 3  # share of the baseline's served worth; for how long
+STEP = SECOND // 10  # between the starts of the seconds that are tested for full service
+SETTLING_DIVISOR = 3  # the first third of the baseline is left out: connections and stores fill then
+MIN_EVENTS = 5  # fewer events in the baseline give no usual rate
 
 
 class RecoveryMetrics:
-    """Hears what a fleet adds up to, and what each request that came was worth and served of it."""
+    """Counts the events of a fleet, and the worth of each request and how much of it was served.
+
+    Attributes:
+        start: Start of the run.
+        calm_until: First fault of any kind, the end of the baseline; None before it.
+        first_front_fault: First fault on fronts.
+        last_return: When the last front that was down served again.
+        restart_time_by_front: When each front that had ended last served again.
+        worth_records: Time of the first try, worth and served worth of each request.
+    """
 
     def __init__(self, start: int) -> None:
         self.start = start
-        self.calm_until: int | None = None  # until when all is as usual: the first fault of any kind
-        self.first_front_fault: int | None = None  # the first one on fronts
-        self.last_return: int | None = None  # when the last front that was down served again
+        self.calm_until: int | None = None
+        self.first_front_fault: int | None = None
+        self.last_return: int | None = None
         self.times_by_event: dict[str, list[int]] = defaultdict(list)
         self.times_by_event_and_machine: dict[str, dict[int, list[int]]] = defaultdict(
             lambda: defaultdict(list)
-        )  # by machine
+        )
         self.times_by_event_and_front: dict[str, dict[int, list[int]]] = defaultdict(
             lambda: defaultdict(list)
         )
-        self.restart_time_by_front: dict[
-            int, int
-        ] = {}  # when each front that fell served again, the last time
-        self.worth_records: list[tuple[int, float, float]] = []  # when it first came, asked, served
-
-    def count(self, what: str, now: int, machine: int | None = None, front: int | None = None) -> None:
-        """Count one event, at a machine and by a front where they are known."""
-        self.times_by_event[what].append(now)
+        self.restart_time_by_front: dict[int, int] = {}
+        self.worth_records: list[tuple[int, float, float]] = []
+
+    def count(self, event: str, now: int, machine: int | None = None, front: int | None = None) -> None:
+        """Count one event of a kind, with its machine and front where known."""
+        self.times_by_event[event].append(now)
         if front is not None:
-            self.times_by_event_and_front[what][front].append(now)
+            self.times_by_event_and_front[event][front].append(now)
         if machine is not None:
-            self.times_by_event_and_machine[what][machine].append(now)
+            self.times_by_event_and_machine[event][machine].append(now)
 
     def on_fault(self, now: int, fronts: bool) -> None:
+        """A fault starts; `fronts` is whether it affects fronts."""
         if self.calm_until is None:
             self.calm_until = now
         if self.first_front_fault is None and fronts:
             self.first_front_fault = now
 
     def on_front_returned(self, now: int) -> None:
+        """A front that was down or paused serves again."""
         self.last_return = max(now, self.last_return or 0)
 
     def on_front_restarted(self, now: int, front: int) -> None:
         """A front that had ended serves again."""
         self.restart_time_by_front[front] = now
 
-    def after_restarts(self, what: str) -> int:
-        """Events by the fronts that fell, from the fault until a second after each one's return."""
+    def after_restarts(self, event: str) -> int:
+        """Count the events of restarted fronts from the fault until a second after each one's return."""
         fault = self.first_front_fault or 0
         return sum(
             fault <= at < back + SECOND
             for front, back in self.restart_time_by_front.items()
-            for at in self.times_by_event_and_front[what][front]
+            for at in self.times_by_event_and_front[event][front]
         )
 
-    def on_request_finished(self, came: int, asked: float, served: float) -> None:
-        self.worth_records.append((came, asked, served))
+    def on_request_finished(self, first_sent_at: int, asked: float, served: float) -> None:
+        """Record a request's worth (`asked`) and the worth of its response (`served`)."""
+        self.worth_records.append((first_sent_at, asked, served))
 
-    def usual_rate(self, what: str) -> float | None:
-        """Events a second before the fault; None where too few tell."""
-        return self._rate_before_fault(self.times_by_event[what])
+    def usual_rate(self, event: str) -> float | None:
+        """Return the baseline's events per second; None with too few events."""
+        return self._rate_before_fault(self.times_by_event[event])
 
     def _rate_before_fault(self, times: list[int]) -> float | None:
         if self.calm_until is None:
@@ -81,19 +91,19 @@
         seen = sum(since <= at < self.calm_until for at in times)
         return (
             seen * SECOND / (self.calm_until - since)
-            if seen >= USUAL_LEAST and self.calm_until > since
+            if seen >= MIN_EVENTS and self.calm_until > since
             else None
         )
 
-    def stampede(self, what: str) -> float | None:
-        """The greatest rate of any 500 ms from the fault on, over the usual one."""
-        return self._stampede(self.times_by_event[what])
+    def stampede(self, event: str) -> float | None:
+        """Return the peak rate of any 500 ms after the fault, as a multiple of the usual rate."""
+        return self._stampede(self.times_by_event[event])
 
-    def worst_stampede(self, what: str) -> float | None:
-        """The greatest factor at any one machine of which the usual rate is known."""
+    def worst_stampede(self, event: str) -> float | None:
+        """Return the greatest stampede factor of any machine whose usual rate is known."""
         factors = [
             f
-            for times in self.times_by_event_and_machine[what].values()
+            for times in self.times_by_event_and_machine[event].values()
             if (f := self._stampede(times)) is not None
         ]
         return max(factors, default=None)
@@ -102,13 +112,13 @@
         usual = self._rate_before_fault(all_times)
         if usual is None or self.first_front_fault is None:
             return None
-        times, most = sorted(at for at in all_times if at >= self.first_front_fault), 0
+        times, peak_count = sorted(at for at in all_times if at >= self.first_front_fault), 0
         for n, at in enumerate(times):
-            most = max(most, bisect_left(times, at + WINDOW) - n)
-        return most * SECOND / WINDOW / usual
+            peak_count = max(peak_count, bisect_left(times, at + STAMPEDE_WINDOW) - n)
+        return peak_count * SECOND / STAMPEDE_WINDOW / usual
 
     def usual_service(self) -> float | None:
-        """The share of worth served of what came before the fault."""
+        """Return the share of worth that was served in the baseline."""
         if self.calm_until is None:
             return None
         since = self.start + (self.calm_until - self.start) // SETTLING_DIVISOR
@@ -117,9 +127,10 @@
         return sum(w[2] for w in before) / asked if asked else None
 
     def time_to_full_service(self, end: int) -> float | None:
-        """Seconds from the last return until each second's share is 0.97 of the usual and stays so for 3 s.
+        """Return the seconds from the last return until service is full, or None.
 
-        None where it never is by `end`, or no front came back.
+        Service is full once the served share of worth is at least 0.97 of the baseline's for 3 s. None if it is
+        not full by `end` or no front returned.
         """
         usual = self.usual_service()
         if usual is None or self.last_return is None:
@@ -129,14 +140,14 @@
         asked = [0.0, *accumulate(w[1] for w in ordered)]
         served = [0.0, *accumulate(w[2] for w in ordered)]
 
-        def good(at: int) -> bool:
+        def has_full_service(at: int) -> bool:
             a, b = bisect_left(times, at), bisect_left(times, at + SECOND)
             return served[b] - served[a] >= FULL_SERVICE_SHARE * usual * (asked[b] - asked[a])
 
-        steps, run = HOLDS * SECOND // STEP - SECOND // STEP, 0
+        steps, run = FULL_SERVICE_SECONDS * SECOND // STEP - SECOND // STEP, 0
         at = self.last_return
         while at + SECOND <= end:
-            run = run + 1 if good(at) else 0
+            run = run + 1 if has_full_service(at) else 0
             if run > steps:
                 return (at - steps * STEP - self.last_return) / SECOND
             at += STEP
--- a/quincepier/lab/world.py
+++ b/quincepier/lab/world.py
@@ -184,7 +184,7 @@
     def on_request_not_served(
         self, front: Front, request: Request, status: str, wait: int, never_accepted: bool = False
     ) -> None:
-        """Retry a request that was not served, if a retry can't repeat an effect; otherwise count the failure."""
+        """Retry a request that was not served if that can't repeat an effect; else count the failure."""
         request_class, load = self.experiment.classes[request.cls], self.experiment.load
         self.digest.update(b"%d %d %s\n" % (self.now, request.number, status.encode()))
         harmless = status == "refused" or never_accepted or request_class.effect is Idempotency.SAFE
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -91,11 +91,11 @@
     assert store.get("a") == 1
     store.put("c", 1)
     assert store.get("b") is None and store.get("a") == 1
-    cold = ColdStart(10 * SECOND, 0.2, 10.0, 2.5, SECOND, places=4)
+    cold = ColdStart(10 * SECOND, 0.2, 10.0, 2.5, SECOND, capacity=4)
     assert cold.capacity_share(10 * SECOND) == 0.2 and cold.capacity_share(20 * SECOND) == 1.0
     asks = [cold.add_request(12 * SECOND + n * 10 * MS, 100 * MS) for n in range(60)]
     assert not any(asks[:25]) and any(asks)  # 2.5 times 0.28 of four places for a second is 2.8 s of work
-    warm = ColdStart(0, 0.2, 10.0, 2.5, SECOND, places=4)
+    warm = ColdStart(0, 0.2, 10.0, 2.5, SECOND, capacity=4)
     assert not any(warm.add_request(n, 10 * SECOND) for n in range(50))
 
 
