--- a/quincepier/lab/maintenance_simulation.py
+++ b/quincepier/lab/maintenance_simulation.py
@@ -1,9 +1,9 @@
-"""Orders of maintenance in virtual time: many fronts with leases, leaders one after the other, machines.
+"""Simulation of machine maintenance in virtual time: fronts with leases, successive leaders, machines.
 
-The fronts' holders, the leader's ledger and the steps are those of the product; words between them are late,
-lost, cut off and met by standstills, clocks run 1 in 100 fast or slow, and the leader is killed. Agreement
-itself is taken as one step of `AGREE`. The same seed gives the same run. Judged from outside: commands that
-come to a machine between empty and back, and how many are out at once. Worth is not modelled.
+Lease holders, lease table and maintenance steps are the real ones. Messages between them are delayed, lost
+and cut off by partitions, processes pause, clocks run up to 1 % fast or slow, and the leader is killed.
+Agreement is modelled as a fixed delay. The same seed gives the same run. Checked are the commands that reach
+a machine under maintenance and the number of machines that are unavailable at once. Worth is not modelled.
 """
 
 from __future__ import annotations
@@ -38,58 +38,72 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-AGREE, TURN, WAY = 20 * MS, 100 * MS, 2 * MS
-ELECTED = 1500 * MS  # from the end of a leader until the next one leads
-BEGINS, WORK, WARM = 500 * MS, 2 * SECOND, 4 * SECOND  # operators begin so long after empty; work; then warm
-GRACE = 2 * SECOND  # that the baseline waits from telling to beginning
-START = 1000 * SECOND  # all machines are up for so long at the start
+AGREEMENT_TIME, LEADER_INTERVAL, ONE_WAY_DELAY = 20 * MS, 100 * MS, 2 * MS
+ELECTION_TIME = 1500 * MS  # from a leader's death until the next one leads
+WORK_DELAY, WORK_TIME, WARM_UP_TIME = (
+    500 * MS,
+    2 * SECOND,
+    4 * SECOND,
+)  # from drained to the start of work; work; warm-up after it
+BASELINE_GRACE = 2 * SECOND  # of the baseline: from announcing a drain until it counts as drained
+INITIAL_UPTIME = 1000 * SECOND  # uptime of all machines at the start
 
 
 @dataclass(slots=True, frozen=True)
 class Faults:
-    max_delay: int = 0  # at most, of words between fronts, each way
-    loss_rate: float = 0.0  # of those words
-    partitioned_share: float = 0.0  # part of the fronts that nobody hears from 3 s to 15 s, and that serve on
-    paused_share: float = 0.0  # part of the fronts that stand still for 3 s, one after the other
-    kill_leader_at: MaintenanceStep | None = None  # the leader, as an order first comes to this step
-    crashing_fronts: int = 0  # fronts that are killed and started anew every 2 s, without anything kept
+    """Faults of a run; times are in nanoseconds."""
+
+    max_delay: int = 0  # added to the delay of each message, at most
+    loss_rate: float = 0.0  # share of messages that are lost
+    partitioned_share: float = 0.0  # fronts that are cut off from 3 s to 15 s and keep serving
+    paused_share: float = 0.0  # fronts that are paused for 3 s, each at a random time
+    kill_leader_at: MaintenanceStep | None = None  # kill the leader when a task first enters this step
+    crashing_fronts: int = 0  # fronts that restart every 2 s without stored state
 
 
 @dataclass(slots=True)
-class Machine:
+class SimulatedMachine:
+    """A cache under maintenance."""
+
     host: str
     zone: str
-    up_since: int = -START
-    up: bool = True
-    closed: list[tuple[int, int]] = field(default_factory=list)  # from empty to back
-    since: int = -1  # empty since
+    up_since: int = -INITIAL_UPTIME
+    is_up: bool = True
+    maintenance_periods: list[tuple[int, int]] = field(default_factory=list)  # (drained, restored)
+    drained_since: int = -1  # -1: not drained
 
 
 @dataclass(slots=True)
-class Front:
+class SimulatedFront:
+    """A front with its lease holder and the attempts under way."""
+
     name: str
-    rate: float  # of its clock
+    clock_rate: float  # of its clock, 1 for exact
     holder: LeaseHolder
-    alive: bool = True
-    still: int = 0  # stands still until then
-    cut: bool = False
-    open: list[tuple[str, int]] = field(default_factory=list)  # host and when the attempt ends
-    keeps_from: frozenset[str] = frozenset()  # of the baseline
+    is_alive: bool = True
+    paused_until: int = 0
+    is_partitioned: bool = False
+    active_attempts: list[tuple[str, int]] = field(default_factory=list)  # host and end of each attempt
+    baseline_cordoned: frozenset[str] = frozenset()  # hosts that it no longer uses, in the baseline
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
+    """Figures of one run."""
+
     fronts: int
-    duration_s: float  # from the wish to the last machine warm again; -1: not within the time
-    commands_in_maintenance: int  # commands at a machine between empty and back
+    duration_s: float  # until all tasks are completed; -1: not within the time
+    commands_in_maintenance: int  # received by a machine between drained and restored
     max_unavailable: int
     commands_sent: int
     versions: int
-    message_count: int  # asks and grants
+    message_count: int  # lease requests and grants
     message_bytes: int
 
 
-class Fleet:
+class MaintenanceSimulation:
+    """A fleet whose caches are all maintained once, by the real steps or by the baseline."""
+
     def __init__(
         self,
         count: int,
@@ -98,105 +112,131 @@
         machines: int = 20,
         zones: int = 4,
         unavailable_limits: UnavailableLimits | None = None,
-        rate: float = 4.0,  # commands a second of each front
-        agreed: bool = True,  # without: a tenth at once, told and begun after GRACE
+        rate: float = 4.0,  # commands per second of each front
+        agreed: bool = True,  # False: the baseline, a tenth of the machines at once after a fixed time
     ) -> None:
         self.now, self.random, self.agreed, self.rate = 0, random.Random(seed), agreed, rate
-        self.faults, self.turns = faults or Faults(), list[tuple[int, int, Callable[[], None]]]()
-        self.count = 0
-        self.pace = LeaseTimings(max_attempt_ns=2 * SECOND)
+        self.faults, self.event_queue = faults or Faults(), list[tuple[int, int, Callable[[], None]]]()
+        self.scheduled_count = 0
+        self.timings = LeaseTimings(max_attempt_ns=2 * SECOND)
         self.section = MaintenanceSection(
             (MaintenanceRequest("all", kind="cache"),),
             unavailable_limits=UnavailableByKind(
                 unavailable_limits or UnavailableLimits(1, max(machines // 10, 1))
             ),
         )
-        self.machines = {f"c{n}": Machine(f"c{n}", f"z{n % zones}") for n in range(machines)}
+        self.machines = {f"c{n}": SimulatedMachine(f"c{n}", f"z{n % zones}") for n in range(machines)}
         self.versions = [RuleVersion(0, 0), RuleVersion(1, 1)]
         self.fronts = [
-            Front(f"f{n}", self.random.uniform(0.99, 1.01), LeaseHolder(1, 0, self.pace))
+            SimulatedFront(f"f{n}", self.random.uniform(0.99, 1.01), LeaseHolder(1, 0, self.timings))
             for n in range(count)
         ]
-        self.leader: Front | None = None
-        self.ledger: LeaseTable | None = None
-        self.agreeing, self.killed, self.out_most, self.done = False, False, 0, -1
-        self.sent = self.words = self.word_bytes = 0
-        self.came = list[tuple[int, str]]()  # commands at machines
-        self.batch = frozenset[str]()  # of the baseline
-        self.lead(self.fronts[0])
+        self.leader: SimulatedFront | None = None
+        self.lease_table: LeaseTable | None = None
+        self.is_agreeing, self.was_leader_killed, self.max_unavailable, self.completed_at = (
+            False,
+            False,
+            0,
+            -1,
+        )
+        self.commands_sent = self.message_count = self.message_bytes = 0
+        self.received_commands = list[tuple[int, str]]()  # time and host
+        self.baseline_batch = frozenset[str]()  # of the baseline
+        self.start_leader(self.fronts[0])
         for front in self.fronts:
-            self.after(self.random.randrange(250 * MS), self.asks, front, 1)
-            self.after(self.random.randrange(SECOND), self.sends, front, 1)
+            self.schedule(self.random.randrange(250 * MS), self.request_lease, front, 1)
+            self.schedule(self.random.randrange(SECOND), self.send_command, front, 1)
         if agreed:
-            self.after(TURN, self.turn)
+            self.schedule(LEADER_INTERVAL, self.run_leader_turn)
         else:
-            self.after(2 * SECOND, self.tenth, 0)
-        self.strike()
+            self.schedule(2 * SECOND, self.drain_baseline_batch, 0)
+        self.schedule_faults()
 
-    def after(self, wait: int, call: Callable[..., None], *given: object) -> None:
-        self.count += 1
-        heapq.heappush(self.turns, (self.now + wait, self.count, lambda: call(*given)))
+    def schedule(self, wait: int, callback: Callable[..., None], *arguments: object) -> None:
+        self.scheduled_count += 1
+        heapq.heappush(
+            self.event_queue, (self.now + wait, self.scheduled_count, lambda: callback(*arguments))
+        )
 
-    def run(self, most: int) -> Outcome:
-        while self.turns and self.turns[0][0] <= most and self.done < 0:
-            self.now, _, call = heapq.heappop(self.turns)
-            call()
+    def run(self, until: int) -> Outcome:
+        """Run until all tasks are completed, at most until the time `until`, ns."""
+        while self.event_queue and self.event_queue[0][0] <= until and self.completed_at < 0:
+            self.now, _, callback = heapq.heappop(self.event_queue)
+            callback()
         between = sum(
-            (self.machines[host].since <= at and self.machines[host].since >= 0)
-            or any(begun <= at < back for begun, back in self.machines[host].closed)
-            for at, host in self.came
+            (self.machines[host].drained_since <= at and self.machines[host].drained_since >= 0)
+            or any(begun <= at < back for begun, back in self.machines[host].maintenance_periods)
+            for at, host in self.received_commands
         )
-        done = self.done / SECOND if self.done >= 0 else -1.0
+        done = self.completed_at / SECOND if self.completed_at >= 0 else -1.0
         number = self.versions[-1].number
         return Outcome(
-            len(self.fronts), done, between, self.out_most, self.sent, number, self.words, self.word_bytes
+            len(self.fronts),
+            done,
+            between,
+            self.max_unavailable,
+            self.commands_sent,
+            number,
+            self.message_count,
+            self.message_bytes,
         )
 
-    def strike(self) -> None:
-        def cut(on: bool, chosen: Iterable[Front]) -> None:
+    def schedule_faults(self) -> None:
+        """Schedule partitions, pauses and restarts of random fronts other than the first leader."""
+
+        def cut(on: bool, chosen: Iterable[SimulatedFront]) -> None:
             for front in chosen:
-                front.cut = on
+                front.is_partitioned = on
 
-        def pause(front: Front) -> None:
-            front.still = self.now + 3 * SECOND
+        def pause(front: SimulatedFront) -> None:
+            front.paused_until = self.now + 3 * SECOND
 
         others, faults = self.fronts[1:], self.faults
         chosen = self.random.sample(others, int(len(others) * faults.partitioned_share))
-        self.after(3 * SECOND, cut, True, chosen)
-        self.after(15 * SECOND, cut, False, chosen)
+        self.schedule(3 * SECOND, cut, True, chosen)
+        self.schedule(15 * SECOND, cut, False, chosen)
         for front in self.random.sample(others, int(len(others) * faults.paused_share)):
-            self.after(self.random.randrange(20 * SECOND), pause, front)
+            self.schedule(self.random.randrange(20 * SECOND), pause, front)
         for front in self.random.sample(others, faults.crashing_fronts):
             for at in range(2, 120, 2):
-                self.after(at * SECOND, self.crash, front)
+                self.schedule(at * SECOND, self.restart_front, front)
 
-    # fronts
+    # Fronts
 
-    def clock(self, front: Front) -> int:
-        return int(self.now * front.rate)
+    def clock(self, front: SimulatedFront) -> int:
+        """Return the time on a front's own clock, ns."""
+        return int(self.now * front.clock_rate)
 
-    def crash(self, front: Front) -> None:
+    def restart_front(self, front: SimulatedFront) -> None:
+        """Restart a front without stored state."""
         start = front.holder.incarnation + 1
-        front.holder, front.open, front.alive = LeaseHolder(start, self.clock(front), self.pace), [], True
-        front.keeps_from = frozenset()
-        self.after(100 * MS, self.asks, front, start)
-        self.after(150 * MS, self.sends, front, start)
-
-    def here(self, front: Front, start: int, call: Callable[[Front, int], None]) -> bool:
-        """Whether it can act; one that stands still does so afterwards."""
-        if not front.alive or front.holder.incarnation != start:
+        front.holder, front.active_attempts, front.is_alive = (
+            LeaseHolder(start, self.clock(front), self.timings),
+            [],
+            True,
+        )
+        front.baseline_cordoned = frozenset()
+        self.schedule(100 * MS, self.request_lease, front, start)
+        self.schedule(150 * MS, self.send_command, front, start)
+
+    def can_act(
+        self, front: SimulatedFront, start: int, callback: Callable[[SimulatedFront, int], None]
+    ) -> bool:
+        """Return whether a front can act now; a paused one calls `callback` when it resumes."""
+        if not front.is_alive or front.holder.incarnation != start:
             return False
-        if front.still > self.now:
-            self.after(front.still - self.now, call, front, start)
+        if front.paused_until > self.now:
+            self.schedule(front.paused_until - self.now, callback, front, start)
             return False
         return True
 
-    def asks(self, front: Front, start: int) -> None:
-        if not self.here(front, start, self.asks):
+    def request_lease(self, front: SimulatedFront, start: int) -> None:
+        """Send a report with a lease request, and schedule the next."""
+        if not self.can_act(front, start, self.request_lease):
             return
         holder, clock = front.holder, self.clock(front)
-        front.open = [(host, end) for host, end in front.open if end > self.now]
-        hosts = {host for host, _ in front.open}
+        front.active_attempts = [(host, end) for host, end in front.active_attempts if end > self.now]
+        hosts = {host for host, _ in front.active_attempts}
         report = FrontReport(
             front.name,
             start,
@@ -204,43 +244,47 @@
             holder.version.digest,
             holder.is_cautious(clock),
             250,
-            tuple(HostCount(host, sum(h == host for h, _ in front.open)) for host in sorted(hosts)),
+            tuple(
+                HostCount(host, sum(h == host for h, _ in front.active_attempts)) for host in sorted(hosts)
+            ),
+        )
+        self.send_message(
+            front, self.on_lease_request, front, LeaseRequest(holder.begin_request(clock), report)
         )
-        self.carry(front, self.heard, front, LeaseRequest(holder.begin_request(clock), report))
-        self.after(250 * MS, self.asks, front, start)
+        self.schedule(250 * MS, self.request_lease, front, start)
 
-    def carry(self, front: Front, call: Callable[..., None], *given: object) -> None:
-        self.words += 1
-        if front.cut or self.random.random() < self.faults.loss_rate:
+    def send_message(self, front: SimulatedFront, callback: Callable[..., None], *arguments: object) -> None:
+        self.message_count += 1
+        if front.is_partitioned or self.random.random() < self.faults.loss_rate:
             return
-        self.after(WAY + self.random.randrange(self.faults.max_delay + 1), call, *given)
+        self.schedule(ONE_WAY_DELAY + self.random.randrange(self.faults.max_delay + 1), callback, *arguments)
 
-    def heard(self, front: Front, ask: LeaseRequest) -> None:
-        leader, ledger = self.leader, self.ledger
+    def on_lease_request(self, front: SimulatedFront, lease_request: LeaseRequest) -> None:
+        leader, ledger = self.leader, self.lease_table
         if leader is None or ledger is None:
             return
-        self.word_bytes += len(encode_message(ask))
-        grant = ledger.on_request(self.clock(leader), ask, 1 << 62)
+        self.message_bytes += len(encode_message(lease_request))
+        grant = ledger.on_request(self.clock(leader), lease_request, 1 << 62)
         if grant is not None:
             version = (
                 self.versions[grant.version_number]
-                if grant.version_number > ask.report.version_number
+                if grant.version_number > lease_request.report.version_number
                 else None
             )
-            self.carry(front, self.granted, front, grant, version)
+            self.send_message(front, self.on_lease_granted, front, grant, version)
 
-    def granted(self, front: Front, grant: object, version: RuleVersion | None) -> None:
-        if front.still > self.now:
-            self.after(front.still - self.now, self.granted, front, grant, version)
-        elif front.alive:
-            front.keeps_from = self.batch
+    def on_lease_granted(self, front: SimulatedFront, grant: object, version: RuleVersion | None) -> None:
+        if front.paused_until > self.now:
+            self.schedule(front.paused_until - self.now, self.on_lease_granted, front, grant, version)
+        elif front.is_alive:
+            front.baseline_cordoned = self.baseline_batch
             if front.holder.on_grant(self.clock(front), grant, version):  # type: ignore[arg-type]
-                self.again(front)
+                self.report_adoption(front)
 
-    def again(self, front: Front) -> None:
-        """A version was adopted: it is told at once, as another ask."""
+    def report_adoption(self, front: SimulatedFront) -> None:
+        """Report an adopted version at once, with another lease request."""
         holder, clock = front.holder, self.clock(front)
-        hosts = sorted({host for host, end in front.open if end > self.now})
+        hosts = sorted({host for host, end in front.active_attempts if end > self.now})
         version = holder.version
         report = FrontReport(
             front.name,
@@ -251,118 +295,133 @@
             250,
             tuple(HostCount(host, 1) for host in hosts),
         )
-        self.carry(front, self.heard, front, LeaseRequest(holder.begin_request(clock), report))
+        self.send_message(
+            front, self.on_lease_request, front, LeaseRequest(holder.begin_request(clock), report)
+        )
 
-    def sends(self, front: Front, start: int) -> None:
-        if not self.here(front, start, self.sends):
+    def send_command(self, front: SimulatedFront, start: int) -> None:
+        """Send a command to a random machine that the front may use, and schedule the next."""
+        if not self.can_act(front, start, self.send_command):
             return
-        self.after(int(self.random.expovariate(self.rate) * SECOND), self.sends, front, start)
+        self.schedule(int(self.random.expovariate(self.rate) * SECOND), self.send_command, front, start)
         holder = front.holder
         if self.agreed:
             if holder.is_awaiting_first_answer():
                 return
             kept = cordoned_hosts(holder.version, holder.is_cautious(self.clock(front)), front.name)
         else:
-            kept = front.keeps_from
+            kept = front.baseline_cordoned
         host = self.random.choice([host for host in self.machines if host not in kept])
         lasts = self.random.choice((10, 15, 20, 30)) * MS
         if self.random.random() < 0.02:
-            lasts = self.random.randrange(self.pace.max_attempt_ns)
-        front.open.append((host, self.now + WAY + lasts))
-        self.sent += 1
-        self.came.append((self.now + self.random.randrange(WAY), host))
-
-    # the leader, and the machines
-
-    def lead(self, front: Front) -> None:
-        self.leader, self.agreeing = front, False
-        self.ledger = LeaseTable(self.clock(front), self.pace, self.versions[-1])
-
-    def turn(self) -> None:
-        self.after(TURN, self.turn)
-        leader, ledger, version = self.leader, self.ledger, self.versions[-1]
-        if leader is None or ledger is None or self.agreeing:
+            lasts = self.random.randrange(self.timings.max_attempt_ns)
+        front.active_attempts.append((host, self.now + ONE_WAY_DELAY + lasts))
+        self.commands_sent += 1
+        self.received_commands.append((self.now + self.random.randrange(ONE_WAY_DELAY), host))
+
+    # Leader and machines
+
+    def start_leader(self, front: SimulatedFront) -> None:
+        self.leader, self.is_agreeing = front, False
+        self.lease_table = LeaseTable(self.clock(front), self.timings, self.versions[-1])
+
+    def run_leader_turn(self) -> None:
+        """Let the leader plan the next change and start its agreement."""
+        self.schedule(LEADER_INTERVAL, self.run_leader_turn)
+        leader, ledger, version = self.leader, self.lease_table, self.versions[-1]
+        if leader is None or ledger is None or self.is_agreeing:
             return
-        view = tuple(f.name for f in self.fronts if f.alive)
+        view = tuple(f.name for f in self.fronts if f.is_alive)
         fleet = FleetView(
             view,
             {
                 m.host: MachineObservation(
-                    m.host, "cache", m.zone, True, (self.now - m.up_since) // MS, WARM // MS
+                    m.host, "cache", m.zone, True, (self.now - m.up_since) // MS, WARM_UP_TIME // MS
                 )
                 for m in self.machines.values()
-                if m.up
+                if m.is_up
             },
             ("f0", "f1", "f2"),
             leader.name,
-            recently_dead=[f.name for f in self.fronts if not f.alive],
+            recently_dead=[f.name for f in self.fronts if not f.is_alive],
         )
         seen = ledger.observe(self.clock(leader), fleet)
         found = plan(version, self.section, seen).change
         if found is not None:
-            self.agreeing = True
-            self.after(AGREE, self.commit, leader, apply_changes(version, 1, (found,)))
+            self.is_agreeing = True
+            self.schedule(AGREEMENT_TIME, self.commit_version, leader, apply_changes(version, 1, (found,)))
 
-    def commit(self, leader: Front, version: RuleVersion) -> None:
-        if self.leader is not leader or self.ledger is None:
-            return  # killed while it was agreed
+    def commit_version(self, leader: SimulatedFront, version: RuleVersion) -> None:
+        """Commit a version, follow its new steps, and kill the leader where the faults say so."""
+        if self.leader is not leader or self.lease_table is None:
+            return  # the leader was killed during the agreement
         was = self.versions[-1]
-        self.agreeing = False
+        self.is_agreeing = False
         self.versions.append(version)
-        self.ledger.on_version_committed(version)
+        self.lease_table.on_version_committed(version)
         for order in version.maintenance_tasks:
             before = was.task_for(order.target)
             if before is not None and before.step == order.step:
                 continue
-            self.entered(order.target, order.step)
-            if order.step is self.faults.kill_leader_at and not self.killed:
-                self.killed, self.leader, self.ledger, leader.alive = True, None, None, False
-                self.after(ELECTED, self.lead, self.fronts[1])
-                self.after(3 * SECOND, self.crash, leader)
-        self.out_most = max(self.out_most, sum(order.is_unavailable for order in version.maintenance_tasks))
+            self.on_step_entered(order.target, order.step)
+            if order.step is self.faults.kill_leader_at and not self.was_leader_killed:
+                self.was_leader_killed, self.leader, self.lease_table, leader.is_alive = (
+                    True,
+                    None,
+                    None,
+                    False,
+                )
+                self.schedule(ELECTION_TIME, self.start_leader, self.fronts[1])
+                self.schedule(3 * SECOND, self.restart_front, leader)
+        self.max_unavailable = max(
+            self.max_unavailable, sum(order.is_unavailable for order in version.maintenance_tasks)
+        )
         done = {o.target for o in version.maintenance_tasks if o.step is MaintenanceStep.COMPLETED}
         if len(done) == len(self.machines):
-            self.done = self.now
+            self.completed_at = self.now
 
-    def entered(self, host: str, step: MaintenanceStep) -> None:
+    def on_step_entered(self, host: str, step: MaintenanceStep) -> None:
+        """Start work on a drained machine; end the maintenance period of a restored one."""
         machine = self.machines[host]
         if step is MaintenanceStep.DRAINED:
-            machine.since = self.now
-            self.after(BEGINS, self.work, machine)
+            machine.drained_since = self.now
+            self.schedule(WORK_DELAY, self.start_work, machine)
         elif step is MaintenanceStep.RESTORED:
-            machine.closed.append((machine.since, self.now))
-            machine.since = -1
+            machine.maintenance_periods.append((machine.drained_since, self.now))
+            machine.drained_since = -1
 
-    def work(self, machine: Machine) -> None:
-        machine.up = False
-        self.after(WORK, self.over, machine)
+    def start_work(self, machine: SimulatedMachine) -> None:
+        machine.is_up = False
+        self.schedule(WORK_TIME, self.finish_work, machine)
 
-    def over(self, machine: Machine) -> None:
-        machine.up, machine.up_since = True, self.now
+    def finish_work(self, machine: SimulatedMachine) -> None:
+        machine.is_up, machine.up_since = True, self.now
         if not self.agreed:
-            machine.closed.append((machine.since, self.now))
-            machine.since = -1
+            machine.maintenance_periods.append((machine.drained_since, self.now))
+            machine.drained_since = -1
 
-    # the baseline
+    # Baseline
 
-    def tenth(self, at: int) -> None:
-        """A tenth of the machines at once: told with the next answer to each, begun after a fixed time."""
+    def drain_baseline_batch(self, at: int) -> None:
+        """Drain a tenth of the machines: fronts learn it with their next grant."""
         hosts = list(self.machines)[at : at + max(len(self.machines) // 10, 1)]
         if not hosts:
-            self.done = self.now
+            self.completed_at = self.now
             return
-        self.batch = frozenset(hosts)
-        self.out_most = max(self.out_most, len(hosts))
+        self.baseline_batch = frozenset(hosts)
+        self.max_unavailable = max(self.max_unavailable, len(hosts))
         for host in hosts:
-            self.after(GRACE, self.entered, host, MaintenanceStep.DRAINED)
-        self.after(GRACE + BEGINS + WORK + WARM, self.tenth, at + len(hosts))
+            self.schedule(BASELINE_GRACE, self.on_step_entered, host, MaintenanceStep.DRAINED)
+        self.schedule(
+            BASELINE_GRACE + WORK_DELAY + WORK_TIME + WARM_UP_TIME, self.drain_baseline_batch, at + len(hosts)
+        )
 
 
 if __name__ == "__main__":
     import sys
     import time
 
-    STORIES = {
+    SCENARIOS = {
         "calm": Faults(),
         "20% lost, 0.5 s late": Faults(max_delay=500 * MS, loss_rate=0.2),
         "a tenth cut off 12 s": Faults(partitioned_share=0.1),
@@ -370,13 +429,13 @@
         "two crash every 2 s": Faults(crashing_fronts=2),
         **{f"leader killed at {s.name.lower()}": Faults(kill_leader_at=s) for s in list(MaintenanceStep)[:7]},
     }
-    size, seeds, *names = sys.argv[1:]  # stories by number; none: all
-    for name in [list(STORIES)[int(n)] for n in names] or STORIES:
-        faults = STORIES[name]
+    size, seeds, *names = sys.argv[1:]  # scenarios by number; none: all
+    for name in [list(SCENARIOS)[int(n)] for n in names] or SCENARIOS:
+        faults = SCENARIOS[name]
         for agreed in (True, False) if faults.kill_leader_at is None else (True,):
             begun = time.process_time()
             found = [
-                Fleet(int(size), seed, faults, agreed=agreed).run(400 * SECOND)
+                MaintenanceSimulation(int(size), seed, faults, agreed=agreed).run(400 * SECOND)
                 for seed in range(1, int(seeds) + 1)
             ]
             print(
--- a/quincepier/lab/migration_simulation.py
+++ b/quincepier/lab/migration_simulation.py
@@ -1,8 +1,8 @@
-"""A tenant's migration in virtual time: the real `advance` and `place_request`, two shards, a leader.
+"""Simulation of a tenant's migration in virtual time: the real `advance` and `place_request`, two shards.
 
-Fronts are told versions, report and are granted leases; requests come by a heavy-tailed choice of objects, a
-copy lasts its time, and fills of all share one link that queues. Caches are one memory a home, agreement is a
-delay. The same seed gives the same run.
+Fronts receive versions, report and get leases. Requests choose objects by a heavy-tailed distribution, copies
+expire, and all fetches queue for one link. The caches of a shard are one store, agreement is a fixed delay.
+The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -38,43 +38,61 @@
 from quincepier.tenancy.section import MigrationRequest, ShardSettings, TenantSettings
 
 SECOND, MS = clock.SECOND, clock.MS
-LEASE, MARGIN, REPORT, TURN, WAY, AGREE = SECOND, 100 * MS, 250 * MS, 250 * MS, 20 * MS, 15 * MS
-ELECTION = (300 * MS, 600 * MS)  # without a leader
-SPAN = 10  # seconds of counts that a report holds
-LASTS, ON_TIME, FILL = 120 * SECOND, 400 * MS, 40 * MS
-LINK = 1.4  # fills a second that the link bears, of the usual ones
-KEYED_PART = 0.05  # of a tenant's requests may not simply be repeated
-OBJECTS = 800  # of the tenant, and as many of all others
+LEASE_TIME, LEASE_MARGIN, REPORT_INTERVAL, LEADER_INTERVAL, ONE_WAY_DELAY, AGREEMENT_TIME = (
+    SECOND,
+    100 * MS,
+    250 * MS,
+    250 * MS,
+    20 * MS,
+    15 * MS,
+)
+ELECTION_TIME_RANGE = (300 * MS, 600 * MS)  # time without a leader
+REPORT_SPAN_S = 10  # seconds of counts in a report
+COPY_LIFETIME, MAX_LATENCY, FETCH_TIME = 120 * SECOND, 400 * MS, 40 * MS
+LINK_CAPACITY_FACTOR = 1.4  # the link's capacity over the usual rate of fetches
+UNSAFE_SHARE = 0.05  # share of requests that can't simply be retried
+OBJECTS = 800  # of the tenant, and as many of all other tenants
 
 
 @dataclass(slots=True)
-class Front:
-    move: Migration | None = None
-    number: int = 1
-    until: int = 0  # its lease
-    refused_from: int = -1  # a first of the tenant was refused, and none taken since
+class SimulatedFront:
+    """A front's version of the rules and its lease."""
+
+    migration: Migration | None = None
+    version_number: int = 1
+    lease_until: int = 0
+    refused_since: int = -1  # since when it refuses the tenant's first attempts; -1: it accepts them
 
 
 @dataclass(slots=True)
 class Outcome:
-    """Of one run, from the wish to its end; the gap is how long a front refused firsts, in milliseconds."""
+    """Figures of one run, from the migration request to its end."""
 
-    worth: float  # of the tenant: in time over asked
-    others: float
-    fills: float  # the most in any span over the usual in one
-    took: float  # seconds from wish to done, or -1
+    worth: float  # share of the tenant's requests that were served in time
+    others_worth: float  # the same for all other tenants
+    peak_fetch_factor: float  # greatest fetch rate of any 10 s over the usual rate
+    duration_s: float  # until the migration is completed; -1: it is not
     step: str
-    gaps: list[float] = field(default_factory=list)
-    refused_repeats: int = 0
-    why: str = ""
+    gaps_ms: list[float] = field(default_factory=list)  # how long a front refused first attempts
+    refused_retries: int = 0
+    reason: str = ""
 
 
-class Fleet:
-    """`way`: "none", "steps" (a requested migration), or "at once" (all keys with one version)."""
+class MigrationSimulation:
+    """Fronts, two shards and a leader that migrates the tenant "acme".
 
-    def __init__(self, fronts: int, seed: int, way: str, kill_at: MigrationStep | None = None) -> None:
-        self.random, self.way, self.kill_at = random.Random(seed), way, kill_at
-        self.fronts = [Front() for _ in range(fronts)]
+    Args:
+        fronts: Number of fronts.
+        seed: Seed of all random choices.
+        mode: "none", "steps" (a requested migration) or "at once" (all keys with one version).
+        kill_leader_at: Kill the leader once it has committed this step.
+    """
+
+    def __init__(
+        self, fronts: int, seed: int, mode: str, kill_leader_at: MigrationStep | None = None
+    ) -> None:
+        self.random, self.mode, self.kill_leader_at = random.Random(seed), mode, kill_leader_at
+        self.fronts = [SimulatedFront() for _ in range(fronts)]
         self.names = [f"f{n}" for n in range(fronts)]
         request = MigrationRequest("m", "acme", "north")
         section = TenantsSection(
@@ -88,27 +106,33 @@
         self.version = RuleVersion(1, 1, (), (), shards, (TenantPlacement("acme", ""),))
         hosts = ("n-1", "n-2", "c-1", "c-2")
         self.machines = {h: MachineObservation(h, "cache", "a", True, 10**6, 1) for h in hosts}
-        self.now, self.leads_from, self.agreed_at = 0, 0, 0
-        self.known: dict[int, tuple[int, int]] = {}  # front: its number and the end of its lease there
-        self.force: dict[int, int] = {}
-        chance = self.random  # copies last for different times, so that they are not filled again all at once
-        old = {k + at: chance.randrange(LASTS) for k in range(OBJECTS) for at in (0, 10_000)}
-        self.copies: tuple[dict[int, int], dict[int, int]] = (old, {})
-        self.busy_until, self.link = 0.0, 0.0
-        self.counts: deque[Counter[tuple[str, str, str]]] = deque([Counter()], maxlen=SPAN + 1)
-        self.sums: Counter[str] = Counter()
-        self.fills_by_second: list[int] = [0]
+        self.now, self.leader_ready_at, self.version_agreed_at = 0, 0, 0
+        # as the leader sees it: version number and end of the lease
+        self.lease_by_front: dict[int, tuple[int, int]] = {}
+        self.in_force_since: dict[int, int] = {}
+        rng = (
+            self.random
+        )  # initial copies expire at different times, so that they are not all fetched at once
+        old = {key + at: rng.randrange(COPY_LIFETIME) for key in range(OBJECTS) for at in (0, 10_000)}
+        self.expiry_by_key: tuple[dict[int, int], dict[int, int]] = (old, {})
+        self.link_busy_until, self.link_rate = 0.0, 0.0
+        self.counts_by_second: deque[Counter[tuple[str, str, str]]] = deque(
+            [Counter()], maxlen=REPORT_SPAN_S + 1
+        )
+        self.totals: Counter[str] = Counter()
+        self.fetches_by_second: list[int] = [0]
         self.gaps: list[float] = []
-        self.repeats = 0
+        self.refused_retries = 0
         self.weights = list(accumulate(1 / (n + 1) ** 0.9 for n in range(OBJECTS)))
-        self.done_at = -1
-        self.begun = False
+        self.completed_at = -1
+        self.is_started = False
 
     def run(self, rate: int = 600, warm: int = 120, lasts: int = 600) -> Outcome:
+        """Run `warm` seconds before the request and `lasts` after it, at `rate` requests per second."""
         events: list[tuple[int, int, int]] = []
         for n in range(len(self.fronts)):
-            events.append((self.random.randrange(REPORT), 1, n))
-        events += [(0, 0, 0), (SECOND, 2, 0), (REPORT, 3, 0)]
+            events.append((self.random.randrange(REPORT_INTERVAL), 1, n))
+        events += [(0, 0, 0), (SECOND, 2, 0), (REPORT_INTERVAL, 3, 0)]
         heapq.heapify(events)
         begin, end = warm * SECOND, (warm + lasts) * SECOND
         while events:
@@ -120,89 +144,103 @@
                 after = max(int(self.random.expovariate(rate) * SECOND), 1)
             elif kind == 1:
                 self.report(n)
-                after = REPORT
+                after = REPORT_INTERVAL
             elif kind == 2:
-                self.counts.append(Counter())
-                self.fills_by_second.append(0)
+                self.counts_by_second.append(Counter())
+                self.fetches_by_second.append(0)
                 if self.now == (warm - 50) * SECOND:
-                    self.link = LINK * sum(self.fills_by_second[-30:]) / 30
+                    self.link_rate = LINK_CAPACITY_FACTOR * sum(self.fetches_by_second[-30:]) / 30
                 if self.now == begin:
-                    self.begun, self.sums = True, Counter()
-                    self.begin()
+                    self.is_started, self.totals = True, Counter()
+                    self.start_migration()
                 after = SECOND
             else:
-                self.turn()
-                after = TURN
+                self.run_leader_turn()
+                after = LEADER_INTERVAL
             heapq.heappush(events, (self.now + after, kind, n))
-        fills, s = self.fills_by_second, self.sums
+        fills, s = self.fetches_by_second, self.totals
         usual = sum(fills[warm - 50 : warm]) / 50
-        most = max(sum(fills[at : at + SPAN]) / SPAN for at in range(warm, len(fills) - SPAN))
-        move = self.version.migrations[-1] if self.version.migrations else None
-        took = (self.done_at - begin) / SECOND if self.done_at >= 0 else -1.0
+        peak_rate = max(
+            sum(fills[at : at + REPORT_SPAN_S]) / REPORT_SPAN_S
+            for at in range(warm, len(fills) - REPORT_SPAN_S)
+        )
+        migration = self.version.migrations[-1] if self.version.migrations else None
+        duration_s = (self.completed_at - begin) / SECOND if self.completed_at >= 0 else -1.0
         worth, others = (s[f"{who} in time"] / max(s[who], 1) for who in ("acme", "other"))
         return Outcome(
-            worth, others, most / usual, took, move.step.name if move else "",
-            self.gaps, self.repeats, move.reason if move else "",
+            worth, others, peak_rate / usual, duration_s, migration.step.name if migration else "",
+            self.gaps, self.refused_retries, migration.reason if migration else "",
         )  # fmt: skip
 
-    def begin(self) -> None:
-        if self.way == "at once":
+    def start_migration(self) -> None:
+        if self.mode == "at once":
             done = Migration("m", "acme", "", "north", MigrationStep.COMPLETED, 2, 256)
             homes = (TenantPlacement("acme", "north"),)
-            self.agree(RuleVersion(2, 1, (), (), self.version.shards, homes, (done,)))
+            self.commit_version(RuleVersion(2, 1, (), (), self.version.shards, homes, (done,)))
 
-    def agree(self, version: RuleVersion) -> None:
-        self.version, self.agreed_at = version, self.now + AGREE
+    def commit_version(self, version: RuleVersion) -> None:
+        self.version, self.version_agreed_at = version, self.now + AGREEMENT_TIME
 
     def report(self, n: int) -> None:
-        """A front hears of the newest version with the answer to its report; that grants its lease too."""
-        if self.now < self.leads_from:
+        """Handle a front's report: the response carries the newest version and renews its lease."""
+        if self.now < self.leader_ready_at:
             return
-        front, way = self.fronts[n], self.random.randrange(WAY // 2, WAY)
-        if self.now >= self.agreed_at:
-            front.number = self.version.number
-            front.move = self.version.migrations[-1] if self.version.migrations else None
-        front.until = self.now + LEASE
-        self.known[n] = (front.number, self.now + way + LEASE + MARGIN)
+        front, way = self.fronts[n], self.random.randrange(ONE_WAY_DELAY // 2, ONE_WAY_DELAY)
+        if self.now >= self.version_agreed_at:
+            front.version_number = self.version.number
+            front.migration = self.version.migrations[-1] if self.version.migrations else None
+        front.lease_until = self.now + LEASE_TIME
+        self.lease_by_front[n] = (front.version_number, self.now + way + LEASE_TIME + LEASE_MARGIN)
 
-    def turn(self) -> None:
-        if self.now < self.leads_from or self.now < self.agreed_at:
+    def run_leader_turn(self) -> None:
+        if self.now < self.leader_ready_at or self.now < self.version_agreed_at:
             return
-        known = {n: k for n, k in self.known.items() if k[1] > self.now}
-        whole = len(known) == len(self.fronts) or self.now >= self.leads_from + LEASE + MARGIN
-        number = min((k[0] for k in known.values()), default=0) if whole else 0
-        for reached in range(max(self.force, default=0) + 1, number + 1):
-            self.force[reached] = self.now
-        if self.way != "steps" or not self.begun:
+        known = {n: lease for n, lease in self.lease_by_front.items() if lease[1] > self.now}
+        is_view_complete = (
+            len(known) == len(self.fronts) or self.now >= self.leader_ready_at + LEASE_TIME + LEASE_MARGIN
+        )
+        number = min((lease[0] for lease in known.values()), default=0) if is_view_complete else 0
+        for reached in range(max(self.in_force_since, default=0) + 1, number + 1):
+            self.in_force_since[reached] = self.now
+        if self.mode != "steps" or not self.is_started:
             return
-        rows = self.rows()
+        rows = self.service_statistics()
         reports = {
             self.names[n]: FrontReport(
-                self.names[n], 1, k[0], "", False, SPAN * 1000, service_statistics=() if i else rows
+                self.names[n],
+                1,
+                lease[0],
+                "",
+                False,
+                REPORT_SPAN_S * 1000,
+                service_statistics=() if i else rows,
             )
-            for i, (n, k) in enumerate(known.items())
+            for i, (n, lease) in enumerate(known.items())
         }
-        ages = {n: self.now - at for n, at in self.force.items() if n <= number}
+        ages = {n: self.now - at for n, at in self.in_force_since.items() if n <= number}
         seen = Observations(
-            self.now, tuple(self.names), reports, whole, number, self.now - self.force.get(number, self.now),
-            self.machines, (), "", True, {}, ages,
-            self.now - max(self.agreed_at, self.leads_from),
+            self.now, tuple(self.names), reports, is_view_complete, number,
+            self.now - self.in_force_since.get(number, self.now), self.machines, (), "", True, {}, ages,
+            self.now - max(self.version_agreed_at, self.leader_ready_at),
         )  # fmt: skip
         change = advance(self.version, self.policy, seen)
         if change is None:
             return
         before = self.version.migrations[-1].step if self.version.migrations else None
-        self.agree(apply_changes(self.version, 1, (change,)))
+        self.commit_version(apply_changes(self.version, 1, (change,)))
         step = self.version.migrations[-1].step
         if step is MigrationStep.COMPLETED:
-            self.done_at = self.now
-        if step is self.kill_at and step is not before:  # agreed, told to nobody yet
-            self.leads_from, self.kill_at = self.now + self.random.randrange(*ELECTION), None
-            self.known, self.force = {}, {}
+            self.completed_at = self.now
+        if step is self.kill_leader_at and step is not before:  # committed, but not yet sent to any front
+            self.leader_ready_at, self.kill_leader_at = (
+                self.now + self.random.randrange(*ELECTION_TIME_RANGE),
+                None,
+            )
+            self.lease_by_front, self.in_force_since = {}, {}
 
-    def rows(self) -> tuple[ServiceStatistics, ...]:
+    def service_statistics(self) -> tuple[ServiceStatistics, ...]:
         total: Counter[tuple[str, str, str]] = Counter()
-        for counts in list(self.counts)[:-1]:
+        for counts in list(self.counts_by_second)[:-1]:
             total.update(counts)
         return tuple(
             ServiceStatistics(t, s, total[t, s, "asked"], total[t, s, "asked"], total[t, s, "in time"],
@@ -211,47 +249,51 @@
         )  # fmt: skip
 
     def request(self) -> None:
-        chance, n = self.random, self.random.randrange(len(self.fronts))
-        front, moved = self.fronts[n], self.random.random() < 0.25
-        key = bisect(self.weights, chance.random() * self.weights[-1]) + 10_000 * moved
-        is_unsafe = chance.random() < KEYED_PART
-        repeat = is_unsafe and chance.random() < 0.05
+        rng, n = self.random, self.random.randrange(len(self.fronts))
+        front, is_tenant = self.fronts[n], self.random.random() < 0.25
+        key = bisect(self.weights, rng.random() * self.weights[-1]) + 10_000 * is_tenant
+        is_unsafe = rng.random() < UNSAFE_SHARE
+        repeat = is_unsafe and rng.random() < 0.05
         home, closed = (
-            "north" if moved and front.move and front.move.step is MigrationStep.COMPLETED else "",
+            "north"
+            if is_tenant and front.migration and front.migration.step is MigrationStep.COMPLETED
+            else "",
             False,
         )
-        if moved and front.move is not None and front.move.is_active:
+        if is_tenant and front.migration is not None and front.migration.is_active:
             home, closed = place_request(
-                front.move, slot_of_key(key), not is_unsafe, repeat, self.now >= front.until
+                front.migration, slot_of_key(key), not is_unsafe, repeat, self.now >= front.lease_until
             )
         in_time = hit = fill = False
         if closed:
-            self.repeats += repeat
-            if not repeat and front.refused_from < 0:
-                front.refused_from = self.now
+            self.refused_retries += repeat
+            if not repeat and front.refused_since < 0:
+                front.refused_since = self.now
         else:
-            if moved and is_unsafe and front.refused_from >= 0:
-                self.gaps.append((self.now - front.refused_from) / MS)
-                front.refused_from = -1
-            hit = is_unsafe or self.copies[home == "north"].get(key, 0) > self.now
+            if is_tenant and is_unsafe and front.refused_since >= 0:
+                self.gaps.append((self.now - front.refused_since) / MS)
+                front.refused_since = -1
+            hit = is_unsafe or self.expiry_by_key[home == "north"].get(key, 0) > self.now
             fill = not hit
-            in_time = hit or self.fill(home, key)
-        self.sums["acme" if moved else "other"] += 1
-        self.sums["acme in time" if moved else "other in time"] += in_time
-        counts = self.counts[-1]
-        told = (("asked", 1), ("in time", in_time), ("refused", closed), ("hits", hit), ("fills", fill))
-        for what, value in told:
+            in_time = hit or self.fetch_copy(home, key)
+        self.totals["acme" if is_tenant else "other"] += 1
+        self.totals["acme in time" if is_tenant else "other in time"] += in_time
+        counts = self.counts_by_second[-1]
+        increments = (("asked", 1), ("in time", in_time), ("refused", closed), ("hits", hit), ("fills", fill))
+        for what, value in increments:
             counts["", "", what] += value
-            if moved:
+            if is_tenant:
                 counts["acme", home or DEFAULT_SHARD_NAME, what] += value
 
-    def fill(self, home: str, key: int) -> bool:
-        """Whether it comes in time through the link that all fills share; a fill past it is given up."""
-        self.fills_by_second[-1] += 1
-        start = max(self.busy_until, float(self.now))
-        each = SECOND / self.link if self.link else 0.0
-        if start - self.now > 2 * ON_TIME:
+    def fetch_copy(self, home: str, key: int) -> bool:
+        """Queue a fetch on the shared link; return whether it is in time. Far too late, it is dropped."""
+        self.fetches_by_second[-1] += 1
+        start = max(self.link_busy_until, float(self.now))
+        each = SECOND / self.link_rate if self.link_rate else 0.0
+        if start - self.now > 2 * MAX_LATENCY:
             return False
-        self.busy_until = start + each
-        self.copies[home == "north"][key] = self.now + self.random.randrange(LASTS // 2, 3 * LASTS // 2)
-        return start + each + FILL - self.now <= ON_TIME
+        self.link_busy_until = start + each
+        self.expiry_by_key[home == "north"][key] = self.now + self.random.randrange(
+            COPY_LIFETIME // 2, 3 * COPY_LIFETIME // 2
+        )
+        return start + each + FETCH_TIME - self.now <= MAX_LATENCY
--- a/quincepier/lab/recovery_metrics.py
+++ b/quincepier/lab/recovery_metrics.py
@@ -129,8 +129,8 @@
     def time_to_full_service(self, end: int) -> float | None:
         """Return the seconds from the last return until service is full, or None.
 
-        Service is full once the served share of worth is at least 0.97 of the baseline's for 3 s. None if it is
-        not full by `end` or no front returned.
+        Service is full once the served share of worth is at least 0.97 of the baseline's for 3 s. None if
+        it is not full by `end` or no front returned.
         """
         usual = self.usual_service()
         if usual is None or self.last_return is None:
--- a/quincepier/lab/scripted_cache.py
+++ b/quincepier/lab/scripted_cache.py
@@ -50,7 +50,7 @@
 
 
 @dataclass
-class Door:
+class ScriptedEndpoint:
     """One address of the machine."""
 
     kind: str  # "ipv4", "ipv6" or "unix"
@@ -66,7 +66,7 @@
 
     def __init__(self, folder: Path, kinds: tuple[str, ...] = ("ipv4", "ipv6", "unix")) -> None:
         self.folder, self.kinds = folder, kinds
-        self.endpoint_by_kind: dict[str, Door] = {}
+        self.endpoint_by_kind: dict[str, ScriptedEndpoint] = {}
         self.received_count_by_id: Counter[str] = Counter()
         self.started_count_by_id: Counter[str] = Counter()  # commands of which at least a line was read
         self.cancelled: list[str] = []
@@ -77,7 +77,7 @@
     async def start(self) -> None:
         for kind in self.kinds:
             sock, text = self._listen(kind)
-            self.endpoint_by_kind[kind] = Door(kind, text, listener=sock)
+            self.endpoint_by_kind[kind] = ScriptedEndpoint(kind, text, listener=sock)
             self._spawn(self._accept(self.endpoint_by_kind[kind], sock))
 
     def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
@@ -111,7 +111,7 @@
             door.listener, _ = self._listen(kind, door.address)
             self._spawn(self._accept(door, door.listener))
 
-    def _close_listener(self, door: Door) -> None:
+    def _close_listener(self, door: ScriptedEndpoint) -> None:
         if door.listener is not None:
             asyncio.get_running_loop().remove_reader(door.listener)
             door.listener.close()
@@ -123,7 +123,7 @@
             filler.close()
         door.fillers.clear()
 
-    def _fill_backlog(self, door: Door) -> None:
+    def _fill_backlog(self, door: ScriptedEndpoint) -> None:
         """Take the places of the backlog: whoever comes then is neither accepted nor refused."""
         assert door.listener is not None
         for _ in range(4):
@@ -138,7 +138,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _accept(self, door: Door, sock: socket.socket) -> None:
+    async def _accept(self, door: ScriptedEndpoint, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         while door.listener is sock:
             ready = loop.create_future()
@@ -171,7 +171,7 @@
         self.open_sockets.discard(peer)
         peer.close()
 
-    async def _serve(self, door: Door, peer: socket.socket, script: Script) -> None:
+    async def _serve(self, door: ScriptedEndpoint, peer: socket.socket, script: Script) -> None:
         loop, rst = asyncio.get_running_loop(), script.rst
         drops = script.moment if script.times > 0 else Moment.NEVER
         buffer = b""
--- a/tests/test_maintenance_model.py
+++ b/tests/test_maintenance_model.py
@@ -9,7 +9,7 @@
 import pytest
 
 from quincepier.lab.maintenance_simulation import MS, SECOND, Faults
-from quincepier.lab.maintenance_simulation import Fleet as SimulatedFleet
+from quincepier.lab.maintenance_simulation import MaintenanceSimulation as SimulatedFleet
 from quincepier.maintenance import UnavailableLimits, disruption_budget, draining, planner, task_progress
 from quincepier.rules import MaintenanceStep, lease_holder, lease_table, lease_timings
 from tests import maintenancekit as kit
--- a/tests/test_tenancy_model.py
+++ b/tests/test_tenancy_model.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from quincepier.lab.migration_simulation import Fleet
+from quincepier.lab.migration_simulation import MigrationSimulation
 from quincepier.rules import (
     Migration,
     MigrationStep,
@@ -97,5 +97,5 @@
 
 
 def test_a_simulated_migration_starts_rejects_no_first_attempt_and_is_reproducible() -> None:
-    one, two = (Fleet(5, 3, "steps").run(rate=100, warm=90, lasts=40) for _ in range(2))
-    assert one == two and one.step in ("RAMPING_UP", "VERIFYING") and one.gaps == []
+    one, two = (MigrationSimulation(5, 3, "steps").run(rate=100, warm=90, lasts=40) for _ in range(2))
+    assert one == two and one.step in ("RAMPING_UP", "VERIFYING") and one.gaps_ms == []
