--- a/quincepier/lab/command.py
+++ b/quincepier/lab/command.py
@@ -1,4 +1,4 @@
-"""The sub-commands of `lab`."""
+"""The subcommands of `lab`."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from quincepier.config import SettingsError
 from quincepier.lab.compare import Verdict, compare
 from quincepier.lab.experiment import load
-from quincepier.lab.runs import Run, StoredRuns, keep, play_all, read_kept
+from quincepier.lab.runs import Run, StoredRuns, play_all, read_runs, write_runs
 from quincepier.lab.tally import Figures
 
-# What is compared: the figure's name, and whether more of it is better.
-COMPARED = {
+# The compared figures, and whether a greater value is better.
+MORE_IS_BETTER_BY_FIGURE = {
     "worth": True,
     "worst_second": True,
     "refused": False,
@@ -30,9 +30,13 @@
 
 
 def run(chosen: Mapping[str, Any]) -> int:
-    """The exit code: 0 done, 1 where a rule broke, 2 for a file that can't be used, 3 for a void run."""
+    """Run a subcommand.
+
+    Returns:
+        The exit code: 0 success, 1 a rule was broken, 2 an unusable file, 3 a void run.
+    """
     out = Console()
-    if not out.is_terminal:  # into a file: wide enough for every column
+    if not out.is_terminal:  # output to a file: wide enough for all columns
         out = Console(width=WIDTH)
     try:
         if chosen["run"]:
@@ -58,7 +62,7 @@
     return [run.variant, str(run.seed), *worths, *map(str, counts), *times, broken]
 
 
-def _run(path: str, to: str | None, processes: int, out: Console) -> int:
+def _run(path: str, output_path: str | None, processes: int, out: Console) -> int:
     table = Table("variant", "seed", "worth", "worst second", "served", "late", "refused", "failed", "fills",
                   "fetches", "p50 ms", "p99 ms", "rules broken")  # fmt: skip
     runs: list[Run] = []
@@ -67,47 +71,56 @@
         runs.append(run)
         table.add_row(*_row(run))
 
-    kept = play_all(path, processes, done)
+    stored_runs = play_all(path, processes, done)
     out.print(table)
     for run in runs:
         for line in run.figures.first_broken:
             out.print(f"{run.variant}, seed {run.seed}: {line}", highlight=False)
-    if to is not None:
-        keep(kept, to)
-        out.print(f"kept in {to}")
-    first, *others = kept.variants
+    if output_path is not None:
+        write_runs(stored_runs, output_path)
+        out.print(f"kept in {output_path}")
+    first, *others = stored_runs.variants
     for other in others:
-        out.print(_differences(first, kept.of(first), other, kept.of(other)))
+        out.print(_differences(first, stored_runs.of(first), other, stored_runs.of(other)))
     return 1 if any(run.figures.broken for run in runs) else 0
 
 
 def _differences(name: str, first: Mapping[int, Figures], other: str, second: Mapping[int, Figures]) -> Table:
     columns = "figure", name, other, "difference", "95 in 100 between", "verdict"
     table = Table(*columns, title=f"{other} over {name}")
-    for figure, more in COMPARED.items():
+    for figure, more_is_better in MORE_IS_BETTER_BY_FIGURE.items():
         one, two = ({s: float(getattr(f, figure)) for s, f in side.items()} for side in (first, second))
-        d = compare(one, two, more)
-        verdict = f"[{STYLE[d.verdict]}]{d.verdict.value}[/]"
-        between = f"{d.low:+.4g} to {d.high:+.4g}"
-        table.add_row(figure, f"{d.first:.4g}", f"{d.second:.4g}", f"{d.mean:+.4g}", between, verdict)
+        difference = compare(one, two, more_is_better)
+        verdict = f"[{STYLE[difference.verdict]}]{difference.verdict.value}[/]"
+        between = f"{difference.low:+.4g} to {difference.high:+.4g}"
+        table.add_row(
+            figure,
+            f"{difference.first:.4g}",
+            f"{difference.second:.4g}",
+            f"{difference.mean:+.4g}",
+            between,
+            verdict,
+        )
     return table
 
 
-def _side(name: str, kept: StoredRuns) -> tuple[str, dict[int, Figures]]:
-    variant = name if name in kept.variants else kept.variants[0]
-    return variant, kept.of(variant)
+def _side(name: str, stored_runs: StoredRuns) -> tuple[str, dict[int, Figures]]:
+    variant = name if name in stored_runs.variants else stored_runs.variants[0]
+    return variant, stored_runs.of(variant)
 
 
 def _compare(a: str, b: str, runs: str | None, out: Console) -> int:
     """Two variants of one file of runs, or the first variants of two files."""
     if runs is not None:
-        kept = read_kept(runs)
+        stored_runs = read_runs(runs)
         for name in (a, b):
-            if name not in kept.variants:
-                raise ValueError(f"{runs} has no variant {name!r}; there are {', '.join(kept.variants)}")
-        out.print(_differences(a, kept.of(a), b, kept.of(b)))
+            if name not in stored_runs.variants:
+                raise ValueError(
+                    f"{runs} has no variant {name!r}; there are {', '.join(stored_runs.variants)}"
+                )
+        out.print(_differences(a, stored_runs.of(a), b, stored_runs.of(b)))
         return 0
-    (one, first), (other, second) = _side("", read_kept(a)), _side("", read_kept(b))
+    (one, first), (other, second) = _side("", read_runs(a)), _side("", read_runs(b))
     out.print(_differences(f"{Path(a).name}: {one}", first, f"{Path(b).name}: {other}", second))
     return 0
 
@@ -115,7 +128,13 @@
 def _list(folder: str, out: Console) -> int:
     table = Table("file", "experiment", "seeds", "variants", "what it shows")
     for path in sorted(Path(folder).glob("*.yaml")):
-        e = load(str(path))
-        table.add_row(str(path), e.name, str(len(e.seeds)), ", ".join(v.name for v in e.variants), e.says)
+        experiment = load(str(path))
+        table.add_row(
+            str(path),
+            experiment.name,
+            str(len(experiment.seeds)),
+            ", ".join(v.name for v in experiment.variants),
+            experiment.says,
+        )
     out.print(table)
     return 0
--- a/quincepier/lab/compare.py
+++ b/quincepier/lab/compare.py
@@ -1,4 +1,4 @@
-"""Two sets of runs, paired by seed: the mean difference, an interval by bootstrap, a verdict in words."""
+"""Compares two sets of runs paired by seed: mean difference, bootstrap interval and verdict."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 
 import msgspec
 
-RESAMPLES, LEVEL = 4000, 0.95
-PAIRS_LEAST = 3  # fewer tell nothing apart
+RESAMPLE_COUNT, CONFIDENCE_LEVEL = 4000, 0.95
+MIN_PAIRS = 3  # fewer pairs give no verdict
 
 
 class Verdict(Enum):
+    """Whether the second set of runs is better than the first."""
+
     BETTER = "better"
     WORSE = "worse"
     SAME = "not told apart"
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """Of the second over the first; `low` and `high` bound the mean difference."""
+    """Difference of the second set to the first; `low` and `high` are the confidence interval of the mean."""
 
     pairs: int
     first: float
@@ -31,25 +33,29 @@
     verdict: Verdict
 
 
-def interval(values: list[float], seed: int = 1) -> tuple[float, float]:
-    """Percentile bootstrap of the mean (Efron and Tibshirani, 1993, chapter 13), seeded."""
-    chance, count = random.Random(seed), len(values)
-    means = sorted(fmean(chance.choices(values, k=count)) for _ in range(RESAMPLES))
-    cut = int((1 - LEVEL) / 2 * RESAMPLES)
-    return means[cut], means[-cut - 1]
+def bootstrap_interval(values: list[float], seed: int = 1) -> tuple[float, float]:
+    """Return a seeded percentile-bootstrap interval of the mean (Efron and Tibshirani, 1993, chapter 13)."""
+    rng, count = random.Random(seed), len(values)
+    means = sorted(fmean(rng.choices(values, k=count)) for _ in range(RESAMPLE_COUNT))
+    tail_count = int((1 - CONFIDENCE_LEVEL) / 2 * RESAMPLE_COUNT)
+    return means[tail_count], means[-tail_count - 1]
 
 
 def compare(
     first: Mapping[int, float], second: Mapping[int, float], more_is_better: bool = True
 ) -> Difference:
-    """Figures by seed. Seeds that only one side has are passed over; ValueError where none is in both."""
+    """Compare two sets of figures by seed; seeds that only one set has are ignored.
+
+    Raises:
+        ValueError: If no seed is in both sets.
+    """
     seeds = sorted(first.keys() & second.keys())
     if not seeds:
         raise ValueError("no seed is in both")
     differences = [second[s] - first[s] for s in seeds]
-    low, high = interval(differences)
+    low, high = bootstrap_interval(differences)
     verdict = Verdict.SAME
-    if len(seeds) >= PAIRS_LEAST and (low > 0 or high < 0):
+    if len(seeds) >= MIN_PAIRS and (low > 0 or high < 0):
         verdict = Verdict.BETTER if (low > 0) == more_is_better else Verdict.WORSE
     means = fmean(first[s] for s in seeds), fmean(second[s] for s in seeds)
     return Difference(len(seeds), *means, fmean(differences), low, high, verdict)
--- a/quincepier/lab/consistency_simulation.py
+++ b/quincepier/lab/consistency_simulation.py
@@ -1,6 +1,7 @@
-"""Consistency checkers of many fronts in virtual time, with message loss, restarts, partitions and rollouts.
+"""Simulation of many fronts' consistency checkers in virtual time.
 
-The same seed gives the same run. Nothing here decides for a front.
+Includes message loss, restarts, partitions and rollouts. The same seed gives the same run. Nothing here makes
+decisions for a front.
 """
 
 from __future__ import annotations
@@ -34,8 +35,8 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-MAX_LATENCY_NS = 2 * MS  # of a message
-SLICE_INTERVAL_NS = 5 * MS  # from one slice of a front's work to the next
+MAX_LATENCY_NS = 2 * MS  # greatest latency of a message
+SLICE_INTERVAL_NS = 5 * MS  # between two slices of a front's work
 ORIGIN_NUMBER = 999
 
 
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class PublishedState:
-    """What all fronts should decide by; each adopts it after its own delay."""
+    """The published inputs of decisions; each front adopts them after its own delay."""
 
     rule_version: RuleVersion
     endpoints: tuple[ListedEndpoint, ...]
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportedFinding:
-    """A finding, when it was reported and by which collector."""
+    """A finding with the time of its report and the reporting collector."""
 
     at_ns: int
     collector: str
@@ -71,7 +72,7 @@
 
 
 class SimulatedFront:
-    """One front: its checker, and the attributes by which tests plant a fault in it."""
+    """A front with its checker; tests inject faults by its attributes."""
 
     def __init__(self, fleet: SimulatedFleet, name: str) -> None:
         self.name = name
@@ -82,12 +83,12 @@
         self.settings = fleet.settings
         self.corrupt: Callable[[DecisionInputs], DecisionInputs] = lambda inputs: inputs
         self.ranking_cache: RankingCache = lambda zone, key_hash: None
-        self.list_delay_ns = 0  # beyond the usual, until a list is adopted
+        self.list_delay_ns = 0  # additional delay until an endpoint list is adopted
         self._fleet = fleet
         self._starts = 0
 
     def start(self) -> None:
-        """Start anew with the published state."""
+        """Start or restart with the published state."""
         fleet = self._fleet
         self._starts += 1
         self.is_alive = True
@@ -109,16 +110,16 @@
         self._tick(self._starts)
 
     def adopt(self, inputs: DecisionInputs) -> None:
-        """Decide by these inputs from now on, as far as no fault corrupts them."""
+        """Use these inputs from now on, as changed by a fault that corrupts them."""
         self.inputs = inputs
         self.checker.on_inputs_changed(self.corrupt(inputs))
 
     def update_view(self) -> None:
-        """Tell the checker which members and which leader this front sees."""
+        """Report the visible members and leader to the checker."""
         self.checker.on_view_changed(self._fleet.visible_members(self), self._fleet.visible_leader(self))
 
     def on_message(self, sender: str, raw: bytes) -> None:
-        """Handle a message that arrives."""
+        """Handle a received message."""
         if self.is_alive:
             self._perform(self.checker.on_message, self._fleet.now_ns, sender, raw)
             self._continue_work(self._starts)
@@ -131,7 +132,7 @@
             self._fleet.schedule(delay_ns, self._tick, start)
 
     def _continue_work(self, start: int) -> None:
-        """One slice after another, while one is due."""
+        """Run slices of work while one is due."""
         now_ns = self._fleet.now_ns
         if self.is_alive and start == self._starts and self.checker.next_tick_ns <= now_ns:
             self._perform(self.checker.on_tick, now_ns)
@@ -150,7 +151,7 @@
 
 
 class SimulatedFleet:
-    """A number of fronts, of which the first leads."""
+    """A number of fronts with their network and virtual time; the first front leads."""
 
     def __init__(
         self,
@@ -163,7 +164,7 @@
         loss_probability: float = 0.0,
         measures_cpu: bool = False,
     ) -> None:
-        """Make the fleet; `measures_cpu` counts CPU time by front, the one figure that no seed repeats."""
+        """Make the fleet; `measures_cpu` counts CPU time by front, which is not reproducible."""
         self.now_ns = SECOND
         self.random = random.Random(seed)
         self.settings = settings
@@ -179,17 +180,17 @@
         self.leader = "f0"
         self.max_jitter_ns = 0  # added to the latency of each message, evenly distributed
         self._loss_probability = loss_probability
-        self._isolated: frozenset[str] = frozenset()  # partitioned off from the others
+        self._isolated: frozenset[str] = frozenset()  # fronts that are partitioned from the others
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []  # a heap, by time
         self._scheduled = 0
 
     def schedule(self, delay_ns: int, handler: Callable[..., None], *arguments: Any) -> None:
-        """Call a handler after a delay; handlers of one moment are called in order of scheduling."""
+        """Call a handler after a delay; handlers due at the same time run in the order of scheduling."""
         self._scheduled += 1
         heapq.heappush(self._events, (self.now_ns + delay_ns, self._scheduled, handler, arguments))
 
     def run(self, duration_ns: int) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time."""
         until_ns = self.now_ns + duration_ns
         while self._events and self._events[0][0] <= until_ns:
             self.now_ns, _, handler, arguments = heapq.heappop(self._events)
@@ -203,16 +204,16 @@
         self._update_views()
 
     def visible_members(self, front: SimulatedFront) -> list[str]:
-        """The living fronts on the same side of a partition."""
+        """Return the running fronts on the same side of a partition."""
         side = front.name in self._isolated
         return [f.name for f in self.fronts if f.is_alive and (f.name in self._isolated) == side]
 
     def visible_leader(self, front: SimulatedFront) -> str:
-        """The leader where it is on the same side of a partition; else empty."""
+        """Return the leader if it is on the same side of a partition, else an empty string."""
         return self.leader if (self.leader in self._isolated) == (front.name in self._isolated) else ""
 
     def send(self, sender: SimulatedFront, to: str, data: bytes) -> None:
-        """Deliver a message after its latency, unless it is lost or partitioned off."""
+        """Deliver a message after its latency, unless it is lost or blocked by a partition."""
         self.bytes_sent[sender.name] += len(data)
         is_cut = (sender.name in self._isolated) != (to in self._isolated)
         if is_cut or self.random.random() < self._loss_probability:
@@ -230,7 +231,7 @@
             self.schedule(delay_ns, self._adopt_version, front, self.published.rule_version)
 
     def publish_list(self, spread_ns: int, endpoints: tuple[ListedEndpoint, ...]) -> None:
-        """Publish the next endpoint list, which each front hears within `spread_ns`."""
+        """Publish the next endpoint list, which each front adopts within `spread_ns`."""
         self.published.endpoints = endpoints
         self.published.list_revision += 1
         for front in self.fronts:
@@ -238,18 +239,18 @@
             self.schedule(delay_ns, self._adopt_list, front, endpoints, self.published.list_revision)
 
     def partition(self, names: frozenset[str]) -> None:
-        """Cut these fronts off from the others; an empty set heals."""
+        """Partition these fronts from the others; an empty set ends the partition."""
         self._isolated = names
         self._update_views()
 
     def restart(self, front: SimulatedFront, downtime_ns: int) -> None:
-        """Kill a front and start it anew."""
+        """Kill a front and restart it after `downtime_ns`."""
         front.is_alive = False
         self._update_views()
         self.schedule(downtime_ns, self._start_again, front)
 
     def divergence_findings(self) -> list[Finding]:
-        """The findings that are more than the lag of a rollout."""
+        """Return the findings that the lag of a rollout does not explain."""
         return [r.finding for r in self.findings if r.finding.kind not in LAGGING_KINDS]
 
     def _update_views(self) -> None:
@@ -276,12 +277,12 @@
 
 
 def arithmetic_with_other_seed() -> Arithmetic:
-    """A hash function that starts from another seed."""
+    """Return arithmetic whose hash function uses another seed."""
     return Arithmetic(lambda *numbers: mix(1, *numbers), STANDARD_ARITHMETIC.score)
 
 
 def arithmetic_with_other_float_order() -> Arithmetic:
-    """The same score in another order of operations (ln u as a difference), so that last bits differ."""
+    """Return arithmetic that computes the score in another order (ln u as a difference): last bits differ."""
     return Arithmetic(
         mix, lambda hash_value, weight: (64 * math.log(2) - math.log(hash_value + 1)) * (1 / weight)
     )
--- a/quincepier/lab/model_events.py
+++ b/quincepier/lab/model_events.py
@@ -1,4 +1,4 @@
-"""What may happen in a run of the model checker, and how often."""
+"""Events of the model checker and the budget that limits them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Budget:
-    """How often each may happen in one run."""
+    """How often each kind of event may happen in one run."""
 
     timeouts: int = 2
     heartbeats: int = 1
@@ -22,7 +22,7 @@
 
 
 class EventKind(IntEnum):
-    """What may happen at one voter."""
+    """Kinds of events at one voter."""
 
     COMPLETE_WRITE = 0
     TIMEOUT = 1
@@ -33,7 +33,7 @@
 
 
 class Event(NamedTuple):
-    """Something that happens at one voter; `message` is the number of the one that is delivered."""
+    """An event at one voter; `message` is the number of the delivered message, `data` the proposed entry."""
 
     kind: EventKind
     message: int = -1
@@ -41,7 +41,7 @@
 
 
 def possible_events(process: VoterProcess, budget: Budget) -> list[tuple[Event, Budget]]:
-    """Return what may happen at a voter besides deliveries, with the budget that is left then."""
+    """Return the possible events at a voter, except deliveries, each with the remaining budget."""
     events = list[tuple[Event, Budget]]()
     is_leader = process.state.is_leader
     if process.pending_writes:
--- a/quincepier/lab/powercut.py
+++ b/quincepier/lab/powercut.py
@@ -1,4 +1,4 @@
-"""A simulated disk whose power fails at a chosen system call, and what may be found on it afterwards."""
+"""A simulated disk whose power fails at a chosen system call, and its possible contents afterwards."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from quincepier.state import FileSystem
 
-MAX_WRITE_BYTES = 60  # few a call, so that one record takes many calls
+MAX_WRITE_BYTES = 60  # small, so that one record takes many calls
 
 
 class PowerCutError(Exception):
@@ -19,7 +19,7 @@
 
 
 class UnsyncedWrites(Enum):
-    """What a power cut may leave of writes that were not synced."""
+    """Possible outcomes of a power cut for unsynced writes."""
 
     LOST = "none"
     COMPLETE = "all"
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NameChange:
-    """A change of the folder that is not yet synced; `old_name` is empty for a new file."""
+    """An unsynced change of the folder; `old_name` is empty for a new file."""
 
     old_name: str
     inode: int
@@ -37,7 +37,7 @@
 
 
 class PowerCutDisk(FileSystem):
-    """A disk on which only what was synced is durable.
+    """A disk on which only synced data is durable.
 
     Attributes:
         calls_left: System calls until the power fails; None for never.
@@ -115,7 +115,7 @@
         self.unsynced_changes = []
 
     def states_after_cut(self, chance: random.Random) -> Iterator[PowerCutDisk]:
-        """Yield the disks that may be found: any set of the unsynced changes, each outcome of the writes."""
+        """Yield the possible disks: each subset of the unsynced changes with each outcome of the writes."""
         for count in range(len(self.unsynced_changes) + 1):
             for changes in itertools.combinations(self.unsynced_changes, count):
                 names = self._names_with(changes)
--- a/quincepier/lab/raft_model_checker.py
+++ b/quincepier/lab/raft_model_checker.py
@@ -1,9 +1,9 @@
 """Model checker for three Raft voters: every order of messages, timeouts, writes and faults within a budget.
 
-Messages may be delivered never, late, in any order and, within the budget, twice. Time stands still and
-nobody waits for a leader (the shortest election timeout is 0), so what holds here holds without clocks;
-leases are covered by `raft_simulation`. Each write of a voter is a step of its own; a crash loses those that
-are not done. The real `Raft` is what is checked.
+Messages may be lost, delayed, reordered and, within the budget, duplicated. Time does not advance and the
+shortest election timeout is 0, so the properties are checked without relying on clocks; leases are covered
+by `raft_simulation`. Each write of a voter is a separate step, and a crash loses pending writes. The checked
+code is the real `Raft`.
 """
 
 from __future__ import annotations
@@ -30,19 +30,19 @@
 )
 from quincepier.state.voter_records import apply_records
 
-WALK_PATIENCE = (0.5, 0.8, 0.95)  # chances to do what costs no budget first
+WALK_PATIENCE = (0.5, 0.8, 0.95)  # probability of choosing an event that costs no budget, where there is one
 _decode_message = msgspec.msgpack.Decoder(Message).decode
 
 
 class TermLeader(NamedTuple):
-    """Who led a term."""
+    """The leader of a term."""
 
     term: int
     identity: str
 
 
 class CommittedEntry(NamedTuple):
-    """An entry, and the term in which it was committed."""
+    """A committed entry and the term in which it was committed."""
 
     term: int
     data: bytes
@@ -54,10 +54,10 @@
 
     Attributes:
         voters: Number of each voter's state.
-        messages: The messages on the network, as bits.
-        budget: What may still happen.
-        leaders: All that ever led.
-        committed: All entries that were ever committed.
+        messages: Messages on the network, as a bit set of their numbers.
+        budget: Remaining budget of events.
+        leaders: All leaders so far.
+        committed: All entries that were committed so far.
     """
 
     voters: tuple[int, ...]
@@ -68,16 +68,16 @@
 
 
 class SentMessage(NamedTuple):
-    """A message that some voter ever sent."""
+    """A message that a voter sent in some state."""
 
-    receiver: int  # place of the voter
+    receiver: int  # index in NAMES
     term: int
     sender: str
     raw: bytes
 
 
 class StepResult(NamedTuple):
-    """What an event does at a voter: the number of its next state, and the messages sent, as bits."""
+    """Result of an event at a voter: the number of its next state and the sent messages, as a bit set."""
 
     voter: int
     sent: int
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class ExplorationResult:
-    """How many states were seen, how many steps away at most, and whether these were all."""
+    """Number of visited states, the greatest depth, and whether all states were visited."""
 
     states: int = 0
     depth: int = 0
@@ -95,13 +95,13 @@
 class ModelChecker:
     """Explores the states of three voters.
 
-    States of voters and messages are numbered, and what an event does at a voter is computed once: this keeps
-    a state of the cluster small.
+    States of voters and messages are numbered, and the result of an event at a voter is computed once. This
+    keeps a state of the cluster small.
 
     Args:
-        budget: What may happen.
-        terms_by_name: Terms of the entries that each voter has on disk at the begin.
-        term: The term that all voters are in at the begin, at least.
+        budget: How many events of each kind may happen.
+        terms_by_name: Terms of the entries that each voter initially has on disk.
+        term: Least initial term of the voters.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
         self._initial = ClusterState(voters, 0, budget, (), ())
 
     def explore(self, max_states: int = 1 << 30) -> ExplorationResult:
-        """Visit all states that follow from the first, each once, depth first.
+        """Visit all reachable states once, depth first.
 
         Raises:
             SafetyViolationError: If one violates a property.
@@ -158,7 +158,7 @@
             state = self._initial
             patience = rng.choice(WALK_PATIENCE)
             while next_states := list(self._next_states(state)):
-                # the budget is not spent at once: much is to happen between
+                # prefer events that cost no budget, so that others happen between those that do
                 free = [after for after in next_states if after.budget is state.budget]
                 state = rng.choice(free if free and rng.random() < patience else next_states)
 
@@ -181,7 +181,7 @@
         return 1 << number
 
     def _outdated_messages(self, receiver: int, term: int) -> int:
-        """Return the messages, as bits, that change nothing at a receiver with that term on its disk."""
+        """Return the messages, as a bit set, that have no effect on a receiver with that term on disk."""
         bits = self._outdated.get((receiver, term))
         if bits is None:
             bits = sum(
@@ -193,7 +193,7 @@
         return bits
 
     def _apply(self, number: int, event: Event) -> StepResult:
-        """Return what an event does at a voter in the state of that number."""
+        """Return the result of an event at a voter in the state of that number."""
         result = self._results.get((number, event))
         if result is None:
             result = self._compute_result(self._processes[number], event)
@@ -227,7 +227,7 @@
             if isinstance(action, SendMessage) and action not in held_messages:
                 held_messages.append(action)
         sent = 0
-        for message in [one for one in held_messages if one.after_ticket <= persisted_ticket]:
+        for message in [held for held in held_messages if held.after_ticket <= persisted_ticket]:
             held_messages.remove(message)
             sent |= self._message_bit(message.to, name, message.data)
         after = VoterProcess(
@@ -254,12 +254,12 @@
         return raft.tick(NOW_NS)
 
     def _state_after(
-        self, state: ClusterState, place: int, event: Event, budget: Budget
+        self, state: ClusterState, voter_index: int, event: Event, budget: Budget
     ) -> ClusterState | None:
-        """Return the state after an event at one voter; None if nothing has changed."""
-        result = self._apply(state.voters[place], event)
+        """Return the state after an event at one voter; None if it changes nothing."""
+        result = self._apply(state.voters[voter_index], event)
         is_free = budget is state.budget
-        is_same_voter = result.voter == state.voters[place]
+        is_same_voter = result.voter == state.voters[voter_index]
         if is_same_voter and not result.sent & ~state.messages and is_free:
             return None
         messages = state.messages
@@ -270,7 +270,7 @@
         leaders = state.leaders
         committed = state.committed
         if not is_same_voter:
-            voters = (*voters[:place], result.voter, *voters[place + 1 :])
+            voters = (*voters[:voter_index], result.voter, *voters[voter_index + 1 :])
             process = self._processes[result.voter]
             leaders = check_leader(process, leaders, committed)
             committed = self._check_committed(process, voters, committed)
@@ -282,7 +282,7 @@
     def _check_committed(
         self, process: VoterProcess, voters: tuple[int, ...], committed: tuple[CommittedEntry, ...]
     ) -> tuple[CommittedEntry, ...]:
-        """A committed entry is in the log, never changes, and is on the disks of a quorum."""
+        """Check that a committed entry is in the log, never changes and is on the disks of a quorum."""
         state = process.state
         log_by_index = {entry.index: (entry.term, entry.data) for entry in state.log.entries}
         for index in range(state.log.snapshot_index + 1, state.commit_index + 1):
@@ -305,18 +305,18 @@
         for number in voters:
             other = self._processes[number]
             is_member = other.disk.hard_state.identity in identities
-            # a storage that was lost since may have had the entry
+            # a lost storage may have contained the entry
             disks += other.storage_losses > 0 or (is_member and is_on_disk(other.disk, index, term))
         if disks < len(identities) // 2 + 1:
             raise SafetyViolationError(f"entry {index} is committed with {disks} disks")
 
     def _next_states(self, state: ClusterState) -> Iterator[ClusterState]:
-        """Yield every state that may come next."""
-        # at the begin all voters are alike, so it does not matter which of them is first
+        """Yield every possible next state."""
+        # initially all voters are alike, so it is enough to start with one of them
         only_first = self._is_symmetric and state == self._initial
-        for place, number in enumerate(state.voters[:1] if only_first else state.voters):
+        for voter_index, number in enumerate(state.voters[:1] if only_first else state.voters):
             for event, budget in possible_events(self._processes[number], state.budget):
-                after = self._state_after(state, place, event, budget)
+                after = self._state_after(state, voter_index, event, budget)
                 if after is not None:
                     yield after
         remaining = state.messages
@@ -342,7 +342,7 @@
 def check_leader(
     process: VoterProcess, leaders: tuple[TermLeader, ...], committed: tuple[CommittedEntry, ...]
 ) -> tuple[TermLeader, ...]:
-    """A term has one leader, whose log has all entries that were committed in earlier terms."""
+    """Check that a term has one leader, and that it has all entries committed in earlier terms."""
     state = process.state
     leader = TermLeader(state.term, state.identity)
     if not state.is_leader or leader in leaders:
--- a/quincepier/lab/raft_simulation.py
+++ b/quincepier/lab/raft_simulation.py
@@ -1,7 +1,8 @@
-"""Raft voters in virtual time, on a network that loses, duplicates, reorders, delays and cuts links one way.
+"""Simulation of Raft voters in virtual time.
 
-Their disks keep only what was synced. The same seed gives the same run. Safety properties are checked as it
-goes: one leader a term, one lease at a time, one entry at an index.
+The network loses, duplicates, reorders and delays messages and blocks links in one direction. Disks keep only
+synced data. The same seed gives the same run. Safety properties are checked during the run: one leader per
+term, one lease at a time, one entry at an index.
 """
 
 from __future__ import annotations
@@ -31,16 +32,16 @@
 
 
 class SafetyViolationError(AssertionError):
-    """A property of the agreement that did not hold."""
+    """A safety or liveness property of the agreement did not hold."""
 
 
 class SimulatedVoter:
     """One voter's process and its disk.
 
     Attributes:
-        disk: What was synced; None for an empty storage folder.
+        disk: Synced state; None for an empty storage folder.
         is_alive: Whether the process runs.
-        is_paused: Whether it is stopped for a while; messages wait meanwhile.
+        is_paused: Whether the process is paused; messages are delivered when it resumes.
         is_disk_stalled: Whether writes do not complete.
         newest_committed: The newest committed entry that it reported.
     """
@@ -77,11 +78,11 @@
         self._tick(self._start_count)
 
     def kill(self) -> None:
-        """End the process; writes under way are lost."""
+        """End the process; pending writes are lost."""
         self.is_alive = False
 
     def pause(self, duration_ns: int) -> None:
-        """Stop the process for a while."""
+        """Pause the process for that time."""
         self.is_paused = True
         self.cluster.schedule(duration_ns, self._resume, self._start_count)
 
@@ -90,14 +91,14 @@
         self._perform(self.raft.propose(self.cluster.now_ns, data))
 
     def deliver(self, sender: str, raw: bytes) -> None:
-        """A message arrived."""
+        """Handle a message, or keep it until the pause ends."""
         if self.is_paused:
             self._inbox.append((sender, raw))
         elif self.is_alive:
             self._perform(self.raft.step(self.cluster.now_ns, sender, raw))
 
     def has_committed(self, data: bytes) -> bool:
-        """Whether that is the newest data that it reported as committed."""
+        """Return whether this is the newest data that the voter reported as committed."""
         return self.newest_committed is not None and self.newest_committed.data == data
 
     def _resume(self, start: int) -> None:
@@ -137,7 +138,7 @@
         cluster.check_leases(self)
 
     def _complete_write(self, start: int) -> None:
-        """The next write is on disk; later where the disk is stalled or the process is paused."""
+        """Complete the next write, or retry later if the disk is stalled or the process paused."""
         if not self.is_alive or start != self._start_count or not self._pending_writes:
             return
         if self.is_disk_stalled or self.is_paused:
@@ -190,13 +191,13 @@
         self._schedule_count = 0
 
     def schedule(self, wait_ns: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Call something later; what is due at one time is called in the order of scheduling."""
+        """Call `call` in `wait_ns`; calls due at the same time run in the order of scheduling."""
         self._schedule_count += 1
         due_ns = self.now_ns + wait_ns
         heapq.heappush(self._scheduled, (due_ns, self._schedule_count, call, arguments))
 
     def run(self, duration_ns: int) -> None:
-        """Let time pass."""
+        """Advance virtual time."""
         end_ns = self.now_ns + duration_ns
         while self._scheduled and self._scheduled[0][0] <= end_ns:
             self.now_ns, _, call, arguments = heapq.heappop(self._scheduled)
@@ -204,7 +205,7 @@
         self.now_ns = end_ns
 
     def run_until(self, holds: Callable[[], bool], timeout_ns: int = 60 * SECOND) -> int:
-        """Let time pass until a condition holds.
+        """Advance virtual time until a condition holds.
 
         Returns:
             How long it took, ns.
@@ -244,7 +245,7 @@
 
     @property
     def leader(self) -> SimulatedVoter | None:
-        """The voter that runs, leads and has its lease."""
+        """The running voter that leads and has a lease; None if there is none."""
         for voter in self.voters.values():
             is_running = voter.is_alive and not voter.is_paused
             if is_running and voter.raft.has_committed_in_term and voter.raft.lease_until_ns > self.now_ns:
@@ -252,7 +253,7 @@
         return None
 
     def check_leader(self, voter: SimulatedVoter, change: LeaderChanged) -> None:
-        """At most one voter leads a term."""
+        """Check that at most one voter leads a term."""
         if change.leader != voter.name:
             return
         known = self._leader_by_term.setdefault(change.term, voter.name)
@@ -260,7 +261,7 @@
             raise SafetyViolationError(f"two leaders of term {change.term}: {known} and {voter.name}")
 
     def check_leases(self, voter: SimulatedVoter) -> None:
-        """At most one voter has a lease."""
+        """Check that at most one voter has a lease."""
         if voter.raft.lease_until_ns <= self.now_ns:
             return
         for other in self.voters.values():
@@ -268,7 +269,7 @@
                 raise SafetyViolationError(f"{voter.name} and {other.name} have a lease at once")
 
     def check_committed(self, voter: SimulatedVoter, entry: EntryCommitted) -> None:
-        """All voters commit the same entry at an index."""
+        """Check that all voters commit the same entry at an index."""
         committed = (entry.term, entry.data)
         if self.committed_by_index.setdefault(entry.index, committed) != committed:
             raise SafetyViolationError(f"{voter.name} committed another entry {entry.index} than others")
--- a/quincepier/lab/report.py
+++ b/quincepier/lab/report.py
@@ -1,4 +1,4 @@
-"""One HTML file of a fleet's run: no fetches, plots as SVG in the page."""
+"""HTML report of a fleet's run: a single file without external resources, with plots as inline SVG."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from quincepier.lab.fleet.evidence import FleetRun
 from quincepier.lab.tally import Figures
 
-WIDE = 9.6  # inches
+FIGURE_WIDTH_INCHES = 9.6
 COLOURS = {"work at the origin": "#b3412e", "fills at parents": "#d98c2b", "dials": "#3f6fb0",
            "calls for the list": "#5a8f5a"}  # fmt: skip
 STYLE = """
@@ -39,11 +39,11 @@
     return text[text.index("<svg") :]
 
 
-def _axes(high: float, run: FleetRun, what: str) -> Axes:
-    _, axes = plt.subplots(figsize=(WIDE, high))
+def _axes(height: float, run: FleetRun, label: str) -> Axes:
+    _, axes = plt.subplots(figsize=(FIGURE_WIDTH_INCHES, height))
     axes.set_xlim(0, run.seconds)
     axes.set_xlabel("seconds")
-    axes.set_ylabel(what)
+    axes.set_ylabel(label)
     for side in ("top", "right"):
         axes.spines[side].set_visible(False)
     for at, kind in run.figures.marks:
@@ -53,7 +53,7 @@
 
 
 def _served(run: FleetRun) -> str:
-    axes = _axes(2.6, run, "served worth of what came")
+    axes = _axes(2.6, run, "served share of worth")
     seconds = run.figures.seconds
     axes.step([*range(len(seconds)), len(seconds)], [*seconds, seconds[-1]], where="post", color="#2f6f4f")
     axes.set_ylim(0, 1.04)
@@ -61,10 +61,10 @@
 
 
 def _counts(run: FleetRun) -> str:
-    axes = _axes(3.0, run, "a second")
-    for what, counts in sorted(run.series.items()):
+    axes = _axes(3.0, run, "per second")
+    for label, counts in sorted(run.series.items()):
         times = [n / 2 for n in range(len(counts))]
-        axes.plot(times, [2 * c for c in counts], label=what, color=COLOURS.get(what), lw=1.3)
+        axes.plot(times, [2 * c for c in counts], label=label, color=COLOURS.get(label), lw=1.3)
     axes.set_yscale("symlog", linthresh=10)
     axes.set_ylim(bottom=0)
     axes.legend(frameon=False, fontsize=8, loc="lower center", bbox_to_anchor=(0.5, 1.06), ncol=4)
@@ -86,11 +86,12 @@
     return "".join([*lines, "</table>"])
 
 
-def _worst(figures: Figures, what: str) -> str:
-    return f"{figures.stampede_worst[what]:.2f}" if what in figures.stampede_worst else ""
+def _worst(figures: Figures, label: str) -> str:
+    return f"{figures.stampede_worst[label]:.2f}" if label in figures.stampede_worst else ""
 
 
 def verdict(run: FleetRun) -> str:
+    """Return the result of a run in words: void, broken rules or none."""
     if run.void:
         return f"void: {run.void}"
     if run.figures.broken:
@@ -111,21 +112,21 @@
         f"{f.refused} refused, {f.failed} failed. {downs} fronts were down; time to full service after the "
         f"last came back: {full}.</p>"
     )
-    yield "<h2>Served worth by time</h2>" + _served(run)
-    yield "<h2>Fills, dials and calls by time</h2>" + _counts(run)
+    yield "<h2>Served share of worth over time</h2>" + _served(run)
+    yield "<h2>Fetches, connects and change-log calls over time</h2>" + _counts(run)
     if run.downs:
         yield "<h2>Fronts that were down</h2>" + _downs(run)
     rows = [
-        (what, f"{f.usual.get(what, 0):.1f}", f"{factor:.2f}", _worst(f, what))
-        for what, factor in f.stampede.items()
+        (label, f"{f.usual.get(label, 0):.1f}", f"{factor:.2f}", _worst(f, label))
+        for label, factor in f.stampede.items()
     ]
     if rows:
         yield "<h2>Stampede factors</h2>"
-        yield "<p>Greatest 500 ms after the first fault on fronts over the mean before any fault.</p>"
+        yield "<p>Peak rate of 500 ms after the first fault on fronts over the mean before any fault.</p>"
         yield _table(("what", "usually a second", "factor", "at the worst machine"), rows)
-    yield "<h2>Times of what was served</h2>"
+    yield "<h2>Latency of served requests</h2>"
     yield _table(("percentile", "ms"), [(p, f"{ms:.1f}") for p, ms in run.percentiles_ms.items()])
-    yield "<h2>What each part used</h2>"
+    yield "<h2>Resources used by each component</h2>"
     used = [(n, str(p.processes), f"{p.cpu_s:.1f}", f"{p.memory_mb:.0f}") for n, p in run.parts.items()]
     yield _table(("part", "processes", "CPU s", "memory MB, largest"), used)
     yield "<h2>Rules</h2>"
@@ -135,6 +136,7 @@
 
 
 def write(run: FleetRun, path: Path) -> None:
+    """Write the report of a run to a file."""
     with matplotlib.rc_context({"svg.hashsalt": "quincepier", "font.size": 9}):
         body = "\n".join(_parts(run))
     title = html.escape(f"{run.experiment}, seed {run.seed}")
--- a/quincepier/lab/voter_process.py
+++ b/quincepier/lab/voter_process.py
@@ -1,4 +1,4 @@
-"""One voter of the model checker: a process with its disk, as a value that can be copied and compared."""
+"""A voter of the model checker: a process with its disk, as a value that can be copied and compared."""
 
 from __future__ import annotations
 
@@ -40,28 +40,28 @@
 
 
 class FixedRandom:
-    """Not random: the longest timeout, and one number for all."""
+    """Deterministic stand-in for a random generator."""
 
-    def randint(self, least: int, most: int) -> int:
+    def randint(self, low: int, high: int) -> int:
         """Return the greatest value."""
-        return most
+        return high
 
     def getrandbits(self, bits: int) -> int:
-        """Return always the same."""
+        """Return a constant."""
         return 77
 
 
 @dataclass(slots=True, frozen=True)
 class VoterProcess:
-    """One voter's process and its storage; never changed, as a step makes another.
+    """One voter's process and its storage; immutable, each step creates another.
 
     Attributes:
         raft: The process.
-        disk: What is on disk.
-        pending_writes: What is not yet.
-        held_messages: Messages that wait for writes.
+        disk: Synced state.
+        pending_writes: Writes that are not complete.
+        held_messages: Messages that are sent once a write is complete.
         persisted_ticket: Ticket of the last completed write.
-        storage_losses: How often the storage was lost.
+        storage_losses: How often its storage was lost.
     """
 
     raft: Raft
@@ -77,12 +77,12 @@
         return self.raft._state
 
     def key(self) -> Hashable:
-        """Return all that the behaviour depends on; equal keys are equal states."""
+        """Return a key of everything that the behaviour depends on; states with equal keys are equal."""
         state = self.state
         progress_by_identity = state.leader_state.progress_by_identity if state.leader_state else {}
         progress = frozenset(
-            (identity, one.next_index, one.match_index, one.matched_by)
-            for identity, one in progress_by_identity.items()
+            (identity, member.next_index, member.match_index, member.matched_by)
+            for identity, member in progress_by_identity.items()
         )
         first_index = state.leader_state.first_index if state.leader_state else 0
         return (
@@ -99,7 +99,7 @@
 
 
 def copy_raft(raft: Raft) -> Raft:
-    """Return another process in the same state."""
+    """Return a copy of a process."""
     other = copy.copy(raft)
     state = copy.copy(raft._state)
     state.log = copy.copy(state.log)
@@ -114,14 +114,14 @@
     state.announcement_by_name = dict(state.announcement_by_name)
     state.leader_state = copy.deepcopy(state.leader_state)
     state.dropped = Counter()
-    # one number for all: only a response of another start can tell of what was forgotten
+    # constant: only a response to an earlier start can refer to forgotten state
     state.response_sequence = 0
     other._state = state
     return other
 
 
 def start_process(name: str, disk: VoterState | None, storage_losses: int) -> VoterProcess:
-    """Start a process; its first write is done at once, as nothing is sent before it."""
+    """Start a process and complete its first write at once, since it sends nothing before."""
     config = RaftConfig(name, NAMES, TIMEOUTS, LIMITS, pre_vote=False)
     seed = (disk.hard_state.start_count if disk else 1000 * storage_losses) + 7
     raft = Raft(config, disk, NOW_NS, seed)
@@ -142,7 +142,7 @@
 
 
 def is_on_disk(saved: VoterState, index: int, term: int) -> bool:
-    """Whether that entry is in the log or in the snapshot."""
+    """Return whether the entry is in the log or covered by the snapshot."""
     if saved.snapshot is not None and saved.snapshot.index >= index:
         return True
     return any(entry.index == index and entry.term == term for entry in saved.entries)
@@ -150,7 +150,7 @@
 
 def initial_disk(name: str, terms: tuple[int, ...], term: int) -> VoterState:
     """Return a disk with entries of these terms, in a configuration of all three voters."""
-    configuration = tuple(Member(one, one + "0") for one in NAMES)
+    configuration = tuple(Member(voter, voter + "0") for voter in NAMES)
     entries = tuple(
         LogEntry(index, entry_term, EntryKind.DATA, b"%d" % entry_term)
         for index, entry_term in enumerate(terms, 1)
