--- a/quincepier/lab/command.py
+++ b/quincepier/lab/command.py
@@ -89,8 +89,10 @@
     columns = "figure", name, other, "difference", "95 in 100 between", "verdict"
     table = Table(*columns, title=f"{other} over {name}")
     for figure, more_is_better in MORE_IS_BETTER_BY_FIGURE.items():
-        one, two = ({s: float(getattr(f, figure)) for s, f in side.items()} for side in (first, second))
-        difference = compare(one, two, more_is_better)
+        first_figures, second_figures = (
+            {s: float(getattr(f, figure)) for s, f in side.items()} for side in (first, second)
+        )
+        difference = compare(first_figures, second_figures, more_is_better)
         verdict = f"[{STYLE[difference.verdict]}]{difference.verdict.value}[/]"
         between = f"{difference.low:+.4g} to {difference.high:+.4g}"
         table.add_row(
@@ -120,8 +122,10 @@
                 )
         out.print(_differences(a, stored_runs.of(a), b, stored_runs.of(b)))
         return 0
-    (one, first), (other, second) = _side("", read_runs(a)), _side("", read_runs(b))
-    out.print(_differences(f"{Path(a).name}: {one}", first, f"{Path(b).name}: {other}", second))
+    (first_variant, first), (second_variant, second) = _side("", read_runs(a)), _side("", read_runs(b))
+    out.print(
+        _differences(f"{Path(a).name}: {first_variant}", first, f"{Path(b).name}: {second_variant}", second)
+    )
     return 0
 
 
--- a/quincepier/lab/machines.py
+++ b/quincepier/lab/machines.py
@@ -377,9 +377,9 @@
         machine.completion_check += 1
         machine.sending.clear(self.host.now)
         machine.fetch_waiters.clear()
-        out, machine.active_attempts = list(machine.active_attempts), {}
+        attempts, machine.active_attempts = list(machine.active_attempts), {}
         if state != "silent":
-            for attempt in out:
+            for attempt in attempts:
                 self.host.reply(attempt, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
 
     def restart_machine(self, machine: Machine) -> None:
--- a/quincepier/lab/maintenance_simulation.py
+++ b/quincepier/lab/maintenance_simulation.py
@@ -163,9 +163,9 @@
         while self.event_queue and self.event_queue[0][0] <= until and self.completed_at < 0:
             self.now, _, callback = heapq.heappop(self.event_queue)
             callback()
-        between = sum(
+        commands_in_maintenance = sum(
             (self.machines[host].drained_since <= at and self.machines[host].drained_since >= 0)
-            or any(begun <= at < back for begun, back in self.machines[host].maintenance_periods)
+            or any(started_at <= at < back for started_at, back in self.machines[host].maintenance_periods)
             for at, host in self.received_commands
         )
         done = self.completed_at / SECOND if self.completed_at >= 0 else -1.0
@@ -173,7 +173,7 @@
         return Outcome(
             len(self.fronts),
             done,
-            between,
+            commands_in_maintenance,
             self.max_unavailable,
             self.commands_sent,
             number,
@@ -184,17 +184,17 @@
     def schedule_faults(self) -> None:
         """Schedule partitions, pauses and restarts of random fronts other than the first leader."""
 
-        def cut(on: bool, chosen: Iterable[SimulatedFront]) -> None:
-            for front in chosen:
+        def set_partitioned(on: bool, partitioned: Iterable[SimulatedFront]) -> None:
+            for front in partitioned:
                 front.is_partitioned = on
 
         def pause(front: SimulatedFront) -> None:
             front.paused_until = self.now + 3 * SECOND
 
         others, faults = self.fronts[1:], self.faults
-        chosen = self.random.sample(others, int(len(others) * faults.partitioned_share))
-        self.schedule(3 * SECOND, cut, True, chosen)
-        self.schedule(15 * SECOND, cut, False, chosen)
+        partitioned = self.random.sample(others, int(len(others) * faults.partitioned_share))
+        self.schedule(3 * SECOND, set_partitioned, True, partitioned)
+        self.schedule(15 * SECOND, set_partitioned, False, partitioned)
         for front in self.random.sample(others, int(len(others) * faults.paused_share)):
             self.schedule(self.random.randrange(20 * SECOND), pause, front)
         for front in self.random.sample(others, faults.crashing_fronts):
@@ -260,11 +260,11 @@
         self.schedule(ONE_WAY_DELAY + self.random.randrange(self.faults.max_delay + 1), callback, *arguments)
 
     def on_lease_request(self, front: SimulatedFront, lease_request: LeaseRequest) -> None:
-        leader, ledger = self.leader, self.lease_table
-        if leader is None or ledger is None:
+        leader, lease_table = self.leader, self.lease_table
+        if leader is None or lease_table is None:
             return
         self.message_bytes += len(encode_message(lease_request))
-        grant = ledger.on_request(self.clock(leader), lease_request, 1 << 62)
+        grant = lease_table.on_request(self.clock(leader), lease_request, 1 << 62)
         if grant is not None:
             version = (
                 self.versions[grant.version_number]
@@ -308,14 +308,14 @@
         if self.agreed:
             if holder.is_awaiting_first_answer():
                 return
-            kept = cordoned_hosts(holder.version, holder.is_cautious(self.clock(front)), front.name)
+            cordoned = cordoned_hosts(holder.version, holder.is_cautious(self.clock(front)), front.name)
         else:
-            kept = front.baseline_cordoned
-        host = self.random.choice([host for host in self.machines if host not in kept])
-        lasts = self.random.choice((10, 15, 20, 30)) * MS
+            cordoned = front.baseline_cordoned
+        host = self.random.choice([host for host in self.machines if host not in cordoned])
+        duration = self.random.choice((10, 15, 20, 30)) * MS
         if self.random.random() < 0.02:
-            lasts = self.random.randrange(self.timings.max_attempt_ns)
-        front.active_attempts.append((host, self.now + ONE_WAY_DELAY + lasts))
+            duration = self.random.randrange(self.timings.max_attempt_ns)
+        front.active_attempts.append((host, self.now + ONE_WAY_DELAY + duration))
         self.commands_sent += 1
         self.received_commands.append((self.now + self.random.randrange(ONE_WAY_DELAY), host))
 
@@ -328,8 +328,8 @@
     def run_leader_turn(self) -> None:
         """Let the leader plan the next change and start its agreement."""
         self.schedule(LEADER_INTERVAL, self.run_leader_turn)
-        leader, ledger, version = self.leader, self.lease_table, self.versions[-1]
-        if leader is None or ledger is None or self.is_agreeing:
+        leader, lease_table, version = self.leader, self.lease_table, self.versions[-1]
+        if leader is None or lease_table is None or self.is_agreeing:
             return
         view = tuple(f.name for f in self.fronts if f.is_alive)
         fleet = FleetView(
@@ -345,26 +345,26 @@
             leader.name,
             recently_dead=[f.name for f in self.fronts if not f.is_alive],
         )
-        seen = ledger.observe(self.clock(leader), fleet)
-        found = plan(version, self.section, seen).change
-        if found is not None:
+        observations = lease_table.observe(self.clock(leader), fleet)
+        change = plan(version, self.section, observations).change
+        if change is not None:
             self.is_agreeing = True
-            self.schedule(AGREEMENT_TIME, self.commit_version, leader, apply_changes(version, 1, (found,)))
+            self.schedule(AGREEMENT_TIME, self.commit_version, leader, apply_changes(version, 1, (change,)))
 
     def commit_version(self, leader: SimulatedFront, version: RuleVersion) -> None:
         """Commit a version, follow its new steps, and kill the leader where the faults say so."""
         if self.leader is not leader or self.lease_table is None:
             return  # the leader was killed during the agreement
-        was = self.versions[-1]
+        previous = self.versions[-1]
         self.is_agreeing = False
         self.versions.append(version)
         self.lease_table.on_version_committed(version)
-        for order in version.maintenance_tasks:
-            before = was.task_for(order.target)
-            if before is not None and before.step == order.step:
+        for task in version.maintenance_tasks:
+            before = previous.task_for(task.target)
+            if before is not None and before.step == task.step:
                 continue
-            self.on_step_entered(order.target, order.step)
-            if order.step is self.faults.kill_leader_at and not self.was_leader_killed:
+            self.on_step_entered(task.target, task.step)
+            if task.step is self.faults.kill_leader_at and not self.was_leader_killed:
                 self.was_leader_killed, self.leader, self.lease_table, leader.is_alive = (
                     True,
                     None,
@@ -374,7 +374,7 @@
                 self.schedule(ELECTION_TIME, self.start_leader, self.fronts[1])
                 self.schedule(3 * SECOND, self.restart_front, leader)
         self.max_unavailable = max(
-            self.max_unavailable, sum(order.is_unavailable for order in version.maintenance_tasks)
+            self.max_unavailable, sum(task.is_unavailable for task in version.maintenance_tasks)
         )
         done = {o.target for o in version.maintenance_tasks if o.step is MaintenanceStep.COMPLETED}
         if len(done) == len(self.machines):
@@ -433,8 +433,8 @@
     for name in [list(SCENARIOS)[int(n)] for n in names] or SCENARIOS:
         faults = SCENARIOS[name]
         for agreed in (True, False) if faults.kill_leader_at is None else (True,):
-            begun = time.process_time()
-            found = [
+            started_at = time.process_time()
+            outcomes = [
                 MaintenanceSimulation(int(size), seed, faults, agreed=agreed).run(400 * SECOND)
                 for seed in range(1, int(seeds) + 1)
             ]
@@ -442,12 +442,12 @@
                 size,
                 name,
                 "orders" if agreed else "a tenth at once",
-                "done", [round(o.duration_s, 1) for o in found],
-                "between", [o.commands_in_maintenance for o in found],
-                "out", max(o.max_unavailable for o in found),
-                "sent", sum(o.commands_sent for o in found),
-                "versions", found[0].versions,
-                "words", found[0].message_count, "bytes", found[0].message_bytes,
-                "cpu", round(time.process_time() - begun, 1),
+                "done", [round(o.duration_s, 1) for o in outcomes],
+                "between", [o.commands_in_maintenance for o in outcomes],
+                "out", max(o.max_unavailable for o in outcomes),
+                "sent", sum(o.commands_sent for o in outcomes),
+                "versions", outcomes[0].versions,
+                "words", outcomes[0].message_count, "bytes", outcomes[0].message_bytes,
+                "cpu", round(time.process_time() - started_at, 1),
                 flush=True,
             )  # fmt: skip
--- a/quincepier/lab/migration_simulation.py
+++ b/quincepier/lab/migration_simulation.py
@@ -158,15 +158,15 @@
                 self.run_leader_turn()
                 after = LEADER_INTERVAL
             heapq.heappush(events, (self.now + after, kind, n))
-        fills, s = self.fetches_by_second, self.totals
-        usual = sum(fills[warm - 50 : warm]) / 50
+        fetches, totals = self.fetches_by_second, self.totals
+        usual = sum(fetches[warm - 50 : warm]) / 50
         peak_rate = max(
-            sum(fills[at : at + REPORT_SPAN_S]) / REPORT_SPAN_S
-            for at in range(warm, len(fills) - REPORT_SPAN_S)
+            sum(fetches[at : at + REPORT_SPAN_S]) / REPORT_SPAN_S
+            for at in range(warm, len(fetches) - REPORT_SPAN_S)
         )
         migration = self.version.migrations[-1] if self.version.migrations else None
         duration_s = (self.completed_at - begin) / SECOND if self.completed_at >= 0 else -1.0
-        worth, others = (s[f"{who} in time"] / max(s[who], 1) for who in ("acme", "other"))
+        worth, others = (totals[f"{who} in time"] / max(totals[who], 1) for who in ("acme", "other"))
         return Outcome(
             worth, others, peak_rate / usual, duration_s, migration.step.name if migration else "",
             self.gaps, self.refused_retries, migration.reason if migration else "",
@@ -204,7 +204,7 @@
             self.in_force_since[reached] = self.now
         if self.mode != "steps" or not self.is_started:
             return
-        rows = self.service_statistics()
+        statistics = self.service_statistics()
         reports = {
             self.names[n]: FrontReport(
                 self.names[n],
@@ -213,17 +213,17 @@
                 "",
                 False,
                 REPORT_SPAN_S * 1000,
-                service_statistics=() if i else rows,
+                service_statistics=() if i else statistics,
             )
             for i, (n, lease) in enumerate(known.items())
         }
         ages = {n: self.now - at for n, at in self.in_force_since.items() if n <= number}
-        seen = Observations(
+        observations = Observations(
             self.now, tuple(self.names), reports, is_view_complete, number,
             self.now - self.in_force_since.get(number, self.now), self.machines, (), "", True, {}, ages,
             self.now - max(self.version_agreed_at, self.leader_ready_at),
         )  # fmt: skip
-        change = advance(self.version, self.policy, seen)
+        change = advance(self.version, self.policy, observations)
         if change is None:
             return
         before = self.version.migrations[-1].step if self.version.migrations else None
@@ -243,47 +243,61 @@
         for counts in list(self.counts_by_second)[:-1]:
             total.update(counts)
         return tuple(
-            ServiceStatistics(t, s, total[t, s, "asked"], total[t, s, "asked"], total[t, s, "in time"],
-                    total[t, s, "refused"], total[t, s, "hits"], total[t, s, "fills"])
-            for t, s in {(t, s) for t, s, _ in total}
-        )  # fmt: skip
+            ServiceStatistics(
+                tenant,
+                shard,
+                total[tenant, shard, "asked"],
+                total[tenant, shard, "asked"],
+                total[tenant, shard, "in time"],
+                total[tenant, shard, "refused"],
+                total[tenant, shard, "hits"],
+                total[tenant, shard, "fills"],
+            )
+            for tenant, shard in {(tenant, shard) for tenant, shard, _ in total}
+        )
 
     def request(self) -> None:
         rng, n = self.random, self.random.randrange(len(self.fronts))
         front, is_tenant = self.fronts[n], self.random.random() < 0.25
         key = bisect(self.weights, rng.random() * self.weights[-1]) + 10_000 * is_tenant
         is_unsafe = rng.random() < UNSAFE_SHARE
-        repeat = is_unsafe and rng.random() < 0.05
-        home, closed = (
+        is_retry = is_unsafe and rng.random() < 0.05
+        home, is_refused = (
             "north"
             if is_tenant and front.migration and front.migration.step is MigrationStep.COMPLETED
             else "",
             False,
         )
         if is_tenant and front.migration is not None and front.migration.is_active:
-            home, closed = place_request(
-                front.migration, slot_of_key(key), not is_unsafe, repeat, self.now >= front.lease_until
+            home, is_refused = place_request(
+                front.migration, slot_of_key(key), not is_unsafe, is_retry, self.now >= front.lease_until
             )
-        in_time = hit = fill = False
-        if closed:
-            self.refused_retries += repeat
-            if not repeat and front.refused_since < 0:
+        in_time = is_hit = is_fetched = False
+        if is_refused:
+            self.refused_retries += is_retry
+            if not is_retry and front.refused_since < 0:
                 front.refused_since = self.now
         else:
             if is_tenant and is_unsafe and front.refused_since >= 0:
                 self.gaps.append((self.now - front.refused_since) / MS)
                 front.refused_since = -1
-            hit = is_unsafe or self.expiry_by_key[home == "north"].get(key, 0) > self.now
-            fill = not hit
-            in_time = hit or self.fetch_copy(home, key)
+            is_hit = is_unsafe or self.expiry_by_key[home == "north"].get(key, 0) > self.now
+            is_fetched = not is_hit
+            in_time = is_hit or self.fetch_copy(home, key)
         self.totals["acme" if is_tenant else "other"] += 1
         self.totals["acme in time" if is_tenant else "other in time"] += in_time
         counts = self.counts_by_second[-1]
-        increments = (("asked", 1), ("in time", in_time), ("refused", closed), ("hits", hit), ("fills", fill))
-        for what, value in increments:
-            counts["", "", what] += value
+        increments = (
+            ("asked", 1),
+            ("in time", in_time),
+            ("refused", is_refused),
+            ("hits", is_hit),
+            ("fills", is_fetched),
+        )
+        for name, value in increments:
+            counts["", "", name] += value
             if is_tenant:
-                counts["acme", home or DEFAULT_SHARD_NAME, what] += value
+                counts["acme", home or DEFAULT_SHARD_NAME, name] += value
 
     def fetch_copy(self, home: str, key: int) -> bool:
         """Queue a fetch on the shared link; return whether it is in time. Far too late, it is dropped."""
--- a/quincepier/lab/voter_process.py
+++ b/quincepier/lab/voter_process.py
@@ -100,7 +100,7 @@
 
 def copy_raft(raft: Raft) -> Raft:
     """Return a copy of a process."""
-    other = copy.copy(raft)
+    copied = copy.copy(raft)
     state = copy.copy(raft._state)
     state.log = copy.copy(state.log)
     state.log.entries = list(state.log.entries)
@@ -116,8 +116,8 @@
     state.dropped = Counter()
     # constant: only a response to an earlier start can refer to forgotten state
     state.response_sequence = 0
-    other._state = state
-    return other
+    copied._state = state
+    return copied
 
 
 def start_process(name: str, disk: VoterState | None, storage_losses: int) -> VoterProcess:
--- a/quincepier/lab/world.py
+++ b/quincepier/lab/world.py
@@ -150,9 +150,8 @@
         )
         if self.has_front_pauses:
             self.schedule(left, front.on_client_disconnected, request)
-        size = (
-            self.experiment.send_time_ns(cls, obj) / SECOND * front.router.settings.client_kb_per_s
-        )  # 0: size not sent
+        # 0: the size is not sent
+        size = self.experiment.send_time_ns(cls, obj) / SECOND * front.router.settings.client_kb_per_s
         front.deliver(io.RequestReceived(request.number, cls, size, 0, group, obj, part, tries > 0, left))
 
     def answered(
@@ -280,8 +279,10 @@
         self.rule_checker.on_cold_machine_overloaded(self.now, machine, request)
 
     def on_fetch_started(self, machine: int, source: int) -> None:
-        at = self.machines.machine_by_number.get(source)
-        self.tally.on_fetch_started(self.now, at is not None and at.kind == ORIGIN, source)
+        source_machine = self.machines.machine_by_number.get(source)
+        self.tally.on_fetch_started(
+            self.now, source_machine is not None and source_machine.kind == ORIGIN, source
+        )
 
     def on_origin_fetch(self, by: int) -> None:
         self.tally.on_origin_fetch(self.now)
@@ -299,10 +300,8 @@
             )
 
     def _deliver_endpoint_update(self, front: Front, listed: tuple[io.Endpoint, ...], start: int) -> None:
-        if (
-            start != front.start_count or not front.is_alive
-        ):  # it started with a list that already includes this change
-            return
+        if start != front.start_count or not front.is_alive:
+            return  # after a restart its endpoint list already includes this change
         for machine in listed:
             self.record_endpoint_state(front, machine)
         self.tally.recovery.count("calls for the list", self.now)
@@ -336,8 +335,8 @@
 
     def _inject_front_fault(self, fault: Fault, lasts: int) -> None:
         count = min(max(round(fault.part * len(self.fronts)), 1), len(self.fronts))
-        struck = sorted(self.random.sample(self.fronts, count), key=lambda f: f.number)
-        for n, front in enumerate(struck):
+        affected = sorted(self.random.sample(self.fronts, count), key=lambda f: f.number)
+        for n, front in enumerate(affected):
             if fault.kind is FaultKind.KILL:
                 self._stop_front(front, lasts, front.start_count, fault.state)
             elif fault.kind is FaultKind.TERM:
@@ -359,11 +358,11 @@
                     front, True, int(fault.size * MS), self.now + lasts, front.start_count
                 )
 
-    def _stop_front(self, front: Front, lasts: int, start: int, disk: StorageDamage) -> None:
+    def _stop_front(self, front: Front, lasts: int, start: int, damage: StorageDamage) -> None:
         if not front.is_alive or front.start_count != start:
             return
         front.kill()
-        front.damage_storage(disk)
+        front.damage_storage(damage)
         spread = self.random.uniform(MIN_START_FACTOR, 2 - MIN_START_FACTOR)
         self.schedule(
             lasts + int(self.experiment.fleet.start_s * spread * SECOND), self._restart_front, front
@@ -402,12 +401,14 @@
     def _purge(self, part: float) -> None:
         delay = int(self.experiment.fleet.told_ms * MS) + self.extra_list_delay
         for group in self.machines.purge(part):
-            told = {f.number: self.now + int(delay * self.random.uniform(0.5, 1)) for f in self.fronts}
-            self.rule_checker.on_purge(self.now, group, told)
+            reported_at_by_front = {
+                f.number: self.now + int(delay * self.random.uniform(0.5, 1)) for f in self.fronts
+            }
+            self.rule_checker.on_purge(self.now, group, reported_at_by_front)
             self.purges.append((group, self.now))
             for front in self.fronts:
-                at = told[front.number] - self.now
-                self.schedule(at, self._deliver_purge, front, group, self.now)
+                delay_to_front = reported_at_by_front[front.number] - self.now
+                self.schedule(delay_to_front, self._deliver_purge, front, group, self.now)
 
-    def _deliver_purge(self, front: Front, group: int, at: int) -> None:
-        front.deliver(io.ObjectPurged(group, 0, self.now - at))
+    def _deliver_purge(self, front: Front, group: int, purged_at: int) -> None:
+        front.deliver(io.ObjectPurged(group, 0, self.now - purged_at))
