--- a/quincepier/lab/machines.py
+++ b/quincepier/lab/machines.py
@@ -52,7 +52,9 @@
 
     @property
     def now(self) -> int: ...  # ns
-    def schedule(self, wait: int, callback: Callable[..., None], *arguments: Any) -> None: ...
+    def schedule(self, wait: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Call `callback` in `wait` ns."""
+
     def reply(
         self,
         attempt: Any,
@@ -60,15 +62,26 @@
         cache_status: CacheStatus,
         waited: int,
         minted: int | None,
-    ) -> None: ...
+    ) -> None:
+        """Send the result of an attempt to its front."""
+
     def on_endpoints_changed(self, machines: Sequence[Machine]) -> None:
         """The endpoint list has changed for these machines."""
 
-    def on_effect_run(self, request: int, machine: int) -> None: ...
-    def on_cold_request(self, machine: int, work: float) -> None: ...
-    def on_cold_machine_overloaded(self, machine: int, request: int) -> None: ...
-    def on_fetch_started(self, machine: int, source: int) -> None: ...
-    def on_origin_fetch(self, by: int) -> None: ...
+    def on_effect_run(self, request: int, machine: int) -> None:
+        """A request that is never cached takes effect at a machine."""
+
+    def on_cold_request(self, machine: int, work: float) -> None:
+        """A cold machine receives work (ns at full speed)."""
+
+    def on_cold_machine_overloaded(self, machine: int, request: int) -> None:
+        """A request overloads a cold machine, which crashes."""
+
+    def on_fetch_started(self, machine: int, source: int) -> None:
+        """A machine starts a fetch from a source."""
+
+    def on_origin_fetch(self, by: int) -> None:
+        """The origin starts a fetch for machine `by`."""
 
 
 class Machine:
--- a/quincepier/lab/maintenance_simulation.py
+++ b/quincepier/lab/maintenance_simulation.py
@@ -153,6 +153,7 @@
         self.schedule_faults()
 
     def schedule(self, wait: int, callback: Callable[..., None], *arguments: object) -> None:
+        """Call `callback` in `wait` ns."""
         self.scheduled_count += 1
         heapq.heappush(
             self.event_queue, (self.now + wait, self.scheduled_count, lambda: callback(*arguments))
@@ -254,12 +255,14 @@
         self.schedule(250 * MS, self.request_lease, front, start)
 
     def send_message(self, front: SimulatedFront, callback: Callable[..., None], *arguments: object) -> None:
+        """Deliver a message after its delay, unless it is lost or the front is cut off."""
         self.message_count += 1
         if front.is_partitioned or self.random.random() < self.faults.loss_rate:
             return
         self.schedule(ONE_WAY_DELAY + self.random.randrange(self.faults.max_delay + 1), callback, *arguments)
 
     def on_lease_request(self, front: SimulatedFront, lease_request: LeaseRequest) -> None:
+        """Let the leader answer a lease request."""
         leader, lease_table = self.leader, self.lease_table
         if leader is None or lease_table is None:
             return
@@ -274,6 +277,7 @@
             self.send_message(front, self.on_lease_granted, front, grant, version)
 
     def on_lease_granted(self, front: SimulatedFront, grant: object, version: RuleVersion | None) -> None:
+        """Hand a grant to the front, after its pause if it is paused."""
         if front.paused_until > self.now:
             self.schedule(front.paused_until - self.now, self.on_lease_granted, front, grant, version)
         elif front.is_alive:
@@ -322,6 +326,7 @@
     # Leader and machines
 
     def start_leader(self, front: SimulatedFront) -> None:
+        """Make a front the leader, with a new lease table."""
         self.leader, self.is_agreeing = front, False
         self.lease_table = LeaseTable(self.clock(front), self.timings, self.versions[-1])
 
@@ -391,10 +396,12 @@
             machine.drained_since = -1
 
     def start_work(self, machine: SimulatedMachine) -> None:
+        """Take a drained machine down for its work."""
         machine.is_up = False
         self.schedule(WORK_TIME, self.finish_work, machine)
 
     def finish_work(self, machine: SimulatedMachine) -> None:
+        """Bring a machine up after its work."""
         machine.is_up, machine.up_since = True, self.now
         if not self.agreed:
             machine.maintenance_periods.append((machine.drained_since, self.now))
--- a/quincepier/lab/membership_simulation.py
+++ b/quincepier/lab/membership_simulation.py
@@ -160,6 +160,7 @@
         self.peer_by_address = {peer.address: peer for peer in self.peers}
 
     def schedule(self, wait: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Call `callback` in `wait` ns."""
         self.scheduled_count += 1
         heapq.heappush(self.event_queue, (self.now + wait, self.scheduled_count, callback, arguments))
 
@@ -172,6 +173,7 @@
         self.now = until
 
     def start(self) -> None:
+        """Start all peers within 200 ms."""
         for peer in self.peers:
             self.schedule(self.random.randrange(200 * MS), peer.start)
 
--- a/quincepier/lab/migration_simulation.py
+++ b/quincepier/lab/migration_simulation.py
@@ -173,12 +173,14 @@
         )  # fmt: skip
 
     def start_migration(self) -> None:
+        """In mode "at once", commit a version that moves all keys; other modes need nothing here."""
         if self.mode == "at once":
             done = Migration("m", "acme", "", "north", MigrationStep.COMPLETED, 2, 256)
             homes = (TenantPlacement("acme", "north"),)
             self.commit_version(RuleVersion(2, 1, (), (), self.version.shards, homes, (done,)))
 
     def commit_version(self, version: RuleVersion) -> None:
+        """Make a version the newest; fronts learn of it once it is agreed."""
         self.version, self.version_agreed_at = version, self.now + AGREEMENT_TIME
 
     def report(self, n: int) -> None:
@@ -193,6 +195,7 @@
         self.lease_by_front[n] = (front.version_number, self.now + way + LEASE_TIME + LEASE_MARGIN)
 
     def run_leader_turn(self) -> None:
+        """Update which version is in force, then let the leader take the next step of the migration."""
         if self.now < self.leader_ready_at or self.now < self.version_agreed_at:
             return
         known = {n: lease for n, lease in self.lease_by_front.items() if lease[1] > self.now}
@@ -239,6 +242,7 @@
             self.lease_by_front, self.in_force_since = {}, {}
 
     def service_statistics(self) -> tuple[ServiceStatistics, ...]:
+        """Return the counts of the complete seconds by tenant and shard."""
         total: Counter[tuple[str, str, str]] = Counter()
         for counts in list(self.counts_by_second)[:-1]:
             total.update(counts)
@@ -257,6 +261,7 @@
         )
 
     def request(self) -> None:
+        """Simulate one client request at a random front."""
         rng, n = self.random, self.random.randrange(len(self.fronts))
         front, is_tenant = self.fronts[n], self.random.random() < 0.25
         key = bisect(self.weights, rng.random() * self.weights[-1]) + 10_000 * is_tenant
--- a/quincepier/lab/scripted_cache.py
+++ b/quincepier/lab/scripted_cache.py
@@ -243,6 +243,7 @@
             self._drop(peer, rst)
 
     def addresses(self, order: tuple[str, ...] | None = None) -> list[str]:
+        """Return the addresses, by default in the order of `kinds`."""
         return [self.endpoint_by_kind[kind].address for kind in order or self.kinds]
 
     async def close(self) -> None:
--- a/quincepier/lab/world.py
+++ b/quincepier/lab/world.py
@@ -251,6 +251,7 @@
         waited: int,
         minted: int | None,
     ) -> None:
+        """Deliver a machine's reply to the front after the network delay."""
         if not attempt.is_ended:
             delay = self.one_way_delay(attempt.front.zone, attempt.machine)
             self.schedule(delay, self._deliver_reply, attempt, outcome, cache_status, waited, minted)
@@ -270,24 +271,30 @@
     # Reports of the machines (see MachineHost)
 
     def on_effect_run(self, request: int, machine: int) -> None:
+        """See MachineHost."""
         self.rule_checker.on_effect_run(self.now, request, machine)
 
     def on_cold_request(self, machine: int, work: float) -> None:
+        """See MachineHost."""
         self.rule_checker.count_cold_check()
 
     def on_cold_machine_overloaded(self, machine: int, request: int) -> None:
+        """See MachineHost."""
         self.rule_checker.on_cold_machine_overloaded(self.now, machine, request)
 
     def on_fetch_started(self, machine: int, source: int) -> None:
+        """See MachineHost."""
         source_machine = self.machines.machine_by_number.get(source)
         self.tally.on_fetch_started(
             self.now, source_machine is not None and source_machine.kind == ORIGIN, source
         )
 
     def on_origin_fetch(self, by: int) -> None:
+        """See MachineHost."""
         self.tally.on_origin_fetch(self.now)
 
     def on_endpoints_changed(self, machines: Sequence[Machine]) -> None:
+        """Deliver the changed endpoints to each front after a random share of the delay."""
         listed = tuple(machine.to_endpoint() for machine in machines)
         delay = int(self.experiment.fleet.told_ms * MS) + self.extra_list_delay
         for front in self.fronts:
