--- a/quincepier/lab/machines.py
+++ b/quincepier/lab/machines.py
@@ -1,7 +1,8 @@
-"""What caches, parents and the origin do with an order, in anybody's time: the virtual one's or the loop's.
+"""Simulated caches, parents and origin, for virtual time or an event loop.
 
-The host owns the clock and the net and hears what is worth a note; here are stores, fills that are joined,
-shared sending, cold starts and what befalls a machine.
+The host provides the clock and the network and is notified of notable events. This module holds the copies,
+joined fetches, shared sending capacity, cold starts and faults of the machines. `minted` is the time at which
+the origin produced a copy. Times are nanoseconds of the host's clock.
 """
 
 from __future__ import annotations
@@ -13,21 +14,23 @@
 
 from quincepier import interface as io
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState
-from quincepier.lab.experiment import EDGE, MS, ORIGIN, PARENT, SECOND, Experiment, Fault, Kind
-from quincepier.lab.model import Cold, Sharing, Store
-
-FILL_PACE, FILL_WITHIN = 0.4, 2 * SECOND  # a fill's sending time over a client's; when one is given up
-DRAINS_FOR, SETTLES = 3 * SECOND, 6 * SECOND  # from a drain's notice to its end; until a purge is carried out
-ON_MACHINES = frozenset((Kind.CRASH, Kind.LOST, Kind.SLOW, Kind.DRAIN))
+from quincepier.lab.experiment import EDGE, MS, ORIGIN, PARENT, SECOND, Experiment, Fault, FaultKind
+from quincepier.lab.machine_model import ColdStart, CopyStore, ProcessorSharing
+
+# transfer time to another machine over that to a client; when a fetch is given up
+FETCH_TIME_FACTOR, FETCH_TIMEOUT = 0.4, 2 * SECOND
+# from the start of a drain to its end; until a purge is complete
+DRAIN_DURATION, PURGE_SETTLE_TIME = 3 * SECOND, 6 * SECOND
+ON_MACHINES = frozenset((FaultKind.CRASH, FaultKind.LOST, FaultKind.SLOW, FaultKind.DRAIN))
 Key = tuple[int, int]  # object and part
-Waiter = Callable[[int | None], None]  # hears when the copy was minted, or that none came
+Waiter = Callable[[int | None], None]  # called with `minted`; None: the fetch failed, negative: a miss
 
 
-class Order(Protocol):
-    """An attempt as a machine sees it. Equal only to itself."""
+class MachineAttempt(Protocol):
+    """An attempt as a machine sees it. Compared by identity."""
 
     @property
-    def number(self) -> int: ...  # the request's
+    def number(self) -> int: ...  # of the request
     @property
     def cls(self) -> int: ...
     @property
@@ -37,350 +40,427 @@
     @property
     def source(self) -> int | None: ...
     @property
-    def age(self) -> int: ...  # ns; 0: the class's own
+    def max_copy_age(self) -> int: ...  # ns; 0: the class's limit
     @property
     def join(self) -> bool: ...
     @property
-    def held(self) -> bool: ...  # the source gives only what it holds
+    def held_only(self) -> bool: ...  # the source may only use a copy that it holds
+
 
+class MachineHost(Protocol):
+    """The clock and network of the machines, and the observer of their events."""
 
-class Host(Protocol):
     @property
     def now(self) -> int: ...  # ns
-    def after(self, wait: int, what: Callable[..., None], *about: Any) -> None: ...
+    def schedule(self, wait: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Call `callback` in `wait` ns."""
+
     def reply(
-        self, order: Any, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
-    ) -> None: ...
-    def listed(self, machines: Sequence[Machine]) -> None:
-        """The list says something else of these now."""
+        self,
+        attempt: Any,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus,
+        waited: int,
+        minted: int | None,
+    ) -> None:
+        """Send the result of an attempt to its front."""
+
+    def on_endpoints_changed(self, machines: Sequence[Machine]) -> None:
+        """The endpoint list has changed for these machines."""
+
+    def on_effect_run(self, request: int, machine: int) -> None:
+        """A request that is never cached takes effect at a machine."""
+
+    def on_cold_request(self, machine: int, work: float) -> None:
+        """A cold machine receives work (ns at full speed)."""
+
+    def on_cold_machine_overloaded(self, machine: int, request: int) -> None:
+        """A request overloads a cold machine, which crashes."""
+
+    def on_fetch_started(self, machine: int, source: int) -> None:
+        """A machine starts a fetch from a source."""
 
-    def ran(self, request: int, machine: int) -> None: ...
-    def asked_cold(self, machine: int, work: float) -> None: ...
-    def fell(self, machine: int, request: int) -> None: ...
-    def filled(self, machine: int, source: int) -> None: ...
-    def fetched(self, by: int) -> None: ...
+    def on_origin_fetch(self, by: int) -> None:
+        """The origin starts a fetch for machine `by`."""
 
 
 class Machine:
-    """One cache, parent or the origin. What it is asked takes its continuations along."""
-
-    def __init__(self, number: int, index: int, kind: int, zone: int, born: int, plan: Experiment) -> None:
-        fleet = plan.fleet
-        self.sends: float = (fleet.cache_sends, fleet.parent_sends, fleet.origin_runs)[kind]
-        self.keeps = (fleet.cache_keeps, fleet.parent_keeps, 1)[kind]
-        self.number, self.index, self.kind, self.zone, self.born = number, index, kind, zone, born
-        self.state, self.standing, self.plan = "up", EndpointState.READY, plan
-        self.share, self.store = Sharing(self.sends), Store(self.keeps)
-        self.cold = self._cold()
-        self.filling: dict[Key, list[Waiter]] = {}
-        self.out: dict[Any, int] = {}  # orders here, and their transfer (0: none yet)
-        self.looks = 0  # the next look at the share that counts
-
-    def _cold(self) -> Cold:
-        f = self.plan.fleet
-        born = 0 if self.kind == ORIGIN else self.born
-        return Cold(born, f.cold_from, f.cold_s, f.fall_multiple, int(f.fall_s * SECOND), self.sends)
-
-    def empty(self, now: int) -> None:
-        """It starts anew."""
-        self.born, self.state = now, "up"
-        self.share.clear(now)
-        self.share.move(now)
-        self.store, self.cold = Store(self.keeps), self._cold()
-        self.filling.clear()
-        self.out.clear()
-
-    def as_listed(self) -> io.Endpoint:
+    """One cache, parent or the origin.
+
+    Attributes:
+        number: Id in the endpoint list.
+        index: Serial number, from 1.
+        state: "up", "dead" (refuses connections) or "silent" (answers nothing).
+        endpoint_state: State in the endpoint list.
+        send_capacity: Concurrent transfers at full speed.
+        fetch_waiters: Callbacks that wait for a fetch, by key.
+        active_attempts: Attempts under way with their transfer number; 0 before the transfer starts.
+        completion_check: Number of the latest scheduled completion check; earlier ones are void.
+    """
+
+    def __init__(
+        self, number: int, index: int, kind: int, zone: int, born: int, experiment: Experiment
+    ) -> None:
+        fleet = experiment.fleet
+        self.send_capacity: float = (fleet.cache_sends, fleet.parent_sends, fleet.origin_runs)[kind]
+        self.max_copies = (fleet.cache_keeps, fleet.parent_keeps, 1)[kind]
+        self.number, self.index, self.kind, self.zone, self.started_at = number, index, kind, zone, born
+        self.state, self.endpoint_state, self.experiment = "up", EndpointState.READY, experiment
+        self.sending, self.store = ProcessorSharing(self.send_capacity), CopyStore(self.max_copies)
+        self.cold = self._cold_start()
+        self.fetch_waiters: dict[Key, list[Waiter]] = {}
+        self.active_attempts: dict[Any, int] = {}
+        self.completion_check = 0
+
+    def _cold_start(self) -> ColdStart:
+        f = self.experiment.fleet
+        born = 0 if self.kind == ORIGIN else self.started_at
+        return ColdStart(
+            born, f.cold_from, f.cold_s, f.fall_multiple, int(f.fall_s * SECOND), self.send_capacity
+        )
+
+    def cold_restart(self, now: int) -> None:
+        """Restart with an empty store."""
+        self.started_at, self.state = now, "up"
+        self.sending.clear(now)
+        self.sending.advance(now)
+        self.store, self.cold = CopyStore(self.max_copies), self._cold_start()
+        self.fetch_waiters.clear()
+        self.active_attempts.clear()
+
+    def to_endpoint(self) -> io.Endpoint:
+        """Return the machine's entry of the endpoint list."""
         zone = self.zone if self.kind == EDGE else 0
-        return io.Endpoint(self.number, self.kind, zone, self.zone, self.sends, self.born, self.standing)
+        return io.Endpoint(
+            self.number, self.kind, zone, self.zone, self.send_capacity, self.started_at, self.endpoint_state
+        )
 
 
 class Machines:
-    def __init__(self, host: Host, plan: Experiment, chance: random.Random) -> None:
-        self.host, self.plan, self.chance = host, plan, chance
-        self.all: dict[int, Machine] = {}
-        self.purged_before: dict[int, int] = {}  # by group: when it was purged, once that has settled
-        self.made = 0
-        fleet = plan.fleet
+    """All machines of a deployment.
+
+    Attributes:
+        purged_before: Time of the last completed purge by group; older copies are no longer stored.
+        machine_count: Machines created so far.
+    """
+
+    def __init__(self, host: MachineHost, experiment: Experiment, rng: random.Random) -> None:
+        self.host, self.experiment, self.random = host, experiment, rng
+        self.machine_by_number: dict[int, Machine] = {}
+        self.purged_before: dict[int, int] = {}
+        self.machine_count = 0
+        fleet = experiment.fleet
         for n in range(fleet.caches):
-            self.make(EDGE, 1 + n % fleet.zones, 0)
+            self.add_machine(EDGE, 1 + n % fleet.zones, 0)
         for n in range(fleet.parents):
-            self.make(PARENT, 1 + n % fleet.zones, 0)
-        self.origin = self.make(ORIGIN, 0, 0)
+            self.add_machine(PARENT, 1 + n % fleet.zones, 0)
+        self.origin = self.add_machine(ORIGIN, 0, 0)
 
-    def make(self, kind: int, zone: int, born: int) -> Machine:
-        self.made += 1
-        digest = hashlib.blake2b(b"%d" % self.made, digest_size=4).digest()
+    def add_machine(self, kind: int, zone: int, born: int) -> Machine:
+        """Add a machine that started at `born`, ns; 0: long ago, so it is warm."""
+        self.machine_count += 1
+        digest = hashlib.blake2b(b"%d" % self.machine_count, digest_size=4).digest()
         number = int.from_bytes(digest, "little") or 1
-        machine = self.all[number] = Machine(number, self.made, kind, zone, born, self.plan)
+        machine = self.machine_by_number[number] = Machine(
+            number, self.machine_count, kind, zone, born, self.experiment
+        )
         return machine
 
-    def listed(self) -> tuple[io.Endpoint, ...]:
-        return tuple(m.as_listed() for m in self.all.values() if m.standing is not EndpointState.GONE)
+    def endpoints(self) -> tuple[io.Endpoint, ...]:
+        """Return the endpoint list."""
+        return tuple(
+            m.to_endpoint()
+            for m in self.machine_by_number.values()
+            if m.endpoint_state is not EndpointState.GONE
+        )
 
-    # Orders
+    # Attempts
 
-    def reach(self, order: Order) -> None:
-        """An order has come to its machine."""
-        machine, now = self.all.get(order.machine), self.host.now
+    def on_attempt(self, attempt: MachineAttempt) -> None:
+        """Handle an attempt that arrived at its machine."""
+        machine, now = self.machine_by_number.get(attempt.machine), self.host.now
         if machine is None or machine.state != "up":
             if machine is None or machine.state != "silent":
-                self.host.reply(order, AttemptOutcome.CONNECT_FAILED, CacheStatus.NONE, 0, None)
+                self.host.reply(attempt, AttemptOutcome.CONNECT_FAILED, CacheStatus.NONE, 0, None)
             return
-        c = self.plan.classes[order.cls]
-        work = self.plan.sending(order.cls, order.key[0])
-        if not self._asked(machine, work, order.number):
-            self.host.reply(order, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
+        request_class = self.experiment.classes[attempt.cls]
+        work = self.experiment.send_time_ns(attempt.cls, attempt.key[0])
+        if not self._accept_work(machine, work, attempt.number):
+            self.host.reply(attempt, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
             return
-        machine.out[order] = 0
+        machine.active_attempts[attempt] = 0
         if machine.kind == ORIGIN:
-            self._from_origin(
-                order, lambda minted: self._deliver(order, machine, work, CacheStatus.NONE, 0, minted)
+            self._fetch_from_origin(
+                attempt, lambda minted: self._send_copy(attempt, machine, work, CacheStatus.NONE, 0, minted)
             )
             return
-        limit = order.age or int(c.fresh_s * SECOND)
-        minted = machine.store.get(order.key)
+        limit = attempt.max_copy_age or int(request_class.fresh_s * SECOND)
+        minted = machine.store.get(attempt.key)
         if minted is not None and (limit == 0 or now - minted <= limit):
-            stale = c.fresh_s > 0 and now - minted > c.fresh_s * SECOND
-            self._deliver(order, machine, work, CacheStatus.STALE if stale else CacheStatus.HIT, 0, minted)
-        elif order.source is None:
-            self._reply(order, AttemptOutcome.MISS)
+            stale = request_class.fresh_s > 0 and now - minted > request_class.fresh_s * SECOND
+            self._send_copy(
+                attempt, machine, work, CacheStatus.STALE if stale else CacheStatus.HIT, 0, minted
+            )
+        elif attempt.source is None:
+            self._reply(attempt, AttemptOutcome.MISS)
         else:
-            self._fill(order, order.source, machine, work, limit)
+            self._fetch(attempt, attempt.source, machine, work, limit)
 
-    def stop(self, order: Order) -> None:
-        """Nobody waits for it any more."""
-        machine = self.all.get(order.machine)
+    def cancel(self, attempt: MachineAttempt) -> None:
+        """Cancel an attempt: its transfer stops, and no reply is sent."""
+        machine = self.machine_by_number.get(attempt.machine)
         if machine is not None:
-            transfer = machine.out.pop(order, None)
+            transfer = machine.active_attempts.pop(attempt, None)
             if transfer:
-                machine.share.stop(self.host.now, transfer)
-                self._look(machine)
+                machine.sending.cancel(self.host.now, transfer)
+                self._schedule_completion_check(machine)
 
     def _reply(
         self,
-        order: Order,
-        ending: AttemptOutcome,
-        note: CacheStatus = CacheStatus.NONE,
+        attempt: MachineAttempt,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus = CacheStatus.NONE,
         waited: int = 0,
         minted: int | None = None,
     ) -> None:
-        machine = self.all.get(order.machine)
+        machine = self.machine_by_number.get(attempt.machine)
         if machine is not None:
-            machine.out.pop(order, None)
-        self.host.reply(order, ending, note, waited, minted)
+            machine.active_attempts.pop(attempt, None)
+        self.host.reply(attempt, outcome, cache_status, waited, minted)
 
-    def _transfer(self, machine: Machine, work: float, then: Callable[[], None]) -> int:
-        number = machine.share.begin(self.host.now, work, then)
-        self._look(machine)
+    def _start_transfer(self, machine: Machine, work: float, then: Callable[[], None]) -> int:
+        number = machine.sending.start(self.host.now, work, then)
+        self._schedule_completion_check(machine)
         return number
 
-    def _look(self, machine: Machine) -> None:
-        """Look again when the next transfer ends; an earlier look that was planned is void."""
-        machine.looks += 1
-        due = machine.share.next()
+    def _schedule_completion_check(self, machine: Machine) -> None:
+        """Schedule a check for the end of the next transfer; checks scheduled before are void."""
+        machine.completion_check += 1
+        due = machine.sending.next_completion()
         if due is not None:
-            self.host.after(max(due - self.host.now, 0), self._looked, machine, machine.looks)
+            self.host.schedule(
+                max(due - self.host.now, 0), self._check_completions, machine, machine.completion_check
+            )
 
-    def _looked(self, machine: Machine, look: int) -> None:
-        if look == machine.looks and machine.state == "up":
-            for then in machine.share.done(self.host.now):
+    def _check_completions(self, machine: Machine, check: int) -> None:
+        if check == machine.completion_check and machine.state == "up":
+            for then in machine.sending.pop_completed(self.host.now):
                 then()
-            self._look(machine)
+            self._schedule_completion_check(machine)
 
-    def _asked(self, machine: Machine, work: float, request: int) -> bool:
-        """Whether it stands so much more; else it has fallen over."""
-        if machine.kind == ORIGIN or not machine.cold.born:
+    def _accept_work(self, machine: Machine, work: float, request: int) -> bool:
+        """Add work to a cold machine; return False if that overloads it, and it crashes."""
+        if machine.kind == ORIGIN or not machine.cold.started_at:
             return True
-        self.host.asked_cold(machine.number, work)
-        if not machine.cold.ask(self.host.now, work):
+        self.host.on_cold_request(machine.number, work)
+        if not machine.cold.add_request(self.host.now, work):
             return True
-        self.host.fell(machine.number, request)
-        self.down(machine, "dead")
+        self.host.on_cold_machine_overloaded(machine.number, request)
+        self.stop_machine(machine, "dead")
         return False
 
-    def _deliver(
-        self, order: Order, machine: Machine, work: float, note: CacheStatus, waited: int, minted: int | None
+    def _send_copy(
+        self,
+        attempt: MachineAttempt,
+        machine: Machine,
+        work: float,
+        cache_status: CacheStatus,
+        waited: int,
+        minted: int | None,
     ) -> None:
-        """The transfer to the front, and its answer at the end."""
-        if order not in machine.out:  # called off, or the machine went down
+        """Transfer a copy to the front and reply when the transfer is complete."""
+        if attempt not in machine.active_attempts:  # cancelled, or the machine stopped
             return
 
         def sent() -> None:
-            self._reply(order, AttemptOutcome.OK, note, waited, minted)
-
-        machine.out[order] = self._transfer(machine, work / machine.cold.share(self.host.now), sent)
-
-    def _from_origin(self, order: Order, then: Callable[[int], None]) -> None:
-        """One fetch at the origin: work there, then the copy it gives out. A write runs there."""
-        self.host.fetched(order.machine)
-        if self.plan.classes[order.cls].never_kept:
-            self.host.ran(order.number, self.origin.number)
-        work = self.plan.fleet.origin_ms * MS
-        self._transfer(self.origin, work, lambda: then(self.host.now))
-
-    def _fill(self, order: Order, source: int, machine: Machine, work: float, limit: int) -> None:
-        began, key, kept = self.host.now, order.key, not self.plan.classes[order.cls].never_kept
-        waiting = machine.filling.get(key)
-
-        def filled(note: CacheStatus) -> Waiter:
-            def come(minted: int | None) -> None:
+            self._reply(attempt, AttemptOutcome.OK, cache_status, waited, minted)
+
+        machine.active_attempts[attempt] = self._start_transfer(
+            machine, work / machine.cold.capacity_share(self.host.now), sent
+        )
+
+    def _fetch_from_origin(self, attempt: MachineAttempt, then: Callable[[int], None]) -> None:
+        """Do a fetch's work at the origin, then call `then` with the copy's time. Writes take effect here."""
+        self.host.on_origin_fetch(attempt.machine)
+        if self.experiment.classes[attempt.cls].never_kept:
+            self.host.on_effect_run(attempt.number, self.origin.number)
+        work = self.experiment.fleet.origin_ms * MS
+        self._start_transfer(self.origin, work, lambda: then(self.host.now))
+
+    def _fetch(self, attempt: MachineAttempt, source: int, machine: Machine, work: float, limit: int) -> None:
+        began, key, kept = self.host.now, attempt.key, not self.experiment.classes[attempt.cls].never_kept
+        waiting = machine.fetch_waiters.get(key)
+
+        def make_waiter(cache_status: CacheStatus) -> Waiter:
+            def on_fetched(minted: int | None) -> None:
                 if minted is None:  # a write that may have run is an error
                     self._reply(
-                        order,
+                        attempt,
                         AttemptOutcome.OVERLOADED if kept else AttemptOutcome.ERROR,
                         CacheStatus.SOURCE_BROKEN,
                     )
                 elif minted < 0 or (limit and self.host.now - minted > limit):
-                    self._reply(order, AttemptOutcome.MISS)
+                    self._reply(attempt, AttemptOutcome.MISS)
                 else:
-                    self._deliver(order, machine, work, note, self.host.now - began, minted)
+                    self._send_copy(attempt, machine, work, cache_status, self.host.now - began, minted)
 
-            return come
+            return on_fetched
 
-        if order.join and kept and waiting is not None:
-            waiting.append(filled(CacheStatus.COLLAPSED))
+        if attempt.join and kept and waiting is not None:
+            waiting.append(make_waiter(CacheStatus.COLLAPSED))
             return
-        at = self.all.get(source)
-        far = at is not None and at.kind == ORIGIN
-        mine: list[Waiter] = [filled(CacheStatus.FROM_ORIGIN if far else CacheStatus.FILLED)]
-        if not order.held:  # nobody waits for what may be a miss
-            machine.filling[key] = mine
-        self.host.filled(machine.number, source)
+        source_machine = self.machine_by_number.get(source)
+        far = source_machine is not None and source_machine.kind == ORIGIN
+        waiters: list[Waiter] = [make_waiter(CacheStatus.FROM_ORIGIN if far else CacheStatus.FILLED)]
+        if not attempt.held_only:  # such a fetch may be a miss, so no other attempt joins it
+            machine.fetch_waiters[key] = waiters
+        self.host.on_fetch_started(machine.number, source)
 
         def done(minted: int | None) -> None:
-            if machine.filling.get(key) is mine:
-                del machine.filling[key]
+            if machine.fetch_waiters.get(key) is waiters:
+                del machine.fetch_waiters[key]
             if minted is not None and minted >= 0 and machine.state == "up" and kept:
-                self._keep(machine, key, minted)
-            waiters, mine[:] = list(mine), []
-            for one in waiters:
-                one(minted)
+                self._store_copy(machine, key, minted)
+            to_notify, waiters[:] = list(waiters), []
+            for waiter in to_notify:
+                waiter(minted)
 
-        self.host.after(FILL_WITHIN, lambda: done(None) if mine else None)
-        way = int(self.plan.fleet.far_ms * MS)
-        self.host.after(way, self._source, order, at, work, limit, done, way)
+        self.host.schedule(FETCH_TIMEOUT, lambda: done(None) if waiters else None)
+        delay = int(self.experiment.fleet.far_ms * MS)
+        self.host.schedule(delay, self._serve_fetch, attempt, source_machine, work, limit, done, delay)
 
-    def _source(
-        self, order: Order, source: Machine | None, work: float, limit: int, done: Waiter, way: int
+    def _serve_fetch(
+        self,
+        attempt: MachineAttempt,
+        source: Machine | None,
+        work: float,
+        limit: int,
+        done: Waiter,
+        delay: int,
     ) -> None:
-        """At the source of a fill: what it holds, or what it fetches from the origin."""
-        host, key = self.host, order.key
+        """Serve a fetch at its source: from its store, or else from the origin."""
+        host, key = self.host, attempt.key
         if source is None or source.state != "up":
             if source is None or source.state != "silent":
-                host.after(way, done, None)
+                host.schedule(delay, done, None)
             return
-        if not self._asked(source, work, order.number):
-            host.after(way, done, None)
+        if not self._accept_work(source, work, attempt.number):
+            host.schedule(delay, done, None)
             return
 
-        def pass_on(minted: int | None) -> None:
+        def send_to_cache(minted: int | None) -> None:
             if minted is not None:
-                sending = FILL_PACE * work / source.cold.share(host.now)
-                self._transfer(source, sending, lambda: host.after(way, done, minted))
+                sending = FETCH_TIME_FACTOR * work / source.cold.capacity_share(host.now)
+                self._start_transfer(source, sending, lambda: host.schedule(delay, done, minted))
 
-        def straight(minted: int) -> None:
-            host.after(way, done, minted)
+        def send_without_storing(minted: int) -> None:
+            host.schedule(delay, done, minted)
 
-        if source.kind == ORIGIN or self.plan.classes[order.cls].never_kept:
-            self._from_origin(order, straight)
+        if source.kind == ORIGIN or self.experiment.classes[attempt.cls].never_kept:
+            self._fetch_from_origin(attempt, send_without_storing)
             return
         minted = source.store.get(key)
         if minted is not None and (limit == 0 or host.now - minted <= limit):
-            pass_on(minted)
+            send_to_cache(minted)
             return
-        if order.held:  # it gives nothing that it does not hold: a miss
-            host.after(way, done, -1)
+        if attempt.held_only:  # it must not fetch: a miss
+            host.schedule(delay, done, -1)
             return
-        waiting = source.filling.get(key)
+        waiting = source.fetch_waiters.get(key)
         if waiting is not None:
-            waiting.append(pass_on)
+            waiting.append(send_to_cache)
             return
-        mine: list[Waiter] = [pass_on]
-        source.filling[key] = mine
+        waiters: list[Waiter] = [send_to_cache]
+        source.fetch_waiters[key] = waiters
 
         def fetched(minted: int) -> None:
-            if source.filling.get(key) is mine:
-                del source.filling[key]
-                self._keep(source, key, minted)
-                for one in mine:
-                    one(minted)
+            if source.fetch_waiters.get(key) is waiters:
+                del source.fetch_waiters[key]
+                self._store_copy(source, key, minted)
+                for waiter in waiters:
+                    waiter(minted)
 
-        self._from_origin(order, fetched)
+        self._fetch_from_origin(attempt, fetched)
 
-    # What befalls them
+    # Faults and purges
 
-    def down(self, machine: Machine, state: str) -> None:
+    def stop_machine(self, machine: Machine, state: str) -> None:
+        """Stop a machine; unless it becomes "silent", its attempts are reset."""
         machine.state = state
-        machine.looks += 1
-        machine.share.clear(self.host.now)
-        machine.filling.clear()
-        out, machine.out = list(machine.out), {}
+        machine.completion_check += 1
+        machine.sending.clear(self.host.now)
+        machine.fetch_waiters.clear()
+        attempts, machine.active_attempts = list(machine.active_attempts), {}
         if state != "silent":
-            for order in out:
-                self.host.reply(order, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
-
-    def back(self, machine: Machine) -> None:
-        if machine.standing is not EndpointState.GONE:
-            machine.empty(self.host.now)
-            self.host.listed((machine,))
-
-    def strike(self, fault: Fault) -> None:
-        """A fault of one tier (ON_MACHINES)."""
-        struck = [m for m in self.all.values() if m.kind == fault.tier and m.state == "up"]
-        struck = self.chance.sample(struck, min(max(round(fault.part * len(struck)), 1), len(struck)))
+            for attempt in attempts:
+                self.host.reply(attempt, AttemptOutcome.RESET, CacheStatus.NONE, 0, None)
+
+    def restart_machine(self, machine: Machine) -> None:
+        """Restart a machine empty and cold, unless it was removed from the endpoint list."""
+        if machine.endpoint_state is not EndpointState.GONE:
+            machine.cold_restart(self.host.now)
+            self.host.on_endpoints_changed((machine,))
+
+    def inject_fault(self, fault: Fault) -> None:
+        """Start a fault of kind ON_MACHINES on a random part of its tier."""
+        affected = [m for m in self.machine_by_number.values() if m.kind == fault.tier and m.state == "up"]
+        affected = self.random.sample(affected, min(max(round(fault.part * len(affected)), 1), len(affected)))
         lasts = int(fault.lasts * SECOND)
-        for n, machine in enumerate(struck):
+        for n, machine in enumerate(affected):
             match fault.kind:
-                case Kind.CRASH | Kind.LOST:
-                    self.down(machine, "dead" if fault.kind is Kind.CRASH else "silent")
-                    self.host.after(lasts, self.back, machine)
-                case Kind.SLOW:
-                    self._pace(machine, fault.size)
-                    self.host.after(lasts, self._pace, machine, 1.0)
-                case Kind.DRAIN:
-                    self.host.after(int(lasts * n / len(struck)), self._drain, machine)
-
-    def _pace(self, machine: Machine, slower: float) -> None:
-        machine.share.move(self.host.now)
-        machine.share.slower = max(slower, 0.01)
-        self._look(machine)
-
-    def _drain(self, machine: Machine) -> None:
-        machine.standing = EndpointState.DRAINING
-        self.host.listed((machine,))
-        self.host.after(DRAINS_FOR, self._replace, machine)
-
-    def _replace(self, machine: Machine) -> None:
-        self.down(machine, "dead")
-        machine.standing = EndpointState.GONE
-        new = self.make(machine.kind, machine.zone, self.host.now)
-        self.host.listed((machine, new))
+                case FaultKind.CRASH | FaultKind.LOST:
+                    self.stop_machine(machine, "dead" if fault.kind is FaultKind.CRASH else "silent")
+                    self.host.schedule(lasts, self.restart_machine, machine)
+                case FaultKind.SLOW:
+                    self._set_slowdown(machine, fault.size)
+                    self.host.schedule(lasts, self._set_slowdown, machine, 1.0)
+                case FaultKind.DRAIN:
+                    self.host.schedule(int(lasts * n / len(affected)), self._start_drain, machine)
+
+    def _set_slowdown(self, machine: Machine, slower: float) -> None:
+        machine.sending.advance(self.host.now)
+        machine.sending.slowdown = max(slower, 0.01)
+        self._schedule_completion_check(machine)
+
+    def _start_drain(self, machine: Machine) -> None:
+        machine.endpoint_state = EndpointState.DRAINING
+        self.host.on_endpoints_changed((machine,))
+        self.host.schedule(DRAIN_DURATION, self._replace_drained, machine)
+
+    def _replace_drained(self, machine: Machine) -> None:
+        self.stop_machine(machine, "dead")
+        machine.endpoint_state = EndpointState.GONE
+        new = self.add_machine(machine.kind, machine.zone, self.host.now)
+        self.host.on_endpoints_changed((machine, new))
 
     def purge(self, part: float) -> list[int]:
-        """The groups, drawn by chance; each machine drops what is older within the time a purge settles."""
-        groups = self.plan.load.groups
-        chosen = self.chance.sample(range(groups), max(round(part * groups), 1))
-        for machine in self.all.values():
-            wait = int(self.chance.uniform(0, 1) * SETTLES)
-            self.host.after(wait, self._sweep, machine, frozenset(chosen), self.host.now)
-        self.host.after(SETTLES, self._settle, frozenset(chosen), self.host.now)
+        """Purge and return a random share of the groups; each machine drops its copies at a random time."""
+        groups = self.experiment.load.groups
+        chosen = self.random.sample(range(groups), max(round(part * groups), 1))
+        for machine in self.machine_by_number.values():
+            wait = int(self.random.uniform(0, 1) * PURGE_SETTLE_TIME)
+            self.host.schedule(wait, self._drop_purged_copies, machine, frozenset(chosen), self.host.now)
+        self.host.schedule(PURGE_SETTLE_TIME, self._complete_purge, frozenset(chosen), self.host.now)
         return chosen
 
-    def _settle(self, groups: frozenset[int], before: int) -> None:
-        """From now on no machine has an older copy or keeps one that comes later.
+    def _complete_purge(self, groups: frozenset[int], before: int) -> None:
+        """Drop the remaining copies from before the purge, and store no such copy from now on.
 
-        One that had dropped its own may have been filled with another's meanwhile.
+        A machine that had dropped its copy may since have fetched an old one from another machine.
         """
         self.purged_before.update(dict.fromkeys(groups, before))
-        for machine in self.all.values():
-            self._sweep(machine, groups, before)
+        for machine in self.machine_by_number.values():
+            self._drop_purged_copies(machine, groups, before)
 
-    def _keep(self, machine: Machine, key: Key, minted: int) -> None:
-        if minted >= self.purged_before.get(self.plan.group(key[0]), 0):
+    def _store_copy(self, machine: Machine, key: Key, minted: int) -> None:
+        if minted >= self.purged_before.get(self.experiment.group_of_object(key[0]), 0):
             machine.store.put(key, minted)
 
-    def _sweep(self, machine: Machine, groups: frozenset[int], before: int) -> None:
+    def _drop_purged_copies(self, machine: Machine, groups: frozenset[int], before: int) -> None:
         for key, minted in list(machine.store.copies.items()):
-            if minted < before and isinstance(key, tuple) and self.plan.group(key[0]) in groups:
+            if (
+                minted < before
+                and isinstance(key, tuple)
+                and self.experiment.group_of_object(key[0]) in groups
+            ):
                 del machine.store.copies[key]
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -20,7 +20,7 @@
 from quincepier.addresses.section import AddressesSection, Aside, Dials, Stagger
 from quincepier.checks import Checks
 from quincepier.config import FrontConfig, read_front
-from quincepier.lab import scripted
+from quincepier.lab import scripted_cache
 from quincepier.memory.buffer_pool import BufferPool
 from quincepier.memory.memory_budget import MemoryBudget
 from quincepier.memory.open_requests import OpenRequest
@@ -39,7 +39,7 @@
 SAFE, KEYED, UNSAFE = 1, 0, 2  # request classes, by index
 
 
-class Machine(scripted.Machine):
+class Machine(scripted_cache.Machine):
     """A scripted stand-in whose ports are reserved for it, since its listeners are closed and reopened."""
 
     def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
@@ -79,7 +79,7 @@
 
     async def start(self, order: tuple[str, ...] | None = None, sockets: int = 1024) -> None:
         for machine in self.machines.values():
-            if not machine.doors:
+            if not machine.endpoint_by_kind:
                 await machine.start()
         checks, pool = Checks(), BufferPool(BUDGET.max_buffers)
         descriptors = Descriptors(sockets)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -17,7 +17,7 @@
 from quincepier.addresses import Family
 from quincepier.addresses.section import AddressesSection
 from quincepier.consistency import ConsistencySection
-from quincepier.lab.scripted import Machine
+from quincepier.lab.scripted_cache import Machine
 from quincepier.operator import SECTIONS, LogSection, OperatorError, load, read
 from quincepier.state.section import StateSection
 from tests.frontkit import raw_config
@@ -199,12 +199,12 @@
         assert "addresses.prefer.0" in lines("configuration_rejected")[0]["fields"]["detail"]
         client.ask(2, "bid", b"offer")
         await client.ended(2)
-        assert not moved.at  # nothing of the invalid file is applied
+        assert not moved.received_commands  # nothing of the invalid file is applied
         operator.write_text(good)
         front.signal(signal.SIGHUP)
         await until(lambda: front.logged("reloaded: log, addresses changed"), "the valid one is applied")
         client.ask(3, "bid", b"offer")
-        assert (await client.ended(3)).status == 200 and len(moved.at) == 1
+        assert (await client.ended(3)).status == 200 and len(moved.received_commands) == 1
         front.signal(signal.SIGTERM)
         assert await front.code() == 0
         await moved.close()
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from quincepier.lab.peers import PeerNet
+from quincepier.lab.membership_simulation import SimulatedPeerNetwork
 from quincepier.membership import quotas
 from quincepier.membership.probe_intervals import SECOND
 from quincepier.membership.quotas import (
@@ -260,7 +260,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_views_of_a_fleet_with_faults_never_enlarge_a_quota_beyond_the_settings(seed: int) -> None:
     """Twelve fronts with a partition, pauses, kills and restarts; twelve or ten fronts are configured."""
-    net, rng = PeerNet(12, seed), random.Random(seed)
+    net, rng = SimulatedPeerNetwork(12, seed), random.Random(seed)
     counts = [LiveMemberCount(peer.name, 12, 600 * SECOND) for peer in net.peers]
     counts_of_ten = [LiveMemberCount(peer.name, 10, 600 * SECOND) for peer in net.peers]
     net.start()
@@ -274,9 +274,9 @@
     }
     for step in range(40):
         if step == 10:
-            net.cuts = paths_between_halves
+            net.blocked_links = paths_between_halves
         elif step == 25:
-            net.cuts = set()
+            net.blocked_links = set()
         if step % 7 == 3:
             net.peers[rng.randrange(12)].pause(2 * SECOND)
         if step in (12, 30):
@@ -287,7 +287,7 @@
         used_fractions = [
             Fraction(1, count.on_view_changed(net.now, peer.members))
             for count, peer in zip(counts, net.peers, strict=True)
-            if peer.alive
+            if peer.is_alive
         ]
         assert sum(used_fractions) <= 1
         used_fractions = [
--- a/tests/test_several_addresses.py
+++ b/tests/test_several_addresses.py
@@ -15,7 +15,7 @@
 from quincepier.addresses import Address, Cause, Preference, parse, parse_term
 from quincepier.addresses.section import Aside, Dials
 from quincepier.interface import AttemptOutcome
-from quincepier.lab.scripted import Moment, Script
+from quincepier.lab.scripted_cache import Moment, Script
 from quincepier.net import dialer as dialing
 from tests.addresskit import KEYED, SAFE, UNSAFE, AddressHarness, Machine, long_backoff_section, run_on_uvloop
 from tests.standins import until
@@ -55,7 +55,10 @@
                 served[cls] = await harness.wait_for_status(inbox), job
                 inboxes.append(inbox)
             await harness.wait_until_idle()
-            received = {cls: sum(m.whole[job] for m in machines.values()) for cls, (_, job) in served.items()}
+            received = {
+                cls: sum(m.received_count_by_id[job] for m in machines.values())
+                for cls, (_, job) in served.items()
+            }
             assert received[UNSAFE] <= 1, "a bid arrives at most once"
             assert [len(inbox.responses) for inbox in inboxes] == [1, 1, 1], "one final response each"
             assert (
@@ -78,10 +81,10 @@
         await harness.start()
         origin.set("unix", Script(Moment.WHOLE, True))
         job, status = await harness.serve(UNSAFE)
-        assert (status, origin.whole[job]) == (502, 1)
-        assert harness.route("o-1").is_backing_off(parse(origin.doors["unix"].text))
+        assert (status, origin.received_count_by_id[job]) == (502, 1)
+        assert harness.route("o-1").is_backing_off(parse(origin.endpoint_by_kind["unix"].address))
         again, status = await harness.serve(UNSAFE)
-        assert (status, origin.at[-1]) == (200, ("ipv6", again))
+        assert (status, origin.received_commands[-1]) == (200, ("ipv6", again))
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -97,8 +100,10 @@
         for part in range(6):
             job, status = await harness.serve(SAFE, part)
             assert status == 200
-            (home,) = [m for m in machines.values() if m.whole[job]]  # only the cache that the key hashes to
-            assert [kind for kind, id in home.at if id == job][-1] == "ipv6"
+            (home,) = [
+                m for m in machines.values() if m.received_count_by_id[job]
+            ]  # only the cache that the key hashes to
+            assert [kind for kind, id in home.received_commands if id == job][-1] == "ipv6"
         assert not any(node.is_ejected for node in harness.module.router.placement.table.by_id.values())
         await harness.close()
 
@@ -159,7 +164,7 @@
         for _, inbox, _ in jobs:
             assert await harness.wait_for_status(inbox) == 200
         await opening
-        assert all(machine.whole[job] == 1 for job, _, _ in jobs)
+        assert all(machine.received_count_by_id[job] == 1 for job, _, _ in jobs)
         route = harness.route("s-1")
         await until(
             lambda: not (route.races.race_by_number or route.task_by_dial or route.socket_by_dial),
@@ -203,8 +208,8 @@
             edge.set(kind, Script())
         assert await harness.wait_for_status(inbox) == 200
         if event in ("drain", "gone"):
-            assert edge.whole[job] == 0
-        assert sum(machine.whole[job] for machine in machines.values()) == 1
+            assert edge.received_count_by_id[job] == 0
+        assert sum(machine.received_count_by_id[job] for machine in machines.values()) == 1
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -237,7 +242,11 @@
 
         connection.send = send_and_revoke  # type: ignore[method-assign]
         second, status = await harness.serve(UNSAFE)
-        assert (outcomes, status, origin.whole[second]) == ([AttemptOutcome.NOT_PROCESSED], 200, 1)
+        assert (outcomes, status, origin.received_count_by_id[second]) == (
+            [AttemptOutcome.NOT_PROCESSED],
+            200,
+            1,
+        )
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -255,7 +264,7 @@
         await until(lambda: not harness.route("o-1").task_by_dial, "its dials are cancelled")
         await until(lambda: not harness.cache("o-1").connections, "its connection is closed")
         assert (harness.module.dependencies.descriptors.outbound, harness.dialer.limiter.in_use) == (0, 0)
-        assert inbox.responses == [] and origin.whole[job] == 0
+        assert inbox.responses == [] and origin.received_count_by_id[job] == 0
         counts = harness.checks.counts
         assert counts["dials_cancelled"] and not counts["dials_failed_timed_out"]
         await harness.close()
@@ -270,7 +279,7 @@
         )
         await harness.start()
         await harness.serve(UNSAFE)
-        assert origin.at[0][0] == "ipv6"
+        assert origin.received_commands[0][0] == "ipv6"
         origin.set("ipv6", Script(Moment.REFUSE))
         for connection in harness.cache("o-1").connections:
             connection.close()
@@ -279,7 +288,7 @@
         asked = [harness.submit(UNSAFE) for _ in range(300)]
         for _, inbox, _ in asked:
             assert await harness.wait_for_status(inbox) == 200
-        assert all(origin.whole[job] == 1 for job, _, _ in asked)
+        assert all(origin.received_count_by_id[job] == 1 for job, _, _ in asked)
         refused = harness.checks.counts["dials_failed_refused"] - before.get("dials_failed_refused", 0)
         assert 1 <= refused <= 8, refused
         assert harness.dialer.limiter.peak <= 64
@@ -302,7 +311,7 @@
             await asyncio.sleep(0.001)
         assert peak <= descriptors.max_outbound
         assert {inbox.responses[0].status for _, inbox, _ in asked} == {200}
-        assert all(origin.whole[job] == 1 for job, _, _ in asked)
+        assert all(origin.received_count_by_id[job] == 1 for job, _, _ in asked)
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -315,14 +324,16 @@
         await harness.start()
         await harness.serve(SAFE, 1)
         route = harness.route("s-1")
-        route.on_connection_failed(parse(old.doors["unix"].text), clock.now(), "for a test")
+        route.on_connection_failed(parse(old.endpoint_by_kind["unix"].address), clock.now(), "for a test")
         harness.apply_event(
             harness.host_record("s-1", old.addresses(), health="DELETED"),
             harness.host_record("s-2", old.addresses()),
         )
         await until(lambda: "s-2" in harness.module.directory.entry_by_host, "the list is applied")
         new = harness.route("s-2")
-        assert new is not route and not new.is_backing_off(parse(old.doors["unix"].text))  # another machine
+        assert new is not route and not new.is_backing_off(
+            parse(old.endpoint_by_kind["unix"].address)
+        )  # another machine
         harness.apply_event(harness.host_record("s-3", old.addresses()))
         for part in range(8):
             assert (await harness.serve(SAFE, part))[1] == 200
@@ -340,12 +351,12 @@
         await harness.start(("unix", "ipv6"))
         origin.set("unix", Script(Moment.SILENT))
         silent, inbox, _ = harness.submit(UNSAFE)
-        await until(lambda: origin.whole[silent] == 1, "the command is sent")
-        harness.apply_event(harness.host_record("o-1", [origin.doors["ipv6"].text]))
+        await until(lambda: origin.received_count_by_id[silent] == 1, "the command is sent")
+        harness.apply_event(harness.host_record("o-1", [origin.endpoint_by_kind["ipv6"].address]))
         await until(lambda: len(harness.route("o-1").book.state_by_address) == 1, "the list is applied")
         assert not inbox.responses  # the attempt stays on the old connection
         job, status = await harness.serve(UNSAFE)
-        assert (status, origin.at[-1]) == (200, ("ipv6", job))
+        assert (status, origin.received_commands[-1]) == (200, ("ipv6", job))
         origin.set("ipv6", Script(Moment.FULL))
         for connection in harness.cache("o-1").connections:
             if connection.is_idle:
@@ -354,12 +365,18 @@
         await until(lambda: bool(harness.route("o-1").task_by_dial), "the front dials")
         section = type(harness.section)(
             **long_backoff_section(
-                machines={"o-1": (parse(origin.doors["ipv4"].text),)}, forbid=(parse_term("ipv6"),)
+                machines={"o-1": (parse(origin.endpoint_by_kind["ipv4"].address),)},
+                forbid=(parse_term("ipv6"),),
             )
         )
         harness.module.apply_address_settings(section)  # SIGHUP: the one being dialled is forbidden
-        assert await harness.wait_for_status(held_inbox) == 200 and origin.at[-1] == ("ipv4", waiting)
-        assert [str(a) for a in harness.route("o-1").book.state_by_address] == [origin.doors["ipv4"].text]
+        assert await harness.wait_for_status(held_inbox) == 200 and origin.received_commands[-1] == (
+            "ipv4",
+            waiting,
+        )
+        assert [str(a) for a in harness.route("o-1").book.state_by_address] == [
+            origin.endpoint_by_kind["ipv4"].address
+        ]
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -413,7 +430,7 @@
         await machine.start()
         machine.set("unix", Script(Moment.FULL))
         with pytest.raises(TimeoutError):
-            await dialing.dial(parse(machine.doors["unix"].text), 0.05)
+            await dialing.dial(parse(machine.endpoint_by_kind["unix"].address), 0.05)
         await machine.close()
 
     run_on_uvloop(scenario)
@@ -428,9 +445,11 @@
         for _, inbox, _ in first:
             await harness.wait_for_status(inbox)
         edge.set("unix", Script(Moment.SILENT))
-        harness.route("s-1").on_connection_failed(parse(edge.doors["unix"].text), clock.now(), "silent")
+        harness.route("s-1").on_connection_failed(
+            parse(edge.endpoint_by_kind["unix"].address), clock.now(), "silent"
+        )
         job, status = await harness.serve(SAFE, 5)
-        assert (status, edge.at[-1]) == (200, ("ipv6", job))
+        assert (status, edge.received_commands[-1]) == (200, ("ipv6", job))
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -466,7 +485,7 @@
             edge.set("unix", scripts[n % 4])
             edge.set("ipv6", scripts[(n + 1) % 4])
             await harness.serve(SAFE, n)
-        assert 0 < sum(edge.whole.values()) <= sum(sent)
+        assert 0 < sum(edge.received_count_by_id.values()) <= sum(sent)
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -480,14 +499,16 @@
         )
         await harness.start()
         job, status = await harness.serve(UNSAFE)
-        assert (status, origin.at) == (200, [("ipv4", job)])
-        harness.apply_event(harness.host_record("o-1", [origin.doors["ipv4"].text, "nonsense", "[::1]:0"]))
+        assert (status, origin.received_commands) == (200, [("ipv4", job)])
+        harness.apply_event(
+            harness.host_record("o-1", [origin.endpoint_by_kind["ipv4"].address, "nonsense", "[::1]:0"])
+        )
         await until(
             lambda: harness.checks.counts["endpoint_address_invalid"] >= 2,
             "the invalid addresses are reported",
         )
         assert (await harness.serve(UNSAFE))[1] == 200
-        assert origin.doors["unix"].accepted == origin.doors["ipv6"].accepted == 0
+        assert origin.endpoint_by_kind["unix"].accepted == origin.endpoint_by_kind["ipv6"].accepted == 0
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -524,7 +545,7 @@
         await harness.start()
         assert harness.checks.counts["endpoint_addresses_forbidden"] == 1
         job, status = await harness.serve(UNSAFE)
-        assert status == 503 and origin.whole[job] == 0
+        assert status == 503 and origin.received_count_by_id[job] == 0
         await harness.close()
 
     run_on_uvloop(scenario)
@@ -539,7 +560,7 @@
             )
             await harness.start()
             await harness.serve(UNSAFE)
-            assert [door for door, _ in origin.at] == [kind]
+            assert [door for door, _ in origin.received_commands] == [kind]
             await harness.close()
         assert Preference([parse_term("::/0")]).grade(Address(parse("[::1]:1").family, "::1", 1)) == 0
 
