--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -1,4 +1,6 @@
-"""What a fallback to another address costs, by kind of failure. Run by hand, loopback only; not part of CI.
+"""Measures the time that a fallback to another address adds, in ms, by kind of failure.
+
+Run by hand with `.venv/bin/python bench/addresses.py`; loopback only, not part of CI.
 
 Usage:
   addresses.py [--samples N] [--burst N]
@@ -7,9 +9,9 @@
   --samples N  Fallbacks of each kind [default: 1000].
   --burst N    Connections at once in the bursts; requests ten at most [default: 50].
 
-The address that fails is preferred, and its failure is forgotten before each sample, so that each
-attempt meets it anew. 'connect' rows time a connection, 'request' rows a whole read through the
-decision module and back. Added is the time over the median of the same with nothing failing.
+The failing address is preferred, and its failure is forgotten before each sample, so that every
+attempt fails on it first. 'connect' rows time a connection, 'request' rows a whole read through the
+decision module. Added is the time above the median of the same operation without a failure.
 Quantiles by hdrhistogram, in milliseconds.
 """
 
@@ -36,7 +38,7 @@
 from tests.addresskit import SAFE, Inside, Machine, play
 
 HIGHEST = 10_000_000  # microseconds
-GATE = 10  # requests at once: below the module's gate on fills, so that none is held or refused
+GATE = 10  # concurrent requests; below the module's limit on fills, so that none is held or rejected
 CONNECT: dict[str, tuple[str, Script]] = {
     "TCP4 refused": ("ipv4", Script(Moment.REFUSE)),
     "TCP6 refused": ("ipv6", Script(Moment.REFUSE)),
@@ -55,8 +57,8 @@
 }
 
 
-class Rig:
-    """A front inside, one cache whose first address is scripted, and how long things took."""
+class AddressBench:
+    """A front in this process and one cache whose preferred address fails as scripted; times operations."""
 
     def __init__(self, folder: Path, kind: str) -> None:
         self.machine = Machine(folder)
@@ -66,86 +68,86 @@
         self.part = 0
 
     def forget(self) -> None:
-        """As though the address had never failed, and no connection were up."""
-        way = self.inside.way("s-1")
-        for entry in way.book.entries.values():
+        """Forget the failures of all addresses and close the idle connections."""
+        route = self.inside.way("s-1")
+        for entry in route.book.entries.values():
             entry.due = entry.failures = entry.trial = 0
         for connection in list(self.inside.cache("s-1").connections):
             if connection.idle:
                 connection.close()
 
     async def connect(self) -> float:
-        way, began = self.inside.way("s-1"), time.perf_counter()
-        sock, _ = await way.connect()
+        route, began = self.inside.way("s-1"), time.perf_counter()
+        sock, _ = await route.connect()
         took = time.perf_counter() - began
         sock.close()
         return took
 
     async def request(self) -> float:
         self.part += 1
-        self.inside.module.router.retries.budget.tokens = (
-            40.0  # the budget of further attempts is not what is measured
-        )
-        came: asyncio.Future[tuple[float, Any]] = asyncio.get_running_loop().create_future()
+        self.inside.module.router.retries.budget.tokens = 40.0  # the retry budget is not measured here
+        finished: asyncio.Future[tuple[float, Any]] = asyncio.get_running_loop().create_future()
         began = time.perf_counter()
         _, inbox, _ = self.inside.ask(SAFE, self.part % 60_000)
-        inbox.push = lambda answer: came.set_result((time.perf_counter(), answer))  # type: ignore[method-assign]
-        at, answer = await came
+        inbox.push = lambda answer: finished.set_result((time.perf_counter(), answer))  # type: ignore[method-assign]
+        at, answer = await finished
         if answer.status != 200:
-            raise RuntimeError(f"an answer of {answer.status}")
+            raise RuntimeError(f"response status {answer.status}")
         answer.body.release()
         return at - began
 
 
-async def sample(rig: Rig, what: Callable[[], Awaitable[float]], count: int, burst: int) -> list[float]:
+async def sample(
+    bench: AddressBench, operation: Callable[[], Awaitable[float]], count: int, burst: int
+) -> list[float]:
     times: list[float] = []
     while len(times) < count:
-        rig.forget()
+        bench.forget()
         await asyncio.sleep(0)
-        times += await asyncio.gather(*(what() for _ in range(burst)))
+        times += await asyncio.gather(*(operation() for _ in range(burst)))
     return times
 
 
-async def row(label: str, kind: str, script: Script, mode: str, count: int, burst: int) -> str:
+async def measure_row(label: str, kind: str, script: Script, mode: str, count: int, burst: int) -> str:
     with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(Path(folder), kind)
-        await rig.inside.start()
-        what = rig.connect if mode == "connect" else rig.request
-        await sample(rig, what, 50, 1)  # warm: the stagger is learnt
-        usual = statistics.median(await sample(rig, what, 200, burst))
-        rig.machine.set(kind, Script(script.moment, script.rst, script.bytes))
-        counts = rig.inside.checks.counts
+        bench = AddressBench(Path(folder), kind)
+        await bench.inside.start()
+        operation = bench.connect if mode == "connect" else bench.request
+        await sample(bench, operation, 50, 1)  # warm-up: the stagger is learned
+        baseline_s = statistics.median(await sample(bench, operation, 200, burst))
+        bench.machine.set(kind, Script(script.moment, script.rst, script.bytes))
+        counts = bench.inside.checks.counts
         before = counts["dials"]
-        times = await sample(rig, what, count, burst)
+        times = await sample(bench, operation, count, burst)
         histogram = HdrHistogram(1, HIGHEST, 3)
         for took in times:
-            histogram.record_value(max(int((took - usual) * 1e6), 1))
+            histogram.record_value(max(int((took - baseline_s) * 1e6), 1))
         quantiles = [histogram.get_value_at_percentile(q) / 1000 for q in (50, 90, 99, 100)]
-        ran = script.moment in (Moment.WHOLE, Moment.ANSWER)  # then a read may be asked again
-        twice = 0 if ran else sum(n > 1 for n in rig.machine.whole.values())
+        ran = script.moment in (Moment.WHOLE, Moment.ANSWER)  # then a read may be retried
+        twice = 0 if ran else sum(n > 1 for n in bench.machine.whole.values())
         dials = (counts["dials"] - before) / len(times)
-        await rig.inside.close()
+        await bench.inside.close()
     if twice:
-        raise RuntimeError("a command was received whole twice though it was dropped before")
+        raise RuntimeError("a command was received whole twice although its connection failed before its end")
     shown = " | ".join(f"{q:.1f}" for q in quantiles)
-    usual_ms = f"{usual * 1000:.2f}"
+    usual_ms = f"{baseline_s * 1000:.2f}"
     return f"| {mode}, {burst} at once | {label} | {len(times)} | {usual_ms} | {shown} | {dials:.2f} |"
 
 
-async def show(*what: Any) -> None:
-    print(await row(*what), flush=True)
+async def print_row(*operation: Any) -> None:
+    print(await measure_row(*operation), flush=True)
 
 
 def main() -> None:
     logger.remove()
-    chosen = docopt(__doc__ or "")
-    count, burst = int(chosen["--samples"]), int(chosen["--burst"])
+    options = docopt(__doc__ or "")
+    count, burst = int(options["--samples"]), int(options["--burst"])
     print("| what | failure | samples | usual ms | added: median | 90th | 99th | most | dials each |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     rows = [("connect", *item) for item in CONNECT.items()] + [("request", *item) for item in REQUEST.items()]
     for mode, label, (kind, script) in rows:
         for at_once in (1, burst if mode == "connect" else min(burst, GATE)):
-            play(partial(show, label, kind, script, mode, count, at_once))
+            play(partial(print_row, label, kind, script, mode, count, at_once))
 
 
 if __name__ == "__main__":
--- a/bench/agree.py
+++ b/bench/agree.py
@@ -1,7 +1,9 @@
-"""By hand: how many states three voters have within a budget, and how long elections and commits take.
+"""Measures the agreement in virtual time: states of three voters, and durations of elections and commits.
 
-python bench/agree.py whole [MOST [NUMBER...]]    # explore budgets, MOST states each
-python bench/agree.py times           # elections, commits, idle traffic, in virtual time
+.venv/bin/python bench/agree.py whole [MAX_STATES [BUDGET...]]  # number of states and CPU s, by budget
+.venv/bin/python bench/agree.py times  # elections in s, commits in ms, idle messages and bytes per second
+
+Run by hand. BUDGET is an index into BUDGETS; default: all.
 """
 
 from __future__ import annotations
@@ -28,20 +30,20 @@
 ]
 
 
-def whole(most: int, numbers: list[int]) -> None:
+def explore(max_states: int, numbers: list[int]) -> None:
     for budget, terms_by_name in [BUDGETS[n] for n in numbers]:
         begin = time.process_time()
-        result = ModelChecker(budget, terms_by_name, 3 if terms_by_name else 0).explore(most)
+        result = ModelChecker(budget, terms_by_name, 3 if terms_by_name else 0).explore(max_states)
         spent = time.process_time() - begin
         print(budget, terms_by_name or "", result, f"{spent:.0f} s of CPU", flush=True)
 
 
-def times() -> None:
+def measure_times() -> None:
     for voters in (3, 5, 7):
         for delay_range_ns in ((MS // 2, MS), (500 * MS, 500 * MS)):
-            runs = [timed(voters, seed, delay_range_ns) for seed in range(20)]
-            first, killed = spread([r[0] for r in runs]), spread([r[1] for r in runs])
-            commits = spread([time for r in runs for time in r[2]])
+            runs = [measure_run(voters, seed, delay_range_ns) for seed in range(20)]
+            first, killed = summarize([r[0] for r in runs]), summarize([r[1] for r in runs])
+            commits = summarize([time for r in runs for time in r[2]])
             messages, size = statistics.mean(r[3] for r in runs), statistics.mean(r[4] for r in runs)
             print(
                 voters,
@@ -63,10 +65,10 @@
     return all(voter.has_committed(data) for voter in voters)
 
 
-def timed(
+def measure_run(
     size: int, seed: int, delay_range_ns: tuple[int, int]
 ) -> tuple[float, float, list[float], float, float]:
-    """Seconds to a first leader and to another one, ms of each commit, idle messages and bytes a second."""
+    """Return s to the first leader and to the next one, ms of each commit, idle messages and bytes per s."""
     cluster, commits = SimulatedCluster(size, seed), list[float]()
     cluster.delay_range_ns = delay_range_ns
     cluster.start()
@@ -86,13 +88,13 @@
     return first, killed, commits, messages / 10, idle_bytes / 10
 
 
-def spread(values: list[float]) -> str:
+def summarize(values: list[float]) -> str:
     return f"{statistics.median(values):.2f} (most {max(values):.2f}, {len(values)})"
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["times"]:
-        times()
+        measure_times()
     else:
         numbers = [int(n) for n in sys.argv[3:]] or list(range(len(BUDGETS)))
-        whole(int(sys.argv[2]) if len(sys.argv) > 2 else 4_000_000, numbers)
+        explore(int(sys.argv[2]) if len(sys.argv) > 2 else 4_000_000, numbers)
--- a/bench/consistency.py
+++ b/bench/consistency.py
@@ -1,7 +1,7 @@
-"""Comparing all fronts in virtual time: its cost by the number of fronts, and hours without a false alarm.
+"""Measures the consistency check in virtual time: its cost by number of fronts, and its false alarms.
 
-.venv/bin/python bench/consistency.py cost [FRONTS ...]
-.venv/bin/python bench/consistency.py calm FRONTS TURNS SEED ...
+.venv/bin/python bench/consistency.py cost [FRONTS ...]  # bytes per second, CPU ms per round
+.venv/bin/python bench/consistency.py calm FRONTS TURNS SEED ...  # false alarms in so many front-hours
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def run_healthy_fleet(count: int, turns: int, seed: int) -> None:
-    """Messages are lost, versions and lists roll out, fronts restart, partitions come and heal."""
+    """Count false alarms under message loss, rollouts of versions and lists, restarts and partitions."""
     section = ConsistencySection(sample_size=16, round_interval_s=5)
     fleet = SimulatedFleet(count, seed, make_settings(), section, loss_probability=LOSS_PROBABILITY)
     draw = random.Random(seed)
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,9 +1,9 @@
-"""Membership in virtual time beside two baselines in the same runs: detection, wrong removals, bytes.
+"""Measures membership against two baselines in virtual time: detection in s, wrong removals, bytes per s.
 
     .venv/bin/python bench/membership.py [MEMBERS ...]
 
-Baselines: heartbeats of each to all with a fixed timeout, and SWIM as first published (one suspicion is
-enough, no local health, a fixed suspicion timeout).
+Baselines: heartbeats from each member to all with a fixed timeout, and SWIM as first published (one suspicion
+suffices, no local health, a fixed suspicion timeout).
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 
 
 class RunResult(NamedTuple):
-    """What one run showed, of the members that were not struck."""
+    """Result of one run, over the members without a fault."""
 
-    detection_s: list[float]  # until each removed the member that was killed
+    detection_s: list[float]  # of each member, until it removed the killed one
     wrong_removals: int
     bytes_per_s: float  # of each member
     datagrams_per_s: float
@@ -71,7 +71,7 @@
 
 
 def run_heartbeats(count: int, seed: int, fault: str) -> RunResult:
-    """Heartbeats to all: each pair by itself, a step for each heartbeat."""
+    """Simulate heartbeats to all, pair by pair, one step per heartbeat."""
     rng, loss, tenth = random.Random(seed), LOSS if fault == "loss" else 0.0, max(count // 10, 1)
     detection_s, wrong_removals = list[float](), 0
     for sender in range(count):
--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -1,10 +1,10 @@
-"""Membership by processes: fronts on loopback, all pairs through the relay, one fault after another.
+"""Measures membership with front processes on loopback under one network or process fault after another.
 
     .venv/bin/python bench/membership_fleet.py [MEMBERS ...]
 
-Printed of each fault: members wrongly removed (sums over all views), how long until a faulty one is removed
-(median, worst), changes of the view at a front that was not struck (median, most), and how long after the
-fault all see all again. CPU is of the idle fronts themselves.
+Prints for each fault: members wrongly removed (sum over all views), seconds until a faulty one is removed
+(median, worst), view changes at a front without the fault (median, maximum), and seconds from the end of the
+fault until all fronts see all members. CPU is that of idle fronts, in ms per second.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from bench.measure import cpu_of
+from bench.measure import cpu_seconds_of
 from tests.membershipkit import Fleet, median
 
 IDLE_S = 10.0
 
 
 async def idle_cpu(fleet: Fleet) -> float:
-    """CPU of a front that serves nothing, in ms a second."""
+    """Return the median CPU usage of idle fronts, in ms per second."""
     pids = [f.process.pid for f in fleet.fronts if f.process is not None]
-    before, began = [cpu_of(pid) for pid in pids], time.monotonic()
+    before, began = [cpu_seconds_of(pid) for pid in pids], time.monotonic()
     await asyncio.sleep(IDLE_S)
-    spent = [cpu_of(pid) - b for pid, b in zip(pids, before, strict=True)]
+    spent = [cpu_seconds_of(pid) - b for pid, b in zip(pids, before, strict=True)]
     return median(spent) / (time.monotonic() - began) * 1000
 
 
--- a/bench/state.py
+++ b/bench/state.py
@@ -1,8 +1,8 @@
-"""What keeping costs by the number of machines: time to gather, write and read, bytes, the loop's lag.
+"""Measures state persistence by number of machines: ms to gather, write and read, bytes, event-loop lag.
 
     .venv/bin/python -O bench/state.py [--fuzz SECONDS]
 
-With --fuzz, damaged and hostile records are read for so long, and what came of them is counted.
+With --fuzz, damaged and hostile records are read for SECONDS instead, and the outcomes are counted.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
 from quincepier.state.schema_upgrades import CURRENT_VERSION
 
 MS, SECOND = 1_000_000, 1_000_000_000
-TURNS = 20
+ROUNDS = 20
 
 
-def router(machines: int) -> Router:
+def make_router(machines: int) -> Router:
     cls = io.RequestClass(
         io.Idempotency.SAFE, io.DeduplicationScope.ALL, 0, 500 * MS, 2.0, 3 * SECOND, 1.0, False, 0, 0, False
     )
@@ -56,22 +56,22 @@
         parent_cold_multiple=2.0, parent_cold_time=SECOND, list_on_request=False, must_ask_in=0, cancel=True,
         second_copies=True, attempts=8, retry_after=True, max_retry_after=SECOND, step=MS,
     )  # fmt: skip
-    made = Router(s, 1, SECOND)
+    loaded_router = Router(s, 1, SECOND)
     listed = (io.Endpoint(n, 0, 1, n % 65536, 10.0, 0, EndpointState.READY) for n in range(1, machines + 1))
-    made.handle(SECOND, io.EndpointUpdate(UpdateScope.FULL, tuple(listed)))
-    for upstream in made.placement.table.by_id.values():  # each has been slow lately
+    loaded_router.handle(SECOND, io.EndpointUpdate(UpdateScope.FULL, tuple(listed)))
+    for upstream in loaded_router.placement.table.by_id.values():  # so that each has a fact to store
         upstream.slowness.add(SECOND, 0.7)
     for n in range(4000):
-        made.handle(SECOND, io.ObjectPurged(n, n % 2 * n, 0))
-    return made
+        loaded_router.handle(SECOND, io.ObjectPurged(n, n % 2 * n, 0))
+    return loaded_router
 
 
 def save(store: SnapshotStore, builder: LearnedStateBuilder) -> int:
     return store.save(encode(builder.build("n1", current_timestamp())))
 
 
-async def cost(machines: int) -> None:
-    made = router(machines)
+async def measure_persistence(machines: int) -> None:
+    loaded_router = make_router(machines)
     classes, kinds = ("a", "b", "c", "d"), ("std", "parent", "origin")
     names = NameMapping(
         classes,
@@ -82,20 +82,20 @@
     gather, slices, write, read, lag = (list[float]() for _ in range(5))
     size = 0
 
-    async def watch() -> None:
+    async def measure_lag() -> None:
         while True:
             before = time.perf_counter()
             await asyncio.sleep(0.001)
             lag.append(time.perf_counter() - before - 0.001)
 
-    watching = asyncio.create_task(watch())
+    watching = asyncio.create_task(measure_lag())
     with tempfile.TemporaryDirectory() as folder:
         store = SnapshotStore(FileSystem(Path(folder)))
         store.open()
-        for _ in range(TURNS):
+        for _ in range(ROUNDS):
             builder, began = LearnedStateBuilder(names), time.perf_counter()
             since = began
-            for n, fact in enumerate(export_facts(made), 1):
+            for n, fact in enumerate(export_facts(loaded_router), 1):
                 builder.add(fact)
                 if n % FACTS_PER_SLICE == 0:
                     slices.append(time.perf_counter() - since)
@@ -109,8 +109,8 @@
             loaded = await asyncio.to_thread(store.load)
             assert loaded.state is not None
             facts = list(facts_from_state(loaded.state, names))
-            restore_facts(made, facts, 0)
-            made.expiries.clear()
+            restore_facts(loaded_router, facts, 0)
+            loaded_router.expiries.clear()
             read.append(time.perf_counter() - began)
     watching.cancel()
     ms = [
@@ -121,15 +121,15 @@
           f"write {ms[2]}, read and recall {ms[3]}, lag {ms[4]}")  # fmt: skip
 
 
-def fuzz(seconds: float) -> None:
-    """Bytes changed, cut, joined and moved; contents of other shapes under a good checksum."""
-    chance, came, inputs = random.Random(1), Counter[str](), 0
+def run_fuzz(seconds: float) -> None:
+    """Read records with changed, cut or inserted bytes, and ill-typed contents under a valid checksum."""
+    chance, outcomes, inputs = random.Random(1), Counter[str](), 0
     builder = LearnedStateBuilder(
         NameMapping(
             ("a",) * 4, ("std",), lambda number: MachineIdentity(f"m{number}", number), lambda identity: None
         )
     )
-    for fact in export_facts(router(200)):
+    for fact in export_facts(make_router(200)):
         builder.add(fact)
     state = builder.build("n1", current_timestamp())
     good, plain = pack_record(CURRENT_VERSION, 3, encode(state)), msgspec.to_builtins(state)
@@ -178,15 +178,15 @@
                         if chance.random() < 0.2 else content)  # fmt: skip
         try:
             version, _, content = unpack_record(data)
-            came["read" if isinstance(decode(version, content), LearnedState) else "another"] += 1
+            outcomes["read" if isinstance(decode(version, content), LearnedState) else "another"] += 1
         except StateError as error:
-            came[error.fault.value] += 1
-    print(f"{inputs} inputs: " + ", ".join(f"{kind} {n}" for kind, n in came.most_common()))
+            outcomes[error.fault.value] += 1
+    print(f"{inputs} inputs: " + ", ".join(f"{kind} {n}" for kind, n in outcomes.most_common()))
 
 
 if __name__ == "__main__":
     if "--fuzz" in sys.argv:
-        fuzz(float(sys.argv[sys.argv.index("--fuzz") + 1]))
+        run_fuzz(float(sys.argv[sys.argv.index("--fuzz") + 1]))
     else:
         for count in (100, 1000, 10_000):
-            asyncio.run(cost(count))
+            asyncio.run(measure_persistence(count))
--- a/quincepier/lab/fleet/__init__.py
+++ b/quincepier/lab/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""An experiment played by real processes: fronts as in service, the net and all else between them stood in.
+"""Plays an experiment with real processes: fronts run as in service, everything around them is simulated.
 
-`rig.py` starts, strikes and ends; `relay.py` is the net, `standins.py` the machines and the change log,
-`load.py` the clients, `evidence.py` the judge's ear. None of it is imported by a front. Read `rig.py` first.
+`rig.py` supervises the processes and injects faults; `relay.py` is the network between them, `standins.py`
+runs the stand-in machines and the change log, `load.py` generates client load, and `evidence.py` turns the
+notes of all processes into a verdict. Fronts import none of it. Read `rig.py` first.
 """
--- a/quincepier/lab/fleet/child.py
+++ b/quincepier/lab/fleet/child.py
@@ -1,7 +1,7 @@
-"""What every process of the rig shares: words from the rig, words to it, notes for the judge, and its end.
+"""Shared by all processes of the rig: commands from the rig, messages to it, notes as evidence, and exit.
 
-The rig speaks in lines of JSON on the standard input. When that ends the rig is gone, however it went, and so
-is the process.
+The rig sends JSON lines to the standard input. The process ends when that input is closed, so that it never
+outlives the rig, however the rig ended.
 """
 
 from __future__ import annotations
@@ -19,65 +19,65 @@
 import msgspec
 
 PR_SET_PDEATHSIG = 1
-TICK, LATE = 0.05, 0.02  # seconds between looks at the loop; lag beyond this is noted
-NOTES_HELD = 512
+STALL_CHECK_INTERVAL_S, STALL_THRESHOLD_S = 0.05, 0.02  # a longer lag of the event loop is noted
+MAX_BUFFERED_NOTES = 512
 
 
 def dies_with_parent() -> None:
-    """Of a process about to be run: SIGKILL as its parent ends (prctl(2), PR_SET_PDEATHSIG)."""
+    """Have this process killed when its parent ends (prctl(2), PR_SET_PDEATHSIG); called before exec."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
     if os.getppid() == 1:
         os._exit(1)
 
 
 class Notes:
-    """What the process saw, a line of JSON each, with the system's monotonic time in nanoseconds."""
+    """Evidence log of a process: one JSON line per event, with the system's monotonic time in ns."""
 
     def __init__(self, path: Path) -> None:
-        self.file, self.held = path.open("ab"), list[bytes]()
+        self.file, self.buffered = path.open("ab"), list[bytes]()
         self.encode = msgspec.json.Encoder().encode
 
     def note(self, what: str, *about: Any) -> None:
-        self.held.append(self.encode((time.monotonic_ns(), what, *about)))
-        if len(self.held) >= NOTES_HELD:
+        self.buffered.append(self.encode((time.monotonic_ns(), what, *about)))
+        if len(self.buffered) >= MAX_BUFFERED_NOTES:
             self.flush()
 
     def flush(self) -> None:
-        if self.held:
-            self.file.write(b"\n".join(self.held) + b"\n")
+        if self.buffered:
+            self.file.write(b"\n".join(self.buffered) + b"\n")
             self.file.flush()
-            self.held.clear()
+            self.buffered.clear()
 
 
-def tell(**words: Any) -> None:
-    """To the rig."""
+def report_to_rig(**words: Any) -> None:
+    """Send a message to the rig, one JSON line on the standard output."""
     sys.stdout.buffer.write(msgspec.json.encode(words) + b"\n")
     sys.stdout.buffer.flush()
 
 
-async def obey(heard: Callable[[dict[str, Any]], None], notes: Notes) -> bool:
-    """Until the rig says `end` (true) or is gone (false)."""
+async def run_commands(on_command: Callable[[dict[str, Any]], None], notes: Notes) -> bool:
+    """Pass the rig's commands to `on_command` until `end` (return True) or the end of the rig (False)."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 24)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    lag = loop.create_task(_watch(notes))
+    lag = loop.create_task(_record_stalls(notes))
     ended = False
     while not ended and (line := await reader.readline()):
         words = msgspec.json.decode(line)
         ended = "end" in words
         if not ended:
-            heard(words)
+            on_command(words)
     lag.cancel()
     notes.flush()
     return ended
 
 
-async def _watch(notes: Notes) -> None:
-    """A process that stood still says so: what came late in that time is not a front's fault."""
+async def _record_stalls(notes: Notes) -> None:
+    """Note each pause of this process: lateness during a pause is not a fault of the fronts."""
     while True:
         before = time.monotonic()
-        await asyncio.sleep(TICK)
-        late = time.monotonic() - before - TICK
-        if late > LATE:
+        await asyncio.sleep(STALL_CHECK_INTERVAL_S)
+        late = time.monotonic() - before - STALL_CHECK_INTERVAL_S
+        if late > STALL_THRESHOLD_S:
             notes.note("stall", int(late * 1e9))
         notes.flush()
--- a/quincepier/lab/fleet/claims.py
+++ b/quincepier/lab/fleet/claims.py
@@ -1,7 +1,7 @@
-"""Claims of full service: whether a front that says it is back serves nearly what the fleet served before.
+"""Checks claims of full service: a front that claims it must serve nearly the share that was usual before.
 
-Both by tries, without those whose client left before its time or hurried. What the next fault strikes, or
-finds open, is not held against a front.
+Both shares are by tries of clients, without those that were aborted or had a shortened deadline. Tries that
+the next fault may have hit do not count.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from quincepier.lab.experiment import SECOND
 from quincepier.lab.returns import FULL, SETTLES
 
-LOOKED_FOR, LEAST_TRIES, LEAST_SHARE = 3 * SECOND, 20, 0.9  # after a claim; of the usual share
-OPEN_FOR = SECOND // 2  # what came so shortly before a fault may be open as it strikes
+JUDGED_SPAN_NS, MIN_TRIES, MIN_SHARE_OF_USUAL = 3 * SECOND, 20, 0.9  # of the usual share of worth
+FAULT_MARGIN_NS = SECOND // 2  # tries this shortly before a fault may still be open when it strikes
 
 
 @dataclass(slots=True, frozen=True)
-class Try:
-    """One try of a client that ended at `when`, ns: what it was worth and what it earned."""
+class TryOutcome:
+    """One try of a client that ended at `when` (ns), with its worth and the worth that was served."""
 
     when: int
     asked: float
@@ -28,7 +28,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """A claim of a front, the share of worth that it served after it, and the usual one of all fronts."""
+    """A claim of full service.
+
+    Attributes:
+        share: Share of worth that the front served after the claim.
+        usual: Share of worth that all fronts served before the first fault.
+        tries: Number of tries that `share` is based on.
+    """
 
     front: int
     share: float
@@ -37,39 +43,43 @@
 
     @property
     def is_false(self) -> bool:
-        """Whether it serves less than it says."""
-        return self.tries >= LEAST_TRIES and self.share < LEAST_SHARE * FULL * self.usual
+        """Whether enough tries show that the front served less than it claimed."""
+        return self.tries >= MIN_TRIES and self.share < MIN_SHARE_OF_USUAL * FULL * self.usual
 
 
 class Claims:
-    """The tries at each front."""
+    """The counted tries at each front, and the verdict on claims."""
 
     def __init__(self) -> None:
-        self._tries: dict[int, list[Try]] = defaultdict(list)
+        self._tries: dict[int, list[TryOutcome]] = defaultdict(list)
 
     def on_try(self, front: int, when: int, asked: float, served: float) -> None:
-        """Note a try that counts."""
-        self._tries[front].append(Try(when, asked, served))
+        """Record a try that counts; `asked` and `served` are worth."""
+        self._tries[front].append(TryOutcome(when, asked, served))
 
-    def judged(self, claims: Iterable[tuple[int, int]], start: int, struck: Sequence[int]) -> Iterator[Claim]:
+    def judge(
+        self, claims: Iterable[tuple[int, int]], start: int, fault_times: Sequence[int]
+    ) -> Iterator[Claim]:
         """Return each claim (when, by which front) with what was served; `struck`: when faults struck, ns.
 
-        Where no fault was told nothing says what is usual, nor what strikes after a claim: none is false.
+        Without faults neither the usual share nor the end of the judged time is known: yields nothing.
         """
-        if not struck:
+        if not fault_times:
             return
-        calm = min(struck)
+        calm = min(fault_times)
         since = start + (calm - start) // SETTLES
-        usual = _share(one for tries in self._tries.values() for one in tries if since <= one.when < calm)
+        usual = _served_share(
+            one for tries in self._tries.values() for one in tries if since <= one.when < calm
+        )
         for when, front in claims:
-            next_fault = min((at for at in struck if at > when), default=when + LOOKED_FOR)
-            until = min(when + LOOKED_FOR, next_fault - OPEN_FOR)
+            next_fault = min((at for at in fault_times if at > when), default=when + JUDGED_SPAN_NS)
+            until = min(when + JUDGED_SPAN_NS, next_fault - FAULT_MARGIN_NS)
             after = [one for one in self._tries[front] if when <= one.when < until]
-            yield Claim(front, _share(after), usual, len(after))
+            yield Claim(front, _served_share(after), usual, len(after))
 
 
-def _share(tries: Iterable[Try]) -> float:
-    """The share of worth served; 0 where there was none."""
+def _served_share(tries: Iterable[TryOutcome]) -> float:
+    """Return the share of worth that was served, 0 without tries."""
     asked = served = 0.0
     for one in tries:
         asked += one.asked
--- a/quincepier/lab/fleet/command.py
+++ b/quincepier/lab/fleet/command.py
@@ -22,14 +22,14 @@
 
 
 class FleetRuns(msgspec.Struct, frozen=True):
-    """What a file of fleet runs holds."""
+    """Content of a file of fleet runs."""
 
     format: int
     runs: tuple[FleetRun, ...]
 
 
 async def _play(rig: Rig) -> FleetRun:
-    """SIGINT and SIGTERM end the run and all that it started."""
+    """Play a run; SIGINT and SIGTERM end it and all its processes."""
     task = asyncio.current_task()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -41,23 +41,24 @@
             loop.remove_signal_handler(number)
 
 
-def fleet(chosen: Mapping[str, Any], out: Console) -> int:
-    path = chosen["EXPERIMENT"]
+def fleet(options: Mapping[str, Any], out: Console) -> int:
+    """Play an experiment; return 0, 1 if a rule broke, or 3 if a run was void or interrupted."""
+    path = options["EXPERIMENT"]
     experiment = load(path)
     seeds = experiment.seeds
-    if chosen["--seeds"]:
-        seeds = tuple(int(seed) for seed in chosen["--seeds"].split(","))
-    variants = [v for v in experiment.variants if chosen["--variant"] in (None, v.name)]
+    if options["--seeds"]:
+        seeds = tuple(int(seed) for seed in options["--seeds"].split(","))
+    variants = [v for v in experiment.variants if options["--variant"] in (None, v.name)]
     if not variants:
-        raise ValueError(f"{path} has no variant {chosen['--variant']!r}")
-    if chosen["--keep"] and len(seeds) * len(variants) > 1:
+        raise ValueError(f"{path} has no variant {options['--variant']!r}")
+    if options["--keep"] and len(seeds) * len(variants) > 1:
         raise ValueError("--keep is for one run: name a seed and a variant")
-    quiet, runs = chosen["--json"], list[FleetRun]()
+    quiet, runs = options["--json"], list[FleetRun]()
     with Progress(console=out, disable=quiet or not out.is_terminal, transient=True) as progress:
         for variant, seed in [(v, s) for s in seeds for v in variants]:
             bar = progress.add_task(f"{variant.name}, seed {seed}", total=1.0)
             rig = Rig(
-                path, experiment, variant, seed, checkout=chosen["--checkout"], keep=chosen["--keep"],
+                path, experiment, variant, seed, checkout=options["--checkout"], keep=options["--keep"],
                 progress=lambda share, bar=bar: progress.update(bar, completed=share),  # type: ignore[misc]
             )  # fmt: skip
             try:
@@ -66,16 +67,16 @@
                 print("quincepier: ended before the run was over", file=sys.stderr)
                 return 3
             if not quiet:
-                told(runs[-1], out)
-    kept = FleetRuns(FORMAT, tuple(runs))
+                print_run(runs[-1], out)
+    file_content = FleetRuns(FORMAT, tuple(runs))
     if quiet:
-        sys.stdout.buffer.write(msgspec.json.encode(kept) + b"\n")
-    if chosen["--out"]:
-        beside = Path(chosen["--out"] + ".new")
-        beside.write_bytes(msgspec.json.format(msgspec.json.encode(kept), indent=1) + b"\n")
-        beside.replace(chosen["--out"])
-    if chosen["--report"]:
-        _write(runs[-1], Path(chosen["--report"]), out, quiet)
+        sys.stdout.buffer.write(msgspec.json.encode(file_content) + b"\n")
+    if options["--out"]:
+        beside = Path(options["--out"] + ".new")
+        beside.write_bytes(msgspec.json.format(msgspec.json.encode(file_content), indent=1) + b"\n")
+        beside.replace(options["--out"])
+    if options["--report"]:
+        _write(runs[-1], Path(options["--report"]), out, quiet)
     return 3 if any(run.void for run in runs) else 1 if any(run.figures.broken for run in runs) else 0
 
 
@@ -87,8 +88,8 @@
         out.print(f"report: {path}", highlight=False)
 
 
-def told(run: FleetRun, out: Console) -> None:
-    """What happened, in a few lines."""
+def print_run(run: FleetRun, out: Console) -> None:
+    """Print a summary of a run in a few lines."""
     f = run.figures
     counted = f"{f.served} served, {f.late} late, {f.refused} refused, {f.failed} failed"
     out.print(
@@ -122,14 +123,16 @@
     )
 
 
-def report(chosen: Mapping[str, Any], out: Console) -> int:
-    """The page of the last run in a file."""
-    path = Path(chosen["RUN"])
+def report(options: Mapping[str, Any], out: Console) -> int:
+    """Write the HTML report of the last run in a file; return the exit code."""
+    path = Path(options["RUN"])
     try:
-        kept = msgspec.json.decode(path.read_bytes(), type=FleetRuns)
+        file_content = msgspec.json.decode(path.read_bytes(), type=FleetRuns)
     except (OSError, msgspec.DecodeError) as error:
         raise ValueError(f"{path}: no fleet runs can be read: {error}") from None
-    if kept.format != FORMAT or not kept.runs:
-        raise ValueError(f"{path}: format {kept.format} with {len(kept.runs)} runs can't be shown")
-    _write(kept.runs[-1], Path(chosen["--report"] or path.with_suffix(".html")), out, False)
+    if file_content.format != FORMAT or not file_content.runs:
+        raise ValueError(
+            f"{path}: format {file_content.format} with {len(file_content.runs)} runs can't be shown"
+        )
+    _write(file_content.runs[-1], Path(options["--report"] or path.with_suffix(".html")), out, False)
     return 0
--- a/quincepier/lab/fleet/disk.py
+++ b/quincepier/lab/fleet/disk.py
@@ -1,4 +1,4 @@
-"""What befalls a front's folder of state while it is down."""
+"""Disk faults: damage to the state folder of a front while the front is down."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from quincepier.lab.experiment import Disk
 
 
-def read(folder: Path) -> dict[str, bytes]:
-    """The files of a folder by their path in it."""
+def read_files(folder: Path) -> dict[str, bytes]:
+    """Return the contents of all files below a folder, by path relative to it."""
     return {str(p.relative_to(folder)): p.read_bytes() for p in sorted(folder.rglob("*")) if p.is_file()}
 
 
-def strike(folder: Path, how: Disk, older: dict[str, bytes], chance: random.Random) -> None:
-    """`older` is what the folder held as the run began."""
+def apply_fault(folder: Path, how: Disk, older: dict[str, bytes], chance: random.Random) -> None:
+    """Apply a disk fault to a state folder; `older`: its files as the run began."""
     files = [p for p in sorted(folder.rglob("*")) if p.is_file()]
     if how in (Disk.EMPTY, Disk.OLDER):
         shutil.rmtree(folder)
--- a/quincepier/lab/fleet/evidence.py
+++ b/quincepier/lab/fleet/evidence.py
@@ -1,7 +1,8 @@
-"""What all sides of a fleet saw, put in order and laid before the judge; then the figures.
+"""Merges the notes of all processes of a run in order of time, has them judged, and computes the figures.
 
-Shares no code with a front. A front is told of an event when it asks for later ones, or by the list it starts
-with; an answer is excused where its front was killed or stopped by the rig, or the rig itself stood still.
+Shares no code with a front. A front counts as knowing a change-log event once it asks for later ones or
+starts with a list that has it. A missing or late response is excused where the rig had killed or paused the
+front, or where the rig's own processes were paused.
 """
 
 from __future__ import annotations
@@ -16,33 +17,35 @@
 from hdrh.histogram import HdrHistogram
 
 from quincepier.lab.experiment import MS, ORIGIN, SECOND, Experiment, Kind, NetPath, Way
+from quincepier.lab.fleet.attempt_spans import AttemptSpans
 from quincepier.lab.fleet.claims import Claims
-from quincepier.lab.fleet.copies import Copies
 from quincepier.lab.judge import Judge
 from quincepier.lab.tally import START, Figures, Tally
 
-CROSSED = 50 * MS  # a request that crosses the close of its connection was never taken
-RESUMED = 500 * MS  # after a stop: what was due by then may be late, as the front had no time for it
-TERM_TAKES = 700 * MS  # what comes later than this after SIGTERM is nobody's
-TOLD_AFTER = 7 * SECOND  # since the log has it
-HOLDING = frozenset((Kind.CUT, Kind.SILENT, Kind.DELAY, Kind.THROTTLE))  # what is said over a path
-HELD_AFTER_CROWD = SECOND  # a crowd goes by and by
-HELD_AFTER = 1.0  # seconds after such a fault: what it kept is passed on then
-US = 1000
-FAULT_WORDS = ("invariant_violated_", "exception_in_", "Traceback")
+CONNECTION_CLOSE_RACE_NS = 50 * MS  # a request sent this shortly before its connection closes was never read
+RESUME_GRACE_NS = 500 * MS  # responses due until then after a pause may be late
+TERM_GRACE_NS = 700 * MS  # requests that arrive later than this after SIGTERM are excused
+MAX_LOG_DELAY_NS = 7 * SECOND  # an event in the change log counts as known to all fronts from then on
+HOLDING_FAULTS = frozenset(
+    (Kind.CUT, Kind.SILENT, Kind.DELAY, Kind.THROTTLE)
+)  # these keep data under way on a path
+CROWD_GRACE_NS = SECOND  # the connections of a crowd are closed one by one
+HOLDING_GRACE_S = 1.0  # after such a fault, the data that it kept is delivered
+NS_PER_US = 1000
+DEFECT_LOG_TEXTS = ("invariant_violated_", "exception_in_", "Traceback")
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
 
-class Part(msgspec.Struct, frozen=True):
-    """What the processes of one kind used."""
+class ProcessUsage(msgspec.Struct, frozen=True):
+    """Resources used by all processes of one kind."""
 
     processes: int
     cpu_s: float
-    memory_mb: float  # the most of any one
+    memory_mb: float  # peak resident memory of the largest process
 
 
-class Down(msgspec.Struct, frozen=True):
-    """A front that was away: seconds of the run."""
+class Downtime(msgspec.Struct, frozen=True):
+    """A time in which a front was down; `since` and `until` in seconds of the run."""
 
     front: int
     since: float
@@ -51,7 +54,16 @@
 
 
 class FleetRun(msgspec.Struct, frozen=True):
-    """One run of processes, as it is kept. `void` says why its figures count for nothing."""
+    """The stored result of one run.
+
+    Attributes:
+        void: Why the run is no evidence, "" if it is valid.
+        series: Number of events of each kind in each half second.
+        percentiles_ms: Time to a served response, by percentile.
+        parts: Resource usage by kind of process.
+        starts_s: Time from each start of a front until it served.
+        accused: Numbers of the fronts that broke a rule, by rule.
+    """
 
     experiment: str
     variant: str
@@ -61,261 +73,282 @@
     caches: int
     void: str
     figures: Figures
-    series: dict[str, tuple[int, ...]]  # events in each half second
-    downs: tuple[Down, ...]
+    series: dict[str, tuple[int, ...]]
+    downs: tuple[Downtime, ...]
     percentiles_ms: dict[str, float]
-    parts: dict[str, Part]
-    starts_s: tuple[float, ...]  # from each start of a front until it served
-    accused: dict[str, tuple[int, ...]]  # fronts by the rule they broke
+    parts: dict[str, ProcessUsage]
+    starts_s: tuple[float, ...]
+    accused: dict[str, tuple[int, ...]]
 
     @property
     def passed(self) -> bool:
+        """Whether the run is valid and no rule was broken."""
         return not self.void and not self.figures.broken
 
 
 @dataclass
-class Story:
-    """What the rig itself did and saw, in monotonic nanoseconds."""
+class RigRecord:
+    """The rig's own record of a run: what it did and observed; times in monotonic nanoseconds."""
 
     start: int = 0
     allows_second_copies: bool = True
-    marks: list[tuple[int, str, bool]] = field(default_factory=list)  # when, what, whether on fronts
-    downs: list[tuple[int, int, int, str]] = field(default_factory=list)  # front, since, until, why
-    stops: list[tuple[int, int, int]] = field(default_factory=list)  # front, since, until
-    terms: list[tuple[int, int]] = field(default_factory=list)  # front, when
-    starts: list[tuple[int, int, int]] = field(default_factory=list)  # when, front, events known
-    returns: list[int] = field(default_factory=list)
-    claims: list[tuple[int, int]] = field(default_factory=list)  # when, front
-    crashes: list[tuple[int, str]] = field(default_factory=list)  # front, why
-    took: list[float] = field(default_factory=list)
-
-
-def _read(folder: Path) -> Iterator[list[Any]]:
+    marks: list[tuple[int, str, bool]] = field(
+        default_factory=list
+    )  # time, fault kind, whether it strikes fronts or their paths
+    downs: list[tuple[int, int, int, str]] = field(default_factory=list)  # front, since, until, reason
+    pauses: list[tuple[int, int, int]] = field(default_factory=list)  # front, since, until
+    terms: list[tuple[int, int]] = field(default_factory=list)  # front, time
+    starts: list[tuple[int, int, int]] = field(
+        default_factory=list
+    )  # time, front, number of change-log events it starts with
+    returns: list[int] = field(default_factory=list)  # when struck fronts were back
+    claims: list[tuple[int, int]] = field(default_factory=list)  # time, front
+    crashes: list[tuple[int, str]] = field(default_factory=list)  # front, reason
+    start_durations_s: list[float] = field(default_factory=list)
+
+
+def read_notes_files(folder: Path) -> Iterator[list[Any]]:
     decode = msgspec.json.Decoder(list[Any]).decode
     for path in sorted(folder.glob("notes-*")):
         for line in path.read_bytes().splitlines():
             try:
                 yield decode(line)
-            except msgspec.DecodeError:  # cut short as its process ended
+            except msgspec.DecodeError:  # the last line of a killed process may be incomplete
                 continue
 
 
 class Evidence:
-    def __init__(self, experiment: Experiment, story: Story, folder: Path) -> None:
-        self.experiment, self.story = experiment, story
+    """Judges one run by its notes; methods named after a note (`_sent`, `_lost`, ...) handle that note."""
+
+    def __init__(self, experiment: Experiment, story: RigRecord, folder: Path) -> None:
+        self.experiment, self.record = experiment, story
         self.judge, self.tally = Judge(int(experiment.load.lost_ms * MS)), Tally(experiment)
         self.folder = folder
-        self.notes = sorted(_read(folder), key=lambda n: n[0])
+        self.notes = sorted(read_notes_files(folder), key=lambda n: n[0])
         self.notes += [[at, "started", front, seq] for at, front, seq in story.starts]
         self.notes += [[at, "struck", what, fronts] for at, what, fronts in story.marks]
         self.notes += [[since, "killed", front] for front, since, _, why in story.downs if why != "term"]
-        self.notes += [[n[0] + TOLD_AFTER, "counts_as_told", n[2]] for n in self.notes if n[1] == "event"]
+        self.notes += [
+            [n[0] + MAX_LOG_DELAY_NS, "counts_as_told", n[2]] for n in self.notes if n[1] == "event"
+        ]
         self.notes.sort(key=lambda n: n[0])
-        self.sent: dict[int, tuple[int, int]] = {}  # by serial: when, and for which request
+        self.sent_by_serial: dict[int, tuple[int, int]] = {}  # by attempt serial: time, request
         self.events: dict[int, tuple[str, list[Any]]] = {}
-        self.heard: dict[int, int] = defaultdict(lambda: 1)
-        self.told: dict[int, dict[int, int]] = {}  # of purges, by event
-        self.open: dict[int, dict[int, int]] = defaultdict(dict)  # by front: requests and when they came
+        self.known_sequence_by_front: dict[int, int] = defaultdict(lambda: 1)
+        self.purge_known_by_event: dict[
+            int, dict[int, int]
+        ] = {}  # by sequence number of the purge: front, time at which it knew
+        self.open_requests_by_front: dict[int, dict[int, int]] = defaultdict(
+            dict
+        )  # by front: request, arrival time
         self.claims = Claims()
         self.histogram = HdrHistogram(1, 60_000_000, 3)
         self.stalls = [(n[0] - n[2], n[0]) for n in self.notes if n[1] == "stall"]
-        self.strain, self.last = 0.0, 0
-        self.copies = Copies()
+        self.max_strain, self.last_request_ns = 0.0, 0
+        self.attempt_spans = AttemptSpans()
         self.allows_copies = story.allows_second_copies
-        self.forwarded: set[int] = set()  # requests of which a machine read a command
-        self.crossed: dict[int, int] = {}  # by request: its front; they crossed the end of their connection
+        self.forwarded_requests: set[int] = set()  # requests of which a machine has read a command
+        self.close_races: dict[int, int] = {}  # request, front: sent as the connection closed
         self.crowds: list[tuple[int, int, int]] = []  # front, since, until
 
-    def _at(self, when: int) -> int:
-        """On the judge's clock, on which the run begins at START."""
-        return when - self.story.start + START
+    def _to_judge_time(self, when: int) -> int:
+        """Convert a monotonic time to the judge's clock, on which the run begins at START."""
+        return when - self.record.start + START
 
     def _holds_commands(self, when: int) -> bool:
-        """Whether the rig keeps commands under way then: when they were begun is not seen."""
-        since = (when - self.story.start) / SECOND
+        """Whether a fault keeps commands under way then, so that their sending time is unknown."""
+        since = (when - self.record.start) / SECOND
         return any(
-            fault.kind in HOLDING
+            fault.kind in HOLDING_FAULTS
             and fault.path is NetPath.CACHES
             and fault.way is not Way.IN
-            and fault.at <= since <= fault.at + fault.lasts + HELD_AFTER
+            and fault.at <= since <= fault.at + fault.lasts + HOLDING_GRACE_S
             for fault in self.experiment.faults
         )
 
-    def _stood(self, since: int, until: int) -> int:
+    def _paused_ns(self, since: int, until: int) -> int:
         return sum(max(min(b, until) - max(a, since), 0) for a, b in self.stalls)
 
-    def _excused(self, front: int, came: int, due: int) -> bool:
-        """Whether the rig itself kept that front from answering.
+    def _is_excused(self, front: int, came: int, due: int) -> bool:
+        """Whether the rig itself kept a front from answering a request in time.
 
-        One that was stopped is excused for what was due in that time; what has time left after it is not.
+        A pause excuses requests that were due during it; a request due well after it is not excused.
         """
-        stopped = any(f == front and a < due < b + RESUMED and came < b for f, a, b in self.story.stops)
-        down = any(f == front and a <= due and came < b for f, a, b, why in self.story.downs if why != "term")
+        stopped = any(
+            f == front and a < due < b + RESUME_GRACE_NS and came < b for f, a, b in self.record.pauses
+        )
+        down = any(
+            f == front and a <= due and came < b for f, a, b, why in self.record.downs if why != "term"
+        )
         late = any(
-            f == front and came > at + TERM_TAKES and came < at + 30 * SECOND for f, at in self.story.terms
-        )  # where its clients are told that it goes
+            f == front and came > at + TERM_GRACE_NS and came < at + 30 * SECOND
+            for f, at in self.record.terms
+        )  # clients have been told by then to use other fronts
         return stopped or down or late
 
-    def hear(self) -> None:
+    def judge_notes(self) -> None:
+        """Pass all notes to the judge in order of time, then apply the rules that need the whole run."""
         for when, what, *about in self.notes:
-            getattr(self, f"_{what}", self._pass)(when, *about)
-        self._claims()
-        self._copies()
-        for front, line in self._faults_told():
+            getattr(self, f"_{what}", self._ignore_note)(when, *about)
+        self._judge_claims()
+        self._judge_copies()
+        for front, line in self._logged_defects():
             self.judge.accuse("invariant", -1, f"front {front}: {line}", front)
-        for front, why in self.story.crashes:
+        for front, why in self.record.crashes:
             self.judge.accuse("crash", -1, f"front {front} {why}", front)
-        self.judge.end(self._at(self.last))
+        self.judge.end(self._to_judge_time(self.last_request_ns))
 
-    def _faults_told(self) -> Iterator[tuple[int, str]]:
-        """Lines in which a front itself tells of a fault: an invariant that broke, an exception survived."""
+    def _logged_defects(self) -> Iterator[tuple[int, str]]:
+        """Yield log lines in which a front reports a defect of its own: a broken invariant or an exception."""
         for path in sorted(self.folder.glob("front-*/log")):
             for line in path.read_text(errors="replace").splitlines():
-                if any(word in line for word in FAULT_WORDS) and "counters" not in line:
+                if any(word in line for word in DEFECT_LOG_TEXTS) and "counters" not in line:
                     yield int(path.parent.name.removeprefix("front-")), line
 
-    def _pass(self, when: int, *about: Any) -> None:
+    def _ignore_note(self, when: int, *about: Any) -> None:
         pass
 
     def _came(self, when: int, cls: int, intended: int) -> None:
-        self.tally.asked(self._at(intended), cls)
+        self.tally.asked(self._to_judge_time(intended), cls)
 
     def _asked(self, when: int, job: int, front: int, effect: str, due: int, group: int) -> None:
-        due += self._stood(when, due + SECOND)
-        self.judge.asked(self._at(when), job, front, effect, self._at(due))
-        self.open[front][job] = when
-        self.last = max(self.last, when)
-        if self._excused(front, when, due):
+        due += self._paused_ns(when, due + SECOND)
+        self.judge.asked(self._to_judge_time(when), job, front, effect, self._to_judge_time(due))
+        self.open_requests_by_front[front][job] = when
+        self.last_request_ns = max(self.last_request_ns, when)
+        if self._is_excused(front, when, due):
             self.judge.abandoned(job)
 
     def _sent(
         self, when: int, job: int, front: int, machine: int, source: int, serial: int, wait_ms: int
     ) -> None:
-        self.sent[serial] = (when, job)
-        self.copies.began(when, job, serial)
-        self.forwarded.add(job)
-        if job in self.crossed:
-            self._accuse_crossed(job)
+        self.sent_by_serial[serial] = (when, job)
+        self.attempt_spans.on_started(when, job, serial)
+        self.forwarded_requests.add(job)
+        if job in self.close_races:
+            self._accuse_close_race(job)
         if not self._holds_commands(when):
-            self.judge.began(self._at(when), job, wait_ms * MS, self._stood(when - SECOND, when + SECOND))
-        self.judge.sent(self._at(when), job, front, machine, source or None)
+            self.judge.began(
+                self._to_judge_time(when), job, wait_ms * MS, self._paused_ns(when - SECOND, when + SECOND)
+            )
+        self.judge.sent(self._to_judge_time(when), job, front, machine, source or None)
 
     def _ran(self, when: int, job: int, machine: int) -> None:
-        self.judge.ran(self._at(when), job, machine)
+        self.judge.ran(self._to_judge_time(when), job, machine)
 
     def _fell(self, when: int, machine: int, job: int) -> None:
-        self.judge.fell(self._at(when), machine, job)
+        self.judge.fell(self._to_judge_time(when), machine, job)
 
     def _machines(self, when: int, colds: int, strain: float) -> None:
-        self.strain = strain
+        self.max_strain = strain
         for _ in range(colds):
             self.judge.looked_cold()
 
     def _answer(self, when: int, job: int, status: str, serial: int, minted: int, group: int) -> None:
         if status == "spoilt":
             self.judge.accuse("answer", job, "bytes that no machine made")
-        sent = self.sent.get(serial, (0, 0))[0]
+        sent = self.sent_by_serial.get(serial, (0, 0))[0]
         if status == "served" and not sent:
             self.judge.accuse("answer", job, "an answer of no attempt")
-        copy = self._at(minted) if minted >= 0 else None
-        self.judge.answered(self._at(when), job, status, copy, self._at(sent), group)
-        for jobs in self.open.values():
+        copy = self._to_judge_time(minted) if minted >= 0 else None
+        self.judge.answered(self._to_judge_time(when), job, status, copy, self._to_judge_time(sent), group)
+        for jobs in self.open_requests_by_front.values():
             jobs.pop(job, None)
 
     def _surplus(self, when: int, front: int, kind: int) -> None:
         self.judge.accuse("answer", -1, f"front {front} says more after a request's end", front)
 
     def _left(self, when: int, job: int) -> None:
-        """Before its time its client gave it up; past it and the client's patience it was never answered."""
-        self.last = max(self.last, when)
+        """The client gave the request up; after its deadline and patience it counts as not answered."""
+        self.last_request_ns = max(self.last_request_ns, when)
         trace = self.judge.traces.get(job)
-        if trace is not None and self._at(when) < trace.due + self.judge.late:
-            self.judge.client_left(self._at(when), job)
-            for jobs in self.open.values():
+        if trace is not None and self._to_judge_time(when) < trace.due + self.judge.late:
+            self.judge.client_left(self._to_judge_time(when), job)
+            for jobs in self.open_requests_by_front.values():
                 jobs.pop(job, None)
 
     def _closed(self, when: int, job: int, serial: int) -> None:
-        self.copies.closed(when, serial)
+        self.attempt_spans.on_closed(when, serial)
 
     def _crowd(self, when: int, front: int, lasts: int) -> None:
-        self.crowds.append((front, when, when + lasts + HELD_AFTER_CROWD))
+        self.crowds.append((front, when, when + lasts + CROWD_GRACE_NS))
 
-    def _accuse_crossed(self, job: int) -> None:
-        """What crosses the end of its connection is not read, or it is answered."""
-        front = self.crossed.pop(job)
+    def _accuse_close_race(self, job: int) -> None:
+        """A request that races the close of its connection must be either unread or answered."""
+        front = self.close_races.pop(job)
         self.judge.accuse("answer", job, "forwarded, and its connection ended with no answer", front)
 
     def _lost(self, when: int, job: int, front: int, is_new: bool = False) -> None:
-        came = self.open[front].pop(job, when)
+        came = self.open_requests_by_front[front].pop(job, when)
         shut = is_new and any(f == front and a <= when < b for f, a, b in self.crowds)
-        if self._excused(front, came, when):
+        if self._is_excused(front, came, when):
             self.judge.abandoned(job)
-        elif shut or when - came < CROSSED:
+        elif shut or when - came < CONNECTION_CLOSE_RACE_NS:
             self.judge.abandoned(job)
-            self.crossed[job] = front
-            if job in self.forwarded:
-                self._accuse_crossed(job)
+            self.close_races[job] = front
+            if job in self.forwarded_requests:
+                self._accuse_close_race(job)
         else:
             self.judge.accuse("answer", job, "its connection ended with no answer")
             self.judge.abandoned(job)
 
     def _killed(self, when: int, front: int) -> None:
-        for job in self.open[front]:
+        for job in self.open_requests_by_front[front]:
             self.judge.abandoned(job)
-        self.open[front].clear()
+        self.open_requests_by_front[front].clear()
 
     def _struck(self, when: int, what: str, fronts: bool) -> None:
-        self.tally.mark(self._at(when), what)
-        self.tally.returns.struck(self._at(when), fronts)
+        self.tally.mark(self._to_judge_time(when), what)
+        self.tally.returns.struck(self._to_judge_time(when), fronts)
 
-    # What a front knows
+    # Change-log events that a front knows
 
     def _event(self, when: int, seq: int, what: str, about: list[Any]) -> None:
         self.events[seq] = (what, about)
         if what == "purged":
             group, at = about
-            self.told[seq] = {}
-            self.judge.purged(self._at(at), group, self.told[seq])
+            self.purge_known_by_event[seq] = {}
+            self.judge.purged(self._to_judge_time(at), group, self.purge_known_by_event[seq])
 
-    def _knows(self, when: int, front: int, seq: int) -> None:
-        for one in range(self.heard[front] + 1, seq + 1):
+    def _learn_events(self, when: int, front: int, seq: int) -> None:
+        for one in range(self.known_sequence_by_front[front] + 1, seq + 1):
             what, about = self.events.get(one, ("", []))
             if what == "purged":
-                self.told[one].setdefault(front, self._at(when))
+                self.purge_known_by_event[one].setdefault(front, self._to_judge_time(when))
             for machine, ready in about if what == "listed" else ():
                 if ready:
                     self.judge.told_back(front, machine)
                 else:
-                    self.judge.told_leaving(self._at(when), front, machine)
-        self.heard[front] = max(self.heard[front], seq)
+                    self.judge.told_leaving(self._to_judge_time(when), front, machine)
+        self.known_sequence_by_front[front] = max(self.known_sequence_by_front[front], seq)
 
     def _counts_as_told(self, when: int, seq: int) -> None:
-        """What the log has to tell counts as told by then, whether it was heard or not."""
+        """All fronts count as knowing the event by now, whether they fetched it or not."""
         for front in range(self.experiment.fleet.fronts):
-            self._knows(when, front, seq)
+            self._learn_events(when, front, seq)
 
     def _call(self, when: int, front: int, since: int) -> None:
-        self.tally.returns.count("calls for the list", self._at(when))
-        self._knows(when, front, since)
+        self.tally.returns.count("calls for the list", self._to_judge_time(when))
+        self._learn_events(when, front, since)
 
     def _started(self, when: int, front: int, seq: int) -> None:
-        self._knows(when, front, seq)
+        self._learn_events(when, front, seq)
 
-    # What it adds up to
+    # Figures
 
     def _dial(self, when: int, front: int, machine: int) -> None:
-        self.tally.returns.count("dials", self._at(when), machine, front)
+        self.tally.returns.count("dials", self._to_judge_time(when), machine, front)
 
     def _fill(self, when: int, kind: int, source: int) -> None:
-        self.tally.filled(self._at(when), kind == ORIGIN, source)
+        self.tally.filled(self._to_judge_time(when), kind == ORIGIN, source)
 
     def _fetch(self, when: int) -> None:
-        self.tally.fetched(self._at(when))
+        self.tally.fetched(self._to_judge_time(when))
 
     def _again(self, when: int, cls: int, status: str, front: int, is_usual: bool) -> None:
         if is_usual:
             self.claims.on_try(front, when, self.experiment.classes[cls].worth, 0.0)
-        self.tally.turned(self._at(when), cls, status)
+        self.tally.turned(self._to_judge_time(when), cls, status)
 
     def _over(
         self,
@@ -328,42 +361,45 @@
         minted: int,
         is_usual: bool,
     ) -> None:
-        c, sent = self.experiment.classes[cls], self.sent.get(serial, (0, 0))[0]
+        c, sent = self.experiment.classes[cls], self.sent_by_serial.get(serial, (0, 0))[0]
         stale = c.fresh_s > 0 and sent - minted > c.fresh_s * SECOND and status == "served"
-        self.tally.over(self._at(when), cls, "failed" if status == "spoilt" else status, when - came, stale)
+        self.tally.over(
+            self._to_judge_time(when), cls, "failed" if status == "spoilt" else status, when - came, stale
+        )
         if is_usual:
             self.claims.on_try(front, when, c.worth, c.worth if status == "served" else 0.0)
         if status == "served":
-            self.histogram.record_value(max((when - came) // US, 1))
+            self.histogram.record_value(max((when - came) // NS_PER_US, 1))
 
-    def _copies(self) -> None:
-        """Rule two: where no second copy is allowed, no two attempts of a request run at once."""
+    def _judge_copies(self) -> None:
+        """Rule two: without permission for a second copy, no two attempts of a request run at once."""
         if self.allows_copies:
             return
-        for job, since, until in self.copies.beside_each_other():
+        for job, since, until in self.attempt_spans.overlapping():
             self.judge.checked["copies"] += 1
             span = until - since
-            if span > CROSSED + self._stood(since - SECOND, until + SECOND):
+            if span > CONNECTION_CLOSE_RACE_NS + self._paused_ns(since - SECOND, until + SECOND):
                 self.judge.accuse("copies", job, f"two attempts run at once for {span / SECOND:.3f} s")
 
-    def _claims(self) -> None:
-        """A front that says it is back at full service serves nearly what the fleet served before."""
-        marks = [at for at, _, _ in self.story.marks]
-        for claim in self.claims.judged(self.story.claims, self.story.start, marks):
+    def _judge_claims(self) -> None:
+        """A front that logs full service must serve nearly the share that the fleet served before."""
+        marks = [at for at, _, _ in self.record.marks]
+        for claim in self.claims.judge(self.record.claims, self.record.start, marks):
             self.judge.checked["claim"] += 1
             if claim.is_false:
                 share = f"{claim.share:.2f} of {claim.usual:.2f}"
                 why = f"front {claim.front} says full service and serves {share}"
                 self.judge.accuse("claim", -1, why, claim.front)
 
-    def run(self, variant: str, seed: int, void: str, parts: dict[str, Part]) -> FleetRun:
-        self.hear()
-        story, experiment = self.story, self.experiment
+    def run(self, variant: str, seed: int, void: str, parts: dict[str, ProcessUsage]) -> FleetRun:
+        """Judge the run and return its stored result."""
+        self.judge_notes()
+        story, experiment = self.record, self.experiment
         for at in story.returns:
-            self.tally.returns.returned(self._at(at))
+            self.tally.returns.returned(self._to_judge_time(at))
         for front, _, at, _ in story.downs:
-            self.tally.returns.restarted(self._at(at), front)
-        self.tally.finish(self.judge, "", len(self.notes), self.strain)
+            self.tally.returns.restarted(self._to_judge_time(at), front)
+        self.tally.finish(self.judge, "", len(self.notes), self.max_strain)
         halves = int(experiment.seconds * 2) + 1
         series = {}
         for what, times in self.tally.returns.series.items():
@@ -387,9 +423,9 @@
             void=void,
             figures=self.tally.result(),
             series=series,
-            downs=tuple(Down(f, of_run(a), of_run(b), why) for f, a, b, why in story.downs),
+            downs=tuple(Downtime(f, of_run(a), of_run(b), why) for f, a, b, why in story.downs),
             percentiles_ms={f"{p:g}": self.histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES},
             parts=parts,
-            starts_s=tuple(round(t, 3) for t in story.took),
+            starts_s=tuple(round(t, 3) for t in story.start_durations_s),
             accused={rule: tuple(sorted(fronts)) for rule, fronts in self.judge.accused.items()},
         )
--- a/quincepier/lab/fleet/settling.py
+++ b/quincepier/lab/fleet/operators_file.py
@@ -1,13 +1,21 @@
-"""The operators' file of a front of a rig that settles things with the others: members, voters, wishes."""
+"""The operators' file of a front in a fleet with voters: membership, agreement and consistency."""
 
 from __future__ import annotations
 
-from quincepier.lab.fleet.places import front_address, pair_address
+from quincepier.lab.fleet.loopback_addresses import front_address, pair_address
 
 
 def sections(front: int, fronts: int, voters: int, own: int, peers: int, folder: str, more: str = "") -> str:
-    """`own`: the port at which fronts hear each other, `peers`: that of the paths between them. `folder`: of
-    the rig. `more`: lines of the section `agreement`.
+    """Return the file as YAML text.
+
+    Args:
+        front: The front whose file it is.
+        fronts: Number of fronts.
+        voters: Number of voters; they are the first fronts.
+        own: Port on which fronts listen for each other.
+        peers: Port of the relay for the paths between fronts.
+        folder: Folder of the rig.
+        more: More lines of the section `agreement`.
     """
 
     def at(other: int) -> str:
--- a/quincepier/lab/fleet/ports.py
+++ b/quincepier/lab/fleet/ports.py
@@ -1,4 +1,4 @@
-"""Ports of one rig's own, at all addresses of fronts and pairs: rigs beside each other do not meet."""
+"""Reservation of ports for one rig, so that rigs running at the same time use different ports."""
 
 from __future__ import annotations
 
@@ -6,31 +6,36 @@
 import os
 import socket
 
-from quincepier.lab.fleet.places import NOBODY
+from quincepier.lab.fleet.loopback_addresses import RESERVATION_ADDRESS
 
-MOST = 8  # of one rig
-BLOCKS = [range(first, first + MOST) for first in range(10_000, 30_000, MOST)]  # connections get higher ones
+PORTS_PER_RIG = 8
+BLOCKS = [
+    range(first, first + PORTS_PER_RIG) for first in range(10_000, 30_000, PORTS_PER_RIG)
+]  # ephemeral ports are higher
 
 
-class Ports:
-    """Held by their sockets at an address where nobody is, until `close` or the end of the process."""
+class PortBlock:
+    """A block of ports, valid on all loopback addresses of the rig.
+
+    It is reserved by sockets bound to an address of no front, until `close` or the end of the process.
+    """
 
     def __init__(self) -> None:
-        self._held = contextlib.ExitStack()
-        self._left = iter(self._claimed())
+        self._reservations = contextlib.ExitStack()
+        self._free_ports = iter(self._reserve_block())
 
-    def _claimed(self) -> range:
+    def _reserve_block(self) -> range:
         start = os.getpid() % len(BLOCKS)
         for block in BLOCKS[start:] + BLOCKS[:start]:
             with contextlib.ExitStack() as stack, contextlib.suppress(OSError):
                 for port in block:
-                    stack.enter_context(socket.socket()).bind((NOBODY, port))
-                self._held = stack.pop_all()
+                    stack.enter_context(socket.socket()).bind((RESERVATION_ADDRESS, port))
+                self._reservations = stack.pop_all()
                 return block
-        raise OSError(f"no {MOST} ports in a row are free on {NOBODY}")
+        raise OSError(f"no {PORTS_PER_RIG} ports in a row are free on {RESERVATION_ADDRESS}")
 
     def take(self) -> int:
-        return next(self._left)
+        return next(self._free_ports)
 
     def close(self) -> None:
-        self._held.close()
+        self._reservations.close()
--- a/quincepier/lab/fleet/processes.py
+++ b/quincepier/lab/fleet/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run as the rig holds them: its own, with lines, and fronts with their starts."""
+"""Supervision of the processes of a run: the rig's own ones and the fronts with all their restarts."""
 
 from __future__ import annotations
 
@@ -18,44 +18,52 @@
 from quincepier.config import SettingsError
 from quincepier.lab.experiment import SECOND
 from quincepier.lab.fleet import child, load, relay, standins
-from quincepier.lab.fleet.places import front_address, pair_address
+from quincepier.lab.fleet.loopback_addresses import front_address, pair_address
 from quincepier.lab.fleet.setup import configuration
 
-if TYPE_CHECKING:  # the rig makes them
+if TYPE_CHECKING:  # an import at run time would be circular
     from quincepier.lab.fleet.rig import Rig
 
 ROOT = Path(quincepier.__file__).parent.parent
-START_WITHIN, END_WITHIN, CHILD_WITHIN = 90.0, 15.0, 60.0  # seconds; past them it has failed
-LEAVES = 0.3  # seconds from SIGTERM until clients come to that front no more
-NEW_UNTIL = (
+FRONT_START_TIMEOUT_S, EXIT_TIMEOUT_S, CHILD_START_TIMEOUT_S = (
+    90.0,
+    15.0,
+    60.0,
+)  # seconds; the process has failed after them
+CLIENTS_LEAVE_AFTER_S = 0.3  # after SIGTERM, clients use other fronts
+NEW_CONNECTIONS_AFTER_TERM_S = (
     0.2,
     0.4,
-)  # seconds from SIGTERM for which new connections keep coming (protocol page, "Figures")
-KILL_AFTER, KILL_DEADLINE_MOST = (
+)  # seconds after SIGTERM in which clients still open connections (protocol page, "Figures")
+KILL_MARGIN_S, KILL_MAX_DEADLINE_S = (
     0.7,
     3.0,
-)  # seconds: SIGKILL comes so long after the longest deadline, or after
-# this where that is longer, and no sooner (the same)
-BEFORE_HANDLERS = (0, -signal.SIGTERM, -signal.SIGINT)  # how one may end that does not serve yet
-CLAIM = "full service after"
+)  # seconds: SIGKILL follows SIGTERM by the longest deadline, at most the
+# second value, plus the first one (protocol page, "Figures")
+EXIT_CODES_BEFORE_SERVING = (
+    0,
+    -signal.SIGTERM,
+    -signal.SIGINT,
+)  # valid exit codes of a front that does not serve yet
+FULL_SERVICE_LOG_TEXT = "full service after"
 
 
 class RigError(SettingsError):
-    """The rig can't be set up here: what is in the way, in a line."""
+    """The rig can't be set up on this machine; the text gives the cause in one line."""
 
     code = "QP-RIG"
     remedy = "make room for it on this machine (descriptors, ports, cores), or play fewer fronts"
 
 
 class Child:
-    """A process of the rig's own, with its two lines of words."""
+    """A process of the rig itself; both sides exchange JSON lines over its standard input and output."""
 
     def __init__(self, name: str, rig: Rig) -> None:
         self.name, self.rig = name, rig
         self.process: asyncio.subprocess.Process | None = None
         self.ready: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
         self.heard: dict[str, Any] = {}
-        self.ending = False
+        self.is_ending = False
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self, module: str, plan: msgspec.Struct) -> dict[str, Any]:
@@ -67,43 +75,43 @@
             stdout=asyncio.subprocess.PIPE, stderr=log, limit=1 << 24, start_new_session=True,
         )  # fmt: skip
         log.close()
-        self.tasks = [asyncio.create_task(self._listen()), asyncio.create_task(self._watch())]
-        async with asyncio.timeout(CHILD_WITHIN):
+        self.tasks = [asyncio.create_task(self._read_messages()), asyncio.create_task(self._watch_exit())]
+        async with asyncio.timeout(CHILD_START_TIMEOUT_S):
             words = await self.ready
         if "fault" in words:
             raise RigError(words["fault"])
         return words
 
-    async def _listen(self) -> None:
+    async def _read_messages(self) -> None:
         assert self.process is not None and self.process.stdout is not None
         while line := await self.process.stdout.readline():
             words = msgspec.json.decode(line)
             if not self.ready.done():
                 self.ready.set_result(words)
             else:
-                self.rig.heard(self, words)
+                self.rig.on_message(self, words)
 
-    async def _watch(self) -> None:
+    async def _watch_exit(self) -> None:
         assert self.process is not None
         code = await self.process.wait()
         if not self.ready.done():
             tail = (self.rig.folder / f"log-{self.name}").read_text(errors="replace").strip().splitlines()
             self.ready.set_result({"fault": f"{self.name} ended with {code}: {tail[-1] if tail else ''}"})
-        if not self.ending:
+        if not self.is_ending:
             self.rig.void = self.rig.void or f"{self.name} ended by itself with {code}"
             self.rig.broken.set()
 
-    def say(self, **words: Any) -> None:
+    def send(self, **words: Any) -> None:
         if self.process is not None and self.process.stdin is not None and self.process.returncode is None:
             with contextlib.suppress(ConnectionError):
                 self.process.stdin.write(msgspec.json.encode(words) + b"\n")
 
     async def end(self) -> None:
-        self.ending = True
-        self.say(end=True)
+        self.is_ending = True
+        self.send(end=True)
         if self.process is not None:
             try:
-                async with asyncio.timeout(END_WITHIN):
+                async with asyncio.timeout(EXIT_TIMEOUT_S):
                     await self.process.wait()
             except TimeoutError:
                 self.process.kill()
@@ -113,50 +121,59 @@
 
 
 class FrontProcess:
-    """One front, over all its starts."""
+    """One front over all its starts.
+
+    Attributes:
+        is_back: Set while the front serves.
+        starts: Number of processes started so far.
+        down_since: Monotonic nanoseconds since which the front is down, 0 if it is not.
+        launched_at: Monotonic nanoseconds of its last start.
+        is_exit_expected: Whether the rig itself ended the process.
+        operators_file: Path of its operators' file, None if it has none.
+    """
 
     def __init__(self, rig: Rig, number: int) -> None:
         self.rig, self.number = rig, number
         self.folder = rig.folder / f"front-{number}"
         self.state = self.folder / "state"
         self.process: asyncio.subprocess.Process | None = None
-        self.serving: bool = False
+        self.is_serving: bool = False
         self.is_launching = False
-        self.is_back = asyncio.Event()  # set while it serves
-        self.expected: bool = False
+        self.is_back = asyncio.Event()
+        self.is_exit_expected: bool = False
         self.starts: int = 0
-        self.since: int = 0
+        self.down_since: int = 0
         self.launched_at: int = 0
-        self.killed = False  # by the rig, as a fault
-        self.why = ""  # why it is away: `kill` or `term`
+        self.was_killed = False  # with SIGKILL by the rig, as a fault
+        self.down_reason = ""  # "kill" or "term"
         self.tasks: set[asyncio.Task[None]] = set()
         self.configuration: Path = self.folder / "config.json"
-        self.first_configuration: dict[str, Any] = {}  # as it was started
-        self.first: dict[str, bytes] = {}  # its folder of state as the run began
-        self.told: Path | None = None  # its operators' file
+        self.first_configuration: dict[str, Any] = {}  # as of the last start
+        self.initial_state_files: dict[str, bytes] = {}  # by path in the state folder, as the run began
+        self.operators_file: Path | None = None
 
     @property
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
     def prepare(self) -> None:
         self.state.mkdir(parents=True)
         rig = self.rig
-        text = rig.operators(self.number, rig) if rig.operators else rig.settling(self.number)
+        text = rig.operators(self.number, rig) if rig.operators else rig.operators_sections(self.number)
         if every := rig.experiment.keeps(rig.variant, self.number):
             text += f"\nstate: {{folder: {self.state}, every_s: {every}}}\n"
-        self.told = self.folder / "operator.yaml" if text else None
-        if self.told is not None:
-            self.told.write_text(text)
+        self.operators_file = self.folder / "operator.yaml" if text else None
+        if self.operators_file is not None:
+            self.operators_file.write_text(text)
 
     async def start(self) -> None:
-        """Start its process and wait until it serves."""
+        """Start the process and wait until the front serves."""
         await self.launch()
-        await self.until_serving()
+        await self.wait_until_serving()
 
     async def launch(self) -> None:
-        """Start its process, unless there is one: two faults may start a front anew at the same time."""
-        if self.is_launching or self.alive:
+        """Start the process unless one runs: two faults may restart the same front at the same time."""
+        if self.is_launching or self.is_alive:
             return
         self.is_launching = True
         try:
@@ -166,122 +183,137 @@
 
     async def _launch(self) -> None:
         rig = self.rig
-        events = [standins.placed(event, self.number, rig.ports["caches"]) for event in rig.events]
+        events = [
+            standins.with_front_addresses(event, self.number, rig.ports["caches"]) for event in rig.events
+        ]
         config = configuration(
-            rig.experiment, rig.variant, rig.seed, self.number, f"{front_address(self.number)}:{rig.port}",
+            rig.experiment, rig.variant, rig.seed, self.number, f"{front_address(self.number)}:{rig.front_port}",
             f"{pair_address(self.number, 0)}:{rig.ports['log']}", events,
         )  # fmt: skip
         self.first_configuration, path = config, self.configuration
         path.write_bytes(msgspec.json.encode(config))
         command = [*rig.command(self.number), "--config", str(path)]
-        if self.told is not None:
-            command += ["--operator", str(self.told)]
+        if self.operators_file is not None:
+            command += ["--operator", str(self.operators_file)]
         environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
         self.launched_at = time.monotonic_ns()
-        self.starts, self.expected, self.killed, self.why = self.starts + 1, False, False, ""
+        self.starts, self.is_exit_expected, self.was_killed, self.down_reason = (
+            self.starts + 1,
+            False,
+            False,
+            "",
+        )
         self.process = await asyncio.create_subprocess_exec(
             *command, cwd=rig.checkout, env=environment, stdin=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE, preexec_fn=child.dies_with_parent,
         )  # fmt: skip
-        rig.reach(self.number, "open", (relay.PEERS,))  # a front may ask others before it serves
-        rig.story.starts.append((self.launched_at, self.number, len(events)))
-        self.spawn(self._log(self.process))
-        self.spawn(self._watch(self.process))
-
-    async def until_serving(self) -> None:
-        """Until `/ping` is answered with 200 on its own address, or it has ended."""
+        rig.set_reachability(
+            self.number, "open", (relay.PEERS,)
+        )  # a front contacts other fronts before it serves
+        rig.record.starts.append((self.launched_at, self.number, len(events)))
+        self.spawn(self._copy_log(self.process))
+        self.spawn(self._watch_exit(self.process))
+
+    async def wait_until_serving(self) -> None:
+        """Wait until `/ping` returns 200 on the front's own address, or the process has ended."""
         rig, began = self.rig, self.launched_at
-        address = front_address(self.number), rig.port
+        address = front_address(self.number), rig.front_port
         while not await ping(address):
-            if not self.alive:
+            if not self.is_alive:
                 return
-            if time.monotonic_ns() - began > START_WITHIN * SECOND:
-                rig.story.crashes.append((self.number, "did not serve"))
+            if time.monotonic_ns() - began > FRONT_START_TIMEOUT_S * SECOND:
+                rig.record.crashes.append((self.number, "did not serve"))
                 return
             await asyncio.sleep(0.02)
-        self.serving = True
+        self.is_serving = True
         self.is_back.set()
-        rig.story.took.append((time.monotonic_ns() - began) / SECOND)
-        rig.reach(self.number, "open")
+        rig.record.start_durations_s.append((time.monotonic_ns() - began) / SECOND)
+        rig.set_reachability(self.number, "open")
         for one in rig.loads:
-            one.say(show=self.number)
-        if self.since:
+            one.send(show=self.number)
+        if self.down_since:
             now = time.monotonic_ns()
-            rig.story.downs.append((self.number, self.since, now, self.why))
-            rig.story.returns.append(now)
-            self.since = 0
+            rig.record.downs.append((self.number, self.down_since, now, self.down_reason))
+            rig.record.returns.append(now)
+            self.down_since = 0
 
     def spawn(self, work: Any) -> None:
-        """Run it beside the others; it ends with the run."""
+        """Run a coroutine as a task that is cancelled at the end of the run."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _log(self, process: asyncio.subprocess.Process) -> None:
+    async def _copy_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         with (self.folder / "log").open("ab") as file:
             while line := await process.stderr.readline():
                 file.write(line)
                 file.flush()
-                if CLAIM.encode() in line:
-                    self.rig.story.claims.append((time.monotonic_ns(), self.number))
+                if FULL_SERVICE_LOG_TEXT.encode() in line:
+                    self.rig.record.claims.append((time.monotonic_ns(), self.number))
 
-    async def _watch(self, process: asyncio.subprocess.Process) -> None:
+    async def _watch_exit(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        self.serving = False
+        self.is_serving = False
         self.is_back.clear()
-        if not self.expected:
-            self.rig.story.crashes.append((self.number, f"ended by itself with {code}"))
+        if not self.is_exit_expected:
+            self.rig.record.crashes.append((self.number, f"ended by itself with {code}"))
 
     def kill(self) -> None:
-        if self.alive and self.process is not None:
-            self.rig.use("fronts", self.process.pid)
-            self.expected, self.since, self.killed = True, self.since or time.monotonic_ns(), True
-            self.why = "kill"
+        if self.is_alive and self.process is not None:
+            self.rig.record_usage("fronts", self.process.pid)
+            self.is_exit_expected, self.down_since, self.was_killed = (
+                True,
+                self.down_since or time.monotonic_ns(),
+                True,
+            )
+            self.down_reason = "kill"
             self.process.kill()
-        self._gone()
+        self._mark_down()
 
-    def _gone(self) -> None:
-        self.serving = False
+    def _mark_down(self) -> None:
+        self.is_serving = False
         self.is_back.clear()
-        self.rig.reach(self.number, "refused")
+        self.rig.set_reachability(self.number, "refused")
 
     async def term(self, number: signal.Signals = signal.SIGTERM) -> None:
-        """SIGTERM, or SIGINT, and until it has ended."""
-        if not self.alive or self.process is None:
+        """Send SIGTERM or SIGINT and wait for the end of the process; SIGKILL after a timeout."""
+        if not self.is_alive or self.process is None:
             return
-        self.rig.use("fronts", self.process.pid)
-        self.expected = True
-        if self.rig.experiment.load.stays and self.serving:
-            await self._term_under_clients(self.process, number)
+        self.rig.record_usage("fronts", self.process.pid)
+        self.is_exit_expected = True
+        if self.rig.experiment.load.stays and self.is_serving:
+            await self._term_with_connected_clients(self.process, number)
             return
-        self.rig.story.terms.append((self.number, time.monotonic_ns()))
+        self.rig.record.terms.append((self.number, time.monotonic_ns()))
         self.process.send_signal(number)
-        await asyncio.sleep(LEAVES)
+        await asyncio.sleep(CLIENTS_LEAVE_AFTER_S)
         for one in self.rig.loads:
-            one.say(hide=self.number)
+            one.send(hide=self.number)
         try:
-            async with asyncio.timeout(END_WITHIN):
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
                 code = await self.process.wait()
-            early = not self.serving and code in BEFORE_HANDLERS
-            if code and not early and not (self.killed and code == -signal.SIGKILL):
-                self.rig.story.crashes.append((self.number, f"ended with {code} after SIGTERM"))
+            early = not self.is_serving and code in EXIT_CODES_BEFORE_SERVING
+            if code and not early and not (self.was_killed and code == -signal.SIGKILL):
+                self.rig.record.crashes.append((self.number, f"ended with {code} after SIGTERM"))
         except TimeoutError:
-            self.rig.story.crashes.append((self.number, "did not end after SIGTERM"))
+            self.rig.record.crashes.append((self.number, "did not end after SIGTERM"))
             self.process.kill()
-        self.since, self.why = self.since or time.monotonic_ns(), self.why or "kill"
-        self._gone()
+        self.down_since, self.down_reason = self.down_since or time.monotonic_ns(), self.down_reason or "kill"
+        self._mark_down()
 
-    async def _term_under_clients(self, process: asyncio.subprocess.Process, number: signal.Signals) -> None:
-        """Clients go on using open connections, and SIGKILL comes as early as the page allows."""
+    async def _term_with_connected_clients(
+        self, process: asyncio.subprocess.Process, number: signal.Signals
+    ) -> None:
+        """End a front whose clients keep using open connections; SIGKILL as early as the page allows."""
         rig = self.rig
         deadline = rig.experiment.longest_deadline_s
         process.send_signal(number)
-        new_until = rig.random.uniform(*NEW_UNTIL)
+        new_until = rig.random.uniform(*NEW_CONNECTIONS_AFTER_TERM_S)
         await asyncio.sleep(new_until)
         for one in rig.loads:
-            one.say(leaving=self.number)
-        wait = min(deadline, KILL_DEADLINE_MOST) + KILL_AFTER - new_until
+            one.send(leaving=self.number)
+        wait = min(deadline, KILL_MAX_DEADLINE_S) + KILL_MARGIN_S - new_until
         try:
             async with asyncio.timeout(wait):
                 code = await process.wait()
@@ -289,25 +321,25 @@
             process.kill()
             code = await process.wait()
         if code not in (0, -signal.SIGKILL):
-            rig.story.crashes.append((self.number, f"ended with {code} after {number.name}"))
-        self.since, self.why = self.since or time.monotonic_ns(), self.why or "term"
+            rig.record.crashes.append((self.number, f"ended with {code} after {number.name}"))
+        self.down_since, self.down_reason = self.down_since or time.monotonic_ns(), self.down_reason or "term"
         for one in rig.loads:
-            one.say(hide=self.number)
-        self._gone()
+            one.send(hide=self.number)
+        self._mark_down()
 
     def signal(self, number: int) -> None:
-        if self.alive and self.process is not None:
+        if self.is_alive and self.process is not None:
             self.process.send_signal(number)
 
 
 async def ping(address: tuple[str, int]) -> bool:
-    """Whether a front answers `/ping` with 200."""
+    """Return whether a front responds to `/ping` with 200."""
     values = {"SCRIPT_NAME": "/ping"}
     try:
         async with asyncio.timeout(1.0):
             reader, writer = await asyncio.open_connection(*address)
             try:
-                writer.write(load.call(1, values))
+                writer.write(load.encode_request(1, values))
                 out = b""
                 while True:
                     kind, size, padding = struct.unpack(">xBxxHBx", await reader.readexactly(8))
--- a/quincepier/lab/fleet/relay.py
+++ b/quincepier/lab/fleet/relay.py
@@ -1,8 +1,8 @@
-"""The net, a process for each kind of path: every path of every pair goes through a listener of its own.
+"""Proxy for network faults, one process per kind of path; each pair of endpoints has its own listener.
 
 A pair is (path, front, other): a front and a machine, the change log or another front, or the clients and a
-front (`other` is 0). Each direction has a `Way`. Closing a pair's listener refuses connections; a full
-backlog leaves them unanswered.
+front (`other` is 0). Each direction has its `LinkConditions`. To refuse connections, the listener of a pair
+is closed; to leave them unanswered, its backlog is filled.
 """
 
 from __future__ import annotations
@@ -21,46 +21,60 @@
 import msgspec
 
 from quincepier.lab.fleet import child
-from quincepier.lab.fleet.places import front_address, pair_address
-from quincepier.lab.fleet.ways import Way
+from quincepier.lab.fleet.link_conditions import LinkConditions
+from quincepier.lab.fleet.loopback_addresses import front_address, pair_address
 
-HELD_MOST = 1 << 20  # bytes kept of a direction that is held; then it is not read on
+MAX_BUFFERED_BYTES = 1 << 20  # per held direction; the connection is aborted beyond it
 CLIENTS, CACHES, LOG, PEERS = "clients", "caches", "log", "peers"
-OPEN, REFUSED, DEAF = "open", "refused", "deaf"  # of new connections
-Key = tuple[str, int, int]
+OPEN, REFUSED, DEAF = "open", "refused", "deaf"  # state of new connections: accepted, refused, unanswered
+PairKey = tuple[str, int, int]
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What the relay is told at its start; the ports of stand-ins are on 127.0.0.1."""
+    """Settings of a relay process, written by the rig; `machine_port` and `log_port` are on 127.0.0.1."""
 
     folder: str
-    sweep: bool  # whether the folder goes with the rig
+    sweep: bool  # whether to remove the folder if the rig is killed
     seed: int
     fronts: int
     machines: int
     machine_port: int
     log_port: int
     front_port: int
-    ports: dict[str, int]  # of the paths that this process carries, at all its addresses of pairs
-    peer_port: int = 0  # where fronts hear each other; 0: where they hear clients
+    ports: dict[str, int]  # by path of this process; the same at all addresses of pairs
+    peer_port: int = 0  # on which fronts listen for each other; 0: same as for clients
 
 
 class Pair:
-    """Both directions between a front and another; `out` is what the front says."""
-
-    def __init__(self, net: Net, key: Key, address: str, target: tuple[str, int], source: str | None) -> None:
-        self.net, self.key, self.address, self.target, self.source = net, key, address, target, source
-        self.out, self.into = Way(), Way()
+    """The path between a front and one other endpoint.
+
+    Attributes:
+        address: Listening address of the pair.
+        target: Where connections are passed on to.
+        source: Local address of connections to the target, None for any.
+        from_front: Conditions of data that the front sends.
+        to_front: Conditions of data that the front receives.
+        fault_state: State of new connections as network faults have it.
+        is_up: Whether the endpoint listens.
+        is_deaf: Whether the endpoint leaves new connections unanswered.
+        state: State that the listener has now.
+    """
+
+    def __init__(
+        self, relay: Relay, key: PairKey, address: str, target: tuple[str, int], source: str | None
+    ) -> None:
+        self.relay, self.key, self.address, self.target, self.source = relay, key, address, target, source
+        self.from_front, self.to_front = LinkConditions(), LinkConditions()
         self.sock: socket.socket | None = None
         self.server: asyncio.Server | None = None
         self.fillers: list[socket.socket] = []
-        self.streams: set[Stream] = set()
-        self.door, self.up, self.deaf = OPEN, True, False  # by faults of the net; how the other side is
+        self.connections: set[RelayedConnection] = set()
+        self.fault_state, self.is_up, self.is_deaf = OPEN, True, False
         self.state = REFUSED
 
-    async def stand(self) -> None:
-        """Make the listener what the faults and the other side's life ask for."""
-        wanted = REFUSED if not self.up else DEAF if self.deaf else self.door
+    async def update_listener(self) -> None:
+        """Open, close or block the listener as network faults and the state of the endpoint require."""
+        wanted = REFUSED if not self.is_up else DEAF if self.is_deaf else self.fault_state
         if wanted == self.state:
             return
         if self.server is not None:
@@ -77,9 +91,9 @@
             return
         self.sock = sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind((self.address, self.net.ports[self.key[0]]))
+        sock.bind((self.address, self.relay.ports[self.key[0]]))
         sock.setblocking(False)
-        if wanted == DEAF:  # whoever fills the backlog keeps all others unanswered
+        if wanted == DEAF:  # connections beyond the full backlog stay unanswered
             sock.listen(0)
             for _ in range(3):
                 filler = socket.socket()
@@ -89,171 +103,182 @@
                 self.fillers.append(filler)
             return
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Stream(self), sock=sock, backlog=256)
+        self.server = await loop.create_server(lambda: RelayedConnection(self), sock=sock, backlog=256)
 
-    def heal(self) -> None:
-        for stream in list(self.streams):
+    def flush(self) -> None:
+        for stream in list(self.connections):
             stream.flush()
 
     def abort(self) -> None:
-        for stream in list(self.streams):
+        for stream in list(self.connections):
             stream.abort()
 
 
-class Stream(asyncio.Protocol):
-    """One connection of a pair, as who dialled it sees it."""
+class RelayedConnection(asyncio.Protocol):
+    """One connection through a pair, and the protocol of the side that dialled."""
 
     def __init__(self, pair: Pair) -> None:
         self.pair = pair
-        self.near: asyncio.Transport | None = None
-        self.far: Far | None = None
-        # a client speaks to a front: its words are what the front hears
+        self.dialler: asyncio.Transport | None = None
+        self.target: TargetConnection | None = None
+        # clients dial the front; on all other paths the front, or the first of two fronts, dials
         dialled_in = pair.key[0] == CLIENTS
-        self.forth = Lane(self, pair.into if dialled_in else pair.out)
-        self.back = Lane(self, pair.out if dialled_in else pair.into)
+        self.to_target = ConnectionDirection(self, pair.to_front if dialled_in else pair.from_front)
+        self.to_dialler = ConnectionDirection(self, pair.from_front if dialled_in else pair.to_front)
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        self.near, self.back.to = transport, transport
-        self.pair.streams.add(self)
-        self.pair.net.spawn(self._reach())
+        self.dialler, self.to_dialler.receiver = transport, transport
+        self.pair.connections.add(self)
+        self.pair.relay.spawn(self._connect_to_target())
 
-    async def _reach(self) -> None:
+    async def _connect_to_target(self) -> None:
         pair = self.pair
         local = (pair.source, 0) if pair.source else None
         try:
             loop = asyncio.get_running_loop()
-            _, far = await loop.create_connection(lambda: Far(self), *pair.target, local_addr=local)
+            _, far = await loop.create_connection(
+                lambda: TargetConnection(self), *pair.target, local_addr=local
+            )
         except OSError:
             self.abort()
             return
-        self.far = far
-        if self.near is None or self.near.is_closing():
+        self.target = far
+        if self.dialler is None or self.dialler.is_closing():
             far.abort()
 
     def data_received(self, data: bytes) -> None:
-        self.forth.give(data)
+        self.to_target.forward(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.pair.streams.discard(self)
-        if self.far is not None:
-            self.forth.end(self.far.transport, error)
+        self.pair.connections.discard(self)
+        if self.target is not None:
+            self.to_target.on_sender_closed(self.target.transport, error)
 
     def flush(self) -> None:
-        self.forth.flush()
-        self.back.flush()
+        self.to_target.flush()
+        self.to_dialler.flush()
 
     def abort(self) -> None:
-        self.pair.streams.discard(self)
-        for transport in (self.near, self.far.transport if self.far else None):
+        self.pair.connections.discard(self)
+        for transport in (self.dialler, self.target.transport if self.target else None):
             if transport is not None:
                 transport.abort()
 
 
-class Far(asyncio.Protocol):
-    """Its other end."""
+class TargetConnection(asyncio.Protocol):
+    """Protocol of the connection to the target."""
 
-    def __init__(self, stream: Stream) -> None:
-        self.stream = stream
+    def __init__(self, stream: RelayedConnection) -> None:
+        self.connection = stream
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        self.transport = self.stream.forth.to = transport
-        self.stream.forth.flush()
+        self.transport = self.connection.to_target.receiver = transport
+        self.connection.to_target.flush()
 
     def data_received(self, data: bytes) -> None:
-        self.stream.back.give(data)
+        self.connection.to_dialler.forward(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.stream.back.end(self.stream.near, error)
+        self.connection.to_dialler.on_sender_closed(self.connection.dialler, error)
 
     def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
 
-class Lane:
-    """One direction of one connection."""
-
-    def __init__(self, stream: Stream, way: Way) -> None:
-        self.stream, self.way = stream, way
-        self.to: asyncio.Transport | None = None
-        self.held: list[bytes] = []
-        self.under_way: deque[bytes] = deque()  # the oldest first
-        self.size = self.pending = 0
-        self.ended = False  # the giving side closed while nothing went through
-
-    def give(self, data: bytes) -> None:
-        way = self.way
-        if self.to is None or way.held or self.held:
-            if self.size < HELD_MOST:
-                self.held.append(data)
-                self.size += len(data)
+class ConnectionDirection:
+    """One direction of one connection.
+
+    Attributes:
+        receiver: Transport to which data is written, None until it is established.
+        buffered: Data kept while the direction is held or has no receiver yet.
+        in_flight: Data that is being delayed, the oldest first.
+        is_sender_closed: Whether the sender closed while nothing was delivered.
+    """
+
+    def __init__(self, stream: RelayedConnection, way: LinkConditions) -> None:
+        self.connection, self.conditions = stream, way
+        self.receiver: asyncio.Transport | None = None
+        self.buffered: list[bytes] = []
+        self.in_flight: deque[bytes] = deque()
+        self.buffered_bytes = self.pending = 0
+        self.is_sender_closed = False
+
+    def forward(self, data: bytes) -> None:
+        way = self.conditions
+        if self.receiver is None or way.is_held or self.buffered:
+            if self.buffered_bytes < MAX_BUFFERED_BYTES:
+                self.buffered.append(data)
+                self.buffered_bytes += len(data)
             else:
-                self.stream.abort()
-        elif way.plain and not self.pending:
-            self.to.write(data)
+                self.connection.abort()
+        elif way.is_transparent and not self.pending:
+            self.receiver.write(data)
         else:
             now = time.monotonic_ns()
-            due = way.bytes_due(now, len(data), self.stream.pair.net.chance)
+            due = way.schedule_bytes(now, len(data), self.connection.pair.relay.chance)
             self.pending += 1
-            self.under_way.append(data)
-            asyncio.get_running_loop().call_later((due - now) / 1e9, self._go)
+            self.in_flight.append(data)
+            asyncio.get_running_loop().call_later((due - now) / 1e9, self._deliver_next)
 
-    def _go(self) -> None:
-        """What has been under way for longest arrives: two that are due together come in their order."""
+    def _deliver_next(self) -> None:
+        """Deliver the oldest data in flight, so that data due at the same time keeps its order."""
         self.pending -= 1
-        data = self.under_way.popleft()
-        if self.way.held:
-            self.held.append(data)
-            self.size += len(data)
-        elif self.to is not None:
-            self.to.write(data)
+        data = self.in_flight.popleft()
+        if self.conditions.is_held:
+            self.buffered.append(data)
+            self.buffered_bytes += len(data)
+        elif self.receiver is not None:
+            self.receiver.write(data)
 
     def flush(self) -> None:
-        if self.to is not None and not self.way.held:
-            held, self.held, self.size = self.held, [], 0
+        if self.receiver is not None and not self.conditions.is_held:
+            held, self.buffered, self.buffered_bytes = self.buffered, [], 0
             for data in held:
-                self.to.write(data)
-            if self.ended:
-                self.to.close()
-
-    def end(self, to: asyncio.Transport | None, error: Exception | None) -> None:
-        """The giving side has closed; over a way that is held nobody hears of it."""
-        if to is None or self.way.held:
-            self.ended = True
+                self.receiver.write(data)
+            if self.is_sender_closed:
+                self.receiver.close()
+
+    def on_sender_closed(self, to: asyncio.Transport | None, error: Exception | None) -> None:
+        """Close the receiver after the sender closed; not while the direction is held."""
+        if to is None or self.conditions.is_held:
+            self.is_sender_closed = True
             return
         if error is not None:
             to.abort()
         elif self.pending:
-            asyncio.get_running_loop().call_later(0.01, self.end, to, error)
+            asyncio.get_running_loop().call_later(0.01, self.on_sender_closed, to, error)
         else:
             to.close()
 
 
-class Datagrams(asyncio.DatagramProtocol):
-    """What front A says to front B comes here; it goes on from where B finds A."""
+class DatagramListener(asyncio.DatagramProtocol):
+    """Receives datagrams from one front to another; they are sent on from the address that the other knows."""
 
     def __init__(self, pair: Pair) -> None:
         self.pair = pair
 
     def datagram_received(self, data: bytes, address: tuple[str | Any, int]) -> None:
-        net, (_, front, other) = self.pair.net, self.pair.key
-        if not self.pair.up:
+        relay, (_, front, other) = self.pair.relay, self.pair.key
+        if not self.pair.is_up:
             return
         now = time.monotonic_ns()
-        for due in self.pair.out.datagrams(now, net.chance):
+        for due in self.pair.from_front.schedule_datagram(now, relay.chance):
             loop = asyncio.get_running_loop()
-            loop.call_later((due - now) / 1e9, net.pass_on, front, other, data)
+            loop.call_later((due - now) / 1e9, relay.forward_datagram, front, other, data)
+
 
+class Relay:
+    """All pairs of this process, and the faults on them."""
 
-class Net:
     def __init__(self, plan: Plan) -> None:
         self.plan, self.chance = plan, random.Random(plan.seed)
-        self.pairs: dict[Key, Pair] = {}
+        self.pairs: dict[PairKey, Pair] = {}
         self.ports = plan.ports
         self.datagrams: dict[tuple[int, int], asyncio.DatagramTransport] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.dead: set[tuple[str, int]] = set()
+        self.unreachable: set[tuple[str, int]] = set()
 
     def spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -265,91 +290,93 @@
         for f in range(plan.fronts):
             front = (front_address(f), plan.front_port)
             if CLIENTS in plan.ports:
-                await self._pair((CLIENTS, f, 0), pair_address(f, 0), front, None, False)
+                await self._add_pair((CLIENTS, f, 0), pair_address(f, 0), front, None, False)
             if LOG in plan.ports:
                 log = ("127.0.0.1", plan.log_port)
-                await self._pair((LOG, f, 0), pair_address(f, 0), log, pair_address(f, 0))
+                await self._add_pair((LOG, f, 0), pair_address(f, 0), log, pair_address(f, 0))
             for m in range(1, plan.machines + 1 if CACHES in plan.ports else 0):
-                await self._machine(f, m)
+                await self._add_machine_pair(f, m)
             for other in range(plan.fronts if PEERS in plan.ports else 0):
                 if other != f:
                     to = (front_address(other), plan.peer_port or plan.front_port)
                     key = (PEERS, f, other)
-                    pair = await self._pair(key, pair_address(f, other), to, pair_address(other, f), False)
+                    pair = await self._add_pair(
+                        key, pair_address(f, other), to, pair_address(other, f), False
+                    )
                     loop = asyncio.get_running_loop()
                     self.datagrams[f, other], _ = await loop.create_datagram_endpoint(
-                        lambda pair=pair: Datagrams(pair),  # type: ignore[misc]
+                        lambda pair=pair: DatagramListener(pair),  # type: ignore[misc]
                         local_addr=(pair.address, self.ports[PEERS]),
                     )
 
-    async def _pair(
-        self, key: Key, address: str, target: tuple[str, int], source: str | None, up: bool = True
+    async def _add_pair(
+        self, key: PairKey, address: str, target: tuple[str, int], source: str | None, up: bool = True
     ) -> Pair:
         pair = self.pairs[key] = Pair(self, key, address, target, source)
-        pair.up = up
-        await pair.stand()
+        pair.is_up = up
+        await pair.update_listener()
         return pair
 
-    async def _machine(self, front: int, machine: int) -> None:
+    async def _add_machine_pair(self, front: int, machine: int) -> None:
         address = pair_address(front, machine)
-        up = (CACHES, machine) not in self.dead
-        await self._pair(
+        up = (CACHES, machine) not in self.unreachable
+        await self._add_pair(
             (CACHES, front, machine), address, ("127.0.0.1", self.plan.machine_port), address, up
         )
 
-    def pass_on(self, front: int, other: int, data: bytes) -> None:
-        """To the other front's own address, from where it finds this one."""
+    def forward_datagram(self, front: int, other: int, data: bytes) -> None:
+        """Send a datagram to the other front's own address, from the address at which it reaches this one."""
         back = self.datagrams.get((other, front))
-        if back is not None and self.pairs[PEERS, front, other].up:
+        if back is not None and self.pairs[PEERS, front, other].is_up:
             back.sendto(data, (front_address(other), self.plan.peer_port or self.plan.front_port))
 
-    async def live(self, path: str, other: int, how: str) -> None:
-        """A machine or a front is up, refuses connections, or is gone without a word."""
-        self.dead.discard((path, other)) if how == OPEN else self.dead.add((path, other))
+    async def set_reachability(self, path: str, other: int, how: str) -> None:
+        """Make a machine or a front accept, refuse or not answer new connections."""
+        self.unreachable.discard((path, other)) if how == OPEN else self.unreachable.add((path, other))
         for (kind, front, to), pair in list(self.pairs.items()):
             if kind == path and other == (front if kind == CLIENTS else to):
-                pair.up, pair.deaf = how != REFUSED, how == DEAF
+                pair.is_up, pair.is_deaf = how != REFUSED, how == DEAF
                 if kind == CACHES and how != DEAF:
-                    pair.abort()  # that process is gone, or it is another one now
-                await pair.stand()
+                    pair.abort()  # the process has ended or was replaced
+                await pair.update_listener()
 
-    async def fault(self, words: dict[str, Any]) -> None:
-        """Set (or with `heal`, clear) a fault on a path of some fronts, one way or both."""
+    async def set_fault(self, words: dict[str, Any]) -> None:
+        """Set a fault on a path of some fronts, in one direction or both; with `heal`, clear it."""
         kind, heal, size = words["kind"], words["heal"], words["size"]
-        apart = words.get("apart")  # of pairs of fronts: only those between `fronts` and these
+        apart = words.get("apart")  # if given: only pairs between `fronts` and these fronts
         for front in words["fronts"]:
             for pair in [p for (path, f, o), p in self.pairs.items() if path == words["path"]
                          and (f == front or (path == PEERS and o == front))]:  # fmt: skip
-                mine = pair.key[1] == front  # of a pair of fronts, the other's words are this one's to hear
+                mine = pair.key[1] == front  # else `front` is the receiver of this pair's outgoing data
                 if apart is not None and pair.key[2 if mine else 1] not in apart:
                     continue
-                says, hears = (pair.out, pair.into) if mine else (pair.into, pair.out)
+                says, hears = (pair.from_front, pair.to_front) if mine else (pair.to_front, pair.from_front)
                 way = words["way"]
                 ways = [w for w, on in ((says, way in ("out", "both")), (hears, way in ("in", "both"))) if on]
                 if kind in ("cut", "silent"):
                     for one in ways:
-                        one.held = not heal
+                        one.is_held = not heal
                     if kind == "cut":
-                        pair.door = OPEN if heal else DEAF
-                    pair.heal()
+                        pair.fault_state = OPEN if heal else DEAF
+                    pair.flush()
                 elif kind == "reset":
-                    pair.door = OPEN if heal else REFUSED
+                    pair.fault_state = OPEN if heal else REFUSED
                     if not heal:
                         pair.abort()
                 for one in ways:
                     if kind == "delay":
-                        one.delay = 0 if heal else int(size * 1e6)
+                        one.delay_ns = 0 if heal else int(size * 1e6)
                     elif kind == "throttle":
-                        one.rate = 0.0 if heal else size * 1000
+                        one.rate_bytes_per_s = 0.0 if heal else size * 1000
                     elif kind in ("loss", "repeat", "shuffle"):
                         setattr(one, kind, 0.0 if heal else size)
-                await pair.stand()
+                await pair.update_listener()
 
-    async def more(self, machines: int) -> None:
-        """New machines have come."""
+    async def add_machines(self, machines: int) -> None:
+        """Add the pairs of new machines, up to that highest index."""
         for m in range(self.plan.machines + 1, machines + 1):
             for f in range(self.plan.fronts):
-                await self._machine(f, m)
+                await self._add_machine_pair(f, m)
         self.plan = msgspec.structs.replace(self.plan, machines=max(machines, self.plan.machines))
 
 
@@ -357,29 +384,29 @@
     plan = msgspec.json.decode(Path(path).read_bytes(), type=Plan)
     notes = child.Notes(Path(plan.folder) / f"notes-relay-{next(iter(plan.ports))}")
     order = asyncio.Queue[dict[str, Any]]()
-    net = Net(plan)
+    relay = Relay(plan)
     try:
-        await net.start()
+        await relay.start()
     except OSError as error:
-        child.tell(fault=f"the relay of {', '.join(plan.ports)} can't listen: {error}")
+        child.report_to_rig(fault=f"the relay of {', '.join(plan.ports)} can't listen: {error}")
         return
-    child.tell(ready=True)
+    child.report_to_rig(ready=True)
 
-    async def carry_out() -> None:  # one after the other, in the order they were said
+    async def carry_out() -> None:  # one after the other, in the order received
         while True:
             words = await order.get()
             if "live" in words:
-                await net.live(words["live"], words["other"], words["how"])
+                await relay.set_reachability(words["live"], words["other"], words["how"])
             elif "machines" in words:
-                await net.more(words["machines"])
+                await relay.add_machines(words["machines"])
             else:
-                await net.fault(words)
-            child.tell(done=words.get("id", 0))
+                await relay.set_fault(words)
+            child.report_to_rig(done=words.get("id", 0))
 
     work = asyncio.get_running_loop().create_task(carry_out())
-    ended = await child.obey(order.put_nowait, notes)
+    ended = await child.run_commands(order.put_nowait, notes)
     work.cancel()
-    if not ended and plan.sweep:  # the rig is gone: what it leaves goes too
+    if not ended and plan.sweep:  # the rig was killed: remove its folder
         await asyncio.sleep(0.5)
         shutil.rmtree(plan.folder, ignore_errors=True)
 
--- a/quincepier/lab/fleet/rig.py
+++ b/quincepier/lab/fleet/rig.py
@@ -1,7 +1,7 @@
-"""The rig: starts a fleet of processes and all around it, strikes as the experiment says, ends it all.
+"""The test rig: starts a fleet of front processes and their surroundings, injects faults, stops them all.
 
-Fronts run as in service; they reach everything through the relays alone. The rig decides when each fault
-falls, by time or by a counted event, and keeps the story of it for the evidence.
+Fronts run as in service and reach all other processes through the relays only. The rig starts each fault at
+its time or at a counted event, and records what it did for the evidence.
 """
 
 from __future__ import annotations
@@ -23,21 +23,33 @@
 
 from quincepier.lab.experiment import ON_FRONTS, ON_PATHS, SECOND, Experiment, Fault, Kind, NetPath, Variant
 from quincepier.lab.fleet import disk, load, relay, standins
-from quincepier.lab.fleet.evidence import Evidence, FleetRun, Part, Story
-from quincepier.lab.fleet.ports import Ports
-from quincepier.lab.fleet.processes import ROOT, START_WITHIN, Child, FrontProcess, RigError
-from quincepier.lab.fleet.settling import sections
+from quincepier.lab.fleet.evidence import Evidence, FleetRun, ProcessUsage, RigRecord
+from quincepier.lab.fleet.operators_file import sections
+from quincepier.lab.fleet.ports import PortBlock
+from quincepier.lab.fleet.processes import FRONT_START_TIMEOUT_S, ROOT, Child, FrontProcess, RigError
 from quincepier.lab.fleet.setup import settings
 from quincepier.lab.fleet.signal_series import play_series
 
-SERVE = (sys.executable, "-O", "-m", "quincepier", "serve")
-RATE_EACH = 600.0  # arrivals a second for each load process
-TICKS = 1e9 / os.sysconf("SC_CLK_TCK")
-SPARE_FILES = 200  # descriptors beside the listeners and connections
+SERVE_COMMAND = (sys.executable, "-O", "-m", "quincepier", "serve")
+MAX_RATE_PER_LOAD_PROCESS = 600.0  # requests per second
+NS_PER_CLOCK_TICK = 1e9 / os.sysconf("SC_CLK_TCK")
+SPARE_DESCRIPTORS = 200  # for files and pipes, besides listeners and connections
 
 
 class Rig:
-    """One run. `command` gives the words that start a front, `operators` its operators' file, if any."""
+    """One run of an experiment.
+
+    Args:
+        path: The experiment file.
+        experiment: The experiment as read from it.
+        variant: The variant of the settings to play.
+        seed: Seeds the load, the faults and the fronts.
+        checkout: Working directory of the fronts, for a front of another checkout; default: this one.
+        command: Returns the command line that starts a front, without its options.
+        operators: Returns the operators' file of a front; default: as the experiment has it.
+        keep: Folder to create for the run's files and to leave in place; default: a temporary folder.
+        progress: Is called with the share of the run that is over, from 0 to 1.
+    """
 
     def __init__(
         self,
@@ -47,7 +59,7 @@
         seed: int,
         *,
         checkout: str | None = None,
-        command: Callable[[int], Sequence[str]] = lambda front: SERVE,
+        command: Callable[[int], Sequence[str]] = lambda front: SERVE_COMMAND,
         operators: Callable[[int, Rig], str] | None = None,
         keep: str | None = None,
         progress: Callable[[float], None] = lambda share: None,
@@ -56,34 +68,39 @@
         self.checkout, self.command, self.operators = checkout or str(ROOT), command, operators
         self.keep, self.progress = keep, progress
         self.random = random.Random(f"{seed} {experiment.name} rig")
-        self.story, self.void = Story(), ""
-        self.story.allows_second_copies = bool(variant.settings.get("second_copies", True))
+        self.record, self.void = RigRecord(), ""
+        self.record.allows_second_copies = bool(variant.settings.get("second_copies", True))
         self.fronts: list[FrontProcess] = []
         self.loads: list[Child] = []
         self.events: list[dict[str, Any]] = []
         self.ports: dict[str, int] = {}
-        self.claimed: Ports | None = None
-        self.port = self.peer_port = 0  # of all fronts: for clients, for each other
-        self.used: dict[str, list[tuple[float, float]]] = {}
-        self.unfinished = 0  # settled faults that are not over: the run goes on
-        self.waiting: dict[int, Fault] = {}  # faults that wait for a counted event
-        self.pace: dict[str, dict[str, int]] = {}
+        self.port_block: PortBlock | None = None
+        self.front_port = self.peer_port = 0  # the same for all fronts: for clients, for other fronts
+        self.usage_by_kind: dict[str, list[tuple[float, float]]] = {}
+        self.unfinished_settled_faults = 0  # the run lasts until these are over
+        self.armed_faults: dict[int, Fault] = {}  # by number; each waits for a counted event
+        self.pace_by_load: dict[str, dict[str, int]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.relays: dict[str, Child] = {}  # by path
+        self.relays: dict[str, Child] = {}  # by path name
 
     async def play(self) -> FleetRun:
-        """Raises RigError where it can't be set up, OperatorError or ValueError for what can't be told."""
+        """Play the run and return its verdict and figures.
+
+        Raises:
+            RigError: The machine lacks the resources, or a process does not start.
+            OperatorError, ValueError: A setting can't be passed to front processes.
+        """
         for zone in range(self.experiment.fleet.zones):
             settings(self.experiment, zone, self.variant)
         self.broken = asyncio.Event()
-        self._room()
-        self.folder = self._folder()
+        self._check_descriptor_limit()
+        self.folder = self._make_folder()
         try:
             await self._start()
             await self._run()
             await self._stop()
-            run = Evidence(self.experiment, self.story, self.folder).run(
-                self.variant.name, self.seed, self.void, self._parts()
+            run = Evidence(self.experiment, self.record, self.folder).run(
+                self.variant.name, self.seed, self.void, self._summarize_usage()
             )
         finally:
             await self._end()
@@ -91,29 +108,29 @@
 
     # Set up
 
-    def _room(self) -> None:
-        """A fleet whose descriptors do not fit is refused before anything is started."""
+    def _check_descriptor_limit(self) -> None:
+        """Raise RigError, before any process starts, if the fleet needs more descriptors than are allowed."""
         fleet = self.experiment.fleet
         pairs = fleet.fronts * (fleet.caches + fleet.parents + 3)
-        wanted = 3 * pairs + SPARE_FILES + (2 * fleet.fronts**2 if self._peers() else 0)
+        wanted = 3 * pairs + SPARE_DESCRIPTORS + (2 * fleet.fronts**2 if self._needs_peer_paths() else 0)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         if soft < wanted <= hard:
             resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
         elif hard < wanted:
             raise RigError(f"{wanted} descriptors are wanted for so many pairs, {hard} are allowed")
 
-    def settling(self, front: int) -> str:
-        """The operators' file of a front that settles things with the others, "" where none does."""
+    def operators_sections(self, front: int) -> str:
+        """Return the operators' file of a front in a fleet with voters, or "" without voters."""
         plan, ports = self.experiment, (self.peer_port, self.ports.get("peers", 0))
         if not plan.voters:
             return ""
         return sections(front, plan.fleet.fronts, plan.voters, *ports, str(self.folder)) + plan.wishes
 
-    def _peers(self) -> bool:
+    def _needs_peer_paths(self) -> bool:
         faults = any(f.path is NetPath.PEERS for f in self.experiment.faults)
         return faults or self.operators is not None or self.experiment.voters > 0
 
-    def _folder(self) -> Path:
+    def _make_folder(self) -> Path:
         try:
             if self.keep is None:
                 return Path(tempfile.mkdtemp(prefix="quincepier-fleet-"))
@@ -133,32 +150,37 @@
         words = await self.standins.start(standins.__name__, plan)
         self.events = words["events"]
         try:
-            mine = self.claimed = Ports()
+            mine = self.port_block = PortBlock()
         except OSError as error:
             raise RigError(str(error)) from None
-        self.port, self.peer_port = mine.take(), mine.take()
+        self.front_port, self.peer_port = mine.take(), mine.take()
         machines = fleet.caches + fleet.parents + 1
-        for path in (relay.CLIENTS, relay.CACHES, relay.LOG, *([relay.PEERS] if self._peers() else [])):
+        for path in (
+            relay.CLIENTS,
+            relay.CACHES,
+            relay.LOG,
+            *([relay.PEERS] if self._needs_peer_paths() else []),
+        ):
             one = self.relays[path] = Child(f"relay-{path}", self)
             self.ports[path] = mine.take()
             sweeps = self.keep is None and path == relay.CLIENTS
             net = relay.Plan(
                 str(self.folder), sweeps, self.seed, fleet.fronts, machines, words["machines"],
-                words["log"], self.port, {path: self.ports[path]}, self.peer_port,
+                words["log"], self.front_port, {path: self.ports[path]}, self.peer_port,
             )  # fmt: skip
             await one.start(relay.__name__, net)
-        self.standins.say(ports=self.ports)
+        self.standins.send(ports=self.ports)
         self.fronts = [FrontProcess(self, n) for n in range(fleet.fronts)]
         for front in self.fronts:
             front.prepare()
         await asyncio.gather(*(front.start() for front in self.fronts))
-        if bad := [f.number for f in self.fronts if not f.serving]:
+        if bad := [f.number for f in self.fronts if not f.is_serving]:
             log = self.fronts[bad[0]].folder / "log"
             lines = log.read_text(errors="replace").strip().splitlines() if log.exists() else []
             raise RigError(f"front {bad[0]} does not start: {lines[-1] if lines else 'it says nothing'}")
         for front in self.fronts:
-            front.first = disk.read(front.state)
-        count = max(1, math.ceil(self.experiment.load.rate / RATE_EACH))
+            front.initial_state_files = disk.read_files(front.state)
+        count = max(1, math.ceil(self.experiment.load.rate / MAX_RATE_PER_LOAD_PROCESS))
         self.loads = [Child(f"load-{n}", self) for n in range(count)]
         for n, one in enumerate(self.loads):
             share = load.Plan(str(self.folder), place, self.seed, count, n, self.ports["clients"])
@@ -168,34 +190,34 @@
 
     async def _run(self) -> None:
         seconds = self.experiment.seconds
-        self.story.start = time.monotonic_ns() + SECOND // 5
-        self.story.returns.clear()
-        self.unfinished = sum(fault.settled for fault in self.experiment.faults)
-        self._say_to_loads(begin=self.story.start)
+        self.record.start = time.monotonic_ns() + SECOND // 5
+        self.record.returns.clear()
+        self.unfinished_settled_faults = sum(fault.settled for fault in self.experiment.faults)
+        self._send_to_loads(begin=self.record.start)
         for n, fault in enumerate(self.experiment.faults):
-            self._spawn(self._await(n, fault))
+            self._spawn(self._schedule_fault(n, fault))
         longest = self.experiment.longest_deadline_s + 1.0
         while not self.broken.is_set():
-            spent = (time.monotonic_ns() - self.story.start) / SECOND
+            spent = (time.monotonic_ns() - self.record.start) / SECOND
             self.progress(min(max(spent / (seconds + longest), 0.0), 1.0))
-            if spent >= seconds and not self.unfinished:
-                self._say_to_loads(pace=True)
+            if spent >= seconds and not self.unfinished_settled_faults:
+                self._send_to_loads(pace=True)
                 if spent >= seconds + longest or (
-                    self.pace and not any(p["open"] for p in self.pace.values())
+                    self.pace_by_load and not any(p["open"] for p in self.pace_by_load.values())
                 ):
                     break
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.broken.wait(), 0.2)
-        self._say_to_loads(pace=True)
+        self._send_to_loads(pace=True)
         await asyncio.sleep(0.2)
         self.progress(1.0)
-        sent, behind = (sum(p[key] for p in self.pace.values()) for key in ("sent", "behind"))
-        if behind > load.BEHIND_PART * max(sent, 1):
+        sent, behind = (sum(p[key] for p in self.pace_by_load.values()) for key in ("sent", "behind"))
+        if behind > load.MAX_LATE_ARRIVAL_SHARE * max(sent, 1):
             self.void = self.void or f"the load can't keep its pace: {behind} of {sent} arrivals were late"
 
-    def _say_to_loads(self, **words: Any) -> None:
+    def _send_to_loads(self, **words: Any) -> None:
         for one in self.loads:
-            one.say(**words)
+            one.send(**words)
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -209,86 +231,90 @@
 
         task.add_done_callback(done)
 
-    def reach(self, front: int, how: str, paths: tuple[str, ...] = (relay.CLIENTS, relay.PEERS)) -> None:
-        """A front is there or not: the paths that lead to it are told."""
+    def set_reachability(
+        self, front: int, how: str, paths: tuple[str, ...] = (relay.CLIENTS, relay.PEERS)
+    ) -> None:
+        """Have the relays of `paths` accept ("open") or refuse ("refused") connections to a front."""
         for path in paths:
             if path in self.relays:
-                self.relays[path].say(live=path, other=front, how=how)
+                self.relays[path].send(live=path, other=front, how=how)
 
-    def heard(self, one: Child, words: dict[str, Any]) -> None:
+    def on_message(self, one: Child, words: dict[str, Any]) -> None:
         if "event" in words:
             self.events.append(words["event"])
         elif "live" in words or "machines" in words:
-            self.relays[relay.CACHES].say(**words)
-        elif "strike" in words and words["strike"] in self.waiting:
-            self._spawn(self._strike(self.waiting.pop(words["strike"])))
+            self.relays[relay.CACHES].send(**words)
+        elif "strike" in words and words["strike"] in self.armed_faults:
+            self._spawn(self._strike(self.armed_faults.pop(words["strike"])))
         elif "sent" in words:
-            self.pace[one.name] = words
+            self.pace_by_load[one.name] = words
 
-    async def _await(self, number: int, fault: Fault) -> None:
-        await asyncio.sleep(max(self.story.start / SECOND + fault.at - time.monotonic(), 0))
+    async def _schedule_fault(self, number: int, fault: Fault) -> None:
+        await asyncio.sleep(max(self.record.start / SECOND + fault.at - time.monotonic(), 0))
         if fault.counted is not None:
-            self.waiting[number] = fault
-            self.standins.say(arm=number, what=fault.counted.value, nth=fault.nth)
+            self.armed_faults[number] = fault
+            self.standins.send(arm=number, what=fault.counted.value, nth=fault.nth)
         else:
             await self._strike(fault)
 
     async def _strike(self, fault: Fault) -> None:
         fronts = fault.kind in ON_FRONTS or fault.kind in ON_PATHS
-        self.story.marks.append((time.monotonic_ns(), fault.kind.value, fronts))
+        self.record.marks.append((time.monotonic_ns(), fault.kind.value, fronts))
         if fault.kind is Kind.RUSH:
-            self._say_to_loads(rush=fault.size)
+            self._send_to_loads(rush=fault.size)
             await asyncio.sleep(fault.lasts)
-            self._say_to_loads(rush=1.0)
+            self._send_to_loads(rush=1.0)
         elif not fronts:
-            self.standins.say(strike=fault)
+            self.standins.send(strike=fault)
         else:
             count = min(max(round(fault.part * len(self.fronts)), 1), len(self.fronts))
             struck = sorted(self.random.sample(range(len(self.fronts)), count))
             if fault.settled:
-                await self._until_serving([self.fronts[n] for n in struck])
+                await self._wait_until_serving([self.fronts[n] for n in struck])
             if fault.kind in ON_PATHS:
-                await self._on_path(fault, struck)
+                await self._strike_path(fault, struck)
             else:
-                await self._on_fronts(fault, [self.fronts[n] for n in struck])
-        self.unfinished -= fault.settled
+                await self._strike_fronts(fault, [self.fronts[n] for n in struck])
+        self.unfinished_settled_faults -= fault.settled
 
-    async def _until_serving(self, fronts: list[FrontProcess]) -> None:
-        """Until they are back from the strike before, for as long as a start may take."""
+    async def _wait_until_serving(self, fronts: list[FrontProcess]) -> None:
+        """Wait until the fronts serve after the previous fault, at most for the start timeout."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(START_WITHIN):
+            async with asyncio.timeout(FRONT_START_TIMEOUT_S):
                 for front in fronts:
                     await front.is_back.wait()
 
-    async def _on_path(self, fault: Fault, struck: list[int]) -> None:
+    async def _strike_path(self, fault: Fault, struck: list[int]) -> None:
         words = {"kind": fault.kind.value, "path": fault.path.value, "way": fault.way.value, "fronts": struck,
                  "size": fault.size}  # fmt: skip
         net = self.relays[fault.path.value]
-        net.say(**words, heal=False)
+        net.send(**words, heal=False)
         await asyncio.sleep(fault.lasts)
-        net.say(**words, heal=True)
-        self.story.returns.append(time.monotonic_ns())
+        net.send(**words, heal=True)
+        self.record.returns.append(time.monotonic_ns())
 
-    async def _on_fronts(self, fault: Fault, struck: list[FrontProcess]) -> None:
+    async def _strike_fronts(self, fault: Fault, struck: list[FrontProcess]) -> None:
         if fault.kind is Kind.KILL:
-            for front in struck:  # all at once, then what follows
+            for front in struck:  # all at once, before any of them restarts
                 front.kill()
-            await asyncio.gather(*(self._again(front, fault) for front in struck))
+            await asyncio.gather(*(self._restart_after_kill(front, fault) for front in struck))
         elif fault.kind in (Kind.TERM, Kind.ROLL):
             apart = fault.lasts / len(struck) if fault.kind is Kind.ROLL else 0.0
-            await asyncio.gather(*(self._term(front, fault, n * apart) for n, front in enumerate(struck)))
+            await asyncio.gather(
+                *(self._restart_after_term(front, fault, n * apart) for n, front in enumerate(struck))
+            )
         elif fault.kind is Kind.RELOAD:
             await asyncio.gather(*(self._reload(front, fault) for front in struck))
         elif fault.kind is Kind.SIGNALS:
             await asyncio.gather(*(play_series(front, fault, self.random) for front in struck))
         elif fault.kind is Kind.CROWD:
             for front in struck:
-                self.loads[0].say(crowd=front.number, count=int(fault.size), lasts=fault.lasts)
+                self.loads[0].send(crowd=front.number, count=int(fault.size), lasts=fault.lasts)
             await asyncio.sleep(fault.lasts)
-            self.story.returns.append(time.monotonic_ns())
+            self.record.returns.append(time.monotonic_ns())
         elif fault.kind is Kind.PAUSE:
             await asyncio.gather(*(self._pause(front, fault.lasts) for front in struck))
-            self.story.returns.append(time.monotonic_ns())
+            self.record.returns.append(time.monotonic_ns())
         else:
             until = time.monotonic() + fault.lasts
 
@@ -298,33 +324,33 @@
                     await asyncio.sleep(fault.size / 1000)
 
             await asyncio.gather(*map(starve, struck))
-            self.story.returns.append(time.monotonic_ns())
+            self.record.returns.append(time.monotonic_ns())
 
-    async def _again(self, front: FrontProcess, fault: Fault) -> None:
-        """Down for a while, its folder of state struck meanwhile, then started anew."""
+    async def _restart_after_kill(self, front: FrontProcess, fault: Fault) -> None:
+        """Keep a killed front down, apply the disk fault to its state folder, then restart it."""
         noticed = min(self.experiment.fleet.noticed_s, max(fault.lasts, 0.0))
         starts = front.starts
         if front.process is not None:
             await front.process.wait()
         await asyncio.sleep(noticed)
-        self._spawn(self._hide(front, self.experiment.fleet.noticed_s - noticed))
+        self._spawn(self._hide_from_clients(front, self.experiment.fleet.noticed_s - noticed))
         await asyncio.sleep(max(fault.lasts - noticed, 0.0))
-        disk.strike(front.state, fault.state, front.first, self.random)
+        disk.apply_fault(front.state, fault.state, front.initial_state_files, self.random)
         if front.starts == starts:
             await front.start()
 
-    async def _hide(self, front: FrontProcess, wait: float) -> None:
+    async def _hide_from_clients(self, front: FrontProcess, wait: float) -> None:
         await asyncio.sleep(wait)
-        if not front.serving:
+        if not front.is_serving:
             for one in self.loads:
-                one.say(hide=front.number)
+                one.send(hide=front.number)
 
-    async def _term(self, front: FrontProcess, fault: Fault, wait: float) -> None:
+    async def _restart_after_term(self, front: FrontProcess, fault: Fault, wait: float) -> None:
         await asyncio.sleep(wait)
         starts = front.starts
         await front.term()
         await asyncio.sleep(fault.lasts if fault.kind is Kind.TERM else 0.0)
-        disk.strike(front.state, fault.state, front.first, self.random)
+        disk.apply_fault(front.state, fault.state, front.initial_state_files, self.random)
         if front.starts == starts:
             await front.start()
 
@@ -338,12 +364,12 @@
         front.signal(signal.SIGSTOP)
         await asyncio.sleep(lasts)
         front.signal(signal.SIGCONT)
-        self.story.stops.append((front.number, since, time.monotonic_ns()))
+        self.record.pauses.append((front.number, since, time.monotonic_ns()))
 
     # The end
 
-    def use(self, part: str, pid: int) -> None:
-        """Note what a process has used, while it is there to be asked."""
+    def record_usage(self, part: str, pid: int) -> None:
+        """Record the CPU time and peak memory of a running process from /proc."""
         try:
             fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
             lines = dict(
@@ -353,36 +379,40 @@
             )
         except OSError:
             return
-        cpu = (int(fields[11]) + int(fields[12])) * TICKS / 1e9
-        self.used.setdefault(part, []).append((cpu, int(lines.get("VmHWM", "0 kB").split()[0]) / 1024))
+        cpu = (int(fields[11]) + int(fields[12])) * NS_PER_CLOCK_TICK / 1e9
+        self.usage_by_kind.setdefault(part, []).append(
+            (cpu, int(lines.get("VmHWM", "0 kB").split()[0]) / 1024)
+        )
 
-    def _parts(self) -> dict[str, Part]:
+    def _summarize_usage(self) -> dict[str, ProcessUsage]:
         return {
-            name: Part(len(used), round(sum(u[0] for u in used), 2), round(max(u[1] for u in used), 1))
-            for name, used in self.used.items()
+            name: ProcessUsage(
+                len(used), round(sum(u[0] for u in used), 2), round(max(u[1] for u in used), 1)
+            )
+            for name, used in self.usage_by_kind.items()
         }
 
     async def _stop(self) -> None:
-        for task in list(self.tasks):  # faults that last past the end
+        for task in list(self.tasks):  # faults that are not over by the end of the run
             task.cancel()
         for front in self.fronts:
             front.signal(signal.SIGCONT)
         for one in (self.standins, *self.relays.values(), *self.loads):
             if one.process is not None:
-                self.use(one.name.split("-")[0], one.process.pid)
+                self.record_usage(one.name.split("-")[0], one.process.pid)
         if not self.void:
             await asyncio.gather(*(front.term() for front in self.fronts))
         for one in (*self.loads, self.standins, *self.relays.values()):
             await one.end()
 
     async def _end(self) -> None:
-        """Whatever happened before: nothing is left."""
+        """Kill the processes that still run, and release the ports and the folder, in any state of the run."""
         for task in list(self.tasks):
             task.cancel()
         waits: list[Awaitable[Any]] = []
         for front in self.fronts:
-            front.expected = True
-            if front.alive and front.process is not None:
+            front.is_exit_expected = True
+            if front.is_alive and front.process is not None:
                 front.process.kill()
                 waits.append(front.process.wait())
             for task in list(front.tasks):
@@ -394,7 +424,7 @@
             for task in one.tasks:
                 task.cancel()
         await asyncio.gather(*waits, return_exceptions=True)
-        if self.claimed is not None:
-            self.claimed.close()
+        if self.port_block is not None:
+            self.port_block.close()
         if self.keep is None:
             shutil.rmtree(self.folder, ignore_errors=True)
--- a/quincepier/lab/fleet/setup.py
+++ b/quincepier/lab/fleet/setup.py
@@ -1,4 +1,4 @@
-"""What a front of an experiment is told: the platform's JSON, from the same keys as the module's settings."""
+"""Configuration of a front in an experiment: the platform's JSON, built from the module's settings."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from quincepier.interface import Settings
 from quincepier.lab.experiment import MS, Experiment, Variant
 
-WORDS = {effect: word for word, effect in EFFECTS.items()}
-# Settings that a variant may change, by their place in the platform's JSON.
-TOLD = {
+WORD_BY_EFFECT = {effect: word for word, effect in EFFECTS.items()}
+# Settings that a variant may change, with their path in the platform's JSON.
+JSON_PATH_BY_SETTING = {
     "attempts": ("limits", "try_limit"),
     "second_copies": ("limits", "may_duplicate"),
     "retry_after": ("limits", "retry_after"),
@@ -23,8 +23,8 @@
 
 
 def settings(experiment: Experiment, zone: int, variant: Variant) -> dict[str, Any]:
-    """`settings` of a front's configuration; ValueError for a variant that processes can't be told."""
-    if unknown := [name for name in variant.settings if name not in TOLD]:
+    """Return `settings` of a front's configuration; ValueError for a variant that the JSON can't express."""
+    if unknown := [name for name in variant.settings if name not in JSON_PATH_BY_SETTING]:
         raise ValueError(f"variant {variant.name!r}: a process can't be told {', '.join(unknown)}")
     s: Settings = experiment.settings(zone, variant)
     told: dict[str, Any] = {
@@ -69,7 +69,7 @@
         "services": [
             {
                 "aim_stretch": c.stretch,
-                "effect": WORDS[c.effect],
+                "effect": WORD_BY_EFFECT[c.effect],
                 "group": "all",
                 "window": c.window,
                 "hard_limit": c.deadline,
@@ -97,7 +97,7 @@
     changelog: str,
     events: list[dict[str, Any]],
 ) -> dict[str, Any]:
-    """All that one process reads at its start; `events` are those of the change log up to now."""
+    """Return the configuration that a front reads at its start; `events`: the change log up to now."""
     return {
         "name": f"n{front}",
         "listen": listen,
--- a/quincepier/lab/fleet/signal_series.py
+++ b/quincepier/lab/fleet/signal_series.py
@@ -1,4 +1,4 @@
-"""Series of signals to one front: configurations in a row, ends beside them, and a start right before one."""
+"""Series of signals to one front: reloads in quick succession, terminations during them, and restarts."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 from quincepier.lab.experiment import MS, SECOND, Fault, Signal
 
-if TYPE_CHECKING:  # the rig makes them
+if TYPE_CHECKING:  # an import at run time would be circular
     from quincepier.lab.fleet.processes import FrontProcess
 
 RELOADS = (Signal.RELOAD_SAME, Signal.RELOAD_NEW, Signal.RELOAD_HALF, Signal.RELOAD_WRONG)
 ENDS = {Signal.TERM: signal.SIGTERM, Signal.INT: signal.SIGINT}
-IDLE_TIMES = (20 * SECOND, 30 * SECOND)  # of connections, of which a new configuration takes one
+IDLE_TIMES = (20 * SECOND, 30 * SECOND)  # a new configuration takes one of these for connections
 
 
 async def play_series(front: FrontProcess, fault: Fault, chance: random.Random) -> None:
-    """Send the signals of a fault to a front, and start it anew once it was ended."""
+    """Send the signals of a fault to a front, and restart the front if one of them ended it."""
     ending: asyncio.Task[None] | None = None
     for step in fault.series:
         if step is Signal.START:
             await _start_anew(front, ending)
             ending = None
         elif step in RELOADS:
-            if front.serving:
+            if front.is_serving:
                 _write_configuration(front, step, chance)
                 front.signal(signal.SIGHUP)
         elif ending is None:
@@ -44,18 +44,18 @@
 
 
 async def _start_anew(front: FrontProcess, ending: asyncio.Task[None] | None) -> None:
-    """Start a front that was ended; the series does not wait until it serves."""
+    """Restart a front that was ended, without waiting until it serves."""
     if ending is None:
         return
     starts = front.starts
     await ending
     if front.starts == starts:
         await front.launch()
-        front.spawn(front.until_serving())
+        front.spawn(front.wait_until_serving())
 
 
 def _write_configuration(front: FrontProcess, step: Signal, chance: random.Random) -> None:
-    """Put the file in place that the next SIGHUP makes the front read."""
+    """Write the configuration file that the front reads at the next SIGHUP."""
     config: dict[str, Any] = front.first_configuration
     if step is Signal.RELOAD_NEW:
         limits = config["settings"]["limits"] | {"conn_idle": chance.choice(IDLE_TIMES)}
--- a/quincepier/lab/fleet/standins.py
+++ b/quincepier/lab/fleet/standins.py
@@ -1,6 +1,7 @@
-"""Caches, parents, the origin and the change log as a process: the model of `machines.py` behind the wire.
+"""Stand-in caches, parents, origin and change log in one process: the model of `machines.py` on the wire.
 
-Written from the protocol page. Who asks whom is told by the address a connection comes from (`places.py`).
+Written from the protocol page. The source address of a connection identifies the front and the machine
+(`loopback_addresses.py`).
 """
 
 from __future__ import annotations
@@ -20,72 +21,86 @@
 from quincepier.interface import AttemptOutcome, CacheStatus, EndpointState
 from quincepier.lab.experiment import EDGE, MS, SECOND, Experiment, Fault, Kind, load
 from quincepier.lab.fleet import child
-from quincepier.lab.fleet.places import pair_address, pair_of
+from quincepier.lab.fleet.loopback_addresses import pair_address, pair_of
 from quincepier.lab.machines import ON_MACHINES, Machine, Machines
 
-WORDS = {
+WORD_BY_OUTCOME = {
     AttemptOutcome.OK: "data",
     AttemptOutcome.MISS: "absent",
     AttemptOutcome.OVERLOADED: "full",
     AttemptOutcome.ERROR: "failed",
 }
-HOWS = {
+WORD_BY_CACHE_STATUS = {
     CacheStatus.FILLED: "pulled",
     CacheStatus.FROM_ORIGIN: "pulled_far",
     CacheStatus.COLLAPSED: "rode",
     CacheStatus.STALE: "expired",
     CacheStatus.SOURCE_BROKEN: "cut_off",
 }
-KINDS = ("std", "parent", "origin")
-LETTERS = "spo"
-LINE_MOST = 4096
-TAG = "4be0c1927d55a6f3"
-POLL_MOST = 5000  # ms
+CLASS_BY_KIND = ("std", "parent", "origin")
+HOST_PREFIX_BY_KIND = "spo"
+MAX_LINE_BYTES = 4096
+OBJECT_TAG = "4be0c1927d55a6f3"
+MAX_POLL_MS = 5000  # ms
 
 
 class Plan(msgspec.Struct, frozen=True):
+    """Settings of this process, written by the rig."""
+
     folder: str
     experiment: str
     seed: int
-    wall: int  # ns: the Unix clock less the monotonic one
+    wall: int  # ns: Unix time minus monotonic time
 
 
 class Order:
-    """A `serve` command; see machines.Order. `serial` is told in the answer's body."""
-
-    __slots__ = ("age", "cls", "door", "held", "id", "join", "key", "machine", "number", "serial", "source")
+    """A `serve` command; see machines.Order. The response body contains `serial`."""
+
+    __slots__ = (
+        "age",
+        "cls",
+        "connection",
+        "held",
+        "id",
+        "join",
+        "key",
+        "machine",
+        "number",
+        "serial",
+        "source",
+    )
 
     def __init__(
-        self, door: Door, id: str, cls: int, key: tuple[int, int], machine: int, serial: int
+        self, connection: FrontConnection, id: str, cls: int, key: tuple[int, int], machine: int, serial: int
     ) -> None:
-        self.door, self.id, self.cls, self.key, self.machine = door, id, cls, key, machine
+        self.connection, self.id, self.cls, self.key, self.machine = connection, id, cls, key, machine
         self.number, self.serial = int(id, 16), serial
         self.source: int | None = None
         self.age, self.join, self.held = 0, False, False
 
 
-class Door(asyncio.Protocol):
-    """One connection of a front to a machine."""
+class FrontConnection(asyncio.Protocol):
+    """One connection of a front to a stand-in machine."""
 
-    def __init__(self, hall: Hall) -> None:
-        self.hall, self.buffer, self.front = hall, b"", 0
+    def __init__(self, host: StandInHost) -> None:
+        self.host, self.buffer, self.front = host, b"", 0
         self.machine: Machine | None = None
         self.transport: asyncio.Transport | None = None
-        self.open: dict[int, Order] = {}  # by serial: an id that comes twice is served twice
+        self.open: dict[int, Order] = {}  # by serial, since a repeated id is served again
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         self.transport = transport
         self.front, index = pair_of(transport.get_extra_info("peername")[0])
-        self.machine = self.hall.by_index.get(index)
-        self.hall.counted("dials")
-        self.hall.notes.note("dial", self.front, index)
+        self.machine = self.host.by_index.get(index)
+        self.host.count_event("dials")
+        self.host.notes.note("dial", self.front, index)
         if self.machine is None or self.machine.state == "dead":
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
         for order in self.open.values():
-            self._over(order)
-            self.hall.machines.stop(order)
+            self._note_closed(order)
+            self.host.machines.stop(order)
         self.open.clear()
 
     def data_received(self, data: bytes) -> None:
@@ -103,55 +118,55 @@
             if words[0] == "cancel":
                 for order in [o for o in self.open.values() if o.id == words[1]]:
                     del self.open[order.serial]
-                    self._over(order)
-                    self.hall.machines.stop(order)
+                    self._note_closed(order)
+                    self.host.machines.stop(order)
             elif self.transport is not None and self.machine is not None and self.machine.state == "up":
                 self.transport.write(f"{words[1]} well - 0\r\n\r\n".encode())
-        if len(self.buffer) > LINE_MOST and self.transport is not None:
+        if len(self.buffer) > MAX_LINE_BYTES and self.transport is not None:
             self.transport.abort()
 
     def _serve(self, id: str, fields: dict[str, str]) -> None:
-        hall, machine = self.hall, self.machine
+        host, machine = self.host, self.machine
         if machine is None:
             return
         key = int(fields["key"], 16), int(fields["part"])
-        order = Order(self, id, hall.classes[fields["class"]], key, machine.number, hall.serial())
+        order = Order(self, id, host.classes[fields["class"]], key, machine.number, host.next_serial())
         opts = fields.get("opts", "").split("+")
         order.join, order.held = "join" in opts, "held" in opts
         order.age = int(fields.get("fresh", "0")) * MS
-        source = hall.by_host.get(fields.get("via", ""))
+        source = host.by_host.get(fields.get("via", ""))
         order.source = source.number if source else None
         via = source.index if source else 0
         wait = int(fields["wait"])
-        hall.notes.note("sent", order.number, self.front, machine.index, via, order.serial, wait)
+        host.notes.note("sent", order.number, self.front, machine.index, via, order.serial, wait)
         self.open[order.serial] = order
-        hall.after(hall.way(machine), hall.reach, order)
+        host.after(host.latency_to(machine), host.deliver, order)
 
-    def _over(self, order: Order) -> None:
-        """It does not run here any more."""
-        self.hall.notes.note("closed", order.number, order.serial)
+    def _note_closed(self, order: Order) -> None:
+        """Note that an attempt no longer runs here."""
+        self.host.notes.note("closed", order.number, order.serial)
 
     def answer(
         self, order: Order, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
     ) -> None:
         if self.transport is None or self.open.pop(order.serial, None) is None:
             return
-        self._over(order)
-        hall = self.hall
-        if ending not in WORDS:
+        self._note_closed(order)
+        host = self.host
+        if ending not in WORD_BY_OUTCOME:
             self.transport.abort()
             return
-        fields, body = f"how={HOWS.get(note, 'local')},lag={waited // MS}", b""
+        fields, body = f"how={WORD_BY_CACHE_STATUS.get(note, 'local')},lag={waited // MS}", b""
         if ending is AttemptOutcome.OK:
-            at = minted if minted is not None else hall.now
+            at = minted if minted is not None else host.now
             body = b"%x %d %d %d" % (order.key[0], order.key[1], order.serial, at)
-            fields = f"tag={TAG},minted={(at + hall.plan.wall) // MS}," + fields
-        line = f"{order.id} {WORDS[ending]} {fields} {len(body)}\r\n".encode()
+            fields = f"tag={OBJECT_TAG},minted={(at + host.plan.wall) // MS}," + fields
+        line = f"{order.id} {WORD_BY_OUTCOME[ending]} {fields} {len(body)}\r\n".encode()
         self.transport.write(line + body + b"\r\n")
 
 
-class Hall:
-    """The host of the machines: the loop's clock, the wire, the list and its log."""
+class StandInHost:
+    """Runs the machine model on the event loop: clock, connections, endpoint list and change log."""
 
     def __init__(self, plan: Plan, experiment: Experiment, notes: child.Notes) -> None:
         self.plan, self.experiment, self.notes = plan, experiment, notes
@@ -160,9 +175,9 @@
         self.by_index = {m.index: m for m in self.machines.all.values()}
         self.by_host = {host_name(m): m for m in self.machines.all.values()}
         self.classes = {c.name: n for n, c in enumerate(experiment.classes)}
-        self.serials, self.lag, self.colds, self.port = 0, 0, 0, 0
+        self.last_serial, self.list_lag, self.cold_count, self.relay_port = 0, 0, 0, 0
         self.counts: Counter[str] = Counter()
-        self.armed: list[tuple[str, int, int]] = []  # (what, at which count, the fault)
+        self.armed_faults: list[tuple[str, int, int]] = []  # (event name, count that triggers, fault number)
         self.log = ChangeLog(self)
 
     @property
@@ -172,45 +187,45 @@
     def after(self, wait: int, what: Callable[..., None], *about: Any) -> None:
         self.loop.call_later(wait / SECOND, what, *about)
 
-    def serial(self) -> int:
-        self.serials += 1
-        return self.serials
+    def next_serial(self) -> int:
+        self.last_serial += 1
+        return self.last_serial
 
-    def way(self, machine: Machine) -> int:
+    def latency_to(self, machine: Machine) -> int:
         fleet = self.experiment.fleet
         return int((fleet.near_ms if machine.kind == EDGE else fleet.far_ms) * MS)
 
-    def reach(self, order: Order) -> None:
-        if order.serial in order.door.open:
+    def deliver(self, order: Order) -> None:
+        if order.serial in order.connection.open:
             self.machines.reach(order)
 
     def reply(
         self, order: Order, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
     ) -> None:
         machine = self.machines.all[order.machine]
-        self.after(self.way(machine), order.door.answer, order, ending, note, waited, minted)
+        self.after(self.latency_to(machine), order.connection.answer, order, ending, note, waited, minted)
 
-    def counted(self, what: str) -> None:
+    def count_event(self, what: str) -> None:
         self.counts[what] += 1
-        for one in [a for a in self.armed if a[0] == what and a[1] <= self.counts[what]]:
-            self.armed.remove(one)
-            child.tell(strike=one[2])
+        for one in [a for a in self.armed_faults if a[0] == what and a[1] <= self.counts[what]]:
+            self.armed_faults.remove(one)
+            child.report_to_rig(strike=one[2])
 
     def listed(self, machines: Sequence[Machine]) -> None:
-        delay = self.experiment.fleet.told_ms * MS * self.machines.chance.uniform(0.5, 1) + self.lag
+        delay = self.experiment.fleet.told_ms * MS * self.machines.chance.uniform(0.5, 1) + self.list_lag
         states = [(m.index, m.standing is EndpointState.READY) for m in machines]
-        hosts = [self.host(m) for m in machines]
+        hosts = [self.endpoint_record(m) for m in machines]
         for m in machines:
             if m.index not in self.by_index:
                 self.by_index[m.index] = self.by_host[host_name(m)] = m
-                child.tell(machines=m.index)
+                child.report_to_rig(machines=m.index)
             if m.standing is EndpointState.GONE:
-                child.tell(live="caches", other=m.index, how="refused")
+                child.report_to_rig(live="caches", other=m.index, how="refused")
             elif m.state == "up":
-                child.tell(live="caches", other=m.index, how="open")
+                child.report_to_rig(live="caches", other=m.index, how="open")
         self.after(int(delay), self.log.add, "listed", states, {"fleet": {"whole": False, "hosts": hosts}})
 
-    def host(self, m: Machine) -> dict[str, Any]:
+    def endpoint_record(self, m: Machine) -> dict[str, Any]:
         states = {
             EndpointState.READY: "SERVING",
             EndpointState.DRAINING: "DRAINING",
@@ -218,7 +233,7 @@
         }
         return {
             "host": host_name(m), "dial": str(m.index), "site": f"z{m.zone}" if m.kind == EDGE else "hub",
-            "class": KINDS[m.kind], "block": m.zone, "health": states[m.standing], "share": m.sends,
+            "class": CLASS_BY_KIND[m.kind], "block": m.zone, "health": states[m.standing], "share": m.sends,
             "born_ms": (m.born + self.plan.wall) // MS if m.born else 0,
         }  # fmt: skip
 
@@ -226,15 +241,15 @@
         self.notes.note("ran", request, self.machines.all[machine].index)
 
     def asked_cold(self, machine: int, work: float) -> None:
-        self.colds += 1
+        self.cold_count += 1
 
     def fell(self, machine: int, request: int) -> None:
         index = self.machines.all[machine].index
         self.notes.note("fell", index, request)
-        child.tell(live="caches", other=index, how="refused")
+        child.report_to_rig(live="caches", other=index, how="refused")
 
     def filled(self, machine: int, source: int) -> None:
-        self.counted("fills")
+        self.count_event("fills")
         at = self.machines.all.get(source)
         self.notes.note("fill", at.kind if at else -1, at.index if at else 0)
 
@@ -249,50 +264,54 @@
             for m in self.machines.all.values():
                 if m.state != before[m.number]:
                     how = "refused" if m.state == "dead" else "deaf"
-                    child.tell(live="caches", other=m.index, how=how)
+                    child.report_to_rig(live="caches", other=m.index, how=how)
         elif fault.kind is Kind.LAG:
-            self.lag = int(fault.size * SECOND)
+            self.list_lag = int(fault.size * SECOND)
             self.after(lasts, lambda: setattr(self, "lag", 0))
         elif fault.kind is Kind.PURGE:
-            delay, at = int(self.experiment.fleet.told_ms * MS) + self.lag, self.now
+            delay, at = int(self.experiment.fleet.told_ms * MS) + self.list_lag, self.now
             for group in self.machines.purge(fault.part):
                 purge = {"bucket": group, "time": (at + self.plan.wall) // MS}
                 self.after(delay, self.log.add, "purged", [group, at], {"invalidate": purge})
 
-    def work(self, machine: Machine, lasts: int) -> None:
-        """That one machine is worked on: down for a while, then started anew, empty."""
+    def take_down_for_work(self, machine: Machine, lasts: int) -> None:
+        """Take a machine down for maintenance work for `lasts` ns, then cold restart it."""
         self.machines.down(machine, "dead")
-        child.tell(live="caches", other=machine.index, how="refused")
+        child.report_to_rig(live="caches", other=machine.index, how="refused")
         self.after(lasts, self.machines.back, machine)
 
-    def hear(self, words: dict[str, Any]) -> None:
+    def on_command(self, words: dict[str, Any]) -> None:
         if "strike" in words:
             self.strike(msgspec.convert(words["strike"], Fault))
         elif "work" in words:
-            self.work(self.by_index[words["work"]], int(words["lasts"] * SECOND))
+            self.take_down_for_work(self.by_index[words["work"]], int(words["lasts"] * SECOND))
         elif "arm" in words:
-            self.armed.append((words["what"], self.counts[words["what"]] + words["nth"], words["arm"]))
+            self.armed_faults.append((words["what"], self.counts[words["what"]] + words["nth"], words["arm"]))
 
 
 class ChangeLog:
-    """Numbered events, long polls. The rig hears each event too, for fronts that start later."""
+    """Numbered events served by long polls; the rig receives each event too, for fronts that start later."""
 
-    def __init__(self, hall: Hall) -> None:
-        self.hall = hall
+    def __init__(self, host: StandInHost) -> None:
+        self.host = host
         first = {
-            "fleet": {"seq": 0, "whole": True, "hosts": [hall.host(m) for m in hall.machines.all.values()]}
+            "fleet": {
+                "seq": 0,
+                "whole": True,
+                "hosts": [host.endpoint_record(m) for m in host.machines.all.values()],
+            }
         }
         self.events: list[dict[str, Any]] = [{"seq": 1} | first]
-        self.more = asyncio.Event()
+        self.changed = asyncio.Event()
 
     def add(self, what: str, about: list[Any], event: dict[str, Any]) -> None:
         seq = len(self.events) + 1
         if "fleet" in event:
             event = {"fleet": {"seq": seq} | event["fleet"]}
         self.events.append({"seq": seq} | event)
-        self.hall.notes.note("event", seq, what, about)
-        child.tell(event=self.events[-1])
-        more, self.more = self.more, asyncio.Event()
+        self.host.notes.note("event", seq, what, about)
+        child.report_to_rig(event=self.events[-1])
+        more, self.changed = self.changed, asyncio.Event()
         more.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -301,18 +320,20 @@
             while line := await reader.readline():
                 while (await reader.readline()).strip():
                     pass
-                asked = parse_qs(urlsplit(line.decode().split(" ")[1]).query)
-                since = int(asked["since"][0])
-                self.hall.counted("calls")
-                self.hall.notes.note("call", front, since)
+                query = parse_qs(urlsplit(line.decode().split(" ")[1]).query)
+                since = int(query["since"][0])
+                self.host.count_event("calls")
+                self.host.notes.note("call", front, since)
                 if len(self.events) <= since:
                     try:
-                        async with asyncio.timeout(min(int(asked["timeout"][0]), POLL_MOST) / 1000):
-                            await self.more.wait()
+                        async with asyncio.timeout(min(int(query["timeout"][0]), MAX_POLL_MS) / 1000):
+                            await self.changed.wait()
                     except TimeoutError:
                         pass
                 later = [
-                    placed(event, front, self.hall.port) for event in self.events if event["seq"] > since
+                    with_front_addresses(event, front, self.host.relay_port)
+                    for event in self.events
+                    if event["seq"] > since
                 ]
                 body = msgspec.json.encode({"seq": len(self.events), "results": later})
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -323,11 +344,11 @@
 
 
 def host_name(m: Machine) -> str:
-    return f"{LETTERS[m.kind]}-{m.index}"
+    return f"{HOST_PREFIX_BY_KIND[m.kind]}-{m.index}"
 
 
-def placed(event: dict[str, Any], front: int, port: int) -> dict[str, Any]:
-    """An event with the addresses at which that front finds the machines, on the relay's port."""
+def with_front_addresses(event: dict[str, Any], front: int, port: int) -> dict[str, Any]:
+    """Return an event with the addresses at which a front reaches the machines, on the relay's port."""
     if "fleet" not in event:
         return event
     hosts = [
@@ -340,22 +361,22 @@
 async def main(path: str) -> None:
     plan = msgspec.json.decode(Path(path).read_bytes(), type=Plan)
     notes = child.Notes(Path(plan.folder) / "notes-standins")
-    hall = Hall(plan, load(plan.experiment), notes)
+    host = StandInHost(plan, load(plan.experiment), notes)
     loop = asyncio.get_running_loop()
-    server = await loop.create_server(lambda: Door(hall), "127.0.0.1", 0, backlog=4096)
-    log = await asyncio.start_server(hall.log.serve, "127.0.0.1", 0, backlog=1024)
+    server = await loop.create_server(lambda: FrontConnection(host), "127.0.0.1", 0, backlog=4096)
+    log = await asyncio.start_server(host.log.serve, "127.0.0.1", 0, backlog=1024)
 
     def hear(words: dict[str, Any]) -> None:
         if "ports" in words:
-            hall.port = words["ports"]["caches"]
+            host.relay_port = words["ports"]["caches"]
         else:
-            hall.hear(words)
+            host.on_command(words)
 
-    child.tell(ready=True, machines=server.sockets[0].getsockname()[1], log=log.sockets[0].getsockname()[1],
-               events=hall.log.events)  # fmt: skip
-    if await child.obey(hear, notes):
-        strains = [m.cold.strain for m in hall.machines.all.values()]
-        notes.note("machines", hall.colds, max(strains))
+    child.report_to_rig(ready=True, machines=server.sockets[0].getsockname()[1], log=log.sockets[0].getsockname()[1],
+               events=host.log.events)  # fmt: skip
+    if await child.run_commands(hear, notes):
+        strains = [m.cold.strain for m in host.machines.all.values()]
+        notes.note("machines", host.cold_count, max(strains))
         notes.flush()
 
 
--- a/tests/agreementrig.py
+++ b/tests/agreementrig.py
@@ -1,7 +1,7 @@
-"""A rig of front processes that agree on rule versions, and the scenario that is played in it.
+"""A rig for front processes that agree on rule versions; it plays a scenario.
 
-A scenario waits for lines of the fronts' logs and injects faults then; what is asserted are rules over the
-evidence of the stand-ins, which know who sent what to whom and when.
+A scenario waits for lines of the fronts' logs and injects faults. The assertions are rules over the notes of
+the stand-ins, which record every command with its front, machine and time.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from typing import Any
 
 from quincepier.lab.experiment import SECOND, load
-from quincepier.lab.fleet.evidence import FleetRun, _read
+from quincepier.lab.fleet.evidence import FleetRun, read_notes_files
+from quincepier.lab.fleet.operators_file import sections as operators_file
 from quincepier.lab.fleet.processes import FrontProcess
 from quincepier.lab.fleet.rig import Rig
-from quincepier.lab.fleet.settling import sections as operators_file
 
 VOTERS = 3
 MS = 1_000_000
@@ -54,11 +54,11 @@
 
 
 class FrontFleet(Rig):
-    """Runs a scenario once the load is on, and ends with it.
+    """Runs a scenario once the load has started; the run ends with the scenario.
 
     Args:
         folder: Where the experiment and its evidence are written.
-        scenario: What happens in the run.
+        scenario: Injects the faults and waits for their effects.
         sections: More sections of each front's operators' file.
         experiment_text: The experiment.
         agreement_settings: More lines of the section `agreement`.
@@ -75,7 +75,7 @@
         path = folder / "experiment.yaml"
         path.write_text(experiment_text)
         experiment = load(str(path))
-        keep = os.environ.get("AGREEMENT_KEEP")  # a folder in which a run is left to be looked at
+        keep = os.environ.get("AGREEMENT_KEEP")  # a folder that keeps the files of each run for inspection
         super().__init__(
             str(path), experiment, experiment.variants[0], 1, operators=self._file,
             keep=str(Path(keep) / folder.parent.name / folder.name) if keep else None,
@@ -96,14 +96,14 @@
             + self.sections
         )
 
-    # What a scenario does
+    # Actions and waits of scenarios
 
     def set_sections(self, sections: str) -> None:
         """Change every front's operators' file and have it reloaded."""
         self.sections = sections
         for front in self.fronts:
-            assert front.told is not None
-            front.told.write_text(self._file(front.number, self))
+            assert front.operators_file is not None
+            front.operators_file.write_text(self._file(front.number, self))
             front.signal(signal.SIGHUP)
 
     def lines_of(self, front: int) -> list[LogLine]:
@@ -160,7 +160,7 @@
 
     @property
     def now_ns(self) -> int:
-        """The monotonic time, cut to the milliseconds of log lines."""
+        """The monotonic time, rounded down to whole milliseconds as in log lines."""
         return time.monotonic_ns() // MS * MS
 
     def set_network_fault(
@@ -168,11 +168,11 @@
     ) -> None:
         """Start a fault on the paths between two groups of fronts, or end it."""
         fault = {"kind": kind, "path": "peers", "way": "both", "size": size}
-        self.relays["peers"].say(**fault, fronts=list(some), apart=list(others), heal=heal)
+        self.relays["peers"].send(**fault, fronts=list(some), apart=list(others), heal=heal)
 
     def start_work(self, cache: int, duration_s: float) -> None:
-        """Take a cache down, and start it anew after so many seconds."""
-        self.standins.say(work=cache, lasts=duration_s)
+        """Take a cache down, and cold restart it after `duration_s` seconds."""
+        self.standins.send(work=cache, lasts=duration_s)
 
     def kill(self, *fronts: int) -> None:
         for n in fronts:
@@ -200,14 +200,14 @@
             except BaseException as error:
                 self.failed = error
             for one in self.loads:
-                one.say(stop=True)
+                one.send(stop=True)
             await asyncio.sleep(0.1)
             for _ in range(100):  # until all requests are answered
-                self.pace.clear()
+                self.pace_by_load.clear()
                 for one in self.loads:
-                    one.say(pace=True)
+                    one.send(pace=True)
                 await asyncio.sleep(0.1)
-                if self.pace and not any(p["open"] for p in self.pace.values()):
+                if self.pace_by_load and not any(p["open"] for p in self.pace_by_load.values()):
                     break
             self.broken.set()
 
@@ -223,19 +223,19 @@
         self.lines.sort(key=lambda line: line.at)
 
     def read_notes(self) -> list[list[Any]]:
-        """Read what the processes noted; of a run that goes on, up to a few seconds ago."""
-        self.notes = list(_read(self.folder))
+        """Read the notes of all processes; during the run, the last few seconds may be missing."""
+        self.notes = list(read_notes_files(self.folder))
         return self.notes
 
-    # What must hold
+    # Evidence for assertions
 
     def commands_at(self, cache: int, since: int, until: int) -> list[list[Any]]:
-        """Return the commands that reached a cache, or were filled from it, between two moments."""
+        """Return the notes of commands that reached a cache between two times, both exclusive."""
         return [n for n in self.notes if n[1] == "sent" and n[4] == cache and since < n[0] < until]
 
 
 def run_scenario(rig: FrontFleet) -> FleetRun:
-    """Play the scenario; raise what it found wrong."""
+    """Play the scenario; raise its failure, or fail if a front logged a defect or the run is void."""
     run = asyncio.run(asyncio.wait_for(rig.play(), 110))
     if rig.failed is not None:
         raise rig.failed
--- a/tests/faulty_front.py
+++ b/tests/faulty_front.py
@@ -1,7 +1,7 @@
-"""A front whose system calls fail and whose wall clock is stepped, as a process.
+"""A front process whose system calls fail and whose wall clock is stepped.
 
-`python -m tests.faulty_front PLAN serve --config FILE`: PLAN is a JSON text of the struct below. What fails
-is drawn from its seed; nothing of the front itself is changed.
+`python -m tests.faulty_front PLAN serve --config FILE`: PLAN is the JSON text of `Plan` below. Failures are
+drawn from its seed; the code of the front is not changed, except by a `mutant`.
 """
 
 from __future__ import annotations
@@ -21,8 +21,10 @@
 from quincepier.lifecycle import signals
 from tests.mutants import FAULTS
 
-SHORT = "SHORT"  # in place of an error: one byte is read or written
-BROKEN = frozenset(("ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "EPIPE"))  # of these a socket does not recover
+SHORT = "SHORT"  # instead of an error, only one byte is read or written
+PERMANENT_ERRORS = frozenset(
+    ("ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET", "EPIPE")
+)  # a socket does not recover from these
 Call = Literal[
     "accept", "socket", "connect", "client.recv", "client.send", "server.recv", "server.send",
     "setsockopt", "shutdown", "getpeername",
@@ -30,7 +32,10 @@
 
 
 class Rule(msgspec.Struct, frozen=True):
-    """A call fails with one of these errors, from `begin` to `end` seconds after the start or SIGTERM."""
+    """A call fails with one of these errors, with probability `chance`.
+
+    It fails from `begin` to `end` seconds after the start of the process, or after SIGTERM.
+    """
 
     call: Call
     errors: tuple[str, ...]
@@ -41,31 +46,33 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """The wall clock is stepped by so many seconds, so long after the start."""
+    """The wall clock is stepped by `seconds`, `at` seconds after the start."""
 
     at: float
     seconds: float
 
 
 class Plan(msgspec.Struct, frozen=True):
+    """The faults of one process."""
+
     seed: int = 1
     rules: tuple[Rule, ...] = ()
     steps: tuple[Step, ...] = ()
-    mutant: str = ""  # of tests/mutants.py
+    mutant: str = ""  # a defect of tests/mutants.py
 
     def text(self) -> str:
         return msgspec.json.encode(self).decode()
 
 
 class Faults:
-    """Which call fails now."""
+    """Draws the failures of calls and computes the offset of the wall clock."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan, self.chance = plan, random.Random(plan.seed)
         self.since = {"start": time.monotonic(), "term": float("inf")}
 
-    def drawn(self, call: str) -> str | None:
-        """The name of an error, SHORT, or None."""
+    def draw_error(self, call: str) -> str | None:
+        """Return the name of an error, SHORT, or None."""
         now = time.monotonic()
         for rule in self.plan.rules:
             spent = now - self.since[rule.since]
@@ -73,9 +80,9 @@
                 return self.chance.choice(rule.errors)
         return None
 
-    def may_fail(self, call: str) -> bool:
-        """OSError as drawn; whether the call is to be short."""
-        error = self.drawn(call)
+    def raise_or_shorten(self, call: str) -> bool:
+        """Raise OSError if an error is drawn; return whether the call should be short."""
+        error = self.draw_error(call)
         if error is None or error == SHORT:
             return error == SHORT
         number = getattr(errno, error)
@@ -84,28 +91,28 @@
     def on_signal(self, number: int, frame: FrameType | None) -> None:
         if number in signals.ENDING:
             self.since["term"] = min(self.since["term"], time.monotonic())
-        _came(number, frame)
+        original_handler(number, frame)
 
-    def stepped(self) -> int:
+    def clock_offset_ns(self) -> int:
         spent = time.monotonic() - self.since["start"]
         return sum(int(step.seconds * 1e9) for step in self.plan.steps if step.at <= spent)
 
 
-_came = signals._came
+original_handler = signals._came
 
 
 def install(plan: Plan) -> Faults:
-    """From here on sockets of this process fail as planned."""
+    """Replace the sockets and the wall clock of this process by faulty ones."""
     faults, plain = Faults(plan), socket.socket
 
     class FaultySocket(plain):  # type: ignore[misc, valid-type]
-        """Sides: `client` where it was accepted, else `server`."""
+        """A socket with faults; its side is `client` if it was accepted, else `server`."""
 
         def __init__(
             self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None
         ) -> None:
             if fileno is None:
-                faults.may_fail("socket")
+                faults.raise_or_shorten("socket")
             self.side = "server" if fileno is None else "client"
             self.broken: OSError | None = None
             super().__init__(family, type, proto, fileno)
@@ -114,18 +121,18 @@
             if self.broken is not None:
                 raise self.broken
             try:
-                return faults.may_fail(call)
+                return faults.raise_or_shorten(call)
             except OSError as error:
-                if errno.errorcode.get(error.errno or 0) in BROKEN:
+                if errno.errorcode.get(error.errno or 0) in PERMANENT_ERRORS:
                     self.broken = error
                 raise
 
         def accept(self) -> Any:
-            faults.may_fail("accept")
+            faults.raise_or_shorten("accept")
             return super().accept()
 
         def connect(self, address: Any) -> None:
-            faults.may_fail("connect")
+            faults.raise_or_shorten("connect")
             super().connect(address)
 
         def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
@@ -139,21 +146,21 @@
             return int(super().send(data, flags))
 
         def setsockopt(self, *args: Any) -> None:
-            faults.may_fail("setsockopt")
+            faults.raise_or_shorten("setsockopt")
             super().setsockopt(*args)
 
         def shutdown(self, how: int) -> None:
-            faults.may_fail("shutdown")
+            faults.raise_or_shorten("shutdown")
             super().shutdown(how)
 
         def getpeername(self) -> Any:
-            faults.may_fail("getpeername")
+            faults.raise_or_shorten("getpeername")
             return super().getpeername()
 
     socket.socket = FaultySocket  # type: ignore[misc]
     wall, seconds = time.time_ns, time.time
-    time.time_ns = lambda: wall() + faults.stepped()
-    time.time = lambda: seconds() + faults.stepped() / 1e9
+    time.time_ns = lambda: wall() + faults.clock_offset_ns()
+    time.time = lambda: seconds() + faults.clock_offset_ns() / 1e9
     signals._came = faults.on_signal
     return faults
 
@@ -167,5 +174,5 @@
 
 
 if __name__ == "__main__":
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the front has handlers of its own
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the front installs its handlers
     sys.exit(main())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -2,7 +2,7 @@
 
 127.8.0.0 to 127.15.255.255 are cut into blocks. A process holds the one whose first address it has bound, and
 the system lets go of it with the process: test processes beside each other, also of several runs, never meet.
-The front's rig in the laboratory is elsewhere (quincepier/lab/fleet/places.py).
+The front's rig in the laboratory is elsewhere (quincepier/lab/fleet/loopback_addresses.py).
 """
 
 from __future__ import annotations
--- a/tests/membershipkit.py
+++ b/tests/membershipkit.py
@@ -14,7 +14,7 @@
 
 from quincepier.lab.experiment import load
 from quincepier.lab.fleet import relay
-from quincepier.lab.fleet.places import front_address, pair_address
+from quincepier.lab.fleet.loopback_addresses import front_address, pair_address
 from quincepier.lab.fleet.rig import Rig
 
 TEXT = """
@@ -69,8 +69,8 @@
         self.count = count
 
     async def __aenter__(self) -> Fleet:
-        self._room()
-        self.folder = self._folder()
+        self._check_descriptor_limit()
+        self.folder = self._make_folder()
         try:
             await self._start()
         except BaseException:
@@ -108,7 +108,7 @@
         records = self.log_records("view_changed") + starts
         for _, front, fields in sorted(records, key=lambda record: record[0]):
             seen[front] = fields.get("members", 1)
-        return [seen[front.number] for front in self.fronts if front.alive]
+        return [seen[front.number] for front in self.fronts if front.is_alive]
 
     async def wait_for_views(
         self, count: int, timeout_s: float, observers: Sequence[int] | None = None
@@ -126,7 +126,7 @@
     def set_fault(self, kind: str, fronts: Sequence[int], heal: bool = False, **more: Any) -> None:
         """Has the relay strike, or heal, the paths between the fronts."""
         fault: dict[str, Any] = {"kind": kind, "path": relay.PEERS, "way": "both", "size": 0.0}
-        self.relays[relay.PEERS].say(**{**fault, **more}, fronts=list(fronts), heal=heal)
+        self.relays[relay.PEERS].send(**{**fault, **more}, fronts=list(fronts), heal=heal)
 
     async def effect_of(
         self, inject: Callable[[], Any], faulty: Sequence[int] = (), timeout_s: float = 60.0
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,4 +1,7 @@
-"""Fronts with one fault each, as processes: `python -m tests.mutants FAULT --config FILE`; for the judge."""
+"""Front processes with one defect each, which the judge must detect.
+
+`python -m tests.mutants FAULT --config FILE` starts a front with a defect of `FAULTS`.
+"""
 
 from __future__ import annotations
 
@@ -31,17 +34,17 @@
 from quincepier.wire.lines import ServeCommand
 
 
-def twice() -> None:
+def answer_twice() -> None:
     plain = Outgoing._pieces
 
     def pieces(self: Outgoing, head: bytes) -> Iterator[bytes]:
         yield from plain(self, head)
-        yield fastcgi.record(3, self.stream, bytes(8))  # END_REQUEST; the right one follows
+        yield fastcgi.record(3, self.stream, bytes(8))  # an additional END_REQUEST before the correct one
 
     Outgoing._pieces = pieces  # type: ignore[method-assign]
 
 
-def bids() -> None:
+def repeat_bids() -> None:
     plain = lines.serve
 
     def serve(id: str, fields: Any, body: bytes) -> bytes:
@@ -51,23 +54,23 @@
     lines.serve = serve
 
 
-def drains() -> None:
+def ignore_drains() -> None:
     changelog.STATES["DRAINING"] = changelog.STATES["SERVING"]
 
 
-def purges() -> None:
+def ignore_purges() -> None:
     Freshness.max_age = lambda self, request, stale: 0  # type: ignore[method-assign]
 
 
-def cold() -> None:
+def overload_cold_caches() -> None:
     SlowStart.has_room = lambda self, upstream: True  # type: ignore[method-assign]
 
 
-def silent() -> None:
+def never_answer() -> None:
     client.ClientConnection.push = lambda self, answer: None  # type: ignore[method-assign]
 
 
-def claims() -> None:
+def claim_full_service_at_once() -> None:
     plain, chance = policy.Router.on_request, random.Random(1)
 
     def came(self: policy.Router, event: io.RequestReceived) -> None:
@@ -84,19 +87,19 @@
     policy.Router.on_request = came  # type: ignore[method-assign]
 
 
-def restart_at_once() -> None:
+def end_without_drain() -> None:
     async def drain(self: front.Front, listener: Listener) -> None:
         logger.info("drain: none")
 
     front.Front._drain = drain  # type: ignore[method-assign]
 
 
-def restart_to_the_end() -> None:
-    restart_takes_on()
+def keep_clients_while_draining() -> None:
+    accept_requests_while_draining()
     ConnectionManager.drain = lambda self: None  # type: ignore[method-assign]
 
 
-def restart_takes_on() -> None:
+def accept_requests_while_draining() -> None:
     plain = Reading._call
 
     def call(self: Reading, session: Session, call: fastcgi.Call, at: int, earliest: int) -> None:
@@ -106,13 +109,13 @@
     Reading._call = call  # type: ignore[method-assign]
 
 
-def more_than_is_left() -> None:
+def send_too_long_waits() -> None:
     plain = send_permission.wait_ms
     vars(connection)["wait_ms"] = lambda attempt, now_ns: plain(attempt, now_ns) + 400
 
 
-def begins_for_who_left() -> None:
-    """Each command that may run twice once more, 0.3 s after its client has left."""
+def send_for_disconnected_clients() -> None:
+    """Resend each command that may run twice 0.3 s after its client has disconnected."""
     commands: dict[OpenAttempt, ServeCommand] = {}
     plain_send, plain_leave = connection.Connection.send, module.ModuleActor._leave
 
@@ -135,8 +138,8 @@
     module.ModuleActor._leave = leave  # type: ignore[method-assign]
 
 
-def asks_no_permission() -> None:
-    """What was taken back goes out all the same; its own checks say nothing of it."""
+def send_without_permission() -> None:
+    """Send revoked attempts anyway; the front's own checks are switched off."""
     connection.Connection._find_denial = lambda self, attempt: None  # type: ignore[method-assign]
     vars(cache)["find_denial"] = lambda attempt, now_ns: None
     vars(module)["check_first_byte"] = lambda attempt, checks: None
@@ -144,8 +147,8 @@
     CommandWriter.remove = lambda self, what: None  # type: ignore[method-assign]
 
 
-def ends_before_its_cancel() -> None:
-    """A cancelled attempt has ended at once, and its server is told 0.3 s later."""
+def complete_before_cancel() -> None:
+    """Complete a cancelled attempt at once, but send the cancel command to its server 0.3 s later."""
     plain = connection.Connection.cancel
 
     def cancel(self: connection.Connection, id: str, attempt: OpenAttempt, outcome: Any) -> None:
@@ -164,7 +167,7 @@
     vars(module)["check_first_byte"] = lambda attempt, checks: None
 
 
-def ends_at_a_second_signal() -> None:
+def end_at_second_signal() -> None:
     plain, came = signals._came, list[int]()
 
     def again(number: int, frame: Any) -> None:
@@ -176,7 +179,7 @@
     signals._came = again
 
 
-def ends_at_a_half_written_configuration() -> None:
+def end_at_invalid_configuration() -> None:
     def reload(self: front.Front) -> None:
         try:
             load_front(path=self.path)
@@ -186,29 +189,29 @@
     front.Front.reload = reload  # type: ignore[method-assign]
 
 
-def closes_who_has_asked_for_who_comes() -> None:
-    """With all descriptors taken a client with open requests goes for a new one."""
+def close_active_clients_for_new_ones() -> None:
+    """With all descriptors in use, close a client with open requests to accept a new one."""
     ConnectionRegistry.asked = lambda self, who: None  # type: ignore[method-assign]
 
 
 FAULTS: dict[str, Callable[[], None]] = {
-    "answer twice": twice,
-    "bid repeated": bids,
-    "past the grace": drains,
-    "purged copy": purges,
-    "cold pushed over": cold,
-    "never answers": silent,
-    "claims at once": claims,
-    "tells more than is left": more_than_is_left,
-    "begins for who left": begins_for_who_left,
-    "asks no permission": asks_no_permission,
-    "ends before its cancel": ends_before_its_cancel,
-    "ends at a second signal": ends_at_a_second_signal,
-    "ends at half a configuration": ends_at_a_half_written_configuration,
-    "closes who has asked": closes_who_has_asked_for_who_comes,
-    "restart: ends at once": restart_at_once,
-    "restart: keeps its clients": restart_to_the_end,
-    "restart: takes on to the end": restart_takes_on,
+    "answer twice": answer_twice,
+    "bid repeated": repeat_bids,
+    "past the grace": ignore_drains,
+    "purged copy": ignore_purges,
+    "cold pushed over": overload_cold_caches,
+    "never answers": never_answer,
+    "claims at once": claim_full_service_at_once,
+    "tells more than is left": send_too_long_waits,
+    "begins for who left": send_for_disconnected_clients,
+    "asks no permission": send_without_permission,
+    "ends before its cancel": complete_before_cancel,
+    "ends at a second signal": end_at_second_signal,
+    "ends at half a configuration": end_at_invalid_configuration,
+    "closes who has asked": close_active_clients_for_new_ones,
+    "restart: ends at once": end_without_drain,
+    "restart: keeps its clients": keep_clients_while_draining,
+    "restart: takes on to the end": accept_requests_while_draining,
 }
 
 if __name__ == "__main__":
--- a/tests/test_agreement_processes.py
+++ b/tests/test_agreement_processes.py
@@ -28,7 +28,7 @@
 
 
 async def do_maintenance(rig: FrontFleet) -> None:
-    """Work begins once the cache is drained, and its task is completed."""
+    """Start the work once the cache is drained, and wait until its task is completed."""
     await rig.wait_for_line("maintenance_step", machine="s-1", step="drained")
     rig.start_work(1, 1.0)
     await rig.wait_for_line("maintenance_step", machine="s-1", step="completed")
@@ -50,12 +50,12 @@
     drained, _ = check_no_commands_during_maintenance(rig, 1)
     assert steps_of_task(rig, 1) == ALL_STEPS
     draining = rig.find_lines("maintenance_step", machine="s-1", step="draining")[0].at
-    # It was used before, and the others are used meanwhile.
+    # The cache was used before, and another one is used during the work.
     assert rig.commands_at(1, 0, draining) and rig.commands_at(2, drained, drained + 10**10)
 
 
 def check_whole_task(rig: FrontFleet) -> None:
-    """The whole task, no command at the machine that is worked on, no rule broken by any front."""
+    """Check that all steps were completed, no command reached the cache during the work, no rule broke."""
     run = run_scenario(rig)
     assert not run.accused and not run.figures.broken, (run.accused, run.figures.first_broken)
     check_no_commands_during_maintenance(rig, 1)
@@ -112,7 +112,7 @@
         fault_times.append(rig.now_ns)
         rig.set_network_fault(minority, majority, "cut", heal=True)
         await rig.wait_for_line("maintenance_step", machine="s-1", step="completed")
-        await rig.wait_until(lambda: all(has_left(rig, n) for n in minority), "both have a lease again")
+        await rig.wait_until(lambda: all(has_left(rig, n) for n in minority), "both hold a lease again")
 
     def has_left(rig: FrontFleet, n: int) -> bool:
         return any(line.at > fault_times[1] for line in rig.find_lines("cautious_mode_left", (n,)))
@@ -124,7 +124,7 @@
     new = rig.find_lines("version_committed", minority) + rig.find_lines("version_adopted", minority)
     assert not [line for line in new if since < line.at < until]
     sent = [n for n in rig.notes if n[1] == "sent" and n[3] in minority and since < n[0] < until]
-    assert len(sent) > 5  # they served on
+    assert len(sent) > 5  # they continued to serve
 
 
 @pytest.mark.fleet(22)
@@ -141,7 +141,7 @@
         await pause
         await rig.wait_for_line("maintenance_step", machine="s-1", step="completed")
         await rig.wait_until(
-            lambda: rig.find_lines("leadership_ended", (first,)), "it knows that it leads no more"
+            lambda: rig.find_lines("leadership_ended", (first,)), "it knows that it is no longer the leader"
         )
 
     check_whole_task(FrontFleet(tmp_path, scenario))
@@ -150,7 +150,7 @@
 @pytest.mark.fleet(23)
 @pytest.mark.parametrize("folders_lost", [False, True])
 def test_all_fronts_killed_at_once_in_the_middle_of_a_task(tmp_path: Path, folders_lost: bool) -> None:
-    """With their folders the task goes on where it was; without, it is planned anew and begins anew."""
+    """With their folders the task continues; without them it is planned again and starts from the beginning."""
     restart_times: list[int] = []
 
     async def scenario(rig: FrontFleet) -> None:
@@ -208,7 +208,7 @@
 
 
 def unsafe_commands_at(rig: FrontFleet, caches: tuple[int, ...], since: int = 0) -> list[list[Any]]:
-    """Return commands at some caches that belong to unsafe requests; all of these are the tenant's."""
+    """Return commands of unsafe requests at some caches; all of these requests are the tenant's."""
     jobs = {n[2] for n in rig.notes if n[1] == "asked" and n[4] == "keyed"}
     return [n for n in rig.notes if n[1] == "sent" and n[2] in jobs and n[4] in caches and n[0] > since]
 
@@ -226,7 +226,7 @@
             lambda: [
                 m for m in rig.find_lines("migration_step", tenant="acme") if m.fields["moved_slots"] >= 20
             ],
-            "a part of the keys goes to the target shard",
+            "some of the keys go to the target shard",
         )
         started_at = rig.now_ns
         await rig.wait_until(
@@ -248,7 +248,7 @@
             lambda: all(
                 any(a.fields["number"] >= last for a in adopted(rig, healed_at[0], n)) for n in minority
             ),
-            "the two that were cut off know that it is rolled back",
+            "both fronts of the minority know of the rollback",
         )
 
     def sent_to_north(notes: list[list[Any]]) -> list[list[Any]]:
@@ -268,4 +268,4 @@
     run = run_scenario(rig)
     assert not run.accused and not run.figures.broken, (run.accused, run.figures.first_broken)
     assert unsafe_commands_at(rig, (1, 2)) and not unsafe_commands_at(rig, NORTH_CACHES)
-    assert sent_to_north(rig.notes)  # a part of the safe requests went there
+    assert sent_to_north(rig.notes)  # some of the safe requests went there
