--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of full service, judged by the tries that end in the seconds after them."""
+"""Claims of full service are judged by the tries that end in the seconds after them."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 USUAL = 0.9
 
 
-def tried(served_after: float) -> Claims:
-    """Fifty tries a second at front 1, of which nine in ten are served, and that share after its claim."""
+def claims_with_share_after(served_after: float) -> Claims:
+    """Return 50 tries per second at front 1: nine in ten served before its claim, this share after it."""
     claims = Claims()
     for n in range(50 * 12):
         when = n * SECOND // 50
@@ -20,20 +20,20 @@
 
 
 def test_a_front_that_serves_far_less_than_was_usual_claims_falsely() -> None:
-    (claim,) = tried(0.5).judged([(CLAIM, 1)], 0, [FAULT])
+    (claim,) = claims_with_share_after(0.5).judge([(CLAIM, 1)], 0, [FAULT])
     assert claim.is_false and claim.tries == 125
 
 
 def test_a_front_that_serves_nearly_what_was_usual_claims_rightly() -> None:
-    (claim,) = tried(0.85).judged([(CLAIM, 1)], 0, [FAULT])
+    (claim,) = claims_with_share_after(0.85).judge([(CLAIM, 1)], 0, [FAULT])
     assert not claim.is_false
 
 
-def test_what_the_next_fault_finds_open_is_not_held_against_a_claim() -> None:
-    (claim,) = tried(0.5).judged([(CLAIM, 1)], 0, [FAULT, CLAIM + SECOND // 2])
+def test_tries_that_the_next_fault_may_hit_do_not_count() -> None:
+    (claim,) = claims_with_share_after(0.5).judge([(CLAIM, 1)], 0, [FAULT, CLAIM + SECOND // 2])
     assert claim.tries == 0 and not claim.is_false
 
 
-def test_where_no_fault_is_told_no_claim_is_judged() -> None:
-    """A scenario that kills its fronts itself tells none: what fails then is no fault of a claim before."""
-    assert not list(tried(0.0).judged([(CLAIM, 1)], 0, []))
+def test_no_claim_is_judged_without_faults() -> None:
+    """A scenario that kills fronts itself records no faults, so failures can't be held against a claim."""
+    assert not list(claims_with_share_after(0.0).judge([(CLAIM, 1)], 0, []))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The rig: fronts as processes with faults between them; the judge on wrong fronts; the rig on itself."""
+"""The test rig: fleets of front processes under faults, defective fronts, and failures of the rig itself."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from quincepier.lab.experiment import Disk, Experiment, Fault, Kind, Variant, load
 from quincepier.lab.fleet import disk, relay
 from quincepier.lab.fleet.evidence import FleetRun
-from quincepier.lab.fleet.places import NOBODY, front_address, pair_address, pair_of
-from quincepier.lab.fleet.ports import MOST, Ports
+from quincepier.lab.fleet.link_conditions import MS, SECOND, LinkConditions
+from quincepier.lab.fleet.loopback_addresses import RESERVATION_ADDRESS, front_address, pair_address, pair_of
+from quincepier.lab.fleet.ports import PORTS_PER_RIG, PortBlock
 from quincepier.lab.fleet.processes import Child, RigError
-from quincepier.lab.fleet.rig import SERVE, Rig
+from quincepier.lab.fleet.rig import SERVE_COMMAND, Rig
 from quincepier.lab.fleet.setup import configuration
-from quincepier.lab.fleet.ways import MS, SECOND, Way
 from quincepier.lab.returns import Returns
 from quincepier.lab.runs import play
 from tests.standins import until
@@ -46,7 +46,7 @@
   - {name: bid, share: 0.2, send_ms: 5, wanted_ms: 700, deadline_ms: 2000, worth: 3, effect: unsafe,
      never_kept: true}
 """
-SIX = f"""
+SIX_FRONTS_EXPERIMENT = f"""
 name: six
 seconds: 11
 seeds: [1]
@@ -68,26 +68,26 @@
 """
 
 
-def written(folder: Path, text: str) -> str:
+def write_experiment(folder: Path, text: str) -> str:
     path = folder / "experiment.yaml"
     path.write_text(text)
     return str(path)
 
 
-def played(
-    folder: Path, text: str, command: Callable[[int], Sequence[str]] = lambda front: SERVE
+def run_fleet(
+    folder: Path, text: str, command: Callable[[int], Sequence[str]] = lambda front: SERVE_COMMAND
 ) -> FleetRun:
-    path = written(folder, text)
+    path = write_experiment(folder, text)
     experiment = load(path)
     return asyncio.run(Rig(path, experiment, experiment.variants[0], 1, command=command).play())
 
 
-def cli(*words: str, **more: Any) -> subprocess.CompletedProcess[str]:
+def run_lab_command(*words: str, **more: Any) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "quincepier", "lab", *words]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120, check=False, **more)
 
 
-# What the parts say without a process
+# Modules of the rig, without processes
 
 
 @settings(derandomize=True, max_examples=100)
@@ -98,30 +98,30 @@
     assert address.startswith("127.") and not address.startswith(("127.0.", "127.1."))
 
 
-def test_a_front_is_told_what_the_module_in_virtual_time_is_told(tmp_path: Path) -> None:
-    experiment = load(written(tmp_path, SIX.replace("zones: 1", "zones: 2")))
+def test_a_front_process_gets_the_same_settings_as_the_module_in_virtual_time(tmp_path: Path) -> None:
+    experiment = load(write_experiment(tmp_path, SIX_FRONTS_EXPERIMENT.replace("zones: 1", "zones: 2")))
     events = [{"seq": 1, "fleet": {"seq": 0, "whole": True, "hosts": []}}]
     for front in range(2):
         variant = Variant("v", {"attempts": 3, "second_copies": False})
-        told = configuration(experiment, variant, 1, front, "127.1.0.1:1", "127.0.0.1:1", events)
-        assert read_front(told, {}).settings == experiment.settings(front % 2, variant)
+        configured = configuration(experiment, variant, 1, front, "127.1.0.1:1", "127.0.0.1:1", events)
+        assert read_front(configured, {}).settings == experiment.settings(front % 2, variant)
     with pytest.raises(ValueError, match="cold_from"):
         configuration(experiment, Variant("v", {"cold_from": 1}), 1, 0, "127.1.0.1:1", "127.0.0.1:1", events)
 
 
-def test_a_way_told_to_lose_a_fifth_loses_a_fifth() -> None:
-    chance, way = random.Random(3), Way(loss=0.2)
-    through = sum(len(way.datagrams(0, chance)) for _ in range(20_000))
+def test_a_loss_of_a_fifth_drops_a_fifth_of_the_datagrams() -> None:
+    chance, way = random.Random(3), LinkConditions(loss=0.2)
+    through = sum(len(way.schedule_datagram(0, chance)) for _ in range(20_000))
     assert 0.78 < through / 20_000 < 0.82
-    twice = Way(repeat=0.1, shuffle=0.5)
-    due = [at for _ in range(5000) for at in twice.datagrams(0, chance)]
+    twice = LinkConditions(repeat=0.1, shuffle=0.5)
+    due = [at for _ in range(5000) for at in twice.schedule_datagram(0, chance)]
     assert 5400 < len(due) < 5600 and max(due) <= 51 * MS and sum(at > MS for at in due) > 2000
-    assert Way(held=True).datagrams(0, chance) == []
+    assert LinkConditions(is_held=True).schedule_datagram(0, chance) == []
 
 
-def test_a_slow_way_keeps_the_order_of_a_stream() -> None:
-    chance, way = random.Random(5), Way(delay=10 * MS, rate=1000.0)
-    due = [way.bytes_due(n * MS, 100, chance) for n in range(50)]
+def test_a_delayed_and_throttled_stream_keeps_its_order() -> None:
+    chance, way = random.Random(5), LinkConditions(delay_ns=10 * MS, rate_bytes_per_s=1000.0)
+    due = [way.schedule_bytes(n * MS, 100, chance) for n in range(50)]
     assert due == sorted(due) and due[0] >= 10 * MS
     assert due[-1] - due[0] >= 49 * 100 / 1000 * SECOND * 0.99
 
@@ -130,7 +130,7 @@
     returns = Returns(0)
     for n in range(
         1000
-    ):  # ten a second, then forty more for half a second, all of them at one machine of two
+    ):  # 10 per second over two machines; later 20 more within half a second, all at one machine
         returns.count("dials", n * SECOND // 10, n % 2)
     for n in range(20):
         returns.count("dials", 50 * SECOND + n * SECOND // 40, 1)
@@ -140,34 +140,34 @@
     returns.struck(50 * SECOND, True)
     returns.returned(51 * SECOND)
     factor, full = returns.stampede("dials"), returns.to_full_service(99 * SECOND)
-    assert factor is not None and 4.8 <= factor <= 5.4  # forty and ten a second over ten
+    assert factor is not None and 4.8 <= factor <= 5.4  # (40 + 10) per second over 10
     assert full is not None and 1.9 <= full <= 2.1
-    assert returns.to_full_service(54 * SECOND) is None  # not three good seconds by then
+    assert returns.to_full_service(54 * SECOND) is None  # fewer than three good seconds by then
     assert returns.stampede("fills") is None
     worst = returns.worst("dials")
-    assert worst is not None and 8.4 <= worst <= 9.7  # forty and five over five
+    assert worst is not None and 8.4 <= worst <= 9.7  # (40 + 5) per second over 5
 
 
-def test_what_befalls_a_folder_of_state(tmp_path: Path) -> None:
+def test_disk_faults_change_the_state_folder_as_named(tmp_path: Path) -> None:
     chance, folder = random.Random(1), tmp_path / "state"
     folder.mkdir()
     (folder / "a").write_bytes(bytes(100))
-    first = disk.read(folder)
+    first = disk.read_files(folder)
     (folder / "a").write_bytes(b"x" * 60)
     (folder / "b").write_bytes(b"y" * 10)
-    disk.strike(folder, Disk.KEEP, first, chance)
-    assert set(disk.read(folder)) == {"a", "b"}
-    disk.strike(folder, Disk.FLIP, first, chance)
-    flipped = disk.read(folder)["a"]
+    disk.apply_fault(folder, Disk.KEEP, first, chance)
+    assert set(disk.read_files(folder)) == {"a", "b"}
+    disk.apply_fault(folder, Disk.FLIP, first, chance)
+    flipped = disk.read_files(folder)["a"]
     assert len(flipped) == 60 and sum(byte != ord("x") for byte in flipped) == 1
-    disk.strike(folder, Disk.CUT, first, chance)
-    assert [len(c) for c in disk.read(folder).values()] == [30, 5]
-    disk.strike(folder, Disk.OLDER, first, chance)
-    assert disk.read(folder) == first
-    disk.strike(folder, Disk.READ_ONLY, first, chance)
+    disk.apply_fault(folder, Disk.CUT, first, chance)
+    assert [len(c) for c in disk.read_files(folder).values()] == [30, 5]
+    disk.apply_fault(folder, Disk.OLDER, first, chance)
+    assert disk.read_files(folder) == first
+    disk.apply_fault(folder, Disk.READ_ONLY, first, chance)
     assert folder.stat().st_mode & 0o777 == 0o500
-    disk.strike(folder, Disk.EMPTY, first, chance)
-    assert disk.read(folder) == {}
+    disk.apply_fault(folder, Disk.EMPTY, first, chance)
+    assert disk.read_files(folder) == {}
 
 
 # Processes
@@ -175,16 +175,16 @@
 
 @pytest.mark.fleet(14)
 def test_six_fronts_with_faults_of_every_kind_between_them(tmp_path: Path) -> None:
-    """Four are killed at the fifth fill after a moment, others stopped, ended, cut off; no rule breaks."""
+    """Four fronts are killed at a counted fill; others are paused, ended or cut off; no rule breaks."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(1024, soft), hard))
-    run = played(tmp_path, SIX)
+    run = run_fleet(tmp_path, SIX_FRONTS_EXPERIMENT)
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     assert not run.void and not run.accused, (run.void, run.figures.first_broken)
     assert len({d.front for d in run.downs}) >= 4 and len(run.downs) >= 5
     assert all(run.figures.rules.get(rule, 0) > 0 for rule in ("answer", "drain", "effect", "purge"))
     factor = run.figures.stampede["dials"]
-    assert factor > 2  # fronts that are back have no connection yet
+    assert factor > 2  # restarted fronts have no connections yet
     assert {what for _, what in run.figures.marks} >= {"kill", "drain", "purge", "pause", "cut", "term"}
     page = tmp_path / "run.html"
     report.write(run, page)
@@ -200,7 +200,7 @@
              6: "claims at once", 7: "tells more than is left", 8: "begins for who left"}  # fmt: skip
 
     def command(front: int) -> Sequence[str]:
-        return (sys.executable, "-m", "tests.mutants", wrong[front]) if front in wrong else SERVE
+        return (sys.executable, "-m", "tests.mutants", wrong[front]) if front in wrong else SERVE_COMMAND
 
     text = f"""
 name: wrong fronts
@@ -212,12 +212,12 @@
   - {{at: 2, kind: purge, part: 1}}
   - {{at: 3, kind: drain, part: 0.5, lasts: 1}}
 """
-    run = played(tmp_path, text, command)
+    run = run_fleet(tmp_path, text, command)
     assert not run.void
     assert run.accused["effect"] == (2,)
     assert run.accused["drain"] == (3,)
     assert run.accused["purge"] == (4,)
-    # one that never answers thinks that it serves; where clients leave soon there is enough to tell by
+    # Front 5, which never answers, claims full service too; whether enough tries show it varies.
     assert 6 in run.accused["claim"] and set(run.accused["claim"]) <= {5, 6}
     assert set(run.accused["answer"]) == {1, 5}
     assert run.accused["begin"] == (7, 8)
@@ -226,7 +226,7 @@
 
 @pytest.mark.fleet(10)
 @pytest.mark.parametrize("right", [True, False])
-def test_a_fleet_that_pushes_cold_caches_over_is_caught(tmp_path: Path, right: bool) -> None:
+def test_a_fleet_that_overloads_cold_caches_is_accused(tmp_path: Path, right: bool) -> None:
     text = f"""
 name: cold
 seconds: 7
@@ -238,43 +238,45 @@
   - {{at: 1, kind: crash, part: 0.7, lasts: 0.5}}
 """
     mutant = (sys.executable, "-m", "tests.mutants", "cold pushed over")
-    run = played(tmp_path, text, lambda front: SERVE if right else mutant)
+    run = run_fleet(tmp_path, text, lambda front: SERVE_COMMAND if right else mutant)
     assert not run.void and run.figures.rules["cold"] > 0
     assert ("cold" in run.accused) is not right
 
 
-def test_rigs_beside_each_other_have_no_port_in_common() -> None:
-    with contextlib.closing(Ports()) as one, contextlib.closing(Ports()) as other:
-        found = [[mine.take() for _ in range(MOST)] for mine in (one, other)]
-        assert len({*found[0], *found[1]}) == 2 * MOST and max(*found[0], *found[1]) < 30_000
+def test_rigs_that_run_at_the_same_time_share_no_port() -> None:
+    with contextlib.closing(PortBlock()) as one, contextlib.closing(PortBlock()) as other:
+        found = [[mine.take() for _ in range(PORTS_PER_RIG)] for mine in (one, other)]
+        assert len({*found[0], *found[1]}) == 2 * PORTS_PER_RIG and max(*found[0], *found[1]) < 30_000
         with socket.socket() as sock, pytest.raises(OSError):
-            sock.bind((NOBODY, found[0][-1]))
+            sock.bind((RESERVATION_ADDRESS, found[0][-1]))
 
 
-def test_the_net_as_a_process_loses_what_it_is_told_and_lets_the_other_side_through(tmp_path: Path) -> None:
-    """Two fronts' places, one-sided loss and cuts between them; datagrams and streams."""
+def test_relay_faults_act_on_one_direction_only(tmp_path: Path) -> None:
+    """Loss, cuts and resets between two fronts, for datagrams and streams."""
 
-    async def story() -> None:
-        plain = Rig("none", load(written(tmp_path, QUICK)), Variant("v"), 1)
+    async def scenario() -> None:
+        plain = Rig("none", load(write_experiment(tmp_path, QUICK_EXPERIMENT)), Variant("v"), 1)
         plain.folder, plain.broken = tmp_path, asyncio.Event()
         net, loop = Child("relay", plain), asyncio.get_running_loop()
-        got: dict[int, list[bytes]] = {0: [], 1: []}
+        received: dict[int, list[bytes]] = {0: [], 1: []}
 
-        class Ear(asyncio.DatagramProtocol):
+        class DatagramReceiver(asyncio.DatagramProtocol):
             def __init__(self, front: int) -> None:
                 self.front = front
 
             def datagram_received(self, data: bytes, address: Any) -> None:
-                assert address[0] == pair_address(self.front, 1 - self.front)  # where it finds the other
-                got[self.front].append(data)
+                assert address[0] == pair_address(
+                    self.front, 1 - self.front
+                )  # the address of the other for it
+                received[self.front].append(data)
 
-        claimed = Ports()
+        claimed = PortBlock()
         port, ports = claimed.take(), {path: claimed.take() for path in (relay.CACHES, relay.PEERS)}
-        ears: list[Any] = []
+        receivers: list[Any] = []
         for n in (0, 1):
-            hear = functools.partial(Ear, n)
-            ear, _ = await loop.create_datagram_endpoint(hear, local_addr=(front_address(n), port))
-            ears.append(ear)
+            hear = functools.partial(DatagramReceiver, n)
+            receiver, _ = await loop.create_datagram_endpoint(hear, local_addr=(front_address(n), port))
+            receivers.append(receiver)
 
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while line := await reader.readline():
@@ -286,51 +288,51 @@
             plan = relay.Plan(str(tmp_path), False, 7, 2, 1, 1, 1, port, ports)
             await net.start(relay.__name__, plan)
             for n in (0, 1):
-                net.say(live="peers", other=n, how="open")
+                net.send(live="peers", other=n, how="open")
 
-            async def settled(**words: Any) -> None:
-                net.say(**words)
+            async def set_fault(**words: Any) -> None:
+                net.send(**words)
                 await asyncio.sleep(0)
 
             def send(front: int, count: int) -> None:
                 for n in range(count):
-                    ears[front].sendto(b"%d" % n, (pair_address(front, 1 - front), ports["peers"]))
+                    receivers[front].sendto(b"%d" % n, (pair_address(front, 1 - front), ports["peers"]))
 
-            async def came_whole(count: int) -> None:
-                await until(lambda: len(got[0]) == count, "what the other side says comes whole")
+            async def wait_for_all(count: int) -> None:
+                await until(lambda: len(received[0]) == count, "all datagrams of the other side arrive")
 
             async def exchange(count: int) -> None:
-                """So many each way, fifty at a time: a socket holds 256, and the net may stand still."""
+                """Send datagrams both ways, 50 at a time: a socket holds 256, and the relay may be paused."""
                 for sent in range(50, count + 1, 50):
                     send(0, 50)
                     send(1, 50)
-                    await came_whole(sent)
+                    await wait_for_all(sent)
 
             fault = {"path": "peers", "fronts": [0], "heal": False}
-            await settled(**fault, kind="loss", way="out", size=0.2)
-            await until(lambda: _through(ears[0], ports, got), "the net is up")
-            got[0].clear()
-            got[1].clear()
+            await set_fault(**fault, kind="loss", way="out", size=0.2)
+            await until(lambda: _through(receivers[0], ports, received), "the relay forwards")
+            received[0].clear()
+            received[1].clear()
             await exchange(2000)
-            await until(lambda: len(got[1]) > 1500, "four fifths come")
-            assert 1500 < len(got[1]) < 1700
-            # a stream: what is said into the cut waits, what the other side says comes
+            await until(lambda: len(received[1]) > 1500, "four fifths arrive")
+            assert 1500 < len(received[1]) < 1700
+            # Over a cut in one direction, stream data waits there and passes the other way.
             reader, writer = await asyncio.open_connection(pair_address(0, 1), ports["peers"])
             writer.write(b"one\n")
             assert await reader.readline() == b"heard one\n"
-            await settled(**fault, kind="cut", way="out", size=0)
-            await settled(**fault, kind="loss", way="out", size=0.0)
-            before = len(got[1])
+            await set_fault(**fault, kind="cut", way="out", size=0)
+            await set_fault(**fault, kind="loss", way="out", size=0.0)
+            before = len(received[1])
             send(1, 200)
-            await came_whole(2200)  # datagrams into the front still come
+            await wait_for_all(2200)  # datagrams to the front still arrive
             send(0, 200)
             writer.write(b"two\n")
             send(1, 200)
-            await came_whole(2400)  # and go on coming
-            assert len(got[1]) <= before + 1
-            await settled(**(fault | {"heal": True}), kind="cut", way="out", size=0)
+            await wait_for_all(2400)  # and keep arriving
+            assert len(received[1]) <= before + 1
+            await set_fault(**(fault | {"heal": True}), kind="cut", way="out", size=0)
             assert await reader.readline() == b"heard two\n"
-            await settled(**fault, kind="reset", way="both", size=0)
+            await set_fault(**fault, kind="reset", way="both", size=0)
             with pytest.raises(ConnectionError):
                 if not await reader.readline():
                     raise ConnectionResetError
@@ -338,20 +340,20 @@
                 await asyncio.open_connection(pair_address(0, 1), ports["peers"])
             writer.close()
         finally:
-            for ear in ears:
-                ear.close()
+            for receiver in receivers:
+                receiver.close()
             server.close()
             await net.end()
             claimed.close()
 
-    def _through(ear: Any, ports: dict[str, int], got: dict[int, list[bytes]]) -> bool:
-        ear.sendto(b"?", (pair_address(0, 1), ports["peers"]))
-        return len(got[1]) > 3
+    def _through(receiver: Any, ports: dict[str, int], received: dict[int, list[bytes]]) -> bool:
+        receiver.sendto(b"?", (pair_address(0, 1), ports["peers"]))
+        return len(received[1]) > 3
 
-    asyncio.run(asyncio.wait_for(story(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-QUICK = f"""
+QUICK_EXPERIMENT = f"""
 name: quick
 seconds: 4
 seeds: [1]
@@ -361,8 +363,8 @@
 """
 
 
-class Struck(Rig):
-    """A rig one of whose own processes is struck as the load begins."""
+class SignalledRig(Rig):
+    """A rig that sends a signal to one of its own processes soon after the load begins."""
 
     def __init__(self, *about: Any, whose: str, number: int) -> None:
         super().__init__(*about)
@@ -387,29 +389,35 @@
     ("whose", "number", "says"),
     [("standins", signal.SIGKILL, "ended by itself"), ("load-0", signal.SIGSTOP, "can't keep its pace")],
 )
-def test_a_run_whose_own_parts_fail_is_void(tmp_path: Path, whose: str, number: int, says: str) -> None:
-    path = written(tmp_path, QUICK)
+def test_a_run_is_void_if_a_process_of_the_rig_fails(
+    tmp_path: Path, whose: str, number: int, says: str
+) -> None:
+    path = write_experiment(tmp_path, QUICK_EXPERIMENT)
     experiment = load(path)
-    struck = Struck(path, experiment, experiment.variants[0], 1, whose=whose, number=number)
-    run = asyncio.run(struck.play())
+    rig = SignalledRig(path, experiment, experiment.variants[0], 1, whose=whose, number=number)
+    run = asyncio.run(rig.play())
     assert says in run.void and not run.passed
 
 
-def test_a_front_that_does_not_start_is_told_with_its_words(tmp_path: Path) -> None:
+def test_the_error_for_a_front_that_does_not_start_has_its_last_log_line(tmp_path: Path) -> None:
     says = 'import sys; sys.exit("can\'t listen on 127.1.0.2:5050: Address already in use")'
     with pytest.raises(RigError, match="front 1 does not start: can't listen on"):
-        played(tmp_path, QUICK, lambda front: SERVE if front == 0 else (sys.executable, "-c", says))
+        run_fleet(
+            tmp_path,
+            QUICK_EXPERIMENT,
+            lambda front: SERVE_COMMAND if front == 0 else (sys.executable, "-c", says),
+        )
 
 
 @pytest.mark.fleet(2)
-def test_what_can_not_be_set_up_is_told_before_anything_is_started(tmp_path: Path) -> None:
-    good = written(tmp_path, QUICK)
+def test_setup_errors_are_reported_before_any_process_starts(tmp_path: Path) -> None:
+    good = write_experiment(tmp_path, QUICK_EXPERIMENT)
     large = tmp_path / "large.yaml"
-    large.write_text(QUICK.replace("fronts: 2, caches: 2", "fronts: 60, caches: 60"))
+    large.write_text(QUICK_EXPERIMENT.replace("fronts: 2, caches: 2", "fronts: 60, caches: 60"))
     unknown = tmp_path / "unknown.yaml"
-    unknown.write_text(QUICK.replace("rate: 40", "rat: 40"))
+    unknown.write_text(QUICK_EXPERIMENT.replace("rate: 40", "rat: 40"))
 
-    def few() -> None:
+    def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (1024, 1024))
 
     there = tmp_path / "there"
@@ -421,7 +429,7 @@
         (("fleet", str(large)), "descriptors are wanted"),
         (("report", str(unknown)), "no fleet runs can be read"),
     ):
-        done = cli(*words, preexec_fn=few, env=os.environ | {"TMPDIR": str(there)})
+        done = run_lab_command(*words, preexec_fn=limit_descriptors, env=os.environ | {"TMPDIR": str(there)})
         assert done.returncode == 2 and says in done.stderr, done
     assert not list(there.iterdir())
     with pytest.raises(ValueError, match="for processes"):
@@ -430,45 +438,48 @@
 
 @pytest.mark.fleet(2)
 def test_a_rig_that_is_killed_leaves_no_process_and_no_folder(tmp_path: Path) -> None:
-    path = written(tmp_path, QUICK.replace("seconds: 4", "seconds: 60"))
-    place = tmp_path / "tmp"
-    place.mkdir()
+    path = write_experiment(tmp_path, QUICK_EXPERIMENT.replace("seconds: 4", "seconds: 60"))
+    temporary_folder = tmp_path / "tmp"
+    temporary_folder.mkdir()
 
-    async def story() -> None:
+    async def scenario() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "quincepier", "lab", "fleet", path, cwd=ROOT,
-            env=os.environ | {"TMPDIR": str(place)}, stdout=asyncio.subprocess.DEVNULL,
+            env=os.environ | {"TMPDIR": str(temporary_folder)}, stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.DEVNULL,
         )  # fmt: skip
         try:
-            await until(lambda: len(list(place.glob("*/notes-load-0"))) == 1, "the load is on")
-            mine = children(process.pid)
-            assert len(mine) == 7  # two fronts, machines, three kinds of path, clients
-            os.kill(next(pid for pid in mine if "serve" in words_of(pid)), signal.SIGSTOP)
+            await until(
+                lambda: len(list(temporary_folder.glob("*/notes-load-0"))) == 1,
+                "the load process has started",
+            )
+            mine = child_pids(process.pid)
+            assert len(mine) == 7  # two fronts, stand-ins, three relays, load
+            os.kill(next(pid for pid in mine if "serve" in command_line_of(pid)), signal.SIGSTOP)
         finally:
             process.kill()
             await process.wait()
-        await until(lambda: not any(alive(pid) for pid in mine), "all that it started is gone")
-        await until(lambda: not list(place.iterdir()), "and its folder")
+        await until(lambda: not any(is_running(pid) for pid in mine), "all its processes have ended")
+        await until(lambda: not list(temporary_folder.iterdir()), "its folder is removed")
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def words_of(pid: int) -> str:
+def command_line_of(pid: int) -> str:
     try:
         return Path(f"/proc/{pid}/cmdline").read_text().replace("\0", " ")
     except OSError:
         return ""
 
 
-def alive(pid: int) -> bool:
+def is_running(pid: int) -> bool:
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
         return False
 
 
-def children(parent: int) -> list[int]:
+def child_pids(parent: int) -> list[int]:
     found = []
     for path in Path("/proc").glob("[0-9]*/stat"):
         try:
@@ -482,10 +493,10 @@
 
 @pytest.mark.fleet(15)
 def test_processes_and_virtual_time_agree(tmp_path: Path) -> None:
-    """The same small experiment: worth within 0.05, the dials of fronts that come back within 1.5 times.
+    """The same small experiment: worth differs by less than 0.05, dials after restarts by a factor under 1.5.
 
-    By each front's own return: how far apart processes start is the machine's, and on a busy one they
-    start half a second apart. Not the factor itself: the usual rate below it is ten dials in four seconds,
+    Dials are counted from each front's own restart, since on a busy machine processes start up to half a
+    second apart. The stampede factor is not compared: the usual rate below it is ten dials in four seconds,
     which chance may halve.
     """
     text = f"""
@@ -498,14 +509,14 @@
 faults:
   - {{at: 6, kind: kill, part: 0.625, lasts: 0.3}}
 """
-    real = played(tmp_path, text).figures
-    virtual = play(load(written(tmp_path, text)), "as it is", 1).figures
+    real = run_fleet(tmp_path, text).figures
+    virtual = play(load(write_experiment(tmp_path, text)), "as it is", 1).figures
     assert not real.broken and not virtual.broken
     assert abs(real.worth - virtual.worth) < 0.05
     assert 1 / 1.5 < real.after_restarts["dials"] / virtual.after_restarts["dials"] < 1.5
 
 
-def test_a_cut_stream_keeps_so_many_bytes_and_then_ends() -> None:
+def test_a_held_stream_is_aborted_beyond_its_buffer_limit() -> None:
     class Cut:
         def __init__(self) -> None:
             self.ends: list[str] = []
@@ -514,37 +525,39 @@
             self.ends.append("aborted")
 
     cut = Cut()
-    lane = relay.Lane(cut, Way(held=True))  # type: ignore[arg-type]
-    for _ in range(relay.HELD_MOST // 1024):
-        lane.give(bytes(1024))
-    assert cut.ends == [] and lane.size == relay.HELD_MOST
-    lane.give(b"more")
-    assert cut.ends == ["aborted"] and lane.size == relay.HELD_MOST
+    direction = relay.ConnectionDirection(cut, LinkConditions(is_held=True))  # type: ignore[arg-type]
+    for _ in range(relay.MAX_BUFFERED_BYTES // 1024):
+        direction.forward(bytes(1024))
+    assert cut.ends == [] and direction.buffered_bytes == relay.MAX_BUFFERED_BYTES
+    direction.forward(b"more")
+    assert cut.ends == ["aborted"] and direction.buffered_bytes == relay.MAX_BUFFERED_BYTES
 
 
-def test_fronts_that_stand_still_or_are_restarted_in_turn_in_virtual_time(tmp_path: Path) -> None:
-    """Pauses, starvation, ends, a rolling restart: no rule breaks, and service is whole at the end."""
+def test_pauses_and_rolling_restarts_in_virtual_time_break_no_rule(tmp_path: Path) -> None:
+    """Pauses, starvation, SIGTERM, a rolling restart: no rule breaks, and full service at the end."""
     faults = """faults:
   - {at: 2, kind: pause, part: 0.5, lasts: 2.5}
   - {at: 5, kind: starve, part: 0.5, size: 50, lasts: 1}
   - {at: 7, kind: term, part: 0.2, lasts: 0.2}
   - {at: 8, kind: roll, part: 1, lasts: 3}
 """
-    text = QUICK.replace("seconds: 4", "seconds: 14").replace("fronts: 2", "fronts: 5") + faults
-    figures = play(load(written(tmp_path, text)), "as it is", 1).figures
+    text = QUICK_EXPERIMENT.replace("seconds: 4", "seconds: 14").replace("fronts: 2", "fronts: 5") + faults
+    figures = play(load(write_experiment(tmp_path, text)), "as it is", 1).figures
     assert not figures.broken, figures.first_broken
     assert [kind for _, kind in figures.marks] == ["pause", "starve", "term", "roll"]
     assert figures.seconds[-1] == 1.0 and min(figures.seconds[2:5]) < 0.95
 
 
 @pytest.mark.fleet(9)
-def test_a_kept_run_as_json_names_its_figures(tmp_path: Path) -> None:
-    path = written(tmp_path, QUICK)
+def test_json_output_of_a_run_equals_the_stored_file(tmp_path: Path) -> None:
+    path = write_experiment(tmp_path, QUICK_EXPERIMENT)
     out = tmp_path / "runs.json"
-    done = cli("fleet", path, "--json", "--out", str(out), "--report", str(tmp_path / "page.html"))
+    done = run_lab_command(
+        "fleet", path, "--json", "--out", str(out), "--report", str(tmp_path / "page.html")
+    )
     assert done.returncode == 0, done.stderr
     kept = json.loads(done.stdout)
     assert kept["runs"][0]["figures"]["broken"] == 0 and kept == json.loads(out.read_text())
-    again = cli("report", str(out))
+    again = run_lab_command("report", str(out))
     assert again.returncode == 0 and (tmp_path / "runs.html").exists()
     assert kept["runs"][0]["parts"].keys() == {"fronts", "standins", "relay", "load"}
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from quincepier.lab.fleet.places import FRONTS_MOST, OTHERS_MOST, front_address, pair_address
+from quincepier.lab.fleet.loopback_addresses import MAX_FRONTS, MAX_PEERS, front_address, pair_address
 from tests import loopback
 from tests.loopback import BLOCKS, EACH, FROM, PORTS, SHARED, SIZE, claim, own_address, own_port
 
@@ -61,10 +61,10 @@
             claim()
 
 
-@pytest.mark.parametrize("other", [0, 1, OTHERS_MOST - 1])
+@pytest.mark.parametrize("other", [0, 1, MAX_PEERS - 1])
 def test_none_is_the_laboratorys(other: int) -> None:
-    for front in (0, 1, FRONTS_MOST - 1):
+    for front in (0, 1, MAX_FRONTS - 1):
         for address in (front_address(front), pair_address(front, other)):
             assert not FROM <= number(address) < FROM + BLOCKS * SIZE
-    before, after = front_address(FRONTS_MOST - 1), pair_address(0, 0)
+    before, after = front_address(MAX_FRONTS - 1), pair_address(0, 0)
     assert number(before) < FROM and number(after) >= FROM + BLOCKS * SIZE, "what lies between is ours"
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -25,7 +25,7 @@
         async with Fleet(folder, count) as fleet:
             await fleet.wait_for_views(count, 60)
             await scenario(fleet)
-            assert not fleet.story.crashes and not fleet.void
+            assert not fleet.record.crashes and not fleet.void
 
     asyncio.run(run())
 
@@ -98,7 +98,7 @@
 @pytest.mark.fleet(3)
 def test_a_leave_removes_at_once_and_a_front_without_an_endpoint_says_what_to_write(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        file = fleet.fronts[0].told
+        file = fleet.fronts[0].operators_file
         assert file is not None
         leaving = asyncio.create_task(fleet.fronts[2].term())
         await fleet.wait_for_views(2, 20, observers=(0, 1))
@@ -110,6 +110,6 @@
         await fleet.fronts[0].start()
         log = (fleet.fronts[0].folder / "log").read_text()
         assert "QP-PEERS" in log and "no place for a front named 'n0'" in log
-        fleet.story.crashes.clear()  # that one was meant to end
+        fleet.record.crashes.clear()  # that one was meant to end
 
     run_scenario(tmp_path, scenario, 3)
--- a/tests/test_return_fleet.py
+++ b/tests/test_return_fleet.py
@@ -1,4 +1,4 @@
-"""Coming back, by processes: most fronts at once, again in the middle, with state kept, lost and spoilt."""
+"""Recovery of killed front processes: most at once, again during recovery, with state kept, lost, damaged."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from quincepier.lab.experiment import load
 from quincepier.lab.fleet.evidence import FleetRun
 from quincepier.lab.fleet.rig import Rig
-from tests.test_fleet import CLASSES, written
+from tests.test_fleet import CLASSES, write_experiment
 
 HEAD = """
 name: coming back
@@ -19,35 +19,35 @@
 """
 
 
-class Listening(Rig):
-    """A rig that keeps what its fronts said."""
+class LogKeepingRig(Rig):
+    """A rig that keeps the logs of its fronts; the run's folder is removed at its end."""
 
-    said: dict[int, str]
+    log_by_front: dict[int, str]
 
     async def _end(self) -> None:
-        self.said = {f.number: (f.folder / "log").read_text() for f in self.fronts if f.starts}
+        self.log_by_front = {f.number: (f.folder / "log").read_text() for f in self.fronts if f.starts}
         await super()._end()
 
 
-def played(folder: Path, text: str) -> tuple[FleetRun, dict[int, str]]:
-    path = written(folder, HEAD + text + CLASSES)
+def run_fleet(folder: Path, text: str) -> tuple[FleetRun, dict[int, str]]:
+    path = write_experiment(folder, HEAD + text + CLASSES)
     experiment = load(path)
-    rig = Listening(path, experiment, experiment.variants[0], 1)
+    rig = LogKeepingRig(path, experiment, experiment.variants[0], 1)
     run = asyncio.run(rig.play())
     assert not run.void and not run.accused, (run.void, run.figures.first_broken)
-    return run, rig.said
+    return run, rig.log_by_front
 
 
-def lines(said: str, text: str) -> list[str]:
-    return [line for line in said.splitlines() if text in line]
+def lines_with(log: str, text: str) -> list[str]:
+    return [line for line in log.splitlines() if text in line]
 
 
 @pytest.mark.fleet(18)
-def test_all_are_killed_as_a_purge_and_a_drain_are_told_and_again_in_the_middle_half_with_state(
+def test_all_fronts_killed_during_a_purge_and_a_drain_and_again_while_they_return(
     tmp_path: Path,
 ) -> None:
-    """Three of six keep what they learned; the change log is cut off from half of them as they return."""
-    run, said = played(
+    """Three of six fronts keep their state; half of them can't reach the change log as they return."""
+    run, log_by_front = run_fleet(
         tmp_path,
         """
 seconds: 15
@@ -63,17 +63,17 @@
 """,
     )
     assert len(run.downs) >= 10
-    for number, text in said.items():
-        starts = len(lines(text, " serves on "))
-        assert len(lines(text, "stage list: a list is there")) == starts >= 2
-        assert len(lines(text, "state read: ")) == (starts - 1 if number < 3 else 0)
+    for number, text in log_by_front.items():
+        starts = len(lines_with(text, " serves on "))
+        assert len(lines_with(text, "stage list: a list is there")) == starts >= 2
+        assert len(lines_with(text, "state read: ")) == (starts - 1 if number < 3 else 0)
         assert "exception" not in text and "invariant_violated" not in text
     assert all(run.figures.rules.get(rule, 0) > 0 for rule in ("answer", "drain", "purge"))
 
 
 @pytest.mark.fleet(14)
-def test_states_cut_spoilt_and_lost_with_all_fronts_are_told_and_cost_no_rule(tmp_path: Path) -> None:
-    run, said = played(
+def test_damaged_and_lost_states_of_all_fronts_are_logged_and_break_no_rule(tmp_path: Path) -> None:
+    run, log_by_front = run_fleet(
         tmp_path,
         """
 seconds: 11
@@ -85,19 +85,21 @@
 """,
     )
     assert len(run.downs) == 12
-    for text in said.values():
-        assert 2 <= len(lines(text, "state_not_used: ")) <= 4  # of each generation, after the first two kills
-        assert not lines(text, "state read: ") and "exception" not in text
+    for text in log_by_front.values():
+        assert (
+            2 <= len(lines_with(text, "state_not_used: ")) <= 4
+        )  # one per stored generation, after the first two kills
+        assert not lines_with(text, "state read: ") and "exception" not in text
 
 
 @pytest.mark.fleet(14)
-def test_a_state_put_back_to_an_older_copy_and_a_front_that_dies_every_two_seconds(tmp_path: Path) -> None:
-    """One of six is killed four times, each time with the folder as it was when the run began."""
+def test_a_front_killed_every_two_seconds_with_an_older_state_breaks_no_rule(tmp_path: Path) -> None:
+    """One of six fronts is killed four times and restarts with its state folder from the start of the run."""
     faults = "\n".join(
         f"  - {{at: {3 + 2 * n}, kind: kill, part: 0.17, lasts: 0.2, state: older, settled: true}}"
         for n in range(4)
     )
-    run, said = played(
+    run, log_by_front = run_fleet(
         tmp_path,
         f"""
 seconds: 12
@@ -109,4 +111,4 @@
     figures = run.figures
     assert len(run.downs) == 4 and figures.broken == 0
     assert figures.served > 0.97 * (figures.served + figures.refused + figures.failed + figures.late)
-    assert all("exception" not in text for text in said.values())
+    assert all("exception" not in text for text in log_by_front.values())
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -1,7 +1,7 @@
-"""Each trouble of the soak has a front that breaks its term, and the judge finds that front and no other.
+"""For each fault of the soak test, fronts that handle it wrongly are accused, and no others.
 
-Odd fronts are wrong, even ones are right; both meet the same trouble at the same time. What the wrong front
-itself would count of it is switched off with it: the judge goes by what clients and servers saw.
+Odd fronts are defective, even ones are not; both get the same fault at the same time. The defective front's
+own checks are switched off too: the verdict rests on what clients and servers recorded.
 """
 
 from __future__ import annotations
@@ -17,10 +17,12 @@
 from quincepier.lab.fleet.evidence import FleetRun
 from quincepier.lab.fleet.rig import Rig
 from tests.faulty_front import Plan
-from tests.soak import CLASSES, SOCKETS
+from tests.soak import CLASSES, DESCRIPTORS_PER_FRONT
 
 FRONTS = 4
-SLOW = "at: {0}, kind: slow, part: 1, size: 8, lasts: 4"  # so that much is open as the trouble comes
+SLOW = (
+    "at: {0}, kind: slow, part: 1, size: 8, lasts: 4"  # so that many requests are open when the fault begins
+)
 TERM = "at: {0}.5, kind: term, part: 1, lasts: 0.5"
 CASES = {
     "ends at a second signal": (
@@ -39,8 +41,8 @@
 }
 
 
-def played(folder: Path, mutant: str, faults: Sequence[str]) -> FleetRun:
-    """Four fronts, of which every other one has a fault, and the same trouble twice."""
+def run_fleet(folder: Path, mutant: str, faults: Sequence[str]) -> FleetRun:
+    """Run four fronts, every other one defective, with the same faults twice."""
     path = folder / "one.yaml"
     lines = "\n".join(f"  - {{{fault.format(at)}}}" for at in (2, 6) for fault in faults)
     path.write_text(f"""
@@ -48,7 +50,7 @@
 seconds: 10
 variants: [{{name: no second copies, settings: {{second_copies: false}}}}]
 fleet: {{zones: 1, fronts: {FRONTS}, caches: 4, parents: 2, cache_sends: 12, noticed_s: 0.4,
-        sockets: {SOCKETS}, dial_ms: 1900}}
+        sockets: {DESCRIPTORS_PER_FRONT}, dial_ms: 1900}}
 load: {{rate: 200, lost_ms: 500, leaves: 0.2, stays: true}}
 {CLASSES}
 faults:
@@ -59,8 +61,8 @@
         plan = Plan(mutant=mutant if front % 2 else "")
         return (sys.executable, "-O", "-m", "tests.faulty_front", plan.text(), "serve")
 
-    one = load(str(path))
-    return asyncio.run(Rig(str(path), one, one.variants[0], 7, command=command).play())
+    loaded = load(str(path))
+    return asyncio.run(Rig(str(path), loaded, loaded.variants[0], 7, command=command).play())
 
 
 @pytest.mark.fleet(12)
@@ -69,7 +71,7 @@
     tmp_path: Path, mutant: str
 ) -> None:
     rule, *faults = CASES[mutant]
-    run = played(tmp_path, mutant, faults)
+    run = run_fleet(tmp_path, mutant, faults)
     assert not run.void
     accused = {rule: fronts for rule, fronts in run.accused.items() if rule != "claim"}
     assert rule in accused, accused
