--- a/bench/idle.py
+++ b/bench/idle.py
@@ -167,7 +167,7 @@
                 del got[id]
 
 
-def format_quantiles(histogram: HdrHistogram) -> str:
+def quantiles_ms(histogram: HdrHistogram) -> str:
     return " / ".join(f"{histogram.get_value_at_percentile(q) / 1000:.1f}" for q in QUANTILES)
 
 
@@ -215,7 +215,7 @@
                 await client.close()
             each = f"{held / idle / 1024:.2f} | {kernel / idle / 1024:.2f}" if idle else "- | -"
             storm_s = f"{max(took, default=0):.2f}"
-            return f"{idle} | {each} | {rest:.3f} | {format_quantiles(few)} | {storm_s} | {format_quantiles(stormed)}"
+            return f"{idle} | {each} | {rest:.3f} | {quantiles_ms(few)} | {storm_s} | {quantiles_ms(stormed)}"
         finally:
             for _, sock in holders:
                 sock.close()
--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -138,7 +138,8 @@
         early = refused.pop(EARLY_FRAMES_COUNTER, 0)
         good = steps == STEPS and not refused and not run.accused and not run.figures.broken
         print(
-            f"old {sorted(old_fronts)}, then {sorted(rig.old_fronts)}: members {sorted(set(rig.views.values()))}, "
+            f"old {sorted(old_fronts)}, then {sorted(rig.old_fronts)}: "
+            f"members {sorted(set(rig.views.values()))}, "
             f"versions {sorted(set(rig.versions.values()))}, steps {len(steps)} of {len(STEPS)}, "
             f"refused {dict(refused) or 'nothing'}, early frames {early}, rules broken {run.figures.broken}: "
             f"{'holds' if good else 'DOES NOT HOLD'}",
--- a/quincepier/lab/fleet/child.py
+++ b/quincepier/lab/fleet/child.py
@@ -37,8 +37,8 @@
         self.file, self.buffered = path.open("ab"), list[bytes]()
         self.encode = msgspec.json.Encoder().encode
 
-    def note(self, what: str, *about: Any) -> None:
-        self.buffered.append(self.encode((time.monotonic_ns(), what, *about)))
+    def note(self, event: str, *fields: Any) -> None:
+        self.buffered.append(self.encode((time.monotonic_ns(), event, *fields)))
         if len(self.buffered) >= MAX_BUFFERED_NOTES:
             self.flush()
 
@@ -49,9 +49,9 @@
             self.buffered.clear()
 
 
-def report_to_rig(**words: Any) -> None:
+def report_to_rig(**message: Any) -> None:
     """Send a message to the rig, one JSON line on the standard output."""
-    sys.stdout.buffer.write(msgspec.json.encode(words) + b"\n")
+    sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
     sys.stdout.buffer.flush()
 
 
@@ -63,10 +63,10 @@
     lag = loop.create_task(_record_stalls(notes))
     ended = False
     while not ended and (line := await reader.readline()):
-        words = msgspec.json.decode(line)
-        ended = "end" in words
+        message = msgspec.json.decode(line)
+        ended = "end" in message
         if not ended:
-            on_command(words)
+            on_command(message)
     lag.cancel()
     notes.flush()
     return ended
--- a/quincepier/lab/fleet/claims.py
+++ b/quincepier/lab/fleet/claims.py
@@ -60,7 +60,7 @@
     def judge(
         self, claims: Iterable[tuple[int, int]], start: int, fault_times: Sequence[int]
     ) -> Iterator[Claim]:
-        """Return each claim (when, by which front) with what was served; `struck`: when faults struck, ns.
+        """Yield each claim (time, front) with the served shares; `fault_times`: starts of all faults, ns.
 
         Without faults neither the usual share nor the end of the judged time is known: yields nothing.
         """
@@ -69,19 +69,19 @@
         calm = min(fault_times)
         since = start + (calm - start) // SETTLES
         usual = _served_share(
-            one for tries in self._tries.values() for one in tries if since <= one.when < calm
+            outcome for tries in self._tries.values() for outcome in tries if since <= outcome.when < calm
         )
         for when, front in claims:
             next_fault = min((at for at in fault_times if at > when), default=when + JUDGED_SPAN_NS)
             until = min(when + JUDGED_SPAN_NS, next_fault - FAULT_MARGIN_NS)
-            after = [one for one in self._tries[front] if when <= one.when < until]
+            after = [outcome for outcome in self._tries[front] if when <= outcome.when < until]
             yield Claim(front, _served_share(after), usual, len(after))
 
 
 def _served_share(tries: Iterable[TryOutcome]) -> float:
     """Return the share of worth that was served, 0 without tries."""
     asked = served = 0.0
-    for one in tries:
-        asked += one.asked
-        served += one.served
+    for outcome in tries:
+        asked += outcome.asked
+        served += outcome.served
     return served / asked if asked else 0.0
--- a/quincepier/lab/fleet/evidence.py
+++ b/quincepier/lab/fleet/evidence.py
@@ -22,15 +22,14 @@
 from quincepier.lab.judge import Judge
 from quincepier.lab.tally import START, Figures, Tally
 
-CONNECTION_CLOSE_RACE_NS = 50 * MS  # a request sent this shortly before its connection closes was never read
+CONNECTION_CLOSE_RACE_NS = 50 * MS  # a request this shortly before the close may go unread
 RESUME_GRACE_NS = 500 * MS  # responses due until then after a pause may be late
 TERM_GRACE_NS = 700 * MS  # requests that arrive later than this after SIGTERM are excused
 MAX_LOG_DELAY_NS = 7 * SECOND  # an event in the change log counts as known to all fronts from then on
-HOLDING_FAULTS = frozenset(
-    (Kind.CUT, Kind.SILENT, Kind.DELAY, Kind.THROTTLE)
-)  # these keep data under way on a path
+# Faults that keep data under way on a path.
+HOLDING_FAULTS = frozenset((Kind.CUT, Kind.SILENT, Kind.DELAY, Kind.THROTTLE))
 CROWD_GRACE_NS = SECOND  # the connections of a crowd are closed one by one
-HOLDING_GRACE_S = 1.0  # after such a fault, the data that it kept is delivered
+HOLDING_GRACE_S = 1.0  # time after such a fault in which the data kept by it is delivered
 NS_PER_US = 1000
 DEFECT_LOG_TEXTS = ("invariant_violated_", "exception_in_", "Traceback")
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
@@ -88,26 +87,36 @@
 
 @dataclass
 class RigRecord:
-    """The rig's own record of a run: what it did and observed; times in monotonic nanoseconds."""
+    """The rig's own record of a run: what it did and observed; times in monotonic nanoseconds.
+
+    Attributes:
+        start: When the load began.
+        marks: Faults: time, kind, whether it strikes fronts or their paths.
+        downs: Downtimes: front, since, until, reason.
+        pauses: Pauses of fronts by the rig: front, since, until.
+        terms: SIGTERM to fronts: front, time.
+        starts: Starts of fronts: time, front, number of change-log events it starts with.
+        returns: When fronts were back after a fault.
+        claims: Claims of full service in logs: time, front.
+        crashes: Fronts that ended or failed by themselves: front, reason.
+        start_durations_s: From each start of a front until it served.
+    """
 
     start: int = 0
     allows_second_copies: bool = True
-    marks: list[tuple[int, str, bool]] = field(
-        default_factory=list
-    )  # time, fault kind, whether it strikes fronts or their paths
-    downs: list[tuple[int, int, int, str]] = field(default_factory=list)  # front, since, until, reason
-    pauses: list[tuple[int, int, int]] = field(default_factory=list)  # front, since, until
-    terms: list[tuple[int, int]] = field(default_factory=list)  # front, time
-    starts: list[tuple[int, int, int]] = field(
-        default_factory=list
-    )  # time, front, number of change-log events it starts with
-    returns: list[int] = field(default_factory=list)  # when struck fronts were back
-    claims: list[tuple[int, int]] = field(default_factory=list)  # time, front
-    crashes: list[tuple[int, str]] = field(default_factory=list)  # front, reason
+    marks: list[tuple[int, str, bool]] = field(default_factory=list)
+    downs: list[tuple[int, int, int, str]] = field(default_factory=list)
+    pauses: list[tuple[int, int, int]] = field(default_factory=list)
+    terms: list[tuple[int, int]] = field(default_factory=list)
+    starts: list[tuple[int, int, int]] = field(default_factory=list)
+    returns: list[int] = field(default_factory=list)
+    claims: list[tuple[int, int]] = field(default_factory=list)
+    crashes: list[tuple[int, str]] = field(default_factory=list)
     start_durations_s: list[float] = field(default_factory=list)
 
 
 def read_notes_files(folder: Path) -> Iterator[list[Any]]:
+    """Yield the notes of all processes, unsorted: time, event name, and its fields."""
     decode = msgspec.json.Decoder(list[Any]).decode
     for path in sorted(folder.glob("notes-*")):
         for line in path.read_bytes().splitlines():
@@ -120,14 +129,14 @@
 class Evidence:
     """Judges one run by its notes; methods named after a note (`_sent`, `_lost`, ...) handle that note."""
 
-    def __init__(self, experiment: Experiment, story: RigRecord, folder: Path) -> None:
-        self.experiment, self.record = experiment, story
+    def __init__(self, experiment: Experiment, record: RigRecord, folder: Path) -> None:
+        self.experiment, self.record = experiment, record
         self.judge, self.tally = Judge(int(experiment.load.lost_ms * MS)), Tally(experiment)
         self.folder = folder
         self.notes = sorted(read_notes_files(folder), key=lambda n: n[0])
-        self.notes += [[at, "started", front, seq] for at, front, seq in story.starts]
-        self.notes += [[at, "struck", what, fronts] for at, what, fronts in story.marks]
-        self.notes += [[since, "killed", front] for front, since, _, why in story.downs if why != "term"]
+        self.notes += [[at, "started", front, seq] for at, front, seq in record.starts]
+        self.notes += [[at, "struck", kind, fronts] for at, kind, fronts in record.marks]
+        self.notes += [[since, "killed", front] for front, since, _, why in record.downs if why != "term"]
         self.notes += [
             [n[0] + MAX_LOG_DELAY_NS, "counts_as_told", n[2]] for n in self.notes if n[1] == "event"
         ]
@@ -135,18 +144,16 @@
         self.sent_by_serial: dict[int, tuple[int, int]] = {}  # by attempt serial: time, request
         self.events: dict[int, tuple[str, list[Any]]] = {}
         self.known_sequence_by_front: dict[int, int] = defaultdict(lambda: 1)
-        self.purge_known_by_event: dict[
-            int, dict[int, int]
-        ] = {}  # by sequence number of the purge: front, time at which it knew
-        self.open_requests_by_front: dict[int, dict[int, int]] = defaultdict(
-            dict
-        )  # by front: request, arrival time
+        # By sequence number of a purge: each front with the time since which it knows the purge.
+        self.purge_known_by_event: dict[int, dict[int, int]] = {}
+        # By front: each open request with its arrival time.
+        self.open_requests_by_front: dict[int, dict[int, int]] = defaultdict(dict)
         self.claims = Claims()
         self.histogram = HdrHistogram(1, 60_000_000, 3)
         self.stalls = [(n[0] - n[2], n[0]) for n in self.notes if n[1] == "stall"]
         self.max_strain, self.last_request_ns = 0.0, 0
         self.attempt_spans = AttemptSpans()
-        self.allows_copies = story.allows_second_copies
+        self.allows_copies = record.allows_second_copies
         self.forwarded_requests: set[int] = set()  # requests of which a machine has read a command
         self.close_races: dict[int, int] = {}  # request, front: sent as the connection closed
         self.crowds: list[tuple[int, int, int]] = []  # front, since, until
@@ -167,29 +174,30 @@
         )
 
     def _paused_ns(self, since: int, until: int) -> int:
+        """Return for how long the rig's own processes were paused in a time, summed over all of them."""
         return sum(max(min(b, until) - max(a, since), 0) for a, b in self.stalls)
 
-    def _is_excused(self, front: int, came: int, due: int) -> bool:
+    def _is_excused(self, front: int, arrived_at: int, due: int) -> bool:
         """Whether the rig itself kept a front from answering a request in time.
 
         A pause excuses requests that were due during it; a request due well after it is not excused.
         """
         stopped = any(
-            f == front and a < due < b + RESUME_GRACE_NS and came < b for f, a, b in self.record.pauses
+            f == front and a < due < b + RESUME_GRACE_NS and arrived_at < b for f, a, b in self.record.pauses
         )
         down = any(
-            f == front and a <= due and came < b for f, a, b, why in self.record.downs if why != "term"
+            f == front and a <= due and arrived_at < b for f, a, b, why in self.record.downs if why != "term"
         )
         late = any(
-            f == front and came > at + TERM_GRACE_NS and came < at + 30 * SECOND
+            f == front and arrived_at > at + TERM_GRACE_NS and arrived_at < at + 30 * SECOND
             for f, at in self.record.terms
         )  # clients have been told by then to use other fronts
         return stopped or down or late
 
     def judge_notes(self) -> None:
         """Pass all notes to the judge in order of time, then apply the rules that need the whole run."""
-        for when, what, *about in self.notes:
-            getattr(self, f"_{what}", self._ignore_note)(when, *about)
+        for when, kind, *fields in self.notes:
+            getattr(self, f"_{kind}", self._ignore_note)(when, *fields)
         self._judge_claims()
         self._judge_copies()
         for front, line in self._logged_defects():
@@ -199,13 +207,13 @@
         self.judge.end(self._to_judge_time(self.last_request_ns))
 
     def _logged_defects(self) -> Iterator[tuple[int, str]]:
-        """Yield log lines in which a front reports a defect of its own: a broken invariant or an exception."""
+        """Yield log lines with a defect of the front itself: a broken invariant or an exception."""
         for path in sorted(self.folder.glob("front-*/log")):
             for line in path.read_text(errors="replace").splitlines():
                 if any(word in line for word in DEFECT_LOG_TEXTS) and "counters" not in line:
                     yield int(path.parent.name.removeprefix("front-")), line
 
-    def _ignore_note(self, when: int, *about: Any) -> None:
+    def _ignore_note(self, when: int, *fields: Any) -> None:
         pass
 
     def _came(self, when: int, cls: int, intended: int) -> None:
@@ -279,11 +287,11 @@
         self.judge.accuse("answer", job, "forwarded, and its connection ended with no answer", front)
 
     def _lost(self, when: int, job: int, front: int, is_new: bool = False) -> None:
-        came = self.open_requests_by_front[front].pop(job, when)
-        shut = is_new and any(f == front and a <= when < b for f, a, b in self.crowds)
-        if self._is_excused(front, came, when):
+        arrived_at = self.open_requests_by_front[front].pop(job, when)
+        is_closed_unread = is_new and any(f == front and a <= when < b for f, a, b in self.crowds)
+        if self._is_excused(front, arrived_at, when):
             self.judge.abandoned(job)
-        elif shut or when - came < CONNECTION_CLOSE_RACE_NS:
+        elif is_closed_unread or when - arrived_at < CONNECTION_CLOSE_RACE_NS:
             self.judge.abandoned(job)
             self.close_races[job] = front
             if job in self.forwarded_requests:
@@ -297,25 +305,26 @@
             self.judge.abandoned(job)
         self.open_requests_by_front[front].clear()
 
-    def _struck(self, when: int, what: str, fronts: bool) -> None:
-        self.tally.mark(self._to_judge_time(when), what)
+    def _struck(self, when: int, kind: str, fronts: bool) -> None:
+        self.tally.mark(self._to_judge_time(when), kind)
         self.tally.returns.struck(self._to_judge_time(when), fronts)
 
     # Change-log events that a front knows
 
-    def _event(self, when: int, seq: int, what: str, about: list[Any]) -> None:
-        self.events[seq] = (what, about)
-        if what == "purged":
-            group, at = about
+    def _event(self, when: int, seq: int, kind: str, fields: list[Any]) -> None:
+        self.events[seq] = (kind, fields)
+        if kind == "purged":
+            group, at = fields
             self.purge_known_by_event[seq] = {}
             self.judge.purged(self._to_judge_time(at), group, self.purge_known_by_event[seq])
 
     def _learn_events(self, when: int, front: int, seq: int) -> None:
-        for one in range(self.known_sequence_by_front[front] + 1, seq + 1):
-            what, about = self.events.get(one, ("", []))
-            if what == "purged":
-                self.purge_known_by_event[one].setdefault(front, self._to_judge_time(when))
-            for machine, ready in about if what == "listed" else ():
+        """Record that a front knows all change-log events up to a sequence number."""
+        for sequence in range(self.known_sequence_by_front[front] + 1, seq + 1):
+            kind, fields = self.events.get(sequence, ("", []))
+            if kind == "purged":
+                self.purge_known_by_event[sequence].setdefault(front, self._to_judge_time(when))
+            for machine, ready in fields if kind == "listed" else ():
                 if ready:
                     self.judge.told_back(front, machine)
                 else:
@@ -355,7 +364,7 @@
         when: int,
         cls: int,
         status: str,
-        came: int,
+        arrived_at: int,
         front: int,
         serial: int,
         minted: int,
@@ -364,12 +373,16 @@
         c, sent = self.experiment.classes[cls], self.sent_by_serial.get(serial, (0, 0))[0]
         stale = c.fresh_s > 0 and sent - minted > c.fresh_s * SECOND and status == "served"
         self.tally.over(
-            self._to_judge_time(when), cls, "failed" if status == "spoilt" else status, when - came, stale
+            self._to_judge_time(when),
+            cls,
+            "failed" if status == "spoilt" else status,
+            when - arrived_at,
+            stale,
         )
         if is_usual:
             self.claims.on_try(front, when, c.worth, c.worth if status == "served" else 0.0)
         if status == "served":
-            self.histogram.record_value(max((when - came) // NS_PER_US, 1))
+            self.histogram.record_value(max((when - arrived_at) // NS_PER_US, 1))
 
     def _judge_copies(self) -> None:
         """Rule two: without permission for a second copy, no two attempts of a request run at once."""
@@ -394,24 +407,24 @@
     def run(self, variant: str, seed: int, void: str, parts: dict[str, ProcessUsage]) -> FleetRun:
         """Judge the run and return its stored result."""
         self.judge_notes()
-        story, experiment = self.record, self.experiment
-        for at in story.returns:
+        record, experiment = self.record, self.experiment
+        for at in record.returns:
             self.tally.returns.returned(self._to_judge_time(at))
-        for front, _, at, _ in story.downs:
+        for front, _, at, _ in record.downs:
             self.tally.returns.restarted(self._to_judge_time(at), front)
         self.tally.finish(self.judge, "", len(self.notes), self.max_strain)
-        halves = int(experiment.seconds * 2) + 1
+        half_seconds = int(experiment.seconds * 2) + 1
         series = {}
-        for what, times in self.tally.returns.series.items():
-            counts = [0] * halves
+        for kind, times in self.tally.returns.series.items():
+            counts = [0] * half_seconds
             for at in times:
                 n = (at - START) * 2 // SECOND
-                if 0 <= n < halves:
+                if 0 <= n < half_seconds:
                     counts[n] += 1
-            series[what] = tuple(counts)
+            series[kind] = tuple(counts)
 
-        def of_run(at: int) -> float:
-            return round((at - story.start) / SECOND, 3)
+        def to_run_seconds(at: int) -> float:
+            return round((at - record.start) / SECOND, 3)
 
         return FleetRun(
             experiment=experiment.name,
@@ -423,9 +436,11 @@
             void=void,
             figures=self.tally.result(),
             series=series,
-            downs=tuple(Downtime(f, of_run(a), of_run(b), why) for f, a, b, why in story.downs),
+            downs=tuple(
+                Downtime(f, to_run_seconds(a), to_run_seconds(b), why) for f, a, b, why in record.downs
+            ),
             percentiles_ms={f"{p:g}": self.histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES},
             parts=parts,
-            starts_s=tuple(round(t, 3) for t in story.start_durations_s),
+            starts_s=tuple(round(t, 3) for t in record.start_durations_s),
             accused={rule: tuple(sorted(fronts)) for rule, fronts in self.judge.accused.items()},
         )
--- a/quincepier/lab/fleet/load.py
+++ b/quincepier/lab/fleet/load.py
@@ -84,14 +84,16 @@
         "retry_number",
     )
 
-    def __init__(self, cls: int, obj: int, part: int, group: int, came: int, no: int) -> None:
+    def __init__(
+        self, cls: int, object_id: int, part: int, group: int, intended_at: int, retry_number: int
+    ) -> None:
         self.cls, self.object_id, self.part, self.group, self.intended_at, self.retry_number = (
             cls,
-            obj,
+            object_id,
             part,
             group,
-            came,
-            no,
+            intended_at,
+            retry_number,
         )
         self.job, self.front, self.deadline, self.body, self.is_finished = 0, 0, 0, b"", False
         self.is_usual = True
@@ -186,23 +188,23 @@
         shares = [c.share for c in experiment.classes]
         cls = self.random.choices(range(len(shares)), shares)[0]
         weights = self.cumulative_weights[cls]
-        obj = (cls + 1) << 32 | bisect(weights, self.random.random() * weights[-1]) + 1
+        object_id = (cls + 1) << 32 | bisect(weights, self.random.random() * weights[-1]) + 1
         part = self.random.randrange(experiment.classes[cls].parts)
         self.notes.note("came", cls, intended)
         self.open_count += 1
-        self._start_request(ClientRequest(cls, obj, part, experiment.group(obj), intended, 0))
+        self._start_request(ClientRequest(cls, object_id, part, experiment.group(object_id), intended, 0))
 
     def _start_request(self, request: ClientRequest) -> None:
         request.front = self.random.choice(self.offered_fronts or list(self.pools))
         request.job = self.job_random.getrandbits(63) | 1
         garbles = self.misbehaviour_random.random() < self.experiment.load.garbles
-        room = [] if garbles else self._usable_connections(request.front)
-        if not room and request.front in self.leaving_fronts:
+        usable = [] if garbles else self._usable_connections(request.front)
+        if not usable and request.front in self.leaving_fronts:
             others = [front for front in self.offered_fronts if front not in self.leaving_fronts]
             request.front = self.random.choice(others or self.offered_fronts or list(self.pools))
-            room = [] if garbles else self._usable_connections(request.front)
-        if room:
-            self._send(min(room, key=lambda c: len(c.open_requests)), request)
+            usable = [] if garbles else self._usable_connections(request.front)
+        if usable:
+            self._send(min(usable, key=lambda c: len(c.open_requests)), request)
         else:
             task = self.loop.create_task(self._dial(request, garbles))
             task.add_done_callback(lambda done: done.exception())
@@ -218,7 +220,7 @@
     async def _hold_idle_connections(self, front: int, count: int, lasts: float) -> None:
         """Hold idle connections for `lasts` s; the front may close them, or new ones without reading."""
         self.notes.note("crowd", front, int(lasts * SECOND))
-        resting: list[asyncio.Transport] = []
+        idle: list[asyncio.Transport] = []
         for _ in range(count):
             try:
                 async with asyncio.timeout(1.0):
@@ -227,9 +229,9 @@
                     )
             except (OSError, TimeoutError):
                 continue
-            resting.append(transport)
+            idle.append(transport)
         await asyncio.sleep(lasts)
-        for transport in resting:
+        for transport in idle:
             transport.close()
 
     async def _dial(self, request: ClientRequest, garbles: bool = False) -> None:
@@ -343,10 +345,10 @@
         if connection in self.pools[connection.front]:
             self.pools[connection.front].remove(connection)
 
-    def _retry_or_finish(self, request: ClientRequest, status: str, wait: int, never_took: bool) -> None:
+    def _retry_or_finish(self, request: ClientRequest, status: str, wait: int, was_never_sent: bool) -> None:
         request.is_finished = True
         c, plan = self.experiment.classes[request.cls], self.experiment.load
-        harmless = status == "refused" or never_took or c.effect is Idempotency.SAFE
+        harmless = status == "refused" or was_never_sent or c.effect is Idempotency.SAFE
         if request.retry_number < plan.retries and harmless:
             self.notes.note("again", request.cls, status, request.front, request.is_usual)
             pause = wait or int(plan.back_off_ms * MS * self.random.uniform(0.5, 1.5))
@@ -381,27 +383,27 @@
                     c.transport.close()
         self.loop.call_later(1.0, self.close_idle)
 
-    def on_command(self, words: dict[str, Any]) -> None:
-        if "begin" in words:
-            self.begin(words["begin"])
-        elif "hide" in words and words["hide"] in self.offered_fronts:
-            self.offered_fronts.remove(words["hide"])
-        elif "leaving" in words:
-            self.leaving_fronts.add(words["leaving"])
-        elif "crowd" in words:
-            crowd = self._hold_idle_connections(words["crowd"], words["count"], words["lasts"])
+    def on_command(self, command: dict[str, Any]) -> None:
+        if "begin" in command:
+            self.begin(command["begin"])
+        elif "hide" in command and command["hide"] in self.offered_fronts:
+            self.offered_fronts.remove(command["hide"])
+        elif "leaving" in command:
+            self.leaving_fronts.add(command["leaving"])
+        elif "crowd" in command:
+            crowd = self._hold_idle_connections(command["crowd"], command["count"], command["lasts"])
             task = self.loop.create_task(crowd)
             self.crowds.add(task)
             task.add_done_callback(self.crowds.discard)
-        elif "show" in words:
-            self.leaving_fronts.discard(words["show"])
-            if words["show"] not in self.offered_fronts:
-                self.offered_fronts.append(words["show"])
-        elif "rush" in words:
-            self.rate_factor = words["rush"]
-        elif "stop" in words:
+        elif "show" in command:
+            self.leaving_fronts.discard(command["show"])
+            if command["show"] not in self.offered_fronts:
+                self.offered_fronts.append(command["show"])
+        elif "rush" in command:
+            self.rate_factor = command["rush"]
+        elif "stop" in command:
             self.stopped = True
-        elif "pace" in words:
+        elif "pace" in command:
             child.report_to_rig(sent=self.sent, behind=self.late_arrivals, open=self.open_count)
 
 
--- a/quincepier/lab/fleet/processes.py
+++ b/quincepier/lab/fleet/processes.py
@@ -25,26 +25,14 @@
     from quincepier.lab.fleet.rig import Rig
 
 ROOT = Path(quincepier.__file__).parent.parent
-FRONT_START_TIMEOUT_S, EXIT_TIMEOUT_S, CHILD_START_TIMEOUT_S = (
-    90.0,
-    15.0,
-    60.0,
-)  # seconds; the process has failed after them
+FRONT_START_TIMEOUT_S, EXIT_TIMEOUT_S, CHILD_START_TIMEOUT_S = 90.0, 15.0, 60.0
 CLIENTS_LEAVE_AFTER_S = 0.3  # after SIGTERM, clients use other fronts
-NEW_CONNECTIONS_AFTER_TERM_S = (
-    0.2,
-    0.4,
-)  # seconds after SIGTERM in which clients still open connections (protocol page, "Figures")
-KILL_MARGIN_S, KILL_MAX_DEADLINE_S = (
-    0.7,
-    3.0,
-)  # seconds: SIGKILL follows SIGTERM by the longest deadline, at most the
-# second value, plus the first one (protocol page, "Figures")
-EXIT_CODES_BEFORE_SERVING = (
-    0,
-    -signal.SIGTERM,
-    -signal.SIGINT,
-)  # valid exit codes of a front that does not serve yet
+# Range of the time after SIGTERM in which clients still open connections (protocol page, "Figures").
+NEW_CONNECTIONS_AFTER_TERM_S = (0.2, 0.4)
+# SIGKILL follows SIGTERM after the longest deadline, at most the second value, plus the first (same page).
+KILL_MARGIN_S, KILL_MAX_DEADLINE_S = 0.7, 3.0
+# Valid exit codes of a front that does not serve yet.
+EXIT_CODES_BEFORE_SERVING = (0, -signal.SIGTERM, -signal.SIGINT)
 FULL_SERVICE_LOG_TEXT = "full service after"
 
 
@@ -67,6 +55,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self, module: str, plan: msgspec.Struct) -> dict[str, Any]:
+        """Start a module as the process and return its first message; RigError if it fails."""
         path = self.rig.folder / f"plan-{self.name}.json"
         path.write_bytes(msgspec.json.encode(plan))
         log = (self.rig.folder / f"log-{self.name}").open("wb")
@@ -77,19 +66,19 @@
         log.close()
         self.tasks = [asyncio.create_task(self._read_messages()), asyncio.create_task(self._watch_exit())]
         async with asyncio.timeout(CHILD_START_TIMEOUT_S):
-            words = await self.ready
-        if "fault" in words:
-            raise RigError(words["fault"])
-        return words
+            message = await self.ready
+        if "fault" in message:
+            raise RigError(message["fault"])
+        return message
 
     async def _read_messages(self) -> None:
         assert self.process is not None and self.process.stdout is not None
         while line := await self.process.stdout.readline():
-            words = msgspec.json.decode(line)
+            message = msgspec.json.decode(line)
             if not self.ready.done():
-                self.ready.set_result(words)
+                self.ready.set_result(message)
             else:
-                self.rig.on_message(self, words)
+                self.rig.on_message(self, message)
 
     async def _watch_exit(self) -> None:
         assert self.process is not None
@@ -101,12 +90,14 @@
             self.rig.void = self.rig.void or f"{self.name} ended by itself with {code}"
             self.rig.broken.set()
 
-    def send(self, **words: Any) -> None:
+    def send(self, **message: Any) -> None:
+        """Send a command with these keys; does nothing if the process has ended."""
         if self.process is not None and self.process.stdin is not None and self.process.returncode is None:
             with contextlib.suppress(ConnectionError):
-                self.process.stdin.write(msgspec.json.encode(words) + b"\n")
+                self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
     async def end(self) -> None:
+        """Ask the process to end, and kill it after a timeout."""
         self.is_ending = True
         self.send(end=True)
         if self.process is not None:
@@ -157,6 +148,7 @@
         return self.process is not None and self.process.returncode is None
 
     def prepare(self) -> None:
+        """Create the front's folder and its operators' file."""
         self.state.mkdir(parents=True)
         rig = self.rig
         text = rig.operators(self.number, rig) if rig.operators else rig.operators_sections(self.number)
@@ -187,7 +179,8 @@
             standins.with_front_addresses(event, self.number, rig.ports["caches"]) for event in rig.events
         ]
         config = configuration(
-            rig.experiment, rig.variant, rig.seed, self.number, f"{front_address(self.number)}:{rig.front_port}",
+            rig.experiment, rig.variant, rig.seed, self.number,
+            f"{front_address(self.number)}:{rig.front_port}",
             f"{pair_address(self.number, 0)}:{rig.ports['log']}", events,
         )  # fmt: skip
         self.first_configuration, path = config, self.configuration
@@ -207,9 +200,8 @@
             *command, cwd=rig.checkout, env=environment, stdin=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE, preexec_fn=child.dies_with_parent,
         )  # fmt: skip
-        rig.set_reachability(
-            self.number, "open", (relay.PEERS,)
-        )  # a front contacts other fronts before it serves
+        # A front contacts other fronts before it serves.
+        rig.set_reachability(self.number, "open", (relay.PEERS,))
         rig.record.starts.append((self.launched_at, self.number, len(events)))
         self.spawn(self._copy_log(self.process))
         self.spawn(self._watch_exit(self.process))
@@ -229,8 +221,8 @@
         self.is_back.set()
         rig.record.start_durations_s.append((time.monotonic_ns() - began) / SECOND)
         rig.set_reachability(self.number, "open")
-        for one in rig.loads:
-            one.send(show=self.number)
+        for load_process in rig.loads:
+            load_process.send(show=self.number)
         if self.down_since:
             now = time.monotonic_ns()
             rig.record.downs.append((self.number, self.down_since, now, self.down_reason))
@@ -260,6 +252,7 @@
             self.rig.record.crashes.append((self.number, f"ended by itself with {code}"))
 
     def kill(self) -> None:
+        """Send SIGKILL and mark the front as down."""
         if self.is_alive and self.process is not None:
             self.rig.record_usage("fronts", self.process.pid)
             self.is_exit_expected, self.down_since, self.was_killed = (
@@ -288,13 +281,13 @@
         self.rig.record.terms.append((self.number, time.monotonic_ns()))
         self.process.send_signal(number)
         await asyncio.sleep(CLIENTS_LEAVE_AFTER_S)
-        for one in self.rig.loads:
-            one.send(hide=self.number)
+        for load_process in self.rig.loads:
+            load_process.send(hide=self.number)
         try:
             async with asyncio.timeout(EXIT_TIMEOUT_S):
                 code = await self.process.wait()
-            early = not self.is_serving and code in EXIT_CODES_BEFORE_SERVING
-            if code and not early and not (self.was_killed and code == -signal.SIGKILL):
+            ended_before_serving = not self.is_serving and code in EXIT_CODES_BEFORE_SERVING
+            if code and not ended_before_serving and not (self.was_killed and code == -signal.SIGKILL):
                 self.rig.record.crashes.append((self.number, f"ended with {code} after SIGTERM"))
         except TimeoutError:
             self.rig.record.crashes.append((self.number, "did not end after SIGTERM"))
@@ -311,8 +304,8 @@
         process.send_signal(number)
         new_until = rig.random.uniform(*NEW_CONNECTIONS_AFTER_TERM_S)
         await asyncio.sleep(new_until)
-        for one in rig.loads:
-            one.send(leaving=self.number)
+        for load_process in rig.loads:
+            load_process.send(leaving=self.number)
         wait = min(deadline, KILL_MAX_DEADLINE_S) + KILL_MARGIN_S - new_until
         try:
             async with asyncio.timeout(wait):
@@ -323,11 +316,12 @@
         if code not in (0, -signal.SIGKILL):
             rig.record.crashes.append((self.number, f"ended with {code} after {number.name}"))
         self.down_since, self.down_reason = self.down_since or time.monotonic_ns(), self.down_reason or "term"
-        for one in rig.loads:
-            one.send(hide=self.number)
+        for load_process in rig.loads:
+            load_process.send(hide=self.number)
         self._mark_down()
 
     def signal(self, number: int) -> None:
+        """Send a signal, unless the process has ended."""
         if self.is_alive and self.process is not None:
             self.process.send_signal(number)
 
--- a/quincepier/lab/fleet/relay.py
+++ b/quincepier/lab/fleet/relay.py
@@ -106,12 +106,13 @@
         self.server = await loop.create_server(lambda: RelayedConnection(self), sock=sock, backlog=256)
 
     def flush(self) -> None:
-        for stream in list(self.connections):
-            stream.flush()
+        """Deliver the data that was kept, in directions that are no longer held."""
+        for connection in list(self.connections):
+            connection.flush()
 
     def abort(self) -> None:
-        for stream in list(self.connections):
-            stream.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
 
 class RelayedConnection(asyncio.Protocol):
@@ -136,15 +137,15 @@
         local = (pair.source, 0) if pair.source else None
         try:
             loop = asyncio.get_running_loop()
-            _, far = await loop.create_connection(
+            _, target = await loop.create_connection(
                 lambda: TargetConnection(self), *pair.target, local_addr=local
             )
         except OSError:
             self.abort()
             return
-        self.target = far
+        self.target = target
         if self.dialler is None or self.dialler.is_closing():
-            far.abort()
+            target.abort()
 
     def data_received(self, data: bytes) -> None:
         self.to_target.forward(data)
@@ -168,8 +169,8 @@
 class TargetConnection(asyncio.Protocol):
     """Protocol of the connection to the target."""
 
-    def __init__(self, stream: RelayedConnection) -> None:
-        self.connection = stream
+    def __init__(self, connection: RelayedConnection) -> None:
+        self.connection = connection
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
@@ -197,8 +198,8 @@
         is_sender_closed: Whether the sender closed while nothing was delivered.
     """
 
-    def __init__(self, stream: RelayedConnection, way: LinkConditions) -> None:
-        self.connection, self.conditions = stream, way
+    def __init__(self, connection: RelayedConnection, conditions: LinkConditions) -> None:
+        self.connection, self.conditions = connection, conditions
         self.receiver: asyncio.Transport | None = None
         self.buffered: list[bytes] = []
         self.in_flight: deque[bytes] = deque()
@@ -206,18 +207,19 @@
         self.is_sender_closed = False
 
     def forward(self, data: bytes) -> None:
-        way = self.conditions
-        if self.receiver is None or way.is_held or self.buffered:
+        """Deliver, delay or buffer data as the conditions require; abort beyond the buffer limit."""
+        conditions = self.conditions
+        if self.receiver is None or conditions.is_held or self.buffered:
             if self.buffered_bytes < MAX_BUFFERED_BYTES:
                 self.buffered.append(data)
                 self.buffered_bytes += len(data)
             else:
                 self.connection.abort()
-        elif way.is_transparent and not self.pending:
+        elif conditions.is_transparent and not self.pending:
             self.receiver.write(data)
         else:
             now = time.monotonic_ns()
-            due = way.schedule_bytes(now, len(data), self.connection.pair.relay.chance)
+            due = conditions.schedule_bytes(now, len(data), self.connection.pair.relay.chance)
             self.pending += 1
             self.in_flight.append(data)
             asyncio.get_running_loop().call_later((due - now) / 1e9, self._deliver_next)
@@ -234,27 +236,27 @@
 
     def flush(self) -> None:
         if self.receiver is not None and not self.conditions.is_held:
-            held, self.buffered, self.buffered_bytes = self.buffered, [], 0
-            for data in held:
+            buffered, self.buffered, self.buffered_bytes = self.buffered, [], 0
+            for data in buffered:
                 self.receiver.write(data)
             if self.is_sender_closed:
                 self.receiver.close()
 
-    def on_sender_closed(self, to: asyncio.Transport | None, error: Exception | None) -> None:
+    def on_sender_closed(self, receiver: asyncio.Transport | None, error: Exception | None) -> None:
         """Close the receiver after the sender closed; not while the direction is held."""
-        if to is None or self.conditions.is_held:
+        if receiver is None or self.conditions.is_held:
             self.is_sender_closed = True
             return
         if error is not None:
-            to.abort()
+            receiver.abort()
         elif self.pending:
-            asyncio.get_running_loop().call_later(0.01, self.on_sender_closed, to, error)
+            asyncio.get_running_loop().call_later(0.01, self.on_sender_closed, receiver, error)
         else:
-            to.close()
+            receiver.close()
 
 
 class DatagramListener(asyncio.DatagramProtocol):
-    """Receives datagrams from one front to another; they are sent on from the address that the other knows."""
+    """Receives the datagrams from one front to another, at the address at which the one reaches the other."""
 
     def __init__(self, pair: Pair) -> None:
         self.pair = pair
@@ -340,22 +342,26 @@
                     pair.abort()  # the process has ended or was replaced
                 await pair.update_listener()
 
-    async def set_fault(self, words: dict[str, Any]) -> None:
+    async def set_fault(self, command: dict[str, Any]) -> None:
         """Set a fault on a path of some fronts, in one direction or both; with `heal`, clear it."""
-        kind, heal, size = words["kind"], words["heal"], words["size"]
-        apart = words.get("apart")  # if given: only pairs between `fronts` and these fronts
-        for front in words["fronts"]:
-            for pair in [p for (path, f, o), p in self.pairs.items() if path == words["path"]
+        kind, heal, size = command["kind"], command["heal"], command["size"]
+        apart = command.get("apart")  # if given: only pairs between `fronts` and these fronts
+        for front in command["fronts"]:
+            for pair in [p for (path, f, o), p in self.pairs.items() if path == command["path"]
                          and (f == front or (path == PEERS and o == front))]:  # fmt: skip
                 mine = pair.key[1] == front  # else `front` is the receiver of this pair's outgoing data
                 if apart is not None and pair.key[2 if mine else 1] not in apart:
                     continue
-                says, hears = (pair.from_front, pair.to_front) if mine else (pair.to_front, pair.from_front)
-                way = words["way"]
-                ways = [w for w, on in ((says, way in ("out", "both")), (hears, way in ("in", "both"))) if on]
+                sent, received = (
+                    (pair.from_front, pair.to_front) if mine else (pair.to_front, pair.from_front)
+                )
+                way = command["way"]
+                affected = [
+                    c for c, on in ((sent, way in ("out", "both")), (received, way in ("in", "both"))) if on
+                ]
                 if kind in ("cut", "silent"):
-                    for one in ways:
-                        one.is_held = not heal
+                    for conditions in affected:
+                        conditions.is_held = not heal
                     if kind == "cut":
                         pair.fault_state = OPEN if heal else DEAF
                     pair.flush()
@@ -363,13 +369,13 @@
                     pair.fault_state = OPEN if heal else REFUSED
                     if not heal:
                         pair.abort()
-                for one in ways:
+                for conditions in affected:
                     if kind == "delay":
-                        one.delay_ns = 0 if heal else int(size * 1e6)
+                        conditions.delay_ns = 0 if heal else int(size * 1e6)
                     elif kind == "throttle":
-                        one.rate_bytes_per_s = 0.0 if heal else size * 1000
+                        conditions.rate_bytes_per_s = 0.0 if heal else size * 1000
                     elif kind in ("loss", "repeat", "shuffle"):
-                        setattr(one, kind, 0.0 if heal else size)
+                        setattr(conditions, kind, 0.0 if heal else size)
                 await pair.update_listener()
 
     async def add_machines(self, machines: int) -> None:
@@ -383,7 +389,7 @@
 async def main(path: str) -> None:
     plan = msgspec.json.decode(Path(path).read_bytes(), type=Plan)
     notes = child.Notes(Path(plan.folder) / f"notes-relay-{next(iter(plan.ports))}")
-    order = asyncio.Queue[dict[str, Any]]()
+    commands = asyncio.Queue[dict[str, Any]]()
     relay = Relay(plan)
     try:
         await relay.start()
@@ -392,20 +398,20 @@
         return
     child.report_to_rig(ready=True)
 
-    async def carry_out() -> None:  # one after the other, in the order received
+    async def run_queued_commands() -> None:  # one after the other, in the order received
         while True:
-            words = await order.get()
-            if "live" in words:
-                await relay.set_reachability(words["live"], words["other"], words["how"])
-            elif "machines" in words:
-                await relay.add_machines(words["machines"])
+            command = await commands.get()
+            if "live" in command:
+                await relay.set_reachability(command["live"], command["other"], command["how"])
+            elif "machines" in command:
+                await relay.add_machines(command["machines"])
             else:
-                await relay.set_fault(words)
-            child.report_to_rig(done=words.get("id", 0))
+                await relay.set_fault(command)
+            child.report_to_rig(done=command.get("id", 0))
 
-    work = asyncio.get_running_loop().create_task(carry_out())
-    ended = await child.run_commands(order.put_nowait, notes)
-    work.cancel()
+    worker = asyncio.get_running_loop().create_task(run_queued_commands())
+    ended = await child.run_commands(commands.put_nowait, notes)
+    worker.cancel()
     if not ended and plan.sweep:  # the rig was killed: remove its folder
         await asyncio.sleep(0.5)
         shutil.rmtree(plan.folder, ignore_errors=True)
--- a/quincepier/lab/fleet/rig.py
+++ b/quincepier/lab/fleet/rig.py
@@ -143,17 +143,17 @@
             ) from None
 
     async def _start(self) -> None:
-        fleet, place = self.experiment.fleet, str(Path(self.path).resolve())
+        fleet, experiment_path = self.experiment.fleet, str(Path(self.path).resolve())
         wall = time.time_ns() - time.monotonic_ns()
         self.standins = Child("standins", self)
-        plan = standins.Plan(str(self.folder), place, self.seed, wall)
-        words = await self.standins.start(standins.__name__, plan)
-        self.events = words["events"]
+        plan = standins.Plan(str(self.folder), experiment_path, self.seed, wall)
+        message = await self.standins.start(standins.__name__, plan)
+        self.events = message["events"]
         try:
-            mine = self.port_block = PortBlock()
+            block = self.port_block = PortBlock()
         except OSError as error:
             raise RigError(str(error)) from None
-        self.front_port, self.peer_port = mine.take(), mine.take()
+        self.front_port, self.peer_port = block.take(), block.take()
         machines = fleet.caches + fleet.parents + 1
         for path in (
             relay.CLIENTS,
@@ -161,30 +161,32 @@
             relay.LOG,
             *([relay.PEERS] if self._needs_peer_paths() else []),
         ):
-            one = self.relays[path] = Child(f"relay-{path}", self)
-            self.ports[path] = mine.take()
-            sweeps = self.keep is None and path == relay.CLIENTS
-            net = relay.Plan(
-                str(self.folder), sweeps, self.seed, fleet.fronts, machines, words["machines"],
-                words["log"], self.front_port, {path: self.ports[path]}, self.peer_port,
+            child = self.relays[path] = Child(f"relay-{path}", self)
+            self.ports[path] = block.take()
+            removes_folder = self.keep is None and path == relay.CLIENTS
+            relay_plan = relay.Plan(
+                str(self.folder), removes_folder, self.seed, fleet.fronts, machines, message["machines"],
+                message["log"], self.front_port, {path: self.ports[path]}, self.peer_port,
             )  # fmt: skip
-            await one.start(relay.__name__, net)
+            await child.start(relay.__name__, relay_plan)
         self.standins.send(ports=self.ports)
         self.fronts = [FrontProcess(self, n) for n in range(fleet.fronts)]
         for front in self.fronts:
             front.prepare()
         await asyncio.gather(*(front.start() for front in self.fronts))
-        if bad := [f.number for f in self.fronts if not f.is_serving]:
-            log = self.fronts[bad[0]].folder / "log"
+        if not_serving := [f.number for f in self.fronts if not f.is_serving]:
+            log = self.fronts[not_serving[0]].folder / "log"
             lines = log.read_text(errors="replace").strip().splitlines() if log.exists() else []
-            raise RigError(f"front {bad[0]} does not start: {lines[-1] if lines else 'it says nothing'}")
+            raise RigError(
+                f"front {not_serving[0]} does not start: {lines[-1] if lines else 'it says nothing'}"
+            )
         for front in self.fronts:
             front.initial_state_files = disk.read_files(front.state)
         count = max(1, math.ceil(self.experiment.load.rate / MAX_RATE_PER_LOAD_PROCESS))
         self.loads = [Child(f"load-{n}", self) for n in range(count)]
-        for n, one in enumerate(self.loads):
-            share = load.Plan(str(self.folder), place, self.seed, count, n, self.ports["clients"])
-            await one.start(load.__name__, share)
+        for n, child in enumerate(self.loads):
+            share = load.Plan(str(self.folder), experiment_path, self.seed, count, n, self.ports["clients"])
+            await child.start(load.__name__, share)
 
     # The run
 
@@ -211,13 +213,13 @@
         self._send_to_loads(pace=True)
         await asyncio.sleep(0.2)
         self.progress(1.0)
-        sent, behind = (sum(p[key] for p in self.pace_by_load.values()) for key in ("sent", "behind"))
-        if behind > load.MAX_LATE_ARRIVAL_SHARE * max(sent, 1):
-            self.void = self.void or f"the load can't keep its pace: {behind} of {sent} arrivals were late"
+        sent, late = (sum(p[key] for p in self.pace_by_load.values()) for key in ("sent", "behind"))
+        if late > load.MAX_LATE_ARRIVAL_SHARE * max(sent, 1):
+            self.void = self.void or f"the load can't keep its pace: {late} of {sent} arrivals were late"
 
-    def _send_to_loads(self, **words: Any) -> None:
-        for one in self.loads:
-            one.send(**words)
+    def _send_to_loads(self, **message: Any) -> None:
+        for child in self.loads:
+            child.send(**message)
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -239,15 +241,16 @@
             if path in self.relays:
                 self.relays[path].send(live=path, other=front, how=how)
 
-    def on_message(self, one: Child, words: dict[str, Any]) -> None:
-        if "event" in words:
-            self.events.append(words["event"])
-        elif "live" in words or "machines" in words:
-            self.relays[relay.CACHES].send(**words)
-        elif "strike" in words and words["strike"] in self.armed_faults:
-            self._spawn(self._strike(self.armed_faults.pop(words["strike"])))
-        elif "sent" in words:
-            self.pace_by_load[one.name] = words
+    def on_message(self, child: Child, message: dict[str, Any]) -> None:
+        """Handle a message of one of the rig's own processes."""
+        if "event" in message:
+            self.events.append(message["event"])
+        elif "live" in message or "machines" in message:
+            self.relays[relay.CACHES].send(**message)
+        elif "strike" in message and message["strike"] in self.armed_faults:
+            self._spawn(self._strike(self.armed_faults.pop(message["strike"])))
+        elif "sent" in message:
+            self.pace_by_load[child.name] = message
 
     async def _schedule_fault(self, number: int, fault: Fault) -> None:
         await asyncio.sleep(max(self.record.start / SECOND + fault.at - time.monotonic(), 0))
@@ -285,12 +288,12 @@
                     await front.is_back.wait()
 
     async def _strike_path(self, fault: Fault, struck: list[int]) -> None:
-        words = {"kind": fault.kind.value, "path": fault.path.value, "way": fault.way.value, "fronts": struck,
-                 "size": fault.size}  # fmt: skip
-        net = self.relays[fault.path.value]
-        net.send(**words, heal=False)
+        message = {"kind": fault.kind.value, "path": fault.path.value, "way": fault.way.value,
+                   "fronts": struck, "size": fault.size}  # fmt: skip
+        relay_process = self.relays[fault.path.value]
+        relay_process.send(**message, heal=False)
         await asyncio.sleep(fault.lasts)
-        net.send(**words, heal=True)
+        relay_process.send(**message, heal=True)
         self.record.returns.append(time.monotonic_ns())
 
     async def _strike_fronts(self, fault: Fault, struck: list[FrontProcess]) -> None:
@@ -342,8 +345,8 @@
     async def _hide_from_clients(self, front: FrontProcess, wait: float) -> None:
         await asyncio.sleep(wait)
         if not front.is_serving:
-            for one in self.loads:
-                one.send(hide=front.number)
+            for child in self.loads:
+                child.send(hide=front.number)
 
     async def _restart_after_term(self, front: FrontProcess, fault: Fault, wait: float) -> None:
         await asyncio.sleep(wait)
@@ -397,16 +400,16 @@
             task.cancel()
         for front in self.fronts:
             front.signal(signal.SIGCONT)
-        for one in (self.standins, *self.relays.values(), *self.loads):
-            if one.process is not None:
-                self.record_usage(one.name.split("-")[0], one.process.pid)
+        for child in (self.standins, *self.relays.values(), *self.loads):
+            if child.process is not None:
+                self.record_usage(child.name.split("-")[0], child.process.pid)
         if not self.void:
             await asyncio.gather(*(front.term() for front in self.fronts))
-        for one in (*self.loads, self.standins, *self.relays.values()):
-            await one.end()
+        for child in (*self.loads, self.standins, *self.relays.values()):
+            await child.end()
 
     async def _end(self) -> None:
-        """Kill the processes that still run, and release the ports and the folder, in any state of the run."""
+        """Kill the processes that still run, and release ports and folder, however the run went."""
         for task in list(self.tasks):
             task.cancel()
         waits: list[Awaitable[Any]] = []
@@ -417,11 +420,11 @@
                 waits.append(front.process.wait())
             for task in list(front.tasks):
                 task.cancel()
-        stands = [self.standins] if hasattr(self, "standins") else []
-        for one in (*self.loads, *self.relays.values(), *stands):
-            if one.process is not None and one.process.returncode is None:
-                waits.append(one.end())
-            for task in one.tasks:
+        standins_process = [self.standins] if hasattr(self, "standins") else []
+        for child in (*self.loads, *self.relays.values(), *standins_process):
+            if child.process is not None and child.process.returncode is None:
+                waits.append(child.end())
+            for task in child.tasks:
                 task.cancel()
         await asyncio.gather(*waits, return_exceptions=True)
         if self.port_block is not None:
--- a/quincepier/lab/fleet/standins.py
+++ b/quincepier/lab/fleet/standins.py
@@ -147,21 +147,26 @@
         self.host.notes.note("closed", order.number, order.serial)
 
     def answer(
-        self, order: Order, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+        self,
+        order: Order,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus,
+        waited: int,
+        minted: int | None,
     ) -> None:
         if self.transport is None or self.open.pop(order.serial, None) is None:
             return
         self._note_closed(order)
         host = self.host
-        if ending not in WORD_BY_OUTCOME:
+        if outcome not in WORD_BY_OUTCOME:
             self.transport.abort()
             return
-        fields, body = f"how={WORD_BY_CACHE_STATUS.get(note, 'local')},lag={waited // MS}", b""
-        if ending is AttemptOutcome.OK:
+        fields, body = f"how={WORD_BY_CACHE_STATUS.get(cache_status, 'local')},lag={waited // MS}", b""
+        if outcome is AttemptOutcome.OK:
             at = minted if minted is not None else host.now
             body = b"%x %d %d %d" % (order.key[0], order.key[1], order.serial, at)
             fields = f"tag={OBJECT_TAG},minted={(at + host.plan.wall) // MS}," + fields
-        line = f"{order.id} {WORD_BY_OUTCOME[ending]} {fields} {len(body)}\r\n".encode()
+        line = f"{order.id} {WORD_BY_OUTCOME[outcome]} {fields} {len(body)}\r\n".encode()
         self.transport.write(line + body + b"\r\n")
 
 
@@ -184,34 +189,46 @@
     def now(self) -> int:
         return time.monotonic_ns()
 
-    def after(self, wait: int, what: Callable[..., None], *about: Any) -> None:
-        self.loop.call_later(wait / SECOND, what, *about)
+    def after(self, wait: int, callback: Callable[..., None], *args: Any) -> None:
+        self.loop.call_later(wait / SECOND, callback, *args)
 
     def next_serial(self) -> int:
+        """Return a number that no attempt has had yet."""
         self.last_serial += 1
         return self.last_serial
 
     def latency_to(self, machine: Machine) -> int:
+        """Return the one-way network latency to a machine in ns."""
         fleet = self.experiment.fleet
         return int((fleet.near_ms if machine.kind == EDGE else fleet.far_ms) * MS)
 
     def deliver(self, order: Order) -> None:
+        """Pass a command to its machine unless it was cancelled meanwhile."""
         if order.serial in order.connection.open:
             self.machines.reach(order)
 
     def reply(
-        self, order: Order, ending: AttemptOutcome, note: CacheStatus, waited: int, minted: int | None
+        self,
+        order: Order,
+        outcome: AttemptOutcome,
+        cache_status: CacheStatus,
+        waited: int,
+        minted: int | None,
     ) -> None:
         machine = self.machines.all[order.machine]
-        self.after(self.latency_to(machine), order.connection.answer, order, ending, note, waited, minted)
+        self.after(
+            self.latency_to(machine), order.connection.answer, order, outcome, cache_status, waited, minted
+        )
 
-    def count_event(self, what: str) -> None:
-        self.counts[what] += 1
-        for one in [a for a in self.armed_faults if a[0] == what and a[1] <= self.counts[what]]:
-            self.armed_faults.remove(one)
-            child.report_to_rig(strike=one[2])
+    def count_event(self, name: str) -> None:
+        """Count an event, and trigger the faults that wait for this count."""
+        self.counts[name] += 1
+        for armed in [a for a in self.armed_faults if a[0] == name and a[1] <= self.counts[name]]:
+            self.armed_faults.remove(armed)
+            child.report_to_rig(strike=armed[2])
 
     def listed(self, machines: Sequence[Machine]) -> None:
+        """Publish the state of machines in the change log after its delay, and to the relay at once."""
         delay = self.experiment.fleet.told_ms * MS * self.machines.chance.uniform(0.5, 1) + self.list_lag
         states = [(m.index, m.standing is EndpointState.READY) for m in machines]
         hosts = [self.endpoint_record(m) for m in machines]
@@ -257,6 +274,7 @@
         self.notes.note("fetch")
 
     def strike(self, fault: Fault) -> None:
+        """Start a fault of the machines, the endpoint list or the change log."""
         lasts = int(fault.lasts * SECOND)
         if fault.kind in ON_MACHINES:
             before = {m.number: m.state for m in self.machines.all.values()}
@@ -267,7 +285,7 @@
                     child.report_to_rig(live="caches", other=m.index, how=how)
         elif fault.kind is Kind.LAG:
             self.list_lag = int(fault.size * SECOND)
-            self.after(lasts, lambda: setattr(self, "lag", 0))
+            self.after(lasts, lambda: setattr(self, "list_lag", 0))
         elif fault.kind is Kind.PURGE:
             delay, at = int(self.experiment.fleet.told_ms * MS) + self.list_lag, self.now
             for group in self.machines.purge(fault.part):
@@ -280,13 +298,15 @@
         child.report_to_rig(live="caches", other=machine.index, how="refused")
         self.after(lasts, self.machines.back, machine)
 
-    def on_command(self, words: dict[str, Any]) -> None:
-        if "strike" in words:
-            self.strike(msgspec.convert(words["strike"], Fault))
-        elif "work" in words:
-            self.take_down_for_work(self.by_index[words["work"]], int(words["lasts"] * SECOND))
-        elif "arm" in words:
-            self.armed_faults.append((words["what"], self.counts[words["what"]] + words["nth"], words["arm"]))
+    def on_command(self, command: dict[str, Any]) -> None:
+        if "strike" in command:
+            self.strike(msgspec.convert(command["strike"], Fault))
+        elif "work" in command:
+            self.take_down_for_work(self.by_index[command["work"]], int(command["lasts"] * SECOND))
+        elif "arm" in command:
+            self.armed_faults.append(
+                (command["what"], self.counts[command["what"]] + command["nth"], command["arm"])
+            )
 
 
 class ChangeLog:
@@ -304,15 +324,15 @@
         self.events: list[dict[str, Any]] = [{"seq": 1} | first]
         self.changed = asyncio.Event()
 
-    def add(self, what: str, about: list[Any], event: dict[str, Any]) -> None:
+    def add(self, kind: str, facts: list[Any], event: dict[str, Any]) -> None:
         seq = len(self.events) + 1
         if "fleet" in event:
             event = {"fleet": {"seq": seq} | event["fleet"]}
         self.events.append({"seq": seq} | event)
-        self.host.notes.note("event", seq, what, about)
+        self.host.notes.note("event", seq, kind, facts)
         child.report_to_rig(event=self.events[-1])
-        more, self.changed = self.changed, asyncio.Event()
-        more.set()
+        changed, self.changed = self.changed, asyncio.Event()
+        changed.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -366,15 +386,19 @@
     server = await loop.create_server(lambda: FrontConnection(host), "127.0.0.1", 0, backlog=4096)
     log = await asyncio.start_server(host.log.serve, "127.0.0.1", 0, backlog=1024)
 
-    def hear(words: dict[str, Any]) -> None:
-        if "ports" in words:
-            host.relay_port = words["ports"]["caches"]
+    def on_command(command: dict[str, Any]) -> None:
+        if "ports" in command:
+            host.relay_port = command["ports"]["caches"]
         else:
-            host.on_command(words)
+            host.on_command(command)
 
-    child.report_to_rig(ready=True, machines=server.sockets[0].getsockname()[1], log=log.sockets[0].getsockname()[1],
-               events=host.log.events)  # fmt: skip
-    if await child.run_commands(hear, notes):
+    child.report_to_rig(
+        ready=True,
+        machines=server.sockets[0].getsockname()[1],
+        log=log.sockets[0].getsockname()[1],
+        events=host.log.events,
+    )
+    if await child.run_commands(on_command, notes):
         strains = [m.cold.strain for m in host.machines.all.values()]
         notes.note("machines", host.cold_count, max(strains))
         notes.flush()
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -30,8 +30,8 @@
   - {name: bid, share: 0.15, send_ms: 5, wanted_ms: 700, deadline_ms: 3000, worth: 3, effect: unsafe,
      never_kept: true}
 """
-# Fault kind, shortest and longest duration in seconds, and the fault's other settings. Commands from fronts are
-# never delayed: their time of arrival at the machine counts as the time at which they were sent.
+# Fault kind, shortest and longest duration in seconds, and the fault's other settings. Commands from fronts
+# are never delayed: their time of arrival at the machine counts as the time at which they were sent.
 FAULT_KINDS: tuple[tuple[str, float, float, str], ...] = (
     ("term", 0.1, 1.0, "part: 0.3"),
     ("roll", 1.0, 3.0, "part: 0.5"),
@@ -93,8 +93,8 @@
     ("setsockopt", ("ENOBUFS", "ENOMEM"), 0.5, 20.0),
     ("getpeername", ("ENOTCONN", "ENOBUFS"), 0.5, 20.0),
 )
-MAX_LATENESS_MS = 500  # a response up to this late only earns nothing (standing page)
-CLIENT_SHARES = (0.0, 0.1, 0.3)  # of clients that leave early, and of those with a shortened deadline
+MAX_LATE_MS = 500  # a response up to this late only earns nothing (standing page)
+SHARES = (0.0, 0.1, 0.3)  # of clients that leave early, and of those with a shortened deadline
 CLOCK_STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
 
 
@@ -115,8 +115,8 @@
 variants: [{{name: soak, settings: {{second_copies: {str(chance.random() < 0.5).lower()}}}}}]
 fleet: {{zones: 2, fronts: {fronts}, caches: 8, parents: 2, cache_sends: 8, noticed_s: 0.4,
         sockets: {DESCRIPTORS_PER_FRONT}, dial_ms: {chance.choice(DIAL_TIMEOUTS_MS)}}}
-load: {{rate: 160, lost_ms: {MAX_LATENESS_MS}, leaves: {chance.choice(CLIENT_SHARES)}, hurried: {chance.choice(CLIENT_SHARES)},
-       garbles: {chance.choice(CLIENT_SHARES) / 4}, stays: true}}
+load: {{rate: 160, lost_ms: {MAX_LATE_MS}, leaves: {chance.choice(SHARES)}, hurried: {chance.choice(SHARES)},
+       garbles: {chance.choice(SHARES) / 4}, stays: true}}
 {CLASSES}
 faults:
 {chr(10).join(faults)}
--- a/tests/test_agreement_processes.py
+++ b/tests/test_agreement_processes.py
@@ -150,7 +150,7 @@
 @pytest.mark.fleet(23)
 @pytest.mark.parametrize("folders_lost", [False, True])
 def test_all_fronts_killed_at_once_in_the_middle_of_a_task(tmp_path: Path, folders_lost: bool) -> None:
-    """With their folders the task continues; without them it is planned again and starts from the beginning."""
+    """With their folders the task continues; without them it is planned again from the beginning."""
     restart_times: list[int] = []
 
     async def scenario(rig: FrontFleet) -> None:
