--- a/bench/addresses.py
+++ b/bench/addresses.py
@@ -124,10 +124,10 @@
             histogram.record_value(max(int((took - baseline_s) * 1e6), 1))
         quantiles = [histogram.get_value_at_percentile(q) / 1000 for q in (50, 90, 99, 100)]
         ran = script.moment in (Moment.WHOLE, Moment.ANSWER)  # then a read may be retried
-        twice = 0 if ran else sum(n > 1 for n in bench.machine.whole.values())
+        repeated_commands = 0 if ran else sum(n > 1 for n in bench.machine.whole.values())
         dials = (counts["dials"] - before) / len(times)
         await bench.inside.close()
-    if twice:
+    if repeated_commands:
         raise RuntimeError("a command was received whole twice although its connection failed before its end")
     shown = " | ".join(f"{q:.1f}" for q in quantiles)
     usual_ms = f"{baseline_s * 1000:.2f}"
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -83,18 +83,18 @@
     control.setblocking(False)
     await loop.sock_sendall(control, b"r")
     await loop.sock_recv(control, 1)
-    began, answered, left = time.monotonic(), loop.create_future(), len(peers)
+    began, answered, remaining = time.monotonic(), loop.create_future(), len(peers)
 
-    def one(peer: socket.socket) -> None:
-        nonlocal left
+    def on_readable(peer: socket.socket) -> None:
+        nonlocal remaining
         loop.remove_reader(peer)
         peer.recv(4096)
-        left -= 1
-        if not left and not answered.done():
+        remaining -= 1
+        if not remaining and not answered.done():
             answered.set_result(None)
 
     for peer in peers:
-        loop.add_reader(peer, one, peer)
+        loop.add_reader(peer, on_readable, peer)
         peer.send(PING)
     if peers:
         async with asyncio.timeout(60):
--- a/quincepier/lab/fleet/attempt_spans.py
+++ b/quincepier/lab/fleet/attempt_spans.py
@@ -27,19 +27,19 @@
 
     def on_started(self, when: int, request: int, serial: int) -> None:
         """Record that a machine has read the whole command of an attempt; `when` in ns."""
-        copy = self._by_serial[serial] = AttemptSpan(when)
-        self._by_request[request].append(copy)
+        span = self._by_serial[serial] = AttemptSpan(when)
+        self._by_request[request].append(span)
 
     def on_closed(self, when: int, serial: int) -> None:
         """Record that an attempt was answered or cancelled, or that its connection closed; `when` in ns."""
-        copy = self._by_serial.get(serial)
-        if copy is not None:
-            copy.until = when
+        span = self._by_serial.get(serial)
+        if span is not None:
+            span.until = when
 
     def overlapping(self) -> Iterator[tuple[int, int, int]]:
         """Yield each overlap of two attempts of one request: the request, start and end of the overlap."""
-        for request, copies in self._by_request.items():
-            for earlier, later in pairwise(copies):
+        for request, spans in self._by_request.items():
+            for earlier, later in pairwise(spans):
                 if not earlier.until or earlier.until > later.since:
-                    end = min(copy.until or later.since + OPEN_ATTEMPT_SPAN_NS for copy in (earlier, later))
+                    end = min(span.until or later.since + OPEN_ATTEMPT_SPAN_NS for span in (earlier, later))
                     yield request, later.since, end
--- a/quincepier/lab/fleet/claims.py
+++ b/quincepier/lab/fleet/claims.py
@@ -66,10 +66,13 @@
         """
         if not fault_times:
             return
-        calm = min(fault_times)
-        since = start + (calm - start) // SETTLES
+        first_fault = min(fault_times)
+        since = start + (first_fault - start) // SETTLES
         usual = _served_share(
-            outcome for tries in self._tries.values() for outcome in tries if since <= outcome.when < calm
+            outcome
+            for tries in self._tries.values()
+            for outcome in tries
+            if since <= outcome.when < first_fault
         )
         for when, front in claims:
             next_fault = min((at for at in fault_times if at > when), default=when + JUDGED_SPAN_NS)
--- a/quincepier/lab/fleet/command.py
+++ b/quincepier/lab/fleet/command.py
@@ -53,8 +53,8 @@
         raise ValueError(f"{path} has no variant {options['--variant']!r}")
     if options["--keep"] and len(seeds) * len(variants) > 1:
         raise ValueError("--keep is for one run: name a seed and a variant")
-    quiet, runs = options["--json"], list[FleetRun]()
-    with Progress(console=out, disable=quiet or not out.is_terminal, transient=True) as progress:
+    is_json, runs = options["--json"], list[FleetRun]()
+    with Progress(console=out, disable=is_json or not out.is_terminal, transient=True) as progress:
         for variant, seed in [(v, s) for s in seeds for v in variants]:
             bar = progress.add_task(f"{variant.name}, seed {seed}", total=1.0)
             rig = Rig(
@@ -66,42 +66,42 @@
             except asyncio.CancelledError:
                 print("quincepier: ended before the run was over", file=sys.stderr)
                 return 3
-            if not quiet:
+            if not is_json:
                 print_run(runs[-1], out)
     file_content = FleetRuns(FORMAT, tuple(runs))
-    if quiet:
+    if is_json:
         sys.stdout.buffer.write(msgspec.json.encode(file_content) + b"\n")
     if options["--out"]:
-        beside = Path(options["--out"] + ".new")
-        beside.write_bytes(msgspec.json.format(msgspec.json.encode(file_content), indent=1) + b"\n")
-        beside.replace(options["--out"])
+        temporary_path = Path(options["--out"] + ".new")
+        temporary_path.write_bytes(msgspec.json.format(msgspec.json.encode(file_content), indent=1) + b"\n")
+        temporary_path.replace(options["--out"])
     if options["--report"]:
-        _write(runs[-1], Path(options["--report"]), out, quiet)
+        _write(runs[-1], Path(options["--report"]), out, is_json)
     return 3 if any(run.void for run in runs) else 1 if any(run.figures.broken for run in runs) else 0
 
 
-def _write(run: FleetRun, path: Path, out: Console, quiet: bool) -> None:
+def _write(run: FleetRun, path: Path, out: Console, is_json: bool) -> None:
     from quincepier.lab import report as page
 
     page.write(run, path)
-    if not quiet:
+    if not is_json:
         out.print(f"report: {path}", highlight=False)
 
 
 def print_run(run: FleetRun, out: Console) -> None:
     """Print a summary of a run in a few lines."""
     f = run.figures
-    counted = f"{f.served} served, {f.late} late, {f.refused} refused, {f.failed} failed"
+    counts = f"{f.served} served, {f.late} late, {f.refused} refused, {f.failed} failed"
     out.print(
         f"{run.experiment}, {run.variant}, seed {run.seed}: worth {f.worth:.4f} (worst second "
-        f"{f.worst_second:.3f}); {counted}; p99 {f.p99_ms:.0f} ms",
+        f"{f.worst_second:.3f}); {counts}; p99 {f.p99_ms:.0f} ms",
         highlight=False,
     )
     if run.downs:
-        full = "not within the run" if f.full_service_s is None else f"after {f.full_service_s:.1f} s"
+        full_service = "not within the run" if f.full_service_s is None else f"after {f.full_service_s:.1f} s"
         fronts = len({down.front for down in run.downs})
         out.print(
-            f"  {fronts} of {run.fronts} fronts were down; full service {full}; refusals: "
+            f"  {fronts} of {run.fronts} fronts were down; full service {full_service}; refusals: "
             + (
                 ", ".join(
                     f"{n} {c.get('refused', 0) + c.get('refused, again', 0)}" for n, c in f.by_class.items()
--- a/quincepier/lab/fleet/load.py
+++ b/quincepier/lab/fleet/load.py
@@ -348,8 +348,8 @@
     def _retry_or_finish(self, request: ClientRequest, status: str, wait: int, was_never_sent: bool) -> None:
         request.is_finished = True
         c, plan = self.experiment.classes[request.cls], self.experiment.load
-        harmless = status == "refused" or was_never_sent or c.effect is Idempotency.SAFE
-        if request.retry_number < plan.retries and harmless:
+        may_retry = status == "refused" or was_never_sent or c.effect is Idempotency.SAFE
+        if request.retry_number < plan.retries and may_retry:
             self.notes.note("again", request.cls, status, request.front, request.is_usual)
             pause = wait or int(plan.back_off_ms * MS * self.random.uniform(0.5, 1.5))
             again = ClientRequest(
--- a/quincepier/lab/fleet/ports.py
+++ b/quincepier/lab/fleet/ports.py
@@ -35,7 +35,9 @@
         raise OSError(f"no {PORTS_PER_RIG} ports in a row are free on {RESERVATION_ADDRESS}")
 
     def take(self) -> int:
+        """Return the next unused port of the block."""
         return next(self._free_ports)
 
     def close(self) -> None:
+        """Release the block."""
         self._reservations.close()
--- a/quincepier/lab/fleet/processes.py
+++ b/quincepier/lab/fleet/processes.py
@@ -152,8 +152,8 @@
         self.state.mkdir(parents=True)
         rig = self.rig
         text = rig.operators(self.number, rig) if rig.operators else rig.operators_sections(self.number)
-        if every := rig.experiment.keeps(rig.variant, self.number):
-            text += f"\nstate: {{folder: {self.state}, every_s: {every}}}\n"
+        if interval_s := rig.experiment.keeps(rig.variant, self.number):
+            text += f"\nstate: {{folder: {self.state}, every_s: {interval_s}}}\n"
         self.operators_file = self.folder / "operator.yaml" if text else None
         if self.operators_file is not None:
             self.operators_file.write_text(text)
@@ -302,11 +302,11 @@
         rig = self.rig
         deadline = rig.experiment.longest_deadline_s
         process.send_signal(number)
-        new_until = rig.random.uniform(*NEW_CONNECTIONS_AFTER_TERM_S)
-        await asyncio.sleep(new_until)
+        connections_end_s = rig.random.uniform(*NEW_CONNECTIONS_AFTER_TERM_S)
+        await asyncio.sleep(connections_end_s)
         for load_process in rig.loads:
             load_process.send(leaving=self.number)
-        wait = min(deadline, KILL_MAX_DEADLINE_S) + KILL_MARGIN_S - new_until
+        wait = min(deadline, KILL_MAX_DEADLINE_S) + KILL_MARGIN_S - connections_end_s
         try:
             async with asyncio.timeout(wait):
                 code = await process.wait()
@@ -334,13 +334,13 @@
             reader, writer = await asyncio.open_connection(*address)
             try:
                 writer.write(load.encode_request(1, values))
-                out = b""
+                stdout = b""
                 while True:
                     kind, size, padding = struct.unpack(">xBxxHBx", await reader.readexactly(8))
                     content = (await reader.readexactly(size + padding))[:size]
                     if kind == load.END:
-                        return out.startswith(b"Status: 200")
-                    out += content
+                        return stdout.startswith(b"Status: 200")
+                    stdout += content
             finally:
                 writer.close()
     except (OSError, TimeoutError, asyncio.IncompleteReadError):
--- a/quincepier/lab/fleet/rig.py
+++ b/quincepier/lab/fleet/rig.py
@@ -112,12 +112,12 @@
         """Raise RigError, before any process starts, if the fleet needs more descriptors than are allowed."""
         fleet = self.experiment.fleet
         pairs = fleet.fronts * (fleet.caches + fleet.parents + 3)
-        wanted = 3 * pairs + SPARE_DESCRIPTORS + (2 * fleet.fronts**2 if self._needs_peer_paths() else 0)
+        required = 3 * pairs + SPARE_DESCRIPTORS + (2 * fleet.fronts**2 if self._needs_peer_paths() else 0)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        if soft < wanted <= hard:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
-        elif hard < wanted:
-            raise RigError(f"{wanted} descriptors are wanted for so many pairs, {hard} are allowed")
+        if soft < required <= hard:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (required, hard))
+        elif hard < required:
+            raise RigError(f"{required} descriptors are wanted for so many pairs, {hard} are allowed")
 
     def operators_sections(self, front: int) -> str:
         """Return the operators' file of a front in a fleet with voters, or "" without voters."""
@@ -178,7 +178,7 @@
             log = self.fronts[not_serving[0]].folder / "log"
             lines = log.read_text(errors="replace").strip().splitlines() if log.exists() else []
             raise RigError(
-                f"front {not_serving[0]} does not start: {lines[-1] if lines else 'it says nothing'}"
+                f"front {not_serving[0]} does not start: {lines[-1] if lines else 'its log is empty'}"
             )
         for front in self.fronts:
             front.initial_state_files = disk.read_files(front.state)
@@ -198,13 +198,13 @@
         self._send_to_loads(begin=self.record.start)
         for n, fault in enumerate(self.experiment.faults):
             self._spawn(self._schedule_fault(n, fault))
-        longest = self.experiment.longest_deadline_s + 1.0
+        max_wait_s = self.experiment.longest_deadline_s + 1.0
         while not self.broken.is_set():
-            spent = (time.monotonic_ns() - self.record.start) / SECOND
-            self.progress(min(max(spent / (seconds + longest), 0.0), 1.0))
-            if spent >= seconds and not self.unfinished_settled_faults:
+            elapsed_s = (time.monotonic_ns() - self.record.start) / SECOND
+            self.progress(min(max(elapsed_s / (seconds + max_wait_s), 0.0), 1.0))
+            if elapsed_s >= seconds and not self.unfinished_settled_faults:
                 self._send_to_loads(pace=True)
-                if spent >= seconds + longest or (
+                if elapsed_s >= seconds + max_wait_s or (
                     self.pace_by_load and not any(p["open"] for p in self.pace_by_load.values())
                 ):
                     break
@@ -302,9 +302,9 @@
                 front.kill()
             await asyncio.gather(*(self._restart_after_kill(front, fault) for front in struck))
         elif fault.kind in (Kind.TERM, Kind.ROLL):
-            apart = fault.lasts / len(struck) if fault.kind is Kind.ROLL else 0.0
+            interval_s = fault.lasts / len(struck) if fault.kind is Kind.ROLL else 0.0
             await asyncio.gather(
-                *(self._restart_after_term(front, fault, n * apart) for n, front in enumerate(struck))
+                *(self._restart_after_term(front, fault, n * interval_s) for n, front in enumerate(struck))
             )
         elif fault.kind is Kind.RELOAD:
             await asyncio.gather(*(self._reload(front, fault) for front in struck))
@@ -331,15 +331,15 @@
 
     async def _restart_after_kill(self, front: FrontProcess, fault: Fault) -> None:
         """Keep a killed front down, apply the disk fault to its state folder, then restart it."""
-        noticed = min(self.experiment.fleet.noticed_s, max(fault.lasts, 0.0))
-        starts = front.starts
+        noticed_after_s = min(self.experiment.fleet.noticed_s, max(fault.lasts, 0.0))
+        starts_before = front.starts
         if front.process is not None:
             await front.process.wait()
-        await asyncio.sleep(noticed)
-        self._spawn(self._hide_from_clients(front, self.experiment.fleet.noticed_s - noticed))
-        await asyncio.sleep(max(fault.lasts - noticed, 0.0))
+        await asyncio.sleep(noticed_after_s)
+        self._spawn(self._hide_from_clients(front, self.experiment.fleet.noticed_s - noticed_after_s))
+        await asyncio.sleep(max(fault.lasts - noticed_after_s, 0.0))
         disk.apply_fault(front.state, fault.state, front.initial_state_files, self.random)
-        if front.starts == starts:
+        if front.starts == starts_before:
             await front.start()
 
     async def _hide_from_clients(self, front: FrontProcess, wait: float) -> None:
@@ -350,11 +350,11 @@
 
     async def _restart_after_term(self, front: FrontProcess, fault: Fault, wait: float) -> None:
         await asyncio.sleep(wait)
-        starts = front.starts
+        starts_before = front.starts
         await front.term()
         await asyncio.sleep(fault.lasts if fault.kind is Kind.TERM else 0.0)
         disk.apply_fault(front.state, fault.state, front.initial_state_files, self.random)
-        if front.starts == starts:
+        if front.starts == starts_before:
             await front.start()
 
     async def _reload(self, front: FrontProcess, fault: Fault) -> None:
@@ -371,7 +371,7 @@
 
     # The end
 
-    def record_usage(self, part: str, pid: int) -> None:
+    def record_usage(self, kind: str, pid: int) -> None:
         """Record the CPU time and peak memory of a running process from /proc."""
         try:
             fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
@@ -383,7 +383,7 @@
         except OSError:
             return
         cpu = (int(fields[11]) + int(fields[12])) * NS_PER_CLOCK_TICK / 1e9
-        self.usage_by_kind.setdefault(part, []).append(
+        self.usage_by_kind.setdefault(kind, []).append(
             (cpu, int(lines.get("VmHWM", "0 kB").split()[0]) / 1024)
         )
 
--- a/quincepier/lab/fleet/setup.py
+++ b/quincepier/lab/fleet/setup.py
@@ -27,7 +27,7 @@
     if unknown := [name for name in variant.settings if name not in JSON_PATH_BY_SETTING]:
         raise ValueError(f"variant {variant.name!r}: a process can't be told {', '.join(unknown)}")
     s: Settings = experiment.settings(zone, variant)
-    told: dict[str, Any] = {
+    configured: dict[str, Any] = {
         "family_info": {
             "class_fresh": [c.fresh for c in s.classes],
             "client_kb_per_s": s.client_kb_per_s,
@@ -85,7 +85,7 @@
         "zone": zone + 1,
         "zones": ["hub", *(f"z{z + 1}" for z in range(experiment.fleet.zones))],
     }
-    return told
+    return configured
 
 
 def configuration(
--- a/tests/agreementrig.py
+++ b/tests/agreementrig.py
@@ -107,17 +107,17 @@
             front.signal(signal.SIGHUP)
 
     def lines_of(self, front: int) -> list[LogLine]:
-        place = self.folder / f"front-{front}" / "log"
+        log_path = self.folder / f"front-{front}" / "log"
         at, lines = self.read_logs.get(front, (0, []))
-        if place.exists():
-            with place.open("rb") as file:
+        if log_path.exists():
+            with log_path.open("rb") as file:
                 file.seek(at)
                 raw = file.read()
-            whole = raw[: raw.rfind(b"\n") + 1]
-            for line in whole.splitlines():
+            complete_lines = raw[: raw.rfind(b"\n") + 1]
+            for line in complete_lines.splitlines():
                 if line.startswith(b"{"):
                     lines.append(LogLine(front, json.loads(line), self.clock_offset_ns))
-            self.read_logs[front] = (at + len(whole), lines)
+            self.read_logs[front] = (at + len(complete_lines), lines)
         return lines
 
     def find_lines(self, event: str, fronts: tuple[int, ...] | None = None, **fields: Any) -> list[LogLine]:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -35,59 +35,68 @@
 
 
 def answer_twice() -> None:
-    plain = Outgoing._pieces
+    """End each response twice."""
+    original = Outgoing._pieces
 
     def pieces(self: Outgoing, head: bytes) -> Iterator[bytes]:
-        yield from plain(self, head)
+        yield from original(self, head)
         yield fastcgi.record(3, self.stream, bytes(8))  # an additional END_REQUEST before the correct one
 
     Outgoing._pieces = pieces  # type: ignore[method-assign]
 
 
 def repeat_bids() -> None:
-    plain = lines.serve
+    """Send each command of an unsafe request twice."""
+    original = lines.serve
 
     def serve(id: str, fields: Any, body: bytes) -> bytes:
-        listed = list(fields)
-        return plain(id, listed, body) * (2 if ("class", "bid") in listed else 1)
+        field_list = list(fields)
+        return original(id, field_list, body) * (2 if ("class", "bid") in field_list else 1)
 
     lines.serve = serve
 
 
 def ignore_drains() -> None:
+    """Treat draining endpoints as serving."""
     changelog.STATES["DRAINING"] = changelog.STATES["SERVING"]
 
 
 def ignore_purges() -> None:
+    """Never limit the age of copies, so that purged ones are served."""
     Freshness.max_age = lambda self, request, stale: 0  # type: ignore[method-assign]
 
 
 def overload_cold_caches() -> None:
+    """Send to cold caches without the limits of slow start."""
     SlowStart.has_room = lambda self, upstream: True  # type: ignore[method-assign]
 
 
 def never_answer() -> None:
+    """Drop all responses to clients."""
     client.ClientConnection.push = lambda self, answer: None  # type: ignore[method-assign]
 
 
 def claim_full_service_at_once() -> None:
-    plain, chance = policy.Router.on_request, random.Random(1)
+    """Log full service at the start while rejecting most requests."""
+    original, chance = policy.Router.on_request, random.Random(1)
 
-    def came(self: policy.Router, event: io.RequestReceived) -> None:
+    def on_request(self: policy.Router, event: io.RequestReceived) -> None:
         if chance.random() < 0.6:
             self.context.actions.append(io.RejectRequest(event.request, 0))
         else:
-            plain(self, event)
+            original(self, event)
 
     def serve(self: front.Front) -> Any:
         logger.info("full service after 0 ms")
         return served(self)
 
     served, front.Front.serve = front.Front.serve, serve  # type: ignore[method-assign]
-    policy.Router.on_request = came  # type: ignore[method-assign]
+    policy.Router.on_request = on_request  # type: ignore[method-assign]
 
 
 def end_without_drain() -> None:
+    """End at SIGTERM without draining."""
+
     async def drain(self: front.Front, listener: Listener) -> None:
         logger.info("drain: none")
 
@@ -95,34 +104,37 @@
 
 
 def keep_clients_while_draining() -> None:
+    """Accept requests, and keep all client connections, while draining."""
     accept_requests_while_draining()
     ConnectionManager.drain = lambda self: None  # type: ignore[method-assign]
 
 
 def accept_requests_while_draining() -> None:
-    plain = Reading._call
+    """Accept requests to the end of the drain."""
+    original = Reading._call
 
     def call(self: Reading, session: Session, call: fastcgi.Call, at: int, earliest: int) -> None:
         self.manager.refusing = False
-        plain(self, session, call, at, earliest)
+        original(self, session, call, at, earliest)
 
     Reading._call = call  # type: ignore[method-assign]
 
 
 def send_too_long_waits() -> None:
-    plain = send_permission.wait_ms
-    vars(connection)["wait_ms"] = lambda attempt, now_ns: plain(attempt, now_ns) + 400
+    """Add 400 ms to the wait that is sent with each command."""
+    original = send_permission.wait_ms
+    vars(connection)["wait_ms"] = lambda attempt, now_ns: original(attempt, now_ns) + 400
 
 
 def send_for_disconnected_clients() -> None:
     """Resend each command that may run twice 0.3 s after its client has disconnected."""
     commands: dict[OpenAttempt, ServeCommand] = {}
-    plain_send, plain_leave = connection.Connection.send, module.ModuleActor._leave
+    original_send, original_leave = connection.Connection.send, module.ModuleActor._leave
 
     def send(self: connection.Connection, id: str, what: Any, command: Any) -> None:
         if isinstance(command, ServeCommand):
             commands[what] = command
-        plain_send(self, id, what, command)
+        original_send(self, id, what, command)
 
     def again(self: module.ModuleActor, attempt: OpenAttempt) -> None:
         for one in self.caches[attempt.cache].connections[:1]:
@@ -132,7 +144,7 @@
         for attempt in request.attempts:
             if attempt in commands and not request.is_finished and request.class_name != "bid":
                 asyncio.get_running_loop().call_later(0.3, again, self, attempt)
-        plain_leave(self, request)
+        original_leave(self, request)
 
     connection.Connection.send = send  # type: ignore[method-assign]
     module.ModuleActor._leave = leave  # type: ignore[method-assign]
@@ -149,11 +161,11 @@
 
 def complete_before_cancel() -> None:
     """Complete a cancelled attempt at once, but send the cancel command to its server 0.3 s later."""
-    plain = connection.Connection.cancel
+    original = connection.Connection.cancel
 
     def cancel(self: connection.Connection, id: str, attempt: OpenAttempt, outcome: Any) -> None:
         if attempt not in self.started or attempt.request.allows_second_copy:
-            plain(self, id, attempt, outcome)
+            original(self, id, attempt, outcome)
             return
         self.open.pop(id, None)
         self.actor.ended(attempt, outcome, clock.now())
@@ -162,24 +174,27 @@
         asyncio.get_running_loop().call_later(0.3, self.writer.add, *later)
 
     connection.Connection.cancel = cancel  # type: ignore[method-assign]
-    for part in (connection, cache):
-        vars(part)["find_denial"] = lambda attempt, now_ns, is_lease_expired=False: None
+    for patched_module in (connection, cache):
+        vars(patched_module)["find_denial"] = lambda attempt, now_ns, is_lease_expired=False: None
     vars(module)["check_first_byte"] = lambda attempt, checks: None
 
 
 def end_at_second_signal() -> None:
-    plain, came = signals._came, list[int]()
+    """Exit at once at the second SIGTERM or SIGINT."""
+    original, received = signals._came, list[int]()
 
     def again(number: int, frame: Any) -> None:
-        came.append(number)
-        if sum(one in signals.ENDING for one in came) > 1:
+        received.append(number)
+        if sum(one in signals.ENDING for one in received) > 1:
             os._exit(0)
-        plain(number, frame)
+        original(number, frame)
 
     signals._came = again
 
 
 def end_at_invalid_configuration() -> None:
+    """Exit if a reload finds an invalid configuration."""
+
     def reload(self: front.Front) -> None:
         try:
             load_front(path=self.path)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -74,11 +74,9 @@
 )
 DIAL_TIMEOUTS_MS = (400, 1900)  # shorter and longer than the retransmission of a SYN takes
 DESCRIPTORS_PER_FRONT = 160  # a crowd of 80 fills the half that is for clients
-FAULT_TIMES_S, FAULTS_AT_ONCE, MAX_FAULT_OFFSET_S = (
-    (4.0, 9.0),
-    (2, 3),
-    0.8,
-)  # seconds; range of their number; seconds
+# At each of these times (seconds), a number of faults in this range begin, up to so many seconds later.
+FAULT_TIMES_S, FAULTS_AT_ONCE, MAX_FAULT_OFFSET_S = (4.0, 9.0), (2, 3), 0.8
+# Call, errors, probability of a failure, duration in seconds.
 FAILING_CALLS: tuple[tuple[str, tuple[str, ...], float, float], ...] = (
     ("accept", ("ENFILE", "EMFILE", "ENOBUFS", "ECONNABORTED", "EPROTO"), 1.0, 0.7),
     ("socket", ("ENFILE", "ENOBUFS", "EMFILE"), 1.0, 0.4),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -110,18 +110,18 @@
 
 
 def test_a_loss_of_a_fifth_drops_a_fifth_of_the_datagrams() -> None:
-    chance, way = random.Random(3), LinkConditions(loss=0.2)
-    through = sum(len(way.schedule_datagram(0, chance)) for _ in range(20_000))
-    assert 0.78 < through / 20_000 < 0.82
-    twice = LinkConditions(repeat=0.1, shuffle=0.5)
-    due = [at for _ in range(5000) for at in twice.schedule_datagram(0, chance)]
+    chance, conditions = random.Random(3), LinkConditions(loss=0.2)
+    delivered = sum(len(conditions.schedule_datagram(0, chance)) for _ in range(20_000))
+    assert 0.78 < delivered / 20_000 < 0.82
+    repeating = LinkConditions(repeat=0.1, shuffle=0.5)
+    due = [at for _ in range(5000) for at in repeating.schedule_datagram(0, chance)]
     assert 5400 < len(due) < 5600 and max(due) <= 51 * MS and sum(at > MS for at in due) > 2000
     assert LinkConditions(is_held=True).schedule_datagram(0, chance) == []
 
 
 def test_a_delayed_and_throttled_stream_keeps_its_order() -> None:
-    chance, way = random.Random(5), LinkConditions(delay_ns=10 * MS, rate_bytes_per_s=1000.0)
-    due = [way.schedule_bytes(n * MS, 100, chance) for n in range(50)]
+    chance, conditions = random.Random(5), LinkConditions(delay_ns=10 * MS, rate_bytes_per_s=1000.0)
+    due = [conditions.schedule_bytes(n * MS, 100, chance) for n in range(50)]
     assert due == sorted(due) and due[0] >= 10 * MS
     assert due[-1] - due[0] >= 49 * 100 / 1000 * SECOND * 0.99
 
@@ -195,12 +195,18 @@
 
 
 @pytest.mark.fleet(16)
-def test_the_judge_finds_each_wrong_front_by_its_rule_and_accuses_no_other(tmp_path: Path) -> None:
-    wrong = {1: "answer twice", 2: "bid repeated", 3: "past the grace", 4: "purged copy", 5: "never answers",
-             6: "claims at once", 7: "tells more than is left", 8: "begins for who left"}  # fmt: skip
+def test_the_judge_accuses_each_defective_front_by_its_rule_and_no_other(tmp_path: Path) -> None:
+    defect_by_front = {
+        1: "answer twice", 2: "bid repeated", 3: "past the grace", 4: "purged copy", 5: "never answers",
+        6: "claims at once", 7: "tells more than is left", 8: "begins for who left",
+    }  # fmt: skip
 
     def command(front: int) -> Sequence[str]:
-        return (sys.executable, "-m", "tests.mutants", wrong[front]) if front in wrong else SERVE_COMMAND
+        return (
+            (sys.executable, "-m", "tests.mutants", defect_by_front[front])
+            if front in defect_by_front
+            else SERVE_COMMAND
+        )
 
     text = f"""
 name: wrong fronts
@@ -225,8 +231,8 @@
 
 
 @pytest.mark.fleet(10)
-@pytest.mark.parametrize("right", [True, False])
-def test_a_fleet_that_overloads_cold_caches_is_accused(tmp_path: Path, right: bool) -> None:
+@pytest.mark.parametrize("is_correct", [True, False])
+def test_a_fleet_that_overloads_cold_caches_is_accused(tmp_path: Path, is_correct: bool) -> None:
     text = f"""
 name: cold
 seconds: 7
@@ -238,9 +244,9 @@
   - {{at: 1, kind: crash, part: 0.7, lasts: 0.5}}
 """
     mutant = (sys.executable, "-m", "tests.mutants", "cold pushed over")
-    run = run_fleet(tmp_path, text, lambda front: SERVE_COMMAND if right else mutant)
+    run = run_fleet(tmp_path, text, lambda front: SERVE_COMMAND if is_correct else mutant)
     assert not run.void and run.figures.rules["cold"] > 0
-    assert ("cold" in run.accused) is not right
+    assert ("cold" in run.accused) is not is_correct
 
 
 def test_rigs_that_run_at_the_same_time_share_no_port() -> None:
@@ -255,9 +261,9 @@
     """Loss, cuts and resets between two fronts, for datagrams and streams."""
 
     async def scenario() -> None:
-        plain = Rig("none", load(write_experiment(tmp_path, QUICK_EXPERIMENT)), Variant("v"), 1)
-        plain.folder, plain.broken = tmp_path, asyncio.Event()
-        net, loop = Child("relay", plain), asyncio.get_running_loop()
+        rig = Rig("none", load(write_experiment(tmp_path, QUICK_EXPERIMENT)), Variant("v"), 1)
+        rig.folder, rig.broken = tmp_path, asyncio.Event()
+        relay_process, loop = Child("relay", rig), asyncio.get_running_loop()
         received: dict[int, list[bytes]] = {0: [], 1: []}
 
         class DatagramReceiver(asyncio.DatagramProtocol):
@@ -286,12 +292,12 @@
         server = await asyncio.start_server(echo, front_address(1), port)
         try:
             plan = relay.Plan(str(tmp_path), False, 7, 2, 1, 1, 1, port, ports)
-            await net.start(relay.__name__, plan)
+            await relay_process.start(relay.__name__, plan)
             for n in (0, 1):
-                net.send(live="peers", other=n, how="open")
+                relay_process.send(live="peers", other=n, how="open")
 
             async def set_fault(**words: Any) -> None:
-                net.send(**words)
+                relay_process.send(**words)
                 await asyncio.sleep(0)
 
             def send(front: int, count: int) -> None:
@@ -343,7 +349,7 @@
             for receiver in receivers:
                 receiver.close()
             server.close()
-            await net.end()
+            await relay_process.end()
             claimed.close()
 
     def _through(receiver: Any, ports: dict[str, int], received: dict[int, list[bytes]]) -> bool:
@@ -453,13 +459,13 @@
                 lambda: len(list(temporary_folder.glob("*/notes-load-0"))) == 1,
                 "the load process has started",
             )
-            mine = child_pids(process.pid)
-            assert len(mine) == 7  # two fronts, stand-ins, three relays, load
-            os.kill(next(pid for pid in mine if "serve" in command_line_of(pid)), signal.SIGSTOP)
+            pids = child_pids(process.pid)
+            assert len(pids) == 7  # two fronts, stand-ins, three relays, load
+            os.kill(next(pid for pid in pids if "serve" in command_line_of(pid)), signal.SIGSTOP)
         finally:
             process.kill()
             await process.wait()
-        await until(lambda: not any(is_running(pid) for pid in mine), "all its processes have ended")
+        await until(lambda: not any(is_running(pid) for pid in pids), "all its processes have ended")
         await until(lambda: not list(temporary_folder.iterdir()), "its folder is removed")
 
     asyncio.run(scenario())
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -67,7 +67,7 @@
 
 @pytest.mark.fleet(12)
 @pytest.mark.parametrize("mutant", CASES)
-def test_the_judge_finds_the_wrong_fronts_of_each_trouble_and_accuses_no_other(
+def test_the_judge_accuses_the_defective_fronts_of_each_fault_and_no_other(
     tmp_path: Path, mutant: str
 ) -> None:
     rule, *faults = CASES[mutant]
