--- a/bench/idle.py
+++ b/bench/idle.py
@@ -13,9 +13,9 @@
   --seconds N    How long the active clients send requests while the others are idle [default: 10].
 
 The fronts share core 0; the holders of idle connections and the active clients run on the other cores.
-Each idle connection has sent one /ping. One active client per front requests a cached object, 8 times
-a second in all, at times fixed beforehand: latency counts from the intended time. In the storm every
-idle connection sends /ping at once. Connections, requests and duration are bounded.
+Each idle connection has sent one /ping. One active client per front requests a cached object 8 times
+a second, at times fixed beforehand: latency counts from the intended time. In the storm every idle
+connection sends /ping at once. Connections, requests and duration are bounded.
 """
 
 from __future__ import annotations
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -271,9 +271,8 @@
                 self.front = front
 
             def datagram_received(self, data: bytes, address: Any) -> None:
-                assert address[0] == pair_address(
-                    self.front, 1 - self.front
-                )  # the address of the other for it
+                # The sender has the address at which this front reaches it.
+                assert address[0] == pair_address(self.front, 1 - self.front)
                 received[self.front].append(data)
 
         claimed = PortBlock()
--- a/tests/test_soak_judge.py
+++ b/tests/test_soak_judge.py
@@ -20,9 +20,8 @@
 from tests.soak import CLASSES, DESCRIPTORS_PER_FRONT
 
 FRONTS = 4
-SLOW = (
-    "at: {0}, kind: slow, part: 1, size: 8, lasts: 4"  # so that many requests are open when the fault begins
-)
+# Slow machines keep many requests open until the other fault begins.
+SLOW = "at: {0}, kind: slow, part: 1, size: 8, lasts: 4"
 TERM = "at: {0}.5, kind: term, part: 1, lasts: 0.5"
 CASES = {
     "ends at a second signal": (
