--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -26,7 +26,7 @@
         async with Fleet(folder, count) as fleet:
             await fleet.wait_for_views(count, 60)
             await scenario(fleet)
-            assert not fleet.story.crashes and not fleet.void
+            assert not fleet.record.crashes and not fleet.void
 
     asyncio.run(run())
 
@@ -101,7 +101,7 @@
 @pytest.mark.fleet(3)
 def test_a_leave_removes_at_once_and_a_front_without_an_endpoint_logs_what_to_write(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        file = fleet.fronts[0].told
+        file = fleet.fronts[0].operators_file
         assert file is not None
         leaving = asyncio.create_task(fleet.fronts[2].term())
         await fleet.wait_for_views(2, 20, observers=(0, 1))
@@ -113,6 +113,6 @@
         await fleet.fronts[0].start()
         log = (fleet.fronts[0].folder / "log").read_text()
         assert "QP-PEERS" in log and "no endpoint for a front named 'n0'" in log
-        fleet.story.crashes.clear()  # this exit is expected
+        fleet.record.crashes.clear()  # this exit is expected
 
     run_scenario(tmp_path, scenario, 3)
