--- a/bench/idle.py
+++ b/bench/idle.py
@@ -37,7 +37,7 @@
 
 from bench.measure import cpu_of, resident_of  # noqa: E402
 from tests.fcgikit import call  # noqa: E402
-from tests.standins import Asked, Cache, Client, Front  # noqa: E402
+from tests.standins import Cache, Client, Front, ReceivedCommand  # noqa: E402
 
 EACH_MOST, CORE, RATE, PORTS = 9800, 0, 8.0, 20_000
 PING = call(1, {"SCRIPT_NAME": "/ping"})
@@ -45,8 +45,8 @@
 SNDBUF = 4096
 
 
-def ok(asked: Asked) -> None:
-    asked.data(b"x" * 2000)
+def ok(asked: ReceivedCommand) -> None:
+    asked.respond_with_data(b"x" * 2000)
 
 
 def kernel_memory() -> int:
@@ -140,7 +140,7 @@
         client, id = clients[n % len(clients)], (first + n) % 60_000 + 2
         done = loop.create_future()
         client.waiting[id] = done
-        client.ask(id, HTTP_X_N=str(n % 20), HTTP_X_JOB_ID=f"{first + n:016x}")
+        client.send_request(id, HTTP_X_N=str(n % 20), HTTP_X_JOB_ID=f"{first + n:016x}")
         await done
         histogram.record_value(max(int((loop.time() - due) * 1e6), 1))
 
@@ -158,8 +158,8 @@
 
     async def _read(self) -> None:
         while data := await self.reader.read(65536):
-            self.records.feed(data)
-            got = self.records.got
+            self.response_reader.feed(data)
+            got = self.response_reader.got
             for id in [id for id in self.waiting if id in got and got[id].ended is not None]:
                 self.waiting.pop(id).set_result(None)
                 del got[id]
@@ -179,13 +179,13 @@
                 place = Path(folder) / str(n)
                 place.mkdir()
                 front = Front(place, {name: Cache(ok) for name in ("s-1", "p-1", "o-1")})
-                front.root, front.optimized = root, True
+                front.checkout, front.is_optimized = root, True
                 await front.start(limits={"cores": 1.0, "memory_mb": 2000, "sockets": PORTS - 10})
                 assert front.process is not None
                 os.sched_setaffinity(front.process.pid, {CORE})
                 started.append(front)
             pids = [front.process.pid for front in started if front.process is not None]
-            clients = [await Watched.to(front.address) for front in started]
+            clients = [await Watched.connect(front.address) for front in started]
             await active(clients, 2, 0)  # what is asked is in the caches, and known to be
             memory, slab = sum(map(resident_of, pids)), kernel_memory()
             for n, front in enumerate(started):
--- a/bench/off.py
+++ b/bench/off.py
@@ -28,32 +28,32 @@
 from docopt import docopt  # noqa: E402
 
 from bench.measure import cpu_of, resident_of  # noqa: E402
-from tests.standins import Asked, Cache, Client, Front  # noqa: E402
+from tests.standins import Cache, Client, Front, ReceivedCommand  # noqa: E402
 
 CONNECTIONS, OPEN_EACH = 16, 8
 CORE = 0  # the front's; everything else is kept off it
 
 
-def ok(asked: Asked) -> None:
-    asked.data(b"x" * 2000)
+def ok(asked: ReceivedCommand) -> None:
+    asked.respond_with_data(b"x" * 2000)
 
 
 async def ask(client: Client, first: int, count: int) -> None:
     for at in range(first, first + count, OPEN_EACH):
         batch = range(at, min(at + OPEN_EACH, first + count))
         for n in batch:
-            client.ask(n % 60_000 + 1, HTTP_X_N=str(n % 50), HTTP_X_JOB_ID=f"{n:016x}")
+            client.send_request(n % 60_000 + 1, HTTP_X_N=str(n % 50), HTTP_X_JOB_ID=f"{n:016x}")
         for n in batch:
-            got = await client.ended(n % 60_000 + 1)
+            got = await client.wait_for_response(n % 60_000 + 1)
             assert got.ended is not None
-            del client.records.got[n % 60_000 + 1]
+            del client.response_reader.got[n % 60_000 + 1]
 
 
 async def run(root: Path, requests: int) -> tuple[float, int, int]:
     """CPU in microseconds a request, KiB at the start and at the end."""
     with tempfile.TemporaryDirectory() as folder:
         front = Front(Path(folder), {name: Cache(ok) for name in ("s-1", "s-2", "p-1", "o-1")})
-        front.root, front.optimized = root, True
+        front.checkout, front.is_optimized = root, True
         try:
             await front.start()
             assert front.process is not None
@@ -62,7 +62,7 @@
             os.sched_setaffinity(0, set(range(os.cpu_count() or 1)) - {CORE} or {CORE})
             await asyncio.sleep(0.3)
             start, memory = cpu_of(pid), resident_of(pid) // 1024
-            clients = [await front.client() for _ in range(CONNECTIONS)]
+            clients = [await front.connect_client() for _ in range(CONNECTIONS)]
             each = requests // CONNECTIONS
             await asyncio.gather(*(ask(c, n * each, each) for n, c in enumerate(clients)))
             return (cpu_of(pid) - start) / (each * CONNECTIONS) * 1e6, memory, resident_of(pid) // 1024
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -27,7 +27,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.wire.changelog import BadRecord, read_changes
 from tests.frontkit import Inbox, host, open_request, raw_config
-from tests.loopback import EACH, own_port
+from tests.loopback import SHARED_PORTS_PER_BLOCK, allocate_port
 from tests.standins import until
 
 BUDGET = MemoryBudget(max_buffers=4000, max_body_bytes=1 << 24, max_open_requests=8192)
@@ -39,12 +39,12 @@
     """Its doors are shut and opened again, so their ports are its own."""
 
     def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
-        left = EACH
+        left = SHARED_PORTS_PER_BLOCK
         if text or kind == "unix":
             return super()._listen(kind, text, backlog)
         while True:  # all of them are ours, yet one may still be held by a test that failed
             try:
-                return super()._listen(kind, f"{kind}:{own_port()}", backlog)
+                return super()._listen(kind, f"{kind}:{allocate_port()}", backlog)
             except OSError as error:
                 if error.errno != errno.EADDRINUSE or not (left := left - 1):
                     raise
--- a/tests/limitkit.py
+++ b/tests/limitkit.py
@@ -49,24 +49,26 @@
 
 def counters(front: Front) -> dict[str, int]:
     """As the front tells them at its end."""
-    line = next(line for line in front.lines if "counters: " in line and " stopped: " in line)
+    line = next(line for line in front.log_lines if "counters: " in line and " stopped: " in line)
     text = line.partition("counters: ")[2]
     return {m[1]: int(m[2]) for m in re.finditer(r"(?:^|, )([^,]+?) (\d+)(?=, |$)", text)}
 
 
 async def more_machines(front: Front, count: int) -> None:
     """The list tells of so many caches more, all at the address of the first."""
-    known, address = len(front.log.since), front.caches["s-1"].address
-    seq = front.log.add(
+    known, address = len(front.change_log.poll_positions), front.caches["s-1"].address
+    seq = front.change_log.add_event(
         fleet={"seq": 1, "whole": False, "hosts": [host(f"s-{n + 2}", address) for n in range(count)]}
     )
-    await until(lambda: any(since >= seq for since in front.log.since[known:]), "the list is heard")
+    await until(
+        lambda: any(since >= seq for since in front.change_log.poll_positions[known:]), "the list is heard"
+    )
 
 
 async def ended(front: Front) -> dict[str, int]:
     """End the front as a planned restart does; its counters."""
-    front.signal(signal.SIGTERM)
-    assert await front.code() == 0, front.lines
+    front.send_signal(signal.SIGTERM)
+    assert await front.wait_for_exit() == 0, front.log_lines
     return counters(front)
 
 
@@ -74,10 +76,10 @@
     """So many clients that have asked once, were answered, and rest."""
     found = []
     for _ in range(count):
-        found.append(await front.client())
+        found.append(await front.connect_client())
         found[-1].send(ping(1))
     for client in found:
-        await until(lambda c=client: 1 in c.records.order or c.closed, "a ping is answered")  # type: ignore[misc]
+        await until(lambda c=client: 1 in c.response_reader.order or c.is_closed, "a ping is answered")  # type: ignore[misc]
     return found
 
 
@@ -92,17 +94,19 @@
     """Start the front with so many descriptors for its own account and for the system's, play, end it."""
 
     async def run() -> None:
-        front = Front(folder, {name: Cache(behaviour) for name, behaviour in caches.items()}, optimized=True)
+        front = Front(
+            folder, {name: Cache(behaviour) for name, behaviour in caches.items()}, is_optimized=True
+        )
         try:
             limits = {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}
             await front.start(wait=False, limits=limits, **changes)
             assert front.process is not None
             resource.prlimit(front.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
-            await until(lambda: front.logged(" serves on ") or front.ended, "the front serves")
-            assert not front.ended, front.lines
+            await until(lambda: front.has_logged(" serves on ") or front.has_exited, "the front serves")
+            assert not front.has_exited, front.log_lines
             await scenario(front)
         finally:
-            print(*front.lines[-25:], sep="\n")  # shown where the test fails
+            print(*front.log_lines[-25:], sep="\n")  # shown where the test fails
             await front.stop()
 
     asyncio.run(run())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,10 @@
 
 FROM, BLOCKS, SIZE = 127 << 24 | 8 << 16, 128, 1 << 12
 PORTS = range(5050, 30_000)  # at a block's addresses
-SHARED, EACH = 30_000, 20  # 127.0.0.1 and ::1 are of all: there each block has so many ports, from here on
+SHARED, SHARED_PORTS_PER_BLOCK = (
+    30_000,
+    20,
+)  # 127.0.0.1 and ::1 are of all: there each block has so many ports, from here on
 # All are below those that the system gives to connections.
 
 
@@ -53,14 +56,16 @@
 @functools.cache
 def _ports() -> Iterator[int]:
     block = (_block()[0] - FROM) // SIZE
-    return itertools.cycle(range(SHARED + block * EACH, SHARED + (block + 1) * EACH))
+    return itertools.cycle(
+        range(SHARED + block * SHARED_PORTS_PER_BLOCK, SHARED + (block + 1) * SHARED_PORTS_PER_BLOCK)
+    )
 
 
-def own_address() -> tuple[str, int]:
+def allocate_address() -> tuple[str, int]:
     """Where nobody listens, and nobody will who was not told of it."""
     return next(_addresses())
 
 
-def own_port() -> int:
+def allocate_port() -> int:
     """At 127.0.0.1 and ::1; the first comes again after the last."""
     return next(_ports())
--- a/tests/packages.py
+++ b/tests/packages.py
@@ -35,7 +35,7 @@
 
 
 @functools.cache
-def is_of(file: Path, package: str) -> bool:
+def belongs_to(file: Path, package: str) -> bool:
     words = re.split(r"[/_]", str(file.relative_to(TESTS).with_suffix("")))
     return set(package.split(".")) <= set(words) or any(
         f"{name}.".startswith(f"{package}.") for name in imported(file)
@@ -56,4 +56,4 @@
     package = config.getoption("package")
     if package is None or not re.fullmatch(r"test_\w+\.py", collection_path.name):
         return None  # others may say
-    return None if is_of(collection_path, package) else True
+    return None if belongs_to(collection_path, package) else True
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,20 +16,20 @@
 
 from tests.fcgikit import Got, Reader, call, params
 from tests.frontkit import host, raw_config
-from tests.loopback import own_address
+from tests.loopback import allocate_address
 
-PATIENCE = 30.0  # seconds after which a test gives up; nothing is measured by it
+TEST_TIMEOUT_S = 30.0  # seconds after which a test gives up; nothing is measured by it
 
 
 async def until(holds: Callable[[], bool], what: str) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not holds():
             await asyncio.sleep(0.005)
     assert holds(), what
 
 
 @dataclass
-class Asked:
+class ReceivedCommand:
     """One `serve` command as a cache got it."""
 
     id: str
@@ -37,33 +37,33 @@
     body: bytes
     writer: asyncio.StreamWriter
 
-    def answer(self, word: str, body: bytes = b"", fields: str = "-") -> None:
+    def respond(self, word: str, body: bytes = b"", fields: str = "-") -> None:
         self.writer.write(f"{self.id} {word} {fields} {len(body)}\r\n".encode() + body + b"\r\n")
 
-    def data(self, body: bytes = b"bytes", how: str = "local") -> None:
+    def respond_with_data(self, body: bytes = b"bytes", how: str = "local") -> None:
         minted = time.time_ns() // 1_000_000
-        self.answer("data", body, f"tag=4be0c1927d55a6f3,minted={minted},how={how},lag=1")
+        self.respond("data", body, f"tag=4be0c1927d55a6f3,minted={minted},how={how},lag=1")
 
-    def reset(self) -> None:
+    def abort_connection(self) -> None:
         self.writer.transport.abort()
 
 
-Behaviour = Callable[[Asked], None]
+Behaviour = Callable[[ReceivedCommand], None]
 
 
 class Cache:
     def __init__(self, behaviour: Behaviour) -> None:
         self.behaviour = behaviour
-        self.asked: list[Asked] = []
-        self.cancelled: list[str] = []
-        self.probed: list[str] = []
-        self.health = "well"
-        self.connections = self.open = 0
-        self.reset_new = 0  # so many connections are reset as they come
+        self.commands: list[ReceivedCommand] = []
+        self.cancelled_ids: list[str] = []
+        self.probe_commands: list[str] = []
+        self.health_response = "well"
+        self.accepted_count = self.open_count = 0
+        self.connections_to_reset = 0  # so many connections are reset as they come
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        self.server = await asyncio.start_server(self._serve, *own_address())
+        self.server = await asyncio.start_server(self._serve, *allocate_address())
 
     @property
     def address(self) -> str:
@@ -71,31 +71,31 @@
         return "{}:{}".format(*self.server.sockets[0].getsockname())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
-        if self.reset_new:
-            self.reset_new -= 1
+        self.accepted_count += 1
+        if self.connections_to_reset:
+            self.connections_to_reset -= 1
             writer.transport.abort()
             return
-        self.open += 1
+        self.open_count += 1
         try:
             while line := await reader.readline():
                 words = line.decode().rstrip("\r\n").split(" ")
                 if words[0] == "cancel":
-                    self.cancelled.append(words[1])
+                    self.cancelled_ids.append(words[1])
                 elif words[0] in ("health", "gauges"):
-                    self.probed.append(words[0])
+                    self.probe_commands.append(words[0])
                     stats = "stats=util:0.61;x0:0.4" if words[0] == "gauges" else "-"
-                    writer.write(f"{words[1]} {self.health} {stats} 0\r\n\r\n".encode())
+                    writer.write(f"{words[1]} {self.health_response} {stats} 0\r\n\r\n".encode())
                 elif words[0] == "serve":
                     body = (await reader.readexactly(int(words[3]) + 2))[:-2]
                     fields = dict(item.split("=", 1) for item in words[2].split(","))
-                    asked = Asked(words[1], fields, body, writer)
-                    self.asked.append(asked)
+                    asked = ReceivedCommand(words[1], fields, body, writer)
+                    self.commands.append(asked)
                     self.behaviour(asked)
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
         finally:
-            self.open -= 1
+            self.open_count -= 1
             writer.close()
 
 
@@ -104,27 +104,27 @@
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
-        self.since: list[int] = []
-        self.broken: list[bytes] = []
-        self.changed, self.stalled = asyncio.Event(), asyncio.Event()
-        self.stopped = False  # a poll that comes while this is set is never answered
-        self.late = 0.0  # seconds that each answer takes
+        self.poll_positions: list[int] = []
+        self.raw_responses: list[bytes] = []
+        self.event_added, self.poll_stalled = asyncio.Event(), asyncio.Event()
+        self.is_stopped = False  # a poll that comes while this is set is never answered
+        self.response_delay_s = 0.0  # seconds that each answer takes
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        self.server = await asyncio.start_server(self._serve, *own_address())
+        self.server = await asyncio.start_server(self._serve, *allocate_address())
 
     @property
     def address(self) -> str:
         assert self.server is not None
         return "{}:{}".format(*self.server.sockets[0].getsockname())
 
-    def add(self, **event: Any) -> int:
+    def add_event(self, **event: Any) -> int:
         self.events.append({"seq": len(self.events) + 1} | event)
-        self.changed.set()
+        self.event_added.set()
         return len(self.events)
 
-    def known(self) -> dict[str, Any]:
+    def make_snapshot(self) -> dict[str, Any]:
         return {"seq": len(self.events), "results": list(self.events)}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -134,23 +134,23 @@
                     pass
                 asked = parse_qs(urlsplit(line.decode().split(" ")[1]).query)
                 since = int(asked["since"][0])
-                self.since.append(since)
-                if self.stopped:
-                    self.stalled.set()
+                self.poll_positions.append(since)
+                if self.is_stopped:
+                    self.poll_stalled.set()
                     await reader.read()
                     return
-                if self.broken:
-                    writer.write(self.broken.pop(0))
+                if self.raw_responses:
+                    writer.write(self.raw_responses.pop(0))
                     writer.close()
                     return
                 if len(self.events) <= since:
-                    self.changed.clear()
+                    self.event_added.clear()
                     try:
                         async with asyncio.timeout(int(asked["timeout"][0]) / 1000):
-                            await self.changed.wait()
+                            await self.event_added.wait()
                     except TimeoutError:
                         pass
-                await asyncio.sleep(self.late)
+                await asyncio.sleep(self.response_delay_s)
                 later = [event for event in self.events if event["seq"] > since]
                 body = json.dumps({"seq": len(self.events), "results": later}).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -164,35 +164,37 @@
     """One FastCGI connection to the front."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.records, self.closed = reader, writer, Reader(), False
-        self.task = asyncio.create_task(self._read())
+        self.reader, self.writer, self.response_reader, self.is_closed = reader, writer, Reader(), False
+        self.read_task = asyncio.create_task(self._read())
 
     @classmethod
-    async def to(cls, address: tuple[str, int], limit: int = 1 << 16) -> Self:
+    async def connect(cls, address: tuple[str, int], limit: int = 1 << 16) -> Self:
         return cls(*await asyncio.open_connection(*address, limit=limit))
 
     async def _read(self) -> None:
         try:
             while data := await self.reader.read(65536):
-                self.records.feed(data)
+                self.response_reader.feed(data)
         except ConnectionError:
             pass
-        self.closed = True
+        self.is_closed = True
 
     def send(self, data: bytes) -> None:
         self.writer.write(data)
 
-    def ask(self, request: int, cls: str = "lot-image", body: bytes = b"", **changes: str | None) -> None:
+    def send_request(
+        self, request: int, cls: str = "lot-image", body: bytes = b"", **changes: str | None
+    ) -> None:
         self.send(call(request, params(f"{request:016x}", cls, **changes), body))
 
-    async def ended(self, request: int) -> Got:
-        got = self.records.got.setdefault(request, Got())
-        await until(lambda: got.ended is not None or self.closed, f"request {request} ends")
+    async def wait_for_response(self, request: int) -> Got:
+        got = self.response_reader.got.setdefault(request, Got())
+        await until(lambda: got.ended is not None or self.is_closed, f"request {request} ends")
         assert got.ended is not None, "the connection ended first"
         return got
 
     async def close(self) -> None:
-        self.task.cancel()
+        self.read_task.cancel()
         self.writer.close()
 
 
@@ -202,47 +204,50 @@
 
     folder: Path
     caches: dict[str, Cache]
-    log: ChangeLog = field(default_factory=ChangeLog)
+    change_log: ChangeLog = field(default_factory=ChangeLog)
     config: dict[str, Any] = field(default_factory=dict)
     process: asyncio.subprocess.Process | None = None
     address: tuple[str, int] = ("127.0.0.1", 0)
-    lines: list[str] = field(default_factory=list)
+    log_lines: list[str] = field(default_factory=list)
     clients: list[Client] = field(default_factory=list)
-    operator: Path | None = None  # an operators' file
-    root: Path | None = None  # of the checkout that is run, where not this one
-    optimized: bool = False  # as it is run in service
+    operator_file: Path | None = None  # an operators' file
+    checkout: Path | None = None  # of the checkout that is run, where not this one
+    is_optimized: bool = False  # as it is run in service
     fault: str = ""  # of tests/mutants.py, with which it is run
     plan: str = ""  # of tests/faulty_front.py: what fails around it
-    reading: asyncio.Task[None] | None = None
+    log_task: asyncio.Task[None] | None = None
 
     async def start(self, wait: bool = True, **changes: Any) -> None:
         if not self.config:
             for cache in self.caches.values():
                 await cache.start()
-            await self.log.start()
+            await self.change_log.start()
             kinds = {"p": "parent", "o": "origin"}
             hosts = [host(n, c.address, kinds.get(n[0], "std")) for n, c in self.caches.items()]
-            self.log.add(fleet={"seq": 0, "whole": True, "hosts": hosts})
-            self.address = own_address()
+            self.change_log.add_event(fleet={"seq": 0, "whole": True, "hosts": hosts})
+            self.address = allocate_address()
             self.config = raw_config(
-                listen="{}:{}".format(*self.address), changelog=self.log.address, known=self.log.known()
+                listen="{}:{}".format(*self.address),
+                changelog=self.change_log.address,
+                known=self.change_log.make_snapshot(),
             )
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.config | changes))
         environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
-        named = ["--operator", str(self.operator)] if self.operator else []
-        python = [sys.executable, *(["-O"] if self.optimized else [])]
+        named = ["--operator", str(self.operator_file)] if self.operator_file else []
+        python = [sys.executable, *(["-O"] if self.is_optimized else [])]
         self.process = await asyncio.create_subprocess_exec(
-            *python, "-m", *self.program, *named, cwd=self.root,
+            *python, "-m", *self.program, *named, cwd=self.checkout,
             env=environment | {"ROUTER_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
-        self.reading = asyncio.create_task(self._log(self.process))
+        self.log_task = asyncio.create_task(self._log(self.process))
         if wait:
             await until(
-                lambda: any("serves" in line or "front_serving" in line for line in self.lines) or self.ended,
+                lambda: any("serves" in line or "front_serving" in line for line in self.log_lines)
+                or self.has_exited,
                 "the front serves",
             )
-            assert not self.ended, self.lines
+            assert not self.has_exited, self.log_lines
 
     @property
     def program(self) -> tuple[str, ...]:
@@ -251,40 +256,40 @@
         return ("tests.mutants", self.fault) if self.fault else ("quincepier", "serve")
 
     @property
-    def ended(self) -> bool:
+    def has_exited(self) -> bool:
         return self.process is None or self.process.returncode is not None
 
     async def _log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := await process.stderr.readline():
-            self.lines.append(line.decode().rstrip())
+            self.log_lines.append(line.decode().rstrip())
 
-    def logged(self, text: str) -> bool:
-        return any(text in line for line in self.lines)
+    def has_logged(self, text: str) -> bool:
+        return any(text in line for line in self.log_lines)
 
-    async def client(self) -> Client:
-        client = await Client.to(self.address)
+    async def connect_client(self) -> Client:
+        client = await Client.connect(self.address)
         self.clients.append(client)
         return client
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         assert self.process is not None
         self.process.send_signal(number)
 
-    async def code(self) -> int:
-        assert self.process is not None and self.reading is not None
-        async with asyncio.timeout(PATIENCE):
+    async def wait_for_exit(self) -> int:
+        assert self.process is not None and self.log_task is not None
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             code = await self.process.wait()
-            await self.reading
+            await self.log_task
         return code
 
     async def stop(self) -> None:
         for client in self.clients:
             await client.close()
-        if not self.ended:
-            self.signal(signal.SIGKILL)
-            await self.code()
-        for server in (*(cache.server for cache in self.caches.values()), self.log.server):
+        if not self.has_exited:
+            self.send_signal(signal.SIGKILL)
+            await self.wait_for_exit()
+        for server in (*(cache.server for cache in self.caches.values()), self.change_log.server):
             if server is not None:
                 server.close()
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -227,9 +227,9 @@
         await until(lambda: len(ended()) == 2, "both probes end")
         well, refused = ended()[number("s-1")], ended()[number("s-2")]
         assert (well.ending, refused.ending) == (AttemptOutcome.OK, AttemptOutcome.CONNECT_FAILED)
-        assert cache.probed == ["gauges" if how == "on_probe" else "health"]
+        assert cache.probe_commands == ["gauges" if how == "on_probe" else "health"]
         assert well.report == ((0.61, 0.4) if how == "on_probe" else ())
-        cache.health = "ill"
+        cache.health_response = "ill"
         router.events.clear()
         actor._perform(io.SendHealthCheck(number("s-1")), clock.now())
         await until(lambda: len(ended()) == 1, "the third ends")
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -21,7 +21,7 @@
 from quincepier.config import FrontConfig, SettingsError, load_front, reloaded
 from quincepier.lifecycle.front import Front as WholeFront
 from tests.frontkit import make_config, raw_config
-from tests.standins import PATIENCE, Asked, Front, play, until
+from tests.standins import TEST_TIMEOUT_S, Front, ReceivedCommand, play, until
 
 WIDE = "9" * 400  # digits: an integer that no float can hold
 JUNK: list[Any] = [
@@ -182,7 +182,7 @@
         async def one(n: int, spoil: Callable[[Path], None]) -> tuple[int | None, str]:
             path = tmp_path / f"{n}.json"
             spoil(path)
-            async with turn, asyncio.timeout(PATIENCE):
+            async with turn, asyncio.timeout(TEST_TIMEOUT_S):
                 process = await asyncio.create_subprocess_exec(
                     sys.executable, "-m", "quincepier", "serve",
                     env=environment | {"ROUTER_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
@@ -197,29 +197,29 @@
         assert f"{n}.json" in told and named in told and SettingsError.remedy in told, (n, told)
 
 
-def data(asked: Asked) -> None:
-    asked.data()
+def data(asked: ReceivedCommand) -> None:
+    asked.respond_with_data()
 
 
 def test_at_sighup_the_old_settings_stay_and_the_front_serves(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client, path = await front.client(), front.folder / "config.json"
+        client, path = await front.connect_client(), front.folder / "config.json"
         for n, (spoil, named) in enumerate(CASES, 1):
             clear(path)
             spoil(path)
-            front.signal(signal.SIGHUP)
+            front.send_signal(signal.SIGHUP)
             await until(lambda n=n: len(refusals(front)) == n, "it says why")  # type: ignore[misc]
             assert named in refusals(front)[-1] and "config.json" in refusals(front)[-1]
-            client.ask(n)
-            assert (await client.ended(n)).status == 200
+            client.send_request(n)
+            assert (await client.wait_for_response(n)).status == 200
         path.write_text(json.dumps(front.config))
-        front.signal(signal.SIGHUP)
-        await until(lambda: front.logged("configuration reloaded: nothing"), "a good one is taken")
-        front.signal(signal.SIGTERM)
-        assert await front.code() == 0 and not front.logged("Traceback")
+        front.send_signal(signal.SIGHUP)
+        await until(lambda: front.has_logged("configuration reloaded: nothing"), "a good one is taken")
+        front.send_signal(signal.SIGTERM)
+        assert await front.wait_for_exit() == 0 and not front.has_logged("Traceback")
 
     play(tmp_path, {"s-1": data, "p-1": data, "o-1": data}, scenario)
 
 
 def refusals(front: Front) -> list[str]:
-    return [line for line in front.lines if "configuration_rejected" in line]
+    return [line for line in front.log_lines if "configuration_rejected" in line]
--- a/tests/test_cold_processes.py
+++ b/tests/test_cold_processes.py
@@ -12,8 +12,8 @@
 import pytest
 
 from tests.frontkit import SETTINGS, host, raw_config
-from tests.loopback import own_address
-from tests.standins import Asked, Cache, Client, Front, until
+from tests.loopback import allocate_address
+from tests.standins import Cache, Client, Front, ReceivedCommand, until
 
 FRONTS, WORK = 6, 0.25  # processes; seconds of a request, as the settings let them guess
 COLD, SHARE, MULTIPLE = "s-1", 0.2, 2.5  # the machine that starts; of its size at first; beyond it falls
@@ -32,12 +32,12 @@
             (folder / f"{n}").mkdir()
             self.fronts.append(Front(folder / f"{n}", self.caches, fault=fault))
 
-    def asked(self, name: str) -> Callable[[Asked], None]:
-        def answer(asked: Asked) -> None:
+    def asked(self, name: str) -> Callable[[ReceivedCommand], None]:
+        def answer(asked: ReceivedCommand) -> None:
             front = int(asked.fields["key"][:2], 16)
             if name == COLD and front in self.told:
                 self.sends.append((time.time(), front))
-            asked.data(how="pulled")
+            asked.respond_with_data(how="pulled")
 
         return answer
 
@@ -56,15 +56,17 @@
         for cache in self.caches.values():
             await cache.start()
         for n, front in enumerate(self.fronts):
-            await front.log.start()
-            front.log.add(fleet={"seq": 0, "whole": True, "hosts": [self.host(c) for c in self.caches]})
-            front.address = own_address()
+            await front.change_log.start()
+            front.change_log.add_event(
+                fleet={"seq": 0, "whole": True, "hosts": [self.host(c) for c in self.caches]}
+            )
+            front.address = allocate_address()
             front.config = raw_config(
                 name=f"n{n}", listen="{}:{}".format(*front.address), seed=f"{n + 1:016x}",
-                changelog=front.log.address, known=front.log.known(), settings=settings,
+                changelog=front.change_log.address, known=front.change_log.make_snapshot(), settings=settings,
             )  # fmt: skip
         await asyncio.gather(*(front.start() for front in self.fronts))
-        self.clients = [await front.client() for front in self.fronts]
+        self.clients = [await front.connect_client() for front in self.fronts]
 
     def host(self, name: str, **changes: object) -> dict[str, object]:
         return host(name, self.caches[name].address, KINDS.get(name[0], "std"), share=self.size, **changes)
@@ -73,10 +75,10 @@
         """They hear of the start; what they write later comes after two answers of caches."""
         for n in fronts:
             new = self.host(COLD, born_ms=int(self.born * 1000))
-            self.fronts[n].log.add(fleet={"seq": 1, "whole": False, "hosts": [new]})
+            self.fronts[n].change_log.add_event(fleet={"seq": 1, "whole": False, "hosts": [new]})
         for n in fronts:
-            log = self.fronts[n].log
-            await until(lambda log=log: log.since[-1] == len(log.events), "the start is told")  # type: ignore[misc]
+            log = self.fronts[n].change_log
+            await until(lambda log=log: log.poll_positions[-1] == len(log.events), "the start is told")  # type: ignore[misc]
         await asyncio.gather(*(self.ask(n, 2) for n in fronts))
         self.told |= set(fronts)
 
@@ -86,8 +88,8 @@
             self.count[n] = number = self.count[n] + 1
             job = f"{n + 1:04x}{number:012x}"
             item = f"{n:02x}{number * 0x9E3779B97F4A7C15 % (1 << 56):014x}"
-            self.clients[n].ask(number % 30000, HTTP_X_JOB_ID=job, HTTP_X_ITEM=item)
-            await self.clients[n].ended(number % 30000)
+            self.clients[n].send_request(number % 30000, HTTP_X_JOB_ID=job, HTTP_X_ITEM=item)
+            await self.clients[n].wait_for_response(number % 30000)
 
     async def load(self, seconds: float) -> None:
         """Each front is asked again as soon as it has answered."""
@@ -115,7 +117,7 @@
         try:
             await story.start()
             await scenario()
-            assert not any(front.ended for front in story.fronts)
+            assert not any(front.has_exited for front in story.fronts)
         finally:
             for front in story.fronts:
                 await front.stop()
@@ -124,9 +126,7 @@
 
 
 @pytest.mark.parametrize("fault", ["", "cold pushed over"])
-def test_fronts_that_were_told_keep_to_the_budget_whatever_the_others_send(
-    tmp_path: Path, fault: str
-) -> None:
+def test_notified_fronts_keep_to_the_budget_whatever_the_others_send(tmp_path: Path, fault: str) -> None:
     """Under load three hear of a start at once and three later; it starts anew meanwhile, told alike."""
     story = Story(tmp_path, size=2.0, window=0.5, warm=6.0, fault=fault)
 
@@ -146,7 +146,7 @@
     played(story, scenario)
 
 
-def test_what_processes_saved_up_while_nothing_was_asked_does_not_add_up(tmp_path: Path) -> None:
+def test_budget_saved_by_idle_processes_does_not_add_up(tmp_path: Path) -> None:
     """All hear of a start, ask a little and then nothing for a while; then clients come to all at once."""
     story = Story(tmp_path, size=5 / 3, window=0.3, warm=60.0)
 
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -23,7 +23,7 @@
 from quincepier.net.sockets import connect as plain
 from quincepier.wire.changelog import FleetChange, read_changes
 from tests.frontkit import Inbox, host, open_request, raw_config
-from tests.standins import Asked, Cache, until
+from tests.standins import Cache, ReceivedCommand, until
 from tests.virtual import run, unix_ms
 
 Hosts = list[dict[str, Any]]
@@ -33,7 +33,7 @@
     """A front before stand-ins; of each `serve` it is known over which connection it came."""
 
     def __init__(self, patch: pytest.MonkeyPatch, *names: str) -> None:
-        self.caches = {name: Cache(Asked.data) for name in names}
+        self.caches = {name: Cache(ReceivedCommand.respond_with_data) for name in names}
         self.inbox, self.number, self.seq = Inbox(), 0, 2
         self.held: dict[tuple[str, int], list[asyncio.Event]] = {}
         self.dialled: list[Any] = []  # the front's ends, as the machines see them
@@ -104,7 +104,7 @@
 
     def over(self, name: str) -> list[Any]:
         """By which of the front's ends each `serve` came to a machine."""
-        return [asked.writer.get_extra_info("peername") for asked in self.caches[name].asked]
+        return [asked.writer.get_extra_info("peername") for asked in self.caches[name].commands]
 
     async def end(self) -> None:
         self.upkeep.cancel()
@@ -158,12 +158,12 @@
     async def story(place: Place) -> None:
         place.ask(3)
         await place.answered(3)
-        before = len(place.caches["s-1"].asked)
+        before = len(place.caches["s-1"].commands)
         place.tell(*told(place))
         await asyncio.sleep(1)  # of virtual time: what is off the list is swept away
         place.ask(5)
         assert [answer.status for answer in await place.answered(8)] == [200] * 8
-        assert len(place.caches["s-1"].asked) == before + 5
+        assert len(place.caches["s-1"].commands) == before + 5
 
     play(monkeypatch, story)
 
@@ -190,12 +190,12 @@
         place.caches["s-1"].behaviour = lambda asked: None  # else that connection took one after the other
         place.ask(8)
         await until(lambda: bool(held), "attempts wait in dials, and one is out over the connection")
-        place.caches["s-1"].behaviour = Asked.data
+        place.caches["s-1"].behaviour = ReceivedCommand.respond_with_data
         place.tell(*TAKEN[order](place))
         place.ask(4)
         await asyncio.sleep(0.01)
         before = set(place.dialled)
-        place.caches["s-1"].asked.clear()
+        place.caches["s-1"].commands.clear()
         place.let_through()
         assert [answer.status for answer in await place.answered(13)] == [200] * 13
         module, new = place.front.module, place.front.module.directory.assign_number("s-9")
@@ -203,7 +203,7 @@
             module.directory.host_by_number.get(number) for number in module.router.placement.table.by_id
         }
         assert known == {"s-9", "p-1", "o-1"} and module.caches[new].out == {}
-        assert len(place.caches["s-1"].asked) == 12, "the new one serves them"
+        assert len(place.caches["s-1"].commands) == 12, "the new one serves them"
         assert not before & set(place.over("s-1")), "over a connection that was the old one's"
         live = {c.sock.getsockname() for c in module.caches[new].connections if c.sock is not None}
         assert set(place.over("s-1")) <= live, "over a dial that was the old one's"
@@ -235,14 +235,14 @@
         cache = place.caches["s-1"]
         cache.behaviour = lambda asked: None
         place.ask(1)
-        await until(lambda: len(cache.asked) == 1, "it is out")
+        await until(lambda: len(cache.commands) == 1, "it is out")
         place.tell([gone(place, "s-1"), place.host("s-9", "s-1", born_ms=warm())])
-        await until(lambda: len(cache.asked) == 2, "it is sent to the new one")
-        old, new = cache.asked
-        old.data(b"of the old one")
+        await until(lambda: len(cache.commands) == 2, "it is sent to the new one")
+        old, new = cache.commands
+        old.respond_with_data(b"of the old one")
         await asyncio.sleep(0.05)
         assert not place.inbox.got
-        new.data(b"of the new one")
+        new.respond_with_data(b"of the new one")
         (answer,) = await place.answered(1)
         assert answer.status == 200 and answer.body is not None
         assert b"".join(bytes(piece) for piece in answer.body.chunks()) == b"of the new one"
@@ -261,7 +261,7 @@
         await asyncio.sleep(0.01)
         place.let_through()
         assert [answer.status for answer in await place.answered(4)] == [200] * 4
-        assert not place.caches["s-1"].asked
+        assert not place.caches["s-1"].commands
 
     play(monkeypatch, story, "s-1 s-2 p-1 o-1")
 
@@ -284,8 +284,8 @@
         await asyncio.sleep(0.01)
         place.let_through()
         await place.answered(212)
-        counts[0] = len(place.caches["s-1"].asked)
-        counts[1] = sum(asked.fields.get("via") == "p-1" for asked in place.caches["s-2"].asked)
+        counts[0] = len(place.caches["s-1"].commands)
+        counts[1] = sum(asked.fields.get("via") == "p-1" for asked in place.caches["s-2"].commands)
 
     play(patch, story, "s-1 s-2 p-1 p-2 o-1")
     return counts[0], counts[1]
--- a/tests/test_crossings_drain.py
+++ b/tests/test_crossings_drain.py
@@ -16,8 +16,8 @@
 from quincepier.net.messages import Came
 from quincepier.net.sockets import listen
 from tests.fcgikit import Reader, begin, call, params
-from tests.loopback import own_address
-from tests.standins import Asked, Front, play, until
+from tests.loopback import allocate_address
+from tests.standins import Front, ReceivedCommand, play, until
 from tests.test_crossings_client import LATE, Peer, between, give, taken
 from tests.test_front import fleet
 from tests.test_idle import PING, make_manager, on_loop
@@ -40,7 +40,7 @@
 
 
 def listening(manager: ConnectionManager) -> tuple[Listener, tuple[str, int]]:
-    sock = listen(own_address())
+    sock = listen(allocate_address())
     return Listener(manager, sock), sock.getsockname()
 
 
@@ -183,14 +183,14 @@
 
 def test_a_front_that_drains_stops_accepting_and_finishes_what_is_open(tmp_path: Path) -> None:
     """Clients come on for a part of a second; later ones find nobody there, and go elsewhere at once."""
-    held: list[Asked] = []
+    held: list[ReceivedCommand] = []
 
     async def scenario(front: Front) -> None:
-        first = await front.client()
-        first.ask(1)
+        first = await front.connect_client()
+        first.send_request(1)
         await until(lambda: len(held) == 1, "it is out")
-        front.signal(signal.SIGTERM)
-        await until(lambda: front.logged("drain: 1 requests open"), "the front drains")
+        front.send_signal(signal.SIGTERM)
+        await until(lambda: front.has_logged("drain: 1 requests open"), "the front drains")
         async with asyncio.timeout(20):
             while True:
                 try:
@@ -198,9 +198,9 @@
                 except ConnectionRefusedError:
                     break
                 await asyncio.sleep(0.01)
-        assert not front.ended and not first.closed
-        held[0].data(b"whole")
-        assert (await first.ended(1)).body == b"whole"
-        assert await front.code() == 0
+        assert not front.has_exited and not first.is_closed
+        held[0].respond_with_data(b"whole")
+        assert (await first.wait_for_response(1)).body == b"whole"
+        assert await front.wait_for_exit() == 0
 
     play(tmp_path, fleet(held.append), scenario)
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -14,8 +14,8 @@
 import pytest
 
 from tests.frontkit import raw_config
-from tests.loopback import own_address
-from tests.standins import PATIENCE, Asked, ChangeLog, Front, play, until
+from tests.loopback import allocate_address
+from tests.standins import TEST_TIMEOUT_S, ChangeLog, Front, ReceivedCommand, play, until
 
 FRONT, NET = "quincepier.lifecycle.front", "quincepier.net"
 # In the order in which a start comes by; up to here nobody was told that the front serves.
@@ -53,7 +53,7 @@
 async def ends(folder: Path, *points: str) -> tuple[int, str]:
     """The exit code and the log of a front with such signals, one after the other until it has ended."""
     folder.mkdir()
-    listen, gone = ("{}:{}".format(*own_address()) for _ in range(2))
+    listen, gone = ("{}:{}".format(*allocate_address()) for _ in range(2))
     (folder / "config.json").write_text(json.dumps(raw_config(listen=listen, changelog=gone)))
     environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
     process = await asyncio.create_subprocess_exec(
@@ -61,7 +61,7 @@
         env=environment | {"ROUTER_CONFIG": str(folder / "config.json")}, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             told = (await process.communicate())[1].decode()
     finally:
         if process.returncode is None:
@@ -131,8 +131,8 @@
     assert all(("drain:" in told) is (start not in case[0]) for case, (_, told) in found.items())
 
 
-def data(asked: Asked) -> None:
-    asked.data()
+def data(asked: ReceivedCommand) -> None:
+    asked.respond_with_data()
 
 
 @dataclass
@@ -157,25 +157,25 @@
 )
 def test_the_file_that_was_last_in_place_holds(tmp_path: Path, points: tuple[str, ...]) -> None:
     async def scenario(first: Front) -> None:
-        first.signal(signal.SIGTERM)
-        assert await first.code() == 0
+        first.send_signal(signal.SIGTERM)
+        assert await first.wait_for_exit() == 0
         moved = ChangeLog()
-        moved.events = list(first.log.events)
+        moved.events = list(first.change_log.events)
         await moved.start()
         (tmp_path / "config.json.next").write_text(json.dumps(first.config | {"changelog": moved.address}))
-        front = Signalled(tmp_path, first.caches, first.log, first.config, points=points)
+        front = Signalled(tmp_path, first.caches, first.change_log, first.config, points=points)
         front.address = first.address
         try:
             await front.start()
-            await until(lambda: bool(moved.since), "the log of the last file is asked")
-            assert moved.since[0] == len(front.log.events)
-            client = await front.client()
-            client.ask(1)
-            assert (await client.ended(1)).status == 200
-            asked = len(front.log.since)
-            moved.add(invalidate={"bucket": 17, "time": 1})
-            await until(lambda: moved.since[-1] == len(moved.events), "and followed")
-            assert len(front.log.since) == asked and not front.ended
+            await until(lambda: bool(moved.poll_positions), "the log of the last file is asked")
+            assert moved.poll_positions[0] == len(front.change_log.events)
+            client = await front.connect_client()
+            client.send_request(1)
+            assert (await client.wait_for_response(1)).status == 200
+            asked = len(front.change_log.poll_positions)
+            moved.add_event(invalidate={"bucket": 17, "time": 1})
+            await until(lambda: moved.poll_positions[-1] == len(moved.events), "and followed")
+            assert len(front.change_log.poll_positions) == asked and not front.has_exited
         finally:
             await front.stop()
             assert moved.server is not None
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -232,12 +232,12 @@
 
     async def story() -> set[str]:
         it = Story(folder, patch)
-        it.log.late = NEVER
+        it.log.response_delay_s = NEVER
         await it.start()
         it.change(it.log)
         it.told_at = it.now + it.front.watch.wait_ms / 1000 + 2
         await asyncio.sleep(0.001)
-        it.log.late = 0.0
+        it.log.response_delay_s = 0.0
         await it.ask_for(it.told_at - it.now + DRAIN_GRACE + 1.5)
         await it.end()
         return it.broken()
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.standins import Asked, Cache, Front, until
+from tests.standins import Cache, Front, ReceivedCommand, until
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -38,12 +38,14 @@
     """Where hundreds of fronts are played, a program started, an io_uring or a Unix path is refused."""
 
     async def run() -> None:
-        front = Front(tmp_path, {name: Cache(Asked.data) for name in ("s-1", "p-1", "o-1")})
+        front = Front(
+            tmp_path, {name: Cache(ReceivedCommand.respond_with_data) for name in ("s-1", "p-1", "o-1")}
+        )
         try:
             await front.start()
-            front.signal(signal.SIGKILL)
-            await front.code()
-            front.lines.clear()
+            front.send_signal(signal.SIGKILL)
+            await front.wait_for_exit()
+            front.log_lines.clear()
             command = DEPLOY["run"].replace(".venv/bin/python", sys.executable)
             path = tmp_path / "run.json"
             path.write_text(json.dumps(front.config))
@@ -51,12 +53,12 @@
                 "/bin/sh", "-c", command, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
                 env=dict(os.environ) | {"ROUTER_CONFIG": str(path)},
             )  # fmt: skip
-            front.reading = asyncio.create_task(front._log(front.process))
-            await until(lambda: front.logged("serves") or front.ended, "the front serves")
-            client = await front.client()
+            front.log_task = asyncio.create_task(front._log(front.process))
+            await until(lambda: front.has_logged("serves") or front.has_exited, "the front serves")
+            client = await front.connect_client()
             for request in range(1, 9):
-                client.ask(request)
-                assert (await client.ended(request)).status == 200
+                client.send_request(request)
+                assert (await client.wait_for_response(request)).status == 200
             proc = Path("/proc") / str(front.process.pid)
             assert (proc / "exe").resolve() == Path(sys.executable).resolve()
             assert b"ld-" in (proc / "exe").read_bytes()[:4096]  # an interpreter: linked dynamically
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -10,14 +10,14 @@
 
 from tests.fcgikit import call, params, rec
 from tests.limitkit import descriptors, half, item, ping, play_at, resident
-from tests.standins import PATIENCE, Asked, Behaviour, Client, Front, until
+from tests.standins import TEST_TIMEOUT_S, Behaviour, Client, Front, ReceivedCommand, until
 
 MB = 1024 * 1024
 LARGE = b"x" * 240_000
 
 
-def hit(asked: Asked) -> None:
-    asked.data()
+def hit(asked: ReceivedCommand) -> None:
+    asked.respond_with_data()
 
 
 def fleet(edge: Behaviour = hit, origin: Behaviour = hit) -> dict[str, Behaviour]:
@@ -25,7 +25,7 @@
 
 
 def asked_in_all(front: Front) -> int:
-    return sum(len(cache.asked) for cache in front.caches.values())
+    return sum(len(cache.commands) for cache in front.caches.values())
 
 
 def never_reads(front: Front, number: int, asks: int) -> socket.socket:
@@ -41,8 +41,8 @@
     """How many of so many requests, one after the other, are served."""
     served = 0
     for n in range(first, first + count):
-        client.ask(n, HTTP_X_ITEM=item(n))
-        got = await client.ended(n)
+        client.send_request(n, HTTP_X_ITEM=item(n))
+        got = await client.wait_for_response(n)
         served += got.ended == 0 and got.status == 200
     return served
 
@@ -53,57 +53,60 @@
     async def scenario(front: Front) -> None:
         stalled = [never_reads(front, n, 20) for n in range(12)]
         origin = front.caches["o-1"]
-        await until(lambda: len({a.id[:8] for a in origin.asked}) == 12, "each is owed an answer")
-        async with asyncio.timeout(PATIENCE):  # by the front's own time it takes two seconds of its sweeps
+        await until(lambda: len({a.id[:8] for a in origin.commands}) == 12, "each is owed an answer")
+        async with asyncio.timeout(
+            TEST_TIMEOUT_S
+        ):  # by the front's own time it takes two seconds of its sweeps
             while True:
-                client = await front.client()
+                client = await front.connect_client()
                 client.send(ping(1))
-                await until(lambda c=client: c.closed or 1 in c.records.order, "it is heard")  # type: ignore[misc]
-                if 1 in client.records.order:
+                await until(lambda c=client: c.is_closed or 1 in c.response_reader.order, "it is heard")  # type: ignore[misc]
+                if 1 in client.response_reader.order:
                     break
                 await asyncio.sleep(0.1)  # as clients do that were turned away
-        await until(lambda: front.logged("slow_client_closed_descriptor_limit"), "its line is read")
+        await until(lambda: front.has_logged("slow_client_closed_descriptor_limit"), "its line is read")
         assert descriptors(front) <= 48
-        assert not client.closed and sum("slow_client_closed" in line for line in front.lines) == 1
+        assert not client.is_closed and sum("slow_client_closed" in line for line in front.log_lines) == 1
         for sock in stalled:
             sock.close()
 
-    play_at(tmp_path, fleet(origin=lambda asked: asked.data(LARGE)), scenario, 48, memory_mb=192)
+    play_at(tmp_path, fleet(origin=lambda asked: asked.respond_with_data(LARGE)), scenario, 48, memory_mb=192)
 
 
 def test_who_is_half_way_while_whole_bodies_use_the_room_up_loses_nothing(tmp_path: Path) -> None:
     """One client's writes fill the room and wait; four others have one open and send more in two parts."""
-    held: list[Asked] = []
+    held: list[ReceivedCommand] = []
 
     async def scenario(front: Front) -> None:
-        filling, others = await front.client(), [await front.client() for _ in range(4)]
+        filling, others = await front.connect_client(), [await front.connect_client() for _ in range(4)]
         for at, client in enumerate(others, 1):
-            client.ask(at, "bid", HTTP_X_ALLOW_MS="6000")
+            client.send_request(at, "bid", HTTP_X_ALLOW_MS="6000")
         await until(lambda: len(held) == 4, "four are open")
         for n in range(11, 41):
-            filling.ask(n, "bid", b"x" * 48_000, HTTP_X_ALLOW_MS="6000")
-        await until(lambda: len(held) + len(filling.records.order) >= 34, "all came")
+            filling.send_request(n, "bid", b"x" * 48_000, HTTP_X_ALLOW_MS="6000")
+        await until(lambda: len(held) + len(filling.response_reader.order) >= 34, "all came")
         rests = []
         for at, client in enumerate(others, 1):
             sent = call(100 + at, params(f"{100 + at:016x}", "bid"), b"y" * 47_000)
             client.send(sent[:44_000])
             rests.append(sent[44_000:])
-        probe = await front.client()
+        probe = await front.connect_client()
         probe.send(ping(1))
-        await probe.ended(1)
+        await probe.wait_for_response(1)
         await until(
-            lambda: front.logged("client_closed_partial_request_limit") or len(probe.records.order) == 1,
+            lambda: front.has_logged("client_closed_partial_request_limit")
+            or len(probe.response_reader.order) == 1,
             "parts are read",
         )
         for client, rest in zip(others, rests, strict=True):
             client.send(rest)
         for at, client in enumerate(others, 1):  # whatever the answer: it is one, and the connection lives
-            assert (await client.ended(100 + at)).status == 503
+            assert (await client.wait_for_response(100 + at)).status == 503
         for asked in held:
-            asked.data()
+            asked.respond_with_data()
         for at, client in enumerate(others, 1):
-            assert (await client.ended(at)).status == 200
-        assert not front.logged("client_closed_partial_request_limit") and resident(front) < 32 * MB
+            assert (await client.wait_for_response(at)).status == 200
+        assert not front.has_logged("client_closed_partial_request_limit") and resident(front) < 32 * MB
 
     play_at(tmp_path, fleet(origin=held.append), scenario, 64, memory_mb=32)
 
@@ -113,15 +116,15 @@
     whole = params("00000000000000aa", "bid")
 
     async def scenario(front: Front) -> None:
-        flood, decent = await front.client(), await front.client()
+        flood, decent = await front.connect_client(), await front.connect_client()
         first, rest = (sent := call(1, whole, b"y" * 40_000))[:20_000], sent[20_000:]
         decent.send(first)
         for n in range(1, 31):
             flood.send(call(n, params(f"{n:016x}", "bid"), b"x" * 47_000)[:-8])
-        await until(lambda: flood.closed, "who holds most is closed")
-        assert not decent.closed
+        await until(lambda: flood.is_closed, "who holds most is closed")
+        assert not decent.is_closed
         decent.send(rest)
-        assert (await decent.ended(1)).status == 200 and asked_in_all(front) == 1
+        assert (await decent.wait_for_response(1)).status == 200 and asked_in_all(front) == 1
 
     play_at(tmp_path, fleet(), scenario, 64, memory_mb=32)
 
@@ -130,7 +133,7 @@
 def test_hundreds_that_say_nothing_are_closed_and_leave_nothing(tmp_path: Path, memory_mb: int) -> None:
     async def scenario(front: Front) -> None:
         quiet = [await asyncio.open_connection(*front.address) for _ in range(300)]
-        client = await front.client()
+        client = await front.connect_client()
         assert await usual(client, 1, 30) == 30
         for reader, writer in quiet:
             async with asyncio.timeout(10):
@@ -145,8 +148,8 @@
 def test_many_that_read_nothing_stay_within_the_memory(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         stalled = [never_reads(front, n, 16) for n in range(80)]
-        client, origin = await front.client(), front.caches["o-1"]
-        await until(lambda: len(origin.asked) >= 80, "answers are under way")
+        client, origin = await front.connect_client(), front.caches["o-1"]
+        await until(lambda: len(origin.commands) >= 80, "answers are under way")
         for first in range(1, 6001, 30):  # refused ones come again at once
             if await usual(client, first, 30) >= 20:
                 break
@@ -156,7 +159,7 @@
         for sock in stalled:
             sock.close()
 
-    play_at(tmp_path, fleet(origin=lambda asked: asked.data(LARGE)), scenario, 256, memory_mb=64)
+    play_at(tmp_path, fleet(origin=lambda asked: asked.respond_with_data(LARGE)), scenario, 256, memory_mb=64)
 
 
 @pytest.mark.parametrize("flood", ["pings", "requests past the thirty-second", "values"])
@@ -184,11 +187,11 @@
                 await loop.sock_sendall(sock, kinds[flood])
 
         sending = asyncio.create_task(send())
-        await until(lambda: front.logged("client_closed_short_responses_unread"), "it is closed")
+        await until(lambda: front.has_logged("client_closed_short_responses_unread"), "it is closed")
         with pytest.raises(ConnectionError):
             async with asyncio.timeout(10):
                 await sending
-        client = await front.client()
+        client = await front.connect_client()
         assert await usual(client, 1000, 5) == 5
         assert resident(front) - before < 8 * MB
         sock.close()
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,14 +11,14 @@
 
 from tests.fcgikit import ABORT, begin, call, params, rec
 from tests.frontkit import host
-from tests.standins import Asked, Behaviour, Front, play, until
+from tests.standins import Behaviour, Front, ReceivedCommand, play, until
 
 
-def ok(asked: Asked) -> None:
-    asked.data()
+def ok(asked: ReceivedCommand) -> None:
+    asked.respond_with_data()
 
 
-def silent(asked: Asked) -> None:
+def silent(asked: ReceivedCommand) -> None:
     """Never answers."""
 
 
@@ -28,20 +28,20 @@
 
 def test_serves_reads_and_writes_with_what_was_asked(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client = await front.client()
+        client = await front.connect_client()
         client.send(call(1, {"SCRIPT_NAME": "/ping"}))
-        assert (await client.ended(1)).status == 200
-        client.ask(2, HTTP_X_N="4")
-        got = await client.ended(2)
+        assert (await client.wait_for_response(1)).status == 200
+        client.send_request(2, HTTP_X_N="4")
+        got = await client.wait_for_response(2)
         assert (got.status, got.body, got.ended) == (200, b"bytes", 0)
-        (asked,) = front.caches["s-1"].asked
+        (asked,) = front.caches["s-1"].commands
         assert asked.id == f"{2:016x}" and asked.body == b""
         want = {"class": "lot-image", "key": "7f3a9c21e0b4d655", "part": "4", "via": "p-1", "tier": "1"}
         assert want.items() <= asked.fields.items() and 0 < int(asked.fields["wait"]) <= 3000
         written = b"a\r\nb\0" * 9000
-        client.ask(3, "bid", written)
-        assert (await client.ended(3)).status == 200
-        (write,) = front.caches["o-1"].asked
+        client.send_request(3, "bid", written)
+        assert (await client.wait_for_response(3)).status == 200
+        (write,) = front.caches["o-1"].commands
         assert write.body == written and "via" not in write.fields
 
     play(tmp_path, fleet(), scenario)
@@ -52,94 +52,96 @@
     assert 239_000 < len(large) <= 240_000
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
+        client = await front.connect_client()
         for n in range(1, 9):
-            client.ask(n, HTTP_X_N=str(n))
+            client.send_request(n, HTTP_X_N=str(n))
         for n in range(1, 9):
-            got = await client.ended(n)
+            got = await client.wait_for_response(n)
             assert got.status == 200 and got.body == large
 
-    play(tmp_path, fleet(lambda asked: asked.data(large)), scenario)
+    play(tmp_path, fleet(lambda asked: asked.respond_with_data(large)), scenario)
 
 
 def test_answers_in_any_order(tmp_path: Path) -> None:
-    waiting: list[Asked] = []
+    waiting: list[ReceivedCommand] = []
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
+        client = await front.connect_client()
         for n in (1, 2, 3):
-            client.ask(n, HTTP_X_N=str(n))
+            client.send_request(n, HTTP_X_N=str(n))
         await until(lambda: len(waiting) == 3, "all are out")
         order = [waiting[n] for n in (2, 0, 1)]
         for asked, body in zip(order, (b"last first", b"L" * 240_000, b"small"), strict=True):
-            asked.data(body)
-            assert (await client.ended(int(asked.id, 16))).body == body
-        assert client.records.order == [int(asked.id, 16) for asked in order]
+            asked.respond_with_data(body)
+            assert (await client.wait_for_response(int(asked.id, 16))).body == body
+        assert client.response_reader.order == [int(asked.id, 16) for asked in order]
 
     play(tmp_path, fleet(waiting.append), scenario)
 
 
 def test_slow_answer_comes_whole_and_delays_no_other_machine(tmp_path: Path) -> None:
-    def half(asked: Asked) -> None:
+    def half(asked: ReceivedCommand) -> None:
         asked.writer.write(f"{asked.id} data how=local 8\r\nhalf".encode())
 
     async def scenario(front: Front) -> None:
-        client, edge = await front.client(), front.caches["s-1"]
-        client.ask(1)
-        await until(lambda: len(edge.asked) == 1, "the slow one is out")
-        client.ask(2, "bid", b"offer")
-        assert (await client.ended(2)).status == 200
-        assert 1 not in client.records.got or client.records.got[1].out == b""  # nothing of a half answer
-        edge.asked[0].writer.write(b"done\r\n")
-        assert (await client.ended(1)).body == b"halfdone"
+        client, edge = await front.connect_client(), front.caches["s-1"]
+        client.send_request(1)
+        await until(lambda: len(edge.commands) == 1, "the slow one is out")
+        client.send_request(2, "bid", b"offer")
+        assert (await client.wait_for_response(2)).status == 200
+        assert (
+            1 not in client.response_reader.got or client.response_reader.got[1].out == b""
+        )  # nothing of a half answer
+        edge.commands[0].writer.write(b"done\r\n")
+        assert (await client.wait_for_response(1)).body == b"halfdone"
 
     play(tmp_path, fleet(half), scenario)
 
 
 def test_thirty_third_open_request_is_overloaded_and_the_others_live(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client, origin = await front.client(), front.caches["o-1"]
+        client, origin = await front.connect_client(), front.caches["o-1"]
         for n in range(1, 33):
-            client.ask(n, "bid", b"offer")
-        await until(lambda: len(origin.asked) == 32, "all that may be open are out")
-        client.ask(33, "bid", b"offer")
-        got = await client.ended(33)
+            client.send_request(n, "bid", b"offer")
+        await until(lambda: len(origin.commands) == 32, "all that may be open are out")
+        client.send_request(33, "bid", b"offer")
+        got = await client.wait_for_response(33)
         assert (got.out, got.ended) == (b"", 2)
-        for asked in origin.asked:
-            asked.data()
-        assert {(await client.ended(n)).status for n in range(1, 33)} == {200}
-        assert len(origin.asked) == 32
+        for asked in origin.commands:
+            asked.respond_with_data()
+        assert {(await client.wait_for_response(n)).status for n in range(1, 33)} == {200}
+        assert len(origin.commands) == 32
 
     play(tmp_path, fleet(origin=silent), scenario)
 
 
 def test_copy_of_the_client_goes_on_and_still_holds(tmp_path: Path) -> None:
-    def edge(asked: Asked) -> None:
-        asked.answer("unchanged", b"", f"tag={asked.fields['known']},minted=1,how=local")
+    def edge(asked: ReceivedCommand) -> None:
+        asked.respond("unchanged", b"", f"tag={asked.fields['known']},minted=1,how=local")
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1, HTTP_X_MINE="00000000000000aa")
-        got = await client.ended(1)
+        client = await front.connect_client()
+        client.send_request(1, HTTP_X_MINE="00000000000000aa")
+        got = await client.wait_for_response(1)
         assert (got.status, got.body, got.headers["X-Still"]) == (200, b"", "1")
-        assert front.caches["s-1"].asked[0].fields["known"] == "00000000000000aa"
+        assert front.caches["s-1"].commands[0].fields["known"] == "00000000000000aa"
 
     play(tmp_path, fleet(edge), scenario)
 
 
 def test_unchanged_without_a_copy_named_ends_that_connection(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
-        assert front.logged("cache_protocol_error") and len(front.caches["p-1"].asked) == 1
+        client = await front.connect_client()
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
+        assert front.has_logged("cache_protocol_error") and len(front.caches["p-1"].commands) == 1
 
-    play(tmp_path, fleet(lambda asked: asked.answer("unchanged")), scenario)
+    play(tmp_path, fleet(lambda asked: asked.respond("unchanged")), scenario)
 
 
 def lies() -> dict[str, Behaviour]:
     def write(data: bytes, then_close: bool = False) -> Behaviour:
-        def behave(asked: Asked) -> None:
+        def behave(asked: ReceivedCommand) -> None:
             asked.writer.write(data.replace(b"ID", asked.id.encode()))
             if then_close:
                 asked.writer.close()
@@ -152,7 +154,7 @@
         "more than promised": write(b"ID data - 3\r\nlonger\r\n"),
         "no sense": write(b"GET / HTTP/1.1\r\n\r\n"),
         "a probe's word": write(b"ID well - 0\r\n"),
-        "reset": Asked.reset,
+        "reset": ReceivedCommand.abort_connection,
     }
 
 
@@ -160,18 +162,18 @@
     for name, lie in lies().items():
 
         async def scenario(front: Front, name: str = name, lie: Behaviour = lie) -> None:
-            client = await front.client()
-            client.ask(1)
-            got = await client.ended(1)
+            client = await front.connect_client()
+            client.send_request(1)
+            got = await client.wait_for_response(1)
             # a reset may have run, so a safe request is asked again elsewhere, an unsafe one is failed
             assert (got.status, got.body) == (200, b"whole"), name
             front.caches["o-1"].behaviour = lie
-            client.ask(2, "bid", b"offer")
-            assert (await client.ended(2)).status == 502, name
-            assert len(front.caches["o-1"].asked) == 1, name
+            client.send_request(2, "bid", b"offer")
+            assert (await client.wait_for_response(2)).status == 502, name
+            assert len(front.caches["o-1"].commands) == 1, name
 
         (tmp_path / name).mkdir()
-        play(tmp_path / name, fleet(lie, lambda asked: asked.data(b"whole")), scenario)
+        play(tmp_path / name, fleet(lie, lambda asked: asked.respond_with_data(b"whole")), scenario)
 
 
 def test_refused_connection_proves_that_a_write_did_not_run(tmp_path: Path) -> None:
@@ -179,9 +181,9 @@
         for cache in front.caches.values():
             assert cache.server is not None
             cache.server.close()
-        client = await front.client()
-        client.ask(1, "bid", b"offer")
-        got = await client.ended(1)
+        client = await front.connect_client()
+        client.send_request(1, "bid", b"offer")
+        got = await client.wait_for_response(1)
         assert got.status == 503 and int(got.headers["X-Wait-Ms"]) > 0
 
     play(tmp_path, fleet(), scenario)
@@ -189,88 +191,88 @@
 
 def test_silence_ends_by_time_out_with_a_cancel_and_one_answer(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client, edge = await front.client(), front.caches["o-1"]
-        client.ask(1, "bid", b"offer", HTTP_X_ALLOW_MS="300")
-        client.ask(2)  # a silent machine delays no other
-        assert (await client.ended(2)).status == 200
-        assert (await client.ended(1)).status == 502
-        await until(lambda: edge.cancelled == [f"{1:016x}"], "the attempt is called off")
-        edge.asked[0].data(b"late")  # dropped, and the connection lives on
+        client, edge = await front.connect_client(), front.caches["o-1"]
+        client.send_request(1, "bid", b"offer", HTTP_X_ALLOW_MS="300")
+        client.send_request(2)  # a silent machine delays no other
+        assert (await client.wait_for_response(2)).status == 200
+        assert (await client.wait_for_response(1)).status == 502
+        await until(lambda: edge.cancelled_ids == [f"{1:016x}"], "the attempt is called off")
+        edge.commands[0].respond_with_data(b"late")  # dropped, and the connection lives on
         edge.behaviour = ok
-        client.ask(3, "bid")
-        assert (await client.ended(3)).body == b"bytes"
-        assert client.records.got[1].ended == 0
+        client.send_request(3, "bid")
+        assert (await client.wait_for_response(3)).body == b"bytes"
+        assert client.response_reader.got[1].ended == 0
 
     play(tmp_path, fleet(origin=silent), scenario)
 
 
 def test_no_new_attempt_on_a_connection_that_went_silent(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client, origin = await front.client(), front.caches["o-1"]
-        client.ask(1, "bid", b"offer", HTTP_X_ALLOW_MS="900")
-        assert (await client.ended(1)).status == 502
-        client.ask(2, "bid", b"offer")
-        await until(lambda: len(origin.asked) == 2, "the second is out")
-        assert origin.asked[0].writer is not origin.asked[1].writer
-        origin.asked[1].data()
-        assert (await client.ended(2)).status == 200
+        client, origin = await front.connect_client(), front.caches["o-1"]
+        client.send_request(1, "bid", b"offer", HTTP_X_ALLOW_MS="900")
+        assert (await client.wait_for_response(1)).status == 502
+        client.send_request(2, "bid", b"offer")
+        await until(lambda: len(origin.commands) == 2, "the second is out")
+        assert origin.commands[0].writer is not origin.commands[1].writer
+        origin.commands[1].respond_with_data()
+        assert (await client.wait_for_response(2)).status == 200
 
     play(tmp_path, fleet(origin=silent), scenario)
 
 
 def test_abort_gets_no_answer_and_calls_the_attempt_off(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client, edge = await front.client(), front.caches["s-1"]
-        client.ask(1)
-        await until(lambda: len(edge.asked) == 1, "the first is out")
+        client, edge = await front.connect_client(), front.caches["s-1"]
+        client.send_request(1)
+        await until(lambda: len(edge.commands) == 1, "the first is out")
         client.send(rec(ABORT, 1))
-        await until(lambda: edge.cancelled == [f"{1:016x}"], "it is called off")
-        edge.asked[0].data(b"late")
+        await until(lambda: edge.cancelled_ids == [f"{1:016x}"], "it is called off")
+        edge.commands[0].respond_with_data(b"late")
         edge.behaviour = ok
-        client.ask(2)
-        assert (await client.ended(2)).body == b"bytes"
-        assert 1 not in client.records.got or client.records.got[1].out == b""
+        client.send_request(2)
+        assert (await client.wait_for_response(2)).body == b"bytes"
+        assert 1 not in client.response_reader.got or client.response_reader.got[1].out == b""
         client.send(call(1, params(f"{77:016x}")))  # the number is free again
-        assert (await client.ended(1)).body == b"bytes"
+        assert (await client.wait_for_response(1)).body == b"bytes"
 
     play(tmp_path, fleet(silent), scenario)
 
 
 def test_broken_client_ends_alone(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        good, bad, edge = await front.client(), await front.client(), front.caches["s-1"]
-        bad.ask(1)
-        good.ask(2, HTTP_X_N="2")
-        await until(lambda: len(edge.asked) == 2, "both are out")
+        good, bad, edge = await front.connect_client(), await front.connect_client(), front.caches["s-1"]
+        bad.send_request(1)
+        good.send_request(2, HTTP_X_N="2")
+        await until(lambda: len(edge.commands) == 2, "both are out")
         bad.send(b"\x07 this is no FastCGI" + call(3, params("3" * 16)))
-        await until(lambda: front.logged("client_protocol_error"), "it is found")
-        for asked in edge.asked:
-            asked.data()
-        assert (await bad.ended(1)).status == 200, "what was read whole has its answer"
-        await until(lambda: bad.closed, "the broken connection is closed behind it")
-        assert (await good.ended(2)).status == 200
-        assert len(edge.asked) == 2 and not edge.cancelled
+        await until(lambda: front.has_logged("client_protocol_error"), "it is found")
+        for asked in edge.commands:
+            asked.respond_with_data()
+        assert (await bad.wait_for_response(1)).status == 200, "what was read whole has its answer"
+        await until(lambda: bad.is_closed, "the broken connection is closed behind it")
+        assert (await good.wait_for_response(2)).status == 200
+        assert len(edge.commands) == 2 and not edge.cancelled_ids
 
 
 def test_broken_client_that_leaves_has_what_was_open_called_off(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        bad, edge = await front.client(), front.caches["s-1"]
-        bad.ask(1)
-        await until(lambda: len(edge.asked) == 1, "it is out")
+        bad, edge = await front.connect_client(), front.caches["s-1"]
+        bad.send_request(1)
+        await until(lambda: len(edge.commands) == 1, "it is out")
         bad.send(b"\x07 this is no FastCGI")
-        await until(lambda: front.logged("client_protocol_error"), "it is found")
+        await until(lambda: front.has_logged("client_protocol_error"), "it is found")
         await bad.close()
-        await until(lambda: edge.cancelled == [f"{1:016x}"], "what was open on it is called off")
+        await until(lambda: edge.cancelled_ids == [f"{1:016x}"], "what was open on it is called off")
 
     play(tmp_path, fleet(silent), scenario)
 
 
 def test_broken_client_with_nothing_open_is_closed_at_once(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        bad = await front.client()
+        bad = await front.connect_client()
         bad.send(b"\x07 this is no FastCGI")
-        await until(lambda: bad.closed, "the broken connection is closed")
-        await until(lambda: front.logged("client_protocol_error"), "its line is read")
+        await until(lambda: bad.is_closed, "the broken connection is closed")
+        await until(lambda: front.has_logged("client_protocol_error"), "its line is read")
 
     play(tmp_path, fleet(silent), scenario)
 
@@ -279,104 +281,104 @@
 
 def test_bad_requests_are_failed_at_once_and_sent_nowhere(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1, "no-such-class")
-        client.ask(2, HTTP_X_ITEM=None)
-        client.ask(4, HTTP_X_JOB_ID="spaces in it")
+        client = await front.connect_client()
+        client.send_request(1, "no-such-class")
+        client.send_request(2, HTTP_X_ITEM=None)
+        client.send_request(4, HTTP_X_JOB_ID="spaces in it")
         client.send(begin(5, role=2))
-        statuses = [(await client.ended(n)).status for n in (1, 2, 4)]
+        statuses = [(await client.wait_for_response(n)).status for n in (1, 2, 4)]
         assert statuses == [404, 400, 400]
-        assert (await client.ended(5)).ended == 3
-        client.ask(6, "bid", b"x" * 48_000)
-        assert (await client.ended(6)).status == 200
-        assert sum(len(cache.asked) for cache in front.caches.values()) == 1
+        assert (await client.wait_for_response(5)).ended == 3
+        client.send_request(6, "bid", b"x" * 48_000)
+        assert (await client.wait_for_response(6)).status == 200
+        assert sum(len(cache.commands) for cache in front.caches.values()) == 1
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_connection_without_keep_conn_closes_behind_its_answer(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client = await front.client()
+        client = await front.connect_client()
         client.send(call(1, params(f"{1:016x}"), keep=False))
-        assert (await client.ended(1)).status == 200
-        await until(lambda: client.closed, "the front closes it")
+        assert (await client.wait_for_response(1)).status == 200
+        await until(lambda: client.is_closed, "the front closes it")
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_attempts_past_the_descriptors_share_connections(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        front.signal(signal.SIGKILL)
-        await front.code()
-        front.lines.clear()
+        front.send_signal(signal.SIGKILL)
+        await front.wait_for_exit()
+        front.log_lines.clear()
         await front.start(limits={"cores": 1.0, "memory_mb": 64, "sockets": 40})
-        clients, edge = [await front.client() for _ in range(4)], front.caches["s-1"]
+        clients, edge = [await front.connect_client() for _ in range(4)], front.caches["s-1"]
         for n in range(1, 61):
-            clients[n % 4].ask(n, HTTP_X_N=str(n))
-        statuses = [(await clients[n % 4].ended(n)).status for n in range(1, 61)]
-        assert set(statuses) <= {200, 503} and statuses.count(200) == len(edge.asked) >= 10
-        assert edge.connections <= 12
+            clients[n % 4].send_request(n, HTTP_X_N=str(n))
+        statuses = [(await clients[n % 4].wait_for_response(n)).status for n in range(1, 61)]
+        assert set(statuses) <= {200, 503} and statuses.count(200) == len(edge.commands) >= 10
+        assert edge.accepted_count <= 12
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_idle_connections_close_from_both_sides_and_open_again(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        front.signal(signal.SIGKILL)
-        await front.code()
-        front.lines.clear()
+        front.send_signal(signal.SIGKILL)
+        await front.wait_for_exit()
+        front.log_lines.clear()
         settings = front.config["settings"]
         limits = settings["limits"] | {"conn_idle": 1_000_000_000}
         await front.start(settings=settings | {"limits": limits})
-        client, edge = await front.client(), front.caches["s-1"]
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
-        await until(lambda: edge.open == 0, "the front closes what is idle")
-        client.ask(2)
-        assert (await client.ended(2)).status == 200 and edge.connections == 2
-        edge.asked[-1].writer.close()  # the cache's turn
-        await until(lambda: edge.open == 0, "the cache closed it")
-        client.ask(3)
-        assert (await client.ended(3)).status == 200 and edge.connections == 3
+        client, edge = await front.connect_client(), front.caches["s-1"]
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
+        await until(lambda: edge.open_count == 0, "the front closes what is idle")
+        client.send_request(2)
+        assert (await client.wait_for_response(2)).status == 200 and edge.accepted_count == 2
+        edge.commands[-1].writer.close()  # the cache's turn
+        await until(lambda: edge.open_count == 0, "the cache closed it")
+        client.send_request(3)
+        assert (await client.wait_for_response(3)).status == 200 and edge.accepted_count == 3
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_list_is_followed_and_a_new_machine_takes_an_old_address(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client, edge = await front.client(), front.caches["s-1"]
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
+        client, edge = await front.connect_client(), front.caches["s-1"]
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
         gone, new = host("s-1", edge.address, health="DELETED"), host("s-2", edge.address)
-        front.log.add(fleet={"seq": 1, "whole": False, "hosts": [gone, new]})
-        await until(lambda: edge.open == 0, "connections to the machine off the list close")
-        client.ask(2)
-        assert (await client.ended(2)).status == 200
-        assert (len(edge.asked), edge.connections) == (2, 2)
+        front.change_log.add_event(fleet={"seq": 1, "whole": False, "hosts": [gone, new]})
+        await until(lambda: edge.open_count == 0, "connections to the machine off the list close")
+        client.send_request(2)
+        assert (await client.wait_for_response(2)).status == 200
+        assert (len(edge.commands), edge.accepted_count) == (2, 2)
         drained = host("s-2", edge.address, health="DRAINING")
-        seen = len(front.log.since)
-        front.log.add(fleet={"seq": 2, "whole": False, "hosts": [drained]})
-        await until(lambda: len(front.log.since) > seen, "the front heard")
-        client.ask(3)
-        assert (await client.ended(3)).status == 200
-        assert len(edge.asked) == 2 and len(front.caches["p-1"].asked) == 1
+        seen = len(front.change_log.poll_positions)
+        front.change_log.add_event(fleet={"seq": 2, "whole": False, "hosts": [drained]})
+        await until(lambda: len(front.change_log.poll_positions) > seen, "the front heard")
+        client.send_request(3)
+        assert (await client.wait_for_response(3)).status == 200
+        assert len(edge.commands) == 2 and len(front.caches["p-1"].commands) == 1
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_purge_limits_the_age_of_what_is_asked_for(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client, edge = await front.client(), front.caches["s-1"]
-        client.ask(1, "lot-video")
-        await client.ended(1)
-        assert "fresh" not in edge.asked[0].fields
-        seen, purged = len(front.log.since), time.time_ns() // 1_000_000
-        front.log.add(invalidate={"object": "7f3a9c21e0b4d655", "time": purged - 1000})
-        await until(lambda: len(front.log.since) > seen, "the front heard")
-        client.ask(2, "lot-video")
-        await client.ended(2)
+        client, edge = await front.connect_client(), front.caches["s-1"]
+        client.send_request(1, "lot-video")
+        await client.wait_for_response(1)
+        assert "fresh" not in edge.commands[0].fields
+        seen, purged = len(front.change_log.poll_positions), time.time_ns() // 1_000_000
+        front.change_log.add_event(invalidate={"object": "7f3a9c21e0b4d655", "time": purged - 1000})
+        await until(lambda: len(front.change_log.poll_positions) > seen, "the front heard")
+        client.send_request(2, "lot-video")
+        await client.wait_for_response(2)
         now = time.time_ns() // 1_000_000
-        assert 990 <= int(edge.asked[1].fields["fresh"]) <= now - (purged - 1000)
+        assert 990 <= int(edge.commands[1].fields["fresh"]) <= now - (purged - 1000)
 
     play(tmp_path, fleet(), scenario)
 
@@ -388,25 +390,25 @@
 
     async def scenario(front: Front) -> None:
         edge = front.caches["s-1"]
-        front.signal(signal.SIGKILL)
-        await front.code()
+        front.send_signal(signal.SIGKILL)
+        await front.wait_for_exit()
         purged = time.time_ns() // 1_000_000
-        front.log.add(invalidate={"object": "7f3a9c21e0b4d655", "time": purged})
-        front.log.late = 0.03
-        front.lines.clear()
+        front.change_log.add_event(invalidate={"object": "7f3a9c21e0b4d655", "time": purged})
+        front.change_log.response_delay_s = 0.03
+        front.log_lines.clear()
         await front.start()
-        client = await front.client()
-        client.ask(1, "lot-video")
-        await client.ended(1)
-        assert int(edge.asked[0].fields["fresh"]) <= time.time_ns() // 1_000_000 - purged
-        front.signal(signal.SIGKILL)
-        await front.code()
-        front.log.stopped = True  # nothing is heard of it: served all the same
-        front.lines.clear()
+        client = await front.connect_client()
+        client.send_request(1, "lot-video")
+        await client.wait_for_response(1)
+        assert int(edge.commands[0].fields["fresh"]) <= time.time_ns() // 1_000_000 - purged
+        front.send_signal(signal.SIGKILL)
+        await front.wait_for_exit()
+        front.change_log.is_stopped = True  # nothing is heard of it: served all the same
+        front.log_lines.clear()
         await front.start()
-        client = await front.client()
-        client.ask(2, "lot-image")
-        assert (await client.ended(2)).status == 200
+        client = await front.connect_client()
+        client.send_request(2, "lot-image")
+        assert (await client.wait_for_response(2)).status == 200
 
     play(tmp_path, fleet(), scenario)
 
@@ -422,90 +424,92 @@
     ]
 
     async def scenario(front: Front) -> None:
-        client, edge = await front.client(), front.caches["s-1"]
-        front.log.broken += answers
-        front.log.add(invalidate={"bucket": 3, "time": 1})  # ends the poll that is out
-        await until(lambda: not front.log.broken, "all of them were sent")
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
-        added = front.log.add(
+        client, edge = await front.connect_client(), front.caches["s-1"]
+        front.change_log.raw_responses += answers
+        front.change_log.add_event(invalidate={"bucket": 3, "time": 1})  # ends the poll that is out
+        await until(lambda: not front.change_log.raw_responses, "all of them were sent")
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
+        added = front.change_log.add_event(
             fleet={"seq": 1, "whole": False, "hosts": [host("s-1", edge.address, health="DELETED")]}
         )
-        await until(lambda: added in front.log.since, "followed again")
-        client.ask(2)
-        assert (await client.ended(2)).status == 200
-        assert len(edge.asked) == 1 and front.logged("change_log_poll_failed")
+        await until(lambda: added in front.change_log.poll_positions, "followed again")
+        client.send_request(2)
+        assert (await client.wait_for_response(2)).status == 200
+        assert len(edge.commands) == 1 and front.has_logged("change_log_poll_failed")
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_record_that_cannot_be_used_keeps_the_last_good_list(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client = await front.client()
+        client = await front.connect_client()
         bad = host("s-1", "127.0.0.1:1", health="SLEEPING")
-        front.log.add(fleet={"seq": 1, "whole": True, "hosts": [bad]})
-        added = front.log.add(invalidate={"bucket": 3, "time": 1})
-        await until(lambda: added in front.log.since, "what follows it is taken")
-        assert front.logged("SLEEPING")
-        client.ask(1)
-        assert (await client.ended(1)).status == 200 and len(front.caches["s-1"].asked) == 1
+        front.change_log.add_event(fleet={"seq": 1, "whole": True, "hosts": [bad]})
+        added = front.change_log.add_event(invalidate={"bucket": 3, "time": 1})
+        await until(lambda: added in front.change_log.poll_positions, "what follows it is taken")
+        assert front.has_logged("SLEEPING")
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200 and len(front.caches["s-1"].commands) == 1
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_sigterm_serves_on_finishes_what_is_open_and_ends_with_0(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client, edge = await front.client(), front.caches["s-1"]
-        client.ask(1)
-        await until(lambda: len(edge.asked) == 1, "it is out")
-        front.signal(signal.SIGTERM)
-        await until(lambda: front.logged("drain: 1 requests open"), "the front drains")
-        late = await front.client()
-        late.ask(2, HTTP_X_N="2")
-        await until(lambda: len(edge.asked) == 2, "new connections are served too")
-        for asked in edge.asked:
-            asked.data()
-        assert (await client.ended(1)).status == 200 and (await late.ended(2)).status == 200
-        assert await front.code() == 0
-        assert front.logged("stopped") and front.logged("requests 2")
+        client, edge = await front.connect_client(), front.caches["s-1"]
+        client.send_request(1)
+        await until(lambda: len(edge.commands) == 1, "it is out")
+        front.send_signal(signal.SIGTERM)
+        await until(lambda: front.has_logged("drain: 1 requests open"), "the front drains")
+        late = await front.connect_client()
+        late.send_request(2, HTTP_X_N="2")
+        await until(lambda: len(edge.commands) == 2, "new connections are served too")
+        for asked in edge.commands:
+            asked.respond_with_data()
+        assert (await client.wait_for_response(1)).status == 200 and (
+            await late.wait_for_response(2)
+        ).status == 200
+        assert await front.wait_for_exit() == 0
+        assert front.has_logged("stopped") and front.has_logged("requests 2")
 
     play(tmp_path, fleet(silent), scenario)
 
 
 def test_sigterm_answers_what_stays_open_before_the_kill(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1, "bid", HTTP_X_ALLOW_MS="6000")
-        await until(lambda: len(front.caches["o-1"].asked) == 1, "it is out")
-        front.signal(signal.SIGTERM)
-        assert (await client.ended(1)).status == 502
-        assert await front.code() == 0
+        client = await front.connect_client()
+        client.send_request(1, "bid", HTTP_X_ALLOW_MS="6000")
+        await until(lambda: len(front.caches["o-1"].commands) == 1, "it is out")
+        front.send_signal(signal.SIGTERM)
+        assert (await client.wait_for_response(1)).status == 502
+        assert await front.wait_for_exit() == 0
 
     play(tmp_path, fleet(origin=silent), scenario)
 
 
 def test_killed_front_starts_again_from_nothing(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1)
-        await client.ended(1)
-        front.signal(signal.SIGKILL)
-        await front.code()
-        front.lines.clear()
+        client = await front.connect_client()
+        client.send_request(1)
+        await client.wait_for_response(1)
+        front.send_signal(signal.SIGKILL)
+        await front.wait_for_exit()
+        front.log_lines.clear()
         await front.start()
-        again = await front.client()
-        again.ask(2)
-        assert (await again.ended(2)).status == 200
+        again = await front.connect_client()
+        again.send_request(2)
+        assert (await again.wait_for_response(2)).status == 200
 
     play(tmp_path, fleet(), scenario)
 
 
 def test_address_in_use_is_one_line_and_1(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        other = Front(tmp_path, front.caches, front.log, front.config, None, front.address)
+        other = Front(tmp_path, front.caches, front.change_log, front.config, None, front.address)
         await other.start(wait=False)
-        assert await other.code() == 1
-        assert len(other.lines) == 1 and "can't listen on" in other.lines[0]
+        assert await other.wait_for_exit() == 1
+        assert len(other.log_lines) == 1 and "can't listen on" in other.log_lines[0]
 
     play(tmp_path, fleet(), scenario)
 
@@ -525,35 +529,35 @@
             stalled.append((reader, writer))
             for k in range(1, 33):
                 writer.write(call(k, params(f"{n * 100 + k:016x}", "bid")))
-        client = await front.client()
+        client = await front.connect_client()
         for n in range(1, 21):
-            client.ask(n, HTTP_X_N=str(n))
+            client.send_request(n, HTTP_X_N=str(n))
         for n in range(1, 21):
-            assert (await client.ended(n)).ended is not None
-        await until(lambda: front.logged("buffer_limit"), "the buffers were used up")
-        assert len(origin.asked) * 240_000 > 64 * 1024 * 1024  # some clients were closed before their turn
+            assert (await client.wait_for_response(n)).ended is not None
+        await until(lambda: front.has_logged("buffer_limit"), "the buffers were used up")
+        assert len(origin.commands) * 240_000 > 64 * 1024 * 1024  # some clients were closed before their turn
         memory, descriptors = used(front.process)
         assert memory < 192 * 1024 * 1024 and descriptors < 1024
         for _, writer in stalled:
             writer.transport.abort()
-        client.ask(30, HTTP_X_N="30")
-        assert (await client.ended(30)).ended == 0 and not front.ended
+        client.send_request(30, HTTP_X_N="30")
+        assert (await client.wait_for_response(30)).ended == 0 and not front.has_exited
 
-    play(tmp_path, fleet(ok, ok, lambda asked: asked.data(b"x" * 240_000)), scenario)
+    play(tmp_path, fleet(ok, ok, lambda asked: asked.respond_with_data(b"x" * 240_000)), scenario)
 
 
 def test_more_connections_than_the_account_allows(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        front.signal(signal.SIGKILL)
-        await front.code()
-        front.lines.clear()
+        front.send_signal(signal.SIGKILL)
+        await front.wait_for_exit()
+        front.log_lines.clear()
         await front.start(limits={"cores": 1.0, "memory_mb": 192, "sockets": 128})
         held = [await asyncio.open_connection(*front.address) for _ in range(150)]
-        client = await front.client()  # idle ones made room
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
+        client = await front.connect_client()  # idle ones made room
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
         assert used(front.process)[1] < 128
-        assert front.logged("idle_client_closed")
+        assert front.has_logged("idle_client_closed")
         for _, writer in held:
             writer.close()
 
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -15,11 +15,11 @@
 
 from tests.frontkit import SETTINGS, host
 from tests.limitkit import descriptors, ended, idle, item, more_machines, ping, play_at
-from tests.standins import Asked, Behaviour, Client, Front, until
+from tests.standins import Behaviour, Client, Front, ReceivedCommand, until
 
 
-def hit(asked: Asked) -> None:
-    asked.data()
+def hit(asked: ReceivedCommand) -> None:
+    asked.respond_with_data()
 
 
 def fleet(edge: Behaviour = hit) -> dict[str, Behaviour]:
@@ -61,15 +61,15 @@
     async def scenario(front: Front) -> None:
         await more_machines(front, 59)
         await idle(front, 19)
-        client, edge = await front.client(), front.caches["s-1"]
+        client, edge = await front.connect_client(), front.caches["s-1"]
         for n in range(1, 61):  # each object is a known hit from now on, at a machine of its own
-            client.ask(n, HTTP_X_ITEM=item(n))
-            assert (await client.ended(n)).status == 200
-        assert edge.open >= 18
+            client.send_request(n, HTTP_X_ITEM=item(n))
+            assert (await client.wait_for_response(n)).status == 200
+        assert edge.open_count >= 18
         for n in range(1, 19):
-            client.ask(100 + n, HTTP_X_ITEM=item(n))
+            client.send_request(100 + n, HTTP_X_ITEM=item(n))
         for n in range(1, 19):
-            assert (await client.ended(100 + n)).status == 200
+            assert (await client.wait_for_response(100 + n)).status == 200
         counts = await ended(front)
         assert "cache_connections_reset" not in counts and "accept_failed" not in counts, counts
 
@@ -86,44 +86,48 @@
 
     async def scenario(front: Front) -> None:
         with hanging() as nowhere:
-            last = front.log.add(
+            last = front.change_log.add_event(
                 fleet={"seq": 1, "whole": False, "hosts": [host(f"s-{n}", nowhere) for n in range(9, 99)]}
             )
-            await until(lambda: front.log.since[-1] >= last, "the list is heard")
-            port = front.log.address
-            assert front.log.server is not None
-            front.log.server.close()  # no new connection, and the open one ends at the next poll
-            front.log.broken.append(b"")
+            await until(lambda: front.change_log.poll_positions[-1] >= last, "the list is heard")
+            port = front.change_log.address
+            assert front.change_log.server is not None
+            front.change_log.server.close()  # no new connection, and the open one ends at the next poll
+            front.change_log.raw_responses.append(b"")
             await until(
-                lambda: front.logged("change_log_poll_failed: ConnectionRefused"), "discovery is down"
+                lambda: front.has_logged("change_log_poll_failed: ConnectionRefused"), "discovery is down"
             )
             await idle(front, usable + 5)
-            asking = await front.client()
+            asking = await front.connect_client()
             for n in range(1, 33):
-                asking.ask(n, HTTP_X_ITEM=item(n))
-            more = [await front.client() for _ in range(3)]
+                asking.send_request(n, HTTP_X_ITEM=item(n))
+            more = [await front.connect_client() for _ in range(3)]
             for at, client in enumerate(more):
                 for n in range(1, 33):
-                    client.ask(n, HTTP_X_ITEM=item(100 * at + n + 50), HTTP_X_JOB_ID=f"{at + 1:08x}{n:08x}")
-            front.signal(signal.SIGHUP)  # it opens a file, with all of these taken
-            await until(lambda: front.logged("configuration reloaded"), "the configuration is read")
+                    client.send_request(
+                        n, HTTP_X_ITEM=item(100 * at + n + 50), HTTP_X_JOB_ID=f"{at + 1:08x}{n:08x}"
+                    )
+            front.send_signal(signal.SIGHUP)  # it opens a file, with all of these taken
+            await until(lambda: front.has_logged("configuration reloaded"), "the configuration is read")
             assert descriptors(front) <= sockets
-            newest = await front.client()
+            newest = await front.connect_client()
             newest.send(ping(1))
-            assert (await newest.ended(1)).status == 200
-            leaving = front.log.add(
+            assert (await newest.wait_for_response(1)).status == 200
+            leaving = front.change_log.add_event(
                 fleet={"seq": 2, "whole": False,
                        "hosts": [host("s-1", front.caches["s-1"].address, health="DRAINING")]}
             )  # fmt: skip
             name, number = port.rsplit(":", 1)
-            front.log.server = await asyncio.start_server(front.log._serve, name, int(number))
+            front.change_log.server = await asyncio.start_server(front.change_log._serve, name, int(number))
             loop = asyncio.get_running_loop()
-            back, before = loop.time(), len(front.log.since)
+            back, before = loop.time(), len(front.change_log.poll_positions)
             for round in range(8):  # dials go on hanging as the watch comes back
-                asking.ask(200 + round, HTTP_X_ITEM=item(400 + round))
-            await until(lambda: front.log.since[before:][-1:] >= [leaving], "the drain is heard")
+                asking.send_request(200 + round, HTTP_X_ITEM=item(400 + round))
+            await until(
+                lambda: front.change_log.poll_positions[before:][-1:] >= [leaving], "the drain is heard"
+            )
             assert loop.time() - back < 4  # the longest pause is 0.75 s; a drain's grace two
-            assert not front.logged("Too many open files") and not front.logged("accept_failed")
+            assert not front.has_logged("Too many open files") and not front.has_logged("accept_failed")
             counts = await ended(front)
             assert counts["cache_connect_timeouts"] >= 20, counts
 
@@ -134,21 +138,21 @@
     """The system has none left for a while: the front says so a few times, and nobody is lost."""
 
     async def scenario(front: Front) -> None:
-        early = await front.client()
+        early = await front.connect_client()
         early.send(ping(1))
-        assert (await early.ended(1)).status == 200
+        assert (await early.wait_for_response(1)).status == 200
         open_files(lowest_free(front), front)
-        waiting = [await Client.to(front.address) for _ in range(5)]  # by the system, in the backlog
+        waiting = [await Client.connect(front.address) for _ in range(5)]  # by the system, in the backlog
         front.clients += waiting
         for client in waiting:
             client.send(ping(1))
-        await until(lambda: sum("accept_failed" in line for line in front.lines) >= 20, "accepts fail")
+        await until(lambda: sum("accept_failed" in line for line in front.log_lines) >= 20, "accepts fail")
         for n in range(2, 60):  # meanwhile the front serves, and the line is not logged for ever
             early.send(ping(n))
-            assert (await early.ended(n)).status == 200
-        assert sum("accept_failed" in line for line in front.lines) <= 21  # the counters name it once
+            assert (await early.wait_for_response(n)).status == 200
+        assert sum("accept_failed" in line for line in front.log_lines) <= 21  # the counters name it once
         open_files(64, front)
         for client in waiting:
-            assert (await client.ended(1)).status == 200
+            assert (await client.wait_for_response(1)).status == 200
 
     play_at(tmp_path, fleet(), scenario, 64)
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -369,11 +369,11 @@
 
 
 async def idle(front: Front, count: int) -> list[Client]:
-    clients = [await front.client() for _ in range(count)]
+    clients = [await front.connect_client() for _ in range(count)]
     for client in clients:
         client.send(PING)
     for client in clients:
-        assert (await client.ended(1)).status == 200
+        assert (await client.wait_for_response(1)).status == 200
     return clients
 
 
@@ -383,19 +383,21 @@
         try:
             await front.start(limits={"cores": 1.0, "memory_mb": 32, "sockets": 256})
             clients = await idle(front, 100)
-            few = await front.client()
-            front.signal(signal.SIGHUP)
-            await until(lambda: front.logged("configuration reloaded"), "SIGHUP with all of them idle")
+            few = await front.connect_client()
+            front.send_signal(signal.SIGHUP)
+            await until(lambda: front.has_logged("configuration reloaded"), "SIGHUP with all of them idle")
             for n, client in enumerate(clients):
                 client.send(call(2, params(f"{n + 100:016x}", HTTP_X_N=str(n % 5))))
             for n in range(2, 12):
-                few.ask(n, "bid", b"offer", HTTP_X_JOB_ID=f"{n + 900:016x}")  # the highest tier goes on
-                assert (await few.ended(n)).status == 200
-            statuses = [(await client.ended(2)).status for client in clients]
-            assert set(statuses) <= {200, 503} and not any(client.closed for client in clients)
-            front.signal(signal.SIGTERM)
-            assert await front.code() == 0
-            assert not any("exception" in line for line in front.lines)
+                few.send_request(
+                    n, "bid", b"offer", HTTP_X_JOB_ID=f"{n + 900:016x}"
+                )  # the highest tier goes on
+                assert (await few.wait_for_response(n)).status == 200
+            statuses = [(await client.wait_for_response(2)).status for client in clients]
+            assert set(statuses) <= {200, 503} and not any(client.is_closed for client in clients)
+            front.send_signal(signal.SIGTERM)
+            assert await front.wait_for_exit() == 0
+            assert not any("exception" in line for line in front.log_lines)
         finally:
             await front.stop()
 
@@ -406,18 +408,18 @@
 def test_a_standstill_of_the_process_ends_nobody(tmp_path: Path, stand: float) -> None:
     async def scenario(front: Front) -> None:
         rested = await idle(front, 30)
-        half = await front.client()
+        half = await front.connect_client()
         half.send(begin(1) + rec(4, 1, b"")[:5])
-        new = await front.client()
+        new = await front.connect_client()
         if stand:
-            front.signal(signal.SIGSTOP)
+            front.send_signal(signal.SIGSTOP)
             await asyncio.sleep(stand)
-            front.signal(signal.SIGCONT)
+            front.send_signal(signal.SIGCONT)
         new.send(PING)
-        assert (await new.ended(1)).status == 200
-        assert not half.closed and not any(client.closed for client in rested)
-        rested[0].ask(2)
-        assert (await rested[0].ended(2)).status == 200
+        assert (await new.wait_for_response(1)).status == 200
+        assert not half.is_closed and not any(client.is_closed for client in rested)
+        rested[0].send_request(2)
+        assert (await rested[0].wait_for_response(2)).status == 200
 
     play(tmp_path, fleet(), scenario)
 
@@ -427,21 +429,21 @@
         operator = tmp_path / "operator.yaml"
         operator.write_text("clients: {rest_most_s: 0.4}\n")
         front = Front(tmp_path, {name: Cache(behaviour) for name, behaviour in fleet().items()})
-        front.operator = operator
+        front.operator_file = operator
         try:
             await front.start()
             client = (await idle(front, 1))[0]
-            await until(lambda: client.closed, "it rested for too long")
+            await until(lambda: client.is_closed, "it rested for too long")
             client.send(PING)  # crosses the close
             again = (await idle(front, 1))[0]
-            again.ask(2)
-            assert (await again.ended(2)).status == 200
+            again.send_request(2)
+            assert (await again.wait_for_response(2)).status == 200
             operator.write_text("clients: {rest_most_s: 0}\n")
-            front.signal(signal.SIGHUP)
-            await until(lambda: front.logged("clients changed"), "the new bound holds")
+            front.send_signal(signal.SIGHUP)
+            await until(lambda: front.has_logged("clients changed"), "the new bound holds")
             last = (await idle(front, 1))[0]
             await asyncio.sleep(0.8)
-            assert not last.closed
+            assert not last.is_closed
         finally:
             await front.stop()
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -67,7 +67,7 @@
     return Suite(tmp_path, *request.param)
 
 
-def test_what_is_listed_may_fail_and_is_printed(suite: Suite) -> None:
+def test_listed_tests_may_fail_and_are_printed(suite: Suite) -> None:
     """In its call, in its set-up, or in one case alone; the run goes on behind it also with -x."""
     suite.write("test_x", RED + GOOD).write("test_y", SET_UP).write("test_z", CASES)
     told = [LINE, "tests/test_y.py::test_store | no store | issue 41\n"]
@@ -175,19 +175,19 @@
         (b"# a\n# \xff\n", "line 2: not UTF-8"),
     ],
 )
-def test_each_fault_of_the_list_is_told_with_its_line_and_what_to_do(data: bytes, told: str) -> None:
+def test_each_fault_of_the_list_is_reported_with_its_line_and_remedy(data: bytes, told: str) -> None:
     with pytest.raises(pytest.UsageError) as caught:
         read(data)
     (why,) = caught.value.args
     assert why.startswith(f"{NAME}, {told}: ") and "\n" not in why
 
 
-def test_no_fault_is_left_off_for_want_of_a_line() -> None:
+def test_the_number_of_lines_is_not_limited() -> None:
     data = b"".join(b"tests/test_x.py::test_%d | a cause | issue 4\n" % n for n in range(12))
     assert [line.test for line in read(data)] == [f"tests/test_x.py::test_{n}" for n in range(12)]
 
 
-def test_all_faults_of_a_list_are_told_at_once() -> None:
+def test_all_faults_of_a_list_are_reported_at_once() -> None:
     with pytest.raises(pytest.UsageError) as caught:
         read(b"one\n" + LINE.encode() * 2)
     assert [fault.split(":")[0] for fault in caught.value.args[0].split("\n")] == [
@@ -234,13 +234,13 @@
     assert not (suite.root / "ran").exists()
 
 
-def test_a_file_that_can_not_be_read_is_told_beside_the_fault(suite: Suite) -> None:
+def test_a_syntax_error_in_a_test_file_is_reported(suite: Suite) -> None:
     suite.write("test_x", "def test_red(:\n").list(LINE)
     code, out = suite.run()
     assert code == 4 and "SyntaxError" in out, out
 
 
-def test_a_run_of_a_part_asks_only_for_its_own(suite: Suite) -> None:
+def test_a_partial_run_checks_only_its_own_files(suite: Suite) -> None:
     """Of files that are not run, those named must exist; what is deselected was collected and is no fault."""
     suite.write("test_x", RED + GOOD).write("test_y", GOOD).list(LINE)
     for words, told in (
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -13,15 +13,25 @@
 
 from quincepier.lab.fleet.places import FRONTS_MOST, OTHERS_MOST, front_address, pair_address
 from tests import loopback
-from tests.loopback import BLOCKS, EACH, FROM, PORTS, SHARED, SIZE, claim, own_address, own_port
+from tests.loopback import (
+    BLOCKS,
+    FROM,
+    PORTS,
+    SHARED,
+    SHARED_PORTS_PER_BLOCK,
+    SIZE,
+    allocate_address,
+    allocate_port,
+    claim,
+)
 
 
 def number(address: str) -> int:
     return int.from_bytes(socket.inet_aton(address), "big")
 
 
-def test_none_comes_twice() -> None:
-    found = list(itertools.islice(iter(own_address, None), SIZE + 10))
+def test_no_address_is_allocated_twice() -> None:
+    found = list(itertools.islice(iter(allocate_address, None), SIZE + 10))
     assert len(set(found)) == len(found)
     assert {port for _, port in found} <= set(PORTS)
     first = {number(address) // SIZE for address, _ in found}
@@ -31,28 +41,30 @@
 
 
 def test_ports_at_the_shared_addresses_are_below_those_of_connections() -> None:
-    mine = [own_port() for _ in range(EACH)]
-    assert len(set(mine)) == EACH and own_port() == mine[0]
+    mine = [allocate_port() for _ in range(SHARED_PORTS_PER_BLOCK)]
+    assert len(set(mine)) == SHARED_PORTS_PER_BLOCK and allocate_port() == mine[0]
     low, high = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()
-    assert max(PORTS) < SHARED <= min(mine) and SHARED + BLOCKS * EACH <= int(low) < int(high)
+    assert max(PORTS) < SHARED <= min(mine) and SHARED + BLOCKS * SHARED_PORTS_PER_BLOCK <= int(low) < int(
+        high
+    )
 
 
-def test_processes_beside_each_other_have_none_in_common() -> None:
-    code = "from tests.loopback import *; print(own_address()[0], own_port(), flush=True); input()"
+def test_concurrent_processes_share_no_address() -> None:
+    code = "from tests.loopback import *; print(allocate_address()[0], allocate_port(), flush=True); input()"
     command = [sys.executable, "-c", code]
     pipe = subprocess.PIPE
     others = [subprocess.Popen(command, stdin=pipe, stdout=pipe, text=True) for _ in range(3)]
     try:
         told = [other.stdout.readline().split() for other in others if other.stdout is not None]
-        told.append([own_address()[0], str(own_port())])
+        told.append([allocate_address()[0], str(allocate_port())])
         assert len({number(address) // SIZE for address, _ in told}) == 4
-        assert len({(int(port) - SHARED) // EACH for _, port in told}) == 4
+        assert len({(int(port) - SHARED) // SHARED_PORTS_PER_BLOCK for _, port in told}) == 4
     finally:
         for other in others:
             other.communicate("\n")
 
 
-def test_where_all_are_held_nobody_shares(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_block_is_shared_when_all_are_held(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(loopback, "BLOCKS", 1)
     with contextlib.ExitStack() as stack:
         with contextlib.suppress(RuntimeError):  # it may be another run's
@@ -62,7 +74,7 @@
 
 
 @pytest.mark.parametrize("other", [0, 1, OTHERS_MOST - 1])
-def test_none_is_the_laboratorys(other: int) -> None:
+def test_no_address_belongs_to_the_laboratory(other: int) -> None:
     for front in (0, 1, FRONTS_MOST - 1):
         for address in (front_address(front), pair_address(front, other)):
             assert not FROM <= number(address) < FROM + BLOCKS * SIZE
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -17,8 +17,8 @@
 import pytest
 
 from tests.frontkit import SETTINGS, host, raw_config
-from tests.loopback import own_address
-from tests.standins import Asked, Cache, ChangeLog, Client, Front, until
+from tests.loopback import allocate_address
+from tests.standins import Cache, ChangeLog, Client, Front, ReceivedCommand, until
 
 MS = 1_000_000
 OLD, NEW = 1, 2  # the first digit of a request's job id says which front's client asked
@@ -100,13 +100,13 @@
         self.fronts = {OLD: Front(folder / "old", self.caches), NEW: Front(folder / "new", self.caches)}
         self.clients: dict[int, Client] = {}
 
-    def behaviour(self, name: str) -> Callable[[Asked], None]:
-        def behave(asked: Asked) -> None:
+    def behaviour(self, name: str) -> Callable[[ReceivedCommand], None]:
+        def behave(asked: ReceivedCommand) -> None:
             get = asked.fields.get
             front, fresh = int(asked.id[0]), int(get("fresh", "0"))
             served = Served(name, front, get("class", ""), get("key", ""), get("via", ""), fresh, time.time())
             self.seen.served.append(served)
-            asyncio.get_running_loop().call_later(WORK_S, asked.data)
+            asyncio.get_running_loop().call_later(WORK_S, asked.respond_with_data)
 
         return behave
 
@@ -117,29 +117,32 @@
         hosts = [host(n, c.address, kinds.get(n[0], "std")) for n, c in self.caches.items() if n != COLD]
         for number, front in self.fronts.items():
             front.folder.mkdir()
-            await front.log.start()
+            await front.change_log.start()
             listed = copy.deepcopy(hosts)
             for entry in listed if number == NEW else []:
                 del entry["share"]
-            front.log.add(fleet={"seq": 0, "whole": True, "hosts": listed})
+            front.change_log.add_event(fleet={"seq": 0, "whole": True, "hosts": listed})
             settings = copy.deepcopy(SETTINGS) if number == OLD else new_shape()
             settings["replicas_of_me"], settings["family_info"]["seats_by_zone"] = 2, [0, 2]
             settings["rules"] |= {"cold_from": RULES["cold_from"], "fall_multiple": RULES["fall_multiple"]}
             settings["rules"] |= {"warm_within": int(RULES["warm_s"] * 1000) * MS}
-            front.address = own_address()
+            front.address = allocate_address()
             front.config = raw_config(
-                listen="{}:{}".format(*front.address), changelog=front.log.address, known=front.log.known(),
-                settings=settings, name=f"n{number}",
+                listen="{}:{}".format(*front.address), changelog=front.change_log.address,
+                known=front.change_log.make_snapshot(), settings=settings, name=f"n{number}",
             )  # fmt: skip
             await front.start()
-            self.clients[number] = await front.client()
+            self.clients[number] = await front.connect_client()
 
     async def tell(self, **event: Any) -> None:
         """Both change logs say it; returns when both fronts have asked for what comes after it."""
-        logs: list[ChangeLog] = [front.log for front in self.fronts.values()]
-        last = [log.add(**event) for log in logs]
+        logs: list[ChangeLog] = [front.change_log for front in self.fronts.values()]
+        last = [log.add_event(**event) for log in logs]
         await until(
-            lambda: all(log.since and log.since[-1] >= n for log, n in zip(logs, last, strict=True)), "told"
+            lambda: all(
+                log.poll_positions and log.poll_positions[-1] >= n for log, n in zip(logs, last, strict=True)
+            ),
+            "told",
         )
 
     async def play(self, first: int, count: int, key: str = "") -> None:
@@ -148,11 +151,11 @@
         async def one(number: int, request: int) -> None:
             item, cls = key or f"{request * 7919 % 40 + 1:016x}", ("lot-image", "lot-video")[request % 2]
             upload = request % 10 == 0 and not key  # never kept: straight to the origin where that may be
-            self.clients[number].ask(
+            self.clients[number].send_request(
                 request, "bid" if upload else cls, b"offer" * upload,
                 HTTP_X_JOB_ID=f"{number}{request:015x}", HTTP_X_ITEM=item, HTTP_X_N="0",
             )  # fmt: skip
-            got = await self.clients[number].ended(request)
+            got = await self.clients[number].wait_for_response(request)
             self.seen.answers[number].append(got.status)
 
         for at in range(first, first + count, 8):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -21,7 +21,7 @@
 from quincepier.operator import SECTIONS, LogSection, OperatorError, load, read
 from quincepier.state.section import StateSection
 from tests.frontkit import raw_config
-from tests.standins import Asked, Cache, Front, until
+from tests.standins import Cache, Front, ReceivedCommand, until
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "operator.yaml"
 
@@ -165,43 +165,43 @@
     """A front as a process: its only cache moves to an address that the operators tell at SIGHUP."""
     operator = tmp_path / "operator.yaml"
 
-    def ok(asked: Asked) -> None:
-        asked.data()
+    def ok(asked: ReceivedCommand) -> None:
+        asked.respond_with_data()
 
     async def scenario(front: Front) -> None:
         def lines(event: str) -> list[dict[str, Any]]:
-            records = [json.loads(line) for line in front.lines if line.startswith("{")]
+            records = [json.loads(line) for line in front.log_lines if line.startswith("{")]
             assert all(set(r) == {"time", "level", "event", "fields"} for r in records)
             return [r for r in records if r["event"] == event]
 
         (ready,) = lines("front_serving")
         assert ready["fields"]["front"] == "n0" and ready["level"] == "INFO"
-        client = await front.client()
-        client.ask(1, "bid", b"offer")
-        assert (await client.ended(1)).status == 200
+        client = await front.connect_client()
+        client.send_request(1, "bid", b"offer")
+        assert (await client.wait_for_response(1)).status == 200
         moved = Machine(tmp_path, ("unix",))
         await moved.start()
         (address,) = moved.addresses()
         origin = front.caches["o-1"]
         assert origin.server is not None
         origin.server.close()
-        for asked in origin.asked:
-            asked.reset()
+        for asked in origin.commands:
+            asked.abort_connection()
         good = f"addresses: {{machines: {{o-1: ['{address}']}}, prefer: [unix]}}"
         operator.write_text(good.replace("unix]", "moon]"))
-        front.signal(signal.SIGHUP)
+        front.send_signal(signal.SIGHUP)
         await until(lambda: bool(lines("configuration_rejected")), "the bad file is told")
         assert "addresses.prefer.0" in lines("configuration_rejected")[0]["fields"]["detail"]
-        client.ask(2, "bid", b"offer")
-        await client.ended(2)
+        client.send_request(2, "bid", b"offer")
+        await client.wait_for_response(2)
         assert not moved.at  # nothing of it is in force
         operator.write_text(good)
-        front.signal(signal.SIGHUP)
-        await until(lambda: front.logged("reloaded: log, addresses changed"), "the good one is taken")
-        client.ask(3, "bid", b"offer")
-        assert (await client.ended(3)).status == 200 and len(moved.at) == 1
-        front.signal(signal.SIGTERM)
-        assert await front.code() == 0
+        front.send_signal(signal.SIGHUP)
+        await until(lambda: front.has_logged("reloaded: log, addresses changed"), "the good one is taken")
+        client.send_request(3, "bid", b"offer")
+        assert (await client.wait_for_response(3)).status == 200 and len(moved.at) == 1
+        front.send_signal(signal.SIGTERM)
+        assert await front.wait_for_exit() == 0
         await moved.close()
 
     operator.write_text("log: {format: json}\naddresses: {}\n")
@@ -209,7 +209,7 @@
 
     async def over() -> None:
         front = Front(tmp_path, {name: Cache(behaviour) for name, behaviour in caches.items()})
-        front.operator = operator
+        front.operator_file = operator
         try:
             await front.start()
             await scenario(front)
--- a/tests/test_packages.py
+++ b/tests/test_packages.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests import packages
-from tests.packages import TESTS, imported, is_of
+from tests.packages import TESTS, belongs_to, imported
 from tests.test_known_red import GOOD, LINE, RED, Suite
 
 ALL = sorted(TESTS.glob("**/test_*.py"))
@@ -18,7 +18,7 @@
     "package", sorted(path.parent.name for path in packages.SOURCE.glob("*/__init__.py"))
 )
 def test_each_folder_has_tests_of_its_own(package: str) -> None:
-    found = [file for file in ALL if is_of(file, package)]
+    found = [file for file in ALL if belongs_to(file, package)]
     assert found and found != ALL
 
 
@@ -31,18 +31,18 @@
     one.write_text("import quincepier.rules.voters\nfrom quincepier import clock, interface as io\n")
     other.write_text("def late():\n    from quincepier.net.fleet import node\nfrom tests import state\n")
     assert imported(one) == {"rules.voters", "clock", "interface"} and imported(other) == {"net.fleet.node"}
-    assert {p for p in packages.packages() if is_of(one, p)} == {
+    assert {p for p in packages.packages() if belongs_to(one, p)} == {
         "net",
         "net.fleet",
         "rules",
         "clock",
         "interface",
     }
-    assert {p for p in packages.packages() if is_of(other, p)} == {"net", "net.fleet"}
+    assert {p for p in packages.packages() if belongs_to(other, p)} == {"net", "net.fleet"}
 
 
 @pytest.mark.parametrize("options", [(), ("-p", "xdist", "-n", "2")], ids=["one process", "side by side"])
-def test_a_run_has_these_files_alone_and_an_unknown_package_is_told(
+def test_only_files_of_the_package_run_and_an_unknown_package_is_reported(
     tmp_path: Path, options: tuple[str, ...]
 ) -> None:
     suite = Suite(tmp_path, *options)
--- a/tests/test_peer_network.py
+++ b/tests/test_peer_network.py
@@ -25,7 +25,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.operator import OperatorError, read
 from tests.frontkit import raw_config
-from tests.loopback import own_address
+from tests.loopback import allocate_address
 from tests.standins import until
 
 
@@ -36,7 +36,7 @@
 
 
 def make_networks(count: int) -> list[PeerNetwork]:
-    addresses = {f"n{n}": own_address() for n in range(count)}
+    addresses = {f"n{n}": allocate_address() for n in range(count)}
     return [
         PeerNetwork("f", name, address, Checks(), Descriptors(1024), n, addresses=addresses)
         for n, (name, address) in enumerate(addresses.items())
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -9,19 +9,19 @@
 
 import pytest
 
-from tests.standins import Asked, Behaviour, Front, play, until
+from tests.standins import Behaviour, Front, ReceivedCommand, play, until
 
 STOPPED = 1.0  # seconds
 ALLOWED_MS, SLACK_MS = 2500, 150
 
 
-def never(asked: Asked) -> None:
+def never(asked: ReceivedCommand) -> None:
     pass
 
 
-def never_but_hits(asked: Asked) -> None:
+def never_but_hits(asked: ReceivedCommand) -> None:
     if asked.fields["class"] != "bid":
-        asked.data()
+        asked.respond_with_data()
 
 
 @pytest.mark.fleet(6)
@@ -31,20 +31,20 @@
     caches: dict[str, Behaviour] = {"s-1": never_but_hits, "p-1": never, "o-1": never_but_hits}
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
-        front.signal(signal.SIGSTOP)
+        client = await front.connect_client()
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
+        front.send_signal(signal.SIGSTOP)
         await asyncio.sleep(0.1)
-        client.ask(2, "bid", HTTP_X_ALLOW_MS=str(ALLOWED_MS))
+        client.send_request(2, "bid", HTTP_X_ALLOW_MS=str(ALLOWED_MS))
         began = time.monotonic()
         await asyncio.sleep(STOPPED)
-        front.signal(signal.SIGCONT)
+        front.send_signal(signal.SIGCONT)
         origin = front.caches["o-1"]
-        await until(lambda: bool(origin.asked), "it is sent on")
+        await until(lambda: bool(origin.commands), "it is sent on")
         left = ALLOWED_MS - (time.monotonic() - began) * 1000
-        assert int(origin.asked[0].fields["wait"]) <= left + SLACK_MS
-        got = await client.ended(2)
+        assert int(origin.commands[0].fields["wait"]) <= left + SLACK_MS
+        got = await client.wait_for_response(2)
         assert got.status == 502
         assert time.monotonic() - began < ALLOWED_MS / 1000 + 0.5, "later is lost"
 
@@ -54,26 +54,28 @@
 @pytest.mark.fleet(4)
 def test_nothing_begins_for_a_client_that_left_while_the_front_was_stopped(tmp_path: Path) -> None:
     """Its first attempt is reset in that time too; an idle connection to another cache is there."""
-    caches: dict[str, Behaviour] = {name: Asked.data for name in ("s-1", "s-2", "p-1", "o-1")}
+    caches: dict[str, Behaviour] = {
+        name: ReceivedCommand.respond_with_data for name in ("s-1", "s-2", "p-1", "o-1")
+    }
 
     async def scenario(front: Front) -> None:
-        other = await front.client()
+        other = await front.connect_client()
         for n in range(1, 9):  # to both caches
-            other.ask(n, HTTP_X_ITEM=f"{n * 0x9E3779B97F4A7C15 % 2**64:016x}")
-            assert (await other.ended(n)).status == 200
+            other.send_request(n, HTTP_X_ITEM=f"{n * 0x9E3779B97F4A7C15 % 2**64:016x}")
+            assert (await other.wait_for_response(n)).status == 200
         for n in range(8):
-            held: list[Asked] = []
+            held: list[ReceivedCommand] = []
             for cache in front.caches.values():
                 cache.behaviour = held.append
-            client = await front.client()
-            client.ask(50 + n, HTTP_X_ITEM=f"{n * 0x9E3779B97F4A7C15 % 2**64:016x}")
+            client = await front.connect_client()
+            client.send_request(50 + n, HTTP_X_ITEM=f"{n * 0x9E3779B97F4A7C15 % 2**64:016x}")
             await until(lambda found=held: bool(found), "it is out")  # type: ignore[misc]
-            front.signal(signal.SIGSTOP)
+            front.send_signal(signal.SIGSTOP)
             await asyncio.sleep(0.05)
             await client.close()
-            held[0].reset()
+            held[0].abort_connection()
             await asyncio.sleep(0.3)
-            front.signal(signal.SIGCONT)
+            front.send_signal(signal.SIGCONT)
             await asyncio.sleep(0.3)
             assert len(held) == 1, "nothing begins for it"
 
@@ -86,27 +88,32 @@
     tmp_path: Path, purged_after: float, stopped: float
 ) -> None:
     """Requests for a purged group lie in the sockets; so does the purge, or it is to be asked for first."""
-    caches: dict[str, Behaviour] = {name: Asked.data for name in ("s-1", "s-2", "p-1", "o-1")}
+    caches: dict[str, Behaviour] = {
+        name: ReceivedCommand.respond_with_data for name in ("s-1", "s-2", "p-1", "o-1")
+    }
 
     async def scenario(front: Front) -> None:
-        clients = [await front.client() for _ in range(20)]
+        clients = [await front.connect_client() for _ in range(20)]
         for n, client in enumerate(clients, 1):
-            client.ask(n)
-            assert (await client.ended(n)).status == 200
-        front.log.late = 0.03  # on its way; the requests are there
-        asked = {name: len(cache.asked) for name, cache in front.caches.items()}
-        front.signal(signal.SIGSTOP)
+            client.send_request(n)
+            assert (await client.wait_for_response(n)).status == 200
+        front.change_log.response_delay_s = 0.03  # on its way; the requests are there
+        asked = {name: len(cache.commands) for name, cache in front.caches.items()}
+        front.send_signal(signal.SIGSTOP)
         await asyncio.sleep(purged_after)
         purged_at = time.time()
-        front.log.add(invalidate={"bucket": 17, "time": int(purged_at * 1000)})
+        front.change_log.add_event(invalidate={"bucket": 17, "time": int(purged_at * 1000)})
         for n, client in enumerate(clients, 1):
-            client.ask(100 + n, HTTP_X_ALLOW_MS="6000")
+            client.send_request(100 + n, HTTP_X_ALLOW_MS="6000")
         await asyncio.sleep(stopped - purged_after)
-        front.signal(signal.SIGCONT)
+        front.send_signal(signal.SIGCONT)
         for n, client in enumerate(clients, 1):
-            assert (await client.ended(100 + n)).status in (200, 503)  # shed, where they are too many fills
+            assert (await client.wait_for_response(100 + n)).status in (
+                200,
+                503,
+            )  # shed, where they are too many fills
         since_ms = (time.time() - purged_at) * 1000
-        later = [one for name, cache in front.caches.items() for one in cache.asked[asked[name] :]]
+        later = [one for name, cache in front.caches.items() for one in cache.commands[asked[name] :]]
         ages = [int(one.fields.get("fresh", "12000")) for one in later if one.fields["class"] == "lot-image"]
         assert len(ages) >= len(clients) // 2 and max(ages) <= since_ms
 
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -30,7 +30,7 @@
 from quincepier.net.messages import Came
 from quincepier.wire.changelog import PurgeRecord
 from tests.frontkit import SETTINGS, Inbox, host, open_request, raw_config
-from tests.standins import Asked, Cache, ChangeLog
+from tests.standins import Cache, ChangeLog, ReceivedCommand
 from tests.virtual import run, unix_ms
 
 NEVER = 1e6  # seconds
@@ -57,9 +57,9 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def asked(self, name: str, asked: Asked) -> None:
+    def asked(self, name: str, asked: ReceivedCommand) -> None:
         self.serves.append((self.now, name, asked.fields))
-        asyncio.get_running_loop().call_later(WORK, asked.data)
+        asyncio.get_running_loop().call_later(WORK, asked.respond_with_data)
 
     async def start(self) -> None:
         plain = sockets.connect
@@ -77,9 +77,13 @@
         for cache in self.caches.values():
             await cache.start()
         await self.log.start()
-        self.log.add(fleet={"seq": 0, "whole": True, "hosts": [self.host(name) for name in self.caches]})
+        self.log.add_event(
+            fleet={"seq": 0, "whole": True, "hosts": [self.host(name) for name in self.caches]}
+        )
         self.settings = copy.deepcopy(SETTINGS)
-        self.config = raw_config(changelog=self.log.address, known=self.log.known(), settings=self.settings)
+        self.config = raw_config(
+            changelog=self.log.address, known=self.log.make_snapshot(), settings=self.settings
+        )
         (self.folder / "config.json").write_text(json.dumps(self.config))
         self.front = Front(read_front(self.config, {}), str(self.folder / "config.json"))
         self.patch.setattr(self.front.watch.random, "uniform", lambda least, most: most)  # the worst draws
@@ -99,7 +103,7 @@
         log.events.append({"seq": 2, "fleet": {"seq": 1, "whole": False, "hosts": hosts}})
         log.events.append({"seq": 3, "invalidate": {"bucket": PURGED, "time": unix_ms(self.now)}})
         if heard:
-            log.changed.set()
+            log.event_added.set()
 
     async def ask_for(self, seconds: float) -> None:
         until = self.now + seconds
@@ -152,16 +156,16 @@
 
 async def silent(story: Story) -> None:
     """The open watch falls silent once: told two seconds after the end of the wait that was asked for."""
-    story.log.late = NEVER
+    story.log.response_delay_s = NEVER
     story.change(story.log)
     await asyncio.sleep(0.001)
-    story.log.late = 0.0
+    story.log.response_delay_s = 0.0
     story.told_at = story.now + watch.POLL_MS / 1000 + 2
 
 
 async def late(story: Story) -> None:
     """Each answer takes longer than the front has patience past the end of its wait."""
-    story.log.late = 1.2
+    story.log.response_delay_s = 1.2
     await story.ask_for(2.5)
     story.change(story.log)
     story.told_at = story.now + 7
@@ -169,16 +173,16 @@
 
 async def cut(story: Story) -> None:
     """For six seconds nothing comes through, and no connection comes up."""
-    story.log.late, story.way = NEVER, "cut"
+    story.log.response_delay_s, story.way = NEVER, "cut"
     story.change(story.log)
     story.told_at = story.now + 7
     await story.ask_for(6)
-    story.log.late, story.way = 0.0, "up"
+    story.log.response_delay_s, story.way = 0.0, "up"
 
 
 async def down(story: Story) -> None:
     """For the eight seconds after the change no connection comes up, and the last try has just begun then."""
-    story.log.late, story.way = NEVER, "cut"
+    story.log.response_delay_s, story.way = NEVER, "cut"
     await story.ask_for(9)
     every = story.tries[-1] - story.tries[-2]
     await story.ask_for(
@@ -187,21 +191,23 @@
     story.change(story.log)
     story.told_at = story.now + 7
     await story.ask_for(8)
-    story.log.late, story.way = 0.0, "up"
+    story.log.response_delay_s, story.way = 0.0, "up"
 
 
 async def refused(story: Story) -> None:
-    story.log.late, story.way = NEVER, "down"
+    story.log.response_delay_s, story.way = NEVER, "down"
     story.change(story.log)
     story.told_at = story.now + 7
     await story.ask_for(8)
-    story.log.late, story.way = 0.0, "up"
+    story.log.response_delay_s, story.way = 0.0, "up"
 
 
 async def broken_off(story: Story) -> None:
     """Answers break off in the middle of the event, three times: told two seconds after the first."""
-    story.log.broken = [b'HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{"seq":3,"results":[{"seq":2,"fl'] * 3
-    while len(story.log.broken) == 3:
+    story.log.raw_responses = [
+        b'HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{"seq":3,"results":[{"seq":2,"fl'
+    ] * 3
+    while len(story.log.raw_responses) == 3:
         await asyncio.sleep(0.01)
     story.change(story.log, heard=False)
     story.told_at = story.now + 2
@@ -209,7 +215,7 @@
 
 async def moved(story: Story) -> None:
     """SIGHUP names another address, up after a moment; the old one tells nothing: told after four seconds."""
-    story.log.late, new = NEVER, ChangeLog()
+    story.log.response_delay_s, new = NEVER, ChangeLog()
     await new.start()
     new.events = list(story.log.events)
     story.change(new)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -61,7 +61,7 @@
 from quincepier.state.section import StateSection
 from quincepier.state.snapshot_store import GENERATION_NAMES, TEMPORARY_NAME
 from tests.rig import Bench
-from tests.standins import Asked, Front, play, until
+from tests.standins import Front, ReceivedCommand, play, until
 
 DATA = Path(__file__).parent / "data"
 NOW = Timestamp(1_000_000, "boot", 5_000_000_000)
@@ -485,8 +485,8 @@
     asyncio.run(run())
 
 
-def ok(asked: Asked) -> None:
-    asked.data()
+def ok(asked: ReceivedCommand) -> None:
+    asked.respond_with_data()
 
 
 def test_a_front_restores_its_state_after_a_kill_and_serves_with_a_damaged_folder(tmp_path: Path) -> None:
@@ -494,31 +494,31 @@
         folder, told = tmp_path / "kept", front.folder / "operator.yaml"
         told.write_text(f"state: {{folder: {folder}, every_s: 0.2}}\n")
         await again(front)
-        client = await front.client()
+        client = await front.connect_client()
         for n in range(1, 30):
-            client.ask(n)
-            assert (await client.ended(n)).status == 200
+            client.send_request(n)
+            assert (await client.wait_for_response(n)).status == 200
         await until(lambda: any((folder / name).exists() for name in GENERATION_NAMES), "a record is there")
         before = await learned(folder)
         assert before.service_times and before.fetch_limit is not None
         await again(front)
-        assert front.logged("state read: ")
-        client = await front.client()
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
+        assert front.has_logged("state read: ")
+        client = await front.connect_client()
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
         for name in GENERATION_NAMES:
             (folder / name).write_bytes(b"damaged")
         await again(front)
-        assert front.logged("state_not_used: ")
-        client = await front.client()
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
+        assert front.has_logged("state_not_used: ")
+        client = await front.connect_client()
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
 
     async def again(front: Front) -> None:
-        front.signal(signal.SIGKILL)
-        await front.code()
-        front.lines.clear()
-        front.operator = front.folder / "operator.yaml"
+        front.send_signal(signal.SIGKILL)
+        await front.wait_for_exit()
+        front.log_lines.clear()
+        front.operator_file = front.folder / "operator.yaml"
         await front.start()
 
     async def learned(folder: Path) -> LearnedState:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,14 +15,14 @@
 from quincepier.interface import AttemptOutcome
 from tests.attemptkit import BID, IMAGE, Inside, on_loop
 from tests.faulty_front import Call, Plan, Rule
-from tests.standins import Asked, Behaviour, Client, Front, play, until
+from tests.standins import Behaviour, Client, Front, ReceivedCommand, play, until
 
 ONE = ("s-1", "o-1")
 COMERS = 10
 
 
-def hit(asked: Asked) -> None:
-    asked.data()
+def hit(asked: ReceivedCommand) -> None:
+    asked.respond_with_data()
 
 
 @pytest.mark.fleet(5)
@@ -32,18 +32,18 @@
     plan = Plan(rules=(Rule("accept", (error,), begin=0.25, end=0.9, since="term"),))
 
     async def scenario(front: Front) -> None:
-        first = await front.client()
-        first.ask(1)
-        assert (await first.ended(1)).status == 200
-        front.signal(signal.SIGTERM)
+        first = await front.connect_client()
+        first.send_request(1)
+        assert (await first.wait_for_response(1)).status == 200
+        front.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.3)
         comers: list[Client] = []
         for n in range(COMERS):
-            comers.append(await front.client())
-            comers[-1].ask(10 + n)
-        got = [await comer.ended(10 + n) for n, comer in enumerate(comers)]
+            comers.append(await front.connect_client())
+            comers[-1].send_request(10 + n)
+        got = [await comer.wait_for_response(10 + n) for n, comer in enumerate(comers)]
         assert {one.status for one in got} <= {200, 503}
-        assert await front.code() == 0, front.lines
+        assert await front.wait_for_exit() == 0, front.log_lines
 
     play(tmp_path, {"s-1": hit, "p-1": hit, "o-1": hit}, scenario, plan=plan.text())
 
@@ -144,15 +144,15 @@
     plan = Plan(rules=(Rule("accept", ("ENFILE",), end=2.0),))
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1, "bid", HTTP_X_ALLOW_MS="4000")
+        client = await front.connect_client()
+        client.send_request(1, "bid", HTTP_X_ALLOW_MS="4000")
         began = time.monotonic()
         origin = front.caches["o-1"]
-        await until(lambda: bool(origin.asked), "it is sent on")
+        await until(lambda: bool(origin.commands), "it is sent on")
         left_ms = 4000 - (time.monotonic() - began) * 1000
         assert left_ms < 4000 - 500, "it has waited"
-        assert int(origin.asked[0].fields["wait"]) <= left_ms + 150
-        assert (await client.ended(1)).status == 200
+        assert int(origin.commands[0].fields["wait"]) <= left_ms + 150
+        assert (await client.wait_for_response(1)).status == 200
 
     play(tmp_path, {"s-1": hit, "p-1": hit, "o-1": hit}, scenario, plan=plan.text())
 
@@ -171,10 +171,10 @@
     plan = Plan(rules=(Rule("accept", ("ENFILE",), end=5.0),))
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
+        client = await front.connect_client()
         began = time.monotonic()
-        client.ask(1, HTTP_X_ALLOW_MS="40")
-        await client.ended(1)
+        client.send_request(1, HTTP_X_ALLOW_MS="40")
+        await client.wait_for_response(1)
         assert time.monotonic() - began <= 0.04 + 0.5
 
     play(tmp_path, {"s-1": hit, "p-1": hit, "o-1": hit}, scenario, plan=plan.text())
@@ -186,9 +186,9 @@
     plan = Plan(rules=(Rule("socket", (error,), end=1.0),))
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
+        client = await front.connect_client()
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
 
     play(tmp_path, {"s-1": hit, "p-1": hit, "o-1": hit}, scenario, plan=plan.text())
 
@@ -201,15 +201,19 @@
 ) -> None:
     """Every other call on it fails so, for short and for large answers."""
     plan = Plan(rules=(Rule(call, (error,), 0.5),))
-    caches: dict[str, Behaviour] = {"s-1": hit, "p-1": hit, "o-1": lambda asked: asked.data(bytes(240_000))}
+    caches: dict[str, Behaviour] = {
+        "s-1": hit,
+        "p-1": hit,
+        "o-1": lambda asked: asked.respond_with_data(bytes(240_000)),
+    }
 
     async def scenario(front: Front) -> None:
-        client, served = await front.client(), 0
+        client, served = await front.connect_client(), 0
         for n in range(1, 31):
-            client.ask(n, "bid" if n % 10 == 0 else "lot-image")
-            got = await client.ended(n)
+            client.send_request(n, "bid" if n % 10 == 0 else "lot-image")
+            got = await client.wait_for_response(n)
             assert got.status in (200, 503), "refused where it has waited long for its read"
             served += got.status == 200 and len(got.body) in (5, 240_000)
-        assert served > 20 and not client.closed
+        assert served > 20 and not client.is_closed
 
     play(tmp_path, caches, scenario, plan=plan.text())
--- a/tests/watchkit.py
+++ b/tests/watchkit.py
@@ -22,7 +22,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.net.watch import Watch
 from tests.frontkit import make_config
-from tests.loopback import own_address
+from tests.loopback import allocate_address
 from tests.standins import until
 from tests.virtual import run
 
@@ -65,7 +65,7 @@
         self.script: Callable[[Ask], None] = lambda ask: None
 
     async def start(self) -> Log:
-        self.server = await asyncio.start_server(self._serve, *own_address())
+        self.server = await asyncio.start_server(self._serve, *allocate_address())
         return self
 
     @property
