--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What a list of tests known to fail lets pass, and nothing else: whole runs of pytest in a folder."""
+"""The list of tests known to fail excuses those tests alone; checked by whole runs of pytest in a folder."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests import known_red
 from tests.known_red import NAME, read
 
-OURS = Path(known_red.__file__)
+PLUGIN_FILE = Path(known_red.__file__)
 GOOD = "def test_good(): pass\n"
 RED = "def test_red(): raise ValueError('still broken')\n"
 SET_UP = """
@@ -31,14 +31,14 @@
 
 
 class Suite:
-    """A project in a folder of its own, with our plugin and a list; `options` of each run."""
+    """A project in a folder of its own, with the plugin and a list; each run of pytest gets `options`."""
 
     def __init__(self, root: Path, *options: str) -> None:
         self.root, self.options = root, options
         (root / "tests").mkdir()
         (root / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
         self.write("__init__", "").write("conftest", 'pytest_plugins = ["tests.known_red"]\n')
-        shutil.copy(OURS, root / "tests")
+        shutil.copy(PLUGIN_FILE, root / "tests")
         self.list("")
 
     def write(self, name: str, text: str) -> Suite:
@@ -50,7 +50,7 @@
         return self
 
     def run(self, *words: str) -> tuple[int, str]:
-        """The exit code and all that was printed."""
+        """Run pytest; return its exit code, and stdout and stderr."""
         done = subprocess.run(
             [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *self.options, *words],
             cwd=self.root,
@@ -68,21 +68,23 @@
 
 
 def test_listed_tests_may_fail_and_are_printed(suite: Suite) -> None:
-    """In its call, in its set-up, or in one case alone; the run goes on behind it also with -x."""
+    """They may fail in call, in set-up, or in one case of several; with -x the run continues after them."""
     suite.write("test_x", RED + GOOD).write("test_y", SET_UP).write("test_z", CASES)
-    told = [LINE, "tests/test_y.py::test_store | no store | issue 41\n"]
-    told.append("tests/test_z.py::test_case[b|c] | a bar is cut | issue 7\n")
-    suite.list("# three\n\n" + "".join(told))
+    expected = [LINE, "tests/test_y.py::test_store | no store | issue 41\n"]
+    expected.append("tests/test_z.py::test_case[b|c] | a bar is cut | issue 7\n")
+    suite.list("# three\n\n" + "".join(expected))
     code, out = suite.run("-x")
     assert code == 0, out
     assert "2 passed, 3 xfailed" in out
-    for line, error in zip(told, ("ValueError: still broken", "OSError: no store", "Assert"), strict=True):
+    for line, error in zip(
+        expected, ("ValueError: still broken", "OSError: no store", "Assert"), strict=True
+    ):
         assert f"known red: {line.strip()} | {error}" in out
 
 
 @pytest.mark.parametrize("dist", ["load", "loadgroup"])
 def test_a_test_of_a_group_is_known_by_its_own_id(suite: Suite, dist: str) -> None:
-    """Also where side by side its group stands behind it; the same for one that passes again."""
+    """Also if pytest-xdist appends the group to the id; the same for a test that passes again."""
     words = ("--dist", dist) if suite.options else ()
     group = "import pytest\npytestmark = pytest.mark.xdist_group('@[g]')\n"
     suite.write("test_x", group + RED + GOOD).list(LINE)
@@ -110,15 +112,15 @@
     assert code == 1 and "1 failed" in out, out
 
 
-def test_one_that_passes_again_fails_the_run(suite: Suite) -> None:
+def test_a_listed_test_that_passes_again_fails_the_run(suite: Suite) -> None:
     suite.write("test_x", RED.replace("raise ValueError('still broken')", "pass") + GOOD).list("#\n" + LINE)
     code, out = suite.run()
     assert code == 1, out
     assert "1 failed, 1 passed" in out and f"passes again: take line 2 out of {NAME}" in out
 
 
-def test_one_that_fails_at_times_may_pass_or_fail_and_is_printed(suite: Suite) -> None:
-    """Its line stays until its cause is mended; what is listed beside it may not pass."""
+def test_an_intermittent_test_may_pass_or_fail_and_is_printed(suite: Suite) -> None:
+    """The line of an intermittent test stays until the fault is mended; other listed tests may not pass."""
     line = LINE.replace("| ", "| at times: ", 1)
     code, out = suite.write("test_x", GOOD + RED).list(line).run()
     assert code == 0 and "1 passed, 1 xfailed" in out and "| at times: " in out
@@ -136,14 +138,14 @@
         ("pytest.xfail('later')", "take the xfail away"),
     ],
 )
-def test_one_that_does_not_run_to_its_end_is_not_known_to_fail(suite: Suite, body: str, why: str) -> None:
+def test_a_listed_test_that_is_skipped_or_xfailed_fails_the_run(suite: Suite, body: str, why: str) -> None:
     suite.write("test_x", f"import pytest\ndef test_red(): {body}\n").list(LINE)
     code, out = suite.run()
     assert code == 1 and "1 failed" in out and why in out, out
 
 
 def test_marks_do_not_replace_a_line(suite: Suite) -> None:
-    """Whatever is expected to fail stands in the list: a mark fails the run, whether the test does or not."""
+    """Tests expected to fail must be listed: an xfail mark fails the run whether the test fails or not."""
     mark = "@pytest.mark.xfail\n"
     suite.write("test_x", "import pytest\n" + mark + RED + mark + GOOD)
     code, out = suite.run()
@@ -151,7 +153,7 @@
 
 
 def test_an_error_in_tear_down_fails_the_run(suite: Suite) -> None:
-    """A fixture of the module ends with its last test in a process, so its error is of all of them."""
+    """A module's fixture is torn down with the last test of a process: its error concerns all tests."""
     fixture = "@pytest.fixture(scope='module', autouse=True)\ndef shared():\n    yield\n    raise OSError\n"
     suite.write("test_x", "import pytest\n" + fixture + GOOD + RED).list(LINE)
     code, out = suite.run(*(["--dist", "loadfile"] if suite.options else []))
@@ -159,7 +161,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "told"),
+    ("data", "expected"),
     [
         (b"tests/test_x.py::test_red\n", "line 1: not test, cause and issue"),
         (b"#\ntests/test_x.py::test_red | a cause\n", "line 2: not test, cause and issue"),
@@ -175,11 +177,11 @@
         (b"# a\n# \xff\n", "line 2: not UTF-8"),
     ],
 )
-def test_each_fault_of_the_list_is_reported_with_its_line_and_remedy(data: bytes, told: str) -> None:
+def test_each_fault_of_the_list_is_reported_with_its_line_and_remedy(data: bytes, expected: str) -> None:
     with pytest.raises(pytest.UsageError) as caught:
         read(data)
     (why,) = caught.value.args
-    assert why.startswith(f"{NAME}, {told}: ") and "\n" not in why
+    assert why.startswith(f"{NAME}, {expected}: ") and "\n" not in why
 
 
 def test_the_number_of_lines_is_not_limited() -> None:
@@ -211,7 +213,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "words", "told"),
+    ("text", "words", "expected"),
     [
         ("tests/test_x.py::test_red\n", "", f"{NAME}, line 1: not test, cause and issue"),
         ("tests/test_x.py::test_red\n", "--co", f"{NAME}, line 1: not test, cause and issue"),
@@ -222,7 +224,7 @@
     ],
 )
 def test_a_fault_of_the_list_ends_the_run_before_any_test(
-    suite: Suite, text: str | None, words: str, told: str
+    suite: Suite, text: str | None, words: str, expected: str
 ) -> None:
     suite.write("test_x", "def test_good(): open('ran', 'w').close()\n" + RED)
     if text is None:
@@ -230,7 +232,7 @@
     else:
         suite.list(text)
     code, out = suite.run(*words.split())
-    assert code == 4 and told in out, out
+    assert code == 4 and expected in out, out
     assert not (suite.root / "ran").exists()
 
 
@@ -241,9 +243,9 @@
 
 
 def test_a_partial_run_checks_only_its_own_files(suite: Suite) -> None:
-    """Of files that are not run, those named must exist; what is deselected was collected and is no fault."""
+    """A listed file that is not run must exist; a deselected test was collected and is no fault."""
     suite.write("test_x", RED + GOOD).write("test_y", GOOD).list(LINE)
-    for words, told in (
+    for words, expected in (
         (("tests/test_y.py",), "1 passed"),
         (("tests/test_x.py::test_good",), "1 passed"),
         (("-k", "good"), "2 passed, 1 deselected"),
@@ -252,9 +254,9 @@
         (("--co",), "3 tests collected"),
     ):
         code, out = suite.run(*words)
-        if suite.options:  # there nobody prints what was deselected
-            told = told.partition(",")[0]
-        assert code == 0 and told in out, out
+        if suite.options:  # pytest-xdist does not print how many were deselected
+            expected = expected.partition(",")[0]
+        assert code == 0 and expected in out, out
         assert f"known red: {LINE.strip()} | did not fail in this run" in out
     (suite.root / "tests" / "test_x.py").unlink()
     code, out = suite.run("tests/test_y.py")
@@ -264,4 +266,4 @@
 def test_this_project_has_its_list_in_force(request: pytest.FixtureRequest) -> None:
     plugin = request.config.pluginmanager.get_plugin("known red")
     assert plugin is not None
-    assert list(plugin.listed.values()) == read((OURS.parent.parent / NAME).read_bytes())
+    assert list(plugin.listed.values()) == read((PLUGIN_FILE.parent.parent / NAME).read_bytes())
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""Addresses of a test process's own: no two the same, in it or beside it, none of the laboratory's."""
+"""Addresses of test processes are unique, within and across processes, and none is the laboratory's."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from quincepier.lab.fleet.places import FRONTS_MOST, OTHERS_MOST, front_address, pair_address
 from tests import loopback
 from tests.loopback import (
-    BLOCKS,
-    FROM,
-    PORTS,
-    SHARED,
+    BLOCK_COUNT,
+    BLOCK_PORTS,
+    BLOCK_SIZE,
+    FIRST_ADDRESS,
+    FIRST_SHARED_PORT,
     SHARED_PORTS_PER_BLOCK,
-    SIZE,
     allocate_address,
     allocate_port,
-    claim,
+    claim_block,
 )
 
 
@@ -31,22 +31,22 @@
 
 
 def test_no_address_is_allocated_twice() -> None:
-    found = list(itertools.islice(iter(allocate_address, None), SIZE + 10))
+    found = list(itertools.islice(iter(allocate_address, None), BLOCK_SIZE + 10))
     assert len(set(found)) == len(found)
-    assert {port for _, port in found} <= set(PORTS)
-    first = {number(address) // SIZE for address, _ in found}
-    assert len(first) == 1, "all are of one block"
+    assert {port for _, port in found} <= set(BLOCK_PORTS)
+    first = {number(address) // BLOCK_SIZE for address, _ in found}
+    assert len(first) == 1, "all are in one block"
     with socket.create_server(found[0]) as server, socket.create_connection(found[0]):
         assert server.getsockname() == found[0]
 
 
 def test_ports_at_the_shared_addresses_are_below_those_of_connections() -> None:
-    mine = [allocate_port() for _ in range(SHARED_PORTS_PER_BLOCK)]
-    assert len(set(mine)) == SHARED_PORTS_PER_BLOCK and allocate_port() == mine[0]
+    ports = [allocate_port() for _ in range(SHARED_PORTS_PER_BLOCK)]
+    assert len(set(ports)) == SHARED_PORTS_PER_BLOCK and allocate_port() == ports[0]
     low, high = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()
-    assert max(PORTS) < SHARED <= min(mine) and SHARED + BLOCKS * SHARED_PORTS_PER_BLOCK <= int(low) < int(
-        high
-    )
+    assert max(BLOCK_PORTS) < FIRST_SHARED_PORT <= min(
+        ports
+    ) and FIRST_SHARED_PORT + BLOCK_COUNT * SHARED_PORTS_PER_BLOCK <= int(low) < int(high)
 
 
 def test_concurrent_processes_share_no_address() -> None:
@@ -57,26 +57,28 @@
     try:
         told = [other.stdout.readline().split() for other in others if other.stdout is not None]
         told.append([allocate_address()[0], str(allocate_port())])
-        assert len({number(address) // SIZE for address, _ in told}) == 4
-        assert len({(int(port) - SHARED) // SHARED_PORTS_PER_BLOCK for _, port in told}) == 4
+        assert len({number(address) // BLOCK_SIZE for address, _ in told}) == 4
+        assert len({(int(port) - FIRST_SHARED_PORT) // SHARED_PORTS_PER_BLOCK for _, port in told}) == 4
     finally:
         for other in others:
             other.communicate("\n")
 
 
 def test_no_block_is_shared_when_all_are_held(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(loopback, "BLOCKS", 1)
+    monkeypatch.setattr(loopback, "BLOCK_COUNT", 1)
     with contextlib.ExitStack() as stack:
-        with contextlib.suppress(RuntimeError):  # it may be another run's
-            stack.enter_context(claim()[1])
+        with contextlib.suppress(RuntimeError):  # another run may hold it
+            stack.enter_context(claim_block()[1])
         with pytest.raises(RuntimeError, match="all 1 blocks"):
-            claim()
+            claim_block()
 
 
 @pytest.mark.parametrize("other", [0, 1, OTHERS_MOST - 1])
 def test_no_address_belongs_to_the_laboratory(other: int) -> None:
     for front in (0, 1, FRONTS_MOST - 1):
         for address in (front_address(front), pair_address(front, other)):
-            assert not FROM <= number(address) < FROM + BLOCKS * SIZE
+            assert not FIRST_ADDRESS <= number(address) < FIRST_ADDRESS + BLOCK_COUNT * BLOCK_SIZE
     before, after = front_address(FRONTS_MOST - 1), pair_address(0, 0)
-    assert number(before) < FROM and number(after) >= FROM + BLOCKS * SIZE, "what lies between is ours"
+    assert (
+        number(before) < FIRST_ADDRESS and number(after) >= FIRST_ADDRESS + BLOCK_COUNT * BLOCK_SIZE
+    ), "the test processes' addresses lie between the laboratory's"
--- a/tests/test_oncall_page.py
+++ b/tests/test_oncall_page.py
@@ -1,4 +1,4 @@
-"""docs/oncall.md lists every log event and counter of the code, in one form, and none that is gone."""
+"""docs/oncall.md lists every log event and counter of the code and no others; all names have one form."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Wrapper:
-    """A function that hands one of its parameters on as the name of an event."""
+    """A function that passes one of its parameters on as the name of an event."""
 
     function: str
     parameter: str
@@ -29,7 +29,7 @@
 
 
 class Module:
-    """Finds names of events and counters in one module's text."""
+    """Finds names of events and counters in the source of a module."""
 
     def __init__(self, source: str) -> None:
         self.tree = ast.parse(source)
@@ -45,7 +45,7 @@
             if isinstance(node, ast.Assign):
                 self.values.setdefault(ast.unparse(node.targets[0]), []).append(node.value)
 
-    def expressions(self) -> Iterator[ast.expr]:
+    def name_expressions(self) -> Iterator[ast.expr]:
         """First arguments of `checks.event(...)` and `checks.count(...)`, and `event=` of bound log lines."""
         for node in ast.walk(self.tree):
             if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
@@ -57,9 +57,9 @@
                 yield from (keyword.value for keyword in node.keywords if keyword.arg == "event")
 
     def wrappers(self, expressions: Iterable[ast.expr]) -> Iterator[Wrapper]:
-        """Functions that take the name of an event as a parameter, and classes that keep it."""
+        """Functions that take the name of an event as a parameter, and classes whose __init__ stores it."""
         for expression in expressions:
-            if isinstance(expression, ast.Attribute):  # kept by __init__
+            if isinstance(expression, ast.Attribute):  # stored by __init__
                 for value in self.values.get(ast.unparse(expression), []):
                     yield from self.wrappers([value])
             function = self.function_of.get(expression)
@@ -70,8 +70,8 @@
                 called = self.class_of[function] if function.name == "__init__" else function.name
                 yield Wrapper(called, expression.id, parameters.index(expression.id))
 
-    def wrapped(self, wrappers: frozenset[Wrapper]) -> Iterator[ast.expr]:
-        """What calls of such functions give as the name."""
+    def wrapper_arguments(self, wrappers: frozenset[Wrapper]) -> Iterator[ast.expr]:
+        """The expressions that calls of wrappers pass as the name of an event."""
         for node in ast.walk(self.tree):
             if not isinstance(node, ast.Call):
                 continue
@@ -82,7 +82,7 @@
                     yield from (k.value for k in node.keywords if k.arg == wrapper.parameter)
 
     def patterns(self, expression: ast.expr) -> Iterator[str]:
-        """The names that an expression may give, as regular expressions."""
+        """The names that an expression may evaluate to, as regular expressions."""
         if isinstance(expression, ast.Constant) and isinstance(expression.value, str):
             yield re.escape(expression.value)
         elif isinstance(expression, ast.IfExp):
@@ -98,16 +98,16 @@
 
 def names_in(*sources: str) -> set[str]:
     modules = [Module(source) for source in sources]
-    found = [(module, expression) for module in modules for expression in module.expressions()]
+    found = [(module, expression) for module in modules for expression in module.name_expressions()]
     known = frozenset[Wrapper]()
-    while (wrappers := frozenset(w for m, one in found for w in m.wrappers([one]))) != known:
-        found += [(m, one) for m in modules for one in m.wrapped(wrappers - known)]
+    while (wrappers := frozenset(w for m, e in found for w in m.wrappers([e]))) != known:
+        found += [(m, e) for m in modules for e in m.wrapper_arguments(wrappers - known)]
         known = wrappers
     return {pattern for module, expression in found for pattern in module.patterns(expression)}
 
 
 def invariants_in(*sources: str) -> set[str]:
-    """Second arguments of `checks.must(...)`, by which violations are counted."""
+    """Counters of violated invariants, from the second arguments of `checks.must(...)`."""
     calls = [node for source in sources for node in ast.walk(ast.parse(source)) if isinstance(node, ast.Call)]
     named = [call.args[1] for call in calls if ast.unparse(call.func).endswith("checks.must")]
     return {f"invariant_violated_{ast.literal_eval(name)}" for name in named}
@@ -130,19 +130,21 @@
     return {name for row in rows for name in LISTED.findall(row)}
 
 
-def fits(name: str, pattern: str) -> bool:
+def matches(name: str, pattern: str) -> bool:
     return re.fullmatch(pattern, name) is not None
 
 
 def unlisted(page: str) -> list[str]:
-    """Names of the code that the page does not have; one made at run time needs a row that fits."""
+    """Names in the code that the page does not list; a name made at run time needs a row that matches it."""
     listed = set(re.findall(r"`([a-z][a-z0-9_]*)", log_tables(page)))
-    return sorted(name for name in names_of_code() if not any(fits(one, name) for one in listed))
+    return sorted(name for name in names_of_code() if not any(matches(row, name) for row in listed))
 
 
-def gone(page: str) -> list[str]:
-    """Names of the page that the code does not have."""
-    return sorted(one for one in names_of_page(page) if not any(fits(one, name) for name in names_of_code()))
+def outdated(page: str) -> list[str]:
+    """Names on the page that the code does not have."""
+    return sorted(
+        row for row in names_of_page(page) if not any(matches(row, name) for name in names_of_code())
+    )
 
 
 def test_every_event_and_counter_has_one_form() -> None:
@@ -153,14 +155,14 @@
 def test_the_page_lists_every_event_and_counter_and_none_that_is_gone() -> None:
     assert len(names_of_code()) > 100
     assert unlisted(PAGE) == []
-    assert gone(PAGE) == []
+    assert outdated(PAGE) == []
 
 
 @pytest.mark.parametrize("name", ["accept_failed", "reads_deferred", "change_log_poll_failed"])
 def test_a_row_that_is_missing_or_misspelt_is_found(name: str) -> None:
     page = PAGE.replace(name, f"{name}_once")
     assert name in unlisted(page)
-    assert f"{name}_once" in gone(page)
+    assert f"{name}_once" in outdated(page)
 
 
 @pytest.mark.parametrize(
