--- a/tests/standins.py
+++ b/tests/standins.py
@@ -284,7 +284,7 @@
             *python, "-m", *self.program, *options, cwd=self.checkout,
             env=environment | {"ROUTER_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
-        self.log_task = asyncio.create_task(self._log(self.process))
+        self.log_task = asyncio.create_task(self._read_log(self.process))
         if wait:
             await until(
                 lambda: any("serves" in line or "front_serving" in line for line in self.log_lines)
@@ -304,7 +304,7 @@
     def has_exited(self) -> bool:
         return self.process is None or self.process.returncode is not None
 
-    async def _log(self, process: asyncio.subprocess.Process) -> None:
+    async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while line := await process.stderr.readline():
             self.log_lines.append(line.decode().rstrip())
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -53,7 +53,7 @@
                 "/bin/sh", "-c", command, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
                 env=dict(os.environ) | {"ROUTER_CONFIG": str(path)},
             )  # fmt: skip
-            front.log_task = asyncio.create_task(front._log(front.process))
+            front.log_task = asyncio.create_task(front._read_log(front.process))
             await until(lambda: front.has_logged("serves") or front.has_exited, "the front serves")
             client = await front.connect_client()
             for request in range(1, 9):
