--- a/bench/idle.py
+++ b/bench/idle.py
@@ -39,7 +39,7 @@
 
 from bench.measure import cpu_seconds_of, resident_bytes_of  # noqa: E402
 from tests.fcgikit import encode_request  # noqa: E402
-from tests.standins import Asked, Cache, Client, Front  # noqa: E402
+from tests.standins import Cache, Client, Front, ReceivedCommand  # noqa: E402
 
 MAX_IDLE_PER_FRONT, FRONT_CORE, REQUESTS_PER_S, DESCRIPTOR_LIMIT = 9800, 0, 8.0, 20_000
 PING = encode_request(1, {"SCRIPT_NAME": "/ping"})
@@ -47,8 +47,8 @@
 SOCKET_BUFFER_BYTES = 4096
 
 
-def respond(asked: Asked) -> None:
-    asked.data(b"x" * 2000)
+def respond(asked: ReceivedCommand) -> None:
+    asked.respond_with_data(b"x" * 2000)
 
 
 def kernel_memory() -> int:
@@ -142,7 +142,7 @@
         client, id = clients[n % len(clients)], (first + n) % 60_000 + 2
         done = loop.create_future()
         client.waiting[id] = done
-        client.ask(id, HTTP_X_N=str(n % 20), HTTP_X_JOB_ID=f"{first + n:016x}")
+        client.send_request(id, HTTP_X_N=str(n % 20), HTTP_X_JOB_ID=f"{first + n:016x}")
         await done
         histogram.record_value(max(int((loop.time() - due) * 1e6), 1))
 
@@ -160,8 +160,8 @@
 
     async def _read(self) -> None:
         while data := await self.reader.read(65536):
-            self.records.feed(data)
-            got = self.records.response_by_request
+            self.response_reader.feed(data)
+            got = self.response_reader.response_by_request
             for id in [id for id in self.waiting if id in got and got[id].protocol_status is not None]:
                 self.waiting.pop(id).set_result(None)
                 del got[id]
@@ -181,13 +181,13 @@
                 place = Path(folder) / str(n)
                 place.mkdir()
                 front = Front(place, {name: Cache(respond) for name in ("s-1", "p-1", "o-1")})
-                front.root, front.optimized = root, True
+                front.checkout, front.is_optimized = root, True
                 await front.start(limits={"cores": 1.0, "memory_mb": 2000, "sockets": DESCRIPTOR_LIMIT - 10})
                 assert front.process is not None
                 os.sched_setaffinity(front.process.pid, {FRONT_CORE})
                 started.append(front)
             pids = [front.process.pid for front in started if front.process is not None]
-            clients = [await NotifyingClient.to(front.address) for front in started]
+            clients = [await NotifyingClient.connect(front.address) for front in started]
             await run_active_clients(clients, 2, 0)  # warm-up: the objects are cached, and the fronts know it
             memory, slab = sum(map(resident_bytes_of, pids)), kernel_memory()
             for n, front in enumerate(started):
--- a/bench/off.py
+++ b/bench/off.py
@@ -29,32 +29,32 @@
 from docopt import docopt  # noqa: E402
 
 from bench.measure import cpu_seconds_of, resident_bytes_of  # noqa: E402
-from tests.standins import Asked, Cache, Client, Front  # noqa: E402
+from tests.standins import Cache, Client, Front, ReceivedCommand  # noqa: E402
 
 CONNECTIONS, REQUESTS_PER_BATCH = 16, 8
 FRONT_CORE = 0  # reserved for the front
 
 
-def respond(asked: Asked) -> None:
-    asked.data(b"x" * 2000)
+def respond(asked: ReceivedCommand) -> None:
+    asked.respond_with_data(b"x" * 2000)
 
 
 async def ask(client: Client, first: int, count: int) -> None:
     for at in range(first, first + count, REQUESTS_PER_BATCH):
         batch = range(at, min(at + REQUESTS_PER_BATCH, first + count))
         for n in batch:
-            client.ask(n % 60_000 + 1, HTTP_X_N=str(n % 50), HTTP_X_JOB_ID=f"{n:016x}")
+            client.send_request(n % 60_000 + 1, HTTP_X_N=str(n % 50), HTTP_X_JOB_ID=f"{n:016x}")
         for n in batch:
-            got = await client.ended(n % 60_000 + 1)
+            got = await client.wait_for_response(n % 60_000 + 1)
             assert got.protocol_status is not None
-            del client.records.response_by_request[n % 60_000 + 1]
+            del client.response_reader.response_by_request[n % 60_000 + 1]
 
 
 async def run(root: Path, requests: int) -> tuple[float, int, int]:
     """Return CPU microseconds per request, and KiB resident at the start and at the end."""
     with tempfile.TemporaryDirectory() as folder:
         front = Front(Path(folder), {name: Cache(respond) for name in ("s-1", "s-2", "p-1", "o-1")})
-        front.root, front.optimized = root, True
+        front.checkout, front.is_optimized = root, True
         try:
             await front.start()
             assert front.process is not None
@@ -63,7 +63,7 @@
             os.sched_setaffinity(0, set(range(os.cpu_count() or 1)) - {FRONT_CORE} or {FRONT_CORE})
             await asyncio.sleep(0.3)
             start, memory = cpu_seconds_of(pid), resident_bytes_of(pid) // 1024
-            clients = [await front.client() for _ in range(CONNECTIONS)]
+            clients = [await front.connect_client() for _ in range(CONNECTIONS)]
             each = requests // CONNECTIONS
             await asyncio.gather(*(ask(c, n * each, each) for n, c in enumerate(clients)))
             return (
--- a/tests/addresskit.py
+++ b/tests/addresskit.py
@@ -31,7 +31,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.wire.changelog import InvalidRecord, read_changes
 from tests.frontkit import Inbox, host, open_request, raw_config
-from tests.loopback import EACH, own_port
+from tests.loopback import SHARED_PORTS_PER_BLOCK, allocate_port
 from tests.standins import until
 
 BUDGET = MemoryBudget(max_buffers=4000, max_body_bytes=1 << 24, max_open_requests=8192)
@@ -43,12 +43,12 @@
     """A scripted stand-in whose ports are reserved for it, since its listeners are closed and reopened."""
 
     def _listen(self, kind: str, text: str | None = None, backlog: int = 512) -> tuple[socket.socket, str]:
-        tries_left = EACH
+        tries_left = SHARED_PORTS_PER_BLOCK
         if text or kind == "unix":
             return super()._listen(kind, text, backlog)
         while True:  # a reserved port may still be in use by a test that failed
             try:
-                return super()._listen(kind, f"{kind}:{own_port()}", backlog)
+                return super()._listen(kind, f"{kind}:{allocate_port()}", backlog)
             except OSError as error:
                 if error.errno != errno.EADDRINUSE or not (tries_left := tries_left - 1):
                     raise
--- a/tests/limitkit.py
+++ b/tests/limitkit.py
@@ -51,24 +51,27 @@
 
 def read_final_counters(front: Front) -> dict[str, int]:
     """Return the counters that the front logs at its end."""
-    line = next(line for line in front.lines if "counters: " in line and " stopped: " in line)
+    line = next(line for line in front.log_lines if "counters: " in line and " stopped: " in line)
     text = line.partition("counters: ")[2]
     return {m[1]: int(m[2]) for m in re.finditer(r"(?:^|, )([^,]+?) (\d+)(?=, |$)", text)}
 
 
 async def add_machines(front: Front, count: int) -> None:
     """Add `count` caches to the endpoint list, all at the address of the first one."""
-    known, address = len(front.log.since), front.caches["s-1"].address
-    seq = front.log.add(
+    known, address = len(front.change_log.poll_positions), front.caches["s-1"].address
+    seq = front.change_log.add_event(
         fleet={"seq": 1, "whole": False, "hosts": [host(f"s-{n + 2}", address) for n in range(count)]}
     )
-    await until(lambda: any(since >= seq for since in front.log.since[known:]), "the endpoint list is read")
+    await until(
+        lambda: any(since >= seq for since in front.change_log.poll_positions[known:]),
+        "the endpoint list is read",
+    )
 
 
 async def stop_and_read_counters(front: Front) -> dict[str, int]:
     """Stop the front by SIGTERM and return its counters."""
-    front.signal(signal.SIGTERM)
-    assert await front.code() == 0, front.lines
+    front.send_signal(signal.SIGTERM)
+    assert await front.wait_for_exit() == 0, front.log_lines
     return read_final_counters(front)
 
 
@@ -76,10 +79,13 @@
     """Return `count` idle clients that have each had one response."""
     clients = []
     for _ in range(count):
-        clients.append(await front.client())
+        clients.append(await front.connect_client())
         clients[-1].send(ping_request(1))
     for client in clients:
-        await until(lambda c=client: 1 in c.records.completed_requests or c.closed, "the ping has a response")  # type: ignore[misc]
+        await until(
+            lambda c=client: 1 in c.response_reader.completed_requests or c.is_closed,  # type: ignore[misc]
+            "the ping has a response",
+        )
     return clients
 
 
@@ -94,17 +100,19 @@
     """Run a scenario with a front whose own limit and RLIMIT_NOFILE are `sockets` descriptors."""
 
     async def run() -> None:
-        front = Front(folder, {name: Cache(behaviour) for name, behaviour in caches.items()}, optimized=True)
+        front = Front(
+            folder, {name: Cache(behaviour) for name, behaviour in caches.items()}, is_optimized=True
+        )
         try:
             limits = {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets}
             await front.start(wait=False, limits=limits, **changes)
             assert front.process is not None
             resource.prlimit(front.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
-            await until(lambda: front.logged(" serves on ") or front.ended, "the front serves")
-            assert not front.ended, front.lines
+            await until(lambda: front.has_logged(" serves on ") or front.has_exited, "the front serves")
+            assert not front.has_exited, front.log_lines
             await scenario(front)
         finally:
-            print(*front.lines[-25:], sep="\n")  # shown if the test fails
+            print(*front.log_lines[-25:], sep="\n")  # shown if the test fails
             await front.stop()
 
     asyncio.run(run())
--- a/tests/test_bad_settings.py
+++ b/tests/test_bad_settings.py
@@ -21,7 +21,7 @@
 from quincepier.config import FrontConfig, SettingsError, apply_reload, load_front
 from quincepier.lifecycle.front import Front as WholeFront
 from tests.frontkit import make_config, raw_config
-from tests.standins import PATIENCE, Asked, Front, play, until
+from tests.standins import TEST_TIMEOUT_S, Front, ReceivedCommand, play, until
 
 WIDE = "9" * 400  # digits of an integer that is too large for a float
 JUNK: list[Any] = [
@@ -184,7 +184,7 @@
         async def start(n: int, make_invalid: Callable[[Path], None]) -> tuple[int | None, str]:
             path = tmp_path / f"{n}.json"
             make_invalid(path)
-            async with process_limit, asyncio.timeout(PATIENCE):
+            async with process_limit, asyncio.timeout(TEST_TIMEOUT_S):
                 process = await asyncio.create_subprocess_exec(
                     sys.executable, "-m", "quincepier", "serve",
                     env=environment | {"ROUTER_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
@@ -199,29 +199,29 @@
         assert f"{n}.json" in errors and named in errors and SettingsError.remedy in errors, (n, errors)
 
 
-def data(asked: Asked) -> None:
-    asked.data()
+def data(asked: ReceivedCommand) -> None:
+    asked.respond_with_data()
 
 
 def test_at_sighup_the_old_settings_stay_and_the_front_serves(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
-        client, path = await front.client(), front.folder / "config.json"
+        client, path = await front.connect_client(), front.folder / "config.json"
         for n, (make_invalid, named) in enumerate(CASES, 1):
             remove(path)
             make_invalid(path)
-            front.signal(signal.SIGHUP)
+            front.send_signal(signal.SIGHUP)
             await until(lambda n=n: len(list_rejections(front)) == n, "it logs why")  # type: ignore[misc]
             assert named in list_rejections(front)[-1] and "config.json" in list_rejections(front)[-1]
-            client.ask(n)
-            assert (await client.ended(n)).status == 200
+            client.send_request(n)
+            assert (await client.wait_for_response(n)).status == 200
         path.write_text(json.dumps(front.config))
-        front.signal(signal.SIGHUP)
-        await until(lambda: front.logged("configuration reloaded: nothing"), "a valid one is applied")
-        front.signal(signal.SIGTERM)
-        assert await front.code() == 0 and not front.logged("Traceback")
+        front.send_signal(signal.SIGHUP)
+        await until(lambda: front.has_logged("configuration reloaded: nothing"), "a valid one is applied")
+        front.send_signal(signal.SIGTERM)
+        assert await front.wait_for_exit() == 0 and not front.has_logged("Traceback")
 
     play(tmp_path, {"s-1": data, "p-1": data, "o-1": data}, scenario)
 
 
 def list_rejections(front: Front) -> list[str]:
-    return [line for line in front.lines if "configuration_rejected" in line]
+    return [line for line in front.log_lines if "configuration_rejected" in line]
--- a/tests/test_crossings_addresses.py
+++ b/tests/test_crossings_addresses.py
@@ -23,7 +23,7 @@
 from quincepier.net.sockets import connect as plain_connect
 from quincepier.wire.changelog import FleetChange, read_changes
 from tests.frontkit import Inbox, host, open_request, raw_config
-from tests.standins import Asked, Cache, until
+from tests.standins import Cache, ReceivedCommand, until
 from tests.virtual import run, unix_ms
 
 Hosts = list[dict[str, Any]]
@@ -33,7 +33,7 @@
     """A front with stand-in machines that record over which connection each `serve` arrived."""
 
     def __init__(self, patch: pytest.MonkeyPatch, *names: str) -> None:
-        self.caches = {name: Cache(Asked.data) for name in names}
+        self.caches = {name: Cache(ReceivedCommand.respond_with_data) for name in names}
         self.inbox, self.number, self.seq = Inbox(), 0, 2
         self.held_dials: dict[tuple[str, int], list[asyncio.Event]] = {}
         self.connected: list[Any] = []  # the front's ends of its connections
@@ -106,7 +106,7 @@
 
     def serve_connections(self, name: str) -> list[Any]:
         """Return the front's end of the connection for each `serve` that a machine received."""
-        return [asked.writer.get_extra_info("peername") for asked in self.caches[name].asked]
+        return [asked.writer.get_extra_info("peername") for asked in self.caches[name].commands]
 
     async def close(self) -> None:
         self.upkeep.cancel()
@@ -167,12 +167,12 @@
     async def scenario(harness: AddressChangeHarness) -> None:
         harness.submit(3)
         await harness.wait_for_responses(3)
-        before = len(harness.caches["s-1"].asked)
+        before = len(harness.caches["s-1"].commands)
         harness.apply_events(*changes(harness))
         await asyncio.sleep(1)  # of virtual time: unlisted machines are removed
         harness.submit(5)
         assert [answer.status for answer in await harness.wait_for_responses(8)] == [200] * 8
-        assert len(harness.caches["s-1"].asked) == before + 5
+        assert len(harness.caches["s-1"].commands) == before + 5
 
     run_scenario(monkeypatch, scenario)
 
@@ -210,12 +210,12 @@
         harness.caches["s-1"].behaviour = lambda asked: None
         harness.submit(8)
         await until(lambda: bool(held), "attempts wait in dials, and one is sent over the idle connection")
-        harness.caches["s-1"].behaviour = Asked.data
+        harness.caches["s-1"].behaviour = ReceivedCommand.respond_with_data
         harness.apply_events(*TAKEN[order](harness))
         harness.submit(4)
         await asyncio.sleep(0.01)
         old_connections = set(harness.connected)
-        harness.caches["s-1"].asked.clear()
+        harness.caches["s-1"].commands.clear()
         harness.release_dials()
         assert [answer.status for answer in await harness.wait_for_responses(13)] == [200] * 13
         module, new = harness.front.module, harness.front.module.directory.assign_number("s-9")
@@ -223,7 +223,7 @@
             module.directory.host_by_number.get(number) for number in module.router.placement.table.by_id
         }
         assert known == {"s-9", "p-1", "o-1"} and module.caches[new].in_flight == {}
-        assert len(harness.caches["s-1"].asked) == 12, "the new machine serves them"
+        assert len(harness.caches["s-1"].commands) == 12, "the new machine serves them"
         assert not old_connections & set(
             harness.serve_connections("s-1")
         ), "over a connection to the old machine"
@@ -257,14 +257,14 @@
         cache = harness.caches["s-1"]
         cache.behaviour = lambda asked: None
         harness.submit(1)
-        await until(lambda: len(cache.asked) == 1, "the command is sent")
+        await until(lambda: len(cache.commands) == 1, "the command is sent")
         harness.apply_events([deleted(harness, "s-1"), harness.host("s-9", "s-1", born_ms=warm_start_ms())])
-        await until(lambda: len(cache.asked) == 2, "the command is sent to the new machine")
-        old, new = cache.asked
-        old.data(b"of the old one")
+        await until(lambda: len(cache.commands) == 2, "the command is sent to the new machine")
+        old, new = cache.commands
+        old.respond_with_data(b"of the old one")
         await asyncio.sleep(0.05)
         assert not harness.inbox.responses
-        new.data(b"of the new one")
+        new.respond_with_data(b"of the new one")
         (answer,) = await harness.wait_for_responses(1)
         assert answer.status == 200 and answer.body is not None
         assert b"".join(bytes(piece) for piece in answer.body.chunks()) == b"of the new one"
@@ -283,7 +283,7 @@
         await asyncio.sleep(0.01)
         harness.release_dials()
         assert [answer.status for answer in await harness.wait_for_responses(4)] == [200] * 4
-        assert not harness.caches["s-1"].asked
+        assert not harness.caches["s-1"].commands
 
     run_scenario(monkeypatch, scenario, "s-1 s-2 p-1 o-1")
 
@@ -310,8 +310,8 @@
         await asyncio.sleep(0.01)
         harness.release_dials()
         await harness.wait_for_responses(212)
-        counts[0] = len(harness.caches["s-1"].asked)
-        counts[1] = sum(asked.fields.get("via") == "p-1" for asked in harness.caches["s-2"].asked)
+        counts[0] = len(harness.caches["s-1"].commands)
+        counts[1] = sum(asked.fields.get("via") == "p-1" for asked in harness.caches["s-2"].commands)
 
     run_scenario(patch, scenario, "s-1 s-2 p-1 p-2 o-1")
     return counts[0], counts[1]
--- a/tests/test_crossings_signals.py
+++ b/tests/test_crossings_signals.py
@@ -14,8 +14,8 @@
 import pytest
 
 from tests.frontkit import raw_config
-from tests.loopback import own_address
-from tests.standins import PATIENCE, Asked, ChangeLog, Front, play, until
+from tests.loopback import allocate_address
+from tests.standins import TEST_TIMEOUT_S, ChangeLog, Front, ReceivedCommand, play, until
 
 FRONT, NET = "quincepier.lifecycle.front", "quincepier.net"
 # In the order in which a start reaches them; after the last one the front announces that it serves.
@@ -53,7 +53,7 @@
 async def run_front(folder: Path, *points: str) -> tuple[int, str]:
     """Run a front with signals at these points; return its exit code and its log."""
     folder.mkdir()
-    listen, closed_address = ("{}:{}".format(*own_address()) for _ in range(2))
+    listen, closed_address = ("{}:{}".format(*allocate_address()) for _ in range(2))
     (folder / "config.json").write_text(json.dumps(raw_config(listen=listen, changelog=closed_address)))
     environment = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
     process = await asyncio.create_subprocess_exec(
@@ -61,7 +61,7 @@
         env=environment | {"ROUTER_CONFIG": str(folder / "config.json")}, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             log = (await process.communicate())[1].decode()
     finally:
         if process.returncode is None:
@@ -135,8 +135,8 @@
     assert all(("drain:" in log) is (start not in case[0]) for case, (_, log) in outcomes.items())
 
 
-def data(command: Asked) -> None:
-    command.data()
+def data(command: ReceivedCommand) -> None:
+    command.respond_with_data()
 
 
 @dataclass
@@ -161,25 +161,25 @@
 )
 def test_the_newest_configuration_file_is_in_force(tmp_path: Path, points: tuple[str, ...]) -> None:
     async def scenario(first: Front) -> None:
-        first.signal(signal.SIGTERM)
-        assert await first.code() == 0
+        first.send_signal(signal.SIGTERM)
+        assert await first.wait_for_exit() == 0
         moved = ChangeLog()
-        moved.events = list(first.log.events)
+        moved.events = list(first.change_log.events)
         await moved.start()
         (tmp_path / "config.json.next").write_text(json.dumps(first.config | {"changelog": moved.address}))
-        front = FrontWithSignals(tmp_path, first.caches, first.log, first.config, points=points)
+        front = FrontWithSignals(tmp_path, first.caches, first.change_log, first.config, points=points)
         front.address = first.address
         try:
             await front.start()
-            await until(lambda: bool(moved.since), "the log of the newest file is polled")
-            assert moved.since[0] == len(front.log.events)
-            client = await front.client()
-            client.ask(1)
-            assert (await client.ended(1)).status == 200
-            poll_count = len(front.log.since)
-            moved.add(invalidate={"bucket": 17, "time": 1})
-            await until(lambda: moved.since[-1] == len(moved.events), "and its events are received")
-            assert len(front.log.since) == poll_count and not front.ended
+            await until(lambda: bool(moved.poll_positions), "the log of the newest file is polled")
+            assert moved.poll_positions[0] == len(front.change_log.events)
+            client = await front.connect_client()
+            client.send_request(1)
+            assert (await client.wait_for_response(1)).status == 200
+            poll_count = len(front.change_log.poll_positions)
+            moved.add_event(invalidate={"bucket": 17, "time": 1})
+            await until(lambda: moved.poll_positions[-1] == len(moved.events), "and its events are received")
+            assert len(front.change_log.poll_positions) == poll_count and not front.has_exited
         finally:
             await front.stop()
             assert moved.server is not None
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -263,12 +263,12 @@
 
     async def measure() -> set[str]:
         scenario = LateEventScenario(folder, patch)
-        scenario.log.late = NEVER_S
+        scenario.log.response_delay_s = NEVER_S
         await scenario.start()
         scenario.append_changes(scenario.log)
         scenario.received_by_s = scenario.now + scenario.front.change_log_watcher.poll_timeout_ms / 1000 + 2
         await asyncio.sleep(0.001)
-        scenario.log.late = 0.0
+        scenario.log.response_delay_s = 0.0
         await scenario.send_requests_for(scenario.received_by_s - scenario.now + DRAIN_GRACE_S + 1.5)
         await scenario.stop()
         return scenario.find_violations()
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -17,14 +17,14 @@
     ping_request,
     play_with_descriptors,
 )
-from tests.standins import PATIENCE, Asked, Behaviour, Client, Front, until
+from tests.standins import TEST_TIMEOUT_S, Behaviour, Client, Front, ReceivedCommand, until
 
 MB = 1024 * 1024
 LARGE = b"x" * 240_000
 
 
-def answer_hit(command: Asked) -> None:
-    command.data()
+def answer_hit(command: ReceivedCommand) -> None:
+    command.respond_with_data()
 
 
 def fleet(edge: Behaviour = answer_hit, origin: Behaviour = answer_hit) -> dict[str, Behaviour]:
@@ -32,7 +32,7 @@
 
 
 def count_commands(front: Front) -> int:
-    return sum(len(cache.asked) for cache in front.caches.values())
+    return sum(len(cache.commands) for cache in front.caches.values())
 
 
 def open_unread_client(front: Front, number: int, asks: int) -> socket.socket:
@@ -48,8 +48,8 @@
     """Send `count` requests one after the other and return how many are served."""
     served = 0
     for n in range(first, first + count):
-        client.ask(n, HTTP_X_ITEM=object_id(n))
-        got = await client.ended(n)
+        client.send_request(n, HTTP_X_ITEM=object_id(n))
+        got = await client.wait_for_response(n)
         served += got.protocol_status == 0 and got.status == 200
     return served
 
@@ -61,67 +61,68 @@
         stalled = [open_unread_client(front, n, 20) for n in range(12)]
         origin = front.caches["o-1"]
         await until(
-            lambda: len({a.id[:8] for a in origin.asked}) == 12, "each client has a request at the origin"
+            lambda: len({a.id[:8] for a in origin.commands}) == 12, "each client has a request at the origin"
         )
-        async with asyncio.timeout(PATIENCE):  # takes two seconds of the active clock
+        async with asyncio.timeout(TEST_TIMEOUT_S):  # takes two seconds of the active clock
             while True:
-                client = await front.client()
+                client = await front.connect_client()
                 client.send(ping_request(1))
                 await until(
-                    lambda c=client: c.closed or 1 in c.records.completed_requests,  # type: ignore[misc]
+                    lambda c=client: c.is_closed or 1 in c.response_reader.completed_requests,  # type: ignore[misc]
                     "the client has a response or is closed",
                 )
-                if 1 in client.records.completed_requests:
+                if 1 in client.response_reader.completed_requests:
                     break
                 await asyncio.sleep(0.1)  # a rejected client waits before it reconnects
-        await until(lambda: front.logged("slow_client_closed_descriptor_limit"), "the event is logged")
+        await until(lambda: front.has_logged("slow_client_closed_descriptor_limit"), "the event is logged")
         assert count_open_descriptors(front) <= 48
-        assert not client.closed and sum("slow_client_closed" in line for line in front.lines) == 1
+        assert not client.is_closed and sum("slow_client_closed" in line for line in front.log_lines) == 1
         for sock in stalled:
             sock.close()
 
     play_with_descriptors(
-        tmp_path, fleet(origin=lambda command: command.data(LARGE)), scenario, 48, memory_mb=192
+        tmp_path, fleet(origin=lambda command: command.respond_with_data(LARGE)), scenario, 48, memory_mb=192
     )
 
 
 def test_partial_requests_survive_while_complete_bodies_exhaust_the_limit(tmp_path: Path) -> None:
     """One client's open writes use up the body limit; four others each send a request in two parts."""
-    held: list[Asked] = []
+    held: list[ReceivedCommand] = []
 
     async def scenario(front: Front) -> None:
-        filling, others = await front.client(), [await front.client() for _ in range(4)]
+        filling, others = await front.connect_client(), [await front.connect_client() for _ in range(4)]
         for at, client in enumerate(others, 1):
-            client.ask(at, "bid", HTTP_X_ALLOW_MS="6000")
+            client.send_request(at, "bid", HTTP_X_ALLOW_MS="6000")
         await until(lambda: len(held) == 4, "four requests are open")
         for n in range(11, 41):
-            filling.ask(n, "bid", b"x" * 48_000, HTTP_X_ALLOW_MS="6000")
+            filling.send_request(n, "bid", b"x" * 48_000, HTTP_X_ALLOW_MS="6000")
         await until(
-            lambda: len(held) + len(filling.records.completed_requests) >= 34, "all requests are read"
+            lambda: len(held) + len(filling.response_reader.completed_requests) >= 34, "all requests are read"
         )
         rests = []
         for at, client in enumerate(others, 1):
             sent = encode_request(100 + at, params(f"{100 + at:016x}", "bid"), b"y" * 47_000)
             client.send(sent[:44_000])
             rests.append(sent[44_000:])
-        probe = await front.client()
+        probe = await front.connect_client()
         probe.send(ping_request(1))
-        await probe.ended(1)
+        await probe.wait_for_response(1)
         await until(
-            lambda: front.logged("client_closed_partial_request_limit")
-            or len(probe.records.completed_requests) == 1,
+            lambda: front.has_logged("client_closed_partial_request_limit")
+            or len(probe.response_reader.completed_requests) == 1,
             "the first parts are read",
         )
         for client, rest in zip(others, rests, strict=True):
             client.send(rest)
         for at, client in enumerate(others, 1):  # rejected, and the connection stays open
-            assert (await client.ended(100 + at)).status == 503
+            assert (await client.wait_for_response(100 + at)).status == 503
         for command in held:
-            command.data()
+            command.respond_with_data()
         for at, client in enumerate(others, 1):
-            assert (await client.ended(at)).status == 200
+            assert (await client.wait_for_response(at)).status == 200
         assert (
-            not front.logged("client_closed_partial_request_limit") and peak_resident_bytes(front) < 32 * MB
+            not front.has_logged("client_closed_partial_request_limit")
+            and peak_resident_bytes(front) < 32 * MB
         )
 
     play_with_descriptors(tmp_path, fleet(origin=held.append), scenario, 64, memory_mb=32)
@@ -132,15 +133,15 @@
     whole = params("00000000000000aa", "bid")
 
     async def scenario(front: Front) -> None:
-        flood, decent = await front.client(), await front.client()
+        flood, decent = await front.connect_client(), await front.connect_client()
         first, rest = (sent := encode_request(1, whole, b"y" * 40_000))[:20_000], sent[20_000:]
         decent.send(first)
         for n in range(1, 31):
             flood.send(encode_request(n, params(f"{n:016x}", "bid"), b"x" * 47_000)[:-8])
-        await until(lambda: flood.closed, "the one with most partial bytes is closed")
-        assert not decent.closed
+        await until(lambda: flood.is_closed, "the one with most partial bytes is closed")
+        assert not decent.is_closed
         decent.send(rest)
-        assert (await decent.ended(1)).status == 200 and count_commands(front) == 1
+        assert (await decent.wait_for_response(1)).status == 200 and count_commands(front) == 1
 
     play_with_descriptors(tmp_path, fleet(), scenario, 64, memory_mb=32)
 
@@ -151,7 +152,7 @@
 ) -> None:
     async def scenario(front: Front) -> None:
         quiet = [await asyncio.open_connection(*front.address) for _ in range(300)]
-        client = await front.client()
+        client = await front.connect_client()
         assert await count_served(client, 1, 30) == 30
         for reader, writer in quiet:
             async with asyncio.timeout(10):
@@ -166,8 +167,8 @@
 def test_many_clients_that_read_nothing_stay_within_the_memory_limit(tmp_path: Path) -> None:
     async def scenario(front: Front) -> None:
         stalled = [open_unread_client(front, n, 16) for n in range(80)]
-        client, origin = await front.client(), front.caches["o-1"]
-        await until(lambda: len(origin.asked) >= 80, "requests are at the origin")
+        client, origin = await front.connect_client(), front.caches["o-1"]
+        await until(lambda: len(origin.commands) >= 80, "requests are at the origin")
         for first in range(1, 6001, 30):  # rejected requests are repeated at once
             if await count_served(client, first, 30) >= 20:
                 break
@@ -178,7 +179,7 @@
             sock.close()
 
     play_with_descriptors(
-        tmp_path, fleet(origin=lambda command: command.data(LARGE)), scenario, 256, memory_mb=64
+        tmp_path, fleet(origin=lambda command: command.respond_with_data(LARGE)), scenario, 256, memory_mb=64
     )
 
 
@@ -207,11 +208,13 @@
                 await loop.sock_sendall(sock, kinds[flood])
 
         sending = asyncio.create_task(send())
-        await until(lambda: front.logged("client_closed_short_responses_unread"), "the connection is closed")
+        await until(
+            lambda: front.has_logged("client_closed_short_responses_unread"), "the connection is closed"
+        )
         with pytest.raises(ConnectionError):
             async with asyncio.timeout(10):
                 await sending
-        client = await front.client()
+        client = await front.connect_client()
         assert await count_served(client, 1000, 5) == 5
         assert peak_resident_bytes(front) - before < 8 * MB
         sock.close()
--- a/tests/test_full_descriptors.py
+++ b/tests/test_full_descriptors.py
@@ -23,11 +23,11 @@
     play_with_descriptors,
     stop_and_read_counters,
 )
-from tests.standins import Asked, Behaviour, Client, Front, until
+from tests.standins import Behaviour, Client, Front, ReceivedCommand, until
 
 
-def answer_hit(command: Asked) -> None:
-    command.data()
+def answer_hit(command: ReceivedCommand) -> None:
+    command.respond_with_data()
 
 
 def fleet(edge: Behaviour = answer_hit) -> dict[str, Behaviour]:
@@ -69,15 +69,15 @@
     async def scenario(front: Front) -> None:
         await add_machines(front, 59)
         await connect_idle_clients(front, 19)
-        client, edge = await front.client(), front.caches["s-1"]
+        client, edge = await front.connect_client(), front.caches["s-1"]
         for n in range(1, 61):  # each object is a known hit from now on, on a machine of its own
-            client.ask(n, HTTP_X_ITEM=object_id(n))
-            assert (await client.ended(n)).status == 200
-        assert edge.open >= 18
+            client.send_request(n, HTTP_X_ITEM=object_id(n))
+            assert (await client.wait_for_response(n)).status == 200
+        assert edge.open_count >= 18
         for n in range(1, 19):
-            client.ask(100 + n, HTTP_X_ITEM=object_id(n))
+            client.send_request(100 + n, HTTP_X_ITEM=object_id(n))
         for n in range(1, 19):
-            assert (await client.ended(100 + n)).status == 200
+            assert (await client.wait_for_response(100 + n)).status == 200
         counts = await stop_and_read_counters(front)
         assert "cache_connections_reset" not in counts and "accept_failed" not in counts, counts
 
@@ -94,46 +94,48 @@
 
     async def scenario(front: Front) -> None:
         with hanging_address() as hanging:
-            last = front.log.add(
+            last = front.change_log.add_event(
                 fleet={"seq": 1, "whole": False, "hosts": [host(f"s-{n}", hanging) for n in range(9, 99)]}
             )
-            await until(lambda: front.log.since[-1] >= last, "the endpoint list is read")
-            port = front.log.address
-            assert front.log.server is not None
-            front.log.server.close()  # no new connection, and the open one ends at the next poll
-            front.log.broken.append(b"")
+            await until(lambda: front.change_log.poll_positions[-1] >= last, "the endpoint list is read")
+            port = front.change_log.address
+            assert front.change_log.server is not None
+            front.change_log.server.close()  # no new connection, and the open one ends at the next poll
+            front.change_log.raw_responses.append(b"")
             await until(
-                lambda: front.logged("change_log_poll_failed: ConnectionRefused"), "discovery is down"
+                lambda: front.has_logged("change_log_poll_failed: ConnectionRefused"), "discovery is down"
             )
             await connect_idle_clients(front, usable + 5)
-            asking = await front.client()
+            asking = await front.connect_client()
             for n in range(1, 33):
-                asking.ask(n, HTTP_X_ITEM=object_id(n))
-            more = [await front.client() for _ in range(3)]
+                asking.send_request(n, HTTP_X_ITEM=object_id(n))
+            more = [await front.connect_client() for _ in range(3)]
             for at, client in enumerate(more):
                 for n in range(1, 33):
-                    client.ask(
+                    client.send_request(
                         n, HTTP_X_ITEM=object_id(100 * at + n + 50), HTTP_X_JOB_ID=f"{at + 1:08x}{n:08x}"
                     )
-            front.signal(signal.SIGHUP)  # opens a file while all descriptors are in use
-            await until(lambda: front.logged("configuration reloaded"), "the configuration is read")
+            front.send_signal(signal.SIGHUP)  # opens a file while all descriptors are in use
+            await until(lambda: front.has_logged("configuration reloaded"), "the configuration is read")
             assert count_open_descriptors(front) <= sockets
-            newest = await front.client()
+            newest = await front.connect_client()
             newest.send(ping_request(1))
-            assert (await newest.ended(1)).status == 200
-            leaving = front.log.add(
+            assert (await newest.wait_for_response(1)).status == 200
+            leaving = front.change_log.add_event(
                 fleet={"seq": 2, "whole": False,
                        "hosts": [host("s-1", front.caches["s-1"].address, health="DRAINING")]}
             )  # fmt: skip
             name, number = port.rsplit(":", 1)
-            front.log.server = await asyncio.start_server(front.log._serve, name, int(number))
+            front.change_log.server = await asyncio.start_server(front.change_log._serve, name, int(number))
             loop = asyncio.get_running_loop()
-            returned_at, before = loop.time(), len(front.log.since)
+            returned_at, before = loop.time(), len(front.change_log.poll_positions)
             for round in range(8):  # dials still hang when the change log is read again
-                asking.ask(200 + round, HTTP_X_ITEM=object_id(400 + round))
-            await until(lambda: front.log.since[before:][-1:] >= [leaving], "the drain is read")
+                asking.send_request(200 + round, HTTP_X_ITEM=object_id(400 + round))
+            await until(
+                lambda: front.change_log.poll_positions[before:][-1:] >= [leaving], "the drain is read"
+            )
             assert loop.time() - returned_at < 4  # the longest pause is 0.75 s; a drain's grace two
-            assert not front.logged("Too many open files") and not front.logged("accept_failed")
+            assert not front.has_logged("Too many open files") and not front.has_logged("accept_failed")
             counts = await stop_and_read_counters(front)
             assert counts["cache_connect_timeouts"] >= 20, counts
 
@@ -144,21 +146,21 @@
     """The system has no descriptor for a while: the front logs that a few times and loses no client."""
 
     async def scenario(front: Front) -> None:
-        early = await front.client()
+        early = await front.connect_client()
         early.send(ping_request(1))
-        assert (await early.ended(1)).status == 200
+        assert (await early.wait_for_response(1)).status == 200
         set_descriptor_limit(lowest_free_descriptor(front), front)
-        waiting = [await Client.to(front.address) for _ in range(5)]  # they stay in the backlog
+        waiting = [await Client.connect(front.address) for _ in range(5)]  # they stay in the backlog
         front.clients += waiting
         for client in waiting:
             client.send(ping_request(1))
-        await until(lambda: sum("accept_failed" in line for line in front.lines) >= 20, "accepts fail")
+        await until(lambda: sum("accept_failed" in line for line in front.log_lines) >= 20, "accepts fail")
         for n in range(2, 60):  # meanwhile the front serves, and the event is not logged without end
             early.send(ping_request(n))
-            assert (await early.ended(n)).status == 200
-        assert sum("accept_failed" in line for line in front.lines) <= 21  # the last is in the counters
+            assert (await early.wait_for_response(n)).status == 200
+        assert sum("accept_failed" in line for line in front.log_lines) <= 21  # the last is in the counters
         set_descriptor_limit(64, front)
         for client in waiting:
-            assert (await client.ended(1)).status == 200
+            assert (await client.wait_for_response(1)).status == 200
 
     play_with_descriptors(tmp_path, fleet(), scenario, 64)
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -383,11 +383,11 @@
 
 
 async def connect_idle_clients(front: Front, count: int) -> list[Client]:
-    clients = [await front.client() for _ in range(count)]
+    clients = [await front.connect_client() for _ in range(count)]
     for client in clients:
         client.send(PING)
     for client in clients:
-        assert (await client.ended(1)).status == 200
+        assert (await client.wait_for_response(1)).status == 200
     return clients
 
 
@@ -397,22 +397,23 @@
         try:
             await front.start(limits={"cores": 1.0, "memory_mb": 32, "sockets": 256})
             clients = await connect_idle_clients(front, 100)
-            few = await front.client()
-            front.signal(signal.SIGHUP)
+            few = await front.connect_client()
+            front.send_signal(signal.SIGHUP)
             await until(
-                lambda: front.logged("configuration reloaded"), "SIGHUP is handled while all clients are idle"
+                lambda: front.has_logged("configuration reloaded"),
+                "SIGHUP is handled while all clients are idle",
             )
             for n, client in enumerate(clients):
                 client.send(encode_request(2, params(f"{n + 100:016x}", HTTP_X_N=str(n % 5))))
             for n in range(2, 12):
                 # the most important class is served
-                few.ask(n, "bid", b"offer", HTTP_X_JOB_ID=f"{n + 900:016x}")
-                assert (await few.ended(n)).status == 200
-            statuses = [(await client.ended(2)).status for client in clients]
-            assert set(statuses) <= {200, 503} and not any(client.closed for client in clients)
-            front.signal(signal.SIGTERM)
-            assert await front.code() == 0
-            assert not any("exception" in line for line in front.lines)
+                few.send_request(n, "bid", b"offer", HTTP_X_JOB_ID=f"{n + 900:016x}")
+                assert (await few.wait_for_response(n)).status == 200
+            statuses = [(await client.wait_for_response(2)).status for client in clients]
+            assert set(statuses) <= {200, 503} and not any(client.is_closed for client in clients)
+            front.send_signal(signal.SIGTERM)
+            assert await front.wait_for_exit() == 0
+            assert not any("exception" in line for line in front.log_lines)
         finally:
             await front.stop()
 
@@ -423,18 +424,18 @@
 def test_a_process_pause_closes_no_connection(tmp_path: Path, pause_s: float) -> None:
     async def scenario(front: Front) -> None:
         clients = await connect_idle_clients(front, 30)
-        partial = await front.client()
+        partial = await front.connect_client()
         partial.send(encode_begin(1) + encode_record(4, 1, b"")[:5])
-        new = await front.client()
+        new = await front.connect_client()
         if pause_s:
-            front.signal(signal.SIGSTOP)
+            front.send_signal(signal.SIGSTOP)
             await asyncio.sleep(pause_s)
-            front.signal(signal.SIGCONT)
+            front.send_signal(signal.SIGCONT)
         new.send(PING)
-        assert (await new.ended(1)).status == 200
-        assert not partial.closed and not any(client.closed for client in clients)
-        clients[0].ask(2)
-        assert (await clients[0].ended(2)).status == 200
+        assert (await new.wait_for_response(1)).status == 200
+        assert not partial.is_closed and not any(client.is_closed for client in clients)
+        clients[0].send_request(2)
+        assert (await clients[0].wait_for_response(2)).status == 200
 
     play(tmp_path, fleet(), scenario)
 
@@ -444,21 +445,21 @@
         operator = tmp_path / "operator.yaml"
         operator.write_text("clients: {rest_most_s: 0.4}\n")
         front = Front(tmp_path, {name: Cache(behaviour) for name, behaviour in fleet().items()})
-        front.operator = operator
+        front.operator_file = operator
         try:
             await front.start()
             client = (await connect_idle_clients(front, 1))[0]
-            await until(lambda: client.closed, "the idle time is over")
+            await until(lambda: client.is_closed, "the idle time is over")
             client.send(PING)  # crosses the close
             again = (await connect_idle_clients(front, 1))[0]
-            again.ask(2)
-            assert (await again.ended(2)).status == 200
+            again.send_request(2)
+            assert (await again.wait_for_response(2)).status == 200
             operator.write_text("clients: {rest_most_s: 0}\n")
-            front.signal(signal.SIGHUP)
-            await until(lambda: front.logged("clients changed"), "the new limit is in force")
+            front.send_signal(signal.SIGHUP)
+            await until(lambda: front.has_logged("clients changed"), "the new limit is in force")
             last = (await connect_idle_clients(front, 1))[0]
             await asyncio.sleep(0.8)
-            assert not last.closed
+            assert not last.is_closed
         finally:
             await front.stop()
 
--- a/tests/test_standing_restart.py
+++ b/tests/test_standing_restart.py
@@ -11,17 +11,17 @@
 import pytest
 
 from tests.fcgikit import encode_request, params
-from tests.loopback import own_address
-from tests.standins import Asked, ChangeLog, Client, Front, play, until
+from tests.loopback import allocate_address
+from tests.standins import ChangeLog, Client, Front, ReceivedCommand, play, until
 
 BATCH_SIZE = 4  # requests written at once on a connection; the next batch follows the last response
 SLOW_PART = "9"  # the part of an object for which a cache takes 0.6 s
 CLASSES = ("lot-image", "lot-video", "bid", "lot-image")
 
 
-def respond_later(command: Asked) -> None:
+def respond_later(command: ReceivedCommand) -> None:
     after = 0.6 if command.fields["part"] == SLOW_PART else 0.05
-    asyncio.get_running_loop().call_later(after, command.data)
+    asyncio.get_running_loop().call_later(after, command.respond_with_data)
 
 
 class Sender:
@@ -37,7 +37,7 @@
 
     async def _run(self) -> None:
         """Write batches of requests; a batch of one does not wait for the responses before it."""
-        while not self.client.closed:
+        while not self.client.is_closed:
             row = range(self.sent_count + 1, self.sent_count + 1 + self.batch_size)
             calls = [
                 encode_request(n, params(self.job(n), CLASSES[n % BATCH_SIZE], HTTP_X_N=self.part))
@@ -51,11 +51,13 @@
                 await until(partial(self.is_batch_done, row), "all requests of the batch have a response")
 
     def is_batch_done(self, row: range) -> bool:
-        return self.client.closed or self.completed() >= {*row}
+        return self.client.is_closed or self.completed() >= {*row}
 
     def completed(self) -> set[int]:
         return {
-            n for n, got in self.client.records.response_by_request.items() if got.protocol_status is not None
+            n
+            for n, got in self.client.response_reader.response_by_request.items()
+            if got.protocol_status is not None
         }
 
     def find_unanswered(self, jobs: set[str]) -> tuple[list[str], list[str]]:
@@ -72,27 +74,30 @@
 
 async def restart(front: Front, second: Front) -> tuple[list[str], list[int]]:
     """Restart the front; return the received requests without a response, and the statuses of all others."""
-    senders = [Sender(n, await front.client()) for n in range(3)]
-    senders += [Sender(3, await front.client(), part=SLOW_PART), Sender(4, await front.client(), row=1)]
+    senders = [Sender(n, await front.connect_client()) for n in range(3)]
+    senders += [
+        Sender(3, await front.connect_client(), part=SLOW_PART),
+        Sender(4, await front.connect_client(), row=1),
+    ]
     await until(
         lambda: all(s.sent_count > 2 * s.batch_size or s.part == SLOW_PART for s in senders),
         "all clients are served",
     )
-    front.signal(signal.SIGTERM)
-    await until(lambda: front.logged("drain:"), "the first front drains")
+    front.send_signal(signal.SIGTERM)
+    await until(lambda: front.has_logged("drain:"), "the first front drains")
     with contextlib.suppress(ConnectionRefusedError):
-        senders.append(Sender(5, await front.client()))  # clients may still connect during the drain
+        senders.append(Sender(5, await front.connect_client()))  # clients may still connect during the drain
     await second.start(listen="{}:{}".format(*second.address))
-    await until(lambda: all(s.client.closed for s in senders), "every connection ends")
+    await until(lambda: all(s.client.is_closed for s in senders), "every connection ends")
     await asyncio.gather(*(s.task for s in senders))
-    assert await front.code() == 0
-    jobs = {command.id for cache in front.caches.values() for command in cache.asked}
+    assert await front.wait_for_exit() == 0
+    jobs = {command.id for cache in front.caches.values() for command in cache.commands}
     unanswered, maybe_not_received = zip(*(s.find_unanswered(jobs) for s in senders), strict=True)
-    second_client = await second.client()
+    second_client = await second.connect_client()
     for n, job in enumerate(sum(maybe_not_received, []), 1):  # sent to the other front, once
         second_client.send(encode_request(n, params(job)))
-        assert (await second_client.ended(n)).status == 200
-    got = [s.client.records.response_by_request[n].status for s in senders for n in s.completed()]
+        assert (await second_client.wait_for_response(n)).status == 200
+    got = [s.client.response_reader.response_by_request[n].status for s in senders for n in s.completed()]
     return sum(unanswered, []), got
 
 
@@ -104,15 +109,18 @@
 
     async def scenario(front: Front) -> None:
         (tmp_path / "second").mkdir()
-        second = Front(tmp_path / "second", front.caches, front.log, front.config | {"name": "n1"})
-        second.address = own_address()
+        second = Front(tmp_path / "second", front.caches, front.change_log, front.config | {"name": "n1"})
+        second.address = allocate_address()
         try:
             unanswered, statuses = await restart(front, second)
         finally:
-            second.caches, second.log = {}, ChangeLog()  # they belong to the first front, which stops them
+            second.caches, second.change_log = (
+                {},
+                ChangeLog(),
+            )  # they belong to the first front, which stops them
             await second.stop()
         refused = statuses.count(503)
         kept = not unanswered and set(statuses) <= {200, 503} and refused < 0.2 * len(statuses)
-        assert kept is not bool(fault), (unanswered, refused, len(statuses), front.lines)
+        assert kept is not bool(fault), (unanswered, refused, len(statuses), front.log_lines)
 
     play(tmp_path, {"s-1": respond_later, "p-1": respond_later, "o-1": respond_later}, scenario, fault)
--- a/tests/test_standing_told.py
+++ b/tests/test_standing_told.py
@@ -31,7 +31,7 @@
 from quincepier.net.messages import RequestArrived
 from quincepier.wire.changelog import PurgeRecord
 from tests.frontkit import SETTINGS, Inbox, host, open_request, raw_config
-from tests.standins import Asked, Cache, ChangeLog
+from tests.standins import Cache, ChangeLog, ReceivedCommand
 from tests.virtual import run, unix_ms
 
 NEVER_S = 1e6  # seconds
@@ -60,9 +60,9 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def on_command(self, name: str, command: Asked) -> None:
+    def on_command(self, name: str, command: ReceivedCommand) -> None:
         self.served_commands.append((self.now, name, command.fields))
-        asyncio.get_running_loop().call_later(WORK_S, command.data)
+        asyncio.get_running_loop().call_later(WORK_S, command.respond_with_data)
 
     async def start(self) -> None:
         original = sockets.connect
@@ -80,9 +80,13 @@
         for cache in self.caches.values():
             await cache.start()
         await self.log.start()
-        self.log.add(fleet={"seq": 0, "whole": True, "hosts": [self.host(name) for name in self.caches]})
+        self.log.add_event(
+            fleet={"seq": 0, "whole": True, "hosts": [self.host(name) for name in self.caches]}
+        )
         self.settings = copy.deepcopy(SETTINGS)
-        self.config = raw_config(changelog=self.log.address, known=self.log.known(), settings=self.settings)
+        self.config = raw_config(
+            changelog=self.log.address, known=self.log.make_snapshot(), settings=self.settings
+        )
         (self.folder / "config.json").write_text(json.dumps(self.config))
         self.front = Front(read_front(self.config, {}), str(self.folder / "config.json"))
         self.patch.setattr(
@@ -104,7 +108,7 @@
         log.events.append({"seq": 2, "fleet": {"seq": 1, "whole": False, "hosts": hosts}})
         log.events.append({"seq": 3, "invalidate": {"bucket": PURGED_GROUP, "time": unix_ms(self.now)}})
         if notify:
-            log.changed.set()
+            log.event_added.set()
 
     async def send_requests_for(self, seconds: float) -> None:
         until = self.now + seconds
@@ -161,16 +165,16 @@
 
 async def log_silent_once(scenario: LateEventScenario) -> None:
     """One poll gets no response: events count as received 2 s after the end of the poll's timeout."""
-    scenario.log.late = NEVER_S
+    scenario.log.response_delay_s = NEVER_S
     scenario.append_changes(scenario.log)
     await asyncio.sleep(0.001)
-    scenario.log.late = 0.0
+    scenario.log.response_delay_s = 0.0
     scenario.received_by_s = scenario.now + watch.POLL_TIMEOUT_MS / 1000 + 2
 
 
 async def log_always_late(scenario: LateEventScenario) -> None:
     """Every response takes longer than the grace period after the poll's timeout."""
-    scenario.log.late = 1.2
+    scenario.log.response_delay_s = 1.2
     await scenario.send_requests_for(2.5)
     scenario.append_changes(scenario.log)
     scenario.received_by_s = scenario.now + 7
@@ -178,16 +182,16 @@
 
 async def connections_cut(scenario: LateEventScenario) -> None:
     """For 6 s no byte is transferred and no connection is established."""
-    scenario.log.late, scenario.link_state = NEVER_S, "cut"
+    scenario.log.response_delay_s, scenario.link_state = NEVER_S, "cut"
     scenario.append_changes(scenario.log)
     scenario.received_by_s = scenario.now + 7
     await scenario.send_requests_for(6)
-    scenario.log.late, scenario.link_state = 0.0, "up"
+    scenario.log.response_delay_s, scenario.link_state = 0.0, "up"
 
 
 async def connects_hang(scenario: LateEventScenario) -> None:
     """For 8 s after the change no connection is established; at their end a connect has just begun."""
-    scenario.log.late, scenario.link_state = NEVER_S, "cut"
+    scenario.log.response_delay_s, scenario.link_state = NEVER_S, "cut"
     await scenario.send_requests_for(9)
     interval_s = scenario.connect_times[-1] - scenario.connect_times[-2]
     await scenario.send_requests_for(
@@ -199,23 +203,23 @@
     scenario.append_changes(scenario.log)
     scenario.received_by_s = scenario.now + 7
     await scenario.send_requests_for(8)
-    scenario.log.late, scenario.link_state = 0.0, "up"
+    scenario.log.response_delay_s, scenario.link_state = 0.0, "up"
 
 
 async def connects_refused(scenario: LateEventScenario) -> None:
-    scenario.log.late, scenario.link_state = NEVER_S, "down"
+    scenario.log.response_delay_s, scenario.link_state = NEVER_S, "down"
     scenario.append_changes(scenario.log)
     scenario.received_by_s = scenario.now + 7
     await scenario.send_requests_for(8)
-    scenario.log.late, scenario.link_state = 0.0, "up"
+    scenario.log.response_delay_s, scenario.link_state = 0.0, "up"
 
 
 async def responses_truncated(scenario: LateEventScenario) -> None:
     """Three responses end within the event: events count as received 2 s after the first one."""
-    scenario.log.broken = [
+    scenario.log.raw_responses = [
         b'HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{"seq":3,"results":[{"seq":2,"fl'
     ] * 3
-    while len(scenario.log.broken) == 3:
+    while len(scenario.log.raw_responses) == 3:
         await asyncio.sleep(0.01)
     scenario.append_changes(scenario.log, notify=False)
     scenario.received_by_s = scenario.now + 2
@@ -223,7 +227,7 @@
 
 async def log_address_changed(scenario: LateEventScenario) -> None:
     """SIGHUP names another address, reachable after 1.5 s; events count as received after 4 s."""
-    scenario.log.late, new = NEVER_S, ChangeLog()
+    scenario.log.response_delay_s, new = NEVER_S, ChangeLog()
     await new.start()
     new.events = list(scenario.log.events)
     scenario.append_changes(new)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -61,7 +61,7 @@
 from quincepier.state.section import StateSection
 from quincepier.state.snapshot_store import GENERATION_NAMES, TEMPORARY_NAME
 from tests.rig import RouterBench
-from tests.standins import Asked, Front, play, until
+from tests.standins import Front, ReceivedCommand, play, until
 
 DATA = Path(__file__).parent / "data"
 NOW = Timestamp(1_000_000, "boot", 5_000_000_000)
@@ -496,8 +496,8 @@
     asyncio.run(run())
 
 
-def serve_data(command: Asked) -> None:
-    command.data()
+def serve_data(command: ReceivedCommand) -> None:
+    command.respond_with_data()
 
 
 def test_a_front_restores_its_state_after_a_kill_and_serves_with_a_damaged_folder(tmp_path: Path) -> None:
@@ -505,31 +505,31 @@
         folder, operator_file = tmp_path / "kept", front.folder / "operator.yaml"
         operator_file.write_text(f"state: {{folder: {folder}, every_s: 0.2}}\n")
         await restart(front)
-        client = await front.client()
+        client = await front.connect_client()
         for n in range(1, 30):
-            client.ask(n)
-            assert (await client.ended(n)).status == 200
+            client.send_request(n)
+            assert (await client.wait_for_response(n)).status == 200
         await until(lambda: any((folder / name).exists() for name in GENERATION_NAMES), "a record is stored")
         state_before_kill = await wait_for_learned_state(folder)
         assert state_before_kill.service_times and state_before_kill.fetch_limit is not None
         await restart(front)
-        assert front.logged("state read: ")
-        client = await front.client()
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
+        assert front.has_logged("state read: ")
+        client = await front.connect_client()
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
         for name in GENERATION_NAMES:
             (folder / name).write_bytes(b"damaged")
         await restart(front)
-        assert front.logged("state_not_used: ")
-        client = await front.client()
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
+        assert front.has_logged("state_not_used: ")
+        client = await front.connect_client()
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
 
     async def restart(front: Front) -> None:
-        front.signal(signal.SIGKILL)
-        await front.code()
-        front.lines.clear()
-        front.operator = front.folder / "operator.yaml"
+        front.send_signal(signal.SIGKILL)
+        await front.wait_for_exit()
+        front.log_lines.clear()
+        front.operator_file = front.folder / "operator.yaml"
         await front.start()
 
     async def wait_for_learned_state(folder: Path) -> LearnedState:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,14 +15,14 @@
 from quincepier.interface import AttemptOutcome
 from tests.attemptkit import BID, IMAGE, FrontHarness, run_on_uvloop
 from tests.faulty_front import Call, Plan, Rule
-from tests.standins import Asked, Behaviour, Client, Front, play, until
+from tests.standins import Behaviour, Client, Front, ReceivedCommand, play, until
 
 ONE = ("s-1", "o-1")
 LATE_CLIENTS = 10
 
 
-def serve_hit(asked: Asked) -> None:
-    asked.data()
+def serve_hit(asked: ReceivedCommand) -> None:
+    asked.respond_with_data()
 
 
 @pytest.mark.fleet(5)
@@ -32,18 +32,18 @@
     plan = Plan(rules=(Rule("accept", (error,), begin=0.25, end=0.9, since="term"),))
 
     async def scenario(front: Front) -> None:
-        first = await front.client()
-        first.ask(1)
-        assert (await first.ended(1)).status == 200
-        front.signal(signal.SIGTERM)
+        first = await front.connect_client()
+        first.send_request(1)
+        assert (await first.wait_for_response(1)).status == 200
+        front.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.3)
         late_clients: list[Client] = []
         for n in range(LATE_CLIENTS):
-            late_clients.append(await front.client())
-            late_clients[-1].ask(10 + n)
-        responses = [await client.ended(10 + n) for n, client in enumerate(late_clients)]
+            late_clients.append(await front.connect_client())
+            late_clients[-1].send_request(10 + n)
+        responses = [await client.wait_for_response(10 + n) for n, client in enumerate(late_clients)]
         assert {response.status for response in responses} <= {200, 503}
-        assert await front.code() == 0, front.lines
+        assert await front.wait_for_exit() == 0, front.log_lines
 
     play(tmp_path, {"s-1": serve_hit, "p-1": serve_hit, "o-1": serve_hit}, scenario, plan=plan.text())
 
@@ -146,15 +146,15 @@
     plan = Plan(rules=(Rule("accept", ("ENFILE",), end=2.0),))
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1, "bid", HTTP_X_ALLOW_MS="4000")
+        client = await front.connect_client()
+        client.send_request(1, "bid", HTTP_X_ALLOW_MS="4000")
         began = time.monotonic()
         origin = front.caches["o-1"]
-        await until(lambda: bool(origin.asked), "the command is sent")
+        await until(lambda: bool(origin.commands), "the command is sent")
         left_ms = 4000 - (time.monotonic() - began) * 1000
         assert left_ms < 4000 - 500, "the request has waited"
-        assert int(origin.asked[0].fields["wait"]) <= left_ms + 150
-        assert (await client.ended(1)).status == 200
+        assert int(origin.commands[0].fields["wait"]) <= left_ms + 150
+        assert (await client.wait_for_response(1)).status == 200
 
     play(tmp_path, {"s-1": serve_hit, "p-1": serve_hit, "o-1": serve_hit}, scenario, plan=plan.text())
 
@@ -172,10 +172,10 @@
     plan = Plan(rules=(Rule("accept", ("ENFILE",), end=5.0),))
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
+        client = await front.connect_client()
         began = time.monotonic()
-        client.ask(1, HTTP_X_ALLOW_MS="40")
-        await client.ended(1)
+        client.send_request(1, HTTP_X_ALLOW_MS="40")
+        await client.wait_for_response(1)
         assert time.monotonic() - began <= 0.04 + 0.5
 
     play(tmp_path, {"s-1": serve_hit, "p-1": serve_hit, "o-1": serve_hit}, scenario, plan=plan.text())
@@ -187,9 +187,9 @@
     plan = Plan(rules=(Rule("socket", (error,), end=1.0),))
 
     async def scenario(front: Front) -> None:
-        client = await front.client()
-        client.ask(1)
-        assert (await client.ended(1)).status == 200
+        client = await front.connect_client()
+        client.send_request(1)
+        assert (await client.wait_for_response(1)).status == 200
 
     play(tmp_path, {"s-1": serve_hit, "p-1": serve_hit, "o-1": serve_hit}, scenario, plan=plan.text())
 
@@ -205,16 +205,16 @@
     caches: dict[str, Behaviour] = {
         "s-1": serve_hit,
         "p-1": serve_hit,
-        "o-1": lambda asked: asked.data(bytes(240_000)),
+        "o-1": lambda asked: asked.respond_with_data(bytes(240_000)),
     }
 
     async def scenario(front: Front) -> None:
-        client, served = await front.client(), 0
+        client, served = await front.connect_client(), 0
         for n in range(1, 31):
-            client.ask(n, "bid" if n % 10 == 0 else "lot-image")
-            response = await client.ended(n)
+            client.send_request(n, "bid" if n % 10 == 0 else "lot-image")
+            response = await client.wait_for_response(n)
             assert response.status in (200, 503), "rejected if it waited long for its read"
             served += response.status == 200 and len(response.body) in (5, 240_000)
-        assert served > 20 and not client.closed
+        assert served > 20 and not client.is_closed
 
     play(tmp_path, caches, scenario, plan=plan.text())
--- a/tests/watchkit.py
+++ b/tests/watchkit.py
@@ -23,7 +23,7 @@
 from quincepier.net.sockets import Descriptors
 from quincepier.net.watch import ChangeLogWatcher
 from tests.frontkit import make_config
-from tests.loopback import own_address
+from tests.loopback import allocate_address
 from tests.standins import until
 from tests.virtual import run
 
@@ -66,7 +66,7 @@
         self.on_poll: Callable[[ReceivedPoll], None] = lambda poll: None
 
     async def start(self) -> ScriptedChangeLog:
-        self.server = await asyncio.start_server(self._serve, *own_address())
+        self.server = await asyncio.start_server(self._serve, *allocate_address())
         return self
 
     @property
