--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -2,7 +2,8 @@
 
 127.8.0.0 to 127.15.255.255 are divided into blocks. A process owns the block whose first address it has
 bound; the kernel releases it when the process ends. So concurrent test processes, also of several runs,
-never use the same address. The laboratory's fleets use other addresses (quincepier/lab/fleet/loopback_addresses.py).
+never use the same address. The laboratory's fleets use other addresses
+(quincepier/lab/fleet/loopback_addresses.py).
 """
 
 from __future__ import annotations
