--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,10 @@
-# All set-up is done by these: the environment is made where it is not there or its lists have changed.
+# The targets set up what they need: the environment is made if it is missing or its requirements have changed.
 VENV := .venv
 PYTHON := $(VENV)/bin/python
 
 .PHONY: demo sites test
 
-# Where the bench's pages and programs lie, beside the repository; nothing of it is kept in here.
+# Folder of the bench's pages and programs, beside the repository; none of them is kept in the repository.
 GIVEN := ../given/kit
 
 $(VENV)/made: requirements.txt requirements-lab.txt requirements-dev.txt
@@ -16,15 +16,16 @@
 demo: $(VENV)/made
 	$(PYTHON) -m quincepier lab fleet experiments/demo.yaml --report demo.html
 
-# Side by side, a process for each core and ten at most; WORKERS=0: one after the other. PACKAGE=consensus runs one
-# package's tests alone (tests/packages.py); OPTIONS: more words for pytest, such as OPTIONS='-m "not fleet"'.
+# Runs tests in parallel, one process for each core, at most ten; WORKERS=0 runs them one after the other.
+# PACKAGE=consensus runs the tests of one package (tests/packages.py). OPTIONS: further arguments of pytest, such as
+# OPTIONS='-m "not fleet"'.
 WORKERS := auto
 SIDE_BY_SIDE := -n $(WORKERS) --maxprocesses 10 --dist loadgroup --no-loadscope-reorder
 
 test: $(VENV)/made
 	$(PYTHON) -m pytest -q -p no:cacheprovider $(SIDE_BY_SIDE) $(if $(PACKAGE),--package $(PACKAGE)) $(OPTIONS)
 
-# What the bench needs beside the deployments of our own: the words of its wire, its figures, its troubles.
+# Copies what the bench needs beside our own deployments: its wire vocabulary, its measured values and its faults.
 sites:
 	@test -d $(GIVEN)/more/mass/other || \
 	  { echo "make sites: $(GIVEN) is not there: lay the bench's kit beside the repository" >&2; exit 2; }
